--- /dev/null
+++ b/crates/gateway/tests/golden.rs
@@ -0,0 +1,756 @@
+//! What travels between the gateway and others, to the byte: packets to clients, lines to and from engines, questions to the
+//! notice board and its answers, fields of the comment ahead of a statement, and the names of what is shown to operators.
+//! Clients, engines, boards and operators' scripts hold to these, so no work on the code's own names may change them: what was
+//! written before such work is kept in `golden/` and compared here.
+//!
+//! A deliberate change is recorded anew with `GOLDEN_RECORD=1 cargo test -p laurelhitch-gateway --test golden`, which writes the
+//! files; a plain run only compares. A line is a name and a value: bytes in hexadecimal, or text with what is no plain letter
+//! of it escaped. Names are of the field's own words and don't follow the code's.
+
+mod support;
+
+use std::fmt::Write as _;
+use std::io::{Read, Write};
+use std::net::{TcpListener, TcpStream};
+use std::path::Path;
+use std::process::Command as Program;
+
+use ::fleet::letter::{self, Body, Letter, Nonce, View};
+use ::fleet::{Incarnation, Life, Name, Place, Record, Ring, State};
+use admission::interface::{Moment, Span, Stage};
+use bytes::BytesMut;
+use gateway::board::http::{self, Answered};
+use gateway::clients::comment;
+use gateway::clients::packets::{self, Answer as Packets, Command, Hello, Query};
+use gateway::counters::Counters;
+use gateway::engines::lines::{self, Answer, Tags, Word};
+use gateway::status;
+use queues::{DeskStatus, Estimate, StatementStatus};
+use serde_json::json;
+use shares::office::Holding;
+use shares::{Amount, Line, Status, Who};
+use support::clients::{patient, send, text};
+use support::script::Script;
+use support::*;
+use toy::client::{Client, login_packet, packet, query_packet};
+use toy::engine::Mood;
+
+/// Compares with what is recorded, or records it.
+fn golden(file: &str, got: &[(&str, String)]) {
+    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(file);
+    let got: Vec<String> = got.iter().map(|(name, value)| format!("{name} {value}")).collect();
+    if std::env::var("GOLDEN_RECORD").is_ok_and(|set| set == "1") {
+        std::fs::write(&path, got.join("\n") + "\n").unwrap();
+        return;
+    }
+    let want = std::fs::read_to_string(&path).unwrap();
+    let want: Vec<&str> = want.lines().collect();
+    for (got, want) in got.iter().zip(&want) {
+        assert_eq!(got, want, "{file}");
+    }
+    assert_eq!(got.len(), want.len(), "{file}: lines");
+}
+
+fn hex(bytes: impl AsRef<[u8]>) -> String {
+    let mut text = String::new();
+    bytes.as_ref().iter().for_each(|byte| write!(text, "{byte:02x}").unwrap());
+    text
+}
+
+fn plain(bytes: impl AsRef<[u8]>) -> String {
+    bytes.as_ref().escape_ascii().to_string()
+}
+
+#[test]
+fn packets_to_clients_are_as_recorded() {
+    let cells = |cells: [&str; 2]| cells.map(str::to_owned);
+    let (seq, progress) = Packets::to(0).progress((1, 2), 40_000, "Waiting, 1.5 s more");
+    let pages = [&b"a\tb\tc\n1\t2\t3\n"[..], b"4\t5\t6\n"];
+    let long = "x".repeat(300);
+    let got = [
+        ("greeting", hex(packets::greeting(0x0102_0304, false, false))),
+        ("greeting-progress", hex(packets::greeting(0x0102_0304, true, false))),
+        ("greeting-tls", hex(packets::greeting(0x0102_0304, false, true))),
+        ("greeting-progress-tls", hex(packets::greeting(0x0102_0304, true, true))),
+        ("ok", hex(Packets::to(1).ok())),
+        ("ok-after-last-number", hex(Packets::to(255).ok())),
+        ("progress", hex(progress)),
+        ("progress-number", seq.to_string()),
+        ("error", hex(Packets::to(0).error(1226, b"42000", "denied; backoff=400"))),
+        ("ask-password", hex(Packets::to(2).ask_clear())),
+        ("value", hex(Packets::to(0).value("@@max_allowed_packet", b"65536"))),
+        ("table", hex(Packets::to(0).table(["one", "two"], &[cells(["a", "b"]), cells(["", &long])]))),
+        ("table-empty", hex(Packets::to(0).table(["one", "two"], &[]))),
+        ("result", hex(Packets::to(0).result(pages.into_iter()))),
+        ("result-empty", hex(Packets::to(0).result([].into_iter()))),
+    ];
+    golden("packets.txt", &got);
+}
+
+fn login(user: &str, password: &[u8], database: &str) -> Vec<u8> {
+    login_packet(user, password, database)[4..].to_vec()
+}
+
+fn judged(of: Result<(), packets::Denied>) -> String {
+    match of {
+        Ok(()) => "in".to_owned(),
+        Err((code, state, why)) => format!("{code} {} {why}", plain(state)),
+    }
+}
+
+fn command(body: &[u8]) -> String {
+    match packets::command(body) {
+        Command::Quit => "quit".to_owned(),
+        Command::Ping => "ping".to_owned(),
+        Command::Fine => "fine".to_owned(),
+        Command::Query(text) => format!("query {}", plain(text)),
+        Command::Unknown => "unknown".to_owned(),
+    }
+}
+
+fn query(text: &str) -> String {
+    match packets::query(text.as_bytes()) {
+        Query::Statement => "statement".to_owned(),
+        Query::Renew(token) => format!("token {token}"),
+        Query::Kill { connection, whole } => format!("kill {connection} whole={whole}"),
+        Query::Queue(id) => format!("queue {}", id.unwrap_or("-")),
+        Query::Fleet => "fleet".to_owned(),
+        Query::Shares => "shares".to_owned(),
+        Query::Fine => "fine".to_owned(),
+        Query::Variable(name) => format!("variable {name}"),
+    }
+}
+
+#[test]
+fn packets_of_clients_are_read_as_recorded() {
+    let mut progress = login("app", b"", "warehouse");
+    progress[0] &= !1;
+    progress[28] = 1;
+    let mut tls = login("token", b"", "warehouse");
+    tls[1] |= 8;
+    let hello = |body: &[u8]| match packets::hello(body) {
+        Hello::Tls => "tls".to_owned(),
+        Hello::Login => "login".to_owned(),
+    };
+    let mut inbox = BytesMut::from(&[3, 0, 0, 9, 3, b'h', b'i', 1][..]);
+    let taken = packets::take(&mut inbox).unwrap().unwrap();
+    let too_large = packets::take(&mut BytesMut::from(&[1, 0, 1, 0][..])).err().unwrap();
+    let got = [
+        ("packet", format!("{} {} {}", taken.seq, plain(&taken.body), plain(&inbox))),
+        ("packet-too-large", too_large.to_string()),
+        ("login", judged(packets::login(&login("app", b"", "warehouse")))),
+        ("login-other-user", judged(packets::login(&login("root", b"", "warehouse")))),
+        ("login-password", judged(packets::login(&login("app", b"x", "warehouse")))),
+        ("login-other-database", judged(packets::login(&login("app", b"", "other")))),
+        ("login-malformed", judged(packets::login(b"\x00"))),
+        ("login-token", judged(packets::token_login(&login("token", b"x", "warehouse")))),
+        ("login-token-other-user", judged(packets::token_login(&login("app", b"", "warehouse")))),
+        ("progress-wanted", packets::takes_progress(&progress).to_string()),
+        ("progress-not-wanted", packets::takes_progress(&login("app", b"", "warehouse")).to_string()),
+        ("first-tls", hello(&tls[..32])),
+        ("first-login", hello(&tls)),
+        ("command-quit", command(b"\x01")),
+        ("command-database", command(b"\x02warehouse")),
+        ("command-other-database", command(b"\x02other")),
+        ("command-query", command(b"\x03SELECT 1")),
+        ("command-ping", command(b"\x0e")),
+        ("command-options", command(b"\x1b\x00\x00")),
+        ("command-reset", command(b"\x1f")),
+        ("command-unknown", command(b"\x16")),
+        ("query-statement", query("SELECT a FROM ledger_1.bills")),
+        ("query-kill", query("KILL 17")),
+        ("query-kill-connection", query("kill connection 17;")),
+        ("query-kill-query", query("KILL QUERY 17")),
+        ("query-queue", query("SHOW QUEUE")),
+        ("query-queue-for", query("SHOW QUEUE FOR '5eed00c0ffee0a17'")),
+        ("query-fleet", query("SHOW FLEET")),
+        ("query-shares", query("SHOW SHARES")),
+        ("query-token", query("SET @laurelhitch_token = 'v4.public.x'")),
+        ("query-set", query("SET NAMES utf8")),
+        ("query-variable", query("SELECT @@max_allowed_packet LIMIT 1")),
+    ];
+    golden("packets_read.txt", &got);
+}
+
+/// The next whole packet's body: an error's mark, code, state and text.
+fn error(client: &mut Client) -> String {
+    let body = client.packet().unwrap();
+    assert_eq!(body[0], 0xff, "{}", plain(&body));
+    format!("{} {}", u16::from_le_bytes([body[1], body[2]]), plain(&body[3..]))
+}
+
+fn refused(client: &mut Client, query: &str) -> String {
+    client.stream.write_all(&query_packet(query)).unwrap();
+    error(client)
+}
+
+#[test]
+fn errors_come_to_clients_as_recorded() {
+    let engine = Script::new();
+    let gateway = Gateway::with(&[engine.address], |config| {
+        patient(config);
+        config["settings"]["Limits"]["MaxOpen"] = json!(1);
+    });
+    let mut client = gateway.client();
+    let good = commented(1900, "SELECT 1");
+    let mut got = vec![
+        ("no-comment", refused(&mut client, "SELECT 1")),
+        ("no-id", refused(&mut client, &good.replace("rid=", "id="))),
+        ("bad-id", refused(&mut client, &good.replace("rid=0", "rid=g"))),
+        ("no-budget", refused(&mut client, &good.replace("budget=1900,", ""))),
+        ("bad-budget", refused(&mut client, &good.replace("budget=1900", "budget=0"))),
+        ("no-method", refused(&mut client, &good.replace("method=point,", ""))),
+        ("unknown-method", refused(&mut client, &good.replace("point", "nothing"))),
+        ("unknown-account", refused(&mut client, &good.replace("water", "fire"))),
+        ("bad-estimate", refused(&mut client, &good.replace("est=12.0", "est=much"))),
+        ("bad-memory", refused(&mut client, &good.replace("mem=8", "mem=much"))),
+        ("bad-token", refused(&mut client, &good.replace("mem=8", "token=a b"))),
+        ("bad-object", refused(&mut client, &good.replace("mem=8", "obj=a b"))),
+        ("no-statement", refused(&mut client, &good.replace("SELECT 1", ""))),
+        ("no-fleet", refused(&mut client, "SHOW FLEET")),
+        ("no-shares", refused(&mut client, "SHOW SHARES")),
+        ("no-queues", refused(&mut client, "SHOW QUEUE")),
+        ("kill-unknown", refused(&mut client, "KILL 99999999")),
+    ];
+    client.stream.write_all(&packet(0, &[0x55])).unwrap();
+    got.push(("unknown-command", error(&mut client)));
+    for (name, login) in [
+        ("login-other-user", login_packet("root", b"", "warehouse")),
+        ("login-password", login_packet("app", b"x", "warehouse")),
+        ("login-other-database", login_packet("app", b"", "other")),
+        ("login-malformed", packet(1, b"\x00")),
+        ("packet-too-large", [0xff, 0xff, 0x7f, 1, 3].to_vec()),
+    ] {
+        got.push((name, error(&mut Client::open(gateway.listen, &login).unwrap())));
+    }
+    // One is open, and as many as may be.
+    let (mut first, open) = (gateway.client(), text(8, "SELECT 2"));
+    send(&mut first, &open);
+    let mut link = engine.accept();
+    assert_eq!(link.asked().id, open.rid);
+    got.push(("id-open", refused(&mut client, &open.query)));
+    got.push(("too-many-open", refused(&mut client, &commented(1900, "SELECT 3"))));
+    let kill = format!("KILL QUERY {}", first.connection);
+    assert_eq!(client.ask(&kill).unwrap(), toy::client::Answer::Ok);
+    got.push(("killed", error(&mut first)));
+    golden("errors.txt", &got);
+}
+
+#[test]
+fn denials_and_failures_come_to_clients_as_recorded() {
+    let full = engine(1);
+    full.set(Mood::Full);
+    let gateway = Gateway::before(&[full.address]);
+    let denied = refused(&mut gateway.client(), &commented(800, "SELECT 1"));
+    // What may have run and can't be tried again.
+    let broken = engine(1);
+    broken.set(Mood::Error);
+    let gateway = Gateway::with(&[broken.address], |config| {
+        config["settings"]["Grades"][0]["Effect"] = json!("unsafe");
+    });
+    let failed = refused(&mut gateway.client(), &commented(800, "SELECT 1"));
+    golden("endings.txt", &[("denied", denied), ("failed", failed)]);
+}
+
+#[test]
+fn lines_to_engines_are_as_recorded() {
+    let rid = b"5eed00c0ffee0a17";
+    let none = Tags { mark: None, key: None };
+    let both = Tags { mark: Some("00112233445566778899aabbccddeeff".into()), key: Some("a1b2".into()) };
+    let got = [
+        ("do", plain(lines::relay(rid, "scan", 1200, None, &none, b"SELECT '\r\n'"))),
+        ("do-ranked", plain(lines::relay(rid, "scan", 1200, Some(2), &none, b"SELECT 1"))),
+        ("do-tagged", plain(lines::relay(rid, "load", 80, Some(0), &both, b"INSERT"))),
+        ("undo", plain(lines::undo(rid))),
+        ("page", plain(lines::page(rid, 3))),
+        ("forget", plain(lines::forget(rid))),
+        ("longest-body", lines::BODY.to_string()),
+        ("inbox-bound", lines::BOUND.to_string()),
+    ];
+    golden("lines.txt", &got);
+}
+
+fn line(bytes: &[u8]) -> String {
+    let answer = match Answer::take(&mut BytesMut::from(bytes)) {
+        Ok(Some(answer)) => answer,
+        Ok(None) => return "not all there".to_owned(),
+        Err(error) => return error.to_string(),
+    };
+    let word = match answer.word {
+        Word::Done => "done",
+        Word::Wait => "wait",
+        Word::Broke => "broke",
+        Word::Past => "past",
+        Word::Tell => "tell",
+        Word::More => "more",
+        Word::Fit => "fit",
+    };
+    let fields = ["total", "elapsed", "rss", "remark", "datum", "index"];
+    let fields = fields.map(|name| answer.field(name).map_or("-".to_owned(), plain));
+    format!("{} {word} {} '{}'", plain(&answer.id), fields.join("/"), plain(&answer.body))
+}
+
+#[test]
+fn lines_of_engines_are_read_as_recorded() {
+    let got = [
+        ("done", line(b"5eed00c0ffee0a17 DONE total=2,elapsed=81.5,rss=96 6\r\na\tb\r\n\n\r\n")),
+        ("wait", line(b"5eed00c0ffee0a17 WAIT - 0\r\n\r\n")),
+        ("broke", line(b"5eed00c0ffee0a17 BROKE - 0\r\n\r\n")),
+        ("past", line(b"5eed00c0ffee0a17 PAST - 0\r\n\r\n")),
+        ("tell", line(b"5eed00c0ffee0a17 TELL remark=done,datum=0.5 0\r\n\r\n")),
+        ("more", line(b"5eed00c0ffee0a17 MORE index=1 2\r\nab\r\n")),
+        ("fit", line(b"5eed00c0ffee0a17 FIT q=1 0\r\n\r\n")),
+        ("half", line(b"5eed00c0ffee0a17 DONE - 5\r\nab")),
+        ("long", line(&[b'x'; 2000])),
+        ("words", line(b"x DONE 0\r\n")),
+        ("unknown", line(b"x GONE - 0\r\n")),
+        ("length", line(b"x DONE - many\r\n")),
+        ("ending", line(b"x DONE - 2\r\nabcd")),
+    ];
+    golden("lines_read.txt", &got);
+}
+
+/// A whole question of a fresh connection.
+fn question(stream: &mut TcpStream) -> String {
+    let mut bytes = Vec::new();
+    while !bytes.ends_with(b"\r\n\r\n") {
+        let mut byte = [0];
+        stream.read_exact(&mut byte).unwrap();
+        bytes.push(byte[0]);
+    }
+    plain(bytes)
+}
+
+/// The next question that differs from the last one, on its connection: a slow poll is asked a second time.
+fn other_question(board: &TcpListener, last: &str) -> (String, TcpStream) {
+    loop {
+        let (mut stream, _) = board.accept().unwrap();
+        let asked = question(&mut stream);
+        if asked != last {
+            return (asked, stream);
+        }
+    }
+}
+
+#[test]
+fn questions_to_the_notice_board_are_as_recorded() {
+    let board = TcpListener::bind("127.0.0.1:0").unwrap();
+    let address = board.local_addr().unwrap().to_string();
+    let engine = engine(1);
+    // Closed at its end, each answer is followed by a question on a connection of its own.
+    let answer = |mut stream: TcpStream, body: String| {
+        let head = format!("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: {}\r\n\r\n", body.len());
+        stream.write_all(format!("{head}{body}").as_bytes()).unwrap();
+    };
+    let _gateway = Gateway::with(&[engine.address], |config| config["board"] = json!(address));
+    let (known, stream) = other_question(&board, "");
+    let target = json!({"uid": "e-9", "endpoint": "127.0.0.1:1", "az": "hall-1", "model": "plain-8", "pod_group": 0,
+        "state": "terminating", "capacity_hint": 8.0, "boot_ms": 0});
+    let pool =
+        |number: u32| json!({"rev": number, "pool": {"rev": number, "all": false, "targets": [target]}});
+    answer(stream, json!({"rev": 3, "notices": [pool(2), pool(3)]}).to_string());
+    let (later, stream) = other_question(&board, &known);
+    answer(stream, json!({"rev": 1, "notices": []}).to_string());
+    let (anew, _stream) = other_question(&board, &later);
+    let asked = |text: &str| text.replace(&address, "BOARD");
+    let got = [
+        ("from-known", asked(&known)),
+        ("after-news", asked(&later)),
+        ("from-the-start", asked(&anew)),
+        ("longest-answer", http::LARGEST.to_string()),
+    ];
+    golden("board.txt", &got);
+}
+
+fn board(head: &str, body: &str) -> String {
+    let bytes = format!("HTTP/1.1 {head}\r\n\r\n{body}");
+    let (events, keep) = match http::take(&mut BytesMut::from(bytes.as_bytes()), true) {
+        Answered::NotYet => return "not all there".to_owned(),
+        Answered::Nonsense(why) => return format!("nonsense: {why}"),
+        Answered::Events(events, keep) => (events, keep),
+    };
+    let mut text = format!("keep={keep} last={}", events.last);
+    for event in &events.events {
+        let Some(change) = &event.list else {
+            write!(text, "; {} other", event.number).unwrap();
+            continue;
+        };
+        write!(text, "; {} whole={}", event.number, change.whole).unwrap();
+        for of in &change.targets {
+            let stage = match of.stage {
+                Stage::Ready => "ready",
+                Stage::Draining => "draining",
+                Stage::Gone => "gone",
+            };
+            let (started, cell) = (of.started.map(|at| (at - Moment::from_secs(0.0)).secs()), of.cell);
+            write!(text, " [{} {} {} {}", of.uid, of.address, of.location, of.machine).unwrap();
+            write!(text, " {cell} {stage} {} {}]", of.scale, started.map_or(-1.0, |at| at)).unwrap();
+        }
+    }
+    text
+}
+
+#[test]
+fn answers_of_the_notice_board_are_read_as_recorded() {
+    let target = |state: &str| {
+        format!(
+            r#"{{"uid": "e-1", "endpoint": "127.0.0.1:7101", "az": "hall-1", "model": "plain-8", "pod_group": 3,
+            "state": "{state}", "capacity_hint": 2.5, "boot_ms": 1500}}"#
+        )
+    };
+    let body = |all: bool, targets: &str| {
+        format!(
+            r#"{{"rev": 5, "notices": [{{"rev": 4}}, {{"rev": 5, "pool": {{"all": {all}, "targets": [{targets}]}}}}]}}"#
+        )
+    };
+    let listed = [target("in_service"), target("terminating"), target("terminated")].join(",");
+    let sized = |body: &str| format!("200 OK\r\nContent-Length: {}", body.len());
+    let (whole, part, odd) = (body(true, &listed), body(false, ""), body(true, &target("resting")));
+    let least = body(
+        true,
+        r#"{"uid": "e", "endpoint": "127.0.0.1:1", "az": "a", "model": "m", "state": "in_service"}"#,
+    );
+    let less = |field: &str| {
+        let body = whole.replace(&format!("\"{field}\":"), "\"gone\":");
+        board(&sized(&body), &body)
+    };
+    let chunked = format!("{:x}\r\n{part}\r\n0\r\n\r\n", part.len());
+    let got = [
+        ("whole", board(&sized(&whole), &whole)),
+        ("changes", board(&sized(&part), &part)),
+        ("least-fields", board(&sized(&least), &least)),
+        ("closing", board(&format!("{}\r\nConnection: close", sized(&part)), &part)),
+        ("chunked", board("200 OK\r\nTransfer-Encoding: chunked", &chunked)),
+        ("to-the-end", board("200 OK", &part)),
+        ("state-unknown", board(&sized(&odd), &odd)),
+        ("no-rev", less("rev")),
+        ("no-notices", less("notices")),
+        ("no-targets", less("targets")),
+        ("no-all", less("all")),
+        ("no-uid", less("uid")),
+        ("no-endpoint", less("endpoint")),
+        ("no-az", less("az")),
+        ("no-model", less("model")),
+        ("no-state", less("state")),
+        ("status", board("503 Busy", "")),
+        ("too-short", board("200 OK\r\nContent-Length: 9", "{}")),
+    ];
+    golden("board_read.txt", &got);
+}
+
+fn commented_as(text: &str) -> String {
+    let read = match comment::read(text.as_bytes()) {
+        Ok(read) => read,
+        Err(error) => return error.to_string(),
+    };
+    let number = |of: Option<f64>| of.map_or("-".to_owned(), |of| of.to_string());
+    let words = [read.product, read.tenant.unwrap_or("-"), read.desk.unwrap_or("-")].join("/");
+    let tags = [read.mark.unwrap_or("-"), read.key.unwrap_or("-")].join("/");
+    let (rid, statement) = (plain(read.rid), plain(read.statement));
+    let (estimate, memory) = (number(read.estimate_ms), number(read.memory_mb));
+    format!("{rid} {words} {}/{estimate}/{memory} {tags} {statement}", read.budget_ms)
+}
+
+#[test]
+fn comments_ahead_of_statements_are_read_as_recorded() {
+    let all = "/* method=scan,rid=5eed00c0ffee0a17,budget=900,acct=water,desk=counter,est=12.5,mem=64,token=aa11,obj=b2 */ SELECT 1";
+    let least = "/* method=scan,rid=5eed00c0ffee0a17,budget=900 */ SELECT 1";
+    let without = |field: &str| commented_as(&all.replace(&format!("{field}="), "other="));
+    let empty = |field: &str| commented_as(&least.replace(" */", &format!(",{field}= */")));
+    let group = |statement: &str| {
+        comment::table_group(statement.as_bytes()).map_or("-".to_owned(), |of| of.to_string())
+    };
+    let got = [
+        ("all", commented_as(all)),
+        ("least", commented_as(least)),
+        ("none", commented_as("SELECT 1")),
+        ("no-statement", commented_as("/* method=scan,rid=5eed00c0ffee0a17,budget=900 */ ")),
+        ("without-method", without("method")),
+        ("without-rid", without("rid")),
+        ("without-budget", without("budget")),
+        ("without-acct", without("acct")),
+        ("without-desk", without("desk")),
+        ("without-est", without("est")),
+        ("without-mem", without("mem")),
+        ("without-token", without("token")),
+        ("without-obj", without("obj")),
+        ("empty-acct", empty("acct")),
+        ("empty-desk", empty("desk")),
+        ("empty-est", empty("est")),
+        ("empty-mem", empty("mem")),
+        ("empty-token", empty("token")),
+        ("empty-obj", empty("obj")),
+        ("twice", commented_as(&all.replace("est=12.5", "rid=5eed00c0ffee0a17"))),
+        ("long-budget", commented_as(&all.replace("900", "3600001"))),
+        ("group-from", group("SELECT a FROM ledger_17.bills")),
+        ("group-into", group("INSERT INTO ledger_4.bills SELECT a FROM staging.rows_3")),
+        ("group-none", group("SELECT 'ledger_17.bills'")),
+    ];
+    golden("comment.txt", &got);
+}
+
+fn name(of: &str) -> Name {
+    Name::new(of).unwrap()
+}
+
+fn cells<const N: usize>(rows: &[[String; N]]) -> Vec<String> {
+    rows.iter().map(|row| row.join("|")).collect()
+}
+
+fn at(secs: f64) -> Moment {
+    Moment::from_secs(secs)
+}
+
+fn estimate(wait: f64, p90: f64) -> Estimate {
+    Estimate { wait: Span::from_secs(wait), p90: Span::from_secs(p90) }
+}
+
+#[test]
+fn queues_are_shown_as_recorded() {
+    let desk = DeskStatus {
+        member: "water".to_owned(),
+        desk: "counter".to_owned(),
+        waiting: 3,
+        cpu: 1.25,
+        budget: 0.5,
+        rate: Some(0.75),
+        saved: -2.5,
+        longest: Span::from_secs(0.4),
+        next: vec![estimate(0.1, 0.3), estimate(0.2, 0.6)],
+    };
+    let quiet = DeskStatus { rate: None, next: Vec::new(), desk: "kiosk".to_owned(), ..desk.clone() };
+    let statement = StatementStatus {
+        member: "water".to_owned(),
+        desk: "counter".to_owned(),
+        ahead: 4,
+        waited: Span::from_secs(0.25),
+        left: estimate(0.5, 1.5),
+    };
+    let desks = status::desks(&[desk, quiet]);
+    let statement = [status::statement("5eed00c0ffee0a17", &statement)];
+    let rows = cells(&desks);
+    let got = [
+        ("queue-columns", status::DESKS.join("|")),
+        ("queue-desk", rows[0].clone()),
+        ("queue-quiet-desk", rows[1].clone()),
+        ("queue-packets", hex(Packets::to(0).table(status::DESKS, &desks))),
+        ("statement-columns", status::STATEMENT.join("|")),
+        ("statement", cells(&statement).concat()),
+        ("statement-packets", hex(Packets::to(0).table(status::STATEMENT, &statement))),
+    ];
+    golden("queues.txt", &got);
+}
+
+#[test]
+fn a_fleet_is_shown_as_recorded() {
+    let place = |zone: &str, region: &str| Place { zone: Some(name(zone)), region: Some(name(region)) };
+    let ring = || Ring::new(&[7; 32], &[]).unwrap();
+    let mut own = ::fleet::Gateway::new(
+        at(10.0),
+        name("golden"),
+        name("g0"),
+        "127.0.0.1:7001".parse().unwrap(),
+        place("room-a", "north"),
+        Vec::new(),
+        ring(),
+        ::fleet::Terms::default(),
+        5,
+    );
+    let record = |of: &str, port: u16, state: State, place: Place| Record {
+        name: name(of),
+        life: Life(0x0102_0304_0506_0708),
+        incarnation: Incarnation(3),
+        address: format!("127.0.0.1:{port}").parse().unwrap(),
+        place,
+        state,
+    };
+    let alone = cells(&status::fleet(at(12.5), &mut own));
+    for (count, of, state, place) in [
+        (1, "g1", State::Alive, place("room-b", "south")),
+        (1, "g2", State::Alive, Place { zone: None, region: None }),
+    ] {
+        let from = record(of, 7000 + if of == "g1" { 2 } else { 3 }, state, place);
+        let address = from.address;
+        let letter = Letter {
+            fleet: name("golden"),
+            from,
+            counter: count,
+            view: View { digest: 1, size: 2 },
+            body: Body::Ping(Nonce(9)),
+            records: Vec::new(),
+            engines: Vec::new(),
+        };
+        let _ = own.receive(at(13.0), address, &letter::seal(&ring(), &letter));
+    }
+    let rows = cells(&status::fleet(at(15.0), &mut own));
+    let mut got = vec![("fleet-columns", status::FLEET.join("|")), ("fleet-alone", alone.concat())];
+    got.extend(rows.into_iter().map(|row| ("fleet-row", row)));
+    got.extend(
+        [State::Alive, State::Suspect, State::Dead, State::Left]
+            .map(|state| ("fleet-state", state.to_string())),
+    );
+    golden("fleet.txt", &got);
+}
+
+#[test]
+fn shares_are_shown_as_recorded() {
+    let holding = |of: &str, differs: bool| Holding {
+        who: Who { name: name(of), life: Life(1) },
+        need: Amount(1_500_000),
+        reserved: Amount(2_250_000),
+        until: Some(at(12.0)),
+        differs,
+    };
+    let line = |budget: &str, unit: &'static str| Line {
+        budget: budget.to_owned(),
+        unit,
+        whole: Amount(6_000_000),
+        floor: Amount(500_000),
+        leased: Amount(1_250_000),
+        until: Some(at(11.5)),
+        wanted: 0.125,
+        spent: 3.5,
+        allowed: 4.75,
+        refused: 2,
+        holdings: vec![holding("g0", false), holding("g1", true), holding("g2", false)],
+    };
+    let bare = Line { until: None, holdings: Vec::new(), ..line("trials", "trials/s") };
+    let steward = Status {
+        me: name("g0"),
+        steward: Some(name("g1")),
+        is_steward: true,
+        number: Some(7),
+        lines: vec![line("relays.point", "relays/s"), bare.clone()],
+    };
+    let none = Status { me: name("g0"), steward: None, is_steward: false, number: None, lines: vec![bare] };
+    let mut got = vec![("shares-columns", status::SHARES.join("|"))];
+    got.extend(cells(&status::shares(at(10.0), &steward)).into_iter().map(|row| ("shares-row", row)));
+    got.push(("shares-without-steward", cells(&status::shares(at(10.0), &none)).concat()));
+    golden("shares.txt", &got);
+}
+
+const OPERATOR: &str = include_str!("golden/operator.hcl");
+
+/// Names of the columns of an answer, and its rows.
+fn shown(client: &mut Client, query: &str) -> (String, Vec<Vec<String>>) {
+    client.stream.write_all(&query_packet(query)).unwrap();
+    let mut names = Vec::new();
+    for _ in 0..client.packet().unwrap()[0] {
+        // Behind catalogue, schema and both names of the table, each with its length ahead.
+        let (packet, mut start) = (client.packet().unwrap(), 0);
+        (0..4).for_each(|_| start += 1 + usize::from(packet[start]));
+        names.push(plain(&packet[start + 1..start + 1 + usize::from(packet[start])]));
+    }
+    let is_end = |packet: &[u8]| packet[0] == 0xfe && packet.len() < 9;
+    assert!(is_end(&client.packet().unwrap()));
+    let mut rows = Vec::new();
+    loop {
+        let packet = client.packet().unwrap();
+        if is_end(&packet) {
+            return (names.join("|"), rows);
+        }
+        let (mut row, mut rest) = (Vec::new(), &packet[..]);
+        while let [length, after @ ..] = rest {
+            row.push(plain(&after[..usize::from(*length)]));
+            rest = &after[usize::from(*length)..];
+        }
+        rows.push(row);
+    }
+}
+
+/// Names of an object's fields, as printed.
+fn keys(json: &str) -> String {
+    let object = json.split('}').next().unwrap();
+    let names = object.lines().filter_map(|line| line.trim().strip_prefix('"')?.split('"').next());
+    names.collect::<Vec<_>>().join("|")
+}
+
+/// These fields of the first object.
+fn values(json: &str, names: &[&str]) -> String {
+    let json: serde_json::Value = serde_json::from_str(json).unwrap();
+    names.iter().map(|name| format!("{name}={}", json[0][name])).collect::<Vec<_>>().join("|")
+}
+
+fn said_by(arguments: &[&str], config: &Path, operator: &Path) -> String {
+    let mut program = Program::new(env!("CARGO_BIN_EXE_laurelhitch"));
+    program.env("RELAY_CONFIG", config).env("LAURELHITCH_OPERATOR", operator);
+    let output = program.args(arguments).output().unwrap();
+    assert!(output.status.success(), "{arguments:?}: {output:?}");
+    String::from_utf8(output.stdout).unwrap()
+}
+
+#[test]
+fn a_gateway_shows_and_prints_under_the_names_recorded() {
+    let folder = std::env::temp_dir().join(format!("laurelhitch-golden-{}", std::process::id()));
+    std::fs::create_dir_all(&folder).unwrap();
+    std::fs::write(folder.join("one.key"), "07".repeat(32)).unwrap();
+    std::fs::write(folder.join("signs"), "one").unwrap();
+    let (bind, engine) = (free_address().to_string(), engine(1));
+    let operator = OPERATOR.replace("FOLDER", folder.to_str().unwrap()).replace("BIND", &bind);
+    let mut gateway = Gateway::operated(&[engine.address], &operator, |_| ());
+    let mut client = gateway.client();
+    let some = |rows: &[Vec<String>], of: &[usize]| {
+        let row = |row: &Vec<String>| of.iter().map(|at| row[*at].clone()).collect::<Vec<_>>().join("|");
+        rows.iter().map(row).collect::<Vec<_>>().join("; ")
+    };
+    let queue = shown(&mut client, "SHOW QUEUE");
+    let statement = shown(&mut client, "SHOW QUEUE FOR 'ffffffffffffffff'");
+    let fleet = shown(&mut client, "SHOW FLEET");
+    let shares = shown(&mut client, "SHOW SHARES");
+    let counts = gateway.counts();
+    let counts = counts.split_once("counters: ").unwrap().1;
+    let counts: Vec<&str> = counts.split_whitespace().filter_map(|word| word.split('=').next()).collect();
+    let listen = gateway.listen.to_string();
+    let (config, file) = (&gateway.config, gateway.config.with_extension("hcl"));
+    let printed = |arguments: &[&str]| said_by(arguments, config, &file);
+    let heads = |text: String| text.lines().next().unwrap().split_whitespace().collect::<Vec<_>>().join("|");
+    let [queue_json, fleet_json, shares_json] =
+        ["queue", "fleet", "shares"].map(|what| printed(&[what, &listen, "--json"]));
+    let mut got = vec![
+        ("queue-columns", queue.0),
+        ("queue-cells", some(&queue.1, &[0, 1, 2, 3, 4, 6, 7])),
+        ("statement-columns", statement.0),
+        ("statement-rows", statement.1.len().to_string()),
+        ("fleet-columns", fleet.0),
+        ("fleet-cells", some(&fleet.1, &[0, 1, 2, 3, 6, 8, 9, 12])),
+        ("shares-columns", shares.0),
+        ("shares-cells", some(&shares.1, &[0, 1, 2, 3, 4])),
+        ("counters", counts.join("|")),
+        ("queue-keys", keys(&queue_json)),
+        ("queue-values", values(&queue_json, &["member", "desk", "waiting", "budget_cpu_s_per_s"])),
+        ("fleet-keys", keys(&fleet_json)),
+        (
+            "fleet-values",
+            values(&fleet_json, &["name", "state", "incarnation", "known", "size", "zone", "region"]),
+        ),
+        ("shares-keys", keys(&shares_json)),
+        ("shares-values", values(&shares_json, &["budget", "holder", "unit", "whole", "floor"])),
+        ("queue-heads", heads(printed(&["queue", &listen]))),
+        ("fleet-heads", heads(printed(&["fleet", &listen]))),
+        ("shares-heads", heads(printed(&["shares", &listen]))),
+    ];
+    let check = printed(&["check"]);
+    for line in check.lines() {
+        let line =
+            line.replace(config.to_str().unwrap(), "CONFIG").replace(file.to_str().unwrap(), "OPERATOR");
+        got.push(("check", format!("'{}'", line.replace(&bind, "BIND").replace(&listen, "LISTEN"))));
+    }
+    golden("shown.txt", &got);
+    std::fs::remove_dir_all(&folder).unwrap();
+}
+
+#[test]
+fn counters_are_printed_as_recorded() {
+    let counters = Counters {
+        sessions_opened: 1,
+        statements_taken: 2,
+        completed: 3,
+        denied: 4,
+        relays_sent: 5,
+        polls: 6,
+        list_events: 7,
+        busy_ms: 8,
+        ..Counters::default()
+    };
+    golden("counters.txt", &[("counters", format!("'{counters}'"))]);
+}
