--- a/crates/admission/src/interface.rs
+++ b/crates/admission/src/interface.rs
@@ -26,7 +26,11 @@
 
     pub fn from_secs(secs: f64) -> Self {
         // A hundred years either way keeps every later sum far from overflow.
-        Span(if secs.is_finite() { (secs.clamp(-3e9, 3e9) * 1e6).round() as i64 } else { 0 })
+        Span(if secs.is_finite() {
+            (secs.clamp(-3e9, 3e9) * 1e6).round() as i64
+        } else {
+            0
+        })
     }
 
     pub fn secs(self) -> f64 {
@@ -86,7 +90,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
     Idempotent,
-    Deduplicated { group: RepeatGroup, remembered: Span },
+    Deduplicated {
+        group: RepeatGroup,
+        remembered: Span,
+    },
     Unrepeatable,
 }
 
@@ -236,9 +243,15 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Answer {
-    Send { relay: Relay, limit: Option<Span>, rank: Option<u8> },
+    Send {
+        relay: Relay,
+        limit: Option<Span>,
+        rank: Option<u8>,
+    },
     NotYet(Place),
-    Deny { come_back: Option<Span> },
+    Deny {
+        come_back: Option<Span>,
+    },
     Scrap,
 }
 
--- a/crates/admission/src/policy.rs
+++ b/crates/admission/src/policy.rs
@@ -52,32 +52,57 @@
     /// An unseen fingerprint borrows the others' median k, first of the same product: estimates lie so.
     fn predict(&self, s: &Statement) -> f64 {
         let others = |own: bool| {
-            let of = self.prints.iter().filter(|(print, _)| !own || print.0 == s.product);
+            let of = self
+                .prints
+                .iter()
+                .filter(|(print, _)| !own || print.0 == s.product);
             median(of.map(|(_, (cpu, estimate, _))| cpu / estimate).collect())
         };
-        let seen = self.prints.get(&(s.product, s.group)).map(|(cpu, estimate, _)| cpu / estimate);
-        let k = seen.or_else(|| others(true)).or_else(|| others(false)).unwrap_or(1.0);
+        let seen = self
+            .prints
+            .get(&(s.product, s.group))
+            .map(|(cpu, estimate, _)| cpu / estimate);
+        let k = seen
+            .or_else(|| others(true))
+            .or_else(|| others(false))
+            .unwrap_or(1.0);
         (estimate(s) * k).clamp(1e-4, 1e5)
     }
 
     fn learn(&mut self, s: &Statement, predicted: f64, cpu: f64) {
         let estimate = estimate(s);
-        let seen = if self.prints.is_empty() { cpu } else { cpu.min(predicted * SURPRISE) }.max(1e-5);
+        let seen = if self.prints.is_empty() {
+            cpu
+        } else {
+            cpu.min(predicted * SURPRISE)
+        }
+        .max(1e-5);
         self.uses += 1;
-        let cost = self.prints.entry((s.product, s.group)).or_insert((seen, estimate, self.uses));
+        let cost = self
+            .prints
+            .entry((s.product, s.group))
+            .or_insert((seen, estimate, self.uses));
         let smooth = |old: f64, seen: f64| old + SMOOTH * (seen - old);
         *cost = (smooth(cost.0, seen), smooth(cost.1, estimate), self.uses);
         let (mean, seen) = self.usual[s.product.0];
-        self.usual[s.product.0] = (mean + (cpu.min(1e4) - mean) / (seen + 1.0), (seen + 1.0).min(199.0));
+        self.usual[s.product.0] = (
+            mean + (cpu.min(1e4) - mean) / (seen + 1.0),
+            (seen + 1.0).min(199.0),
+        );
         if self.prints.len() > FINGERPRINTS {
             let oldest = self.prints.iter().min_by_key(|(_, cost)| cost.2);
-            oldest.map(|(print, _)| *print).map(|print| self.prints.remove(&print));
+            oldest
+                .map(|(print, _)| *print)
+                .map(|print| self.prints.remove(&print));
         }
     }
 }
 
 fn estimate(s: &Statement) -> f64 {
-    s.estimate.map(Span::secs).filter(|e| *e > 0.0).unwrap_or(1.0)
+    s.estimate
+        .map(Span::secs)
+        .filter(|e| *e > 0.0)
+        .unwrap_or(1.0)
 }
 
 fn median(mut of: Vec<f64>) -> Option<f64> {
@@ -104,7 +129,9 @@
         let gone = (now - self.at.replace(now).unwrap_or(now)).secs().max(0.0);
         let keep = (-gone / Self::MEMORY_S).exp();
         (self.latency, self.cpu) = (self.latency * keep, self.cpu * keep);
-        self.best = self.best.map(|best| best * (1.0 + Self::FORGET_PER_S * gone));
+        self.best = self
+            .best
+            .map(|best| best * (1.0 + Self::FORGET_PER_S * gone));
     }
 
     fn saw(&mut self, now: Moment, thread_s: f64, cpu: f64) {
@@ -122,7 +149,9 @@
 
     /// What an engine's own few outcomes leave open, the whole fleet's tell.
     fn over_best(&self, whole: &Lag) -> Option<f64> {
-        let (pace, known) = whole.now().map_or((0.0, 0.0), |pace| (pace, Self::ENOUGH_S));
+        let (pace, known) = whole
+            .now()
+            .map_or((0.0, 0.0), |pace| (pace, Self::ENOUGH_S));
         let (latency, cpu) = (self.latency + known * pace, self.cpu + known);
         (cpu >= Self::ENOUGH_S).then_some(latency / cpu / self.best.or(whole.best)?.max(1e-6))
     }
@@ -174,8 +203,13 @@
 
     /// Running threads as one of this rank meets them: light ones need not wait for what yields to them.
     fn running(&self, rank: u8) -> f64 {
-        let met = |of: usize, threads: f64| threads * (WEIGHTS[of] / WEIGHTS[rank as usize & 3]).min(1.0);
-        self.threads.iter().enumerate().map(|(of, threads)| met(of, *threads)).sum()
+        let met =
+            |of: usize, threads: f64| threads * (WEIGHTS[of] / WEIGHTS[rank as usize & 3]).min(1.0);
+        self.threads
+            .iter()
+            .enumerate()
+            .map(|(of, threads)| met(of, *threads))
+            .sum()
     }
 
     fn full(&self, share: f64) -> f64 {
@@ -189,13 +223,18 @@
         // A slow engine burns as much CPU for longer: its refill shrinks with its bound.
         let speed = (self.bound / self.cores.max(1e-9)).min(1.0) * warmth;
         for (left, Demand { share, .. }) in self.left.iter_mut().zip(demand) {
-            *left = (*left + self.cores * share * speed * gone).min(self.cores * share * BURST_S * warmth);
+            *left = (*left + self.cores * share * speed * gone)
+                .min(self.cores * share * BURST_S * warmth);
         }
     }
 
     /// A full bucket's debt is repaid whole; near-best latency's ends one bucket below, not minutes away.
     fn charge(&mut self, p: usize, predicted: f64, full: f64) {
-        let floor = if self.left[p] >= full * 0.99 { f64::NEG_INFINITY } else { self.left[p].min(-full) };
+        let floor = if self.left[p] >= full * 0.99 {
+            f64::NEG_INFINITY
+        } else {
+            self.left[p].min(-full)
+        };
         self.left[p] = (self.left[p] - predicted).max(floor);
     }
 
@@ -207,7 +246,8 @@
 
     fn lay_ghosts(&mut self, now: Moment) {
         let over: Vec<_> = self.ghosts.extract_if(.., |ghost| ghost.0 <= now).collect();
-        over.into_iter().for_each(|(_, rank, threads, mb)| self.run(rank, -threads, -mb));
+        over.into_iter()
+            .for_each(|(_, rank, threads, mb)| self.run(rank, -threads, -mb));
     }
 
     /// The thread bound follows latency per CPU second, and only an outcome that met the bound may widen it.
@@ -244,7 +284,11 @@
     /// Connections that stand; some time is left for the way, or the engine's close would cross a relay.
     fn linked(&self, now: Moment, idle: Span) -> u32 {
         let (most, taken) = self.linked;
-        if taken.is_some_and(|taken| (now - taken).secs() < idle.secs() * 0.7) { most } else { self.out }
+        if taken.is_some_and(|taken| (now - taken).secs() < idle.secs() * 0.7) {
+            most
+        } else {
+            self.out
+        }
     }
 
     fn heard(&mut self, now: Moment, pace: f64) {
@@ -283,7 +327,12 @@
     fn room(&mut self, now: Moment) -> bool {
         let at = self.slice(now).0;
         let relays: f64 = self.slices.iter().map(|s| s.2).sum();
-        let taken: f64 = self.slices.iter().filter(|s| s.0 > at - Self::SLICES).map(|s| s.1).sum();
+        let taken: f64 = self
+            .slices
+            .iter()
+            .filter(|s| s.0 > at - Self::SLICES)
+            .map(|s| s.1)
+            .sum();
         relays + 1.0 <= self.terms.free + self.terms.share * taken
     }
 }
@@ -342,22 +391,56 @@
     ) -> Self {
         let share = 1.0 / products.len().max(1) as f64;
         // Retries must not feed a jam, so the module sets a ration of its own beside the stated one.
-        let own = Ration { free: 5.0, share: 0.2, window: Span::from_secs(10.0) };
+        let own = Ration {
+            free: 5.0,
+            share: 0.2,
+            window: Span::from_secs(10.0),
+        };
         let rations = [own].into_iter().chain(relaying.ration);
         Policy {
             rng: Pcg64Mcg::seed_from_u64(seed),
-            demand: products.iter().map(|_| Demand { share, ..Demand::default() }).collect(),
+            demand: products
+                .iter()
+                .map(|_| Demand {
+                    share,
+                    ..Demand::default()
+                })
+                .collect(),
             demand_at: None,
             delivered: 0.0,
             price: 0.0,
-            tenants: tenancy.allowances.iter().map(|a| Tenant { left: *a, rate: 0.0, at: None }).collect(),
-            costs: Costs { prints: BTreeMap::new(), usual: vec![(0.0, 0.0); products.len()], uses: 0 },
+            tenants: tenancy
+                .allowances
+                .iter()
+                .map(|a| Tenant {
+                    left: *a,
+                    rate: 0.0,
+                    at: None,
+                })
+                .collect(),
+            costs: Costs {
+                prints: BTreeMap::new(),
+                usual: vec![(0.0, 0.0); products.len()],
+                uses: 0,
+            },
             needs: vec![(1.0, 1.0); products.len()],
             engines: BTreeMap::new(),
             whole: Books::new(Moment::from_secs(0.0), 0.0, 0.0, products.len()),
             turns: BTreeMap::new(),
-            trials: Spent { terms: Ration { free: 1.0, share: 0.05, ..own }, slices: VecDeque::new() },
-            rations: rations.map(|terms| Spent { terms, slices: VecDeque::new() }).collect(),
+            trials: Spent {
+                terms: Ration {
+                    free: 1.0,
+                    share: 0.05,
+                    ..own
+                },
+                slices: VecDeque::new(),
+            },
+            rations: rations
+                .map(|terms| Spent {
+                    terms,
+                    slices: VecDeque::new(),
+                })
+                .collect(),
             listing,
             allowed: Allowed::default(),
             asked: (None, 0.0),
@@ -371,7 +454,9 @@
     }
 
     pub fn place(&mut self, now: Moment, s: &Statement) -> Answer {
-        let Some(place) = s.place else { return Answer::NotYet(self.take(now, s)) };
+        let Some(place) = s.place else {
+            return Answer::NotYet(self.take(now, s));
+        };
         if s.relays.iter().any(|r| r.state == RelayState::Out) {
             return Answer::NotYet(place);
         }
@@ -379,7 +464,8 @@
         let (predicted, left) = (self.costs.predict(s), (s.hard_limit - now).secs());
         let (_, spare) = self.spare(now, s, predicted);
         let too_late = self.repeat_until(s).is_some_and(|until| until <= now);
-        let hopeless = left < 0.03 || s.relays.len() >= self.relaying.most.max(1) || spare < 0.0 || too_late;
+        let hopeless =
+            left < 0.03 || s.relays.len() >= self.relaying.most.max(1) || spare < 0.0 || too_late;
         let (hold, turn) = (product.hard_limit.secs() * HOLD, self.in_turn(now, s));
         if hopeless || !s.relays.is_empty() && !self.may_relay_again(now, s.product) {
             return self.give_up(now, s);
@@ -389,17 +475,31 @@
         }
         // One that waits for its key's turn keeps waiting: its place there beats an early no.
         let held = (now - s.held_since).secs();
-        if (turn && held >= hold) || left < 0.05 { self.give_up(now, s) } else { Answer::NotYet(place) }
+        if (turn && held >= hold) || left < 0.05 {
+            self.give_up(now, s)
+        } else {
+            Answer::NotYet(place)
+        }
     }
 
     /// How much longer it may wait for its quoted time, and to be of use at all. An answer that comes when it earns
     /// nothing only takes cores from those that still can.
     fn spare(&self, now: Moment, s: &Statement, predicted: f64) -> (f64, f64) {
         let (product, left) = (&self.products[s.product.0], (s.hard_limit - now).secs());
-        let best = median(self.engines.values().filter_map(|e| e.books.lag.best).collect()).unwrap_or(1.0);
+        let best = median(
+            self.engines
+                .values()
+                .filter_map(|e| e.books.lag.best)
+                .collect(),
+        )
+        .unwrap_or(1.0);
         let alone = predicted / product.threads * best;
         let quoted_left = left.min(quoted(product, predicted) - (now - s.taken).secs());
-        let useful = if product.late_gain > 0.0 { left } else { quoted_left };
+        let useful = if product.late_gain > 0.0 {
+            left
+        } else {
+            quoted_left
+        };
         let expected = predicted / product.threads * self.whole.lag.now().unwrap_or(best).max(best);
         (quoted_left - expected, useful - alone * 0.5)
     }
@@ -409,14 +509,24 @@
         let predicted = self.costs.predict(s);
         let (full, useful) = self.spare(now, s, predicted);
         let useful = useful.min((s.hard_limit - now).secs() - 0.05);
-        let [full_until, useful_until] = [full.min(useful), useful].map(|left| now + Span::from_secs(left));
-        Forecast { cpu: Span::from_secs(predicted), memory_mb: self.need_mb(s), full_until, useful_until }
+        let [full_until, useful_until] =
+            [full.min(useful), useful].map(|left| now + Span::from_secs(left));
+        Forecast {
+            cpu: Span::from_secs(predicted),
+            memory_mb: self.need_mb(s),
+            full_until,
+            useful_until,
+        }
     }
 
     /// A queue ahead has no room for it, or would hold it too long: denied as ever, with when to come back.
     pub fn turn_away(&mut self, now: Moment, s: &Statement, back: Span) -> Answer {
-        let Answer::Deny { come_back } = self.give_up(now, s) else { return Answer::Scrap };
-        Answer::Deny { come_back: come_back.map(|longest| back.max(Span::from_secs(0.02)).min(longest)) }
+        let Answer::Deny { come_back } = self.give_up(now, s) else {
+            return Answer::Scrap;
+        };
+        Answer::Deny {
+            come_back: come_back.map(|longest| back.max(Span::from_secs(0.02)).min(longest)),
+        }
     }
 
     /// What this gateway carries, in shares of one, as far as tenants and allowances tell.
@@ -426,21 +536,36 @@
 
     /// Cores of the engines in use, as this gateway's share of what they can do now; most benched, all are in use.
     pub fn capacity(&self, now: Moment) -> f64 {
-        let ready = self.engines.values().filter(|e| e.fact.stage == Stage::Ready);
+        let ready = self
+            .engines
+            .values()
+            .filter(|e| e.fact.stage == Stage::Ready);
         let (mut all, mut fit) = ((0, 0.0), (0, 0.0));
         for e in ready {
             let cores = e.books.cores * warmth(self.cold, e, now);
             all = (all.0 + 1, all.1 + cores);
-            fit = if e.health.benched_until.is_none() { (fit.0 + 1, fit.1 + cores) } else { fit };
+            fit = if e.health.benched_until.is_none() {
+                (fit.0 + 1, fit.1 + cores)
+            } else {
+                fit
+            };
         }
         if fit.0 * 2 < all.0 { all.1 } else { fit.1 }
     }
 
     pub fn after(&mut self, now: Moment, s: &Statement, o: &Outcome) -> After {
-        let Some(relay) = s.relays.get(o.relay.0 as usize) else { return After::Stay };
-        let (predicted, threads, charge) = (self.costs.predict(s), relay.threads, relay.charge.secs());
-        let pace = self.fleet.note_pace.map_or(3.0 * predicted + 1.0, |p| p.secs() * 1.25 + 0.3);
-        let Some(engine) = self.engines.get_mut(&relay.engine) else { return self.next(now, s, o) };
+        let Some(relay) = s.relays.get(o.relay.0 as usize) else {
+            return After::Stay;
+        };
+        let (predicted, threads, charge) =
+            (self.costs.predict(s), relay.threads, relay.charge.secs());
+        let pace = self
+            .fleet
+            .note_pace
+            .map_or(3.0 * predicted + 1.0, |p| p.secs() * 1.25 + 0.3);
+        let Some(engine) = self.engines.get_mut(&relay.engine) else {
+            return self.next(now, s, o);
+        };
         if matches!(o.news, News::Progress(_) | News::Strained | News::Streaming) {
             engine.heard(now, pace);
             return self.noted(now, s, relay, o);
@@ -470,18 +595,24 @@
                 let fleet = books[1].lag.clone();
                 // On one engine as far as one peer that is away explains, or a hot gateway would fill it alone.
                 let away = self.fleet.peers / (self.fleet.peers - 1.0).max(0.5);
-                let within = [(0.0, WIDEST * self.lopsided.min(away)), (LEAST, WIDEST * self.lopsided)];
+                let within = [
+                    (0.0, WIDEST * self.lopsided.min(away)),
+                    (LEAST, WIDEST * self.lopsided),
+                ];
                 self.delivered += true_cpu / DEMAND_S;
                 for (b, within) in books.into_iter().zip(within) {
                     b.left[s.product.0] += charge - true_cpu;
                     b.lag.saw(now, o.latency.secs() * threads, true_cpu);
                     let over = b.lag.over_best(&fleet);
-                    over.into_iter().for_each(|over| b.widen_or_shrink(now, over, threads, within));
+                    over.into_iter()
+                        .for_each(|over| b.widen_or_shrink(now, over, threads, within));
                 }
-                cpu.into_iter().for_each(|cpu| self.costs.learn(s, charge, cpu.secs()));
+                cpu.into_iter()
+                    .for_each(|cpu| self.costs.learn(s, charge, cpu.secs()));
                 if let Some(seen) = memory_mb.filter(|_| s.memory_mb > 0.0) {
                     let (needed, estimated) = self.needs[s.product.0];
-                    self.needs[s.product.0] = (needed * 0.99 + seen, estimated * 0.99 + s.memory_mb);
+                    self.needs[s.product.0] =
+                        (needed * 0.99 + seen, estimated * 0.99 + s.memory_mb);
                 }
             }
             News::TurnedAway | News::NeverSent => {
@@ -513,10 +644,16 @@
                 engine.bench(now);
             }
         }
-        let rests = |turn: &Turn| turn.out.is_some() || turn.rest_until.is_some_and(|until| until > now);
-        self.turns.retain(|_, turn| !turn.line.is_empty() || rests(turn));
+        let rests =
+            |turn: &Turn| turn.out.is_some() || turn.rest_until.is_some_and(|until| until > now);
+        self.turns
+            .retain(|_, turn| !turn.line.is_empty() || rests(turn));
         let wait = Span::from_secs(if held > 0 { 0.02 } else { 0.25 });
-        Pause { wait, list: self.ask_list(now), ..Pause::default() }
+        Pause {
+            wait,
+            list: self.ask_list(now),
+            ..Pause::default()
+        }
     }
 
     pub fn told_list(&mut self, now: Moment, news: &ListNews) {
@@ -526,20 +663,36 @@
             ListNews::Changes(facts) | ListNews::Whole(facts) => facts,
         };
         if matches!(news, ListNews::Whole(_)) {
-            self.engines.values_mut().for_each(|engine| engine.fact.stage = Stage::Gone);
+            self.engines
+                .values_mut()
+                .for_each(|engine| engine.fact.stage = Stage::Gone);
         }
         // Spread by chance, or all gateways that hear of a cold engine would use it at once.
-        let usual = self.costs.usual.iter().map(|usual| usual.0).sum::<f64>() / self.products.len() as f64;
+        let usual =
+            self.costs.usual.iter().map(|usual| usual.0).sum::<f64>() / self.products.len() as f64;
         let peers = self.fleet.peers;
         for fact in facts {
-            let scale = if fact.scale > 0.0 && fact.scale.is_finite() { fact.scale } else { 1.0 };
+            let scale = if fact.scale > 0.0 && fact.scale.is_finite() {
+                fact.scale
+            } else {
+                1.0
+            };
             // Untold cores: the list's sizes still compare engines; eight cores are a plain machine.
-            let told = |of: &[f64]| of.get(fact.machine.0 as usize).copied().filter(|told| *told > 0.0);
+            let told = |of: &[f64]| {
+                of.get(fact.machine.0 as usize)
+                    .copied()
+                    .filter(|told| *told > 0.0)
+            };
             let cores = told(&self.fleet.cores).unwrap_or(8.0 * scale);
             let memory_mb = told(&self.fleet.memory_mb).unwrap_or(f64::INFINITY);
             let fresh = Engine {
                 fact: *fact,
-                books: Books::new(now, cores / peers, memory_mb / peers * MEMORY, self.products.len()),
+                books: Books::new(
+                    now,
+                    cores / peers,
+                    memory_mb / peers * MEMORY,
+                    self.products.len(),
+                ),
                 out: 0,
                 health: Health::default(),
                 cold_left: -self.rng.random::<f64>() * usual.max(1.0),
@@ -549,14 +702,39 @@
             let engine = self.engines.entry(fact.id).or_insert_with(|| fresh.clone());
             // A new start: what was learned of the old process is void, what is still out there is not.
             if engine.fact.started != fact.started {
-                let Engine { out, books: Books { threads, held_mb, ghosts, .. }, .. } = engine.clone();
-                *engine = Engine { out, books: Books { threads, held_mb, ghosts, ..fresh.books }, ..fresh };
+                let Engine {
+                    out,
+                    books:
+                        Books {
+                            threads,
+                            held_mb,
+                            ghosts,
+                            ..
+                        },
+                    ..
+                } = engine.clone();
+                *engine = Engine {
+                    out,
+                    books: Books {
+                        threads,
+                        held_mb,
+                        ghosts,
+                        ..fresh.books
+                    },
+                    ..fresh
+                };
             }
             engine.fact = *fact;
         }
         // Gone engines leave once their last relay is over.
-        self.engines.retain(|_, e| e.fact.stage != Stage::Gone || e.out > 0);
-        let ready = || self.engines.values().filter(|e| e.fact.stage == Stage::Ready).map(|e| &e.books);
+        self.engines
+            .retain(|_, e| e.fact.stage != Stage::Gone || e.out > 0);
+        let ready = || {
+            self.engines
+                .values()
+                .filter(|e| e.fact.stage == Stage::Ready)
+                .map(|e| &e.books)
+        };
         let (cores, before) = (ready().map(|b| b.cores).sum::<f64>(), self.whole.cores);
         // Shares under a thread an engine start widest over all: each restart would deny until outcomes widen it.
         let small = cores < ready().count() as f64;
@@ -575,55 +753,84 @@
     /// statement is the trial. What it did for this gateway since outweighs it; a bench of one's own stands.
     pub fn told_doubts(&mut self, now: Moment, doubts: &[EngineDoubt]) {
         for doubt in doubts {
-            let Some(e) = self.engines.get_mut(&doubt.id) else { continue };
+            let Some(e) = self.engines.get_mut(&doubt.id) else {
+                continue;
+            };
             let since = e.health.worked.max(e.fact.started);
-            let own = e.health.benched_until.is_some_and(|until| !e.health.hearsay || until >= doubt.until);
+            let own = e
+                .health
+                .benched_until
+                .is_some_and(|until| !e.health.hearsay || until >= doubt.until);
             if doubt.until > now && !own && since.is_none_or(|since| since < doubt.seen) {
                 let later = (doubt.until - now).secs() * (1.0 + self.rng.random::<f64>());
-                (e.health.benched_until, e.health.hearsay) = (Some(now + Span::from_secs(later)), true);
+                (e.health.benched_until, e.health.hearsay) =
+                    (Some(now + Span::from_secs(later)), true);
             }
         }
     }
 
     pub fn health(&self) -> impl Iterator<Item = EngineHealth> {
         let of = |(id, e): (&EngineId, &Engine)| (*id, e.health.benched_until, e.health.hearsay);
-        self.engines.iter().map(of).map(|(id, benched_until, on_hearsay)| EngineHealth {
-            id,
-            benched_until,
-            on_hearsay,
-        })
+        self.engines
+            .iter()
+            .map(of)
+            .map(|(id, benched_until, on_hearsay)| EngineHealth {
+                id,
+                benched_until,
+                on_hearsay,
+            })
     }
 
     /// What it holds of each engine, to be checked from outside: relays out, and whether it is benched.
     pub fn beliefs(&self) -> impl Iterator<Item = (EngineId, u32, bool)> {
-        self.engines.iter().map(|(id, e)| (*id, e.out, e.health.benched_until.is_some()))
+        self.engines
+            .iter()
+            .map(|(id, e)| (*id, e.out, e.health.benched_until.is_some()))
     }
 
     /// Those that wait for memory there are others' too: no time for more, however near its best.
     pub fn told_load(&mut self, id: EngineId, report: &LoadReport) {
-        self.engines.get_mut(&id).into_iter().for_each(|e| e.waiting = report.waiting.unwrap_or(0.0));
+        self.engines
+            .get_mut(&id)
+            .into_iter()
+            .for_each(|e| e.waiting = report.waiting.unwrap_or(0.0));
     }
 
     /// Over, through us or because the client left: its turn passes on.
     pub fn told_over(&mut self, s: &Statement) {
-        self.turn(s).into_iter().for_each(|turn| turn.line.retain(|id| *id != s.id));
+        self.turn(s)
+            .into_iter()
+            .for_each(|turn| turn.line.retain(|id| *id != s.id));
     }
 
     fn take(&mut self, now: Moment, s: &Statement) -> Place {
-        let (predicted, over_allowance) =
-            (self.costs.predict(s), self.over_allowance(now, s.tenant) || s.lent);
-        let (cpu, gain) = (predicted / DEMAND_S, self.products[s.product.0].gain / DEMAND_S);
+        let (predicted, over_allowance) = (
+            self.costs.predict(s),
+            self.over_allowance(now, s.tenant) || s.lent,
+        );
+        let (cpu, gain) = (
+            predicted / DEMAND_S,
+            self.products[s.product.0].gain / DEMAND_S,
+        );
         self.fade_demand(now);
         let demand = &mut self.demand[s.product.0];
         (demand.cpu, demand.gain) = (demand.cpu + cpu, demand.gain + gain);
         let counts = if over_allowance { 0.0 } else { 1.0 };
-        let band = &mut demand.bands[(predicted.log2() + 7.0).clamp(0.0, BANDS as f64 - 1.0) as usize];
+        let band =
+            &mut demand.bands[(predicted.log2() + 7.0).clamp(0.0, BANDS as f64 - 1.0) as usize];
         *band = (band.0 + cpu * counts, band.1 + gain * counts);
-        self.rations.iter_mut().chain([&mut self.trials]).for_each(|spent| spent.slice(now).1 += 1.0);
+        self.rations
+            .iter_mut()
+            .chain([&mut self.trials])
+            .for_each(|spent| spent.slice(now).1 += 1.0);
         if let Some(key) = self.turn_key(s) {
             self.turns.entry(key).or_default().line.push_back(s.id);
         }
-        Place { by: s.hard_limit, id: s.id, over_allowance }
+        Place {
+            by: s.hard_limit,
+            id: s.id,
+            over_allowance,
+        }
     }
 
     /// One that carries more than 1/peers sees every tenant over: what the least is over is its own doing.
@@ -637,11 +844,18 @@
             let gone = (now - t.at.replace(now).unwrap_or(now)).secs();
             t.rate = t.rate * (-gone / 3.0).exp() + if at == tenant.0 { 1.0 / 3.0 } else { 0.0 };
             // Three seconds and a few: at a quiet gateway chance alone would put a tenant over.
-            t.left = (t.left + gone * allowed * self.lopsided).min(allowed * self.lopsided * 3.0 + 5.0);
+            t.left =
+                (t.left + gone * allowed * self.lopsided).min(allowed * self.lopsided * 3.0 + 5.0);
         }
         let all: f64 = self.tenants.iter().map(|t| t.rate).sum();
-        let seen = self.tenants.iter().zip(allowances).filter(|(t, _)| t.rate > 0.05 * all);
-        let least = seen.map(|(t, allowed)| t.rate / allowed.max(1e-6)).fold(f64::INFINITY, f64::min);
+        let seen = self
+            .tenants
+            .iter()
+            .zip(allowances)
+            .filter(|(t, _)| t.rate > 0.05 * all);
+        let least = seen
+            .map(|(t, allowed)| t.rate / allowed.max(1e-6))
+            .fold(f64::INFINITY, f64::min);
         self.lopsided = (least * 1.2).clamp(1.0, self.fleet.peers);
         let tenant = &mut self.tenants[tenant.0];
         let over = tenant.left < 1.0;
@@ -653,7 +867,10 @@
         let gone = (now - self.demand_at.replace(now).unwrap_or(now)).secs();
         let keep = (-gone / DEMAND_S).exp();
         for demand in &mut self.demand {
-            demand.bands.iter_mut().for_each(|band| *band = (band.0 * keep, band.1 * keep));
+            demand
+                .bands
+                .iter_mut()
+                .for_each(|band| *band = (band.0 * keep, band.1 * keep));
             (demand.cpu, demand.gain) = (demand.cpu * keep, demand.gain * keep);
         }
         self.delivered *= keep;
@@ -663,8 +880,15 @@
     /// gain per CPU second at which capacity ends is the price that the near-best exception asks.
     fn share_out(&mut self, now: Moment) {
         self.fade_demand(now);
-        let all = |(p, demand): (usize, &Demand)| demand.bands.map(|(cpu, gain)| (gain / cpu, cpu, p));
-        let mut bands: Vec<_> = self.demand.iter().enumerate().flat_map(all).filter(|b| b.1 > 1e-6).collect();
+        let all =
+            |(p, demand): (usize, &Demand)| demand.bands.map(|(cpu, gain)| (gain / cpu, cpu, p));
+        let mut bands: Vec<_> = self
+            .demand
+            .iter()
+            .enumerate()
+            .flat_map(all)
+            .filter(|b| b.1 > 1e-6)
+            .collect();
         bands.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.2.cmp(&b.2)));
         let capacity = self.whole.cores.max(self.delivered * 1.2);
         let mut left = capacity;
@@ -672,15 +896,28 @@
         self.demand.iter_mut().for_each(|demand| demand.share = 0.0);
         for (gain, cpu, p) in bands {
             self.demand[p].share += cpu.min(left);
-            self.price = if cpu >= left && left > 0.0 { gain } else { self.price };
+            self.price = if cpu >= left && left > 0.0 {
+                gain
+            } else {
+                self.price
+            };
             left = (left - cpu).max(0.0);
         }
-        self.demand.iter_mut().for_each(|d| d.share = (d.share / (capacity - left).max(1e-6)).max(0.02));
+        self.demand
+            .iter_mut()
+            .for_each(|d| d.share = (d.share / (capacity - left).max(1e-6)).max(0.02));
     }
 
     fn fill(&mut self, now: Moment) {
-        let best = median(self.engines.values().filter_map(|e| e.books.lag.best).collect());
-        self.engines.values_mut().for_each(|e| e.books.lag.best = e.books.lag.best.or(best));
+        let best = median(
+            self.engines
+                .values()
+                .filter_map(|e| e.books.lag.best)
+                .collect(),
+        );
+        self.engines
+            .values_mut()
+            .for_each(|e| e.books.lag.best = e.books.lag.best.or(best));
         self.whole.fill(now, 1.0, &self.demand);
         let part = self.cold_part();
         for engine in self.engines.values_mut() {
@@ -694,16 +931,33 @@
         }
     }
 
-    fn choose(&mut self, now: Moment, s: &Statement, place: Place, predicted: f64) -> Option<EngineId> {
+    fn choose(
+        &mut self,
+        now: Moment,
+        s: &Statement,
+        place: Place,
+        predicted: f64,
+    ) -> Option<EngineId> {
         self.fill(now);
         let (rank, need) = (self.rank(s, predicted), self.need_mb(s));
-        let (p, product, usual) = (s.product.0, &self.products[s.product.0], self.usual(s.product.0));
+        let (p, product, usual) = (
+            s.product.0,
+            &self.products[s.product.0],
+            self.usual(s.product.0),
+        );
         let pays = product.gain / predicted >= self.price * 0.999;
-        let listed = self.engines.values().filter(|e| e.fact.stage == Stage::Ready);
-        let all: Vec<&Engine> = listed.filter(|e| allowed(product, s, &e.fact, now)).collect();
+        let listed = self
+            .engines
+            .values()
+            .filter(|e| e.fact.stage == Stage::Ready);
+        let all: Vec<&Engine> = listed
+            .filter(|e| allowed(product, s, &e.fact, now))
+            .collect();
         let trials = self.trials.room(now) && self.allowed.trials.is_none_or(|left| left >= 1.0);
-        let back =
-            |h: &Health| h.benched_until.is_none_or(|until| until <= now && h.trial.is_none() && trials);
+        let back = |h: &Health| {
+            h.benched_until
+                .is_none_or(|until| until <= now && h.trial.is_none() && trials)
+        };
         let mut fit: Vec<&Engine> = all.iter().copied().filter(|e| back(&e.health)).collect();
         // Most bad at once is a common cause, or ours: benching would put the whole load on the rest.
         if fit.len() * 2 < all.len() {
@@ -711,26 +965,46 @@
         }
         let (share, mut best) = (self.demand[p].share, None::<(f64, EngineId)>);
         // Slow statements hold memory for longer: its share over the fleet is led by latency.
-        let stuck = self.engines.values().filter(|e| e.health.benched_until.is_some());
+        let stuck = self
+            .engines
+            .values()
+            .filter(|e| e.health.benched_until.is_some());
         let stuck: f64 = stuck.map(|e| e.books.running(rank)).sum();
         let full_up = self.whole.running(rank) - stuck >= self.whole.bound;
         // Nothing is short: who is over an allowance is denied first, not for nothing.
         let calm = self.whole.running(0) < 0.7 * self.whole.bound
-            && self.whole.lag.over_best(&self.whole.lag).is_none_or(|over| over < 1.5);
-        let ease = self.whole.lag.over_best(&self.whole.lag).map_or(1.0, |over| (1.5 / over).clamp(0.6, 1.2));
+            && self
+                .whole
+                .lag
+                .over_best(&self.whole.lag)
+                .is_none_or(|over| over < 1.5);
+        let ease = self
+            .whole
+            .lag
+            .over_best(&self.whole.lag)
+            .map_or(1.0, |over| (1.5 / over).clamp(0.6, 1.2));
         let room = self.whole.held_mb + need * 0.5 <= self.whole.memory_mb * ease;
         for engine in fit {
             let warmth = warmth(self.cold, engine, now);
             let own = &engine.books;
             // An engine's bucket that cannot hold one usual statement says nothing; all of them together do.
-            let books = if own.full(share) >= usual { own } else { &self.whole };
+            let books = if own.full(share) >= usual {
+                own
+            } else {
+                &self.whole
+            };
             let (full, left) = (books.full(share) * warmth, books.left[p]);
             let over = own.lag.over_best(&self.whole.lag);
             let near = pays && engine.waiting < 1.0 && over.is_none_or(|over| over <= NEAR);
             let spare = (books.bound.min(books.cores) * 0.8).max(product.threads);
-            let ample = left >= predicted + full * 0.5 && books.running(rank) + product.threads <= spare;
+            let ample =
+                left >= predicted + full * 0.5 && books.running(rank) + product.threads <= spare;
             let enough = left >= predicted || left >= full * 0.99 || near;
-            let afford = if place.over_allowance && !calm { ample } else { enough };
+            let afford = if place.over_allowance && !calm {
+                ample
+            } else {
+                enough
+            };
             // A budget too small for one statement saves up for it, if all gateways' together would hold it.
             let most = self.cold.map_or(0.0, |cold| cold_budget(own, cold, warmth));
             let saved = engine.cold_left >= usual.min(most * self.cold_part());
@@ -742,25 +1016,49 @@
             if !(afford && fits && cold_ok) || own.running(rank) >= own.bound || full_up {
                 continue;
             }
-            let last = if s.relays.iter().any(|r| r.engine == engine.fact.id) { 1e3 } else { 0.0 };
+            let last = if s.relays.iter().any(|r| r.engine == engine.fact.id) {
+                1e3
+            } else {
+                0.0
+            };
             // A free connection saves a handshake: one relay empties a small share's bucket for longer than idle
             // connections are kept, so the fullest bucket alone would open one for nearly every relay.
-            let linked =
-                if self.fleet.idle.is_some_and(|i| engine.linked(now, i) > engine.out) { 1e2 } else { 0.0 };
+            let linked = if self
+                .fleet
+                .idle
+                .is_some_and(|i| engine.linked(now, i) > engine.out)
+            {
+                1e2
+            } else {
+                0.0
+            };
             let score = own.left[p] / (own.full(share) * warmth).max(1e-9) + linked - last;
             let score = score + self.rng.random::<f64>() * 0.01;
-            best = best.filter(|(most, _)| *most >= score).or(Some((score, engine.fact.id)));
+            best = best
+                .filter(|(most, _)| *most >= score)
+                .or(Some((score, engine.fact.id)));
         }
         best.map(|(_, id)| id)
     }
 
     fn send(&mut self, now: Moment, s: &Statement, id: EngineId, predicted: f64) -> Answer {
-        let (rank, need, usual) = (self.rank(s, predicted), self.need_mb(s), self.usual(s.product.0));
+        let (rank, need, usual) = (
+            self.rank(s, predicted),
+            self.need_mb(s),
+            self.usual(s.product.0),
+        );
         let threads = self.products[s.product.0].threads;
-        let pace = self.fleet.note_pace.map_or(f64::INFINITY, |p| p.secs() * 1.25 + 0.3);
+        let pace = self
+            .fleet
+            .note_pace
+            .map_or(f64::INFINITY, |p| p.secs() * 1.25 + 0.3);
         let engine = self.engines.get_mut(&id).expect("chosen from the table");
         for books in [&mut engine.books, &mut self.whole] {
-            books.charge(s.product.0, predicted, books.full(self.demand[s.product.0].share));
+            books.charge(
+                s.product.0,
+                predicted,
+                books.full(self.demand[s.product.0].share),
+            );
             books.run(rank, threads, need);
         }
         engine.cold_left -= usual;
@@ -778,10 +1076,14 @@
         }
         let fact = engine.fact;
         let again = if s.relays.is_empty() { 0.0 } else { 1.0 };
-        self.rations.iter_mut().for_each(|spent| spent.slice(now).2 += again);
+        self.rations
+            .iter_mut()
+            .for_each(|spent| spent.slice(now).2 += again);
         let left = self.allowed.relays.get_mut(s.product.0);
         left.into_iter().flatten().for_each(|left| *left -= again);
-        self.turn(s).into_iter().for_each(|turn| turn.out = Some(s.id));
+        self.turn(s)
+            .into_iter()
+            .for_each(|turn| turn.out = Some(s.id));
         let relay = Relay {
             engine: id,
             location: fact.location,
@@ -794,7 +1096,11 @@
             trial,
             state: RelayState::Out,
         };
-        Answer::Send { relay, limit: None, rank: self.fleet.ranks_heeded.then_some(rank) }
+        Answer::Send {
+            relay,
+            limit: None,
+            rank: self.fleet.ranks_heeded.then_some(rank),
+        }
     }
 
     fn need_mb(&self, s: &Statement) -> f64 {
@@ -805,7 +1111,10 @@
     /// A product's usual CPU, for rule 4: the completed alone are too light where the heavy are denied.
     fn usual(&self, p: usize) -> f64 {
         let asked = self.demand[p].gain / self.products[p].gain.max(1e-6);
-        self.costs.usual[p].0.max(self.demand[p].cpu / asked.max(1e-6)).max(1e-4)
+        self.costs.usual[p]
+            .0
+            .max(self.demand[p].cpu / asked.max(1e-6))
+            .max(1e-4)
     }
 
     /// Short quoted time first: the light ones hardly slow the heavy, the heavy would ruin the light.
@@ -819,16 +1128,29 @@
     }
 
     fn noted(&mut self, now: Moment, s: &Statement, relay: &Relay, o: &Outcome) -> After {
-        let News::Progress(done) = o.news else { return After::Stay };
+        let News::Progress(done) = o.news else {
+            return After::Stay;
+        };
         let product = &self.products[s.product.0];
         let (elapsed, left) = ((now - relay.sent).secs(), (s.hard_limit - now).secs());
-        let lag = self.engines.get(&relay.engine).and_then(|e| e.books.lag.now()).unwrap_or(1.0).max(1.0);
+        let lag = self
+            .engines
+            .get(&relay.engine)
+            .and_then(|e| e.books.lag.now())
+            .unwrap_or(1.0)
+            .max(1.0);
         let fresh = relay.charge.secs() / product.threads * lag;
         let total = elapsed / done.clamp(0.001, 1.0);
         let pays = total - elapsed > 2.0 * fresh && fresh * 1.3 < left && total > 3.5 * fresh;
-        let repeatable = effect(product, s) == Effect::Idempotent && s.relays.len() < self.relaying.most;
-        let cancel = self.relaying.cancel && repeatable && pays && self.may_relay_again(now, s.product);
-        if cancel { After::Cancel(o.relay) } else { After::Stay }
+        let repeatable =
+            effect(product, s) == Effect::Idempotent && s.relays.len() < self.relaying.most;
+        let cancel =
+            self.relaying.cancel && repeatable && pays && self.may_relay_again(now, s.product);
+        if cancel {
+            After::Cancel(o.relay)
+        } else {
+            After::Stay
+        }
     }
 
     fn next(&mut self, now: Moment, s: &Statement, o: &Outcome) -> After {
@@ -845,11 +1167,17 @@
         }
         let ran = s.relays.iter().any(|r| r.state == RelayState::MayHaveRun);
         let its_own = o.news == News::Error && s.relays.len() >= SEVERAL;
-        let never_again = its_own || ran && effect(&self.products[s.product.0], s) == Effect::Unrepeatable;
-        if !never_again && (s.hard_limit - now).secs() >= 0.03 && s.relays.len() < self.relaying.most {
+        let never_again =
+            its_own || ran && effect(&self.products[s.product.0], s) == Effect::Unrepeatable;
+        if !never_again
+            && (s.hard_limit - now).secs() >= 0.03
+            && s.relays.len() < self.relaying.most
+        {
             return After::Ask;
         }
-        let Answer::Deny { come_back } = self.give_up(now, s) else { return After::Scrap };
+        let Answer::Deny { come_back } = self.give_up(now, s) else {
+            return After::Scrap;
+        };
         After::Deny { come_back }
     }
 
@@ -859,10 +1187,19 @@
         let ran = s.relays.iter().find(|r| r.state != RelayState::NeverRan);
         let harmless = ran.is_none_or(|ran| match effect(&self.products[s.product.0], s) {
             Effect::Idempotent => true,
-            Effect::Deduplicated { group: RepeatGroup::All, remembered } => now - ran.sent < remembered,
+            Effect::Deduplicated {
+                group: RepeatGroup::All,
+                remembered,
+            } => now - ran.sent < remembered,
             _ => false,
         });
-        if harmless { Answer::Deny { come_back: self.relaying.come_back } } else { Answer::Scrap }
+        if harmless {
+            Answer::Deny {
+                come_back: self.relaying.come_back,
+            }
+        } else {
+            Answer::Scrap
+        }
     }
 
     /// Rule 2 in time: a repeat that leaves later may meet an engine that has forgotten the first.
@@ -870,7 +1207,10 @@
         let Effect::Deduplicated { remembered, .. } = effect(&self.products[s.product.0], s) else {
             return None;
         };
-        s.relays.iter().find(|r| r.state != RelayState::NeverRan).map(|ran| ran.sent + remembered)
+        s.relays
+            .iter()
+            .find(|r| r.state != RelayState::NeverRan)
+            .map(|ran| ran.sent + remembered)
     }
 
     fn turn(&mut self, s: &Statement) -> Option<&mut Turn> {
@@ -882,7 +1222,9 @@
     }
 
     fn in_turn(&self, now: Moment, s: &Statement) -> bool {
-        let Some(turn) = self.turn_key(s).and_then(|key| self.turns.get(&key)) else { return true };
+        let Some(turn) = self.turn_key(s).and_then(|key| self.turns.get(&key)) else {
+            return true;
+        };
         let rested = turn.rest_until.is_none_or(|until| until <= now);
         rested && turn.out.is_none() && turn.line.front().is_none_or(|id| *id == s.id)
     }
@@ -894,7 +1236,9 @@
 
     /// In parts of 1/peers, which its books are cut by.
     fn cold_part(&self) -> f64 {
-        self.allowed.cold.map_or(1.0, |part| part * self.fleet.peers)
+        self.allowed
+            .cold
+            .map_or(1.0, |part| part * self.fleet.peers)
     }
 
     /// Holds until it is told anew; what is sent meanwhile is taken off.
@@ -909,8 +1253,15 @@
         if !self.listing.on_request || !again {
             return None;
         }
-        let (longest, chance) = (self.listing.ask_within.secs() * 0.4, self.rng.random::<f64>());
-        let later = if asked.is_none() { longest } else { every * (1.5 + chance) };
+        let (longest, chance) = (
+            self.listing.ask_within.secs() * 0.4,
+            self.rng.random::<f64>(),
+        );
+        let later = if asked.is_none() {
+            longest
+        } else {
+            every * (1.5 + chance)
+        };
         self.asked = (Some(now), later.min(longest));
         Some(ListAsk::Subscribe)
     }
@@ -919,7 +1270,11 @@
 /// Without its mark no engine knows a repeat.
 fn effect(product: &Product, s: &Statement) -> Effect {
     let unknown = !s.marked && matches!(product.effect, Effect::Deduplicated { .. });
-    if unknown { Effect::Unrepeatable } else { product.effect }
+    if unknown {
+        Effect::Unrepeatable
+    } else {
+        product.effect
+    }
 }
 
 fn quoted(product: &Product, cpu: f64) -> f64 {
@@ -928,9 +1283,15 @@
 
 /// Rule 4 tells only where it starts and when it ends: the curve lies under the straight line between.
 fn warmth(cold: Option<ColdStart>, engine: &Engine, now: Moment) -> f64 {
-    let (Some(cold), Some(started)) = (cold, engine.fact.started) else { return 1.0 };
+    let (Some(cold), Some(started)) = (cold, engine.fact.started) else {
+        return 1.0;
+    };
     let age = (now - started).secs() / cold.warm_after.secs().max(1e-3);
-    if age >= 1.0 { 1.0 } else { cold.share + (1.0 - cold.share) * age.max(0.0).powi(2) }
+    if age >= 1.0 {
+        1.0
+    } else {
+        cold.share + (1.0 - cold.share) * age.max(0.0).powi(2)
+    }
 }
 
 fn cold_budget(books: &Books, cold: ColdStart, warmth: f64) -> f64 {
@@ -938,15 +1299,34 @@
 }
 
 fn allowed(product: &Product, s: &Statement, fact: &EngineFact, now: Moment) -> bool {
-    let placed = product.locations.as_ref().is_none_or(|of| of.contains(&fact.location))
-        && product.machines.as_ref().is_none_or(|of| of.contains(&fact.machine));
+    let placed = product
+        .locations
+        .as_ref()
+        .is_none_or(|of| of.contains(&fact.location))
+        && product
+            .machines
+            .as_ref()
+            .is_none_or(|of| of.contains(&fact.machine));
     let again = |ran: &Relay| match effect(product, s) {
         Effect::Idempotent => true,
         Effect::Unrepeatable => false,
         Effect::Deduplicated { remembered, .. } if now - ran.sent >= remembered => false,
-        Effect::Deduplicated { group: RepeatGroup::All, .. } => true,
-        Effect::Deduplicated { group: RepeatGroup::Location, .. } => fact.location == ran.location,
-        Effect::Deduplicated { group: RepeatGroup::Cell, .. } => fact.cell == ran.cell,
+        Effect::Deduplicated {
+            group: RepeatGroup::All,
+            ..
+        } => true,
+        Effect::Deduplicated {
+            group: RepeatGroup::Location,
+            ..
+        } => fact.location == ran.location,
+        Effect::Deduplicated {
+            group: RepeatGroup::Cell,
+            ..
+        } => fact.cell == ran.cell,
     };
-    placed && s.relays.iter().find(|r| r.state != RelayState::NeverRan).is_none_or(again)
+    placed
+        && s.relays
+            .iter()
+            .find(|r| r.state != RelayState::NeverRan)
+            .is_none_or(again)
 }
--- a/crates/admission/tests/decisions.rs
+++ b/crates/admission/tests/decisions.rs
@@ -43,7 +43,11 @@
     }
 }
 
-const RATION: Ration = Ration { free: 2.0, share: 0.1, window: Span::ZERO };
+const RATION: Ration = Ration {
+    free: 2.0,
+    share: 0.1,
+    window: Span::ZERO,
+};
 const PEERS: f64 = 2.0;
 const CORES: f64 = 8.0;
 const COLD_S: f64 = 10.0;
@@ -56,7 +60,13 @@
     policy_with(true, peers, seed, products, ration)
 }
 
-fn policy_with(cancel: bool, peers: f64, seed: u64, products: &[Product], ration: Option<Ration>) -> Policy {
+fn policy_with(
+    cancel: bool,
+    peers: f64,
+    seed: u64,
+    products: &[Product],
+    ration: Option<Ration>,
+) -> Policy {
     policy_linked(None, cancel, peers, seed, products, ration)
 }
 
@@ -70,13 +80,45 @@
     ration: Option<Ration>,
 ) -> Policy {
     let (cores, memory_mb, note_pace) = (vec![CORES], vec![1000.0], Some(span(2.0)));
-    let fleet = Fleet { peers, cores, memory_mb, note_pace, ranks_heeded: true, idle };
-    let cold = ColdStart { share: 0.3, warm_after: span(COLD_S), multiple: 2.0, window: span(1.0) };
+    let fleet = Fleet {
+        peers,
+        cores,
+        memory_mb,
+        note_pace,
+        ranks_heeded: true,
+        idle,
+    };
+    let cold = ColdStart {
+        share: 0.3,
+        warm_after: span(COLD_S),
+        multiple: 2.0,
+        window: span(1.0),
+    };
     let come_back = Some(span(0.5));
-    let relaying = Relaying { most: 4, cancel, come_back, settle: span(0.7), ration };
-    let tenancy = Tenancy { allowances: vec![400.0, 100.0], over_gain: 0.1 };
-    let listing = Listing { on_request: false, ask_within: span(10.0) };
-    Policy::new(seed, products.to_vec(), tenancy, fleet, Some(cold), relaying, listing)
+    let relaying = Relaying {
+        most: 4,
+        cancel,
+        come_back,
+        settle: span(0.7),
+        ration,
+    };
+    let tenancy = Tenancy {
+        allowances: vec![400.0, 100.0],
+        over_gain: 0.1,
+    };
+    let listing = Listing {
+        on_request: false,
+        ask_within: span(10.0),
+    };
+    Policy::new(
+        seed,
+        products.to_vec(),
+        tenancy,
+        fleet,
+        Some(cold),
+        relaying,
+        listing,
+    )
 }
 
 /// One statement in the caller's hands, with what the checks need to know of it.
@@ -148,21 +190,36 @@
             relays: Vec::new(),
         };
         self.taken.push(self.now);
-        self.hand.insert(id, Held { s, over: false, uncertain_until: None });
+        self.hand.insert(
+            id,
+            Held {
+                s,
+                over: false,
+                uncertain_until: None,
+            },
+        );
         self.ask(id);
         id
     }
 
     fn ask_line(&mut self) {
         let out = |h: &Held| h.s.relays.iter().any(|r| r.state == RelayState::Out);
-        let line = self.hand.values().filter(|h| !h.over && !out(h)).filter_map(|h| h.s.place);
+        let line = self
+            .hand
+            .values()
+            .filter(|h| !h.over && !out(h))
+            .filter_map(|h| h.s.place);
         let mut line: Vec<Place> = line.collect();
         line.sort();
         line.into_iter().for_each(|place| self.ask(place.id));
         self.policy.pause(at(self.now), 1);
         for held in self.hand.values().filter(|h| !h.over) {
             let late = (at(self.now) - held.s.hard_limit).secs();
-            assert!(late < 0.0 || out(held), "rule 1: {:?} held past its hard limit", held.s.id);
+            assert!(
+                late < 0.0 || out(held),
+                "rule 1: {:?} held past its hard limit",
+                held.s.id
+            );
         }
     }
 
@@ -183,29 +240,49 @@
         let held = self.hand.get_mut(&id).unwrap();
         assert!(!held.over, "rule 1: answered twice");
         held.over = true;
-        let ran = held.s.relays.iter().any(|r| r.state != RelayState::NeverRan);
+        let ran = held
+            .s
+            .relays
+            .iter()
+            .any(|r| r.state != RelayState::NeverRan);
         let group = match self.products[held.s.product.0].effect {
             Effect::Idempotent => true,
             Effect::Deduplicated { group, .. } => group == RepeatGroup::All,
             Effect::Unrepeatable => false,
         };
-        assert!(!denied || !ran || group, "rule 2: denied though it may have run");
+        assert!(
+            !denied || !ran || group,
+            "rule 2: denied though it may have run"
+        );
     }
 
     fn check_send(&mut self, id: StatementId, relay: &Relay) {
         let (now, held) = (at(self.now), &self.hand[&id]);
         let (s, product) = (&held.s, &self.products[held.s.product.0]);
-        assert!(!held.over && now < s.hard_limit, "rule 1: sent after its end");
-        assert!(s.relays.iter().all(|r| r.state != RelayState::Out), "two relays out");
+        assert!(
+            !held.over && now < s.hard_limit,
+            "rule 1: sent after its end"
+        );
+        assert!(
+            s.relays.iter().all(|r| r.state != RelayState::Out),
+            "two relays out"
+        );
         let to = self.list[&relay.engine];
-        assert_eq!(to.stage, Stage::Ready, "rule 3: sent to an engine told as draining or gone");
+        assert_eq!(
+            to.stage,
+            Stage::Ready,
+            "rule 3: sent to an engine told as draining or gone"
+        );
         if let Some(ran) = s.relays.iter().find(|r| r.state == RelayState::MayHaveRun) {
             let from = self.list[&ran.engine];
             match product.effect {
                 Effect::Idempotent => {}
                 Effect::Unrepeatable => panic!("rule 2: unrepeatable sent again"),
                 Effect::Deduplicated { group, remembered } => {
-                    assert!(now - ran.sent < remembered, "rule 2: past the memory of its repeats");
+                    assert!(
+                        now - ran.sent < remembered,
+                        "rule 2: past the memory of its repeats"
+                    );
                     let same = match group {
                         RepeatGroup::All => true,
                         RepeatGroup::Location => from.location == to.location,
@@ -215,33 +292,65 @@
                 }
             }
         }
-        let placed = product.locations.as_ref().is_none_or(|of| of.contains(&to.location));
-        assert!(placed && product.machines.as_ref().is_none_or(|of| of.contains(&to.machine)), "rule 6");
+        let placed = product
+            .locations
+            .as_ref()
+            .is_none_or(|of| of.contains(&to.location));
+        assert!(
+            placed
+                && product
+                    .machines
+                    .as_ref()
+                    .is_none_or(|of| of.contains(&to.machine)),
+            "rule 6"
+        );
         if product.in_turn && s.key.is_some() {
-            for (other, held) in self.hand.iter().filter(|(other, h)| **other < id && h.s.key == s.key) {
+            for (other, held) in self
+                .hand
+                .iter()
+                .filter(|(other, h)| **other < id && h.s.key == s.key)
+            {
                 let out = held.s.relays.iter().any(|r| r.state == RelayState::Out);
                 let turn = self.products[held.s.product.0].in_turn;
-                assert!(!turn || held.over && !out, "rule 5: {id:?} before {other:?}");
-                assert!(!turn || held.uncertain_until.is_none_or(|until| until <= now), "rule 5: no rest");
+                assert!(
+                    !turn || held.over && !out,
+                    "rule 5: {id:?} before {other:?}"
+                );
+                assert!(
+                    !turn || held.uncertain_until.is_none_or(|until| until <= now),
+                    "rule 5: no rest"
+                );
             }
         }
         if !s.relays.is_empty() {
             self.further.push(self.now);
         }
         if let Some(ration) = self.ration {
-            let since =
-                |of: &[f64]| of.iter().filter(|t| self.now - **t < ration.window.secs()).count() as f64;
+            let since = |of: &[f64]| {
+                of.iter()
+                    .filter(|t| self.now - **t < ration.window.secs())
+                    .count() as f64
+            };
             let most = ration.free + ration.share * since(&self.taken);
-            assert!(s.relays.is_empty() || since(&self.further) <= most, "rule 7: over the ration");
+            assert!(
+                s.relays.is_empty() || since(&self.further) <= most,
+                "rule 7: over the ration"
+            );
         }
         self.sends.push((relay.engine, self.now, WORK[s.product.0]));
         if let Some(started) = to.started {
             let age = (now - started).secs();
             let capacity = CORES * 0.85 * (0.3 + 0.7 * (age / COLD_S).clamp(0.0, 1.0).powi(3));
-            let recent = self.sends.iter().filter(|(e, t, _)| *e == relay.engine && self.now - t < 1.0);
+            let recent = self
+                .sends
+                .iter()
+                .filter(|(e, t, _)| *e == relay.engine && self.now - t < 1.0);
             let work: f64 = recent.map(|(.., work)| work).sum();
             let most = 2.0 * capacity / PEERS + 0.6;
-            assert!(age > COLD_S || work <= most, "rule 4: {work} of {most} at {age}");
+            assert!(
+                age > COLD_S || work <= most,
+                "rule 4: {work} of {most} at {age}"
+            );
         }
     }
 
@@ -254,7 +363,9 @@
         }
         relay.state = match news {
             News::Progress(_) | News::Strained => RelayState::Out,
-            News::TurnedAway | News::Unreachable | News::NeverSent | News::Withdrawn => RelayState::NeverRan,
+            News::TurnedAway | News::Unreachable | News::NeverSent | News::Withdrawn => {
+                RelayState::NeverRan
+            }
             _ => RelayState::MayHaveRun,
         };
         let latency = at(self.now) - relay.sent;
@@ -262,7 +373,12 @@
             held.uncertain_until = Some(at(self.now) + span(0.7));
         }
         let settled = held.over || matches!(news, News::Completed { .. });
-        let outcome = Outcome { relay: RelayNo(number as u16), news, latency, settled };
+        let outcome = Outcome {
+            relay: RelayNo(number as u16),
+            news,
+            latency,
+            settled,
+        };
         self.completed += usize::from(matches!(news, News::Completed { .. }));
         match self.policy.after(at(self.now), &held.s, &outcome) {
             After::Stay => {}
@@ -276,14 +392,28 @@
 
     /// Answers what is out: a bad engine fails it or, when silent, leaves it; the others complete it.
     fn answer(&mut self, bad: impl Fn(EngineId) -> bool, silent: bool) {
-        let out = |h: &&Held| h.s.relays.last().is_some_and(|r| r.state == RelayState::Out);
-        let out: Vec<_> =
-            self.hand.values().filter(out).map(|h| (h.s.id, h.s.relays.last().unwrap().engine)).collect();
+        let out = |h: &&Held| {
+            h.s.relays
+                .last()
+                .is_some_and(|r| r.state == RelayState::Out)
+        };
+        let out: Vec<_> = self
+            .hand
+            .values()
+            .filter(out)
+            .map(|h| (h.s.id, h.s.relays.last().unwrap().engine))
+            .collect();
         for (id, engine) in out {
             match (bad(engine), silent) {
                 (true, true) => {}
                 (true, false) => self.outcome(id, News::Error),
-                (false, _) => self.outcome(id, News::Completed { cpu: Some(span(0.05)), memory_mb: None }),
+                (false, _) => self.outcome(
+                    id,
+                    News::Completed {
+                        cpu: Some(span(0.05)),
+                        memory_mb: None,
+                    },
+                ),
             }
         }
         self.ask_line();
@@ -292,28 +422,42 @@
     fn tell(&mut self, fact: EngineFact) {
         // What reached the engine before its start is no load on the new one.
         self.sends.retain(|sent| {
-            sent.0 != fact.id || self.list.get(&fact.id).is_some_and(|f| f.started == fact.started)
+            sent.0 != fact.id
+                || self
+                    .list
+                    .get(&fact.id)
+                    .is_some_and(|f| f.started == fact.started)
         });
         self.list.insert(fact.id, fact);
-        self.policy.told_list(at(self.now), &ListNews::Changes(vec![fact]));
+        self.policy
+            .told_list(at(self.now), &ListNews::Changes(vec![fact]));
     }
 }
 
 /// Any mix of troubles: failing, silent, slow, draining, restarting engines, clients that leave, bad plans.
 fn random_day(seed: u64) -> usize {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
-    let group = [RepeatGroup::All, RepeatGroup::Location, RepeatGroup::Cell][rng.random_range(0..3)];
+    let group =
+        [RepeatGroup::All, RepeatGroup::Location, RepeatGroup::Cell][rng.random_range(0..3)];
     let mut products = vec![
         product(Effect::Idempotent),
-        product(Effect::Deduplicated { group, remembered: span(1.5) }),
+        product(Effect::Deduplicated {
+            group,
+            remembered: span(1.5),
+        }),
         product(Effect::Unrepeatable),
         product(Effect::Idempotent),
     ];
     products[1].in_turn = rng.random();
     products[2].in_turn = rng.random();
     products[3].locations = Some(vec![LocationId(1)]);
-    let ration = rng.random::<bool>().then_some(Ration { window: span(3.0), ..RATION });
-    let list: Vec<_> = (0..5).map(|id| engine(id, rng.random::<bool>().then_some(998.0))).collect();
+    let ration = rng.random::<bool>().then_some(Ration {
+        window: span(3.0),
+        ..RATION
+    });
+    let list: Vec<_> = (0..5)
+        .map(|id| engine(id, rng.random::<bool>().then_some(998.0)))
+        .collect();
     let mut world = World::new(seed, products, &list, ration);
     let bad: f64 = rng.random::<f64>() * 0.6;
     for _ in 0..400 {
@@ -324,7 +468,11 @@
             let spread: f64 = rng.random_range(0.2..4.0);
             world.take(product, key, WORK[product] * spread);
         }
-        let out = |h: &&Held| h.s.relays.last().is_some_and(|r| r.state == RelayState::Out);
+        let out = |h: &&Held| {
+            h.s.relays
+                .last()
+                .is_some_and(|r| r.state == RelayState::Out)
+        };
         let relayed: Vec<StatementId> = world.hand.values().filter(out).map(|h| h.s.id).collect();
         for id in relayed {
             let late = at(world.now) >= world.hand[&id].s.hard_limit;
@@ -340,15 +488,28 @@
             if late {
                 world.outcome(id, News::TimedOut);
             } else if rng.random::<f64>() < 0.1 {
-                let done = News::Completed { cpu: Some(span(work)), memory_mb: None };
-                world.outcome(id, if rng.random::<f64>() < bad { failed } else { done });
+                let done = News::Completed {
+                    cpu: Some(span(work)),
+                    memory_mb: None,
+                };
+                world.outcome(
+                    id,
+                    if rng.random::<f64>() < bad {
+                        failed
+                    } else {
+                        done
+                    },
+                );
             }
         }
         if rng.random::<f64>() < 0.02 {
             let id = rng.random_range(0..6);
             let started = rng.random::<bool>().then_some(world.now);
             let stage = [Stage::Ready, Stage::Draining, Stage::Gone][rng.random_range(0..3)];
-            world.tell(EngineFact { stage, ..engine(id, started) });
+            world.tell(EngineFact {
+                stage,
+                ..engine(id, started)
+            });
         }
         if rng.random::<f64>() < 0.02
             && let Some(held) = world.hand.values_mut().find(|h| !h.over)
@@ -367,7 +528,10 @@
         TestResult::from_bool(random_day(seed) > 20)
     }
     let random = Gen::from_size_and_seed(100, 11);
-    QuickCheck::new().rng(random).tests(40).quickcheck(day as fn(u64) -> TestResult);
+    QuickCheck::new()
+        .rng(random)
+        .tests(40)
+        .quickcheck(day as fn(u64) -> TestResult);
 }
 
 fn send(world: &mut World, product: usize, estimate: f64) -> Option<(StatementId, Relay)> {
@@ -378,12 +542,23 @@
 
 fn complete(world: &mut World, id: StatementId, cpu: f64, after: f64) {
     world.now += after;
-    world.outcome(id, News::Completed { cpu: Some(span(cpu)), memory_mb: None });
+    world.outcome(
+        id,
+        News::Completed {
+            cpu: Some(span(cpu)),
+            memory_mb: None,
+        },
+    );
 }
 
 #[test]
 fn prediction_is_estimate_times_the_smoothed_ratio() {
-    let mut world = World::new(1, vec![product(Effect::Idempotent)], &[engine(0, None)], None);
+    let mut world = World::new(
+        1,
+        vec![product(Effect::Idempotent)],
+        &[engine(0, None)],
+        None,
+    );
     let (id, relay) = send(&mut world, 0, 0.1).unwrap();
     assert_eq!(relay.charge, span(0.1));
     complete(&mut world, id, 0.2, 0.2);
@@ -402,7 +577,12 @@
 
 #[test]
 fn one_bad_plan_moves_a_prediction_by_no_more_than_its_cap() {
-    let mut world = World::new(1, vec![product(Effect::Idempotent)], &[engine(0, None)], None);
+    let mut world = World::new(
+        1,
+        vec![product(Effect::Idempotent)],
+        &[engine(0, None)],
+        None,
+    );
     let (id, _) = send(&mut world, 0, 0.1).unwrap();
     complete(&mut world, id, 0.1, 0.1);
     world.next = 5;
@@ -425,11 +605,17 @@
             world.answer(|id| id == EngineId(1) && step < 400, silent);
         }
         let drawn = |from: f64, to: f64| {
-            let sends =
-                world.sends.iter().filter(|s| s.0 == EngineId(1) && s.1 > 1000.0 + from && s.1 < 1000.0 + to);
+            let sends = world
+                .sends
+                .iter()
+                .filter(|s| s.0 == EngineId(1) && s.1 > 1000.0 + from && s.1 < 1000.0 + to);
             sends.count()
         };
-        assert!(drawn(1.5, 4.0) < 12, "a bad engine kept drawing statements: {}", drawn(1.5, 4.0));
+        assert!(
+            drawn(1.5, 4.0) < 12,
+            "a bad engine kept drawing statements: {}",
+            drawn(1.5, 4.0)
+        );
         assert!(drawn(14.0, 16.0) > 20, "never back: {}", drawn(14.0, 16.0));
     }
 }
@@ -465,18 +651,31 @@
 fn light_statements_pass_heavy_ones_of_a_lower_rank() {
     let mut heavy = product(Effect::Idempotent);
     (heavy.threads, heavy.quoted, heavy.hard_limit) = (4.0, span(8.0), span(15.0));
-    let mut world = World::new(1, vec![product(Effect::Idempotent), heavy], &[engine(0, None)], None);
+    let mut world = World::new(
+        1,
+        vec![product(Effect::Idempotent), heavy],
+        &[engine(0, None)],
+        None,
+    );
     send(&mut world, 0, 0.05);
     for _ in 0..20 {
         send(&mut world, 1, 4.0);
     }
-    assert!(send(&mut world, 1, 4.0).is_none(), "the bound holds the heavy");
+    assert!(
+        send(&mut world, 1, 4.0).is_none(),
+        "the bound holds the heavy"
+    );
     assert!(send(&mut world, 0, 0.05).is_some(), "but not the light");
 }
 
 #[test]
 fn running_statements_stay_within_the_gateways_share_of_memory() {
-    let mut world = World::new(1, vec![product(Effect::Idempotent)], &[engine(0, None)], None);
+    let mut world = World::new(
+        1,
+        vec![product(Effect::Idempotent)],
+        &[engine(0, None)],
+        None,
+    );
     let mut sent = 0;
     for _ in 0..4 {
         let id = world.take(0, None, 0.1);
@@ -492,12 +691,19 @@
     (world.tenant, world.budget) = (Some(tenant), Some(budget));
     let ids: Vec<_> = (0..count).map(|_| world.take(0, None, 0.1)).collect();
     world.ask_line();
-    ids.iter().filter(|id| !world.hand[id].s.relays.is_empty()).count()
+    ids.iter()
+        .filter(|id| !world.hand[id].s.relays.is_empty())
+        .count()
 }
 
 #[test]
 fn a_tenant_over_its_allowance_leaves_room_for_the_others() {
-    let mut world = World::new(1, vec![product(Effect::Idempotent)], &[engine(0, None)], None);
+    let mut world = World::new(
+        1,
+        vec![product(Effect::Idempotent)],
+        &[engine(0, None)],
+        None,
+    );
     // Three seconds' worth of the one tenant pass at once; the rest of its burst takes spare room only.
     for _ in 0..700 {
         sent_at_once(&mut world, 0, 4.0, 1);
@@ -510,7 +716,12 @@
 
 #[test]
 fn what_cannot_finish_usefully_is_denied_at_once() {
-    let mut world = World::new(1, vec![product(Effect::Idempotent)], &[engine(0, None)], None);
+    let mut world = World::new(
+        1,
+        vec![product(Effect::Idempotent)],
+        &[engine(0, None)],
+        None,
+    );
     let id = world.take(0, None, 30.0);
     world.ask_line();
     assert!(world.hand[&id].over);
@@ -530,7 +741,9 @@
     let list: Vec<EngineFact> = (0..engines).map(|id| engine(id, started)).collect();
     let mut world = World::new(seed, vec![product(Effect::Idempotent)], &list, None);
     world.policy = policy_among(400.0, seed, &world.products, None);
-    world.policy.told_list(at(world.now), &ListNews::Whole(list));
+    world
+        .policy
+        .told_list(at(world.now), &ListNews::Whole(list));
     world
 }
 
@@ -558,7 +771,10 @@
             world.answer(|_| false, false);
         }
     }
-    assert!(by_second.iter().all(|sent| *sent as f64 * 0.1 < 4.8), "{by_second:?}");
+    assert!(
+        by_second.iter().all(|sent| *sent as f64 * 0.1 < 4.8),
+        "{by_second:?}"
+    );
     assert!(by_second.iter().sum::<usize>() > 20, "{by_second:?}");
 }
 
@@ -571,11 +787,23 @@
 
 #[test]
 fn what_runs_on_after_a_time_out_keeps_its_threads() {
-    let mut world = World::new(1, vec![product(Effect::Idempotent)], &[engine(0, None)], None);
+    let mut world = World::new(
+        1,
+        vec![product(Effect::Idempotent)],
+        &[engine(0, None)],
+        None,
+    );
     world.policy = policy_with(false, PEERS, 1, &world.products, None);
-    world.policy.told_list(at(world.now), &ListNews::Whole(vec![engine(0, None)]));
+    world
+        .policy
+        .told_list(at(world.now), &ListNews::Whole(vec![engine(0, None)]));
     let sent = sent_at_once(&mut world, 0, 4.0, 20);
-    let out: Vec<_> = world.hand.values().filter(|h| !h.s.relays.is_empty()).map(|h| h.s.id).collect();
+    let out: Vec<_> = world
+        .hand
+        .values()
+        .filter(|h| !h.s.relays.is_empty())
+        .map(|h| h.s.id)
+        .collect();
     world.now += 0.01;
     out.iter().for_each(|id| world.outcome(*id, News::TimedOut));
     let more = sent_at_once(&mut world, 0, 4.0, 20);
@@ -591,10 +819,20 @@
     if let Answer::NotYet(place) = policy.place(at(now), s) {
         s.place = Some(place);
     }
-    let Answer::Send { relay, .. } = policy.place(at(now), s) else { return None };
+    let Answer::Send { relay, .. } = policy.place(at(now), s) else {
+        return None;
+    };
     let number = RelayNo(s.relays.len() as u16);
-    s.relays.push(Relay { state: RelayState::MayHaveRun, ..relay });
-    let outcome = Outcome { relay: number, news, latency: span(0.01), settled: false };
+    s.relays.push(Relay {
+        state: RelayState::MayHaveRun,
+        ..relay
+    });
+    let outcome = Outcome {
+        relay: number,
+        news,
+        latency: span(0.01),
+        settled: false,
+    };
     Some(policy.after(at(now), s, &outcome))
 }
 
@@ -630,12 +868,23 @@
         policy.pause(at(now), 0);
         if n % 10 == 0 {
             let mut bad = fresh(2 * n, now);
-            let ends: Vec<_> = (0..3).map(|_| ended(&mut policy, now, &mut bad, News::Error)).collect();
-            let deny = After::Deny { come_back: Some(span(0.5)) };
-            assert_eq!(ends, [Some(After::Ask), Some(After::Ask), Some(deny)], "{n}");
+            let ends: Vec<_> = (0..3)
+                .map(|_| ended(&mut policy, now, &mut bad, News::Error))
+                .collect();
+            let deny = After::Deny {
+                come_back: Some(span(0.5)),
+            };
+            assert_eq!(
+                ends,
+                [Some(After::Ask), Some(After::Ask), Some(deny)],
+                "{n}"
+            );
         }
         let mut good = fresh(2 * n + 1, now);
-        let news = News::Completed { cpu: Some(span(0.01)), memory_mb: None };
+        let news = News::Completed {
+            cpu: Some(span(0.01)),
+            memory_mb: None,
+        };
         assert!(ended(&mut policy, now, &mut good, news).is_some(), "{n}");
         *used.entry(good.relays[0].engine).or_insert(0) += u32::from(n >= 100);
     }
@@ -655,18 +904,34 @@
             policy.pause(at(now), 0);
             let mut s = fresh(n, now);
             let place = policy.place(at(now), &s);
-            let Answer::NotYet(place) = place else { panic!("{place:?}") };
+            let Answer::NotYet(place) = place else {
+                panic!("{place:?}")
+            };
             s.place = Some(place);
-            let Answer::Send { relay, .. } = policy.place(at(now), &s) else { panic!("{n}") };
+            let Answer::Send { relay, .. } = policy.place(at(now), &s) else {
+                panic!("{n}")
+            };
             // Three in a row of so many.
             let sick = relay.engine == EngineId(0) && sends % of < 3;
             sends += u32::from(relay.engine == EngineId(0));
             used += u32::from(n >= 200 && relay.engine == EngineId(0));
-            let state = if sick { RelayState::MayHaveRun } else { RelayState::Out };
+            let state = if sick {
+                RelayState::MayHaveRun
+            } else {
+                RelayState::Out
+            };
             s.relays.push(Relay { state, ..relay });
-            let good = News::Completed { cpu: Some(span(0.01)), memory_mb: None };
+            let good = News::Completed {
+                cpu: Some(span(0.01)),
+                memory_mb: None,
+            };
             let news = if sick { News::Reset } else { good };
-            let outcome = Outcome { relay: RelayNo(0), news, latency: span(0.01), settled: !sick };
+            let outcome = Outcome {
+                relay: RelayNo(0),
+                news,
+                latency: span(0.01),
+                settled: !sick,
+            };
             policy.after(at(now), &s, &outcome);
         }
         assert_eq!(used > 40, stays, "{used} of 200");
@@ -685,15 +950,25 @@
             let now = 1000.0 + f64::from(step) * 0.01;
             policy.pause(at(now), 0);
             for (_, s) in out.extract_if(.., |(sent, _)| now - *sent >= 0.099) {
-                let news = News::Completed { cpu: Some(span(0.05)), memory_mb: None };
-                let outcome = Outcome { relay: RelayNo(0), news, latency: span(0.1), settled: true };
+                let news = News::Completed {
+                    cpu: Some(span(0.05)),
+                    memory_mb: None,
+                };
+                let outcome = Outcome {
+                    relay: RelayNo(0),
+                    news,
+                    latency: span(0.1),
+                    settled: true,
+                };
                 policy.after(at(now), &s, &outcome);
             }
             for n in 0..each_10_ms {
                 let mut s = fresh(u64::from(step * 10 + n), now);
                 s.estimate = Some(span(0.05));
                 s.tenant = TenantId(usize::from((step * each_10_ms + n) % 5 == 0));
-                let Answer::NotYet(place) = policy.place(at(now), &s) else { panic!("{step}") };
+                let Answer::NotYet(place) = policy.place(at(now), &s) else {
+                    panic!("{step}")
+                };
                 s.place = Some(place);
                 if let Answer::Send { relay, .. } = policy.place(at(now), &s) {
                     s.relays.push(relay);
@@ -702,7 +977,10 @@
             }
             most = most.max(out.len());
         }
-        assert!(if past { most > 10 } else { most <= 9 }, "{most} threads at {each_10_ms} in 10 ms");
+        assert!(
+            if past { most > 10 } else { most <= 9 },
+            "{most} threads at {each_10_ms} in 10 ms"
+        );
     }
 }
 
@@ -712,7 +990,10 @@
 fn over_an_allowance_is_denied_only_while_something_is_short() {
     for (latency, denies) in [(0.03, false), (2.5, true)] {
         let mut policy = policy_among(2.0, 1, &[product(Effect::Idempotent)], None);
-        policy.told_list(at(1000.0), &ListNews::Whole((0..2).map(|id| engine(id, None)).collect()));
+        policy.told_list(
+            at(1000.0),
+            &ListNews::Whole((0..2).map(|id| engine(id, None)).collect()),
+        );
         let (mut out, mut over, mut denied) = (Vec::<(f64, Statement)>::new(), 0, 0);
         for step in 0..1500u32 {
             let now = 1000.0 + f64::from(step) * 0.01;
@@ -720,15 +1001,29 @@
             // The latter half of the day is slow, or like the first.
             let latency = if step < 700 { 0.03 } else { latency };
             for (_, s) in out.extract_if(.., |(sent, _)| now - *sent >= latency) {
-                let news = News::Completed { cpu: Some(span(0.01)), memory_mb: None };
+                let news = News::Completed {
+                    cpu: Some(span(0.01)),
+                    memory_mb: None,
+                };
                 let (relay, latency) = (RelayNo(0), span(latency));
-                policy.after(at(now), &s, &Outcome { relay, news, latency, settled: true });
+                policy.after(
+                    at(now),
+                    &s,
+                    &Outcome {
+                        relay,
+                        news,
+                        latency,
+                        settled: true,
+                    },
+                );
             }
             // One tenant at its allowance, and one at 100 a second of its 50.
             for tenant in [0, 0, 1] {
                 let mut s = fresh(u64::from(step * 3) + out.len() as u64, now);
                 s.tenant = TenantId(tenant);
-                let Answer::NotYet(place) = policy.place(at(now), &s) else { panic!("{step}") };
+                let Answer::NotYet(place) = policy.place(at(now), &s) else {
+                    panic!("{step}")
+                };
                 s.place = Some(place);
                 let counts = u32::from(place.over_allowance && step >= 900);
                 over += counts;
@@ -742,7 +1037,10 @@
             }
         }
         let part = f64::from(denied) / f64::from(over.max(1));
-        assert!(over > 100 && if denies { part > 0.8 } else { part < 0.1 }, "{denied} of {over}");
+        assert!(
+            over > 100 && if denies { part > 0.8 } else { part < 0.1 },
+            "{denied} of {over}"
+        );
     }
 }
 
@@ -757,14 +1055,26 @@
     let mut used: BTreeMap<EngineId, f64> = BTreeMap::new();
     for id in 0..60 {
         let mut s = fresh(id, now);
-        let Answer::NotYet(place) = policy.place(at(now), &s) else { panic!("no place in line") };
+        let Answer::NotYet(place) = policy.place(at(now), &s) else {
+            panic!("no place in line")
+        };
         s.place = Some(place);
-        let Answer::Send { relay, .. } = policy.place(at(now), &s) else { panic!("{id} was not sent") };
+        let Answer::Send { relay, .. } = policy.place(at(now), &s) else {
+            panic!("{id} was not sent")
+        };
         let before = used.insert(relay.engine, now);
         opened += usize::from(before.is_none_or(|before| now - before > 5.0));
         s.relays.push(relay);
-        let news = News::Completed { cpu: Some(span(0.01)), memory_mb: None };
-        let outcome = Outcome { relay: RelayNo(0), news, latency: span(0.01), settled: true };
+        let news = News::Completed {
+            cpu: Some(span(0.01)),
+            memory_mb: None,
+        };
+        let outcome = Outcome {
+            relay: RelayNo(0),
+            news,
+            latency: span(0.01),
+            settled: true,
+        };
         policy.after(at(now + 0.1), &s, &outcome);
         policy.pause(at(now + 0.2), 0);
         now += 0.5;
@@ -774,9 +1084,14 @@
 
 #[test]
 fn a_small_gateway_stays_with_engines_to_which_a_connection_stands_free() {
-    let (told, untold) =
-        (connections_of_a_small_gateway(Some(span(5.0))), connections_of_a_small_gateway(None));
-    assert!(told <= 3 && untold >= 30, "{told} opened with the idle time told, {untold} without");
+    let (told, untold) = (
+        connections_of_a_small_gateway(Some(span(5.0))),
+        connections_of_a_small_gateway(None),
+    );
+    assert!(
+        told <= 3 && untold >= 30,
+        "{told} opened with the idle time told, {untold} without"
+    );
 }
 
 #[test]
@@ -801,12 +1116,23 @@
 fn relayed_again(policy: &mut Policy, of: std::ops::Range<u64>) -> usize {
     let again = of.filter(|id| {
         let mut s = fresh(*id, 1000.0);
-        let Answer::NotYet(place) = policy.place(at(1000.0), &s) else { panic!("no place in line") };
+        let Answer::NotYet(place) = policy.place(at(1000.0), &s) else {
+            panic!("no place in line")
+        };
         s.place = Some(place);
-        let Answer::Send { relay, .. } = policy.place(at(1000.0), &s) else { panic!("{id} was not sent") };
-        s.relays.push(Relay { state: RelayState::NeverRan, ..relay });
-        let outcome =
-            Outcome { relay: RelayNo(0), news: News::Unreachable, latency: span(0.01), settled: false };
+        let Answer::Send { relay, .. } = policy.place(at(1000.0), &s) else {
+            panic!("{id} was not sent")
+        };
+        s.relays.push(Relay {
+            state: RelayState::NeverRan,
+            ..relay
+        });
+        let outcome = Outcome {
+            relay: RelayNo(0),
+            news: News::Unreachable,
+            latency: span(0.01),
+            settled: false,
+        };
         policy.after(at(1000.0), &s, &outcome);
         matches!(policy.place(at(1000.0), &s), Answer::Send { .. })
     });
@@ -817,13 +1143,32 @@
 /// a statement is given up at once, as harmless as before.
 #[test]
 fn further_relays_go_as_far_as_is_left_of_all_gateways_and_no_further() {
-    for (left, want) in [(None, 4), (Some(0.0), 0), (Some(0.9), 0), (Some(1.0), 1), (Some(2.5), 2)] {
-        let mut policy = policy(1, &[product(Effect::Idempotent), product(Effect::Idempotent)], None);
-        policy.told_list(at(1000.0), &ListNews::Whole((0..8).map(|id| engine(id, None)).collect()));
+    for (left, want) in [
+        (None, 4),
+        (Some(0.0), 0),
+        (Some(0.9), 0),
+        (Some(1.0), 1),
+        (Some(2.5), 2),
+    ] {
+        let mut policy = policy(
+            1,
+            &[product(Effect::Idempotent), product(Effect::Idempotent)],
+            None,
+        );
+        policy.told_list(
+            at(1000.0),
+            &ListNews::Whole((0..8).map(|id| engine(id, None)).collect()),
+        );
         // Of another product alone: nothing is said of this one.
-        policy.told_allowed(Allowed { relays: vec![left, Some(0.0)], ..Allowed::default() });
+        policy.told_allowed(Allowed {
+            relays: vec![left, Some(0.0)],
+            ..Allowed::default()
+        });
         assert_eq!(relayed_again(&mut policy, 0..4), want, "{left:?}");
-        policy.told_allowed(Allowed { relays: vec![left.map(|_| 1.0)], ..Allowed::default() });
+        policy.told_allowed(Allowed {
+            relays: vec![left.map(|_| 1.0)],
+            ..Allowed::default()
+        });
         assert_eq!(relayed_again(&mut policy, 10..11), 1, "told anew");
     }
 }
@@ -832,10 +1177,20 @@
 fn an_engine_that_was_left_out_is_tried_only_with_a_trial_to_spend() {
     for (trials, want) in [(None, true), (Some(1.0), true), (Some(0.5), false)] {
         let mut policy = policy(1, &[product(Effect::Idempotent)], None);
-        policy.told_list(at(1000.0), &ListNews::Whole((0..3).map(|id| engine(id, None)).collect()));
-        let doubt = EngineDoubt { id: EngineId(1), seen: at(999.0), until: at(1001.0) };
+        policy.told_list(
+            at(1000.0),
+            &ListNews::Whole((0..3).map(|id| engine(id, None)).collect()),
+        );
+        let doubt = EngineDoubt {
+            id: EngineId(1),
+            seen: at(999.0),
+            until: at(1001.0),
+        };
         policy.told_doubts(at(1000.0), &[doubt]);
-        policy.told_allowed(Allowed { trials, ..Allowed::default() });
+        policy.told_allowed(Allowed {
+            trials,
+            ..Allowed::default()
+        });
         // Long after the bench is over, one statement would be the trial.
         let mut tried = Vec::new();
         for id in 0..40 {
@@ -848,7 +1203,11 @@
                 tried.extend(relay.trial.then_some(relay.engine));
             }
         }
-        assert_eq!(tried, if want { vec![EngineId(1)] } else { vec![] }, "{trials:?}");
+        assert_eq!(
+            tried,
+            if want { vec![EngineId(1)] } else { vec![] },
+            "{trials:?}"
+        );
     }
 }
 
@@ -856,7 +1215,10 @@
 fn sent_cold(part: Option<f64>) -> usize {
     let mut policy = policy_among(20.0, 5, &[product(Effect::Idempotent)], None);
     policy.told_list(at(1000.0), &ListNews::Whole(vec![engine(0, Some(1000.0))]));
-    policy.told_allowed(Allowed { cold: part, ..Allowed::default() });
+    policy.told_allowed(Allowed {
+        cold: part,
+        ..Allowed::default()
+    });
     let sent = (0..300u64).filter(|id| {
         let now = 1000.0 + *id as f64 * 0.01;
         let mut s = fresh(*id, now);
@@ -866,7 +1228,9 @@
         let sent = matches!(policy.place(at(now), &s), Answer::Send { .. });
         if sent {
             // It ends at once: only what a cold engine bears bounds this.
-            let Answer::Send { relay, .. } = policy.place(at(now), &s) else { return true };
+            let Answer::Send { relay, .. } = policy.place(at(now), &s) else {
+                return true;
+            };
             s.relays.push(relay);
         }
         policy.pause(at(now), 0);
@@ -877,8 +1241,15 @@
 
 #[test]
 fn a_cold_engine_is_sent_by_the_part_that_is_held_of_what_it_bears() {
-    let (alone, even, more, none) =
-        (sent_cold(None), sent_cold(Some(1.0 / 20.0)), sent_cold(Some(0.4)), sent_cold(Some(0.0)));
-    assert_eq!(alone, even, "an even part is what a gateway takes for its own");
+    let (alone, even, more, none) = (
+        sent_cold(None),
+        sent_cold(Some(1.0 / 20.0)),
+        sent_cold(Some(0.4)),
+        sent_cold(Some(0.0)),
+    );
+    assert_eq!(
+        alone, even,
+        "an even part is what a gateway takes for its own"
+    );
     assert!(more > even && none < even.max(1), "{more}, {even}, {none}");
 }
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -53,10 +53,19 @@
         let mut stream = TcpStream::connect(address)?;
         stream.set_read_timeout(Some(Duration::from_secs(20)))?;
         stream.write_all(before)?;
-        let mut client = Client { stream, connection: 0 };
+        let mut client = Client {
+            stream,
+            connection: 0,
+        };
         let greeting = client.packet()?;
-        let version = greeting.iter().skip(1).position(|byte| *byte == 0).ok_or_else(|| bad("greeting"))?;
-        let id = greeting.get(version + 2..version + 6).ok_or_else(|| bad("greeting"))?;
+        let version = greeting
+            .iter()
+            .skip(1)
+            .position(|byte| *byte == 0)
+            .ok_or_else(|| bad("greeting"))?;
+        let id = greeting
+            .get(version + 2..version + 6)
+            .ok_or_else(|| bad("greeting"))?;
         client.connection = u32::from_le_bytes(id.try_into().expect("four bytes"));
         Ok(client)
     }
@@ -124,10 +133,19 @@
     let mut values = Vec::new();
     while let [first, after @ ..] = rest {
         let (length, after) = match first {
-            0xfc => (usize::from(u16::from_le_bytes([*after.first()?, *after.get(1)?])), after.get(2..)?),
+            0xfc => (
+                usize::from(u16::from_le_bytes([*after.first()?, *after.get(1)?])),
+                after.get(2..)?,
+            ),
             0xfd => {
                 let bytes = after.get(..3)?;
-                (bytes.iter().rev().fold(0, |sum, byte| sum << 8 | usize::from(*byte)), after.get(3..)?)
+                (
+                    bytes
+                        .iter()
+                        .rev()
+                        .fold(0, |sum, byte| sum << 8 | usize::from(*byte)),
+                    after.get(3..)?,
+                )
             }
             small => (usize::from(*small), after),
         };
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -35,7 +35,11 @@
 impl<L: Leases> Control<L> {
     /// Without leases until [`Control::set_leases`].
     pub fn new(membership: Gateway) -> Self {
-        Control { membership, leases: None, undelivered: 0 }
+        Control {
+            membership,
+            leases: None,
+            undelivered: 0,
+        }
     }
 
     /// Budgets are divided among all gateways from now on.
@@ -84,9 +88,13 @@
 
     fn exchange_leases(&mut self, times: Times) {
         let received = self.membership.take_carried();
-        let Some(leases) = &mut self.leases else { return };
+        let Some(leases) = &mut self.leases else {
+            return;
+        };
         for (name, life, message) in received {
-            leases.shares_mut().receive(times.steady, &Who { name, life }, &message);
+            leases
+                .shares_mut()
+                .receive(times.steady, &Who { name, life }, &message);
         }
         if leases.shares().due() <= times.steady {
             leases.shares_mut().turn(times.steady);
@@ -95,7 +103,9 @@
     }
 
     fn send_leases(&mut self, now: Moment) {
-        let Some(leases) = &mut self.leases else { return };
+        let Some(leases) = &mut self.leases else {
+            return;
+        };
         for letter in leases.shares_mut().take_out() {
             let delivered = self.membership.carry(now, &letter.to, letter.word.bytes());
             self.undelivered += u64::from(!delivered);
--- a/crates/dispatch/benches/engines.rs
+++ b/crates/dispatch/benches/engines.rs
@@ -29,7 +29,15 @@
 
 fn plan(engines: u32, statements_per_s: f64, seed: u64) -> Plan {
     let gateways = gateways_before(engines);
-    Plan { gateways, first: 0, run: 1, engines, statements_per_s, model: EngineModel::Unloaded, seed }
+    Plan {
+        gateways,
+        first: 0,
+        run: 1,
+        engines,
+        statements_per_s,
+        model: EngineModel::Unloaded,
+        seed,
+    }
 }
 
 /// Microseconds a statement by call, and the part of a core that so many a second take.
@@ -41,14 +49,26 @@
     let work = simulation.work;
     let statements = work.statements as f64;
     let mut sample = |name, value| samples.entry((name, engines)).or_default().push(value);
-    sample("statement, all calls, us", work.whole().as_secs_f64() * 1e6 / statements);
+    sample(
+        "statement, all calls, us",
+        work.whole().as_secs_f64() * 1e6 / statements,
+    );
     sample("pick, us", work.pick.as_secs_f64() * 1e6 / statements);
-    sample("tick that places it, us", work.tick_held.as_secs_f64() * 1e6 / statements);
+    sample(
+        "tick that places it, us",
+        work.tick_held.as_secs_f64() * 1e6 / statements,
+    );
     sample("report, us", work.report.as_secs_f64() * 1e6 / statements);
-    sample("turn, nothing due, us", work.tick_idle.as_secs_f64() * 1e6 / work.ticks_idle as f64);
+    sample(
+        "turn, nothing due, us",
+        work.tick_idle.as_secs_f64() * 1e6 / work.ticks_idle as f64,
+    );
     sample("cores at 380/s", work.whole().as_secs_f64() / COUNTED_S);
     sample("engines used", simulation.engines_used()[0]);
-    sample("rejected at 380/s", simulation.totals.rejected as f64 / simulation.totals.arrived as f64);
+    sample(
+        "rejected at 380/s",
+        simulation.totals.rejected as f64 / simulation.totals.arrived as f64,
+    );
 }
 
 /// Four times the mean at one gateway, from an empty one on.
@@ -63,8 +83,14 @@
     let mut sample = |name, value| samples.entry((name, engines)).or_default().push(value);
     sample("cores at 1,520/s", work.whole().as_secs_f64() / counted_s);
     sample("1,520/s: simulated seconds run", counted_s);
-    sample("1,520/s: asks a statement", work.asks as f64 / work.statements as f64);
-    sample("1,520/s: rejected", simulation.totals.rejected as f64 / simulation.totals.arrived as f64);
+    sample(
+        "1,520/s: asks a statement",
+        work.asks as f64 / work.statements as f64,
+    );
+    sample(
+        "1,520/s: rejected",
+        simulation.totals.rejected as f64 / simulation.totals.arrived as f64,
+    );
 }
 
 /// A turn while statements stand in line for which no engine has room.
@@ -84,7 +110,10 @@
         assert!(tick.due.is_empty(), "room for what was held");
     }
     let took_us = begun.elapsed().as_secs_f64() * 1e6 / f64::from(TURNS);
-    samples.entry(("turn, 10 in line, us", engines)).or_default().push(took_us);
+    samples
+        .entry(("turn, 10 in line, us", engines))
+        .or_default()
+        .push(took_us);
 }
 
 fn main() {
@@ -105,8 +134,10 @@
         let of = |engines: u32| &samples[&(name, engines)];
         let cells: Vec<String> = SIZES.iter().map(|engines| spread(of(*engines))).collect();
         println!("{name}: {}", cells.join(" | "));
-        let points: Vec<(f64, f64)> =
-            SIZES.iter().map(|engines| (f64::from(*engines), median(of(*engines)))).collect();
+        let points: Vec<(f64, f64)> = SIZES
+            .iter()
+            .map(|engines| (f64::from(*engines), median(of(*engines))))
+            .collect();
         if name.ends_with("us") || name.starts_with("cores") {
             println!("    {}", Line::through(&points));
         }
--- a/crates/dispatch/benches/spread.rs
+++ b/crates/dispatch/benches/spread.rs
@@ -33,11 +33,15 @@
         // Cargo adds `--bench` of its own.
         let mut words = std::env::args().skip(1).filter(|word| word != "--bench");
         while let Some(word) = words.next() {
-            let value = words.next().unwrap_or_else(|| panic!("{word} needs a value"));
+            let value = words
+                .next()
+                .unwrap_or_else(|| panic!("{word} needs a value"));
             match &word[..] {
                 "--model" if value == "unloaded" => options.model = EngineModel::Unloaded,
                 "--model" if value == "shared" => options.model = EngineModel::Shared,
-                "--sizes" => options.sizes = value.split(',').map(|size| size.parse().unwrap()).collect(),
+                "--sizes" => {
+                    options.sizes = value.split(',').map(|size| size.parse().unwrap()).collect()
+                }
                 "--warm-up" => options.warm_up_s = value.parse().unwrap(),
                 "--counted" => options.counted_s = value.parse().unwrap(),
                 "--threads" => options.threads = value.parse().unwrap(),
@@ -87,8 +91,14 @@
 fn merge(mut all: Seen, part: Seen) -> Seen {
     all.engines_used.extend(part.engines_used);
     all.gateway_connections.extend(part.gateway_connections);
-    all.statements.iter_mut().zip(part.statements).for_each(|(sum, more)| *sum += more);
-    all.connections.iter_mut().zip(part.connections).for_each(|(sum, more)| *sum += more);
+    all.statements
+        .iter_mut()
+        .zip(part.statements)
+        .for_each(|(sum, more)| *sum += more);
+    all.connections
+        .iter_mut()
+        .zip(part.connections)
+        .for_each(|(sum, more)| *sum += more);
     all.totals.arrived += part.totals.arrived;
     all.totals.completed += part.totals.completed;
     all.totals.rejected += part.totals.rejected;
@@ -106,7 +116,11 @@
             scope.spawn(move || observe(options, engines, first, end - first))
         });
         let parts: Vec<_> = parts.collect();
-        parts.into_iter().map(|part| part.join().unwrap()).reduce(merge).expect("one thread at least")
+        parts
+            .into_iter()
+            .map(|part| part.join().unwrap())
+            .reduce(merge)
+            .expect("one thread at least")
     })
 }
 
@@ -116,7 +130,11 @@
     let count = sorted.len() as f64;
     let at = |part: f64| sorted[((count - 1.0) * part).round() as usize];
     let mean = sorted.iter().sum::<f64>() / count;
-    let variance = sorted.iter().map(|value| (value - mean).powi(2)).sum::<f64>() / count;
+    let variance = sorted
+        .iter()
+        .map(|value| (value - mean).powi(2))
+        .sum::<f64>()
+        / count;
     let none = sorted.iter().filter(|value| **value == 0.0).count();
     println!(
         "  {name}: mean {mean:.1}, p1 {:.1}, p50 {:.1}, p99 {:.1}, max {:.1}, coefficient of variation {:.3}, none {none}",
@@ -146,7 +164,11 @@
             totals.timed_out,
             totals.connections_opened
         );
-        let rates: Vec<f64> = seen.statements.iter().map(|count| count / options.counted_s).collect();
+        let rates: Vec<f64> = seen
+            .statements
+            .iter()
+            .map(|count| count / options.counted_s)
+            .collect();
         distribution("engines that a gateway sent to", &seen.engines_used);
         distribution("open connections of a gateway", &seen.gateway_connections);
         distribution("statements a second at an engine", &rates);
--- a/crates/dispatch/benches/support/fit.rs
+++ b/crates/dispatch/benches/support/fit.rs
@@ -24,35 +24,58 @@
         let mean_y = points.iter().map(|point| point.1).sum::<f64>() / count;
         let spread_x: f64 = points.iter().map(|point| (point.0 - mean_x).powi(2)).sum();
         let spread_y: f64 = points.iter().map(|point| (point.1 - mean_y).powi(2)).sum();
-        let together: f64 = points.iter().map(|point| (point.0 - mean_x) * (point.1 - mean_y)).sum();
+        let together: f64 = points
+            .iter()
+            .map(|point| (point.0 - mean_x) * (point.1 - mean_y))
+            .sum();
         let slope = together / spread_x;
         let intercept = mean_y - slope * mean_x;
-        let misses = points.iter().map(|point| point.1 - intercept - slope * point.0);
+        let misses = points
+            .iter()
+            .map(|point| point.1 - intercept - slope * point.0);
         let unexplained: f64 = misses.clone().map(|miss| miss * miss).sum();
         Line {
             intercept,
             slope,
             slope_error: (unexplained / (count - 2.0) / spread_x).sqrt(),
             r_squared: 1.0 - unexplained / spread_y,
-            residuals: misses.zip(points).map(|(miss, point)| miss / point.1.abs().max(1e-12)).collect(),
+            residuals: misses
+                .zip(points)
+                .map(|(miss, point)| miss / point.1.abs().max(1e-12))
+                .collect(),
         }
     }
 
     fn bends(&self) -> bool {
-        self.residuals.iter().any(|residual| residual.abs() > ON_THE_LINE)
+        self.residuals
+            .iter()
+            .any(|residual| residual.abs() > ON_THE_LINE)
     }
 }
 
 impl fmt::Display for Line {
     fn fmt(&self, out: &mut fmt::Formatter) -> fmt::Result {
-        let Line { intercept, slope, slope_error, r_squared, .. } = self;
-        let name = if self.bends() { "no line over all sizes; least squares" } else { "line" };
+        let Line {
+            intercept,
+            slope,
+            slope_error,
+            r_squared,
+            ..
+        } = self;
+        let name = if self.bends() {
+            "no line over all sizes; least squares"
+        } else {
+            "line"
+        };
         write!(
             out,
             "{name}: {intercept:.4} + {slope:.6} x (slope +- {slope_error:.6}), R2 {r_squared:.5}, "
         )?;
-        let residuals: Vec<String> =
-            self.residuals.iter().map(|part| format!("{:+.0}%", part * 100.0)).collect();
+        let residuals: Vec<String> = self
+            .residuals
+            .iter()
+            .map(|part| format!("{:+.0}%", part * 100.0))
+            .collect();
         write!(out, "residuals {}", residuals.join(" "))
     }
 }
--- a/crates/dispatch/benches/support/simulation.rs
+++ b/crates/dispatch/benches/support/simulation.rs
@@ -28,13 +28,15 @@
 
 /// Gateways that stand before so many engines at the users' proportion.
 pub fn gateways_before(engines: u32) -> u32 {
-    (f64::from(engines) * TARGET_GATEWAYS / TARGET_ENGINES).round().max(1.0) as u32
+    (f64::from(engines) * TARGET_GATEWAYS / TARGET_ENGINES)
+        .round()
+        .max(1.0) as u32
 }
 
 /// The settings of the example, with so many gateways and no tenants.
 fn settings(gateways: u32) -> Value {
-    let mut config: Value =
-        serde_json::from_str(include_str!("../../../../examples/config.json")).expect("the example is JSON");
+    let mut config: Value = serde_json::from_str(include_str!("../../../../examples/config.json"))
+        .expect("the example is JSON");
     config["settings"]["PeersTotal"] = json!(gateways);
     config["settings"]["Tenants"] = json!([]);
     config["settings"].take()
@@ -55,7 +57,9 @@
 
 pub fn dispatch(gateways: u32, engines: u32, seed: u64) -> Dispatch {
     let settings = Settings::from_json(&settings(gateways));
-    let policy = settings.policy(seed, Way(NETWORK_DELAY)).expect("the example's settings");
+    let policy = settings
+        .policy(seed, Way(NETWORK_DELAY))
+        .expect("the example's settings");
     let mut dispatch = Dispatch::new(policy);
     dispatch.told_list(Moment::from_secs(0.0), &engine_list(engines));
     dispatch
@@ -149,9 +153,16 @@
 
 #[derive(Clone, Copy)]
 enum Event {
-    Arrival { gateway: usize },
-    End { gateway: usize, statement: StatementId },
-    Wake { gateway: usize },
+    Arrival {
+        gateway: usize,
+    },
+    End {
+        gateway: usize,
+        statement: StatementId,
+    },
+    Wake {
+        gateway: usize,
+    },
 }
 
 /// What became of statements since counting began.
@@ -190,9 +201,14 @@
 
 impl Simulation {
     pub fn new(plan: Plan) -> Self {
-        let links = Settings::from_json(&settings(plan.gateways)).links().expect("the example's settings");
+        let links = Settings::from_json(&settings(plan.gateways))
+            .links()
+            .expect("the example's settings");
         let gateways = (plan.first..plan.first + plan.run).map(|number| {
-            let seed = plan.seed.wrapping_mul(1_000_003).wrapping_add(u64::from(number));
+            let seed = plan
+                .seed
+                .wrapping_mul(1_000_003)
+                .wrapping_add(u64::from(number));
             Gateway {
                 dispatch: dispatch(plan.gateways, plan.engines, seed),
                 arrivals: Pcg64Mcg::seed_from_u64(!seed),
@@ -241,7 +257,9 @@
     /// Forgets what was counted so far: the warm-up.
     pub fn begin_counting(&mut self) {
         (self.work, self.totals) = (Work::default(), Totals::default());
-        self.gateways.iter_mut().for_each(|gateway| gateway.sent.clear());
+        self.gateways
+            .iter_mut()
+            .for_each(|gateway| gateway.sent.clear());
     }
 
     fn at(&mut self, at: Moment, event: Event) {
@@ -252,7 +270,10 @@
     fn plan_arrival(&mut self, gateway: usize) {
         let chance: f64 = self.gateways[gateway].arrivals.random();
         let gap_s = -(1.0 - chance).ln() / self.plan.statements_per_s;
-        self.at(self.now + Span::from_secs(gap_s), Event::Arrival { gateway });
+        self.at(
+            self.now + Span::from_secs(gap_s),
+            Event::Arrival { gateway },
+        );
     }
 
     fn arrival(&mut self, at: usize) {
@@ -285,7 +306,8 @@
             self.work.ticks_idle += 1;
         }
         let still_held = held > due.len() as u64;
-        due.into_iter().for_each(|(id, pick)| self.picked(at, id, pick));
+        due.into_iter()
+            .for_each(|(id, pick)| self.picked(at, id, pick));
         if still_held && !std::mem::replace(&mut self.gateways[at].waking, true) {
             self.at(self.now + wait, Event::Wake { gateway: at });
         }
@@ -310,22 +332,55 @@
         let timed_out = answered >= order.due;
         let gateway = &mut self.gateways[at];
         *gateway.sent.entry(order.engine).or_default() += 1;
-        let opened = gateway.pools.entry(order.engine).or_default().take(self.now, self.pool_idle_s);
+        let opened = gateway
+            .pools
+            .entry(order.engine)
+            .or_default()
+            .take(self.now, self.pool_idle_s);
         self.totals.connections_opened += u64::from(opened);
-        gateway.attempts.insert(id, Attempt { order, sent: self.now, timed_out });
-        self.at(answered.min(order.due), Event::End { gateway: at, statement: id });
+        gateway.attempts.insert(
+            id,
+            Attempt {
+                order,
+                sent: self.now,
+                timed_out,
+            },
+        );
+        self.at(
+            answered.min(order.due),
+            Event::End {
+                gateway: at,
+                statement: id,
+            },
+        );
     }
 
     fn end(&mut self, at: usize, id: StatementId) {
         let gateway = &mut self.gateways[at];
-        let Some(Attempt { order, sent, timed_out }) = gateway.attempts.remove(&id) else { return };
+        let Some(Attempt {
+            order,
+            sent,
+            timed_out,
+        }) = gateway.attempts.remove(&id)
+        else {
+            return;
+        };
         self.running[order.engine.0 as usize] -= 1;
-        gateway.pools.entry(order.engine).or_default().give_back(self.now);
-        let completed = News::Completed { cpu: Some(STATEMENT_CPU), memory_mb: Some(STATEMENT_MB) };
+        gateway
+            .pools
+            .entry(order.engine)
+            .or_default()
+            .give_back(self.now);
+        let completed = News::Completed {
+            cpu: Some(STATEMENT_CPU),
+            memory_mb: Some(STATEMENT_MB),
+        };
         let news = if timed_out { News::TimedOut } else { completed };
         let latency = self.now - sent;
         let begun = Instant::now();
-        let verdict = gateway.dispatch.report(self.now, id, order.relay, news, latency, !timed_out);
+        let verdict = gateway
+            .dispatch
+            .report(self.now, id, order.relay, news, latency, !timed_out);
         self.work.report += begun.elapsed();
         self.totals.completed += u64::from(!timed_out);
         self.totals.timed_out += u64::from(timed_out);
@@ -335,7 +390,10 @@
 
     /// Engines that each gateway sent to since counting began.
     pub fn engines_used(&self) -> Vec<f64> {
-        self.gateways.iter().map(|gateway| gateway.sent.len() as f64).collect()
+        self.gateways
+            .iter()
+            .map(|gateway| gateway.sent.len() as f64)
+            .collect()
     }
 
     /// Statements that each engine got since counting began.
@@ -350,7 +408,11 @@
     /// Connections that stand open at each engine by now.
     pub fn connections_by_engine(&mut self) -> Vec<f64> {
         let mut counts = vec![0.0; self.plan.engines as usize];
-        for (engine, pool) in self.gateways.iter_mut().flat_map(|gateway| &mut gateway.pools) {
+        for (engine, pool) in self
+            .gateways
+            .iter_mut()
+            .flat_map(|gateway| &mut gateway.pools)
+        {
             pool.close_idle(self.now, self.pool_idle_s);
             counts[engine.0 as usize - 1] += f64::from(pool.busy) + pool.idle.len() as f64;
         }
@@ -364,6 +426,9 @@
             pool.close_idle(now, idle_s);
             f64::from(pool.busy) + pool.idle.len() as f64
         };
-        self.gateways.iter_mut().map(|gateway| gateway.pools.values_mut().map(open).sum()).collect()
+        self.gateways
+            .iter_mut()
+            .map(|gateway| gateway.pools.values_mut().map(open).sum())
+            .collect()
     }
 }
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -90,7 +90,12 @@
 
 impl Dispatch {
     pub fn new(policy: Policy) -> Self {
-        Dispatch { policy, hand: BTreeMap::new(), line: BTreeSet::new(), answer_by: None }
+        Dispatch {
+            policy,
+            hand: BTreeMap::new(),
+            line: BTreeSet::new(),
+            answer_by: None,
+        }
     }
 
     /// Takes a statement. One that is in hand already stays as it is.
@@ -123,7 +128,14 @@
             place: None,
             relays: Vec::new(),
         };
-        self.hand.insert(id, InHand { statement, over: false, rank: None });
+        self.hand.insert(
+            id,
+            InHand {
+                statement,
+                over: false,
+                rank: None,
+            },
+        );
         true
     }
 
@@ -151,17 +163,24 @@
 
     /// What an entered statement would take by now.
     pub fn forecast(&self, now: Moment, id: StatementId) -> Option<Forecast> {
-        self.hand.get(&id).map(|in_hand| self.policy.forecast(now, &in_hand.statement))
+        self.hand
+            .get(&id)
+            .map(|in_hand| self.policy.forecast(now, &in_hand.statement))
     }
 
     /// Asks for an entered statement. `Pick::Held`: there is no room now, and it is the queue's again; an offer lasts
     /// an instant, so the module's hold, which counts from it, never runs.
     /// `lent`: only spare room is for it.
     pub fn offer(&mut self, now: Moment, id: StatementId, lent: bool) -> Pick {
-        let Some(in_hand) = self.hand.get_mut(&id) else { return Pick::Held };
+        let Some(in_hand) = self.hand.get_mut(&id) else {
+            return Pick::Held;
+        };
         in_hand.statement.held_since = now;
         let own = in_hand.statement.place.take();
-        let place = own.map(|own| Place { over_allowance: lent, ..own });
+        let place = own.map(|own| Place {
+            over_allowance: lent,
+            ..own
+        });
         in_hand.statement.place = place;
         let pick = self.ask(now, id);
         if pick == Pick::Held {
@@ -173,8 +192,13 @@
     /// A statement with nothing out is kept no longer: a queue has no room for it, or its client has left. `back`:
     /// about so long until it would be kept.
     pub fn turn_away(&mut self, now: Moment, id: StatementId, back: Span) -> Pick {
-        let Some(in_hand) = self.hand.get_mut(&id) else { return Pick::Held };
-        in_hand.statement.place.map(|place| self.line.remove(&place));
+        let Some(in_hand) = self.hand.get_mut(&id) else {
+            return Pick::Held;
+        };
+        in_hand
+            .statement
+            .place
+            .map(|place| self.line.remove(&place));
         let answer = self.policy.turn_away(now, &in_hand.statement, back);
         in_hand.over = true;
         self.forget(id);
@@ -208,7 +232,9 @@
         latency: Span,
         settled: bool,
     ) -> Verdict {
-        let Some(in_hand) = self.hand.get_mut(&id) else { return Verdict::Nothing };
+        let Some(in_hand) = self.hand.get_mut(&id) else {
+            return Verdict::Nothing;
+        };
         let Some(out) = in_hand.statement.relays.get_mut(usize::from(relay.0)) else {
             return Verdict::Nothing;
         };
@@ -223,28 +249,36 @@
             _ => out.state = RelayState::MayHaveRun,
         }
         let settled = settled || in_hand.over;
-        let verdict =
-            match self.policy.after(now, &in_hand.statement, &Outcome { relay, news, latency, settled }) {
-                After::Stay => Verdict::Nothing,
-                After::Cancel(relay) => Verdict::Cancel(relay),
-                After::Ask => {
-                    in_hand.statement.held_since = now;
-                    in_hand.statement.place.map(|place| self.line.insert(place));
-                    Verdict::Nothing
-                }
-                After::Over => {
-                    in_hand.over = true;
-                    Verdict::Nothing
-                }
-                After::Deny { come_back } => {
-                    in_hand.over = true;
-                    Verdict::Deny { come_back }
-                }
-                After::Scrap => {
-                    in_hand.over = true;
-                    Verdict::Scrap
-                }
-            };
+        let verdict = match self.policy.after(
+            now,
+            &in_hand.statement,
+            &Outcome {
+                relay,
+                news,
+                latency,
+                settled,
+            },
+        ) {
+            After::Stay => Verdict::Nothing,
+            After::Cancel(relay) => Verdict::Cancel(relay),
+            After::Ask => {
+                in_hand.statement.held_since = now;
+                in_hand.statement.place.map(|place| self.line.insert(place));
+                Verdict::Nothing
+            }
+            After::Over => {
+                in_hand.over = true;
+                Verdict::Nothing
+            }
+            After::Deny { come_back } => {
+                in_hand.over = true;
+                Verdict::Deny { come_back }
+            }
+            After::Scrap => {
+                in_hand.over = true;
+                Verdict::Scrap
+            }
+        };
         self.forget(id);
         verdict
     }
@@ -259,7 +293,12 @@
             }
         }
         let (probe, list, wait) = self.rest(now, 0);
-        Tick { due, probe, list, wait }
+        Tick {
+            due,
+            probe,
+            list,
+            wait,
+        }
     }
 
     /// All that wait in the module's own line, in its order.
@@ -275,10 +314,15 @@
 
     /// The client no longer waits: no answer is owed, relays out still report.
     pub fn gone(&mut self, id: StatementId) {
-        let Some(in_hand) = self.hand.get_mut(&id) else { return };
+        let Some(in_hand) = self.hand.get_mut(&id) else {
+            return;
+        };
         in_hand.over = true;
         self.policy.told_over(&in_hand.statement);
-        in_hand.statement.place.map(|place| self.line.remove(&place));
+        in_hand
+            .statement
+            .place
+            .map(|place| self.line.remove(&place));
         self.forget(id);
     }
 
@@ -320,7 +364,13 @@
 
     /// A statement leaves once it is over and its last relay has an outcome.
     fn forget(&mut self, id: StatementId) {
-        let done = |h: &InHand| h.over && h.statement.relays.iter().all(|r| r.state != RelayState::Out);
+        let done = |h: &InHand| {
+            h.over
+                && h.statement
+                    .relays
+                    .iter()
+                    .all(|r| r.state != RelayState::Out)
+        };
         if self.hand.get(&id).is_some_and(done) {
             self.hand.remove(&id);
         }
@@ -328,14 +378,19 @@
 
     /// Asks for one that waits in line.
     pub fn ask(&mut self, now: Moment, id: StatementId) -> Pick {
-        let Some(in_hand) = self.hand.get_mut(&id) else { return Pick::Held };
+        let Some(in_hand) = self.hand.get_mut(&id) else {
+            return Pick::Held;
+        };
         let answer = self.policy.place(now, &in_hand.statement);
         if let Answer::NotYet(place) = answer {
             in_hand.statement.place = Some(place);
             self.line.insert(place);
             return Pick::Held;
         }
-        in_hand.statement.place.map(|place| self.line.remove(&place));
+        in_hand
+            .statement
+            .place
+            .map(|place| self.line.remove(&place));
         let pick = match answer {
             Answer::Send { relay, limit, rank } => {
                 let number = RelayNo(in_hand.statement.relays.len() as u16);
--- a/crates/dispatch/tests/cold_engine.rs
+++ b/crates/dispatch/tests/cold_engine.rs
@@ -67,13 +67,31 @@
         ranks_heeded: false,
         idle: None,
     };
-    let relaying =
-        Relaying { most: 3, cancel: false, come_back: Some(span(0.4)), settle: Span::ZERO, ration: None };
-    let listing = Listing { on_request: false, ask_within: span(10.0) };
+    let relaying = Relaying {
+        most: 3,
+        cancel: false,
+        come_back: Some(span(0.4)),
+        settle: Span::ZERO,
+        ration: None,
+    };
+    let listing = Listing {
+        on_request: false,
+        ask_within: span(10.0),
+    };
     let seed = case.seed * 1000 + number as u64;
-    let tenancy = Tenancy { allowances: Vec::new(), over_gain: 1.0 };
-    let mut gateway =
-        Dispatch::new(Policy::new(seed, vec![product], tenancy, fleet, Some(COLD), relaying, listing));
+    let tenancy = Tenancy {
+        allowances: Vec::new(),
+        over_gain: 1.0,
+    };
+    let mut gateway = Dispatch::new(Policy::new(
+        seed,
+        vec![product],
+        tenancy,
+        fleet,
+        Some(COLD),
+        relaying,
+        listing,
+    ));
     let mut engines = vec![engine(COLD_ENGINE.0, Some(Moment::from_secs(STARTED_S)))];
     engines.extend((1..=case.hung).map(|id| engine(id, None)));
     gateway.told_list(Moment::from_secs(STARTED_S), &ListNews::Whole(engines));
@@ -82,7 +100,15 @@
 
 fn engine(id: u32, started: Option<Moment>) -> EngineFact {
     let (location, machine, cell) = (LocationId(0), MachineId(0), CellId(0));
-    EngineFact { id: EngineId(id), scale: 1.0, location, machine, cell, stage: Stage::Ready, started }
+    EngineFact {
+        id: EngineId(id),
+        scale: 1.0,
+        location,
+        machine,
+        cell,
+        stage: Stage::Ready,
+        started,
+    }
 }
 
 /// The engine's own count of what came within its window.
@@ -98,7 +124,11 @@
     fn take(&mut self, now_s: f64, case: Case) {
         self.total += 1;
         self.came.push_back(now_s);
-        while self.came.front().is_some_and(|then| now_s - then >= COLD.window.secs()) {
+        while self
+            .came
+            .front()
+            .is_some_and(|then| now_s - then >= COLD.window.secs())
+        {
             self.came.pop_front();
         }
         let age = (self.came[0] - STARTED_S) / COLD.warm_after.secs();
@@ -124,7 +154,9 @@
 /// All gateways in step: a burst, and then twice what the engine bears when warm. How many came to the cold engine.
 fn run(case: Case) -> usize {
     let mut rng = Pcg64Mcg::seed_from_u64(case.seed);
-    let mut gateways: Vec<Dispatch> = (0..case.gateways).map(|number| gateway(case, number)).collect();
+    let mut gateways: Vec<Dispatch> = (0..case.gateways)
+        .map(|number| gateway(case, number))
+        .collect();
     let mut out: Vec<Vec<Out>> = gateways.iter().map(|_| Vec::new()).collect();
     let (mut cold, mut next) = (Cold::default(), 0);
     let per_step = (2.0 * CORES / case.mean_s / case.gateways as f64 * STEP_S).max(0.2);
@@ -132,17 +164,29 @@
         let now_s = STARTED_S + step as f64 * STEP_S;
         let now = Moment::from_secs(now_s);
         for (gateway, out) in gateways.iter_mut().zip(&mut out) {
-            let ended: Vec<Out> =
-                out.extract_if(.., |out| out.order.engine == COLD_ENGINE || out.order.due <= now).collect();
-            for Out { statement, order, sent } in ended {
+            let ended: Vec<Out> = out
+                .extract_if(.., |out| {
+                    out.order.engine == COLD_ENGINE || out.order.due <= now
+                })
+                .collect();
+            for Out {
+                statement,
+                order,
+                sent,
+            } in ended
+            {
                 let cpu = Some(order.charge);
                 let news = match case.does {
                     _ if order.engine != COLD_ENGINE => News::TimedOut,
-                    Does::CompletesAtOnce => News::Completed { cpu, memory_mb: None },
+                    Does::CompletesAtOnce => News::Completed {
+                        cpu,
+                        memory_mb: None,
+                    },
                     Does::TurnsAway => News::TurnedAway,
                 };
                 let settled = matches!(news, News::Completed { .. });
-                let verdict = gateway.report(now, statement, order.relay, news, now - sent, settled);
+                let verdict =
+                    gateway.report(now, statement, order.relay, news, now - sent, settled);
                 assert!(!matches!(verdict, Verdict::Cancel(_)));
             }
             let burst = if step == 0 { 20 } else { 0 };
@@ -166,7 +210,11 @@
                 if order.engine == COLD_ENGINE {
                     cold.take(now_s, case);
                 }
-                out.push(Out { statement, order, sent: now });
+                out.push(Out {
+                    statement,
+                    order,
+                    sent: now,
+                });
             }
         }
     }
@@ -177,10 +225,26 @@
 fn a_cold_engine_stands_a_burst_of_twenty_to_thirty_gateways() {
     for gateways in [20, 25, 30] {
         for mean_s in [0.1, 0.5, 1.0, 2.0] {
-            for (hung, does) in [(0, Does::CompletesAtOnce), (3, Does::CompletesAtOnce), (0, Does::TurnsAway)]
-            {
-                let came: usize = (0..3).map(|seed| run(Case { gateways, mean_s, hung, does, seed })).sum();
-                assert!(came > 0, "{gateways}, {mean_s}, {hung}, {does:?}: it was never used");
+            for (hung, does) in [
+                (0, Does::CompletesAtOnce),
+                (3, Does::CompletesAtOnce),
+                (0, Does::TurnsAway),
+            ] {
+                let came: usize = (0..3)
+                    .map(|seed| {
+                        run(Case {
+                            gateways,
+                            mean_s,
+                            hung,
+                            does,
+                            seed,
+                        })
+                    })
+                    .sum();
+                assert!(
+                    came > 0,
+                    "{gateways}, {mean_s}, {hung}, {does:?}: it was never used"
+                );
             }
         }
     }
--- a/crates/dispatch/tests/random.rs
+++ b/crates/dispatch/tests/random.rs
@@ -36,23 +36,61 @@
 
 fn effects() -> [Effect; 3] {
     let group = RepeatGroup::All;
-    [Effect::Idempotent, Effect::Deduplicated { group, remembered: span(WINDOW_S) }, Effect::Unrepeatable]
+    [
+        Effect::Idempotent,
+        Effect::Deduplicated {
+            group,
+            remembered: span(WINDOW_S),
+        },
+        Effect::Unrepeatable,
+    ]
 }
 
 fn dispatch(seed: u64) -> Dispatch {
     let (cores, memory_mb) = (vec![8.0], vec![1000.0]);
-    let fleet =
-        Fleet { peers: 1.0, cores, memory_mb, note_pace: Some(span(0.5)), ranks_heeded: true, idle: None };
+    let fleet = Fleet {
+        peers: 1.0,
+        cores,
+        memory_mb,
+        note_pace: Some(span(0.5)),
+        ranks_heeded: true,
+        idle: None,
+    };
     let come_back = Some(span(0.5));
-    let relaying = Relaying { most: MOST, cancel: true, come_back, settle: Span::ZERO, ration: None };
-    let listing = Listing { on_request: false, ask_within: span(10.0) };
+    let relaying = Relaying {
+        most: MOST,
+        cancel: true,
+        come_back,
+        settle: Span::ZERO,
+        ration: None,
+    };
+    let listing = Listing {
+        on_request: false,
+        ask_within: span(10.0),
+    };
     let products = effects().map(product).to_vec();
-    Dispatch::new(Policy::new(seed, products, Tenancy::default(), fleet, None, relaying, listing))
+    Dispatch::new(Policy::new(
+        seed,
+        products,
+        Tenancy::default(),
+        fleet,
+        None,
+        relaying,
+        listing,
+    ))
 }
 
 fn engine(id: u32, stage: Stage) -> EngineFact {
     let (location, machine, cell) = (LocationId(0), MachineId(0), CellId(0));
-    EngineFact { id: EngineId(id), scale: 1.0, location, machine, cell, stage, started: None }
+    EngineFact {
+        id: EngineId(id),
+        scale: 1.0,
+        location,
+        machine,
+        cell,
+        stage,
+        started: None,
+    }
 }
 
 /// What the checks keep of a statement by themselves.
@@ -98,8 +136,11 @@
     }
 
     fn take(&mut self) {
-        let (id, effect, budget) =
-            (StatementId(self.next), self.rng.random_range(0..3usize), self.rng.random_range(0.05..2.0));
+        let (id, effect, budget) = (
+            StatementId(self.next),
+            self.rng.random_range(0..3usize),
+            self.rng.random_range(0.05..2.0),
+        );
         self.next += 1;
         let wants = Wants {
             product: ProductId(effect),
@@ -112,7 +153,15 @@
             budget: span(budget),
         };
         let (hard_limit, marked) = ((self.now + budget).min(self.answer_by), wants.marked);
-        self.seen.insert(id, Seen { effect, hard_limit, marked, ..Seen::default() });
+        self.seen.insert(
+            id,
+            Seen {
+                effect,
+                hard_limit,
+                marked,
+                ..Seen::default()
+            },
+        );
         let pick = self.dispatch.pick(self.at(), id, &wants);
         self.picked(id, pick);
     }
@@ -126,12 +175,24 @@
                     !seen.answered && seen.out.is_none(),
                     "{id:?}: a second relay out, or one after the end"
                 );
-                assert_eq!(self.stages[&order.engine.0], Stage::Ready, "{id:?}: sent to {:?}", order.engine);
+                assert_eq!(
+                    self.stages[&order.engine.0],
+                    Stage::Ready,
+                    "{id:?}: sent to {:?}",
+                    order.engine
+                );
                 assert!(!(seen.may_have_run && seen.never_twice()));
                 // A repeat stays within the window, and says until when it may leave.
-                let window = matches!(effects()[seen.effect], Effect::Deduplicated { .. }) && seen.marked;
-                let until = seen.first_sent.filter(|_| window).map(|sent| sent + WINDOW_S);
-                assert!(until.is_none_or(|until| self.now < until), "{id:?}: past its window");
+                let window =
+                    matches!(effects()[seen.effect], Effect::Deduplicated { .. }) && seen.marked;
+                let until = seen
+                    .first_sent
+                    .filter(|_| window)
+                    .map(|sent| sent + WINDOW_S);
+                assert!(
+                    until.is_none_or(|until| self.now < until),
+                    "{id:?}: past its window"
+                );
                 assert_eq!(order.leave_by, until.map(Moment::from_secs), "{id:?}");
                 assert_eq!(usize::from(order.relay.0), seen.relays);
                 assert!(order.due <= Moment::from_secs(seen.hard_limit));
@@ -163,7 +224,10 @@
         let seen = self.seen.get_mut(&id).expect("never taken");
         let note = matches!(news, News::Progress(_) | News::Strained);
         let completed = matches!(news, News::Completed { .. });
-        let never = matches!(news, News::TurnedAway | News::NeverSent | News::Unreachable | News::Withdrawn);
+        let never = matches!(
+            news,
+            News::TurnedAway | News::NeverSent | News::Unreachable | News::Withdrawn
+        );
         if !note {
             let sent = seen.out.take().map(|_| seen.sent);
             seen.may_have_run |= !never;
@@ -173,7 +237,10 @@
         if settled {
             self.answered(id, false);
         }
-        match self.dispatch.report(self.at(), id, relay, news, span(0.1), completed) {
+        match self
+            .dispatch
+            .report(self.at(), id, relay, news, span(0.1), completed)
+        {
             Verdict::Nothing => {}
             Verdict::Cancel(relay) => self.report(id, relay, News::Cancelled),
             Verdict::Deny { .. } => self.answered(id, true),
@@ -183,11 +250,17 @@
 
     fn step(&mut self) {
         self.now += STEP_S;
-        let out = self.seen.iter().filter_map(|(id, seen)| Some((*id, seen.out?)));
+        let out = self
+            .seen
+            .iter()
+            .filter_map(|(id, seen)| Some((*id, seen.out?)));
         for (id, order) in out.collect::<Vec<_>>() {
             let news = match self.rng.random_range(0..40) {
                 _ if order.due <= self.at() => News::TimedOut,
-                0..8 => News::Completed { cpu: Some(span(0.05)), memory_mb: Some(8.0) },
+                0..8 => News::Completed {
+                    cpu: Some(span(0.05)),
+                    memory_mb: Some(8.0),
+                },
                 8 => News::Error,
                 9 => News::TurnedAway,
                 10 => News::NeverSent,
@@ -201,9 +274,14 @@
             self.report(id, order.relay, news);
             if self.rng.random_bool(0.1) {
                 // An outcome of what is over changes nothing.
-                let again = self.dispatch.report(self.at(), id, order.relay, News::Error, span(0.1), false);
+                let again =
+                    self.dispatch
+                        .report(self.at(), id, order.relay, News::Error, span(0.1), false);
                 assert!(again == Verdict::Nothing || self.seen[&id].out.is_some());
-                if self.seen[&id].out.is_some_and(|out| out.relay == order.relay) {
+                if self.seen[&id]
+                    .out
+                    .is_some_and(|out| out.relay == order.relay)
+                {
                     let seen = self.seen.get_mut(&id).expect("taken");
                     (seen.out, seen.may_have_run) = (None, true);
                     seen.first_sent = seen.first_sent.or(Some(seen.sent));
@@ -220,12 +298,17 @@
         }
         if self.rng.random_bool(0.05) {
             let of = self.rng.random_range(1..=ENGINES);
-            let stage =
-                [Stage::Ready, Stage::Ready, Stage::Draining, Stage::Gone][self.rng.random_range(0..4)];
+            let stage = [Stage::Ready, Stage::Ready, Stage::Draining, Stage::Gone]
+                [self.rng.random_range(0..4)];
             self.stages.insert(of, stage);
-            self.dispatch.told_list(self.at(), &ListNews::Changes(vec![engine(of, stage)]));
+            self.dispatch
+                .told_list(self.at(), &ListNews::Changes(vec![engine(of, stage)]));
         }
-        let waiting = self.seen.iter().rfind(|(_, seen)| !seen.answered).map(|(id, _)| *id);
+        let waiting = self
+            .seen
+            .iter()
+            .rfind(|(_, seen)| !seen.answered)
+            .map(|(id, _)| *id);
         if let Some(id) = waiting.filter(|_| self.rng.random_bool(0.03)) {
             self.dispatch.gone(id);
             // No answer is owed; one that still came would be the second.
@@ -233,10 +316,17 @@
         }
         // Clients leave while they wait, with nothing out: one answer then, and nothing sent after it.
         let waits = |seen: &Seen| !seen.answered && seen.out.is_none();
-        let waiting = self.seen.iter().rfind(|(_, seen)| waits(seen)).map(|(id, _)| *id);
+        let waiting = self
+            .seen
+            .iter()
+            .rfind(|(_, seen)| waits(seen))
+            .map(|(id, _)| *id);
         if let Some(id) = waiting.filter(|_| self.rng.random_bool(0.05)) {
             let pick = self.dispatch.turn_away(self.at(), id, span(1.0));
-            assert!(matches!(pick, Pick::Deny { .. } | Pick::Scrap), "{id:?}: {pick:?}");
+            assert!(
+                matches!(pick, Pick::Deny { .. } | Pick::Scrap),
+                "{id:?}: {pick:?}"
+            );
             self.picked(id, pick);
         }
         let tick = self.dispatch.tick(self.at());
@@ -248,11 +338,23 @@
         let mut out = BTreeMap::new();
         let engines = self.seen.values().filter_map(|seen| Some(seen.out?.engine));
         engines.for_each(|engine| *out.entry(engine).or_insert(0) += 1);
-        let held = self.dispatch.beliefs().filter(|held| held.1 > 0).map(|(engine, held, _)| (engine, held));
-        assert_eq!(held.collect::<BTreeMap<_, u32>>(), out, "relays out, as held and as they are");
+        let held = self
+            .dispatch
+            .beliefs()
+            .filter(|held| held.1 > 0)
+            .map(|(engine, held, _)| (engine, held));
+        assert_eq!(
+            held.collect::<BTreeMap<_, u32>>(),
+            out,
+            "relays out, as held and as they are"
+        );
         let overdue = |seen: &&Seen| !seen.answered && seen.hard_limit + STEP_S < self.now - 1e-6;
-        assert!(self.seen.values().find(overdue).is_none(), "an answer is overdue");
-        self.seen.retain(|_, seen| !seen.answered || seen.out.is_some());
+        assert!(
+            self.seen.values().find(overdue).is_none(),
+            "an answer is overdue"
+        );
+        self.seen
+            .retain(|_, seen| !seen.answered || seen.out.is_some());
     }
 }
 
@@ -275,13 +377,20 @@
         day.answer_by = day.now + 0.5;
         day.dispatch.answer_by(Moment::from_secs(day.answer_by));
         let by = day.answer_by;
-        day.seen.values_mut().for_each(|seen| seen.hard_limit = seen.hard_limit.min(by));
+        day.seen
+            .values_mut()
+            .for_each(|seen| seen.hard_limit = seen.hard_limit.min(by));
         let cut = |order: &mut Order| order.due = order.due.min(Moment::from_secs(by));
-        day.seen.values_mut().for_each(|seen| seen.out.iter_mut().for_each(cut));
+        day.seen
+            .values_mut()
+            .for_each(|seen| seen.out.iter_mut().for_each(cut));
         (0..25).for_each(|_| day.step());
         true
     }
-    QuickCheck::new().rng(Gen::from_size_and_seed(100, 5)).tests(40).quickcheck(day as fn(u64) -> bool);
+    QuickCheck::new()
+        .rng(Gen::from_size_and_seed(100, 5))
+        .tests(40)
+        .quickcheck(day as fn(u64) -> bool);
 }
 
 #[test]
@@ -302,9 +411,15 @@
     let id = StatementId(1);
     assert_eq!(day.pick(at(0.0), id, &wants), Pick::Held);
     let due = day.tick(at(0.0)).due;
-    let [(_, Pick::Relay(order))] = due[..] else { panic!("{due:?}") };
+    let [(_, Pick::Relay(order))] = due[..] else {
+        panic!("{due:?}")
+    };
     day.answer_by(at(3.0));
     let verdict = day.report(at(3.0), id, order.relay, News::TimedOut, span(3.0), false);
     assert!(matches!(verdict, Verdict::Deny { .. }), "{verdict:?}");
-    assert_eq!(day.pick(at(3.0), id, &wants), Pick::Held, "a statement that is over is forgotten");
+    assert_eq!(
+        day.pick(at(3.0), id, &wants),
+        Pick::Held,
+        "a statement that is over is forgotten"
+    );
 }
--- a/crates/fleet/src/bounds.rs
+++ b/crates/fleet/src/bounds.rs
@@ -68,7 +68,12 @@
 
 impl ByteBudget {
     pub(crate) fn new(bytes_per_s: f64, burst_bytes: f64) -> Self {
-        ByteBudget { bytes_per_s, burst_bytes, left: burst_bytes, at: None }
+        ByteBudget {
+            bytes_per_s,
+            burst_bytes,
+            left: burst_bytes,
+            at: None,
+        }
     }
 
     /// What may be spent now.
--- a/crates/fleet/src/buckets.rs
+++ b/crates/fleet/src/buckets.rs
@@ -38,7 +38,10 @@
 
 /// The mark as a number, in whose order lists go.
 pub(crate) fn exact_mark(record: &Record) -> u64 {
-    let plain = Record { state: State::Alive, ..record.clone() };
+    let plain = Record {
+        state: State::Alive,
+        ..record.clone()
+    };
     let hash = Sha256::digest(postcard::to_allocvec(&plain).expect("plain values"));
     u64::from_be_bytes(std::array::from_fn(|at| hash[at]))
 }
@@ -74,8 +77,9 @@
 
 /// Digests of a window's buckets over these records. A suspicion changes no digest.
 pub(crate) fn digests(window: Window, records: impl Iterator<Item = Marks>) -> Vec<BucketDigest> {
-    let mut placed: Vec<(usize, u64)> =
-        records.filter_map(|(mark, exact)| Some((window.place(mark)?, exact))).collect();
+    let mut placed: Vec<(usize, u64)> = records
+        .filter_map(|(mark, exact)| Some((window.place(mark)?, exact)))
+        .collect();
     placed.sort_unstable();
     let mut hashes = vec![Sha256::new(); window.count];
     for (place, exact) in placed {
--- a/crates/fleet/src/engines.rs
+++ b/crates/fleet/src/engines.rs
@@ -64,7 +64,11 @@
         }
         let before = self.own.insert(engine.to_owned(), (word, now));
         if self.own.len() > ENGINES {
-            let oldest = self.own.iter().min_by_key(|(_, (_, at))| *at).map(|(name, _)| name.clone());
+            let oldest = self
+                .own
+                .iter()
+                .min_by_key(|(_, (_, at))| *at)
+                .map(|(name, _)| name.clone());
             oldest.map(|name| self.own.remove(&name));
         }
         before.is_none_or(|before| before.0 != word || (now - before.1).secs() > 1.0)
@@ -77,18 +81,35 @@
         }
         let at = now + Span::from_secs(-f64::from(news.age_ms) / 1e3);
         if !self.said.contains_key(&news.engine) && self.said.len() >= ENGINES {
-            let oldest = |witnesses: &BTreeMap<Name, Said>| witnesses.values().map(|said| said.at).max();
-            let first = self.said.iter().min_by_key(|(_, witnesses)| oldest(witnesses));
-            first.map(|(name, _)| name.clone()).map(|name| self.said.remove(&name));
+            let oldest =
+                |witnesses: &BTreeMap<Name, Said>| witnesses.values().map(|said| said.at).max();
+            let first = self
+                .said
+                .iter()
+                .min_by_key(|(_, witnesses)| oldest(witnesses));
+            first
+                .map(|(name, _)| name.clone())
+                .map(|name| self.said.remove(&name));
         }
         let witnesses = self.said.entry(news.engine.clone()).or_default();
         if witnesses.len() >= WITNESSES && !witnesses.contains_key(by) {
-            let oldest = witnesses.iter().min_by_key(|(_, said)| said.at).map(|(name, _)| name.clone());
+            let oldest = witnesses
+                .iter()
+                .min_by_key(|(_, said)| said.at)
+                .map(|(name, _)| name.clone());
             oldest.map(|name| witnesses.remove(&name));
         }
-        let said = witnesses.entry(by.clone()).or_insert(Said { word: news.word, at, host });
+        let said = witnesses.entry(by.clone()).or_insert(Said {
+            word: news.word,
+            at,
+            host,
+        });
         if at >= said.at {
-            *said = Said { word: news.word, at, host };
+            *said = Said {
+                word: news.word,
+                at,
+                host,
+            };
         }
     }
 
@@ -96,14 +117,19 @@
     pub fn fade(&mut self, now: Moment, terms: &Terms) {
         let fresh = |at: Moment| now - at < terms.news_lasts;
         self.own.retain(|_, (_, at)| fresh(*at));
-        self.said.values_mut().for_each(|witnesses| witnesses.retain(|_, said| fresh(said.at)));
+        self.said
+            .values_mut()
+            .for_each(|witnesses| witnesses.retain(|_, said| fresh(said.at)));
         self.said.retain(|_, witnesses| !witnesses.is_empty());
     }
 
     /// Engines that as many independent gateways as needed lost statements to: one a host, since whoever holds one host
     /// may play many gateways there. Own evidence of the engine at work that is newer outweighs what is older.
     pub fn doubted(&self, terms: &Terms) -> Vec<Doubt> {
-        self.said.keys().filter_map(|engine| self.doubt(engine, terms)).collect()
+        self.said
+            .keys()
+            .filter_map(|engine| self.doubt(engine, terms))
+            .collect()
     }
 
     fn doubt(&self, engine: &str, terms: &Terms) -> Option<Doubt> {
@@ -132,20 +158,39 @@
         let mut times: Vec<Moment> = hosts.into_values().collect();
         times.sort();
         // With so many newer ones beside it, at least one of the witnesses at or after this time does not lie.
-        let seen = *times.len().checked_sub(terms.voices()).and_then(|at| times.get(at))?;
-        Some(Doubt { engine: engine.to_owned(), seen, until: seen + terms.news_lasts })
+        let seen = *times
+            .len()
+            .checked_sub(terms.voices())
+            .and_then(|at| times.get(at))?;
+        Some(Doubt {
+            engine: engine.to_owned(),
+            seen,
+            until: seen + terms.news_lasts,
+        })
     }
 
     /// What goes along: own words, and what it holds itself on enough others' word, never fresher than their evidence.
     pub fn to_tell(&self, now: Moment, terms: &Terms) -> Vec<EngineNews> {
         let age = |at: Moment| millis(now - at);
-        let own = self.own.iter().map(|(engine, (word, at))| (engine.clone(), *word, *at));
-        let doubted = self.doubted(terms).into_iter().filter(|doubt| !self.own.contains_key(&doubt.engine));
+        let own = self
+            .own
+            .iter()
+            .map(|(engine, (word, at))| (engine.clone(), *word, *at));
+        let doubted = self
+            .doubted(terms)
+            .into_iter()
+            .filter(|doubt| !self.own.contains_key(&doubt.engine));
         let doubted = doubted.map(|doubt| (doubt.engine, EngineWord::Bad, doubt.seen));
         let mut all: Vec<_> = own.chain(doubted).collect();
         all.sort_by(|a, b| b.2.cmp(&a.2).then_with(|| a.0.cmp(&b.0)));
         all.truncate(PER_MESSAGE);
-        all.into_iter().map(|(engine, word, at)| EngineNews { engine, word, age_ms: age(at) }).collect()
+        all.into_iter()
+            .map(|(engine, word, at)| EngineNews {
+                engine,
+                word,
+                age_ms: age(at),
+            })
+            .collect()
     }
 }
 
--- a/crates/fleet/src/gateway/bounded.rs
+++ b/crates/fleet/src/gateway/bounded.rs
@@ -16,15 +16,29 @@
 impl Gateway {
     /// A direct probe with the next period: its subject spoke itself.
     pub(super) fn verify_now(&mut self, now: Moment, name: &Name, at: SocketAddr) {
-        self.direct_probes.insert(name.clone(), Verification { at, due: now, spoke: true });
+        self.direct_probes.insert(
+            name.clone(),
+            Verification {
+                at,
+                due: now,
+                spoke: true,
+            },
+        );
     }
 
     /// A direct probe of one of whom too few witnesses spoke: at once, or with bounds later by chance, when enough others
     /// had time to verify it. True: it is new here.
     pub(super) fn verify(&mut self, now: Moment, name: &Name, at: SocketAddr) -> bool {
         let Some(bounds) = &self.terms.bounds else {
-            let verification = Verification { at, due: now, spoke: false };
-            return self.direct_probes.insert(name.clone(), verification).is_none();
+            let verification = Verification {
+                at,
+                due: now,
+                spoke: false,
+            };
+            return self
+                .direct_probes
+                .insert(name.clone(), verification)
+                .is_none();
         };
         if self.confirming.contains_key(name) || self.probes.asks(name) {
             return false;
@@ -36,10 +50,22 @@
         let others = self.table.len().max(1) as f64;
         let hearers = (RETELL * (others + 2.0).log2().ceil()).min(others);
         let at_once = self.rng.random::<f64>() * hearers < bounds.verifiers as f64;
-        let wait = VERIFY_LATER_PERIODS * (1.0 + self.rng.random::<f64>()) * self.terms.period.secs();
-        let due = if at_once { now } else { now + Span::from_secs(wait) };
+        let wait =
+            VERIFY_LATER_PERIODS * (1.0 + self.rng.random::<f64>()) * self.terms.period.secs();
+        let due = if at_once {
+            now
+        } else {
+            now + Span::from_secs(wait)
+        };
         self.tally.verified_later += u64::from(!at_once);
-        self.direct_probes.insert(name.clone(), Verification { at, due, spoke: false });
+        self.direct_probes.insert(
+            name.clone(),
+            Verification {
+                at,
+                due,
+                spoke: false,
+            },
+        );
         true
     }
 
@@ -51,17 +77,32 @@
 
     /// A probe came to nothing: with bounds it is repeated before the gateway is suspected.
     pub(super) fn probe_failed(&mut self, now: Moment, name: &Name) {
-        let Some(bounds) = &self.terms.bounds else { return self.suspect(now, name) };
+        let Some(bounds) = &self.terms.bounds else {
+            return self.suspect(now, name);
+        };
         let confirmations = bounds.confirmations;
-        let failures = self.confirming.get(name).map_or(0, |confirming| confirming.failures) + 1;
+        let failures = self
+            .confirming
+            .get(name)
+            .map_or(0, |confirming| confirming.failures)
+            + 1;
         if failures > confirmations
-            || self.table.get(name).is_none_or(|held| held.record.state != State::Alive)
+            || self
+                .table
+                .get(name)
+                .is_none_or(|held| held.record.state != State::Alive)
         {
             self.confirming.remove(name);
             return self.suspect(now, name);
         }
         if self.confirming.len() < CONFIRMING || self.confirming.contains_key(name) {
-            self.confirming.insert(name.clone(), Confirming { failures, due: Some(now) });
+            self.confirming.insert(
+                name.clone(),
+                Confirming {
+                    failures,
+                    due: Some(now),
+                },
+            );
         }
     }
 
@@ -71,16 +112,25 @@
     }
 
     pub(super) fn confirming_due(&self) -> Option<Moment> {
-        self.confirming.values().filter_map(|confirming| confirming.due).min()
+        self.confirming
+            .values()
+            .filter_map(|confirming| confirming.due)
+            .min()
     }
 
     pub(super) fn repeat_failed_probes(&mut self, now: Moment) {
         let due = |confirming: &Confirming| confirming.due.is_some_and(|due| due <= now);
-        let names: Vec<Name> =
-            self.confirming.iter().filter(|(_, of)| due(of)).map(|(name, _)| name.clone()).collect();
+        let names: Vec<Name> = self
+            .confirming
+            .iter()
+            .filter(|(_, of)| due(of))
+            .map(|(name, _)| name.clone())
+            .collect();
         for name in names {
-            let alive =
-                self.table.get(&name).is_some_and(|held| held.counts() && held.record.state == State::Alive);
+            let alive = self
+                .table
+                .get(&name)
+                .is_some_and(|held| held.counts() && held.record.state == State::Alive);
             if !alive {
                 self.confirming.remove(&name);
                 continue;
@@ -98,9 +148,15 @@
         if self.terms.bounds.is_none() {
             return;
         }
-        let suspects = self.table.fleet().filter(|held| held.record.state == State::Suspect);
+        let suspects = self
+            .table
+            .fleet()
+            .filter(|held| held.record.state == State::Suspect);
         let suspects = suspects.map(|held| &held.record);
-        if let Some(name) = some(suspects, 1, &mut self.rng).first().map(|record| record.name.clone()) {
+        if let Some(name) = some(suspects, 1, &mut self.rng)
+            .first()
+            .map(|record| record.name.clone())
+        {
             self.probe(now, &name);
         }
     }
--- a/crates/fleet/src/gateway/compare.rs
+++ b/crates/fleet/src/gateway/compare.rs
@@ -55,10 +55,18 @@
         if !self.may_spend_exchange(now, ASK_BYTES) {
             return;
         }
-        let asked = self.comparing.out.as_ref().map(|out| out.to).or(self.comparing.lists.asked());
+        let asked = self
+            .comparing
+            .out
+            .as_ref()
+            .map(|out| out.to)
+            .or(self.comparing.lists.asked());
         let all = self.table.fleet().map(|held| &held.record);
-        let all = all.filter(|record| record.state == State::Alive && Some(record.address) != asked);
-        let to = some(all, 1, &mut self.rng).first().map(|record| (record.address, record.name.clone()));
+        let all =
+            all.filter(|record| record.state == State::Alive && Some(record.address) != asked);
+        let to = some(all, 1, &mut self.rng)
+            .first()
+            .map(|record| (record.address, record.name.clone()));
         let Some((to, name)) = to else { return };
         self.last_pull = now;
         let unanswered = self.comparing.out.take().is_some() || self.comparing.lists.give_up();
@@ -78,13 +86,28 @@
     }
 
     fn send_comparison(&mut self, now: Moment, to: SocketAddr, name: &Name) {
-        let first = self.comparing.first.unwrap_or_else(|| self.rng.random_range(0..BUCKETS));
+        let first = self
+            .comparing
+            .first
+            .unwrap_or_else(|| self.rng.random_range(0..BUCKETS));
         self.comparing.first = Some(first);
-        let window = Window { first, count: WINDOW };
+        let window = Window {
+            first,
+            count: WINDOW,
+        };
         let digests = self.table.digests(window, &self.own, true);
         let nonce = Nonce(self.rng.random());
-        let body = Body::Compare { nonce, first: first as u8, digests: digests.clone() };
-        self.comparing.out = Some(Comparison { nonce, to, window, digests });
+        let body = Body::Compare {
+            nonce,
+            first: first as u8,
+            digests: digests.clone(),
+        };
+        self.comparing.out = Some(Comparison {
+            nonce,
+            to,
+            window,
+            digests,
+        });
         self.tally.compared += 1;
         self.send(now, to, Some(name), body, Vec::new());
     }
@@ -101,11 +124,22 @@
     ) {
         let own = self.table.digests(window, &self.own, false);
         let is_equal = |place: usize| own[place] == theirs[place];
-        let equal =
-            (0..window.count).filter(|place| is_equal(*place)).fold(0, |bits, place| bits | 1 << place);
+        let equal = (0..window.count)
+            .filter(|place| is_equal(*place))
+            .fold(0, |bits, place| bits | 1 << place);
         let (records, covered) = self.differing(window, is_equal);
         self.tally.compared_for_others += 1;
-        self.send(now, to, Some(name), Body::Compared { nonce, equal, covered }, records);
+        self.send(
+            now,
+            to,
+            Some(name),
+            Body::Compared {
+                nonce,
+                equal,
+                covered,
+            },
+            records,
+        );
         self.take_back_answer_unused();
     }
 
@@ -130,7 +164,10 @@
             if told.is_empty() {
                 let start = self.rng.random_range(0..records.len());
                 records.rotate_left(start);
-                told = records.into_iter().take_while(|record| take_room(&mut room, record)).collect();
+                told = records
+                    .into_iter()
+                    .take_while(|record| take_room(&mut room, record))
+                    .collect();
                 return (told, place as u8 + 1);
             }
             return (told, place as u8);
@@ -139,11 +176,22 @@
     }
 
     /// The answer to a comparison of this gateway: buckets that are equal vouch for those in them that are not in the fleet yet.
-    pub(super) fn compared(&mut self, now: Moment, from: &Record, nonce: Nonce, equal: u32, covered: u8) {
+    pub(super) fn compared(
+        &mut self,
+        now: Moment,
+        from: &Record,
+        nonce: Nonce,
+        equal: u32,
+        covered: u8,
+    ) {
         let out = self.comparing.out.take();
-        let Some(out) = out.filter(|out| out.nonce == nonce && out.to == from.address) else { return };
+        let Some(out) = out.filter(|out| out.nonce == nonce && out.to == from.address) else {
+            return;
+        };
         self.comparing.answered();
-        self.comparing.lists.judge(2 * equal.count_ones() as usize >= out.window.count);
+        self.comparing
+            .lists
+            .judge(2 * equal.count_ones() as usize >= out.window.count);
         self.vouch_equal(now, from, &out, equal);
         self.comparing.compared += 1;
         let covered = usize::from(covered).clamp(1, out.window.count);
@@ -189,7 +237,9 @@
         if self.next_pull > now {
             return;
         }
-        let Some(wait) = self.compare_wait(now) else { return };
+        let Some(wait) = self.compare_wait(now) else {
+            return;
+        };
         self.next_pull = now + Span::from_secs(self.terms.period.secs() * wait * self.chance());
         self.compare(now);
     }
--- a/crates/fleet/src/gateway/exchange.rs
+++ b/crates/fleet/src/gateway/exchange.rs
@@ -19,7 +19,11 @@
     pub(super) fn page(&mut self, now: Moment, to: SocketAddr, after: Option<&Name>) {
         let mut page = Vec::new();
         let (mut room, mut next) = (message::LONGEST * 3 / 4, None);
-        for held in self.table.after(after).filter(|held| held.record.state != State::Suspect) {
+        for held in self
+            .table
+            .after(after)
+            .filter(|held| held.record.state != State::Suspect)
+        {
             let size = message::size(&held.record);
             if size > room {
                 next = page.last().map(|record: &Record| record.name.clone());
@@ -41,9 +45,14 @@
         }
         let wait = self.pull_wait(now);
         self.next_pull = now + Span::from_secs(self.terms.period.secs() * wait * self.chance());
-        let all =
-            self.table.fleet().filter(|held| held.record.state == State::Alive).map(|held| &held.record);
-        let to = some(all, 1, &mut self.rng).first().map(|record| (record.address, record.name.clone()));
+        let all = self
+            .table
+            .fleet()
+            .filter(|held| held.record.state == State::Alive)
+            .map(|held| &held.record);
+        let to = some(all, 1, &mut self.rng)
+            .first()
+            .map(|record| (record.address, record.name.clone()));
         if let Some((to, name)) = to.filter(|_| self.pulls.take(now)) {
             self.last_pull = now;
             let after = self.pull_after.clone();
@@ -84,7 +93,10 @@
 
     /// The last datagram out was paid for with so many bytes: what it did not take comes back.
     pub(super) fn take_back_unused(&mut self, spent: f64) {
-        let taken = self.out.last().map_or(spent, |datagram| datagram.bytes.len() as f64);
+        let taken = self
+            .out
+            .last()
+            .map_or(spent, |datagram| datagram.bytes.len() as f64);
         self.exchange_bytes.spend(taken - spent);
     }
 
--- a/crates/fleet/src/gateway/gossip.rs
+++ b/crates/fleet/src/gateway/gossip.rs
@@ -25,7 +25,8 @@
             return;
         };
         let other = held.record.life != from.life;
-        let older = from.incarnation <= held.record.incarnation || held.record.address != from.address;
+        let older =
+            from.incarnation <= held.record.incarnation || held.record.address != from.address;
         if other && older && held.counts() {
             // An earlier life is still held: it hears of that with this answer, and rises. At another address it waits
             // until nobody answers at the first, or any process could take a name that is in use.
@@ -33,12 +34,23 @@
         }
         held.answered = Some(now);
         held.failed_looks = 0;
-        let (known, before) = (std::mem::replace(&mut held.known, true), held.record.clone());
-        let incarnation = if other { from.incarnation } else { from.incarnation.max(before.incarnation) };
-        held.record = Record { incarnation, ..from.clone() };
+        let (known, before) = (
+            std::mem::replace(&mut held.known, true),
+            held.record.clone(),
+        );
+        let incarnation = if other {
+            from.incarnation
+        } else {
+            from.incarnation.max(before.incarnation)
+        };
+        held.record = Record {
+            incarnation,
+            ..from.clone()
+        };
         held.suspicion = None;
         if from.state == State::Alive {
-            held.witnesses.retain(|_, witness| witness.says.incarnation > incarnation);
+            held.witnesses
+                .retain(|_, witness| witness.says.incarnation > incarnation);
         }
         let changed = !known || before != held.record;
         let revived = known && before.state == State::Dead && !other && from.state == State::Alive;
@@ -58,7 +70,8 @@
             }
             return;
         };
-        let same = held.known && held.record.life == from.life && held.record.address == from.address;
+        let same =
+            held.known && held.record.life == from.life && held.record.address == from.address;
         if !same {
             if from.state.counts() {
                 self.verify_now(now, &from.name, from.address);
@@ -103,7 +116,9 @@
         let ahead = self
             .table
             .get(&word.name)
-            .map_or(word.incarnation.0, |held| word.incarnation.0.saturating_sub(held.record.incarnation.0));
+            .map_or(word.incarnation.0, |held| {
+                word.incarnation.0.saturating_sub(held.record.incarnation.0)
+            });
         if word.incarnation > Incarnation::LAST || ahead > LEAP {
             self.tally.beyond += 1;
             return;
@@ -117,7 +132,10 @@
             return;
         }
         if self.terms.bounds.is_some() && self.was_cut_off(now, by, &word) {
-            let at = self.table.get(&name).map_or(word.address, |held| held.record.address);
+            let at = self
+                .table
+                .get(&name)
+                .map_or(word.address, |held| held.record.address);
             let first = self.verify(now, &name, at);
             self.tally.unvouched += u64::from(first);
             return;
@@ -137,9 +155,12 @@
     /// With bounds: word that agrees with what is held, or that a gateway held alive rose meanwhile, needs no witnesses and
     /// no probe. What this witness said before is withdrawn by it.
     fn says_nothing_new(&mut self, now: Moment, by: &Record, word: &Record) -> bool {
-        let Some(held) = self.table.get(&word.name).filter(|held| held.known) else { return false };
+        let Some(held) = self.table.get(&word.name).filter(|held| held.known) else {
+            return false;
+        };
         let same_gateway = held.record.life == word.life && held.record.address == word.address;
-        let both_alive = held.record.state == State::Alive && word.state == State::Alive && same_gateway;
+        let both_alive =
+            held.record.state == State::Alive && word.state == State::Alive && same_gateway;
         let gone_already = !held.counts()
             && word.state > State::Alive
             && word.life == held.record.life
@@ -148,7 +169,8 @@
             return false;
         }
         let equal = held.record == *word;
-        let alive_elsewhere = held.record.state == State::Dead && word.state == State::Alive && same_gateway;
+        let alive_elsewhere =
+            held.record.state == State::Dead && word.state == State::Alive && same_gateway;
         if alive_elsewhere && word.incarnation == held.record.incarnation {
             // Who is held for dead here alone is not told of it by anybody else: a probe tells it, and it rises.
             let at = held.record.address;
@@ -168,7 +190,9 @@
     /// What enough independent witnesses say of one is held; what fewer say is looked into.
     pub(super) fn weigh(&mut self, now: Moment, name: &Name) {
         let need = self.terms.voices();
-        let Some(held) = self.table.get(name) else { return };
+        let Some(held) = self.table.get(name) else {
+            return;
+        };
         // Nearly all that is heard of one is what is held of it; weighing witnesses costs many times this look.
         if held.known && !held.dissent() {
             return;
@@ -178,7 +202,8 @@
             self.weigh_candidate(now, name);
             return;
         }
-        let newer = |says: &Record| says.state == State::Alive && says.incarnation > record.incarnation;
+        let newer =
+            |says: &Record| says.state == State::Alive && says.incarnation > record.incarnation;
         if let Some(vouched) = held.vouched(now, self.table.witness_lasts(true), need, newer) {
             let held = self.table.get_mut(name).expect("just seen");
             let dead = held.record.state == State::Dead && held.record.life == vouched.life;
@@ -191,10 +216,20 @@
             return;
         }
         let any_newer = held.hosts(now, newer).len();
-        let same = |says: &Record| says.life == record.life && says.incarnation >= record.incarnation;
-        let left = held.hosts(now, |says| same(says) && says.state == State::Left).len();
-        let bad = held.hosts(now, |says| same(says) && says.state > State::Alive).len();
-        let witness = held.witnesses.values().rev().map(|witness| &witness.says).find(|says| newer(says));
+        let same =
+            |says: &Record| says.life == record.life && says.incarnation >= record.incarnation;
+        let left = held
+            .hosts(now, |says| same(says) && says.state == State::Left)
+            .len();
+        let bad = held
+            .hosts(now, |says| same(says) && says.state > State::Alive)
+            .len();
+        let witness = held
+            .witnesses
+            .values()
+            .rev()
+            .map(|witness| &witness.says)
+            .find(|says| newer(says));
         let at = witness.map_or(record.address, |says| says.address);
         if counts && left >= need {
             let held = self.table.get_mut(name).expect("just seen");
@@ -211,13 +246,21 @@
 
     /// One that is not in the fleet yet: enough witnesses bring it in.
     fn weigh_candidate(&mut self, now: Moment, name: &Name) {
-        let Some(held) = self.table.get(name) else { return };
+        let Some(held) = self.table.get(name) else {
+            return;
+        };
         let address = held.record.address;
         let lasts = self.table.witness_lasts(false);
         match held.vouched(now, lasts, self.terms.voices(), |says| says.state.counts()) {
             Some(vouched) => {
                 let held = self.table.get_mut(name).expect("just seen");
-                (held.record, held.known) = (Record { state: State::Alive, ..vouched }, true);
+                (held.record, held.known) = (
+                    Record {
+                        state: State::Alive,
+                        ..vouched
+                    },
+                    true,
+                );
                 self.met = true;
                 self.direct_probes.remove(name);
                 self.changed(now, name);
@@ -230,11 +273,17 @@
     }
 
     pub(super) fn changed(&mut self, now: Moment, name: &Name) {
-        let Some(held) = self.table.get_mut(name) else { return };
+        let Some(held) = self.table.get_mut(name) else {
+            return;
+        };
         held.since = now;
         let (state, incarnation) = (held.record.state, held.record.incarnation);
         self.settled_by_others(name);
         self.disseminate(name);
-        self.event(Event::Changed { name: name.clone(), state, incarnation });
+        self.event(Event::Changed {
+            name: name.clone(),
+            state,
+            incarnation,
+        });
     }
 }
--- a/crates/fleet/src/gateway/identity.rs
+++ b/crates/fleet/src/gateway/identity.rs
@@ -50,7 +50,10 @@
     pub(super) fn other_life(&mut self, now: Moment, word: &Record) {
         // Step by step towards an earlier life far ahead, or one liar's word would use the range up.
         if word.incarnation >= self.own.incarnation && self.rises.take(now) {
-            self.rise(word.incarnation.min(Incarnation(self.own.incarnation.0.saturating_add(LEAP))));
+            self.rise(
+                word.incarnation
+                    .min(Incarnation(self.own.incarnation.0.saturating_add(LEAP))),
+            );
         }
         if word.address != self.own.address && word.state.counts() && self.twin != Some(word.life) {
             self.twin = Some(word.life);
@@ -68,11 +71,16 @@
             let word = from.clone();
             return self.other_life(now, &word);
         };
-        if self.probes.get_mut(*nonce).is_some_and(|asked| asked.to == src) {
+        if self
+            .probes
+            .get_mut(*nonce)
+            .is_some_and(|asked| asked.to == src)
+        {
             self.probes.take(*nonce);
             self.twin = None;
             if !self.settled {
-                self.out_until = Some(now + Span::from_secs(GIVE_WAY_S * (0.5 + self.rng.random::<f64>())));
+                self.out_until =
+                    Some(now + Span::from_secs(GIVE_WAY_S * (0.5 + self.rng.random::<f64>())));
             }
             self.event(Event::Doubled { other: from.life });
         }
--- a/crates/fleet/src/gateway/lists.rs
+++ b/crates/fleet/src/gateway/lists.rs
@@ -39,7 +39,11 @@
 
 /// Up to where a list asks: its last mark, or the end of all where it names fewer than it could.
 fn end_of(marks: &[u64]) -> u64 {
-    marks.last().copied().filter(|_| marks.len() >= LISTED).unwrap_or(u64::MAX)
+    marks
+        .last()
+        .copied()
+        .filter(|_| marks.len() >= LISTED)
+        .unwrap_or(u64::MAX)
 }
 
 /// Where this gateway is in listing its table to others.
@@ -85,20 +89,39 @@
 
 impl Gateway {
     pub(super) fn send_list(&mut self, now: Moment, to: SocketAddr, name: &Name) {
-        let from = self.comparing.lists.from.unwrap_or_else(|| self.rng.random());
+        let from = self
+            .comparing
+            .lists
+            .from
+            .unwrap_or_else(|| self.rng.random());
         self.comparing.lists.from = Some(from);
-        let mut marks = self.marks_in_range(from, u64::MAX, |held| held.counts() || held.candidate());
+        let mut marks =
+            self.marks_in_range(from, u64::MAX, |held| held.counts() || held.candidate());
         marks.truncate(LISTED);
         let nonce = Nonce(self.rng.random());
         let wire = marks.iter().map(|mark| mark.to_be_bytes()).collect();
         self.comparing.lists.out = Some(Out { nonce, to, marks });
         self.tally.listed += 1;
-        self.send(now, to, Some(name), Body::List { nonce, from, marks: wire }, Vec::new());
+        self.send(
+            now,
+            to,
+            Some(name),
+            Body::List {
+                nonce,
+                from,
+                marks: wire,
+            },
+            Vec::new(),
+        );
     }
 
     /// Marks of this gateway and of those held that are meant, in their order.
     fn marks_in_range(&mut self, from: u64, until: u64, meant: impl Fn(&Held) -> bool) -> Vec<u64> {
-        let held = self.table.in_range(from, until).into_iter().filter(|(_, held)| meant(held));
+        let held = self
+            .table
+            .in_range(from, until)
+            .into_iter()
+            .filter(|(_, held)| meant(held));
         let mut marks: Vec<u64> = held.map(|(mark, _)| mark).collect();
         let own = exact_mark(&self.own);
         if self.own.state == State::Alive && (from..=until).contains(&own) {
@@ -120,20 +143,38 @@
     ) {
         let listed: Vec<u64> = marks.iter().map(|mark| u64::from_be_bytes(*mark)).collect();
         let end = end_of(&listed);
-        let here: BTreeSet<u64> = self.marks_in_range(from, end, Held::counts).into_iter().collect();
+        let here: BTreeSet<u64> = self
+            .marks_in_range(from, end, Held::counts)
+            .into_iter()
+            .collect();
         let holds = |at: &usize| here.contains(&listed[*at]);
-        let held = (0..listed.len()).filter(holds).fold(0, |bits, at| bits | 1 << at);
+        let held = (0..listed.len())
+            .filter(holds)
+            .fold(0, |bits, at| bits | 1 << at);
         let (records, until) = self.beside_list(now, from, end, &listed);
         self.tally.listed_for_others += 1;
-        self.send(now, to, Some(name), Body::Listed { nonce, held, until }, records);
+        self.send(
+            now,
+            to,
+            Some(name),
+            Body::Listed { nonce, held, until },
+            records,
+        );
         self.take_back_answer_unused();
     }
 
     /// What is held beside a list, and of the list what has gone, as far as it fits; and the mark up to which that is all.
-    fn beside_list(&mut self, now: Moment, from: u64, end: u64, listed: &[u64]) -> (Vec<Record>, u64) {
+    fn beside_list(
+        &mut self,
+        now: Moment,
+        from: u64,
+        end: u64,
+        listed: &[u64],
+    ) -> (Vec<Record>, u64) {
         let listed: BTreeSet<u64> = listed.iter().copied().collect();
-        let left_lately =
-            |held: &Held| held.record.state == State::Left && (now - held.since).secs() < LEFT_LATELY_S;
+        let left_lately = |held: &Held| {
+            held.record.state == State::Left && (now - held.since).secs() < LEFT_LATELY_S
+        };
         let tells = |mark: &u64, held: &Held| {
             let plain = held.known && held.record.state != State::Suspect;
             plain && (held.counts() != listed.contains(mark) || left_lately(held))
@@ -153,9 +194,18 @@
     }
 
     /// The answer to a list of this gateway.
-    pub(super) fn listed(&mut self, now: Moment, from: &Record, nonce: Nonce, held: u64, until: u64) {
+    pub(super) fn listed(
+        &mut self,
+        now: Moment,
+        from: &Record,
+        nonce: Nonce,
+        held: u64,
+        until: u64,
+    ) {
         let out = self.comparing.lists.out.take();
-        let Some(out) = out.filter(|out| out.nonce == nonce && out.to == from.address) else { return };
+        let Some(out) = out.filter(|out| out.nonce == nonce && out.to == from.address) else {
+            return;
+        };
         self.comparing.answered();
         self.vouch_listed(now, from, &out.marks, held);
         let few = out.marks.len() as u32 <= held.count_ones() + FEW;
@@ -175,8 +225,14 @@
         if !self.table.get(&from.name).is_some_and(Held::counts) {
             return;
         }
-        let [Some(first), Some(last)] = [marks.first(), marks.last()] else { return };
-        let vouched = |mark: u64| marks.binary_search(&mark).is_ok_and(|at| held >> at & 1 == 1);
+        let [Some(first), Some(last)] = [marks.first(), marks.last()] else {
+            return;
+        };
+        let vouched = |mark: u64| {
+            marks
+                .binary_search(&mark)
+                .is_ok_and(|at| held >> at & 1 == 1)
+        };
         let records: Vec<Record> = self
             .table
             .in_range(*first, *last)
--- a/crates/fleet/src/gateway/mod.rs
+++ b/crates/fleet/src/gateway/mod.rs
@@ -53,8 +53,14 @@
 /// Of gossip, and of what tables are compared and exchanged by.
 fn byte_budgets(terms: &Terms) -> (ByteBudget, ByteBudget) {
     let bounds = terms.bounds.clone().unwrap_or_default();
-    let gossip = ByteBudget::new(bounds.gossip_bytes_per_s, bounds.gossip_bytes_per_s * GOSSIP_BURST_S);
-    (gossip, ByteBudget::new(bounds.exchange_bytes_per_s, EXCHANGE_BURST_BYTES))
+    let gossip = ByteBudget::new(
+        bounds.gossip_bytes_per_s,
+        bounds.gossip_bytes_per_s * GOSSIP_BURST_S,
+    );
+    (
+        gossip,
+        ByteBudget::new(bounds.exchange_bytes_per_s, EXCHANGE_BURST_BYTES),
+    )
 }
 
 /// Gateways that are told by itself that this one goes.
@@ -142,7 +148,14 @@
     ) -> Self {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let life = Life(rng.random());
-        let own = Record { name, life, incarnation: Incarnation(1), address, place, state: State::Alive };
+        let own = Record {
+            name,
+            life,
+            incarnation: Incarnation(1),
+            address,
+            place,
+            state: State::Alive,
+        };
         // Gateways that start together do not probe in step.
         let chance = Span::from_secs(terms.period.secs() * rng.random::<f64>());
         let first = now + Span::from_secs(0.01);
@@ -254,9 +267,13 @@
         self.table.own_changed();
         let to: Vec<SocketAddr> = {
             let all = self.table.fleet().map(|held| &held.record);
-            some(all, GOODBYES, &mut self.rng).into_iter().map(|record| record.address).collect()
+            some(all, GOODBYES, &mut self.rng)
+                .into_iter()
+                .map(|record| record.address)
+                .collect()
         };
-        to.into_iter().for_each(|to| self.send(now, to, None, Body::News, Vec::new()));
+        to.into_iter()
+            .for_each(|to| self.send(now, to, None, Body::News, Vec::new()));
     }
 
     fn event(&mut self, event: Event) {
--- a/crates/fleet/src/gateway/receive.rs
+++ b/crates/fleet/src/gateway/receive.rs
@@ -41,9 +41,22 @@
         taken
     }
 
-    pub(super) fn take(&mut self, now: Moment, src: SocketAddr, bytes: &[u8]) -> Result<(), Refused> {
+    pub(super) fn take(
+        &mut self,
+        now: Moment,
+        src: SocketAddr,
+        bytes: &[u8],
+    ) -> Result<(), Refused> {
         let message = message::open(&self.ring, &self.fleet, bytes)?;
-        let Message { from, counter, view, body, records, engines, .. } = message;
+        let Message {
+            from,
+            counter,
+            view,
+            body,
+            records,
+            engines,
+            ..
+        } = message;
         if self.out_until.is_some() {
             return Err(Refused::OwnName);
         }
@@ -62,12 +75,19 @@
             if held.seen.0 != from.life {
                 held.seen = (from.life, message::Seen::default());
             }
-            (held.seen.1.first(counter), held.counts() && held.record.address == src)
+            (
+                held.seen.1.first(counter),
+                held.counts() && held.record.address == src,
+            )
         });
         if known.is_some_and(|known| !known.0) {
             return Err(Refused::Repeated);
         }
-        let pace = if known.is_some_and(|known| known.1) { &mut self.answers } else { &mut self.strangers };
+        let pace = if known.is_some_and(|known| known.1) {
+            &mut self.answers
+        } else {
+            &mut self.strangers
+        };
         let asked = match &body {
             Body::Ack(nonce) | Body::Passed(nonce) | Body::Silent(nonce) => {
                 Some(self.answered(now, src, &from, *nonce, &body)?)
@@ -124,15 +144,25 @@
             for news in engines.iter().take(crate::engines::PER_MESSAGE) {
                 self.engines.heard(now, &from.name, from.address.ip(), news);
             }
-        } else if let Some(of_me) = records.into_iter().find(|record| record.name == self.own.name) {
+        } else if let Some(of_me) = records
+            .into_iter()
+            .find(|record| record.name == self.own.name)
+        {
             // A newcomer may not be known yet and still holds an old word of this gateway: saying more costs nothing.
             self.of_me(now, &of_me);
         }
     }
 
     /// A payload of another subsystem, from a gateway that is known in this life at its own address.
-    fn take_payload(&mut self, src: SocketAddr, from: Record, payload: Vec<u8>) -> Result<(), Refused> {
-        let same = |held: &Held| held.counts() && held.record.life == from.life && held.record.address == src;
+    fn take_payload(
+        &mut self,
+        src: SocketAddr,
+        from: Record,
+        payload: Vec<u8>,
+    ) -> Result<(), Refused> {
+        let same = |held: &Held| {
+            held.counts() && held.record.life == from.life && held.record.address == src
+        };
         if !self.table.get(&from.name).is_some_and(same) || self.carried.len() >= CARRIED {
             return Err(Refused::Many);
         }
@@ -144,11 +174,20 @@
         match body {
             Body::Ping(nonce) => {
                 // An earlier life of it that is still held: it has to rise above that to be taken for the one.
-                let held =
-                    self.table.get(&from.name).filter(|held| held.known).map(|held| held.record.clone());
-                let earlier =
-                    held.filter(|held| held.life != from.life && held.incarnation >= from.incarnation);
-                self.send(now, to, Some(&from.name), Body::Ack(nonce), earlier.into_iter().collect());
+                let held = self
+                    .table
+                    .get(&from.name)
+                    .filter(|held| held.known)
+                    .map(|held| held.record.clone());
+                let earlier = held
+                    .filter(|held| held.life != from.life && held.incarnation >= from.incarnation);
+                self.send(
+                    now,
+                    to,
+                    Some(&from.name),
+                    Body::Ack(nonce),
+                    earlier.into_iter().collect(),
+                );
             }
             Body::Ask { nonce, target } if self.probes.helps() < HELPS => {
                 let known = self
@@ -156,18 +195,34 @@
                     .get(&target.name)
                     .is_some_and(|held| held.known && held.record.address == target.address);
                 if known {
-                    self.ask(now, Purpose::IndirectProbe { asker: to, nonce }, target.address);
+                    self.ask(
+                        now,
+                        Purpose::IndirectProbe { asker: to, nonce },
+                        target.address,
+                    );
                 }
             }
             Body::Pull { after } => self.page(now, to, after.as_ref()),
             Body::Page { next } => self.pull_on(now, to, &from.name, next),
-            Body::Compare { nonce, first, digests } => {
+            Body::Compare {
+                nonce,
+                first,
+                digests,
+            } => {
                 if let Some(window) = Window::new(usize::from(first), digests.len()) {
                     self.answer_comparison(now, to, &from.name, nonce, window, &digests);
                 }
             }
-            Body::Compared { nonce, equal, covered } => self.compared(now, from, nonce, equal, covered),
-            Body::List { nonce, from: first, marks } => {
+            Body::Compared {
+                nonce,
+                equal,
+                covered,
+            } => self.compared(now, from, nonce, equal, covered),
+            Body::List {
+                nonce,
+                from: first,
+                marks,
+            } => {
                 self.answer_list(now, to, &from.name, nonce, first, &marks);
             }
             Body::Listed { nonce, held, until } => self.listed(now, from, nonce, held, until),
--- a/crates/fleet/src/gateway/send.rs
+++ b/crates/fleet/src/gateway/send.rs
@@ -23,8 +23,13 @@
 impl Gateway {
     /// Carries words to another gateway of the fleet. False: it is not held to be there, or they are too long.
     pub fn carry(&mut self, now: Moment, to: &Name, words: Vec<u8>) -> bool {
-        let there = self.table.get(to).filter(|held| held.counts()).map(|held| held.record.address);
-        let Some(address) = there.filter(|_| words.len() <= LONGEST_CARRIED && self.out_until.is_none())
+        let there = self
+            .table
+            .get(to)
+            .filter(|held| held.counts())
+            .map(|held| held.record.address);
+        let Some(address) =
+            there.filter(|_| words.len() <= LONGEST_CARRIED && self.out_until.is_none())
         else {
             return false;
         };
@@ -57,10 +62,13 @@
             engines: Vec::new(),
         };
         // What is held of the one it goes to comes first: only that one can refute it.
-        let held = name.and_then(|name| self.table.get(name)).filter(|held| held.known);
-        message
-            .records
-            .extend(held.filter(|held| held.record.state != State::Alive).map(|held| held.record.clone()));
+        let held = name
+            .and_then(|name| self.table.get(name))
+            .filter(|held| held.known);
+        message.records.extend(
+            held.filter(|held| held.record.state != State::Alive)
+                .map(|held| held.record.clone()),
+        );
         let mut room = message::room(&message);
         if !self.sweep.is_empty() || !matches!(message.body, Body::Page { .. }) {
             room = self.add_engine_news(now, &mut message, room);
@@ -89,7 +97,11 @@
 
     /// With bounds no gossip is spent on a gateway that probably does not receive it.
     fn seems_reached(&self, name: &Name) -> bool {
-        let alive = |name| self.table.get(name).is_none_or(|held| held.record.state == State::Alive);
+        let alive = |name| {
+            self.table
+                .get(name)
+                .is_none_or(|held| held.record.state == State::Alive)
+        };
         self.terms.bounds.is_none() || !self.confirming.contains_key(name) && alive(name)
     }
 
@@ -111,10 +123,18 @@
         let before = room;
         // The least told first, by name among equals: the map has them in that order, and the sort keeps it. A message holds a
         // few; of hundreds only these are looked at.
-        let mut told: Vec<(u32, &Name)> = self.updates.iter().map(|(name, left)| (*left, name)).collect();
+        let mut told: Vec<(u32, &Name)> = self
+            .updates
+            .iter()
+            .map(|(name, left)| (*left, name))
+            .collect();
         told.sort_by_key(|(left, _)| std::cmp::Reverse(*left));
         let fit = room / LEAST_RECORD + 1;
-        let told: Vec<Name> = told.into_iter().take(fit).map(|(_, name)| name.clone()).collect();
+        let told: Vec<Name> = told
+            .into_iter()
+            .take(fit)
+            .map(|(_, name)| name.clone())
+            .collect();
         for name in told {
             let Some(held) = self.table.get(&name).filter(|held| held.known) else {
                 self.updates.remove(&name);
@@ -144,11 +164,17 @@
         let (answer, period) = (self.terms.answer, self.terms.period);
         // A probe that is repeated has no whole period; and a gateway that doubts itself stretches it by the root only, or
         // one that all others left would take minutes to say so.
-        let repeated = matches!(&purpose, Purpose::Probe(name) if self.confirming.contains_key(name));
+        let repeated =
+            matches!(&purpose, Purpose::Probe(name) if self.confirming.contains_key(name));
         let short = Span::from_secs(answer.secs() / self.probes.stretch().sqrt());
-        let (answer, over) =
-            if repeated { (short, Span::from_secs(short.secs() * 2.0)) } else { (answer, period) };
-        let nonce = self.probes.ask(now, purpose, to, answer, over, &mut self.rng);
+        let (answer, over) = if repeated {
+            (short, Span::from_secs(short.secs() * 2.0))
+        } else {
+            (answer, period)
+        };
+        let nonce = self
+            .probes
+            .ask(now, purpose, to, answer, over, &mut self.rng);
         self.send(now, to, name.as_ref(), Body::Ping(nonce), Vec::new());
     }
 
@@ -159,7 +185,10 @@
             self.updates.insert(name.clone(), times as u32);
             return;
         }
-        let died = self.table.get(name).is_some_and(|held| held.record.state == State::Dead);
+        let died = self
+            .table
+            .get(name)
+            .is_some_and(|held| held.record.state == State::Dead);
         if died && self.updates.contains_key(name) {
             // It is being told as suspected: from now on it is told as dead, as often as was left.
             return;
@@ -167,7 +196,11 @@
         let times = RETELL * ((self.table.len() + 2) as f64).log2().ceil();
         self.updates.insert(name.clone(), times as u32);
         if self.updates.len() > UPDATES {
-            let told = self.updates.iter().min_by_key(|(_, left)| **left).map(|(name, _)| name.clone());
+            let told = self
+                .updates
+                .iter()
+                .min_by_key(|(_, left)| **left)
+                .map(|(name, _)| name.clone());
             told.map(|name| self.updates.remove(&name));
         }
     }
--- a/crates/fleet/src/gateway/suspicion.rs
+++ b/crates/fleet/src/gateway/suspicion.rs
@@ -11,12 +11,17 @@
 
 impl Gateway {
     pub(super) fn suspect(&mut self, now: Moment, name: &Name) {
-        let Some(held) = self.table.get_mut(name) else { return };
+        let Some(held) = self.table.get_mut(name) else {
+            return;
+        };
         if held.record.state != State::Alive || !held.known {
             return;
         }
         held.record.state = State::Suspect;
-        held.suspicion = Some(Suspicion { began: now, renewed: false });
+        held.suspicion = Some(Suspicion {
+            began: now,
+            renewed: false,
+        });
         self.tally.suspected += 1;
         self.changed(now, name);
     }
@@ -24,7 +29,9 @@
     /// Others reach it.
     pub(super) fn cleared(&mut self, now: Moment, name: &Name) {
         self.confirmed_alive(name);
-        let Some(held) = self.table.get_mut(name) else { return };
+        let Some(held) = self.table.get_mut(name) else {
+            return;
+        };
         if held.record.state == State::Suspect {
             held.record.state = State::Alive;
             held.suspicion = None;
@@ -44,7 +51,10 @@
         }
         for suspicion in self.table.suspicions() {
             if !suspicion.renewed {
-                *suspicion = Suspicion { began: now, renewed: true };
+                *suspicion = Suspicion {
+                    began: now,
+                    renewed: true,
+                };
             }
         }
     }
@@ -55,7 +65,9 @@
         let least = self.terms.suspicion * self.terms.period.secs() * size.log10();
         let most = least * self.terms.patience;
         let over = |held: &&Held| {
-            let Some(suspicion) = held.suspicion else { return false };
+            let Some(suspicion) = held.suspicion else {
+                return false;
+            };
             let record = &held.record;
             let same = |says: &Record| {
                 says.life == record.life
@@ -66,7 +78,12 @@
             let wait = (most - (most - least) * (agree + 1.0).ln() / (AGREE + 1.0).ln()).max(least);
             (now - suspicion.began).secs() >= wait * self.probes.stretch().sqrt()
         };
-        let dead: Vec<Name> = self.table.fleet().filter(over).map(|held| held.record.name.clone()).collect();
+        let dead: Vec<Name> = self
+            .table
+            .fleet()
+            .filter(over)
+            .map(|held| held.record.name.clone())
+            .collect();
         for name in dead {
             let held = self.table.get_mut(&name).expect("just listed");
             held.record.state = State::Dead;
--- a/crates/fleet/src/gateway/turn.rs
+++ b/crates/fleet/src/gateway/turn.rs
@@ -17,7 +17,10 @@
     pub fn due(&self) -> Moment {
         let period = self.next_period.min(self.next_call);
         let news = (!self.sweep.is_empty()).then_some(self.next_news);
-        [self.probes.due(), news, self.confirming_due()].into_iter().flatten().fold(period, Moment::min)
+        [self.probes.due(), news, self.confirming_due()]
+            .into_iter()
+            .flatten()
+            .fold(period, Moment::min)
     }
 
     pub fn turn(&mut self, now: Moment) {
@@ -28,7 +31,11 @@
             self.tally.stood_still += 1;
             self.event(Event::StoodStill(late));
             self.probes.forgive();
-            let names: Vec<Name> = self.table.fleet().map(|held| held.record.name.clone()).collect();
+            let names: Vec<Name> = self
+                .table
+                .fleet()
+                .map(|held| held.record.name.clone())
+                .collect();
             for name in names {
                 let held = self.table.get_mut(&name).expect("just listed");
                 if let Some(suspicion) = &mut held.suspicion {
@@ -58,8 +65,13 @@
         }
         if !self.sweep.is_empty() && self.next_news <= now {
             while let Some(name) = self.sweep.pop_if(|_| self.news.take(now)) {
-                let to = self.table.get(&name).filter(|held| held.counts()).map(|held| held.record.address);
-                to.into_iter().for_each(|to| self.send(now, to, Some(&name), Body::News, Vec::new()));
+                let to = self
+                    .table
+                    .get(&name)
+                    .filter(|held| held.counts())
+                    .map(|held| held.record.address);
+                to.into_iter()
+                    .for_each(|to| self.send(now, to, Some(&name), Body::News, Vec::new()));
             }
             self.next_news = now + Span::from_secs(1.0 / self.terms.news_per_s.max(0.1));
         }
@@ -75,8 +87,14 @@
         for name in self.table.forget(now, self.terms.keep_gone) {
             self.event(Event::Forgotten(name));
         }
-        self.direct_probes.retain(|name, _| self.table.get(name).is_some());
-        let fleet = || self.table.fleet().map(|held| held.record.name.clone()).collect();
+        self.direct_probes
+            .retain(|name, _| self.table.get(name).is_some());
+        let fleet = || {
+            self.table
+                .fleet()
+                .map(|held| held.record.name.clone())
+                .collect()
+        };
         let there = |name: &Name| self.table.get(name).is_some_and(Held::counts);
         if let Some(name) = self.probes.next(fleet, there, &mut self.rng) {
             self.probe(now, &name);
--- a/crates/fleet/src/gateway/view.rs
+++ b/crates/fleet/src/gateway/view.rs
@@ -30,9 +30,17 @@
 
     /// What its standing rests on, for whoever looks into one that lasts.
     pub fn about(&self) -> String {
-        let suspected = self.table.fleet().filter(|held| held.record.state == State::Suspect).count();
+        let suspected = self
+            .table
+            .fleet()
+            .filter(|held| held.record.state == State::Suspect)
+            .count();
         let since = self.view_since.1;
-        let other = self.views.iter().filter(|(at, view)| *at >= since && *view != self.view_since.0).count();
+        let other = self
+            .views
+            .iter()
+            .filter(|(at, view)| *at >= since && *view != self.view_since.0)
+            .count();
         format!(
             "{suspected} suspected, {other} of {} views heard differ, unchanged since {since:?}",
             self.views.len()
@@ -49,8 +57,9 @@
         // What was heard before its own last change says nothing of the view that stands now.
         let since = self.view_since.1;
         let heard = self.views.iter().filter(|(at, _)| *at >= since);
-        let (same, other): (Vec<View>, Vec<View>) =
-            heard.map(|(_, heard)| *heard).partition(|heard| *heard == view);
+        let (same, other): (Vec<View>, Vec<View>) = heard
+            .map(|(_, heard)| *heard)
+            .partition(|heard| *heard == view);
         Seen {
             size: self.size(),
             suspected: self
--- a/crates/fleet/src/keys.rs
+++ b/crates/fleet/src/keys.rs
@@ -32,7 +32,10 @@
 
 impl fmt::Debug for Ring {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_struct("Ring").field("accepted", &self.accepted.keys()).field("signs", &self.signs).finish()
+        f.debug_struct("Ring")
+            .field("accepted", &self.accepted.keys())
+            .field("signs", &self.signs)
+            .finish()
     }
 }
 
@@ -55,7 +58,10 @@
             return Err(KeyError::Many(others.len() + 1));
         }
         let all = others.iter().chain([signs]);
-        Ok(Ring { accepted: all.map(|key| (mark(key), keyed(key))).collect(), signs: mark(signs) })
+        Ok(Ring {
+            accepted: all.map(|key| (mark(key), keyed(key))).collect(),
+            signs: mark(signs),
+        })
     }
 
     pub fn signs(&self) -> KeyMark {
--- a/crates/fleet/src/message.rs
+++ b/crates/fleet/src/message.rs
@@ -157,7 +157,11 @@
     if !left.is_empty() {
         return Err(Refused::Form);
     }
-    if message.fleet == *fleet { Ok(message) } else { Err(Refused::Foreign) }
+    if message.fleet == *fleet {
+        Ok(message)
+    } else {
+        Err(Refused::Foreign)
+    }
 }
 
 /// Which counters of one life came already: late ones count once within a window, older ones not at all.
@@ -172,7 +176,11 @@
     pub fn first(&mut self, counter: u64) -> bool {
         if counter > self.highest {
             let by = counter - self.highest;
-            self.before = if by < 128 { self.before << by | 1 << (by - 1) } else { 0 };
+            self.before = if by < 128 {
+                self.before << by | 1 << (by - 1)
+            } else {
+                0
+            };
             self.highest = counter;
             return true;
         }
--- a/crates/fleet/src/probes.rs
+++ b/crates/fleet/src/probes.rs
@@ -48,7 +48,11 @@
 
 impl Probes {
     pub fn new() -> Self {
-        Probes { out: BTreeMap::new(), round: Vec::new(), health: 0 }
+        Probes {
+            out: BTreeMap::new(),
+            round: Vec::new(),
+            health: 0,
+        }
     }
 
     /// How many times its own time-outs this gateway waits, from 1.
@@ -93,11 +97,29 @@
         rng: &mut Pcg64Mcg,
     ) -> Nonce {
         let nonce = Nonce(rng.random());
-        let stretch = if matches!(purpose, Purpose::IndirectProbe { .. }) { 1.0 } else { self.stretch() };
+        let stretch = if matches!(purpose, Purpose::IndirectProbe { .. }) {
+            1.0
+        } else {
+            self.stretch()
+        };
         let after = |span: Span| now + Span::from_secs(span.secs() * stretch);
         let (due, over) = (after(answer), after(over));
-        let due = if matches!(purpose, Purpose::Probe(_)) { due } else { over };
-        self.out.insert(nonce, Asked { purpose, to, due, over, helpers: BTreeSet::new(), silent: 0 });
+        let due = if matches!(purpose, Purpose::Probe(_)) {
+            due
+        } else {
+            over
+        };
+        self.out.insert(
+            nonce,
+            Asked {
+                purpose,
+                to,
+                due,
+                over,
+                helpers: BTreeSet::new(),
+                silent: 0,
+            },
+        );
         nonce
     }
 
@@ -117,11 +139,17 @@
     }
 
     pub fn direct_probes(&self) -> usize {
-        self.out.values().filter(|asked| matches!(asked.purpose, Purpose::DirectProbe(_))).count()
+        self.out
+            .values()
+            .filter(|asked| matches!(asked.purpose, Purpose::DirectProbe(_)))
+            .count()
     }
 
     pub fn helps(&self) -> usize {
-        self.out.values().filter(|asked| matches!(asked.purpose, Purpose::IndirectProbe { .. })).count()
+        self.out
+            .values()
+            .filter(|asked| matches!(asked.purpose, Purpose::IndirectProbe { .. }))
+            .count()
     }
 
     pub fn due(&self) -> Option<Moment> {
@@ -129,7 +157,11 @@
     }
 
     pub fn now_due(&self, now: Moment) -> Vec<Nonce> {
-        self.out.iter().filter(|(_, asked)| asked.due <= now).map(|(nonce, _)| *nonce).collect()
+        self.out
+            .iter()
+            .filter(|(_, asked)| asked.due <= now)
+            .map(|(nonce, _)| *nonce)
+            .collect()
     }
 
     /// This gateway stood still: whether others answered meanwhile cannot be told.
@@ -146,7 +178,11 @@
 }
 
 /// As many of these as asked for, by chance.
-pub fn some<'a>(of: impl Iterator<Item = &'a Record>, count: usize, rng: &mut Pcg64Mcg) -> Vec<&'a Record> {
+pub fn some<'a>(
+    of: impl Iterator<Item = &'a Record>,
+    count: usize,
+    rng: &mut Pcg64Mcg,
+) -> Vec<&'a Record> {
     let mut all: Vec<&Record> = of.collect();
     let count = count.min(all.len());
     for at in 0..count {
