--- a/crates/fleet/src/standing.rs
+++ b/crates/fleet/src/standing.rs
@@ -89,7 +89,14 @@
 
 impl Standings {
     pub fn new(now: Moment) -> Self {
-        Standings { standing: Standing::Alone, since: now, settled: 1, most: 1, least: 1, changes: 0 }
+        Standings {
+            standing: Standing::Alone,
+            since: now,
+            settled: 1,
+            most: 1,
+            least: 1,
+            changes: 0,
+        }
     }
 
     pub fn standing(&self) -> &Standing {
@@ -107,20 +114,27 @@
         let quiet = Span::from_secs(terms.period.secs() * 3.0);
         let still = seen.still.is_some_and(|since| now - since >= quiet);
         // Alone with nobody left to differ from, a view agrees with itself.
-        let agree =
-            still && seen.other == 0 && (seen.same > 0 || seen.size == 1) && seen.suspected.is_empty();
+        let agree = still
+            && seen.other == 0
+            && (seen.same > 0 || seen.size == 1)
+            && seen.suspected.is_empty();
         let few = (seen.size as f64) < self.settled as f64 * terms.cut_off_below;
-        let accepted = matches!(self.standing, Standing::CutOff { .. }) && now - self.since >= terms.accept;
+        let accepted =
+            matches!(self.standing, Standing::CutOff { .. }) && now - self.since >= terms.accept;
         let next = if !seen.met {
             Standing::Alone
         } else if few && !accepted {
-            Standing::CutOff { settled: self.settled }
+            Standing::CutOff {
+                settled: self.settled,
+            }
         } else if agree {
             Standing::Together
         } else if matches!(self.standing, Standing::CutOff { .. } | Standing::Rejoining) {
             Standing::Rejoining
         } else {
-            Standing::Unsettled { over: seen.suspected.clone() }
+            Standing::Unsettled {
+                over: seen.suspected.clone(),
+            }
         };
         let same = self.standing.name() == next.name();
         let held = now - self.since < terms.hold && !matches!(next, Standing::CutOff { .. });
@@ -148,22 +162,42 @@
     /// The table. Each reading is the safe one of its use: cut by the larger fleet, what must not be exceeded is not;
     /// counted on from the smaller, what must not be starved is not.
     pub fn assumed(&self, size: usize) -> Assumed {
-        let (most, least) = (self.most.max(self.settled).max(size), self.least.min(self.settled).min(size));
+        let (most, least) = (
+            self.most.max(self.settled).max(size),
+            self.least.min(self.settled).min(size),
+        );
         match self.standing {
-            Standing::Alone => Assumed { at_most: most, at_least: 1, engine_news: false, may_agree: false },
-            Standing::Together => {
-                Assumed { at_most: size, at_least: size, engine_news: true, may_agree: true }
-            }
-            Standing::Unsettled { .. } => {
-                Assumed { at_most: most, at_least: least, engine_news: true, may_agree: true }
-            }
+            Standing::Alone => Assumed {
+                at_most: most,
+                at_least: 1,
+                engine_news: false,
+                may_agree: false,
+            },
+            Standing::Together => Assumed {
+                at_most: size,
+                at_least: size,
+                engine_news: true,
+                may_agree: true,
+            },
+            Standing::Unsettled { .. } => Assumed {
+                at_most: most,
+                at_least: least,
+                engine_news: true,
+                may_agree: true,
+            },
             // Those it reaches may be cut off from the same engines: their word on these says nothing for the rest.
-            Standing::CutOff { .. } => {
-                Assumed { at_most: most, at_least: least, engine_news: false, may_agree: false }
-            }
-            Standing::Rejoining => {
-                Assumed { at_most: most, at_least: least, engine_news: true, may_agree: false }
-            }
+            Standing::CutOff { .. } => Assumed {
+                at_most: most,
+                at_least: least,
+                engine_news: false,
+                may_agree: false,
+            },
+            Standing::Rejoining => Assumed {
+                at_most: most,
+                at_least: least,
+                engine_news: true,
+                may_agree: false,
+            },
         }
     }
 }
--- a/crates/fleet/src/table.rs
+++ b/crates/fleet/src/table.rs
@@ -83,7 +83,11 @@
 
     /// Hash of all that the record held now says but its state.
     fn current_exact_mark(&mut self) -> u64 {
-        let of = (self.record.life, self.record.incarnation, self.record.address);
+        let of = (
+            self.record.life,
+            self.record.incarnation,
+            self.record.address,
+        );
         if let Some((life, incarnation, address, mark)) = self.exact_mark
             && (life, incarnation, address) == of
         {
@@ -104,7 +108,9 @@
 
     /// Whether any witness says something worse of this life, or something newer.
     pub fn dissent(&self) -> bool {
-        self.witnesses.values().any(|witness| self.differs(&witness.says))
+        self.witnesses
+            .values()
+            .any(|witness| self.differs(&witness.says))
     }
 
     /// Whether this is worse word of the life held here, or newer word.
@@ -115,8 +121,13 @@
 
     /// Different hosts among the witnesses that this holds for; several gateways of one host are one witness.
     pub fn hosts(&self, now: Moment, that: impl Fn(&Record) -> bool) -> BTreeSet<IpAddr> {
-        let fresh = |witness: &&Witness| (now - witness.at).secs() < WITNESS_S && that(&witness.says);
-        self.witnesses.values().filter(fresh).map(|witness| witness.host).collect()
+        let fresh =
+            |witness: &&Witness| (now - witness.at).secs() < WITNESS_S && that(&witness.says);
+        self.witnesses
+            .values()
+            .filter(fresh)
+            .map(|witness| witness.host)
+            .collect()
     }
 
     /// The record that `need` hosts at least vouch for, if any: of the same life and address, at an incarnation that so
@@ -131,17 +142,22 @@
         let fresh = |witness: &&Witness| now - witness.at < lasts && that(&witness.says);
         let mut by: BTreeMap<(Life, SocketAddr), BTreeMap<IpAddr, &Record>> = BTreeMap::new();
         for witness in self.witnesses.values().filter(fresh) {
-            let hosts = by.entry((witness.says.life, witness.says.address)).or_default();
+            let hosts = by
+                .entry((witness.says.life, witness.says.address))
+                .or_default();
             let best = hosts.entry(witness.host).or_insert(&witness.says);
             if witness.says.incarnation > best.incarnation {
                 *best = &witness.says;
             }
         }
-        let enough = by.into_values().filter(|hosts| hosts.len() >= need).filter_map(|hosts| {
-            let mut records: Vec<&Record> = hosts.into_values().collect();
-            records.sort_by_key(|record| std::cmp::Reverse(record.incarnation));
-            records.get(need.max(1) - 1).map(|record| (*record).clone())
-        });
+        let enough = by
+            .into_values()
+            .filter(|hosts| hosts.len() >= need)
+            .filter_map(|hosts| {
+                let mut records: Vec<&Record> = hosts.into_values().collect();
+                records.sort_by_key(|record| std::cmp::Reverse(record.incarnation));
+                records.get(need.max(1) - 1).map(|record| (*record).clone())
+            });
         enough.max_by_key(|record| record.incarnation)
     }
 }
@@ -168,7 +184,12 @@
 impl Table {
     /// `patient`: word of gateways that are not in the fleet yet is kept for longer.
     pub fn new(most: usize, patient: bool) -> Self {
-        Table { most, patient, held: BTreeMap::new(), view: None }
+        Table {
+            most,
+            patient,
+            held: BTreeMap::new(),
+            view: None,
+        }
     }
 
     /// From now on word of gateways that are not in the fleet yet is kept for longer, or is not.
@@ -178,7 +199,11 @@
 
     /// How long word of a gateway counts that is in the fleet, or is not yet.
     pub fn witness_lasts(&self, known: bool) -> Span {
-        Span::from_secs(if known || !self.patient { WITNESS_S } else { PATIENT_WITNESS_S })
+        Span::from_secs(if known || !self.patient {
+            WITNESS_S
+        } else {
+            PATIENT_WITNESS_S
+        })
     }
 
     pub fn get(&self, name: &Name) -> Option<&Held> {
@@ -187,7 +212,9 @@
 
     /// A witness that says what is held already is not kept.
     pub fn withdraw(&mut self, by: &Name, of: &Name) {
-        let Some(held) = self.held.get_mut(of) else { return };
+        let Some(held) = self.held.get_mut(of) else {
+            return;
+        };
         held.witnesses.remove(by);
     }
 
@@ -199,7 +226,9 @@
 
     /// Those that stand.
     pub fn suspicions(&mut self) -> impl Iterator<Item = &mut Suspicion> {
-        self.held.values_mut().filter_map(|held| held.suspicion.as_mut())
+        self.held
+            .values_mut()
+            .filter_map(|held| held.suspicion.as_mut())
     }
 
     /// For what does not change who is in the fleet.
@@ -212,11 +241,14 @@
         if self.held.len() >= self.most {
             let weakest = self.held.iter().filter(|(_, held)| !held.known);
             let weakest = weakest.min_by_key(|(_, held)| (held.witnesses.len(), held.since));
-            let Some(name) = weakest.filter(|_| known).map(|(name, _)| name.clone()) else { return false };
+            let Some(name) = weakest.filter(|_| known).map(|(name, _)| name.clone()) else {
+                return false;
+            };
             self.held.remove(&name);
         }
         self.view = None;
-        self.held.insert(record.name.clone(), Held::new(now, record, known));
+        self.held
+            .insert(record.name.clone(), Held::new(now, record, known));
         true
     }
 
@@ -245,22 +277,39 @@
     pub fn after(&self, name: Option<&Name>) -> impl Iterator<Item = &Held> {
         use std::ops::Bound::{Excluded, Unbounded};
         let from = name.map_or(Unbounded, Excluded);
-        self.held.range::<Name, _>((from, Unbounded)).map(|(_, held)| held).filter(|held| held.known)
+        self.held
+            .range::<Name, _>((from, Unbounded))
+            .map(|(_, held)| held)
+            .filter(|held| held.known)
     }
 
     pub fn witness(&mut self, now: Moment, by: &Name, host: IpAddr, says: Record) {
-        let Some(held) = self.held.get_mut(&says.name) else { return };
+        let Some(held) = self.held.get_mut(&says.name) else {
+            return;
+        };
         if held.witnesses.len() >= WITNESSES && !held.witnesses.contains_key(by) {
-            let oldest =
-                held.witnesses.iter().min_by_key(|(_, witness)| witness.at).map(|(name, _)| name.clone());
+            let oldest = held
+                .witnesses
+                .iter()
+                .min_by_key(|(_, witness)| witness.at)
+                .map(|(name, _)| name.clone());
             oldest.map(|name| held.witnesses.remove(&name));
         }
-        held.witnesses.insert(by.clone(), Witness { says, at: now, host });
+        held.witnesses.insert(
+            by.clone(),
+            Witness {
+                says,
+                at: now,
+                host,
+            },
+        );
     }
 
     /// A look at one came to nothing. Hearsay of one that never answers leaves.
     pub fn not_there(&mut self, name: &Name) {
-        let Some(held) = self.held.get_mut(name) else { return };
+        let Some(held) = self.held.get_mut(name) else {
+            return;
+        };
         held.failed_looks += 1;
         if !held.known && held.failed_looks >= LOOKS {
             self.held.remove(name);
@@ -272,11 +321,18 @@
     pub fn forget(&mut self, now: Moment, keep: Span) -> Vec<Name> {
         let before = self.held.len();
         let mut forgotten = Vec::new();
-        let hearsay_s = if self.patient { PATIENT_HEARSAY_S } else { HEARSAY_S };
+        let hearsay_s = if self.patient {
+            PATIENT_HEARSAY_S
+        } else {
+            HEARSAY_S
+        };
         self.held.retain(|name, held| {
             let gone = now - held.since;
-            let stays =
-                if held.known { held.record.state.counts() || gone < keep } else { gone.secs() < hearsay_s };
+            let stays = if held.known {
+                held.record.state.counts() || gone < keep
+            } else {
+                gone.secs() < hearsay_s
+            };
             if held.known && !stays {
                 forgotten.push(name.clone());
             }
@@ -286,7 +342,11 @@
             self.view = None;
         }
         let (known, candidate) = (self.witness_lasts(true), self.witness_lasts(false));
-        for held in self.held.values_mut().filter(|held| !held.witnesses.is_empty()) {
+        for held in self
+            .held
+            .values_mut()
+            .filter(|held| !held.witnesses.is_empty())
+        {
             let lasts = if held.known { known } else { candidate };
             held.witnesses.retain(|_, witness| now - witness.at < lasts);
         }
@@ -300,8 +360,14 @@
             return view;
         }
         let own = (own.state == State::Alive).then(|| mark(own));
-        let held = self.held.values_mut().filter(|held| held.counts()).map(Held::current_mark);
-        let (digest, size) = held.chain(own).fold((0, 0u16), |sum, of| (sum.0 ^ of, sum.1.saturating_add(1)));
+        let held = self
+            .held
+            .values_mut()
+            .filter(|held| held.counts())
+            .map(Held::current_mark);
+        let (digest, size) = held
+            .chain(own)
+            .fold((0, 0u16), |sum, of| (sum.0 ^ of, sum.1.saturating_add(1)));
         let view = View { digest, size };
         self.view = Some(view);
         view
@@ -309,7 +375,12 @@
 
     /// Digests of a window's buckets over the fleet with this gateway in it; `candidates`: over those as well that are not
     /// in it yet.
-    pub(crate) fn digests(&mut self, window: Window, own: &Record, candidates: bool) -> Vec<BucketDigest> {
+    pub(crate) fn digests(
+        &mut self,
+        window: Window,
+        own: &Record,
+        candidates: bool,
+    ) -> Vec<BucketDigest> {
         let counted = |held: &&mut Held| held.counts() || candidates && held.candidate();
         let held = self.held.values_mut().filter(counted);
         let held = held.map(|held| (held.current_mark(), held.current_exact_mark()));
--- a/crates/fleet/src/terms.rs
+++ b/crates/fleet/src/terms.rs
@@ -83,7 +83,11 @@
 
 impl Paced {
     pub fn new(per_s: f64) -> Self {
-        Paced { per_s, left: per_s.max(1.0), at: None }
+        Paced {
+            per_s,
+            left: per_s.max(1.0),
+            at: None,
+        }
     }
 
     pub fn take(&mut self, now: admission::interface::Moment) -> bool {
--- a/crates/fleet/tests/bounded.rs
+++ b/crates/fleet/tests/bounded.rs
@@ -28,7 +28,10 @@
 }
 
 fn terms(bounds: Option<Bounds>) -> Terms {
-    Terms { bounds, ..Terms::default() }
+    Terms {
+        bounds,
+        ..Terms::default()
+    }
 }
 
 /// May change a datagram on its way, from one to another; emptied, it is lost.
@@ -50,10 +53,26 @@
             let seed = seed * 1000 + number as u64;
             let own = (name(number), address(number));
             let now = Moment::from_secs(0.0);
-            Some(Gateway::new(now, fleet_name(), own.0, own.1, place, seeds, ring(), terms_of(number), seed))
+            Some(Gateway::new(
+                now,
+                fleet_name(),
+                own.0,
+                own.1,
+                place,
+                seeds,
+                ring(),
+                terms_of(number),
+                seed,
+            ))
         };
         let all = (0..count).map(make).collect();
-        World { now: 0.0, lost: 0.0, all, rng: Pcg64Mcg::seed_from_u64(seed), meddler: None }
+        World {
+            now: 0.0,
+            lost: 0.0,
+            all,
+            rng: Pcg64Mcg::seed_from_u64(seed),
+            meddler: None,
+        }
     }
 
     fn run(&mut self, seconds: f64) {
@@ -62,7 +81,9 @@
             self.now += STEP_S;
             let now = Moment::from_secs(self.now);
             for from in 0..self.all.len() {
-                let Some(sender) = &mut self.all[from] else { continue };
+                let Some(sender) = &mut self.all[from] else {
+                    continue;
+                };
                 if sender.due() <= now {
                     sender.turn(now);
                 }
@@ -111,20 +132,32 @@
 fn a_third_lost_raises_few_suspicions_only_where_failed_probes_are_repeated() {
     /// Suspicions and deaths of 24 gateways in a minute.
     fn troubles(seed: u64, confirmations: usize) -> (u64, u64) {
-        let bounds = Bounds { confirmations, ..Bounds::default() };
+        let bounds = Bounds {
+            confirmations,
+            ..Bounds::default()
+        };
         let mut world = World::new(24, seed, |_| terms(Some(bounds.clone())));
         assert!(world.settle(30.0).is_some());
         let before = world.sum(|gateway| gateway.tally.suspected);
         world.lost = 1.0 / 3.0;
         world.run(60.0);
-        (world.sum(|gateway| gateway.tally.suspected) - before, world.sum(|gateway| gateway.tally.died))
+        (
+            world.sum(|gateway| gateway.tally.suspected) - before,
+            world.sum(|gateway| gateway.tally.died),
+        )
     }
     for seed in 1..=5 {
         let (repeated, died) = troubles(seed, Bounds::default().confirmations);
-        assert!(repeated <= 24, "seed {seed}: {repeated} suspicions of 24 gateways in a minute");
+        assert!(
+            repeated <= 24,
+            "seed {seed}: {repeated} suspicions of 24 gateways in a minute"
+        );
         assert_eq!(died, 0, "seed {seed}");
         let (at_once, _) = troubles(seed, 0);
-        assert!(at_once > repeated * 10, "switched off it would show: {at_once}, {repeated}");
+        assert!(
+            at_once > repeated * 10,
+            "switched off it would show: {at_once}, {repeated}"
+        );
     }
 }
 
@@ -142,7 +175,9 @@
 
 #[test]
 fn gateways_with_bounds_and_without_understand_each_other() {
-    let mut world = World::new(40, 3, |number| terms((number % 2 == 0).then(Bounds::default)));
+    let mut world = World::new(40, 3, |number| {
+        terms((number % 2 == 0).then(Bounds::default))
+    });
     assert!(world.settle(60.0).is_some(), "start");
     world.run(15.0);
     (10..15).for_each(|number| world.all[number] = None);
@@ -156,7 +191,15 @@
 /// A message of one gateway, made by hand, with a record beside it.
 fn told(by: &Record, counter: u64, of: Record) -> Vec<u8> {
     let (fleet, from, view) = (fleet_name(), by.clone(), View::default());
-    let message = Letter { fleet, from, counter, view, body: Body::News, records: vec![of], engines: vec![] };
+    let message = Letter {
+        fleet,
+        from,
+        counter,
+        view,
+        body: Body::News,
+        records: vec![of],
+        engines: vec![],
+    };
     letter::seal(&ring(), &message)
 }
 
@@ -170,9 +213,19 @@
         let subject = world.all[6].as_ref().unwrap().own().clone();
         let now = Moment::from_secs(world.now);
         let before = world.sum(|gateway| gateway.tally.probes);
-        for gateway in world.all.iter_mut().flatten().filter(|gateway| gateway.own().name != witness.name) {
-            let suspect = Record { state: State::Suspect, ..subject.clone() };
-            gateway.receive(now, witness.address, &told(&witness, 1 << 40, suspect)).unwrap();
+        for gateway in world
+            .all
+            .iter_mut()
+            .flatten()
+            .filter(|gateway| gateway.own().name != witness.name)
+        {
+            let suspect = Record {
+                state: State::Suspect,
+                ..subject.clone()
+            };
+            gateway
+                .receive(now, witness.address, &told(&witness, 1 << 40, suspect))
+                .unwrap();
         }
         world.run(2.0);
         world.sum(|gateway| gateway.tally.probes) - before
@@ -194,10 +247,20 @@
     };
     let (bounded, plain) = (bytes(Some(Bounds::default())), bytes(None));
     // Equal views exchange no tables.
-    assert!(bounded < 600.0 && bounded < plain * 0.8, "{bounded} bytes a second at rest, {plain} without");
-    let mut world =
-        World::new(60, 6, |_| terms(Some(Bounds { gossip_bytes_per_s: 200.0, ..Bounds::default() })));
-    assert!(world.settle(200.0).is_some(), "a narrow budget delays, no more");
+    assert!(
+        bounded < 600.0 && bounded < plain * 0.8,
+        "{bounded} bytes a second at rest, {plain} without"
+    );
+    let mut world = World::new(60, 6, |_| {
+        terms(Some(Bounds {
+            gossip_bytes_per_s: 200.0,
+            ..Bounds::default()
+        }))
+    });
+    assert!(
+        world.settle(200.0).is_some(),
+        "a narrow budget delays, no more"
+    );
     assert!(world.sum(|gateway| gateway.tally.bounded_gossip) > 0);
 }
 
@@ -226,8 +289,18 @@
 /// One that never was there, told by a single host.
 fn invented() -> Record {
     let (life, incarnation) = (fleet::Life(7), fleet::Incarnation(1));
-    let (name, address) = (Name::new("g999").unwrap(), SocketAddr::from(([10, 0, 0, 200], 7946)));
-    Record { name, life, incarnation, address, place: Place::default(), state: State::Alive }
+    let (name, address) = (
+        Name::new("g999").unwrap(),
+        SocketAddr::from(([10, 0, 0, 200], 7946)),
+    );
+    Record {
+        name,
+        life,
+        incarnation,
+        address,
+        place: Place::default(),
+        state: State::Alive,
+    }
 }
 
 #[test]
@@ -252,10 +325,20 @@
     let compared = |world: &World| world.sum(|gateway| gateway.tally.compared);
     let before = compared(&world);
     world.run(120.0);
-    assert!(compared(&world) > before, "nothing was compared with the liar");
-    for gateway in world.living().filter(|gateway| gateway.own().name != name(LIAR)) {
+    assert!(
+        compared(&world) > before,
+        "nothing was compared with the liar"
+    );
+    for gateway in world
+        .living()
+        .filter(|gateway| gateway.own().name != name(LIAR))
+    {
         let held = gateway.held(&invented().name);
-        assert!(held.is_none_or(|held| !held.known), "{} believes one host", gateway.own().name);
+        assert!(
+            held.is_none_or(|held| !held.known),
+            "{} believes one host",
+            gateway.own().name
+        );
         assert_eq!(gateway.size(), 10, "{}", gateway.own().name);
     }
 }
@@ -286,10 +369,22 @@
     let by = world.all[1].as_ref().unwrap().own().clone();
     let now = Moment::from_secs(world.now);
     for (at, (first, buckets)) in [(128, 4), (0, 0), (0, 33)].into_iter().enumerate() {
-        let body = Body::Compare { nonce: letter::Nonce(1), first, digests: vec![[0; 8]; buckets] };
+        let body = Body::Compare {
+            nonce: letter::Nonce(1),
+            first,
+            digests: vec![[0; 8]; buckets],
+        };
         let (fleet, from, view) = (fleet_name(), by.clone(), View::default());
         let counter = (1 << 40) + at as u64;
-        let message = Letter { fleet, from, counter, view, body, records: vec![], engines: vec![] };
+        let message = Letter {
+            fleet,
+            from,
+            counter,
+            view,
+            body,
+            records: vec![],
+            engines: vec![],
+        };
         let receiver = world.all[0].as_mut().unwrap();
         let refused = receiver.receive(now, by.address, &letter::seal(&ring(), &message));
         assert_eq!(refused, Err(fleet::Refused::Form), "{first}, {buckets}");
@@ -317,16 +412,40 @@
     assert!(world.settle(60.0).is_some(), "start");
     world.run(60.0);
     assert!(world.sum(|gateway| gateway.tally.listed) > 0);
-    for gateway in world.living().filter(|gateway| gateway.own().name != name(LIAR)) {
-        assert!(gateway.held(&invented().name).is_none_or(|held| !held.known), "{}", gateway.own().name);
+    for gateway in world
+        .living()
+        .filter(|gateway| gateway.own().name != name(LIAR))
+    {
+        assert!(
+            gateway
+                .held(&invented().name)
+                .is_none_or(|held| !held.known),
+            "{}",
+            gateway.own().name
+        );
     }
     let by = world.all[1].as_ref().unwrap().own().clone();
     let (fleet, from, view) = (fleet_name(), by.clone(), View::default());
-    let body = Body::List { nonce: letter::Nonce(1), from: 0, marks: vec![[0; 8]; 57] };
-    let message = Letter { fleet, from, counter: 1 << 40, view, body, records: vec![], engines: vec![] };
+    let body = Body::List {
+        nonce: letter::Nonce(1),
+        from: 0,
+        marks: vec![[0; 8]; 57],
+    };
+    let message = Letter {
+        fleet,
+        from,
+        counter: 1 << 40,
+        view,
+        body,
+        records: vec![],
+        engines: vec![],
+    };
     let receiver = world.all[0].as_mut().unwrap();
-    let refused =
-        receiver.receive(Moment::from_secs(world.now), by.address, &letter::seal(&ring(), &message));
+    let refused = receiver.receive(
+        Moment::from_secs(world.now),
+        by.address,
+        &letter::seal(&ring(), &message),
+    );
     assert_eq!(refused, Err(fleet::Refused::Form));
 }
 
@@ -368,7 +487,13 @@
             }
             message.records.retain(|record| record.name != subject.name);
             if from < 4 {
-                message.records.insert(0, Record { state: State::Dead, ..subject.clone() });
+                message.records.insert(
+                    0,
+                    Record {
+                        state: State::Dead,
+                        ..subject.clone()
+                    },
+                );
             }
             *bytes = letter::seal(&ring(), &message);
         }));
@@ -403,10 +528,16 @@
     for seed in 13..17 {
         let mut case = FalseDeath::new(seed);
         case.tell(false);
-        assert!(case.comes_to_hold_dead(120), "seed {seed}: it never holds the subject for dead");
+        assert!(
+            case.comes_to_hold_dead(120),
+            "seed {seed}: it never holds the subject for dead"
+        );
         case.end();
         case.world.run(30.0);
-        assert!(!case.holds_dead(), "seed {seed}: the others hold it for alive, and were compared with");
+        assert!(
+            !case.holds_dead(),
+            "seed {seed}: the others hold it for alive, and were compared with"
+        );
     }
 }
 
--- a/crates/fleet/tests/hostile.rs
+++ b/crates/fleet/tests/hostile.rs
@@ -55,7 +55,15 @@
 }
 
 fn letter(from: Record, counter: u64, body: Body) -> Letter {
-    Letter { fleet: fleet(), from, counter, view: View::default(), body, records: vec![], engines: vec![] }
+    Letter {
+        fleet: fleet(),
+        from,
+        counter,
+        view: View::default(),
+        body,
+        records: vec![],
+        engines: vec![],
+    }
 }
 
 /// By turns one another's letters, until a time.
@@ -79,8 +87,15 @@
 fn what_is_not_ours_is_refused_by_its_reason() {
     let mut own = gateway(1, Terms::default());
     let good = letter::seal(&ring(), &letter(record(2), 1, Body::News));
-    let foreign = Letter { fleet: Name::new("other").unwrap(), ..letter(record(2), 2, Body::News) };
-    let own_name = Record { address: at(9), life: Life(99), ..record(1) };
+    let foreign = Letter {
+        fleet: Name::new("other").unwrap(),
+        ..letter(record(2), 2, Body::News)
+    };
+    let own_name = Record {
+        address: at(9),
+        life: Life(99),
+        ..record(1)
+    };
     let change = |at: usize, by: u8| {
         let mut bytes = good.clone();
         bytes[at] ^= by;
@@ -95,20 +110,42 @@
         (change(8, 1), Refused::Code),
         (change(40, 1), Refused::Code),
         (letter::seal(&ring(), &foreign), Refused::Foreign),
-        (letter::seal(&ring(), &letter(record(3), 1, Body::News)), Refused::Address),
-        (letter::seal(&ring(), &letter(record(2), 9, Body::Ack(Nonce(5)))), Refused::Unasked),
+        (
+            letter::seal(&ring(), &letter(record(3), 1, Body::News)),
+            Refused::Address,
+        ),
+        (
+            letter::seal(&ring(), &letter(record(2), 9, Body::Ack(Nonce(5)))),
+            Refused::Unasked,
+        ),
     ];
     for (bytes, refused) in cases {
-        assert_eq!(own.receive(moment(1.0), at(2), &bytes), Err(refused), "{refused}");
+        assert_eq!(
+            own.receive(moment(1.0), at(2), &bytes),
+            Err(refused),
+            "{refused}"
+        );
     }
     assert_eq!(
-        own.receive(moment(1.0), at(9), &letter::seal(&ring(), &letter(own_name, 1, Body::News))),
+        own.receive(
+            moment(1.0),
+            at(9),
+            &letter::seal(&ring(), &letter(own_name, 1, Body::News))
+        ),
         Err(Refused::OwnName)
     );
     assert_eq!(own.receive(moment(1.0), at(2), &good), Ok(()));
-    assert_eq!(own.receive(moment(1.0), at(2), &good), Err(Refused::Repeated));
-    let refused: u64 =
-        own.tally.each().iter().filter(|(name, _)| name.starts_with("refused")).map(|(_, count)| count).sum();
+    assert_eq!(
+        own.receive(moment(1.0), at(2), &good),
+        Err(Refused::Repeated)
+    );
+    let refused: u64 = own
+        .tally
+        .each()
+        .iter()
+        .filter(|(name, _)| name.starts_with("refused"))
+        .map(|(_, count)| count)
+        .sum();
     assert_eq!((refused, own.tally.taken), (12, 1));
 }
 
@@ -119,7 +156,9 @@
         let refused = own.receive(moment(1.0), at(2), &bytes).is_err();
         TestResult::from_bool(refused && own.take_out().is_empty() && own.table_len() == 0)
     }
-    QuickCheck::new().tests(2000).quickcheck(holds as fn(Vec<u8>) -> TestResult);
+    QuickCheck::new()
+        .tests(2000)
+        .quickcheck(holds as fn(Vec<u8>) -> TestResult);
 }
 
 #[test]
@@ -130,7 +169,9 @@
             let mut bytes = good.clone();
             bytes[byte] ^= 1 << bit;
             assert!(
-                gateway(1, Terms::default()).receive(moment(1.0), at(2), &bytes).is_err(),
+                gateway(1, Terms::default())
+                    .receive(moment(1.0), at(2), &bytes)
+                    .is_err(),
                 "{byte} {bit}"
             );
         }
@@ -144,8 +185,14 @@
 
 fn liars_day_with(seed: u64, bounds: Option<Bounds>) -> TestResult {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
-    let terms = Terms { most: 40, bounds, ..Terms::default() };
-    let mut all: Vec<Gateway> = (1..=4).map(|number| gateway(number, terms.clone())).collect();
+    let terms = Terms {
+        most: 40,
+        bounds,
+        ..Terms::default()
+    };
+    let mut all: Vec<Gateway> = (1..=4)
+        .map(|number| gateway(number, terms.clone()))
+        .collect();
     // The liar is a gateway too: known, and heard.
     all.push(gateway(5, terms));
     let mut now = 0.0;
@@ -160,9 +207,12 @@
             counter += 1;
             for _ in 0..rng.random_range(0..8) {
                 let number = rng.random_range(1..=8u8);
-                let known = all.iter().find(|gateway| gateway.own().address == at(number));
-                let life =
-                    known.filter(|_| rng.random::<bool>()).map_or(Life(rng.random()), |of| of.own().life);
+                let known = all
+                    .iter()
+                    .find(|gateway| gateway.own().address == at(number));
+                let life = known
+                    .filter(|_| rng.random::<bool>())
+                    .map_or(Life(rng.random()), |of| of.own().life);
                 let states = [State::Alive, State::Suspect, State::Dead, State::Left];
                 let incarnation = [1, 2, 3, 9_000, 1 << 30, u32::MAX][rng.random_range(0..6)];
                 lie.records.push(Record {
@@ -192,7 +242,11 @@
                 }
             }
             if honest.table_len() > 40 || honest.own().incarnation > Incarnation(100_000) {
-                return TestResult::error(format!("{} held, {:?}", honest.table_len(), honest.own()));
+                return TestResult::error(format!(
+                    "{} held, {:?}",
+                    honest.table_len(),
+                    honest.own()
+                ));
             }
         }
     }
@@ -201,43 +255,66 @@
 
 #[test]
 fn one_liar_among_five_takes_nobody_off_whatever_it_says() {
-    QuickCheck::new().tests(30).quickcheck(liars_day as fn(u64) -> TestResult);
+    QuickCheck::new()
+        .tests(30)
+        .quickcheck(liars_day as fn(u64) -> TestResult);
 }
 
 #[test]
 fn one_liar_among_five_takes_nobody_off_with_bounds_either() {
     let holds = |seed| liars_day_with(seed, Some(Bounds::default()));
-    QuickCheck::new().tests(30).quickcheck(holds as fn(u64) -> TestResult);
+    QuickCheck::new()
+        .tests(30)
+        .quickcheck(holds as fn(u64) -> TestResult);
 }
 
 #[test]
 fn the_same_lies_by_two_of_two_needed_take_effect() {
     // What liars_day would miss if nothing ever counted: two that agree are believed, until it is refuted.
-    let mut all: Vec<Gateway> = (1..=5).map(|number| gateway(number, Terms::default())).collect();
+    let mut all: Vec<Gateway> = (1..=5)
+        .map(|number| gateway(number, Terms::default()))
+        .collect();
     let mut now = 0.0;
     talk(&mut all, &mut now, 12.0);
     let victim = all[3].own().clone();
     for liar in [1, 2] {
         let mut lie = letter(all[liar].own().clone(), 1 << 40, Body::News);
-        lie.records.push(Record { state: State::Suspect, ..victim.clone() });
+        lie.records.push(Record {
+            state: State::Suspect,
+            ..victim.clone()
+        });
         let from = all[liar].own().address;
-        all[0].receive(moment(now), from, &letter::seal(&ring(), &lie)).unwrap();
+        all[0]
+            .receive(moment(now), from, &letter::seal(&ring(), &lie))
+            .unwrap();
     }
-    assert_eq!(all[0].held(&victim.name).unwrap().record.state, State::Suspect);
+    assert_eq!(
+        all[0].held(&victim.name).unwrap().record.state,
+        State::Suspect
+    );
     let until = now + 10.0;
     talk(&mut all, &mut now, until);
     let held = &all[0].held(&victim.name).unwrap().record;
-    assert!(held.state == State::Alive && held.incarnation > victim.incarnation, "{held:?}");
+    assert!(
+        held.state == State::Alive && held.incarnation > victim.incarnation,
+        "{held:?}"
+    );
 }
 
 #[test]
 fn a_flood_of_questions_is_answered_at_a_pace() {
-    let mut all: Vec<Gateway> = (1..=2).map(|number| gateway(number, Terms::default())).collect();
+    let mut all: Vec<Gateway> = (1..=2)
+        .map(|number| gateway(number, Terms::default()))
+        .collect();
     let mut now = 0.0;
     talk(&mut all, &mut now, 8.0);
     let from = all[1].own().clone();
     for counter in 0..5000u64 {
-        let question = letter(from.clone(), (1 << 40) + counter, Body::Ping(Nonce(counter)));
+        let question = letter(
+            from.clone(),
+            (1 << 40) + counter,
+            Body::Ping(Nonce(counter)),
+        );
         let _ = all[0].receive(moment(now), at(2), &letter::seal(&ring(), &question));
     }
     let answers = all[0].take_out().len();
@@ -245,19 +322,26 @@
     assert!(all[0].tally.refused_many > 4900);
     let later = moment(now) + Span::from_secs(1.0);
     let question = letter(from, 1 << 50, Body::Ping(Nonce(1)));
-    assert_eq!(all[0].receive(later, at(2), &letter::seal(&ring(), &question)), Ok(()));
+    assert_eq!(
+        all[0].receive(later, at(2), &letter::seal(&ring(), &question)),
+        Ok(())
+    );
 }
 
 #[test]
 fn one_whose_table_never_ends_is_asked_at_a_pace() {
-    let mut all: Vec<Gateway> = (1..=2).map(|number| gateway(number, Terms::default())).collect();
+    let mut all: Vec<Gateway> = (1..=2)
+        .map(|number| gateway(number, Terms::default()))
+        .collect();
     let mut now = 0.0;
     talk(&mut all, &mut now, 8.0);
     let from = all[1].own().clone();
     for counter in 0..1000u64 {
         let next = Some(Name::new("a").unwrap());
         let page = letter(from.clone(), (1 << 40) + counter, Body::Page { next });
-        all[0].receive(moment(now), at(2), &letter::seal(&ring(), &page)).unwrap();
+        all[0]
+            .receive(moment(now), at(2), &letter::seal(&ring(), &page))
+            .unwrap();
     }
     let asked = all[0].take_out().len();
     assert!((1..=8).contains(&asked), "{asked} at once");
--- a/crates/fleet/tests/life.rs
+++ b/crates/fleet/tests/life.rs
@@ -66,7 +66,10 @@
         Place::default(),
         seeds,
         ring,
-        Terms { bounds: bounded.then(Bounds::default), ..Terms::default() },
+        Terms {
+            bounds: bounded.then(Bounds::default),
+            ..Terms::default()
+        },
         seed,
     )
 }
@@ -85,8 +88,17 @@
 
 impl World {
     fn new(refutes: bool, bounded: bool) -> World {
-        let all = (0..3).map(|number| gateway(number, 0.0, 0, bounded)).collect();
-        let mut world = World { now: 0.0, all, later: Vec::new(), life: 0, refutes, bounded };
+        let all = (0..3)
+            .map(|number| gateway(number, 0.0, 0, bounded))
+            .collect();
+        let mut world = World {
+            now: 0.0,
+            all,
+            later: Vec::new(),
+            life: 0,
+            refutes,
+            bounded,
+        };
         world.run(Phase::Well, 15.0);
         world
     }
@@ -111,7 +123,9 @@
                     self.all[from].turn(now);
                 }
                 for datagram in self.all[from].take_out() {
-                    let Some(to) = (0..3).find(|to| at(*to) == datagram.to) else { continue };
+                    let Some(to) = (0..3).find(|to| at(*to) == datagram.to) else {
+                        continue;
+                    };
                     let lost = match phase {
                         Phase::Mute => from == 0,
                         Phase::Deaf => to == 0,
@@ -135,10 +149,13 @@
     /// All three hold each other, in the lives that they live.
     fn whole(&self) -> bool {
         self.all.iter().all(|holder| {
-            self.all.iter().filter(|held| held.own().name != holder.own().name).all(|held| {
-                let seen = holder.held(&held.own().name);
-                seen.is_some_and(|seen| seen.counts() && seen.record.life == held.own().life)
-            })
+            self.all
+                .iter()
+                .filter(|held| held.own().name != holder.own().name)
+                .all(|held| {
+                    let seen = holder.held(&held.own().name);
+                    seen.is_some_and(|seen| seen.counts() && seen.record.life == held.own().life)
+                })
         })
     }
 }
@@ -181,7 +198,10 @@
     type Action = Phase;
 
     fn init_states(&self) -> Vec<State> {
-        vec![State { phases: Vec::new(), world: World::new(self.refutes, self.bounded) }]
+        vec![State {
+            phases: Vec::new(),
+            world: World::new(self.refutes, self.bounded),
+        }]
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Phase>) {
@@ -193,7 +213,14 @@
     fn next_state(&self, last: &State, phase: Phase) -> Option<State> {
         let mut state = last.clone();
         state.phases.push(phase);
-        state.world.run(phase, if self.bounded { BOUNDED_PHASE_S } else { PHASE_S });
+        state.world.run(
+            phase,
+            if self.bounded {
+                BOUNDED_PHASE_S
+            } else {
+                PHASE_S
+            },
+        );
         Some(state)
     }
 
@@ -204,13 +231,25 @@
                 world.run(Phase::Well, WELL_S);
                 world.whole()
             }),
-            Property::<Self>::sometimes("the first is taken for dead while it lives", |_, state| {
-                let name = Name::new("g0").unwrap();
-                state.world.all[1..].iter().any(|by| by.held(&name).is_some_and(|held| !held.counts()))
-            }),
-            Property::<Self>::always("incarnations rise by what was refuted, no more", |_, state| {
-                state.world.all.iter().all(|gateway| gateway.own().incarnation.0 < 200)
-            }),
+            Property::<Self>::sometimes(
+                "the first is taken for dead while it lives",
+                |_, state| {
+                    let name = Name::new("g0").unwrap();
+                    state.world.all[1..]
+                        .iter()
+                        .any(|by| by.held(&name).is_some_and(|held| !held.counts()))
+                },
+            ),
+            Property::<Self>::always(
+                "incarnations rise by what was refuted, no more",
+                |_, state| {
+                    state
+                        .world
+                        .all
+                        .iter()
+                        .all(|gateway| gateway.own().incarnation.0 < 200)
+                },
+            ),
         ]
     }
 }
@@ -220,11 +259,21 @@
 }
 
 fn search_with(refutes: bool, phases: usize, bounded: bool) -> (usize, bool) {
-    let checker = Lives { refutes, bounded, phases }.checker().threads(4).spawn_bfs().join();
+    let checker = Lives {
+        refutes,
+        bounded,
+        phases,
+    }
+    .checker()
+    .threads(4)
+    .spawn_bfs()
+    .join();
     if refutes {
         checker.assert_properties();
     }
-    let found = checker.discovery("nobody who lives and refutes stays dead").is_some();
+    let found = checker
+        .discovery("nobody who lives and refutes stays dead")
+        .is_some();
     (checker.unique_state_count(), found)
 }
 
--- a/crates/gateway/benches/list.rs
+++ b/crates/gateway/benches/list.rs
@@ -27,12 +27,20 @@
 
 fn engine(number: u32) -> Value {
     let [_, high, middle, low] = number.to_be_bytes();
-    target(&format!("e-{number}"), SocketAddr::from(([10, high, middle, low], 7101)), "in_service")
+    target(
+        &format!("e-{number}"),
+        SocketAddr::from(([10, high, middle, low], 7101)),
+        "in_service",
+    )
 }
 
 fn answer(last: usize, whole: bool, engines: Vec<Value>) -> Vec<u8> {
     let body = json!({"rev": last, "notices": [event(last, whole, engines)]}).to_string();
-    format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()).into_bytes()
+    format!(
+        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+        body.len()
+    )
+    .into_bytes()
 }
 
 fn whole_list(engines: u32) -> Vec<u8> {
@@ -76,8 +84,10 @@
     let begun = Instant::now();
     let first = read(&bytes);
     samples.parse.push(begun.elapsed().as_secs_f64() * 1e6);
-    let (mut names, mut dispatch) =
-        (Names::new(settings.location_names(), settings.machine_names()), dispatch(settings));
+    let (mut names, mut dispatch) = (
+        Names::new(settings.location_names(), settings.machine_names()),
+        dispatch(settings),
+    );
     let (named, told) = tell(&mut names, &mut dispatch, &first.events);
     samples.names.push(named);
     samples.decisions.push(told);
@@ -95,7 +105,10 @@
 /// The largest list, to a step, that one answer of the board may carry.
 fn largest_list() -> u32 {
     let fits = |engines: u32| {
-        matches!(http::take(&mut BytesMut::from(&whole_list(engines)[..]), false), Answered::Events(..))
+        matches!(
+            http::take(&mut BytesMut::from(&whole_list(engines)[..]), false),
+            Answered::Events(..)
+        )
     };
     let mut engines = SIZES[SIZES.len() - 1];
     assert!(fits(engines), "the target size is refused");
@@ -106,26 +119,64 @@
 }
 
 fn main() {
-    let mut config: Value =
-        serde_json::from_str(include_str!("../../../examples/config.json")).expect("the example is JSON");
+    let mut config: Value = serde_json::from_str(include_str!("../../../examples/config.json"))
+        .expect("the example is JSON");
     config["settings"]["PeersTotal"] = json!(1_900);
     let settings = Settings::from_json(&config["settings"]);
     let mut all: [Samples; SIZES.len()] = Default::default();
     for _ in 0..ROUNDS {
-        SIZES.iter().zip(&mut all).for_each(|(engines, samples)| measure(&settings, *engines, samples));
+        SIZES
+            .iter()
+            .zip(&mut all)
+            .for_each(|(engines, samples)| measure(&settings, *engines, samples));
     }
     println!("engines {SIZES:?}; microseconds: median (least-most) of {ROUNDS} rounds");
     let row = |name: &str, values: [Vec<f64>; SIZES.len()]| {
-        println!("{name}: {}", values.iter().map(|of| spread(of)).collect::<Vec<_>>().join(" | "));
-        let points = SIZES.iter().zip(&values).map(|(size, of)| (f64::from(*size), median(of)));
+        println!(
+            "{name}: {}",
+            values
+                .iter()
+                .map(|of| spread(of))
+                .collect::<Vec<_>>()
+                .join(" | ")
+        );
+        let points = SIZES
+            .iter()
+            .zip(&values)
+            .map(|(size, of)| (f64::from(*size), median(of)));
         println!("    {}", Line::through(&points.collect::<Vec<_>>()));
     };
-    row("bytes of the answer", SIZES.map(|engines| vec![whole_list(engines).len() as f64]));
-    row("read whole: http and JSON", all.each_ref().map(|samples| samples.parse.clone()));
-    row("names, first list", all.each_ref().map(|samples| samples.names.clone()));
-    row("decisions, first list", all.each_ref().map(|samples| samples.decisions.clone()));
-    row("names, same list again", all.each_ref().map(|samples| samples.names_again.clone()));
-    row("decisions, same list again", all.each_ref().map(|samples| samples.decisions_again.clone()));
-    row("one event, all steps", all.each_ref().map(|samples| samples.event.clone()));
-    println!("largest list in one answer, to {SEARCH_STEP}: {} engines", largest_list());
+    row(
+        "bytes of the answer",
+        SIZES.map(|engines| vec![whole_list(engines).len() as f64]),
+    );
+    row(
+        "read whole: http and JSON",
+        all.each_ref().map(|samples| samples.parse.clone()),
+    );
+    row(
+        "names, first list",
+        all.each_ref().map(|samples| samples.names.clone()),
+    );
+    row(
+        "decisions, first list",
+        all.each_ref().map(|samples| samples.decisions.clone()),
+    );
+    row(
+        "names, same list again",
+        all.each_ref().map(|samples| samples.names_again.clone()),
+    );
+    row(
+        "decisions, same list again",
+        all.each_ref()
+            .map(|samples| samples.decisions_again.clone()),
+    );
+    row(
+        "one event, all steps",
+        all.each_ref().map(|samples| samples.event.clone()),
+    );
+    println!(
+        "largest list in one answer, to {SEARCH_STEP}: {} engines",
+        largest_list()
+    );
 }
--- a/crates/gateway/benches/memory.rs
+++ b/crates/gateway/benches/memory.rs
@@ -28,8 +28,14 @@
 /// Kilobytes resident.
 fn resident_kb(gateway: &Gateway) -> f64 {
     let status = std::fs::read_to_string(format!("/proc/{}/status", gateway.child.id())).unwrap();
-    let line = status.lines().find(|line| line.starts_with("VmRSS:")).expect("the machine tells it");
-    line.split_whitespace().nth(1).and_then(|number| number.parse().ok()).expect("a number")
+    let line = status
+        .lines()
+        .find(|line| line.starts_with("VmRSS:"))
+        .expect("the machine tells it");
+    line.split_whitespace()
+        .nth(1)
+        .and_then(|number| number.parse().ok())
+        .expect("a number")
 }
 
 fn long_statements(config: &mut Value) {
@@ -103,7 +109,9 @@
             SocketAddr::from(([127, 9, high, low], 7101))
         };
         let addresses: Vec<SocketAddr> = (0..*size).map(address).collect();
-        let mut gateway = Gateway::with(&addresses, |config| config["settings"]["PeersTotal"] = json!(1_900));
+        let mut gateway = Gateway::with(&addresses, |config| {
+            config["settings"]["PeersTotal"] = json!(1_900)
+        });
         gateway.settled();
         resident_kb(&gateway)
     });
@@ -114,10 +122,14 @@
     let of = |at: usize| rounds.iter().map(|round| round[at]).collect::<Vec<f64>>();
     let cells: Vec<String> = (0..sizes.len()).map(|at| spread(&of(at))).collect();
     println!("{name}: at {sizes:?} KB resident {}", cells.join(" | "));
-    let points = sizes.iter().enumerate().map(|(at, size)| (*size as f64, median(&of(at))));
+    let points = sizes
+        .iter()
+        .enumerate()
+        .map(|(at, size)| (*size as f64, median(&of(at))));
     println!("    KB, {}", Line::through(&points.collect::<Vec<_>>()));
     let (first, last) = (0, sizes.len() - 1);
-    let growth = (median(&of(last)) - median(&of(first))) * 1024.0 / (sizes[last] - sizes[first]) as f64;
+    let growth =
+        (median(&of(last)) - median(&of(first))) * 1024.0 / (sizes[last] - sizes[first]) as f64;
     println!("    growth from the first size to the last: {growth:.0} bytes each");
 }
 
@@ -129,11 +141,22 @@
     let begun = Instant::now();
     table("idle sessions", &SESSIONS, &rounds(idle_sessions));
     let waits = |counts: &str, size: usize| {
-        assert!(counter(counts, "engines_open") <= 2, "{size} in line: {counts}");
+        assert!(
+            counter(counts, "engines_open") <= 2,
+            "{size} in line: {counts}"
+        );
     };
-    table("statements in line", &STATEMENTS, &rounds(|| open_statements(1.0, waits)));
+    table(
+        "statements in line",
+        &STATEMENTS,
+        &rounds(|| open_statements(1.0, waits)),
+    );
     let out = |counts: &str, size: usize| {
-        assert_eq!(counter(counts, "engines_open"), size as i64, "each on a connection of its own: {counts}");
+        assert_eq!(
+            counter(counts, "engines_open"),
+            size as i64,
+            "each on a connection of its own: {counts}"
+        );
     };
     table(
         "statements out, each on its own connection",
--- a/crates/gateway/benches/work.rs
+++ b/crates/gateway/benches/work.rs
@@ -35,10 +35,18 @@
             let mut own = toy::client::Client::login(listen).unwrap();
             for n in 0..EACH {
                 let (rid, member) = (client * EACH + n, (client * 131 + n * 17) % count);
-                let fields = format!("method=point,rid={rid:016x},budget=2000,acct=m{member},est=12.0,mem=8");
-                let answer =
-                    own.ask(&format!("/* {fields} */ SELECT 1 FROM ledger_1.bills LIMIT 1")).unwrap();
-                assert!(matches!(answer, Answer::Rows(_) | Answer::Error(1226, _)), "{answer:?}");
+                let fields = format!(
+                    "method=point,rid={rid:016x},budget=2000,acct=m{member},est=12.0,mem=8"
+                );
+                let answer = own
+                    .ask(&format!(
+                        "/* {fields} */ SELECT 1 FROM ledger_1.bills LIMIT 1"
+                    ))
+                    .unwrap();
+                assert!(
+                    matches!(answer, Answer::Rows(_) | Answer::Error(1226, _)),
+                    "{answer:?}"
+                );
             }
         })
     });
@@ -50,7 +58,11 @@
 }
 
 fn main() {
-    let kinds = [("off", String::new(), 3), ("3 teams", teams(3), 3), ("1,000 teams", teams(1000), 1000)];
+    let kinds = [
+        ("off", String::new(), 3),
+        ("3 teams", teams(3), 3),
+        ("1,000 teams", teams(1000), 1000),
+    ];
     let mut seen = [const { Vec::new() }; 3];
     for _ in 0..ROUNDS {
         for (at, (_, operator, count)) in kinds.iter().enumerate() {
@@ -63,7 +75,11 @@
         sorted[sorted.len() / 2]
     };
     for ((name, ..), of) in kinds.iter().zip(&seen) {
-        let ratios: Vec<f64> = of.iter().zip(&seen[0]).map(|(own, off)| own / off).collect();
+        let ratios: Vec<f64> = of
+            .iter()
+            .zip(&seen[0])
+            .map(|(own, off)| own / off)
+            .collect();
         println!(
             "{name:<12} {:.1} us a statement, {:.3} of off (medians of {ROUNDS})",
             median(of),
--- a/crates/gateway/src/board/http.rs
+++ b/crates/gateway/src/board/http.rs
@@ -31,11 +31,17 @@
         return Answered::Nonsense(format!("status {:?}", response.code));
     }
     let header = |name: &str| {
-        let mut of = response.headers.iter().filter(|header| header.name.eq_ignore_ascii_case(name));
-        of.next().and_then(|header| std::str::from_utf8(header.value).ok()).map(str::trim)
+        let mut of = response
+            .headers
+            .iter()
+            .filter(|header| header.name.eq_ignore_ascii_case(name));
+        of.next()
+            .and_then(|header| std::str::from_utf8(header.value).ok())
+            .map(str::trim)
     };
     let keep = !header("connection").is_some_and(|value| value.eq_ignore_ascii_case("close"));
-    let chunked = header("transfer-encoding").is_some_and(|value| value.eq_ignore_ascii_case("chunked"));
+    let chunked =
+        header("transfer-encoding").is_some_and(|value| value.eq_ignore_ascii_case("chunked"));
     let length = header("content-length").map(str::parse::<usize>);
     let (body, end) = match length {
         _ if chunked => match unchunk(&inbox[head..]) {
@@ -44,7 +50,9 @@
             _ => return Answered::Nonsense("a chunk that is none".into()),
         },
         Some(Ok(length)) if length <= LARGEST => {
-            let Some(body) = inbox.get(head..head + length) else { return Answered::NotYet };
+            let Some(body) = inbox.get(head..head + length) else {
+                return Answered::NotYet;
+            };
             (body.to_vec(), head + length)
         }
         None if ended => (inbox[head..].to_vec(), inbox.len()),
@@ -53,7 +61,10 @@
     };
     let _ = inbox.split_to(end);
     let json: Result<serde_json::Value, _> = serde_json::from_slice(&body);
-    match json.map_err(|e| e.to_string()).and_then(|j| Events::from_json(&j).map_err(|e| e.to_string())) {
+    match json
+        .map_err(|e| e.to_string())
+        .and_then(|j| Events::from_json(&j).map_err(|e| e.to_string()))
+    {
         Ok(events) => Answered::Events(events, keep),
         Err(why) => Answered::Nonsense(why),
     }
@@ -63,14 +74,19 @@
 fn unchunk(from: &[u8]) -> Result<Option<(Vec<u8>, usize)>, httparse::InvalidChunkSize> {
     let (mut body, mut at) = (Vec::new(), 0);
     loop {
-        let httparse::Status::Complete((head, size)) = httparse::parse_chunk_size(&from[at..])? else {
+        let httparse::Status::Complete((head, size)) = httparse::parse_chunk_size(&from[at..])?
+        else {
             return Ok(None);
         };
         let size = usize::try_from(size).map_err(|_| httparse::InvalidChunkSize)?;
         let start = at + head;
         let end = start.checked_add(size).and_then(|end| end.checked_add(2));
         let Some(chunk) = end.and_then(|end| from.get(start..end)) else {
-            return if size > LARGEST { Err(httparse::InvalidChunkSize) } else { Ok(None) };
+            return if size > LARGEST {
+                Err(httparse::InvalidChunkSize)
+            } else {
+                Ok(None)
+            };
         };
         at = start + size + 2;
         if size == 0 {
--- a/crates/gateway/src/board/list.rs
+++ b/crates/gateway/src/board/list.rs
@@ -48,19 +48,30 @@
 impl Events {
     pub fn from_json(json: &Value) -> Result<Self, ListError> {
         let last = json["rev"].as_u64().ok_or(ListError::Field("rev"))?;
-        let notices = json["notices"].as_array().ok_or(ListError::Field("notices"))?;
+        let notices = json["notices"]
+            .as_array()
+            .ok_or(ListError::Field("notices"))?;
         let events = notices.iter().map(event).collect::<Result<_, _>>()?;
         Ok(Events { last, events })
     }
 }
 
 fn event(json: &Value) -> Result<Event, ListError> {
-    let number = json["rev"].as_u64().ok_or(ListError::Field("notices.rev"))?;
-    let Some(pool) = json.get("pool") else { return Ok(Event { number, list: None }) };
-    let targets = pool["targets"].as_array().ok_or(ListError::Field("targets"))?;
+    let number = json["rev"]
+        .as_u64()
+        .ok_or(ListError::Field("notices.rev"))?;
+    let Some(pool) = json.get("pool") else {
+        return Ok(Event { number, list: None });
+    };
+    let targets = pool["targets"]
+        .as_array()
+        .ok_or(ListError::Field("targets"))?;
     let whole = pool["all"].as_bool().ok_or(ListError::Field("all"))?;
     let targets = targets.iter().map(target).collect::<Result<_, _>>()?;
-    Ok(Event { number, list: Some(Change { whole, targets }) })
+    Ok(Event {
+        number,
+        list: Some(Change { whole, targets }),
+    })
 }
 
 fn target(json: &Value) -> Result<Target, ListError> {
@@ -74,7 +85,9 @@
     let started = json["boot_ms"].as_f64().filter(|ms| *ms > 0.0);
     Ok(Target {
         uid: text("uid")?.to_owned(),
-        address: text("endpoint")?.parse().map_err(|_| ListError::Field("endpoint"))?,
+        address: text("endpoint")?
+            .parse()
+            .map_err(|_| ListError::Field("endpoint"))?,
         location: text("az")?.to_owned(),
         machine: text("model")?.to_owned(),
         cell: json["pod_group"].as_u64().unwrap_or(0).min(u16::MAX.into()) as u16,
@@ -103,7 +116,12 @@
 
 impl Names {
     pub fn new(locations: Vec<String>, machines: Vec<String>) -> Self {
-        Names { locations, machines, next: 0, engines: BTreeMap::new() }
+        Names {
+            locations,
+            machines,
+            next: 0,
+            engines: BTreeMap::new(),
+        }
     }
 
     pub fn id(&self, uid: &str) -> Option<EngineId> {
@@ -111,7 +129,10 @@
     }
 
     pub fn uid(&self, id: EngineId) -> Option<&str> {
-        self.engines.iter().find(|(_, of)| **of == id).map(|(uid, _)| &uid[..])
+        self.engines
+            .iter()
+            .find(|(_, of)| **of == id)
+            .map(|(uid, _)| &uid[..])
     }
 
     pub fn told(&mut self, change: &Change) -> Told {
@@ -136,7 +157,9 @@
             addresses.push((id, (!gone).then_some(target.address)));
             closed.extend((target.stage != Stage::Ready).then_some(id));
             // Names that the settings do not hold stand past their end, where no product is bound.
-            let place = |of: &[String], name: &String| of.iter().position(|n| n == name).unwrap_or(of.len());
+            let place = |of: &[String], name: &String| {
+                of.iter().position(|n| n == name).unwrap_or(of.len())
+            };
             facts.push(EngineFact {
                 id,
                 scale: target.scale,
@@ -147,7 +170,15 @@
                 started: target.started,
             });
         }
-        let news = if change.whole { ListNews::Whole(facts) } else { ListNews::Changes(facts) };
-        Told { news, addresses, closed }
+        let news = if change.whole {
+            ListNews::Whole(facts)
+        } else {
+            ListNews::Changes(facts)
+        };
+        Told {
+            news,
+            addresses,
+            closed,
+        }
     }
 }
--- a/crates/gateway/src/board/mod.rs
+++ b/crates/gateway/src/board/mod.rs
@@ -75,7 +75,13 @@
 
     /// A new configuration names the board and what is known. Numbers go on: what lies past the last one is
     /// taken, an older file tells nothing. Polls at another address are dropped, since it may never answer them.
-    pub fn moved(&mut self, now: Moment, address: SocketAddr, known: Events, counters: &mut Counters) {
+    pub fn moved(
+        &mut self,
+        now: Moment,
+        address: SocketAddr,
+        known: Events,
+        counters: &mut Counters,
+    ) {
         if known.last > self.last {
             self.take(self.last, known, counters);
         }
@@ -93,7 +99,9 @@
     }
 
     pub fn next_due(&self) -> Option<Moment> {
-        let poll = |p: &Poll| p.asked + Span::from_secs(if p.late { GIVE_UP_S } else { LINGER_S + LATE_S });
+        let poll = |p: &Poll| {
+            p.asked + Span::from_secs(if p.late { GIVE_UP_S } else { LINGER_S + LATE_S })
+        };
         self.polls.values().map(poll).chain(self.ask_at).min()
     }
 
@@ -135,7 +143,13 @@
         self.next += 1;
         match Socket::connect(self.address, &self.handle, Peer::Board(at)) {
             Ok(socket) => {
-                let mut poll = Poll { socket, asked: now, watch: self.last, connecting: true, late: false };
+                let mut poll = Poll {
+                    socket,
+                    asked: now,
+                    watch: self.last,
+                    connecting: true,
+                    late: false,
+                };
                 self.question(now, &mut poll, counters);
                 self.polls.insert(at, poll);
             }
@@ -169,7 +183,9 @@
     }
 
     pub fn ready(&mut self, now: Moment, at: u64, counters: &mut Counters) {
-        let Some(poll) = self.polls.get_mut(&at) else { return };
+        let Some(poll) = self.polls.get_mut(&at) else {
+            return;
+        };
         if poll.connecting {
             match poll.socket.connected() {
                 Ok(true) => poll.connecting = false,
@@ -181,13 +197,19 @@
             }
         }
         poll.socket.news();
-        let read = poll.socket.flush().and_then(|()| poll.socket.fill(http::LARGEST));
+        let read = poll
+            .socket
+            .flush()
+            .and_then(|()| poll.socket.fill(http::LARGEST));
         let ended = poll.socket.ended;
         match http::take(&mut poll.socket.inbox, ended) {
             Answered::Events(events, keep) => {
                 let watch = poll.watch;
                 let early = (now - poll.asked).secs() < LINGER_S * 0.5;
-                let mut poll = self.polls.remove(&at).filter(|_| keep && !ended && read.is_ok());
+                let mut poll = self
+                    .polls
+                    .remove(&at)
+                    .filter(|_| keep && !ended && read.is_ok());
                 let before = self.last;
                 self.take(watch, events, counters);
                 // An answer at once that brings nothing would have us ask without a pause.
@@ -237,7 +259,11 @@
             let whole = event.list.as_ref().is_some_and(|change| change.whole);
             // What the board no longer holds from the start on, it cannot tell a second time either.
             if event.number != self.last + 1 && !whole && watch != 0 {
-                warn!(number = event.number, last = self.last, "gap in the notice board's events");
+                warn!(
+                    number = event.number,
+                    last = self.last,
+                    "gap in the notice board's events"
+                );
                 self.last = 0;
                 return;
             }
--- a/crates/gateway/src/clients/comment.rs
+++ b/crates/gateway/src/clients/comment.rs
@@ -41,7 +41,10 @@
 pub fn read(text: &[u8]) -> Result<Commented<'_>, CommentError> {
     let text = text.trim_ascii_start();
     let inner = text.strip_prefix(b"/*").ok_or(CommentError::None)?;
-    let end = inner.windows(2).position(|pair| pair == b"*/").ok_or(CommentError::None)?;
+    let end = inner
+        .windows(2)
+        .position(|pair| pair == b"*/")
+        .ok_or(CommentError::None)?;
     let fields = std::str::from_utf8(&inner[..end]).map_err(|_| CommentError::None)?;
     let statement = inner[end + 2..].trim_ascii_start();
     let field = |name: &'static str| {
@@ -63,7 +66,8 @@
     // Neither may end a field or a line on its way on.
     let plain = |name| match field(name)? {
         Some(value)
-            if value.len() > LONGEST_WORD || !value.bytes().all(|byte| byte.is_ascii_alphanumeric()) =>
+            if value.len() > LONGEST_WORD
+                || !value.bytes().all(|byte| byte.is_ascii_alphanumeric()) =>
         {
             Err(CommentError::Unusable(name))
         }
@@ -107,7 +111,10 @@
             continue;
         };
         let tables = [&b"from"[..], b"join", b"into", b"update", b"table"];
-        if tables.iter().any(|keyword| name.eq_ignore_ascii_case(keyword)) {
+        if tables
+            .iter()
+            .any(|keyword| name.eq_ignore_ascii_case(keyword))
+        {
             after_keyword = true;
             continue;
         }
@@ -172,9 +179,14 @@
                 [b'#', ..] | [b'-', b'-', ..] => drop(self.until(1, b"\n")),
                 [b'`', ..] => return Some(Word::Name(self.until(1, b"`"))),
                 [byte, ..] => {
-                    let named =
-                        |byte: &u8| byte.is_ascii_alphanumeric() || b"_$".contains(byte) || *byte > 127;
-                    let end = self.0.iter().position(|byte| !named(byte)).unwrap_or(self.0.len());
+                    let named = |byte: &u8| {
+                        byte.is_ascii_alphanumeric() || b"_$".contains(byte) || *byte > 127
+                    };
+                    let end = self
+                        .0
+                        .iter()
+                        .position(|byte| !named(byte))
+                        .unwrap_or(self.0.len());
                     if end == 0 {
                         self.0 = &self.0[1..];
                         return Some(Word::Other(byte));
--- a/crates/gateway/src/clients/mod.rs
+++ b/crates/gateway/src/clients/mod.rs
@@ -163,7 +163,8 @@
 
     /// A packet that is not read to its end; what follows has no meaning.
     fn turn_away(&mut self, now: Moment, why: &str) {
-        self.socket.put(&Answer::to(self.seq).error(1153, b"08S01", why));
+        self.socket
+            .put(&Answer::to(self.seq).error(1153, b"08S01", why));
         (self.phase, self.moved) = (Phase::Closing, now);
     }
 
@@ -205,7 +206,12 @@
 impl Clients {
     pub fn new(handle: &Loop, share: usize, bound: usize, progress: bool, now: Moment) -> Self {
         let progressing = BTreeSet::new();
-        let (sessions, again, left, news) = (BTreeMap::new(), BTreeSet::new(), BTreeSet::new(), Vec::new());
+        let (sessions, again, left, news) = (
+            BTreeMap::new(),
+            BTreeSet::new(),
+            BTreeSet::new(),
+            Vec::new(),
+        );
         Clients {
             handle: handle.clone(),
             share,
@@ -226,7 +232,11 @@
     /// Room for one more, if need be in the place of another. With an answer owed on all, connections wait in the
     /// machine's backlog, where they cost us nothing.
     pub fn room(&self) -> bool {
-        self.sessions.len() < self.share || self.sessions.values().any(|session| session.spare().is_some())
+        self.sessions.len() < self.share
+            || self
+                .sessions
+                .values()
+                .any(|session| session.spare().is_some())
     }
 
     /// Against clients that keep their connection for good, or connect by the hundred and say nothing. Those that
@@ -250,19 +260,32 @@
     fn close_one(&mut self, now: Moment, counters: &mut Counters) -> bool {
         let (mut new, mut oldest) = (0, [None; 3]);
         for (id, session) in &self.sessions {
-            let Some((rest, since)) = session.spare() else { continue };
+            let Some((rest, since)) = session.spare() else {
+                continue;
+            };
             new += usize::from(rest == Rest::New);
             let oldest = &mut oldest[rest as usize];
-            *oldest = oldest.map_or(Some((since, *id)), |old: (Moment, u32)| Some(old.min((since, *id))));
+            *oldest = oldest.map_or(Some((since, *id)), |old: (Moment, u32)| {
+                Some(old.min((since, *id)))
+            });
         }
         let [over, new_one, idle_one] = oldest;
         let crowd = new as f64 > self.share as f64 * NEW_SHARE;
-        let goes = if crowd { new_one.or(idle_one) } else { idle_one.or(new_one) };
-        let Some((_, id)) = over.or(goes) else { return false };
+        let goes = if crowd {
+            new_one.or(idle_one)
+        } else {
+            idle_one.or(new_one)
+        };
+        let Some((_, id)) = over.or(goes) else {
+            return false;
+        };
         // One that asks in this very moment is none to spare, and another goes.
         if self.at_rest(now, id, counters) {
             counters.sessions_crowded += 1;
-            self.sessions.get_mut(&id).into_iter().for_each(|session| session.socket.finish());
+            self.sessions
+                .get_mut(&id)
+                .into_iter()
+                .for_each(|session| session.socket.finish());
             self.end(id, counters);
         }
         true
@@ -271,12 +294,17 @@
     /// The last look before a session is closed: nothing whole has come since it was read. What has is worked off, and the
     /// session stays for its answer.
     fn at_rest(&mut self, now: Moment, id: u32, counters: &mut Counters) -> bool {
-        let Some(session) = self.sessions.get_mut(&id) else { return true };
+        let Some(session) = self.sessions.get_mut(&id) else {
+            return true;
+        };
         session.socket.news();
         if session.phase == Phase::Closing || self.read(id).is_err() {
             return true;
         }
-        let rests = self.sessions.get(&id).is_none_or(|session| !session.whole());
+        let rests = self
+            .sessions
+            .get(&id)
+            .is_none_or(|session| !session.whole());
         if !rests {
             self.work(now, id, counters);
         }
@@ -298,7 +326,10 @@
     pub fn part_all(&mut self, now: Moment, counters: &mut Counters) -> bool {
         let all: Vec<u32> = self.sessions.keys().copied().collect();
         // First a look at all, so that what came is answered before anybody is sent away.
-        let ask = all.iter().filter(|id| !self.at_rest(now, **id, counters)).count();
+        let ask = all
+            .iter()
+            .filter(|id| !self.at_rest(now, **id, counters))
+            .count();
         let quiet = ask == 0 && self.all_quiet() && !self.has_news();
         if quiet {
             all.into_iter().for_each(|id| self.part(now, id, counters));
@@ -316,7 +347,9 @@
 
     /// No answer is owed and none is on its way.
     pub fn all_quiet(&self) -> bool {
-        self.sessions.values().all(|s| !s.asked && s.socket.unwritten() == 0)
+        self.sessions
+            .values()
+            .all(|s| !s.asked && s.socket.unwritten() == 0)
     }
 
     pub fn has_news(&self) -> bool {
@@ -327,7 +360,13 @@
         std::mem::take(&mut self.news)
     }
 
-    pub fn accept(&mut self, now: Moment, stream: TcpStream, from: IpAddr, counters: &mut Counters) {
+    pub fn accept(
+        &mut self,
+        now: Moment,
+        stream: TcpStream,
+        from: IpAddr,
+        counters: &mut Counters,
+    ) {
         self.make_room(now, counters);
         // Zero is what an unset connection id reads as.
         self.next = self.next.checked_add(1).unwrap_or(1);
@@ -356,27 +395,38 @@
             left: None,
             written: 0,
         };
-        session.socket.put(&packets::greeting(id, self.progress, self.tls.is_some()));
+        session
+            .socket
+            .put(&packets::greeting(id, self.progress, self.tls.is_some()));
         self.sessions.insert(id, session);
         self.ready(now, id, counters);
     }
 
     pub fn ready(&mut self, now: Moment, id: u32, counters: &mut Counters) {
-        let Some(session) = self.sessions.get_mut(&id) else { return };
+        let Some(session) = self.sessions.get_mut(&id) else {
+            return;
+        };
         session.socket.news();
         self.work(now, id, counters);
     }
 
     /// Goes on with sessions that had used up their part of the turn before.
     pub fn go_on(&mut self, now: Moment, counters: &mut Counters) {
-        std::mem::take(&mut self.again).into_iter().for_each(|id| self.work(now, id, counters));
+        std::mem::take(&mut self.again)
+            .into_iter()
+            .for_each(|id| self.work(now, id, counters));
     }
 
     /// Reads what there is room for.
     fn read(&mut self, id: u32) -> io::Result<()> {
-        let Some(session) = self.sessions.get_mut(&id) else { return Ok(()) };
+        let Some(session) = self.sessions.get_mut(&id) else {
+            return Ok(());
+        };
         let before = session.socket.inbox.len();
-        let read = session.socket.flush().and_then(|()| session.socket.fill(ROOM));
+        let read = session
+            .socket
+            .flush()
+            .and_then(|()| session.socket.fill(ROOM));
         self.unread += session.socket.inbox.len() - before;
         read
     }
@@ -386,7 +436,9 @@
         if self.read(id).is_err() {
             return self.end(id, counters);
         }
-        let Some(session) = self.sessions.get_mut(&id) else { return };
+        let Some(session) = self.sessions.get_mut(&id) else {
+            return;
+        };
         // Where there is no room to read up to it, the end has to be asked for.
         let full = session.asked && session.socket.inbox.len() >= ROOM;
         let left = session.socket.ended
@@ -397,12 +449,18 @@
         if left {
             // What we write is acknowledged, and the machine's word of the client's end with it.
             let taken_now = session.opened == now;
-            let came = if taken_now { session.heard } else { session.socket.heard(now) };
+            let came = if taken_now {
+                session.heard
+            } else {
+                session.socket.heard(now)
+            };
             session.left.get_or_insert(Left { seen: now, came });
             self.left.insert(id);
         }
         for _ in 0..COMMANDS {
-            let Some(session) = self.sessions.get_mut(&id) else { return };
+            let Some(session) = self.sessions.get_mut(&id) else {
+                return;
+            };
             if session.held() {
                 break;
             }
@@ -420,14 +478,19 @@
                 Err(too_large) => session.turn_away(now, &too_large.to_string()),
             }
         }
-        let Some(session) = self.sessions.get_mut(&id) else { return };
+        let Some(session) = self.sessions.get_mut(&id) else {
+            return;
+        };
         if session.phase == Phase::Closing {
             // Read on for a while all the same: closing with unread input would reset our last word away.
             self.unread -= session.socket.inbox.len();
             session.socket.inbox.clear();
         }
         let behind = session.asked && session.whole();
-        session.behind = session.behind.filter(|_| session.whole()).or(behind.then_some(now));
+        session.behind = session
+            .behind
+            .filter(|_| session.whole())
+            .or(behind.then_some(now));
         let begun = !session.held() && !session.socket.inbox.is_empty();
         session.begun = session.begun.filter(|_| begun).or(begun.then_some(now));
         // What is held goes on with its answer, or when its client has read.
@@ -440,7 +503,9 @@
 
     /// Writes what is to be written, and closes what has said all.
     fn settle(&mut self, now: Moment, id: u32, counters: &mut Counters) {
-        let Some(session) = self.sessions.get_mut(&id) else { return };
+        let Some(session) = self.sessions.get_mut(&id) else {
+            return;
+        };
         if session.socket.flush().is_err() {
             return self.end(id, counters);
         }
@@ -457,10 +522,15 @@
     }
 
     fn packet(&mut self, now: Moment, id: u32, body: &[u8], counters: &mut Counters) {
-        let Some(session) = self.sessions.get_mut(&id) else { return };
+        let Some(session) = self.sessions.get_mut(&id) else {
+            return;
+        };
         let answer = Answer::to(session.seq);
         if let Some(tls) = &self.tls
-            && matches!(session.phase, Phase::Login | Phase::Secured | Phase::Password)
+            && matches!(
+                session.phase,
+                Phase::Login | Phase::Secured | Phase::Password
+            )
         {
             let known = match (session.phase, packets::hello(body)) {
                 (Phase::Login, packets::Hello::Tls) => {
@@ -474,12 +544,18 @@
                     return;
                 }
                 // Nothing of it is read: what ought to be secret is not to be sent so again.
-                (Phase::Login, packets::Hello::Login) => Err((3159, b"HY000", "TLS is required here")),
+                (Phase::Login, packets::Hello::Login) => {
+                    Err((3159, b"HY000", "TLS is required here"))
+                }
                 (Phase::Secured, _) => packets::token_login(body).map(|()| answer.ask_clear()),
                 _ => match std::str::from_utf8(body.strip_suffix(&[0]).unwrap_or(body)) {
                     Ok(token) => {
                         session.asked = true;
-                        self.news.push(News::Token { session: id, token: token.into(), login: true });
+                        self.news.push(News::Token {
+                            session: id,
+                            token: token.into(),
+                            login: true,
+                        });
                         return;
                     }
                     Err(_) => Err((1045, b"28000", "Access denied")),
@@ -493,7 +569,9 @@
                 Err((code, state, text)) => {
                     counters.logins_denied += 1;
                     session.phase = Phase::Closing;
-                    session.socket.put(&Answer::to(session.seq).error(code, state, text));
+                    session
+                        .socket
+                        .put(&Answer::to(session.seq).error(code, state, text));
                 }
             }
             return;
@@ -520,12 +598,20 @@
         match packets::command(body) {
             Command::Quit => session.phase = Phase::Closing,
             Command::Ping | Command::Fine => session.socket.put(&answer.ok()),
-            Command::Unknown => session.socket.put(&answer.error(1047, b"08S01", "Unknown command")),
+            Command::Unknown => {
+                session
+                    .socket
+                    .put(&answer.error(1047, b"08S01", "Unknown command"))
+            }
             Command::Query(text) => match packets::query(text) {
                 Query::Fine => session.socket.put(&answer.ok()),
                 Query::Renew(token) if self.tls.is_some() => {
                     session.asked = true;
-                    self.news.push(News::Token { session: id, token: token.into(), login: false });
+                    self.news.push(News::Token {
+                        session: id,
+                        token: token.into(),
+                        login: false,
+                    });
                 }
                 Query::Renew(_) => session.socket.put(&answer.ok()),
                 Query::Variable(name) => {
@@ -536,26 +622,45 @@
                 }
                 Query::Kill { connection, whole } => {
                     session.asked = true;
-                    self.news.push(News::Kill { by: id, session: connection, whole });
+                    self.news.push(News::Kill {
+                        by: id,
+                        session: connection,
+                        whole,
+                    });
                 }
                 Query::Statement => {
                     session.asked = true;
                     let (text, from) = (Bytes::copy_from_slice(text), session.from);
                     let came = session.behind.unwrap_or(now);
-                    self.news.push(News::Asked { session: id, text, from, came });
+                    self.news.push(News::Asked {
+                        session: id,
+                        text,
+                        from,
+                        came,
+                    });
                 }
                 Query::Fleet => {
                     session.asked = true;
-                    self.news.push(News::Fleet { session: id, text: Bytes::copy_from_slice(text) });
+                    self.news.push(News::Fleet {
+                        session: id,
+                        text: Bytes::copy_from_slice(text),
+                    });
                 }
                 Query::Shares => {
                     session.asked = true;
-                    self.news.push(News::Shares { session: id, text: Bytes::copy_from_slice(text) });
+                    self.news.push(News::Shares {
+                        session: id,
+                        text: Bytes::copy_from_slice(text),
+                    });
                 }
                 Query::Queue(rid) => {
                     session.asked = true;
                     let (text, id_of) = (Bytes::copy_from_slice(text), rid.map(String::from));
-                    self.news.push(News::Queue { session: id, text, id: id_of });
+                    self.news.push(News::Queue {
+                        session: id,
+                        text,
+                        id: id_of,
+                    });
                 }
             },
         }
@@ -563,7 +668,10 @@
 
     /// The statement that a session's query became.
     pub fn took(&mut self, id: u32, statement: StatementId) {
-        self.sessions.get_mut(&id).into_iter().for_each(|session| session.statement = Some(statement));
+        self.sessions
+            .get_mut(&id)
+            .into_iter()
+            .for_each(|session| session.statement = Some(statement));
     }
 
     /// Callers are to be known from now on; new handshakes use this, sessions that stand keep what they have.
@@ -576,7 +684,9 @@
     }
 
     pub fn from(&self, id: u32) -> IpAddr {
-        self.sessions.get(&id).map_or(IpAddr::from([0; 4]), |session| session.from)
+        self.sessions
+            .get(&id)
+            .map_or(IpAddr::from([0; 4]), |session| session.from)
     }
 
     pub fn token(&self, id: u32) -> Option<Rc<str>> {
@@ -614,8 +724,17 @@
     }
 
     /// A report ahead of a session's answer; one that does not read its reports gets no more.
-    pub fn tell_progress(&mut self, now: Moment, id: u32, done: u32, text: &str, counters: &mut Counters) {
-        let Some(session) = self.sessions.get_mut(&id) else { return };
+    pub fn tell_progress(
+        &mut self,
+        now: Moment,
+        id: u32,
+        done: u32,
+        text: &str,
+        counters: &mut Counters,
+    ) {
+        let Some(session) = self.sessions.get_mut(&id) else {
+            return;
+        };
         if !session.asked || session.socket.unwritten() > 0 {
             return;
         }
@@ -634,7 +753,9 @@
         counters: &mut Counters,
         answer: impl FnOnce(Answer) -> BytesMut,
     ) -> bool {
-        let Some(session) = self.sessions.get_mut(&id).filter(|session| session.asked) else { return false };
+        let Some(session) = self.sessions.get_mut(&id).filter(|session| session.asked) else {
+            return false;
+        };
         session.socket.put(&answer(Answer::to(session.seq)));
         (session.asked, session.statement, session.moved) = (false, None, now);
         self.work(now, id, counters);
@@ -676,7 +797,9 @@
     }
 
     fn end(&mut self, id: u32, counters: &mut Counters) {
-        let Some(session) = self.sessions.remove(&id) else { return };
+        let Some(session) = self.sessions.remove(&id) else {
+            return;
+        };
         counters.sessions_closed += 1;
         self.progressing.remove(&id);
         self.left.remove(&id);
@@ -686,7 +809,11 @@
 
     pub fn next_due(&self, now: Moment) -> Option<Moment> {
         let sweep = (!self.sessions.is_empty()).then_some(self.sweep);
-        if self.again.is_empty() && self.news.is_empty() { sweep } else { Some(now) }
+        if self.again.is_empty() && self.news.is_empty() {
+            sweep
+        } else {
+            Some(now)
+        }
     }
 
     pub fn expire(&mut self, now: Moment, counters: &mut Counters) {
@@ -694,12 +821,20 @@
             return;
         }
         self.sweep = now + Span::from_secs(SWEEP_S);
-        let over = self.sessions.iter().filter(|(_, session)| session.over(now));
+        let over = self
+            .sessions
+            .iter()
+            .filter(|(_, session)| session.over(now));
         // Who does not read would not read our last word either.
-        let stuck = |session: &Session| session.phase == Phase::Closing || session.socket.unwritten() > 0;
+        let stuck =
+            |session: &Session| session.phase == Phase::Closing || session.socket.unwritten() > 0;
         let over: Vec<(u32, bool)> = over.map(|(id, session)| (*id, stuck(session))).collect();
         for (id, stuck) in over {
-            if stuck { self.end(id, counters) } else { self.part(now, id, counters) }
+            if stuck {
+                self.end(id, counters)
+            } else {
+                self.part(now, id, counters)
+            }
         }
     }
 }
--- a/crates/gateway/src/clients/packets.rs
+++ b/crates/gateway/src/clients/packets.rs
@@ -4,7 +4,9 @@
 use mysql_common::constants::{CapabilityFlags, ColumnType, StatusFlags};
 use mysql_common::io::ParseBuf;
 use mysql_common::misc::raw::{RawBytes, bytes::LenEnc};
-use mysql_common::packets::{Column, ErrPacket, HandshakePacket, HandshakeResponse, ServerError, SqlState};
+use mysql_common::packets::{
+    Column, ErrPacket, HandshakePacket, HandshakeResponse, ServerError, SqlState,
+};
 use mysql_common::proto::codec::{ChunkDecoder, ChunkInfo, packet_to_chunks};
 use mysql_common::proto::{MyDeserialize, MySerialize};
 use thiserror::Error;
@@ -37,7 +39,9 @@
 
 /// Whether `take` would bring something now.
 pub fn waiting(from: &[u8]) -> bool {
-    let Some(head) = from.get(..4) else { return false };
+    let Some(head) = from.get(..4) else {
+        return false;
+    };
     let length = u32::from_le_bytes([head[0], head[1], head[2], 0]) as usize;
     length > LARGEST || from.len() >= 4 + length
 }
@@ -51,7 +55,11 @@
 
 impl Answer {
     pub fn to(seq: u8) -> Self {
-        Answer { seq: seq.wrapping_add(1), bytes: BytesMut::new(), packet: Vec::new() }
+        Answer {
+            seq: seq.wrapping_add(1),
+            bytes: BytesMut::new(),
+            packet: Vec::new(),
+        }
     }
 
     fn packet(&mut self, write: impl FnOnce(&mut Vec<u8>)) {
@@ -79,7 +87,8 @@
     /// Columns by name, and rows of text.
     pub fn table<const N: usize>(mut self, names: [&str; N], rows: &[[String; N]]) -> BytesMut {
         self.columns(&names);
-        rows.iter().for_each(|row| self.row(row.iter().map(String::as_bytes)));
+        rows.iter()
+            .for_each(|row| self.row(row.iter().map(String::as_bytes)));
         self.eof();
         self.bytes
     }
@@ -98,7 +107,9 @@
         self.packet(|out| out.push(names.len() as u8));
         for name in names {
             let column = Column::new(ColumnType::MYSQL_TYPE_VAR_STRING).with_name(name.as_bytes());
-            let column = column.with_character_set(UTF8.into()).with_column_length(1 << 16);
+            let column = column
+                .with_character_set(UTF8.into())
+                .with_column_length(1 << 16);
             self.packet(|out| column.serialize(out));
         }
         self.eof();
@@ -147,7 +158,11 @@
 /// the last four bytes of what is reserved are further capabilities.
 /// `tls`: the client may ask for TLS.
 pub fn greeting(connection: u32, progress: bool, tls: bool) -> BytesMut {
-    let more = if tls { CapabilityFlags::CLIENT_SSL } else { CapabilityFlags::empty() };
+    let more = if tls {
+        CapabilityFlags::CLIENT_SSL
+    } else {
+        CapabilityFlags::empty()
+    };
     let packet = HandshakePacket::new(
         10,
         &b"8.0.0-laurelhitch"[..],
@@ -164,7 +179,11 @@
     answer.packet(|out| {
         packet.serialize(out);
         // Version, connection, first part of the scramble and its end stand ahead of the capabilities.
-        let lower = out.iter().skip(1).position(|byte| *byte == 0).map_or(0, |end| end + 2 + 4 + 8 + 1);
+        let lower = out
+            .iter()
+            .skip(1)
+            .position(|byte| *byte == 0)
+            .map_or(0, |end| end + 2 + 4 + 8 + 1);
         if progress && out.len() > lower + 18 {
             out[lower] &= !(CapabilityFlags::CLIENT_LONG_PASSWORD.bits() as u8);
             out[lower + 14..lower + 18].copy_from_slice(&PROGRESS.to_le_bytes());
@@ -175,8 +194,10 @@
 
 /// Whether a login announces that progress reports are understood.
 pub fn takes_progress(body: &[u8]) -> bool {
-    let word =
-        |at: usize| body.get(at..at + 4).map(|word| u32::from_le_bytes([word[0], word[1], word[2], word[3]]));
+    let word = |at: usize| {
+        body.get(at..at + 4)
+            .map(|word| u32::from_le_bytes([word[0], word[1], word[2], word[3]]))
+    };
     let mysql = CapabilityFlags::CLIENT_LONG_PASSWORD.bits();
     word(0).is_some_and(|own| own & mysql == 0) && word(28).is_some_and(|more| more & PROGRESS != 0)
 }
@@ -191,9 +212,15 @@
 
 /// Whether a first packet only asks for TLS: it ends before the user's name.
 pub fn hello(body: &[u8]) -> Hello {
-    let word = body.get(..4).map(|word| u32::from_le_bytes([word[0], word[1], word[2], word[3]]));
+    let word = body
+        .get(..4)
+        .map(|word| u32::from_le_bytes([word[0], word[1], word[2], word[3]]));
     let tls = word.is_some_and(|own| own & CapabilityFlags::CLIENT_SSL.bits() != 0);
-    if tls && body.len() == 32 { Hello::Tls } else { Hello::Login }
+    if tls && body.len() == 32 {
+        Hello::Tls
+    } else {
+        Hello::Login
+    }
 }
 
 /// The user that a token is the password of.
@@ -230,15 +257,24 @@
     // Only what both sides can do shapes the packet; ordinary clients name more than they were offered.
     let mut body = body.to_vec();
     let offered = offered().bits().to_le_bytes();
-    body.iter_mut().zip(offered).for_each(|(theirs, ours)| *theirs &= ours);
-    let response = HandshakeResponse::deserialize((), &mut ParseBuf(&body)).map_err(|_| malformed)?;
-    if !response.capabilities().contains(CapabilityFlags::CLIENT_PROTOCOL_41) {
+    body.iter_mut()
+        .zip(offered)
+        .for_each(|(theirs, ours)| *theirs &= ours);
+    let response =
+        HandshakeResponse::deserialize((), &mut ParseBuf(&body)).map_err(|_| malformed)?;
+    if !response
+        .capabilities()
+        .contains(CapabilityFlags::CLIENT_PROTOCOL_41)
+    {
         return Err(malformed);
     }
     if response.user() != user || empty && !response.scramble_buf().is_empty() {
         return Err((1045, b"28000", "Access denied"));
     }
-    if response.db_name().is_some_and(|name| !name.is_empty() && name != DATABASE) {
+    if response
+        .db_name()
+        .is_some_and(|name| !name.is_empty() && name != DATABASE)
+    {
         return Err((1049, b"42000", "Unknown database"));
     }
     Ok(())
@@ -287,7 +323,9 @@
 }
 
 pub fn query(text: &[u8]) -> Query<'_> {
-    let Ok(plain) = std::str::from_utf8(text) else { return Query::Statement };
+    let Ok(plain) = std::str::from_utf8(text) else {
+        return Query::Statement;
+    };
     let plain = plain.trim().trim_end_matches(';').trim_end();
     let mut words = plain.split_ascii_whitespace();
     let mut word = || words.next().unwrap_or("");
@@ -295,8 +333,17 @@
     let is = |word: &str, name: &str| word.eq_ignore_ascii_case(name);
     if is(first, "kill") {
         let whole = !is(second, "query");
-        let number = if whole && !is(second, "connection") { second } else { third };
-        return number.parse().map_or(Query::Statement, |connection| Query::Kill { connection, whole });
+        let number = if whole && !is(second, "connection") {
+            second
+        } else {
+            third
+        };
+        return number
+            .parse()
+            .map_or(Query::Statement, |connection| Query::Kill {
+                connection,
+                whole,
+            });
     }
     if is(first, "show") && is(second, "fleet") && third.is_empty() {
         return Query::Fleet;
@@ -313,7 +360,9 @@
         }
     }
     if is(first, "set") && is(second, "@laurelhitch_token") && third == "=" {
-        let token = more.strip_prefix('\'').and_then(|token| token.strip_suffix('\''));
+        let token = more
+            .strip_prefix('\'')
+            .and_then(|token| token.strip_suffix('\''));
         return token.map_or(Query::Statement, Query::Renew);
     }
     let plain_words = ["set", "use", "begin", "commit", "rollback", "start"];
@@ -321,7 +370,10 @@
         return Query::Fine;
     }
     match second.strip_prefix("@@") {
-        Some(_) if is(first, "select") && (third.is_empty() || is(third, "limit") && !more.is_empty()) => {
+        Some(_)
+            if is(first, "select")
+                && (third.is_empty() || is(third, "limit") && !more.is_empty()) =>
+        {
             Query::Variable(second)
         }
         _ => Query::Statement,
--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -13,7 +13,10 @@
 
 impl Clock {
     pub fn start() -> Self {
-        Clock { unix: since_epoch(), at: Instant::now() }
+        Clock {
+            unix: since_epoch(),
+            at: Instant::now(),
+        }
     }
 
     pub fn now(&self) -> Moment {
@@ -38,7 +41,9 @@
 }
 
 fn since_epoch() -> Duration {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default()
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
 }
 
 /// See [`Clock::steady`].
--- a/crates/gateway/src/command.rs
+++ b/crates/gateway/src/command.rs
@@ -111,13 +111,19 @@
 type Done = Result<(), Box<dyn Error>>;
 
 pub fn run(line: CommandLine) -> Done {
-    let Common { operator, log_format } = line.common;
+    let Common {
+        operator,
+        log_format,
+    } = line.common;
     match line.command.unwrap_or(Command::Serve) {
         Command::Serve => serve(operator, log_format),
         Command::Check { config } => check(operator, config),
-        Command::Queue { address, member, rid, json } => {
-            queue(address, member.as_deref(), rid.as_deref(), json)
-        }
+        Command::Queue {
+            address,
+            member,
+            rid,
+            json,
+        } => queue(address, member.as_deref(), rid.as_deref(), json),
         Command::Fleet { address, json } => fleet(address, json),
         Command::Shares { address, json } => shares(address, json),
         Command::FleetKeys(command) => fleet_keys(command),
@@ -132,13 +138,19 @@
 }
 
 fn configured(named: Option<PathBuf>) -> Result<PathBuf, ConfigError> {
-    named.or_else(|| std::env::var_os("RELAY_CONFIG").map(PathBuf::from)).ok_or(ConfigError::NoPath)
+    named
+        .or_else(|| std::env::var_os("RELAY_CONFIG").map(PathBuf::from))
+        .ok_or(ConfigError::NoPath)
 }
 
 fn serve(operator: Option<PathBuf>, format: LogFormat) -> Done {
     let signals = lifecycle::signals()?;
-    let level = EnvFilter::try_from_env("LAURELHITCH_LOG").unwrap_or_else(|_| EnvFilter::new("info"));
-    let log = tracing_subscriber::fmt().with_env_filter(level).with_writer(std::io::stderr).with_ansi(false);
+    let level =
+        EnvFilter::try_from_env("LAURELHITCH_LOG").unwrap_or_else(|_| EnvFilter::new("info"));
+    let log = tracing_subscriber::fmt()
+        .with_env_filter(level)
+        .with_writer(std::io::stderr)
+        .with_ansi(false);
     match format {
         LogFormat::Text => log.init(),
         LogFormat::Json => log.json().init(),
@@ -154,10 +166,20 @@
     let path = configured(config)?;
     let config = Config::read(&path)?;
     config.settings.policy(config.seed, crate::service::WAY)?;
-    println!("configuration {}: gateway {}, listens on {}", path.display(), config.name, config.listen);
-    println!("  products: {}", config.settings.product_names()?.join(", "));
+    println!(
+        "configuration {}: gateway {}, listens on {}",
+        path.display(),
+        config.name,
+        config.listen
+    );
+    println!(
+        "  products: {}",
+        config.settings.product_names()?.join(", ")
+    );
     println!("  members: {}", config.settings.tenant_names()?.join(", "));
-    let file = operator.as_deref().map_or("no operator's file".to_owned(), shown);
+    let file = operator
+        .as_deref()
+        .map_or("no operator's file".to_owned(), shown);
     let operated = Operated::read(operator, &config)?;
     if let Some((name, terms)) = &operated.fleet {
         let keys = crate::fleet::files::read(&terms.keys_folder)?;
@@ -166,7 +188,11 @@
             terms.fleet, terms.bind, terms.advertise
         );
         let seeds: Vec<String> = terms.seeds.iter().map(ToString::to_string).collect();
-        println!("  seeds {}; {} keys accepted", seeds.join(", "), keys.accepted().count());
+        println!(
+            "  seeds {}; {} keys accepted",
+            seeds.join(", "),
+            keys.accepted().count()
+        );
         let paces = &terms.paces;
         println!(
             "  probes each {} s, answers within {} s, {} helpers; hearsay counts from {} gateways on",
@@ -197,7 +223,10 @@
         );
         for budget in &terms.budgets {
             let (name, unit) = (budget.name(), budget.unit());
-            println!("  {name:<24} whole {} {unit}, floor of each {}", budget.whole, budget.floor);
+            println!(
+                "  {name:<24} whole {} {unit}, floor of each {}",
+                budget.whole, budget.floor
+            );
         }
     }
     let Some(terms) = operated.queues else {
@@ -212,7 +241,10 @@
     );
     println!("  this gateway's part, in CPU s a second:");
     for member in &terms.members {
-        println!("  {:<20} {:>8.3}  weight {}", member.name, member.claim.budget, member.claim.weight);
+        println!(
+            "  {:<20} {:>8.3}  weight {}",
+            member.name, member.claim.budget, member.claim.weight
+        );
         for desk in &member.desks {
             let networks: Vec<String> = desk.networks.iter().map(ToString::to_string).collect();
             println!(
@@ -245,7 +277,9 @@
 fn shares(address: SocketAddr, as_json: bool) -> Done {
     let rows = match Client::login(address)?.ask("SHOW SHARES")? {
         Answer::Rows(rows) => rows,
-        Answer::Error(..) => return Err(format!("{address} divides no budgets: its shares are off").into()),
+        Answer::Error(..) => {
+            return Err(format!("{address} divides no budgets: its shares are off").into());
+        }
         other => return Err(format!("{address} answered {other:?}").into()),
     };
     table(&status::SHARES, &rows, as_json)
@@ -257,7 +291,9 @@
         FleetKeys::Add { folder, name } => {
             let mut key = zeroize::Zeroizing::new([0; 32]);
             let random = rustls::crypto::ring::default_provider().secure_random;
-            random.fill(&mut *key).map_err(|_| "the machine gives no random bytes")?;
+            random
+                .fill(&mut *key)
+                .map_err(|_| "the machine gives no random bytes")?;
             std::fs::create_dir_all(&folder)?;
             files::add(&folder, &name, &key)?;
         }
@@ -266,7 +302,14 @@
         FleetKeys::List { folder } => {
             let (names, signs) = files::list(&folder)?;
             for name in names {
-                println!("{name}{}", if signs.as_ref() == Some(&name) { "  signs" } else { "" });
+                println!(
+                    "{name}{}",
+                    if signs.as_ref() == Some(&name) {
+                        "  signs"
+                    } else {
+                        ""
+                    }
+                );
             }
         }
     }
@@ -293,22 +336,45 @@
 
 fn table(columns: &[&str], rows: &[Vec<String>], as_json: bool) -> Done {
     if as_json {
-        let number = |value: &str| value.parse::<f64>().map_or_else(|_| json!(value), |number| json!(number));
+        let number = |value: &str| {
+            value
+                .parse::<f64>()
+                .map_or_else(|_| json!(value), |number| json!(number))
+        };
         let object = |row: &Vec<String>| {
-            let fields = columns.iter().zip(row).map(|(name, value)| ((*name).to_owned(), number(value)));
+            let fields = columns
+                .iter()
+                .zip(row)
+                .map(|(name, value)| ((*name).to_owned(), number(value)));
             Value::Object(fields.collect::<Map<_, _>>())
         };
-        println!("{}", serde_json::to_string_pretty(&rows.iter().map(object).collect::<Vec<_>>())?);
+        println!(
+            "{}",
+            serde_json::to_string_pretty(&rows.iter().map(object).collect::<Vec<_>>())?
+        );
         return Ok(());
     }
-    let width =
-        |at: usize| rows.iter().map(|row| row[at].len()).chain([columns[at].len()]).max().unwrap_or(0);
+    let width = |at: usize| {
+        rows.iter()
+            .map(|row| row[at].len())
+            .chain([columns[at].len()])
+            .max()
+            .unwrap_or(0)
+    };
     let widths: Vec<usize> = (0..columns.len()).map(width).collect();
     let head: Vec<String> = columns.iter().map(ToString::to_string).collect();
     for row in [&head].into_iter().chain(rows) {
-        let cells = row.iter().zip(&widths).enumerate().map(|(at, (cell, width))| {
-            if at < 2 { format!("{cell:<width$}") } else { format!("{cell:>width$}") }
-        });
+        let cells = row
+            .iter()
+            .zip(&widths)
+            .enumerate()
+            .map(|(at, (cell, width))| {
+                if at < 2 {
+                    format!("{cell:<width$}")
+                } else {
+                    format!("{cell:>width$}")
+                }
+            });
         println!("{}", cells.collect::<Vec<_>>().join("  ").trim_end());
     }
     Ok(())
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -54,21 +54,34 @@
     /// # Errors
     /// The file cannot be used, or contradicts the configuration.
     pub fn read(file: Option<PathBuf>, config: &Config) -> Result<Self, ConfigError> {
-        let Some(path) = file else { return Ok(Operated::default()) };
+        let Some(path) = file else {
+            return Ok(Operated::default());
+        };
         let operator = Operator::read(&path)?;
         let known = config.settings.tenant_names()?;
         if let Some(terms) = &operator.queues {
-            let unknown =
-                terms.members.iter().find(|member| !known.is_empty() && !known.contains(&member.name));
+            let unknown = terms
+                .members
+                .iter()
+                .find(|member| !known.is_empty() && !known.contains(&member.name));
             if let Some(member) = unknown {
-                return Err(ConfigError::Member(path.display().to_string(), member.name.clone()));
+                return Err(ConfigError::Member(
+                    path.display().to_string(),
+                    member.name.clone(),
+                ));
             }
         }
         // Divided among all, a budget is whole here: what of it is this gateway's is told as it changes.
         let divided = |of: &::shares::Use| matches!(of, ::shares::Use::Member(_));
-        let divided =
-            operator.shares.as_ref().is_some_and(|terms| terms.budgets.iter().any(|b| divided(&b.of)));
-        let part = if divided { 1.0 } else { 1.0 / config.settings.peers()? };
+        let divided = operator
+            .shares
+            .as_ref()
+            .is_some_and(|terms| terms.budgets.iter().any(|b| divided(&b.of)));
+        let part = if divided {
+            1.0
+        } else {
+            1.0 / config.settings.peers()?
+        };
         let queues = operator.queues.map(|terms| terms.part(part));
         let products = config.settings.product_names()?;
         let of = operator.shares.iter().flat_map(|terms| &terms.budgets);
@@ -80,12 +93,20 @@
             return Err(ConfigError::Product(path.display().to_string(), product));
         }
         let named = |terms: FleetTerms| {
-            let own =
-                || Name::new(&config.name).map_err(|e| ConfigError::Name(path.display().to_string(), e));
+            let own = || {
+                Name::new(&config.name)
+                    .map_err(|e| ConfigError::Name(path.display().to_string(), e))
+            };
             Ok::<_, ConfigError>((terms.name.clone().map_or_else(own, Ok)?, terms))
         };
         let fleet = operator.fleet.map(named).transpose()?;
-        Ok(Operated { file: Some(path), queues, callers: operator.identity, fleet, shares: operator.shares })
+        Ok(Operated {
+            file: Some(path),
+            queues,
+            callers: operator.identity,
+            fleet,
+            shares: operator.shares,
+        })
     }
 }
 
@@ -119,11 +140,15 @@
             ("limits.memory_mb", self.memory_mb == other.memory_mb),
             ("settings", self.settings == other.settings),
         ];
-        same.into_iter().filter(|(_, same)| !same).map(|(name, _)| name).collect()
+        same.into_iter()
+            .filter(|(_, same)| !same)
+            .map(|(name, _)| name)
+            .collect()
     }
 
     pub fn read(path: &Path) -> Result<Self, ConfigError> {
-        let text = std::fs::read(path).map_err(|e| ConfigError::Unreadable(path.display().to_string(), e))?;
+        let text = std::fs::read(path)
+            .map_err(|e| ConfigError::Unreadable(path.display().to_string(), e))?;
         Self::parse(&text)
     }
 
@@ -131,10 +156,14 @@
         let json: Value = serde_json::from_slice(text)?;
         let text = |name: &'static str| json[name].as_str().ok_or(ConfigError::Field(name));
         let address = |name| text(name)?.parse().map_err(|_| ConfigError::Field(name));
-        let settings =
-            json.get("settings").filter(|s| s.is_object()).ok_or(ConfigError::Field("settings"))?;
+        let settings = json
+            .get("settings")
+            .filter(|s| s.is_object())
+            .ok_or(ConfigError::Field("settings"))?;
         let memory_mb = json["limits"]["memory_mb"].as_f64().filter(|mb| *mb >= 1.0);
-        let sockets = json["limits"]["sockets"].as_u64().filter(|n| (16..=1 << 20).contains(n));
+        let sockets = json["limits"]["sockets"]
+            .as_u64()
+            .filter(|n| (16..=1 << 20).contains(n));
         Ok(Config {
             name: text("name")?.to_owned(),
             listen: address("listen")?,
--- a/crates/gateway/src/credentials.rs
+++ b/crates/gateway/src/credentials.rs
@@ -97,7 +97,10 @@
 }
 
 fn now_s() -> f64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs_f64()
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_secs_f64()
 }
 
 fn id(name: String) -> Result<KeyId, Box<dyn Error>> {
@@ -125,8 +128,10 @@
         Keys::New { folder, id: name } => {
             let id = id(name)?;
             fs::create_dir_all(&folder)?;
-            let (secret_path, public_path) =
-                (keyfiles::secret_path(&folder, &id), keyfiles::public_path(&folder, &id));
+            let (secret_path, public_path) = (
+                keyfiles::secret_path(&folder, &id),
+                keyfiles::public_path(&folder, &id),
+            );
             for path in [&secret_path, &public_path] {
                 if path.exists() {
                     return Err(FilesError::There(path.clone()).into());
@@ -147,12 +152,18 @@
             }
             Ok(())
         }
-        Keys::Announce { folder, id: name, signs_in_s } => {
+        Keys::Announce {
+            folder,
+            id: name,
+            signs_in_s,
+        } => {
             let id = id(name)?;
             if !keyfiles::public_path(&folder, &id).exists() {
-                return Err(
-                    format!("{}: make it first", keyfiles::public_path(&folder, &id).display()).into()
-                );
+                return Err(format!(
+                    "{}: make it first",
+                    keyfiles::public_path(&folder, &id).display()
+                )
+                .into());
             }
             change(&folder, |index| {
                 if index.keys.iter().any(|listed| listed.id == id) {
@@ -160,11 +171,21 @@
                 }
                 let now = now_s();
                 let signs_s = Some(now + signs_in_s.max(0.0));
-                index.keys.push(Listed { id, announced_s: now, signs_s, retires_s: None, withdrawn_s: None });
+                index.keys.push(Listed {
+                    id,
+                    announced_s: now,
+                    signs_s,
+                    retires_s: None,
+                    withdrawn_s: None,
+                });
                 Ok(())
             })
         }
-        Keys::Retire { folder, id: name, in_s } => {
+        Keys::Retire {
+            folder,
+            id: name,
+            in_s,
+        } => {
             let id = id(name)?;
             change(&folder, |index| {
                 let of = listed(index, &id)?;
@@ -172,7 +193,11 @@
                 Ok(())
             })
         }
-        Keys::Withdraw { folder, id: name, in_s } => {
+        Keys::Withdraw {
+            folder,
+            id: name,
+            in_s,
+        } => {
             let id = id(name)?;
             change(&folder, |index| {
                 let (of, at) = (listed(index, &id)?, now_s() + in_s);
@@ -191,7 +216,8 @@
         Token::Issue(issue) => {
             let id = id(issue.key)?;
             let secret = keyfiles::secret(&issue.folder, &id)?;
-            let set = |of: Vec<String>| (!of.is_empty()).then(|| of.into_iter().collect::<BTreeSet<_>>());
+            let set =
+                |of: Vec<String>| (!of.is_empty()).then(|| of.into_iter().collect::<BTreeSet<_>>());
             let grant = Grant {
                 member: issue.member,
                 desks: set(issue.desk),
@@ -238,14 +264,23 @@
                 Verdict::Refused(why) => Err(why.to_string().into()),
             }
         }
-        Token::Revoke { folder, token, caller } => {
+        Token::Revoke {
+            folder,
+            token,
+            caller,
+        } => {
             let path = folder.join("revoked");
-            let mut text = if path.exists() { fs::read_to_string(&path)? } else { String::new() };
+            let mut text = if path.exists() {
+                fs::read_to_string(&path)?
+            } else {
+                String::new()
+            };
             if !text.is_empty() && !text.ends_with('\n') {
                 text.push('\n');
             }
             for (kind, name) in [("token", token), ("caller", caller)] {
-                name.into_iter().for_each(|name| text.push_str(&format!("{kind} {name}\n")));
+                name.into_iter()
+                    .for_each(|name| text.push_str(&format!("{kind} {name}\n")));
             }
             if let Err(line) = identity::revoked::Revoked::parse(&text) {
                 return Err(FilesError::Revoked(path, line).into());
--- a/crates/gateway/src/engines/lines.rs
+++ b/crates/gateway/src/engines/lines.rs
@@ -51,10 +51,16 @@
     pub fn take(from: &mut BytesMut) -> Result<Option<Answer>, LineError> {
         let seen = &from[..from.len().min(HEAD)];
         let Some(end) = seen.windows(2).position(|pair| pair == b"\r\n") else {
-            return if seen.len() == HEAD { Err(LineError::Long) } else { Ok(None) };
+            return if seen.len() == HEAD {
+                Err(LineError::Long)
+            } else {
+                Ok(None)
+            };
         };
         let words: Vec<&[u8]> = seen[..end].split(|byte| *byte == b' ').collect();
-        let [id, word, fields, length] = words[..] else { return Err(LineError::Words) };
+        let [id, word, fields, length] = words[..] else {
+            return Err(LineError::Words);
+        };
         if id.is_empty() || fields.is_empty() {
             return Err(LineError::Words);
         }
@@ -83,12 +89,19 @@
         }
         from.advance(2);
         let fields = head.slice(fields.0..fields.0 + fields.1);
-        Ok(Some(Answer { id: head.slice(..id), word, fields, body }))
+        Ok(Some(Answer {
+            id: head.slice(..id),
+            word,
+            fields,
+            body,
+        }))
     }
 
     pub fn field(&self, name: &str) -> Option<&[u8]> {
         let pairs = self.fields.split(|byte| *byte == b',');
-        pairs.filter_map(|pair| pair.strip_prefix(name.as_bytes())).find_map(|rest| rest.strip_prefix(b"="))
+        pairs
+            .filter_map(|pair| pair.strip_prefix(name.as_bytes()))
+            .find_map(|rest| rest.strip_prefix(b"="))
     }
 
     pub fn number<T: std::str::FromStr>(&self, name: &str) -> Option<T> {
@@ -128,10 +141,13 @@
     line.extend(b"do ");
     line.extend(rid);
     line.extend(format!(" profile={product},max={max_ms}").as_bytes());
-    rank.into_iter().for_each(|rank| line.extend(format!(",band={rank}").as_bytes()));
+    rank.into_iter()
+        .for_each(|rank| line.extend(format!(",band={rank}").as_bytes()));
     let Tags { mark, key } = tags;
-    mark.iter().for_each(|mark| line.extend(format!(",replay={mark}").as_bytes()));
-    key.iter().for_each(|key| line.extend(format!(",thing={key}").as_bytes()));
+    mark.iter()
+        .for_each(|mark| line.extend(format!(",replay={mark}").as_bytes()));
+    key.iter()
+        .for_each(|key| line.extend(format!(",thing={key}").as_bytes()));
     line.extend(format!(" {}\r\n", statement.len()).as_bytes());
     line.extend(statement);
     line.extend(b"\r\n");
--- a/crates/gateway/src/engines/mod.rs
+++ b/crates/gateway/src/engines/mod.rs
@@ -149,19 +149,38 @@
             None => drop(self.addresses.remove(&engine)),
         }
         // Idle ones to where it is no longer go at once, the others with their last relay.
-        let of: Vec<u64> = self.of.get(&engine).into_iter().flatten().copied().collect();
+        let of: Vec<u64> = self
+            .of
+            .get(&engine)
+            .into_iter()
+            .flatten()
+            .copied()
+            .collect();
         of.into_iter().for_each(|at| self.settle(at));
     }
 
     /// The list says that an engine drains or is gone: what has not begun to leave for it must not begin any more. A
     /// connection that comes up late would carry it past the grace.
     pub fn closed(&mut self, now: Moment, engine: EngineId, counters: &mut Counters) {
-        let of: Vec<u64> = self.of.get(&engine).into_iter().flatten().copied().collect();
+        let of: Vec<u64> = self
+            .of
+            .get(&engine)
+            .into_iter()
+            .flatten()
+            .copied()
+            .collect();
         for at in of {
-            let Some(connection) = self.connections.get(&at) else { continue };
+            let Some(connection) = self.connections.get(&at) else {
+                continue;
+            };
             let written = connection.socket.written;
-            let unbegun = connection.relays.iter().filter(|(_, relay)| relay.starts_at >= written);
-            let mut unbegun: Vec<(u64, Rid)> = unbegun.map(|(rid, relay)| (relay.starts_at, *rid)).collect();
+            let unbegun = connection
+                .relays
+                .iter()
+                .filter(|(_, relay)| relay.starts_at >= written);
+            let mut unbegun: Vec<(u64, Rid)> = unbegun
+                .map(|(rid, relay)| (relay.starts_at, *rid))
+                .collect();
             unbegun.sort_unstable();
             for (_, rid) in unbegun {
                 self.withdraw(now, at, &rid, News::Withdrawn, counters);
@@ -184,7 +203,9 @@
         let max_ms = ((o.due - now).secs() * 1e3).max(1.0) as u64;
         let connection = self.connections.get_mut(&at).expect("just chosen");
         let starts_at = connection.socket.put;
-        connection.socket.put(&lines::relay(&o.rid, o.product, max_ms, o.rank, o.tags, o.text));
+        connection.socket.put(&lines::relay(
+            &o.rid, o.product, max_ms, o.rank, o.tags, o.text,
+        ));
         let relay = Relay {
             statement: o.statement,
             relay: o.relay,
@@ -198,7 +219,8 @@
         connection.relays.insert(o.rid, relay);
         self.places.insert((o.statement, o.relay), (at, o.rid));
         self.dues.insert((o.due, o.statement, o.relay));
-        self.leaves.extend(o.leave_by.map(|by| (by, o.statement, o.relay)));
+        self.leaves
+            .extend(o.leave_by.map(|by| (by, o.statement, o.relay)));
         self.settle(at);
         self.flush(now, at, counters);
         Some(at)
@@ -217,10 +239,18 @@
                     && !o.avoid.contains(at)
                     && !c.relays.contains_key(&o.rid)
             };
-            let of = self.of.get(&o.engine).into_iter().flatten().map(|at| (*at, &self.connections[at]));
-            let least = of.filter(fits).min_by_key(|(_, c)| (c.relays.len(), Reverse(c.quiet_since)));
+            let of = self
+                .of
+                .get(&o.engine)
+                .into_iter()
+                .flatten()
+                .map(|at| (*at, &self.connections[at]));
+            let least = of
+                .filter(fits)
+                .min_by_key(|(_, c)| (c.relays.len(), Reverse(c.quiet_since)));
             let full = self.connections.len() >= self.share;
-            let Some((at, rests)) = least.map(|(at, c)| (at, c.relays.is_empty() && c.connecting.is_none()))
+            let Some((at, rests)) =
+                least.map(|(at, c)| (at, c.relays.is_empty() && c.connecting.is_none()))
             else {
                 break;
             };
@@ -232,7 +262,10 @@
             }
             // A last look: its engine may have closed it since this turn's events were taken, and what is written on it
             // then may have run for all that can be known.
-            self.connections.get_mut(&at).into_iter().for_each(|connection| connection.socket.news());
+            self.connections
+                .get_mut(&at)
+                .into_iter()
+                .for_each(|connection| connection.socket.news());
             self.read(now, at, counters);
             if self.connections.contains_key(&at) {
                 return Some(at);
@@ -259,7 +292,9 @@
                 debug!(engine = o.engine.0, ?error, "no connection could be begun");
                 // Our own shortage must not be laid at the engine's door.
                 let (news, count) = match error {
-                    Some(error) if is_shortage(&error) => (News::NeverSent, &mut counters.relays_unsent),
+                    Some(error) if is_shortage(&error) => {
+                        (News::NeverSent, &mut counters.relays_unsent)
+                    }
                     _ => (News::Unreachable, &mut counters.relays_unreachable),
                 };
                 *count += 1;
@@ -306,17 +341,29 @@
     /// What a change means for a connection: one that is of no use goes once it is empty, of the others the time
     /// stands at which they are looked at next.
     fn settle(&mut self, at: u64) {
-        let (rest, idle) = (Span::from_secs(REST_S), Span::from_secs(self.links.idle.secs() * IDLE_PART));
-        let Some(connection) = self.connections.get_mut(&at) else { return };
+        let (rest, idle) = (
+            Span::from_secs(REST_S),
+            Span::from_secs(self.links.idle.secs() * IDLE_PART),
+        );
+        let Some(connection) = self.connections.get_mut(&at) else {
+            return;
+        };
         let empty = connection.relays.is_empty();
         let there = self.addresses.get(&connection.engine) == Some(&connection.address);
         if empty && connection.connecting.is_none() && (connection.spent || !there) {
             drop(self.drop_connection(at));
             return;
         }
-        let coming = connection.relays.values().filter_map(|relay| relay.coming.as_ref());
+        let coming = connection
+            .relays
+            .values()
+            .filter_map(|relay| relay.coming.as_ref());
         let coming = coming.map(|coming| coming.moved).min();
-        let stalls = connection.begun.into_iter().chain(coming).map(|since| since + rest);
+        let stalls = connection
+            .begun
+            .into_iter()
+            .chain(coming)
+            .map(|since| since + rest);
         let quiet = empty.then_some(connection.quiet_since + idle);
         let end = stalls.chain(connection.connecting).chain(quiet).min();
         // With relays out the last of them looks after itself.
@@ -335,8 +382,16 @@
     }
 
     /// Its client sends no more: what has not left whole stays here. Nothing is said of what has.
-    pub fn stay(&mut self, now: Moment, id: StatementId, no: RelayNo, counters: &mut Counters) -> bool {
-        let Some((at, rid)) = self.places.get(&(id, no)).copied() else { return false };
+    pub fn stay(
+        &mut self,
+        now: Moment,
+        id: StatementId,
+        no: RelayNo,
+        counters: &mut Counters,
+    ) -> bool {
+        let Some((at, rid)) = self.places.get(&(id, no)).copied() else {
+            return false;
+        };
         self.withdraw(now, at, &rid, News::Withdrawn, counters)
     }
 
@@ -345,8 +400,13 @@
         if self.stay(now, id, no, counters) {
             return;
         }
-        let Some((at, rid)) = self.places.get(&(id, no)).copied() else { return };
-        let relay = self.connections.get_mut(&at).and_then(|connection| connection.relays.get_mut(&rid));
+        let Some((at, rid)) = self.places.get(&(id, no)).copied() else {
+            return;
+        };
+        let relay = self
+            .connections
+            .get_mut(&at)
+            .and_then(|connection| connection.relays.get_mut(&rid));
         relay.into_iter().for_each(|relay| relay.unwanted = true);
         self.complete(now, at, &rid, counters);
     }
@@ -354,7 +414,9 @@
     /// Relays out to each engine, as they stand on the sockets.
     pub fn out(&self) -> BTreeMap<EngineId, u32> {
         let mut out = BTreeMap::new();
-        self.connections.values().for_each(|c| *out.entry(c.engine).or_default() += c.relays.len() as u32);
+        self.connections
+            .values()
+            .for_each(|c| *out.entry(c.engine).or_default() += c.relays.len() as u32);
         out.retain(|_, relays| *relays > 0);
         out
     }
@@ -362,10 +424,15 @@
     /// The gateway ends: what is out is to have ended by then.
     pub fn end_by(&mut self, by: Moment) {
         for connection in self.connections.values_mut() {
-            connection.relays.values_mut().for_each(|relay| relay.due = relay.due.min(by));
+            connection
+                .relays
+                .values_mut()
+                .for_each(|relay| relay.due = relay.due.min(by));
         }
-        self.dues =
-            std::mem::take(&mut self.dues).into_iter().map(|(due, s, r)| (due.min(by), s, r)).collect();
+        self.dues = std::mem::take(&mut self.dues)
+            .into_iter()
+            .map(|(due, s, r)| (due.min(by), s, r))
+            .collect();
     }
 
     /// Where a statement's relays stand, for a line in the log.
@@ -379,7 +446,14 @@
         let relay = self.dues.first().map(|due| due.0);
         let again = (!self.again.is_empty()).then_some(now);
         let leave = self.leaves.first().map(|leave| leave.0);
-        self.ends.first().map(|end| end.0).into_iter().chain(relay).chain(leave).chain(again).min()
+        self.ends
+            .first()
+            .map(|end| end.0)
+            .into_iter()
+            .chain(relay)
+            .chain(leave)
+            .chain(again)
+            .min()
     }
 
     pub fn expire(&mut self, now: Moment, counters: &mut Counters) {
@@ -409,20 +483,44 @@
 
     /// Reads on where a turn's part was not enough.
     pub fn go_on(&mut self, now: Moment, counters: &mut Counters) {
-        std::mem::take(&mut self.again).into_iter().for_each(|at| self.read(now, at, counters));
+        std::mem::take(&mut self.again)
+            .into_iter()
+            .for_each(|at| self.read(now, at, counters));
     }
 
-    fn give_up(&mut self, now: Moment, id: StatementId, no: RelayNo, news: News, counters: &mut Counters) {
-        let Some((at, rid)) = self.places.get(&(id, no)).copied() else { return };
-        let Some(connection) = self.connections.get_mut(&at) else { return };
-        let Some(relay) = connection.relays.get(&rid) else { return };
+    fn give_up(
+        &mut self,
+        now: Moment,
+        id: StatementId,
+        no: RelayNo,
+        news: News,
+        counters: &mut Counters,
+    ) {
+        let Some((at, rid)) = self.places.get(&(id, no)).copied() else {
+            return;
+        };
+        let Some(connection) = self.connections.get_mut(&at) else {
+            return;
+        };
+        let Some(relay) = connection.relays.get(&rid) else {
+            return;
+        };
         // Not up in the statement's time tells of the engine; bytes that it did not take yet, of nobody.
-        let kept = if connection.connecting.is_some() { News::Unreachable } else { News::NeverSent };
-        if relay.ends_at > connection.socket.written && self.withdraw(now, at, &rid, kept, counters) {
+        let kept = if connection.connecting.is_some() {
+            News::Unreachable
+        } else {
+            News::NeverSent
+        };
+        if relay.ends_at > connection.socket.written && self.withdraw(now, at, &rid, kept, counters)
+        {
             return;
         }
-        let Some(connection) = self.connections.get_mut(&at) else { return };
-        let Some(relay) = connection.relays.get(&rid) else { return };
+        let Some(connection) = self.connections.get_mut(&at) else {
+            return;
+        };
+        let Some(relay) = connection.relays.get(&rid) else {
+            return;
+        };
         if relay.coming.is_some() {
             connection.socket.put(&lines::forget(&rid));
         } else {
@@ -437,16 +535,30 @@
 
     /// Takes a relay back that has not left this machine whole. It has its answer, or is about to: a connection that comes
     /// up later, or takes bytes again, must not carry it on after that. True: it is off the books, and never ran.
-    fn withdraw(&mut self, now: Moment, at: u64, rid: &Rid, news: News, counters: &mut Counters) -> bool {
-        let Some(connection) = self.connections.get_mut(&at) else { return false };
-        let Some(relay) = connection.relays.get(rid) else { return false };
+    fn withdraw(
+        &mut self,
+        now: Moment,
+        at: u64,
+        rid: &Rid,
+        news: News,
+        counters: &mut Counters,
+    ) -> bool {
+        let Some(connection) = self.connections.get_mut(&at) else {
+            return false;
+        };
+        let Some(relay) = connection.relays.get(rid) else {
+            return false;
+        };
         let (from, to, latency) = (relay.starts_at, relay.ends_at, now - relay.sent);
         if to <= connection.socket.written {
             return false;
         }
         let alone = connection.relays.len() == 1;
         if connection.socket.take_back(from, to) {
-            let later = connection.relays.values_mut().filter(|relay| relay.starts_at >= to);
+            let later = connection
+                .relays
+                .values_mut()
+                .filter(|relay| relay.starts_at >= to);
             later.for_each(|relay| {
                 (relay.starts_at, relay.ends_at) =
                     (relay.starts_at - (to - from), relay.ends_at - (to - from));
@@ -467,20 +579,40 @@
     }
 
     /// Takes a relay off the books and tells of its end.
-    fn over(&mut self, now: Moment, at: u64, rid: &Rid, news: News, latency: Span, pages: Vec<Bytes>) {
-        let Some(connection) = self.connections.get_mut(&at) else { return };
-        let Some(relay) = connection.relays.remove(rid) else { return };
+    fn over(
+        &mut self,
+        now: Moment,
+        at: u64,
+        rid: &Rid,
+        news: News,
+        latency: Span,
+        pages: Vec<Bytes>,
+    ) {
+        let Some(connection) = self.connections.get_mut(&at) else {
+            return;
+        };
+        let Some(relay) = connection.relays.remove(rid) else {
+            return;
+        };
         if connection.relays.is_empty() {
             connection.quiet_since = now;
         }
         let (statement, relay_no) = (relay.statement, relay.relay);
         self.places.remove(&(statement, relay_no));
         self.dues.remove(&(relay.due, statement, relay_no));
-        self.reports.push(Report { statement, relay: relay_no, news, latency, pages });
+        self.reports.push(Report {
+            statement,
+            relay: relay_no,
+            news,
+            latency,
+            pages,
+        });
     }
 
     fn flush(&mut self, now: Moment, at: u64, counters: &mut Counters) {
-        let Some(connection) = self.connections.get_mut(&at) else { return };
+        let Some(connection) = self.connections.get_mut(&at) else {
+            return;
+        };
         if connection.connecting.is_none()
             && let Err(error) = connection.socket.flush()
         {
@@ -490,15 +622,26 @@
 
     /// A connection is lost. What had not left this machine whole never ran; the rest may have.
     fn end(&mut self, now: Moment, at: u64, why: &str, counters: &mut Counters) {
-        let Some(connection) = self.connections.get(&at) else { return };
-        debug!(engine = connection.engine.0, relays = connection.relays.len(), why, "connection lost");
+        let Some(connection) = self.connections.get(&at) else {
+            return;
+        };
+        debug!(
+            engine = connection.engine.0,
+            relays = connection.relays.len(),
+            why,
+            "connection lost"
+        );
         let written = connection.socket.written;
         let mut ends: Vec<(StatementId, Rid, News, Span)> = connection
             .relays
             .iter()
             .map(|(rid, relay)| {
                 let never = connection.connecting.is_some() || relay.ends_at > written;
-                let news = if never { News::Unreachable } else { News::Reset };
+                let news = if never {
+                    News::Unreachable
+                } else {
+                    News::Reset
+                };
                 (relay.statement, *rid, news, now - relay.sent)
             })
             .collect();
@@ -515,7 +658,9 @@
     }
 
     pub fn ready(&mut self, now: Moment, at: u64, counters: &mut Counters) {
-        let Some(connection) = self.connections.get_mut(&at) else { return };
+        let Some(connection) = self.connections.get_mut(&at) else {
+            return;
+        };
         if connection.connecting.is_some() {
             match connection.socket.connected() {
                 Ok(false) => return,
@@ -531,11 +676,15 @@
     /// Reads a bounded part. Bytes that can't be used end the connection at once, whatever else it says.
     fn read(&mut self, now: Moment, at: u64, counters: &mut Counters) {
         for _ in 0..READS {
-            let Some(connection) = self.connections.get_mut(&at) else { return };
+            let Some(connection) = self.connections.get_mut(&at) else {
+                return;
+            };
             let read = connection.socket.fill(lines::BOUND);
             // What came before an end still counts.
             loop {
-                let Some(connection) = self.connections.get_mut(&at) else { return };
+                let Some(connection) = self.connections.get_mut(&at) else {
+                    return;
+                };
                 match Answer::take(&mut connection.socket.inbox) {
                     Ok(Some(answer)) => {
                         connection.begun = None;
@@ -548,7 +697,9 @@
                     }
                 }
             }
-            let Some(connection) = self.connections.get_mut(&at) else { return };
+            let Some(connection) = self.connections.get_mut(&at) else {
+                return;
+            };
             match read {
                 Err(error) => return self.end(now, at, &error.to_string(), counters),
                 Ok(()) if connection.socket.ended => {
@@ -562,7 +713,10 @@
                 counters.answers_spoilt += 1;
                 return self.end(now, at, "half an answer to nothing", counters);
             }
-            connection.begun = connection.begun.filter(|_| partial).or(partial.then_some(now));
+            connection.begun = connection
+                .begun
+                .filter(|_| partial)
+                .or(partial.then_some(now));
             if !connection.socket.more() {
                 return self.settle(at);
             }
@@ -572,9 +726,12 @@
     }
 
     fn answered(&mut self, now: Moment, at: u64, answer: Answer, counters: &mut Counters) {
-        let Some(connection) = self.connections.get_mut(&at) else { return };
+        let Some(connection) = self.connections.get_mut(&at) else {
+            return;
+        };
         let rid = Rid::try_from(&answer.id[..]).ok();
-        let Some((rid, relay)) = rid.and_then(|rid| Some((rid, connection.relays.get_mut(&rid)?))) else {
+        let Some((rid, relay)) = rid.and_then(|rid| Some((rid, connection.relays.get_mut(&rid)?)))
+        else {
             // Late, twice or unasked: no further relay of that id is ever on this connection.
             counters.answers_late += u64::from(answer.word != Word::Fit);
             return;
@@ -590,7 +747,13 @@
                     _ => return,
                 };
                 let (statement, relay) = (relay.statement, relay.relay);
-                self.reports.push(Report { statement, relay, news, latency, pages: Vec::new() });
+                self.reports.push(Report {
+                    statement,
+                    relay,
+                    news,
+                    latency,
+                    pages: Vec::new(),
+                });
                 return;
             }
             Word::Wait => (News::TurnedAway, &mut counters.relays_full),
@@ -626,7 +789,8 @@
                 counters.pages += 1;
                 let number = answer.number::<usize>("index").unwrap_or(0);
                 let coming = relay.coming.as_mut();
-                let slot = coming.and_then(|c| Some((&mut c.size, &mut c.moved, c.pages.get_mut(number)?)));
+                let slot = coming
+                    .and_then(|c| Some((&mut c.size, &mut c.moved, c.pages.get_mut(number)?)));
                 let Some((size, moved, slot @ None)) = slot else {
                     counters.answers_late += 1;
                     return;
@@ -642,21 +806,36 @@
 
     /// Ends a relay whose pages are all there, or not wanted. What is no text of whole rows ends the connection.
     fn complete(&mut self, now: Moment, at: u64, rid: &Rid, counters: &mut Counters) {
-        let Some(connection) = self.connections.get_mut(&at) else { return };
-        let Some(relay) = connection.relays.get_mut(rid) else { return };
-        let Some(coming) = relay.coming.as_mut() else { return };
+        let Some(connection) = self.connections.get_mut(&at) else {
+            return;
+        };
+        let Some(relay) = connection.relays.get_mut(rid) else {
+            return;
+        };
+        let Some(coming) = relay.coming.as_mut() else {
+            return;
+        };
         let missing = coming.pages.iter().any(Option::is_none);
-        let pages: Vec<Bytes> =
-            if missing { Vec::new() } else { coming.pages.iter().flatten().cloned().collect() };
+        let pages: Vec<Bytes> = if missing {
+            Vec::new()
+        } else {
+            coming.pages.iter().flatten().cloned().collect()
+        };
         if coming.size > RESULT || !pages.iter().all(|page| is_rows(page)) {
             counters.answers_spoilt += 1;
-            debug!(engine = connection.engine.0, "a result that is no rows of text");
+            debug!(
+                engine = connection.engine.0,
+                "a result that is no rows of text"
+            );
             return self.end(now, at, "a result that is no rows of text", counters);
         }
         if missing && !relay.unwanted {
             return;
         }
-        let news = News::Completed { cpu: coming.cpu, memory_mb: coming.memory_mb };
+        let news = News::Completed {
+            cpu: coming.cpu,
+            memory_mb: coming.memory_mb,
+        };
         let latency = coming.latency;
         counters.relays_done += 1;
         if missing {
@@ -668,11 +847,16 @@
 }
 
 fn told(answer: &Answer, name: &str) -> Option<f64> {
-    answer.number::<f64>(name).filter(|value| value.is_finite() && *value > 0.0)
+    answer
+        .number::<f64>(name)
+        .filter(|value| value.is_finite() && *value > 0.0)
 }
 
 fn is_rows(page: &[u8]) -> bool {
-    let lines = page.strip_suffix(b"\n").map(|rows| rows.split(|byte| *byte == b'\n'));
+    let lines = page
+        .strip_suffix(b"\n")
+        .map(|rows| rows.split(|byte| *byte == b'\n'));
     let three = |row: &[u8]| row.iter().filter(|byte| **byte == b'\t').count() == 2;
-    std::str::from_utf8(page).is_ok() && (page.is_empty() || lines.is_some_and(|mut lines| lines.all(three)))
+    std::str::from_utf8(page).is_ok()
+        && (page.is_empty() || lines.is_some_and(|mut lines| lines.all(three)))
 }
--- a/crates/gateway/src/fleet/files.rs
+++ b/crates/gateway/src/fleet/files.rs
@@ -28,7 +28,11 @@
 fn usable(name: &str) -> Result<(), FleetKeysError> {
     let plain = |c: char| c.is_ascii_alphanumeric() || c == '_' || c == '-';
     let usable = (1..=32).contains(&name.len()) && name.chars().all(plain);
-    if usable { Ok(()) } else { Err(FleetKeysError::Name(name.into())) }
+    if usable {
+        Ok(())
+    } else {
+        Err(FleetKeysError::Name(name.into()))
+    }
 }
 
 fn path(folder: &Path, name: &str) -> PathBuf {
@@ -42,11 +46,17 @@
     for entry in fs::read_dir(folder).map_err(unreadable)? {
         let path = entry.map_err(unreadable)?.path();
         if path.extension().is_some_and(|ending| ending == "key") {
-            names.extend(path.file_stem().and_then(|name| name.to_str()).map(str::to_owned));
+            names.extend(
+                path.file_stem()
+                    .and_then(|name| name.to_str())
+                    .map(str::to_owned),
+            );
         }
     }
     names.sort();
-    let signs = fs::read_to_string(folder.join("signs")).ok().map(|text| text.trim().to_owned());
+    let signs = fs::read_to_string(folder.join("signs"))
+        .ok()
+        .map(|text| text.trim().to_owned());
     Ok((names, signs))
 }
 
@@ -57,7 +67,10 @@
     let signs = signs.filter(|signs| names.contains(signs));
     let signs = signs.ok_or_else(|| FleetKeysError::Signs(folder.join("signs")))?;
     let key = |name: &str| keyfiles::unhex::<32>(&path(folder, name));
-    let others = names.iter().filter(|name| **name != signs).map(|name| key(name).map(|key| *key));
+    let others = names
+        .iter()
+        .filter(|name| **name != signs)
+        .map(|name| key(name).map(|key| *key));
     let others = Zeroizing::new(others.collect::<Result<Vec<_>, _>>()?);
     Ring::new(&*key(&signs)?, &others).map_err(|error| FleetKeysError::Keys(folder.into(), error))
 }
@@ -82,7 +95,11 @@
     if !path(folder, name).exists() {
         return Err(FleetKeysError::Signs(path(folder, name)));
     }
-    Ok(keyfiles::replace(&folder.join("signs"), format!("{name}\n").as_bytes(), false)?)
+    Ok(keyfiles::replace(
+        &folder.join("signs"),
+        format!("{name}\n").as_bytes(),
+        false,
+    )?)
 }
 
 /// # Errors
--- a/crates/gateway/src/fleet/mod.rs
+++ b/crates/gateway/src/fleet/mod.rs
@@ -76,7 +76,9 @@
             ready.peers.push(Peer::Fleet);
             Ok(PostAction::Continue)
         };
-        let token = handle.insert_source(source, note).map_err(|e| unable(io::Error::other(e.error)))?;
+        let token = handle
+            .insert_source(source, note)
+            .map_err(|e| unable(io::Error::other(e.error)))?;
         let ring = files::read(&terms.keys_folder)?;
         let gateway = Gateway::new(
             now,
@@ -88,7 +90,8 @@
             ring,
             terms.paces.clone(),
             // The configuration's seed may be one text for many starts: a life must not be.
-            seed ^ u64::from(std::process::id()) << 32 ^ (now - Moment::from_secs(0.0)).secs().to_bits(),
+            seed ^ u64::from(std::process::id()) << 32
+                ^ (now - Moment::from_secs(0.0)).secs().to_bits(),
         );
         info!(%name, bind = %terms.bind, advertise = %terms.advertise, "fleet");
         Ok(Fleet {
@@ -112,7 +115,9 @@
     /// A key cannot be used: all stays as it was.
     pub fn change(&mut self, terms: &FleetTerms) -> Result<Vec<&'static str>, FleetError> {
         let ring = files::read(&terms.keys_folder)?;
-        self.control.membership_mut().change(terms.seeds.clone(), ring, terms.paces.clone());
+        self.control
+            .membership_mut()
+            .change(terms.seeds.clone(), ring, terms.paces.clone());
         let old = std::mem::replace(&mut self.terms, terms.clone());
         let same = [
             ("fleet", old.fleet == terms.fleet),
@@ -121,7 +126,11 @@
             ("advertise", old.advertise == terms.advertise),
             ("zone or region", old.place == terms.place),
         ];
-        Ok(same.into_iter().filter(|(_, same)| !same).map(|(name, _)| name).collect())
+        Ok(same
+            .into_iter()
+            .filter(|(_, same)| !same)
+            .map(|(name, _)| name)
+            .collect())
     }
 
     pub fn news(&mut self) {
@@ -132,7 +141,12 @@
         if self.unread {
             return now;
         }
-        self.control.due(Times { now, steady: steady() }).min(self.look_at)
+        self.control
+            .due(Times {
+                now,
+                steady: steady(),
+            })
+            .min(self.look_at)
     }
 
     /// Reads what came, does what is due, sends what follows.
@@ -148,11 +162,20 @@
                 Err(error) if error.kind() == ErrorKind::WouldBlock => self.unread = false,
                 // An earlier datagram came to nobody; nothing is wrong with this socket.
                 Err(error)
-                    if matches!(error.kind(), ErrorKind::Interrupted | ErrorKind::ConnectionRefused) => {}
+                    if matches!(
+                        error.kind(),
+                        ErrorKind::Interrupted | ErrorKind::ConnectionRefused
+                    ) => {}
                 Err(_) => break,
             }
         }
-        self.control.turn(Times { now, steady: steady() }, !self.unread);
+        self.control.turn(
+            Times {
+                now,
+                steady: steady(),
+            },
+            !self.unread,
+        );
         self.control.leases_mut().into_iter().for_each(Parts::log);
         self.flush();
         self.log(now);
@@ -186,8 +209,9 @@
             return Vec::new();
         }
         self.look_at = now + Span::from_secs(LOOK_S);
-        let benched: BTreeMap<EngineId, Moment> =
-            health.filter_map(|of| Some((of.id, of.benched_until.filter(|_| !of.on_hearsay)?))).collect();
+        let benched: BTreeMap<EngineId, Moment> = health
+            .filter_map(|of| Some((of.id, of.benched_until.filter(|_| !of.on_hearsay)?)))
+            .collect();
         for (id, until) in &benched {
             if self.told.get(id).is_none_or(|told| told < until)
                 && let Some(uid) = names.uid(*id)
@@ -196,23 +220,31 @@
             }
         }
         for id in self.told.keys().filter(|id| !benched.contains_key(id)) {
-            names
-                .uid(*id)
-                .into_iter()
-                .for_each(|uid| self.control.membership_mut().saw(now, uid, EngineWord::Back));
+            names.uid(*id).into_iter().for_each(|uid| {
+                self.control
+                    .membership_mut()
+                    .saw(now, uid, EngineWord::Back)
+            });
         }
         self.told = benched;
         let doubts = self.control.membership_mut().doubted(now).into_iter();
         doubts
             .filter_map(|doubt| {
-                Some(EngineDoubt { id: names.id(&doubt.engine)?, seen: doubt.seen, until: doubt.until })
+                Some(EngineDoubt {
+                    id: names.id(&doubt.engine)?,
+                    seen: doubt.seen,
+                    until: doubt.until,
+                })
             })
             .collect()
     }
 
     /// Others are told that it goes; they suspect nothing.
     pub fn leave(&mut self, now: Moment) {
-        self.control.leave(Times { now, steady: steady() });
+        self.control.leave(Times {
+            now,
+            steady: steady(),
+        });
         self.flush();
     }
 
@@ -223,14 +255,21 @@
     /// As the other counters are printed.
     pub fn counters(&mut self, now: Moment) -> String {
         let each = self.control.membership().tally.each();
-        let mut text: String = each.iter().map(|(name, count)| format!("fleet_{name}={count} ")).collect();
+        let mut text: String = each
+            .iter()
+            .map(|(name, count)| format!("fleet_{name}={count} "))
+            .collect();
         text += &format!(
             "fleet_unlogged={} fleet_unsent={} fleet_size={} ",
             self.unlogged,
             self.unsent,
             self.control.membership().size()
         );
-        text += &self.control.leases_mut().map(Parts::counters).unwrap_or_default();
+        text += &self
+            .control
+            .leases_mut()
+            .map(Parts::counters)
+            .unwrap_or_default();
         text += &format!("fleet_uncarried={} ", self.control.undelivered);
         if let Some(heard) = self.control.membership().last_heard() {
             text += &format!("fleet_heard_ms_ago={:.0} ", (now - heard).secs() * 1e3);
@@ -238,14 +277,21 @@
         text += &format!(
             "fleet_table={} fleet_standing={} ",
             self.control.membership().table_len(),
-            self.control.membership().standing().name().replace(' ', "_")
+            self.control
+                .membership()
+                .standing()
+                .name()
+                .replace(' ', "_")
         );
         text
     }
 
     fn log(&mut self, now: Moment) {
         let gone = (now - self.lines.0).secs().max(0.0);
-        self.lines = (now, (self.lines.1 + gone * LINES_PER_S).min(LINES_PER_S * 4.0));
+        self.lines = (
+            now,
+            (self.lines.1 + gone * LINES_PER_S).min(LINES_PER_S * 4.0),
+        );
         for event in self.control.membership_mut().take_events() {
             if self.lines.1 < 1.0 {
                 self.unlogged += 1;
@@ -253,7 +299,11 @@
             }
             self.lines.1 -= 1.0;
             match event {
-                Event::Changed { name, state, incarnation } => {
+                Event::Changed {
+                    name,
+                    state,
+                    incarnation,
+                } => {
                     let bad = matches!(state, State::Suspect | State::Dead);
                     if bad {
                         warn!(gateway = %name, %state, incarnation = incarnation.0, "fleet: another gateway");
@@ -266,9 +316,14 @@
                     info!(standing = standing.name(), why = %standing, size = self.control.membership().size(), "fleet: standing");
                 }
                 Event::Refuted(incarnation) => {
-                    warn!(incarnation = incarnation.0, "fleet: others held this gateway for gone");
+                    warn!(
+                        incarnation = incarnation.0,
+                        "fleet: others held this gateway for gone"
+                    );
+                }
+                Event::StoodStill(span) => {
+                    warn!(seconds = span.secs(), "fleet: this loop stood still")
                 }
-                Event::StoodStill(span) => warn!(seconds = span.secs(), "fleet: this loop stood still"),
                 Event::Doubled { .. } => {
                     warn!(name = %self.control.membership().own().name, "fleet: another process has this name; this one stays out for now");
                 }
@@ -279,6 +334,9 @@
 
 impl Drop for Fleet {
     fn drop(&mut self) {
-        self.token.take().into_iter().for_each(|token| self.handle.remove(token));
+        self.token
+            .take()
+            .into_iter()
+            .for_each(|token| self.handle.remove(token));
     }
 }
--- a/crates/gateway/src/fleet/parts.rs
+++ b/crates/gateway/src/fleet/parts.rs
@@ -72,8 +72,16 @@
 
     fn place(&mut self) {
         let find = |of: Use| self.shares.find(&of);
-        self.relays = self.products.iter().map(|product| find(Use::Relays(product.clone()))).collect();
-        self.members = self.names.iter().map(|member| find(Use::Member(member.clone()))).collect();
+        self.relays = self
+            .products
+            .iter()
+            .map(|product| find(Use::Relays(product.clone())))
+            .collect();
+        self.members = self
+            .names
+            .iter()
+            .map(|member| find(Use::Member(member.clone())))
+            .collect();
         (self.trials, self.cold) = (find(Use::Trials), find(Use::Cold));
     }
 
@@ -87,7 +95,11 @@
             ("term_ms", old.term == terms.term),
             ("drift", old.drift_ppm == terms.drift_ppm),
         ];
-        let kept = same.into_iter().filter(|(_, same)| !same).map(|(name, _)| name).collect();
+        let kept = same
+            .into_iter()
+            .filter(|(_, same)| !same)
+            .map(|(name, _)| name)
+            .collect();
         let steady = self.clock.steady();
         self.shares.change(steady, terms);
         let flow = |name: &String| {
@@ -104,7 +116,11 @@
     pub fn allowed(&mut self, carries: f64, peers: f64, benched: usize) -> Allowed {
         let steady = self.clock.steady();
         let left = |shares: &mut Shares, at: usize| shares.left(steady, at);
-        let relays = self.relays.iter().map(|at| at.map(|at| left(&mut self.shares, at))).collect::<Vec<_>>();
+        let relays = self
+            .relays
+            .iter()
+            .map(|at| at.map(|at| left(&mut self.shares, at)))
+            .collect::<Vec<_>>();
         let trials = self.trials.map(|at| {
             self.shares.needs_at(steady, at, benched as f64);
             left(&mut self.shares, at)
@@ -114,19 +130,29 @@
             self.shares.needs_at(steady, at, (carries / peers).min(1.0));
             self.shares.rate(steady, at)
         });
-        Allowed { relays, trials, cold }
+        Allowed {
+            relays,
+            trials,
+            cold,
+        }
     }
 
     /// A relay that is to go: further ones and trials are paid for here, by the clock as it is now. False: what the
     /// decisions were told is over by now.
     pub fn spend(&mut self, product: usize, again: bool, trial: bool) -> bool {
         let steady = self.clock.steady();
-        let relay = self.relays.get(product).copied().flatten().filter(|_| again);
+        let relay = self
+            .relays
+            .get(product)
+            .copied()
+            .flatten()
+            .filter(|_| again);
         let uses = relay.into_iter().chain(self.trials.filter(|_| trial));
         let uses: Vec<usize> = uses.collect();
         let there = uses.iter().all(|at| self.shares.room(steady, *at, 1.0));
         if there {
-            uses.into_iter().for_each(|at| self.shares.spent(steady, at, 1.0));
+            uses.into_iter()
+                .for_each(|at| self.shares.spent(steady, at, 1.0));
         } else {
             self.short += 1;
         }
@@ -216,8 +242,14 @@
                     );
                 }
                 Event::Differ(of) => {
-                    let of: Vec<String> = of.iter().map(|(who, budget)| format!("{who}: {budget}")).collect();
-                    warn!(of = of.join(", "), "shares: files differ; the smaller whole of a voter counts");
+                    let of: Vec<String> = of
+                        .iter()
+                        .map(|(who, budget)| format!("{who}: {budget}"))
+                        .collect();
+                    warn!(
+                        of = of.join(", "),
+                        "shares: files differ; the smaller whole of a voter counts"
+                    );
                 }
             }
         }
--- a/crates/gateway/src/keyfiles.rs
+++ b/crates/gateway/src/keyfiles.rs
@@ -86,9 +86,17 @@
         public.insert(listed.id.clone(), *unhex(&public_path(folder, &listed.id))?);
     }
     let path = folder.join("revoked");
-    let revoked = if path.exists() { text(&path)? } else { Zeroizing::default() };
+    let revoked = if path.exists() {
+        text(&path)?
+    } else {
+        Zeroizing::default()
+    };
     let revoked = Revoked::parse(&revoked).map_err(|line| FilesError::Revoked(path, line))?;
-    Ok(Files { index, public, revoked })
+    Ok(Files {
+        index,
+        public,
+        revoked,
+    })
 }
 
 /// Writes beside it and renames; readable by its owner alone where it is secret.
@@ -97,12 +105,19 @@
     let beside = path.with_extension(format!("new-{}", std::process::id()));
     let mode = if secret { 0o600 } else { 0o644 };
     let mut options = fs::OpenOptions::new();
-    let mut file = options.write(true).create_new(true).mode(mode).open(&beside).map_err(error)?;
+    let mut file = options
+        .write(true)
+        .create_new(true)
+        .mode(mode)
+        .open(&beside)
+        .map_err(error)?;
     let written = file.write_all(content).and_then(|()| file.sync_all());
-    written.and_then(|()| fs::rename(&beside, path)).map_err(|e| {
-        let _ = fs::remove_file(&beside);
-        error(e)
-    })
+    written
+        .and_then(|()| fs::rename(&beside, path))
+        .map_err(|e| {
+            let _ = fs::remove_file(&beside);
+            error(e)
+        })
 }
 
 /// # Errors
@@ -113,5 +128,11 @@
 }
 
 pub fn hex(bytes: &[u8]) -> Zeroizing<String> {
-    Zeroizing::new(bytes.iter().map(|byte| format!("{byte:02x}")).collect::<String>() + "\n")
+    Zeroizing::new(
+        bytes
+            .iter()
+            .map(|byte| format!("{byte:02x}"))
+            .collect::<String>()
+            + "\n",
+    )
 }
--- a/crates/gateway/src/keywatch.rs
+++ b/crates/gateway/src/keywatch.rs
@@ -40,23 +40,41 @@
     let files = keyfiles::read(&callers.keys_folder)?;
     let path = &callers.certificate;
     let pem = |error| WatchError::Pem(path.clone(), error);
-    let chain =
-        CertificateDer::pem_file_iter(path).map_err(pem)?.collect::<Result<Vec<_>, _>>().map_err(pem)?;
+    let chain = CertificateDer::pem_file_iter(path)
+        .map_err(pem)?
+        .collect::<Result<Vec<_>, _>>()
+        .map_err(pem)?;
     let key = PrivateKeyDer::from_pem_file(&callers.private_key);
     let key = key.map_err(|error| WatchError::Pem(callers.private_key.clone(), error))?;
     let tls = |error| WatchError::Tls(path.clone(), error);
     let provider = Arc::new(rustls::crypto::ring::default_provider());
-    let builder =
-        ServerConfig::builder_with_provider(provider).with_safe_default_protocol_versions().map_err(tls)?;
-    let tls = builder.with_no_client_auth().with_single_cert(chain, key).map_err(tls)?;
-    Ok(Known { files, tls: Arc::new(tls) })
+    let builder = ServerConfig::builder_with_provider(provider)
+        .with_safe_default_protocol_versions()
+        .map_err(tls)?;
+    let tls = builder
+        .with_no_client_auth()
+        .with_single_cert(chain, key)
+        .map_err(tls)?;
+    Ok(Known {
+        files,
+        tls: Arc::new(tls),
+    })
 }
 
 /// What tells that something changed, without reading it.
 fn stamps(callers: &Callers) -> Vec<Option<SystemTime>> {
-    let of =
-        [callers.keys_folder.join("index.json"), callers.certificate.clone(), callers.private_key.clone()];
-    of.iter().map(|path| std::fs::metadata(path).and_then(|data| data.modified()).ok()).collect()
+    let of = [
+        callers.keys_folder.join("index.json"),
+        callers.certificate.clone(),
+        callers.private_key.clone(),
+    ];
+    of.iter()
+        .map(|path| {
+            std::fs::metadata(path)
+                .and_then(|data| data.modified())
+                .ok()
+        })
+        .collect()
 }
 
 /// Starts the thread; it ends with the channel.
--- a/crates/gateway/src/lifecycle.rs
+++ b/crates/gateway/src/lifecycle.rs
@@ -116,7 +116,12 @@
 /// # Errors
 /// The machine gives none.
 pub fn signals() -> Result<Signals, StartError> {
-    let heeded = [Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP, Signal::SIGUSR1];
+    let heeded = [
+        Signal::SIGTERM,
+        Signal::SIGINT,
+        Signal::SIGHUP,
+        Signal::SIGUSR1,
+    ];
     Ok(Signals::new(&heeded)?)
 }
 
@@ -145,9 +150,18 @@
         };
         handle.insert_source(signals, note).map_err(|e| e.error)?;
         let client_share = (config.sockets as f64 * CLIENT_SHARE) as usize;
-        let engine_share = config.sockets.saturating_sub(client_share + OWN_DESCRIPTORS).max(1);
+        let engine_share = config
+            .sockets
+            .saturating_sub(client_share + OWN_DESCRIPTORS)
+            .max(1);
         let unread = (config.memory_mb * UNREAD_SHARE * f64::from(1 << 20)) as usize;
-        let clients = Clients::new(&handle, client_share, unread, operated.queues.is_some(), now);
+        let clients = Clients::new(
+            &handle,
+            client_share,
+            unread,
+            operated.queues.is_some(),
+            now,
+        );
         let engines = Engines::new(&handle, config.settings.links()?, engine_share);
         let board = Board::new(&handle, config.board, config.known.last, config.seed, now);
         let mut service = Service::new(
@@ -163,8 +177,16 @@
         if let Some(callers) = &operated.callers {
             let known = keywatch::read(callers)?;
             let mut guard = Guard::new(unix(), callers.terms);
-            guard.take(unix(), &known.files.index, &known.files.public, known.files.revoked)?;
-            info!(keys = known.files.index.keys.len(), "callers are to be known");
+            guard.take(
+                unix(),
+                &known.files.index,
+                &known.files.public,
+                known.files.revoked,
+            )?;
+            info!(
+                keys = known.files.index.keys.len(),
+                "callers are to be known"
+            );
             service.guard(guard);
             service.clients.secure(known.tls);
             let note = |event, _: &mut (), ready: &mut Ready| {
@@ -172,7 +194,9 @@
                     ready.known.push(known);
                 }
             };
-            handle.insert_source(keywatch::watch(callers.clone()), note).map_err(|e| e.error)?;
+            handle
+                .insert_source(keywatch::watch(callers.clone()), note)
+                .map_err(|e| e.error)?;
         }
         if let Some((name, terms)) = &operated.fleet {
             let mut fleet = Fleet::start(now, &handle, terms, name, config.seed)?;
@@ -180,7 +204,15 @@
                 let products = config.settings.product_names()?;
                 let (own, members) = (fleet.gateway().own().clone(), operated.member_names());
                 let terms = terms.clone();
-                let parts = Parts::new(clock, own.name, own.life, terms, &products, &members, config.seed);
+                let parts = Parts::new(
+                    clock,
+                    own.name,
+                    own.life,
+                    terms,
+                    &products,
+                    &members,
+                    config.seed,
+                );
                 fleet.join(parts);
                 info!("budgets are divided among all gateways");
             }
@@ -188,7 +220,9 @@
         }
         info!(name = config.name, "starting");
         Ok(Lifecycle {
-            phase: Phase::Starting { until: now + Span::from_secs(FIRST_LIST_S) },
+            phase: Phase::Starting {
+                until: now + Span::from_secs(FIRST_LIST_S),
+            },
             event_loop,
             listener: None,
             backlog: false,
@@ -216,7 +250,10 @@
             ready.peers.push(Peer::Listener);
             Ok(PostAction::Continue)
         };
-        self.event_loop.handle().insert_source(source, note).map_err(|e| e.error)?;
+        self.event_loop
+            .handle()
+            .insert_source(source, note)
+            .map_err(|e| e.error)?;
         self.listener = Some(listener);
         Ok(())
     }
@@ -234,8 +271,12 @@
             let counters = &mut self.service.counters;
             counters.turns += 1;
             counters.late_turns += u64::from((now - due).secs() > 0.005);
-            std::mem::take(&mut ready.signals).into_iter().for_each(|signal| self.signal(now, signal));
-            std::mem::take(&mut ready.known).into_iter().for_each(|known| self.known(known));
+            std::mem::take(&mut ready.signals)
+                .into_iter()
+                .for_each(|signal| self.signal(now, signal));
+            std::mem::take(&mut ready.known)
+                .into_iter()
+                .for_each(|known| self.known(known));
             for peer in std::mem::take(&mut ready.peers) {
                 self.ready(now, peer);
             }
@@ -260,14 +301,21 @@
             TimeoutAction::Drop
         };
         let timer = Timer::from_deadline(self.clock.instant(due));
-        self.timer = Some((due, handle.insert_source(timer, fired).map_err(|e| e.error)?));
+        self.timer = Some((
+            due,
+            handle.insert_source(timer, fired).map_err(|e| e.error)?,
+        ));
         Ok(())
     }
 
     fn due(&self) -> Moment {
         let now = self.clock.now();
         let due = self.service.next_due(now);
-        let due = if self.backlog && !self.crowded { now } else { due };
+        let due = if self.backlog && !self.crowded {
+            now
+        } else {
+            due
+        };
         match self.phase {
             Phase::Draining { until, .. } if until > now => due.min(until),
             Phase::Draining { end, .. } | Phase::Parting { end } => due.min(end),
@@ -288,8 +336,12 @@
     }
 
     fn accept(&mut self, now: Moment) {
-        let Some(listener) = &self.listener else { return };
-        let Service { clients, counters, .. } = &mut self.service;
+        let Some(listener) = &self.listener else {
+            return;
+        };
+        let Service {
+            clients, counters, ..
+        } = &mut self.service;
         for _ in 0..ACCEPTS {
             self.crowded = self.backlog && !clients.room();
             if !self.backlog || self.crowded {
@@ -320,14 +372,23 @@
         match signal {
             Signal::SIGUSR1 => self.print(),
             Signal::SIGHUP => self.reload(now),
-            _ if matches!(self.phase, Phase::Draining { .. } | Phase::Parting { .. } | Phase::Exit) => {}
+            _ if matches!(
+                self.phase,
+                Phase::Draining { .. } | Phase::Parting { .. } | Phase::Exit
+            ) => {}
             _ => {
                 info!("draining");
                 let (by, end) = drained(self.longest);
                 let until = now + Span::from_secs(STILL_COMING_S);
-                self.phase = Phase::Draining { until, end: now + end };
+                self.phase = Phase::Draining {
+                    until,
+                    end: now + end,
+                };
                 self.service.answer_by(now + by);
-                self.service.fleet().into_iter().for_each(|fleet| fleet.leave(now));
+                self.service
+                    .fleet()
+                    .into_iter()
+                    .for_each(|fleet| fleet.leave(now));
             }
         }
     }
@@ -343,7 +404,9 @@
             Ok(config) => {
                 let kept = self.config.fixed_differences(&config);
                 info!(board = %config.board, known = config.known.last, ?kept, "configuration read again");
-                let Service { board, counters, .. } = &mut self.service;
+                let Service {
+                    board, counters, ..
+                } = &mut self.service;
                 counters.reloads += 1;
                 board.moved(now, config.board, config.known, counters);
             }
@@ -357,7 +420,8 @@
             Err(error) => Some(error.to_string()),
             Ok(Known { files, tls }) => {
                 let guard = self.service.guarded();
-                let taken = guard.map(|guard| guard.take(unix(), &files.index, &files.public, files.revoked));
+                let taken = guard
+                    .map(|guard| guard.take(unix(), &files.index, &files.public, files.revoked));
                 let refused = taken.and_then(Result::err).map(|error| error.to_string());
                 if refused.is_none() {
                     self.service.clients.secure(tls);
@@ -373,14 +437,19 @@
             }
             Some(error) => {
                 counters.key_files_failed += 1;
-                warn!(error, "the key files cannot be used; the last good ones stand");
+                warn!(
+                    error,
+                    "the key files cannot be used; the last good ones stand"
+                );
             }
         }
     }
 
     /// The operator's file again, whole or not at all. What is off or on stays so: sessions were told at their start.
     fn reload_operator(&mut self, now: Moment) {
-        let Some(path) = self.operated.file.clone() else { return };
+        let Some(path) = self.operated.file.clone() else {
+            return;
+        };
         match Operated::read(Some(path), &self.config) {
             Err(error) => {
                 self.service.counters.reloads_failed += 1;
@@ -411,7 +480,10 @@
     /// Budgets by their names; how long leases last, who votes and how many may run wait for a restart of all.
     fn reload_shares(&mut self, operated: &Operated) {
         let members = operated.member_names();
-        match (self.service.fleet().and_then(Fleet::parts), &operated.shares) {
+        match (
+            self.service.fleet().and_then(Fleet::parts),
+            &operated.shares,
+        ) {
             (Some(parts), Some(terms)) => {
                 let kept = parts.change(terms.clone(), &members);
                 info!(?kept, budgets = terms.budgets.len(), "shares: new budgets");
@@ -425,7 +497,11 @@
     fn reload_queues(&mut self, now: Moment, operated: Operated) {
         match (&self.operated.queues, &operated.queues) {
             (Some(old), Some(new)) if old != new => {
-                info!(members = new.members.len(), desks = new.desks(), "queues: new terms");
+                info!(
+                    members = new.members.len(),
+                    desks = new.desks(),
+                    "queues: new terms"
+                );
                 self.service.change(now, new);
                 self.operated = operated;
             }
@@ -455,12 +531,16 @@
                 // What the machine has accepted counts as taken, whether or not an edge has told of it yet.
                 self.backlog = true;
                 self.accept(now);
-                let Service { clients, counters, .. } = &mut self.service;
+                let Service {
+                    clients, counters, ..
+                } = &mut self.service;
                 if self.backlog || !clients.part_all(now, counters) {
                     self.phase
                 } else {
                     self.listener = None;
-                    Phase::Parting { end: end.min(now + Span::from_secs(PART_S)) }
+                    Phase::Parting {
+                        end: end.min(now + Span::from_secs(PART_S)),
+                    }
                 }
             }
             Phase::Parting { end } if end <= now || self.service.clients.is_empty() => Phase::Exit,
@@ -473,7 +553,10 @@
     fn print(&mut self) {
         self.service.count();
         let now = self.clock.now();
-        let fleet = self.service.fleet().map_or_else(String::new, |fleet| fleet.counters(now));
+        let fleet = self
+            .service
+            .fleet()
+            .map_or_else(String::new, |fleet| fleet.counters(now));
         let service = &self.service;
         eprintln!(
             "counters: {}{fleet}open={} waiting={} sessions={} engines_open={} engines_benched={} polls_open={}",
--- a/crates/gateway/src/service/attempts.rs
+++ b/crates/gateway/src/service/attempts.rs
@@ -16,13 +16,17 @@
                 return any;
             }
             any = true;
-            reports.into_iter().for_each(|report| self.report(now, report));
+            reports
+                .into_iter()
+                .for_each(|report| self.report(now, report));
         }
     }
 
     pub(super) fn report(&mut self, now: Moment, report: Report) {
         let id = report.statement;
-        let Some(in_flight) = self.in_flight.get_mut(&id) else { return };
+        let Some(in_flight) = self.in_flight.get_mut(&id) else {
+            return;
+        };
         let mut news = report.news;
         if let News::Completed { cpu, memory_mb } = &mut news
             && !self.bills
@@ -30,18 +34,30 @@
             (*cpu, *memory_mb) = (None, None);
         }
         let still_out = matches!(news, News::Progress(_) | News::Strained | News::Streaming);
-        in_flight.out.retain(|relay| still_out || *relay != report.relay);
+        in_flight
+            .out
+            .retain(|relay| still_out || *relay != report.relay);
         let completed = matches!(news, News::Completed { .. });
         let failed = !still_out && !completed && news != News::Cancelled && !in_flight.answered;
-        if let Some(parts) = self.fleet.as_mut().and_then(Fleet::parts).filter(|_| failed) {
+        if let Some(parts) = self
+            .fleet
+            .as_mut()
+            .and_then(Fleet::parts)
+            .filter(|_| failed)
+        {
             parts.wants_relay(in_flight.product);
         }
         if completed && !in_flight.answered {
             let pages = report.pages;
             self.counters.completed += 1;
-            self.answer(now, id, |answer| answer.result(pages.iter().map(|page| &page[..])));
+            self.answer(now, id, |answer| {
+                answer.result(pages.iter().map(|page| &page[..]))
+            });
         }
-        match self.hall.report(now, id, report.relay, news, report.latency, completed) {
+        match self
+            .hall
+            .report(now, id, report.relay, news, report.latency, completed)
+        {
             Verdict::Nothing => {}
             Verdict::Cancel(relay) => self.engines.cancel(now, id, relay, &mut self.counters),
             Verdict::Deny { come_back } => self.reject(now, id, come_back),
@@ -61,7 +77,9 @@
     }
 
     pub(super) fn relay(&mut self, now: Moment, id: StatementId, order: Order) {
-        let Some(in_flight) = self.in_flight.get_mut(&id) else { return };
+        let Some(in_flight) = self.in_flight.get_mut(&id) else {
+            return;
+        };
         if let Some(parts) = self.fleet.as_mut().and_then(Fleet::parts)
             && (order.again || order.trial)
             && !parts.spend(in_flight.product, order.again, order.trial)
@@ -88,7 +106,10 @@
 
     /// The share that a relay was to go on ended before it went: back in line, as one that never left.
     pub(super) fn unspent(&mut self, now: Moment, id: StatementId, relay: RelayNo) {
-        match self.hall.report(now, id, relay, News::NeverSent, Span::ZERO, false) {
+        match self
+            .hall
+            .report(now, id, relay, News::NeverSent, Span::ZERO, false)
+        {
             Verdict::Nothing | Verdict::Cancel(_) => {}
             Verdict::Deny { come_back } => self.reject(now, id, come_back),
             Verdict::Scrap => self.fail(now, id),
--- a/crates/gateway/src/service/callers.rs
+++ b/crates/gateway/src/service/callers.rs
@@ -29,7 +29,9 @@
         let Some(guard) = &mut self.guard else { return };
         let counters = &mut self.counters;
         let (code, state, text) = match guard.verdict(unix(), token) {
-            Judged::Granted { claims, .. } if claims.grant.allows_from(self.clients.from(session)) => {
+            Judged::Granted { claims, .. }
+                if claims.grant.allows_from(self.clients.from(session)) =>
+            {
                 counters.tokens_granted += 1;
                 return self.clients.known(now, session, token.clone(), counters);
             }
@@ -56,7 +58,9 @@
 
     /// Whose a statement is by its session's token, which is judged anew each time.
     pub(super) fn caller(&mut self, session: u32) -> Result<Option<Arc<Claims>>, Unusable> {
-        let Some(guard) = &mut self.guard else { return Ok(None) };
+        let Some(guard) = &mut self.guard else {
+            return Ok(None);
+        };
         let Some(token) = self.clients.token(session) else {
             return Err(Unusable::Unknown("no token".into()));
         };
--- a/crates/gateway/src/service/endings.rs
+++ b/crates/gateway/src/service/endings.rs
@@ -26,8 +26,13 @@
     pub(super) fn overdue(&mut self, now: Moment) {
         while let Some((ends, id)) = self.ends.first().copied().filter(|end| end.0 <= now) {
             self.ends.pop_first();
-            let Some(in_flight) = self.in_flight.get(&id) else { continue };
-            let (rid, late) = (String::from_utf8_lossy(&in_flight.rid).into_owned(), (now - ends).secs());
+            let Some(in_flight) = self.in_flight.get(&id) else {
+                continue;
+            };
+            let (rid, late) = (
+                String::from_utf8_lossy(&in_flight.rid).into_owned(),
+                (now - ends).secs(),
+            );
             let engines = self.engines.stand(id);
             warn!(rid, late, out = ?in_flight.out, engines, "a statement without an answer at its end");
             self.counters.overdue += 1;
@@ -38,7 +43,11 @@
     }
 
     pub(super) fn left(&mut self, now: Moment, id: StatementId) {
-        let Some(in_flight) = self.in_flight.get_mut(&id).filter(|in_flight| !in_flight.answered) else {
+        let Some(in_flight) = self
+            .in_flight
+            .get_mut(&id)
+            .filter(|in_flight| !in_flight.answered)
+        else {
             return;
         };
         (in_flight.answered, in_flight.text) = (true, Bytes::new());
@@ -46,7 +55,8 @@
         self.ends.remove(&(in_flight.ends, id));
         let out = in_flight.out.clone();
         self.hall.gone(now, id);
-        out.into_iter().for_each(|relay| self.engines.unwanted(now, id, relay, &mut self.counters));
+        out.into_iter()
+            .for_each(|relay| self.engines.unwanted(now, id, relay, &mut self.counters));
         self.forget(id);
     }
 
@@ -55,7 +65,11 @@
     /// has left goes on; so does, for this turn, what came together with its client's end a moment ago.
     pub(super) fn leave(&mut self, now: Moment) {
         for (id, left) in self.clients.left() {
-            let Some(in_flight) = self.in_flight.get(&id).filter(|in_flight| !in_flight.answered) else {
+            let Some(in_flight) = self
+                .in_flight
+                .get(&id)
+                .filter(|in_flight| !in_flight.answered)
+            else {
                 continue;
             };
             let just_left = left.seen == now && (now - left.came).secs() < JUST_LEFT_S;
@@ -66,7 +80,10 @@
                 self.engines.stay(now, id, relay, &mut self.counters);
             }
             self.reports(now);
-            if self.in_flight.get(&id).is_none_or(|in_flight| in_flight.answered || !in_flight.out.is_empty())
+            if self
+                .in_flight
+                .get(&id)
+                .is_none_or(|in_flight| in_flight.answered || !in_flight.out.is_empty())
             {
                 continue;
             }
@@ -84,7 +101,12 @@
         self.answer_rejected(now, id, come_back);
     }
 
-    pub(super) fn answer_rejected(&mut self, now: Moment, id: StatementId, come_back: Option<Span>) {
+    pub(super) fn answer_rejected(
+        &mut self,
+        now: Moment,
+        id: StatementId,
+        come_back: Option<Span>,
+    ) {
         let text = denial(come_back);
         self.answer(now, id, |answer| answer.error(1226, b"42000", &text));
     }
@@ -95,19 +117,33 @@
     }
 
     pub(super) fn answer_failed(&mut self, now: Moment, id: StatementId) {
-        self.answer(now, id, |answer| answer.error(1105, b"HY000", "the statement could not be completed"));
+        self.answer(now, id, |answer| {
+            answer.error(1105, b"HY000", "the statement could not be completed")
+        });
     }
 
-    pub(super) fn answer(&mut self, now: Moment, id: StatementId, answer: impl FnOnce(Answer) -> BytesMut) {
-        let Some(in_flight) = self.in_flight.get_mut(&id) else { return };
+    pub(super) fn answer(
+        &mut self,
+        now: Moment,
+        id: StatementId,
+        answer: impl FnOnce(Answer) -> BytesMut,
+    ) {
+        let Some(in_flight) = self.in_flight.get_mut(&id) else {
+            return;
+        };
         (in_flight.answered, in_flight.text) = (true, Bytes::new());
         self.ends.remove(&(in_flight.ends, id));
         let session = in_flight.session;
-        self.clients.answer(now, session, &mut self.counters, answer);
+        self.clients
+            .answer(now, session, &mut self.counters, answer);
     }
 
     pub(super) fn forget(&mut self, id: StatementId) {
-        if self.in_flight.get(&id).is_some_and(|in_flight| in_flight.answered && in_flight.out.is_empty()) {
+        if self
+            .in_flight
+            .get(&id)
+            .is_some_and(|in_flight| in_flight.answered && in_flight.out.is_empty())
+        {
             let in_flight = self.in_flight.remove(&id).expect("just seen");
             if let Some(caller) = &in_flight.caller
                 && let Some(open) = self.open.get_mut(caller)
--- a/crates/gateway/src/service/intake.rs
+++ b/crates/gateway/src/service/intake.rs
@@ -23,7 +23,9 @@
 
 /// One number for a key that is none: two keys with one number only wait for each other.
 fn order_key_hash(key: &str) -> u64 {
-    key.bytes().fold(1, |number, byte| number.wrapping_mul(0x0100_0000_01b3) ^ u64::from(byte))
+    key.bytes().fold(1, |number, byte| {
+        number.wrapping_mul(0x0100_0000_01b3) ^ u64::from(byte)
+    })
 }
 
 /// What becomes of a query that never gets before the decisions.
@@ -49,7 +51,12 @@
 impl Service {
     pub(super) fn heard(&mut self, now: Moment, news: clients::News) {
         match news {
-            clients::News::Asked { session, text, from, came } => {
+            clients::News::Asked {
+                session,
+                text,
+                from,
+                came,
+            } => {
                 self.asked(now, session, &text, from, now - came);
             }
             // Without lines it is a query like any other that cannot be used.
@@ -60,20 +67,35 @@
             clients::News::Fleet { session, text } => self.tell_fleet(now, session, &text),
             clients::News::Shares { session, text } => self.tell_shares(now, session, &text),
             clients::News::Left(id) => self.left(now, id),
-            clients::News::Token { session, token, login } => self.judge(now, session, &token, login),
+            clients::News::Token {
+                session,
+                token,
+                login,
+            } => self.judge(now, session, &token, login),
             clients::News::Kill { by, session, whole } => {
                 let killed = self.clients.kill(now, session, whole, &mut self.counters);
-                killed.flatten().into_iter().for_each(|id| self.left(now, id));
-                self.clients.answer(now, by, &mut self.counters, |answer| match killed {
-                    Some(_) => answer.ok(),
-                    None => answer.error(1094, b"HY000", "Unknown thread id"),
-                });
+                killed
+                    .flatten()
+                    .into_iter()
+                    .for_each(|id| self.left(now, id));
+                self.clients
+                    .answer(now, by, &mut self.counters, |answer| match killed {
+                        Some(_) => answer.ok(),
+                        None => answer.error(1094, b"HY000", "Unknown thread id"),
+                    });
             }
         }
     }
 
     /// `waited`: how long it has stood behind another on its session.
-    pub(super) fn asked(&mut self, now: Moment, session: u32, text: &Bytes, from: IpAddr, waited: Span) {
+    pub(super) fn asked(
+        &mut self,
+        now: Moment,
+        session: u32,
+        text: &Bytes,
+        from: IpAddr,
+        waited: Span,
+    ) {
         // Reset in the very turn in which it came: nothing would tell any more that its client has left.
         if !self.clients.stands(session) {
             self.counters.statements_taken += 1;
@@ -82,20 +104,33 @@
         }
         let wanted = self.caller(session).and_then(|claims| {
             let (wants, rid, tags, statement, desk) = self.wants(text, from, claims.as_deref())?;
-            let wants = Wants { budget: wants.budget - waited, ..wants };
-            Ok((wants, rid, tags, statement, desk, claims.map(|claims| claims.caller.clone())))
+            let wants = Wants {
+                budget: wants.budget - waited,
+                ..wants
+            };
+            Ok((
+                wants,
+                rid,
+                tags,
+                statement,
+                desk,
+                claims.map(|claims| claims.caller.clone()),
+            ))
         });
         let (wants, rid, tags, statement, desk, caller) = match wanted {
             Ok(usable) => usable,
             Err(why) => {
                 self.counters.statements_unusable += 1;
-                self.clients.answer(now, session, &mut self.counters, |answer| match why {
-                    Unusable::Wrong(why) => answer.error(1064, b"42000", &why),
-                    Unusable::Beyond(why) => answer.error(1142, b"42000", &format!("not granted: {why}")),
-                    Unusable::Unknown(why) => answer.error(1045, b"28000", &why),
-                    Unusable::Later(back) => answer.error(1226, b"42000", &denial(Some(back))),
-                    Unusable::Full => answer.error(1040, b"08004", "too many statements open"),
-                });
+                self.clients
+                    .answer(now, session, &mut self.counters, |answer| match why {
+                        Unusable::Wrong(why) => answer.error(1064, b"42000", &why),
+                        Unusable::Beyond(why) => {
+                            answer.error(1142, b"42000", &format!("not granted: {why}"))
+                        }
+                        Unusable::Unknown(why) => answer.error(1045, b"28000", &why),
+                        Unusable::Later(back) => answer.error(1226, b"42000", &denial(Some(back))),
+                        Unusable::Full => answer.error(1040, b"08004", "too many statements open"),
+                    });
                 return;
             }
         };
@@ -104,7 +139,9 @@
         self.counters.statements_taken += 1;
         let product = wants.product.0;
         let ends = now + wants.budget.max(Span::ZERO) + Span::from_secs(OVERDUE_S);
-        let ends = self.answer_by.map_or(ends, |by| ends.min(by + Span::from_secs(OVERDUE_S)));
+        let ends = self
+            .answer_by
+            .map_or(ends, |by| ends.min(by + Span::from_secs(OVERDUE_S)));
         self.ends.insert((ends, id));
         let (out, went_on) = (Vec::new(), Vec::new());
         if let Some(caller) = &caller {
@@ -143,7 +180,14 @@
             let open = self.open.get(&claims.caller).copied().unwrap_or(0);
             let group = comment::table_group(read.statement);
             let (member, desk, product) = (read.tenant, read.desk, read.product);
-            let beyond = claims.grant.allows(&Request { member, desk, product, group, from, open });
+            let beyond = claims.grant.allows(&Request {
+                member,
+                desk,
+                product,
+                group,
+                from,
+                open,
+            });
             if let Err(beyond) = beyond {
                 self.counters.beyond_grant += 1;
                 return Err(Unusable::Beyond(beyond));
@@ -155,7 +199,9 @@
         let named = |names: &[String], name: &str| names.iter().position(|known| known == name);
         let product = named(&self.products, read.product).ok_or("unknown method")?;
         let tenant = match read.tenant {
-            Some(name) if !self.tenants.is_empty() => named(&self.tenants, name).ok_or("unknown acct")?,
+            Some(name) if !self.tenants.is_empty() => {
+                named(&self.tenants, name).ok_or("unknown acct")?
+            }
             _ => 0,
         };
         if self.rids.contains_key(&read.rid) {
@@ -164,26 +210,35 @@
         if self.in_flight.len() >= self.most_open {
             return Err(Unusable::Full);
         }
-        let found =
-            self.directory.as_ref().map(|directory| directory.find(read.tenant, read.desk, Some(from)));
+        let found = self
+            .directory
+            .as_ref()
+            .map(|directory| directory.find(read.tenant, read.desk, Some(from)));
         self.counters.desks_unknown += u64::from(found.is_some_and(|found| !found.known));
         let desk = found.map_or(DeskId(0), |found| found.desk);
         let budget_s = read.budget_ms / 1e3;
         let budget = Span::from_secs(budget_s - NETWORK_DELAY_S.min(budget_s * NETWORK_DELAY_PART));
         // Digits of the platform's own; what is none keeps its order by its letters all the same.
-        let number = |key: &str| u64::from_str_radix(key, 16).unwrap_or_else(|_| order_key_hash(key));
+        let number =
+            |key: &str| u64::from_str_radix(key, 16).unwrap_or_else(|_| order_key_hash(key));
         let key = read.key.map(number).filter(|key| *key != 0).map(OrderKey);
         let wants = Wants {
             product: ProductId(product),
             tenant: TenantId(tenant),
             group: GroupId(comment::table_group(read.statement).unwrap_or(0)),
-            estimate: read.estimate_ms.filter(|ms| *ms > 0.0).map(|ms| Span::from_secs(ms / 1e3)),
+            estimate: read
+                .estimate_ms
+                .filter(|ms| *ms > 0.0)
+                .map(|ms| Span::from_secs(ms / 1e3)),
             memory_mb: read.memory_mb.unwrap_or(0.0),
             key,
             marked: read.mark.is_some(),
             budget,
         };
-        let tags = Tags { mark: read.mark.map(Box::from), key: read.key.map(Box::from) };
+        let tags = Tags {
+            mark: read.mark.map(Box::from),
+            key: read.key.map(Box::from),
+        };
         Ok((wants, read.rid, tags, text.slice_ref(read.statement), desk))
     }
 }
--- a/crates/gateway/src/service/mod.rs
+++ b/crates/gateway/src/service/mod.rs
@@ -132,9 +132,13 @@
         for change in events.iter().filter_map(|event| event.list.as_ref()) {
             let told = self.names.told(change);
             info!(whole = change.whole, engines = change.targets.len(), "list");
-            told.addresses.into_iter().for_each(|(id, address)| self.engines.listed(id, address));
+            told.addresses
+                .into_iter()
+                .for_each(|(id, address)| self.engines.listed(id, address));
             self.hall.told_list(now, &told.news);
-            told.closed.into_iter().for_each(|id| self.engines.closed(now, id, &mut self.counters));
+            told.closed
+                .into_iter()
+                .for_each(|id| self.engines.closed(now, id, &mut self.counters));
             self.listed |= change.whole;
         }
     }
@@ -171,8 +175,13 @@
     pub fn answer_by(&mut self, by: Moment) {
         self.answer_by = Some(by);
         let last = by + Span::from_secs(OVERDUE_S);
-        self.in_flight.values_mut().for_each(|in_flight| in_flight.ends = in_flight.ends.min(last));
-        self.ends = std::mem::take(&mut self.ends).into_iter().map(|(end, id)| (end.min(last), id)).collect();
+        self.in_flight
+            .values_mut()
+            .for_each(|in_flight| in_flight.ends = in_flight.ends.min(last));
+        self.ends = std::mem::take(&mut self.ends)
+            .into_iter()
+            .map(|(end, id)| (end.min(last), id))
+            .collect();
         self.hall.answer_by(by);
         self.engines.end_by(by);
     }
@@ -183,10 +192,17 @@
     }
 
     pub fn next_due(&self, now: Moment) -> Moment {
-        let dues = [self.engines.next_due(now), self.clients.next_due(now), self.board.next_due()];
+        let dues = [
+            self.engines.next_due(now),
+            self.clients.next_due(now),
+            self.board.next_due(),
+        ];
         let end = self.ends.first().map(|end| end.0);
         let fleet = self.fleet.as_ref().map(|fleet| fleet.next_due(now));
-        dues.into_iter().chain([end, fleet]).flatten().fold(self.wake, Moment::min)
+        dues.into_iter()
+            .chain([end, fleet])
+            .flatten()
+            .fold(self.wake, Moment::min)
     }
 
     /// Works off what all peers brought, then asks once for all that waits.
@@ -218,7 +234,9 @@
         }
         self.divided(now);
         let tick = self.hall.tick(now);
-        tick.due.into_iter().for_each(|(id, pick)| self.picked(now, id, pick));
+        tick.due
+            .into_iter()
+            .for_each(|(id, pick)| self.picked(now, id, pick));
         // What could not even be sent is back in line by now, and what stood behind an answer was read.
         let again = self.reports(now) || self.clients.has_news();
         self.overdue(now);
@@ -235,9 +253,15 @@
 
     /// What of the budgets of all is this gateway's at present, for the lines and the decisions.
     fn divided(&mut self, now: Moment) {
-        let Some(parts) = self.fleet.as_mut().and_then(Fleet::parts) else { return };
+        let Some(parts) = self.fleet.as_mut().and_then(Fleet::parts) else {
+            return;
+        };
         if parts.divides_members() {
-            let flows = self.hall.flows().into_iter().map(|(wanted, paid)| Flow { wanted, paid });
+            let flows = self
+                .hall
+                .flows()
+                .into_iter()
+                .map(|(wanted, paid)| Flow { wanted, paid });
             let rates = parts.members(&flows.collect::<Vec<_>>());
             self.hall.lease(now, &rates);
         }
@@ -249,12 +273,20 @@
     /// Statements in flight as the decisions hold them, against what is out on the sockets. A difference would have
     /// them send to the wrong engine for ever after, with nothing else to show it.
     fn compare(&mut self) {
-        let held = self.hall.beliefs().filter(|held| held.1 > 0).map(|(engine, out, _)| (engine, out));
+        let held = self
+            .hall
+            .beliefs()
+            .filter(|held| held.1 > 0)
+            .map(|(engine, out, _)| (engine, out));
         let (held, out) = (held.collect::<BTreeMap<_, _>>(), self.engines.out());
         self.counters.books_checked += 1;
         if held != out {
             self.counters.books_differ += 1;
-            warn!(?held, ?out, "the decisions hold other relays out than the sockets");
+            warn!(
+                ?held,
+                ?out,
+                "the decisions hold other relays out than the sockets"
+            );
         }
     }
 
--- a/crates/gateway/src/service/shown.rs
+++ b/crates/gateway/src/service/shown.rs
@@ -36,11 +36,18 @@
 
     pub(super) fn tell_progress(&mut self, now: Moment) {
         for (session, id) in self.clients.progressing() {
-            let Some((waited, left)) = self.hall.progress(now, id) else { continue };
+            let Some((waited, left)) = self.hall.progress(now, id) else {
+                continue;
+            };
             let whole = waited.secs() + left.wait.secs();
-            let done = if whole > 0.0 { waited.secs() / whole * 1e5 } else { 0.0 };
+            let done = if whole > 0.0 {
+                waited.secs() / whole * 1e5
+            } else {
+                0.0
+            };
             let text = format!("Waiting, {:.1} s more", left.wait.secs());
-            self.clients.tell_progress(now, session, done as u32, &text, &mut self.counters);
+            self.clients
+                .tell_progress(now, session, done as u32, &text, &mut self.counters);
         }
     }
 
@@ -52,7 +59,10 @@
             self.clients.answer(now, session, &mut self.counters, table);
             return;
         };
-        let statement = Rid::try_from(id.as_bytes()).ok().and_then(|rid| self.rids.get(&rid)).copied();
+        let statement = Rid::try_from(id.as_bytes())
+            .ok()
+            .and_then(|rid| self.rids.get(&rid))
+            .copied();
         let row = statement.and_then(|statement| self.hall.statement(now, statement));
         let rows: Vec<_> = row.iter().map(|row| status::statement(&id, row)).collect();
         let table = |answer: Answer| answer.table(status::STATEMENT, &rows);
--- a/crates/gateway/src/socket.rs
+++ b/crates/gateway/src/socket.rs
@@ -30,7 +30,13 @@
 /// This machine or program is out of descriptors or buffers; the peer has no part in it.
 pub fn is_shortage(error: &io::Error) -> bool {
     use rustix::io::Errno;
-    let short = [Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM, Errno::ADDRNOTAVAIL];
+    let short = [
+        Errno::MFILE,
+        Errno::NFILE,
+        Errno::NOBUFS,
+        Errno::NOMEM,
+        Errno::ADDRNOTAVAIL,
+    ];
     Errno::from_io_error(error).is_some_and(|errno| short.contains(&errno))
 }
 
@@ -110,11 +116,17 @@
 
     /// Starts to connect; `connected` tells how it went.
     pub fn connect(to: SocketAddr, handle: &Loop, peer: Peer) -> io::Result<Self> {
-        let family = if to.is_ipv4() { AddressFamily::INET } else { AddressFamily::INET6 };
+        let family = if to.is_ipv4() {
+            AddressFamily::INET
+        } else {
+            AddressFamily::INET6
+        };
         let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
         let fd: OwnedFd = socket_with(family, SocketType::STREAM, flags, Some(ipproto::TCP))?;
         match connect(&fd, &to) {
-            Ok(()) | Err(rustix::io::Errno::INPROGRESS) => Self::new(TcpStream::from(fd), handle, peer),
+            Ok(()) | Err(rustix::io::Errno::INPROGRESS) => {
+                Self::new(TcpStream::from(fd), handle, peer)
+            }
             Err(error) => Err(error.into()),
         }
     }
@@ -167,7 +179,8 @@
                 }
             };
             let before = self.inbox.len();
-            self.inbox.resize(before + state.plaintext_bytes_to_read(), 0);
+            self.inbox
+                .resize(before + state.plaintext_bytes_to_read(), 0);
             tls.reader().read_exact(&mut self.inbox[before..])?;
             self.ended |= state.peer_has_closed();
         }
@@ -199,7 +212,10 @@
     /// an end that is only found by reading would stay unseen for as long as the bytes before it wait.
     pub fn hung_up(&self) -> io::Result<bool> {
         let mut of = [PollFd::new(&*self.stream, PollFlags::RDHUP)];
-        let now = Timespec { tv_sec: 0, tv_nsec: 0 };
+        let now = Timespec {
+            tv_sec: 0,
+            tv_nsec: 0,
+        };
         // A machine that cannot tell has not told of an end.
         if poll(&mut of, Some(&now)).is_err() {
             return Ok(false);
@@ -214,7 +230,8 @@
     /// When the peer's last segment came to this machine, whether or not it was read since: its end, if it has ended. What
     /// it acknowledges counts too. Now where the machine cannot tell.
     pub fn heard(&self, now: Moment) -> Moment {
-        let silent_ms = getsockopt(&*self.stream, TcpInfo).map_or(0, |info| info.tcpi_last_ack_recv);
+        let silent_ms =
+            getsockopt(&*self.stream, TcpInfo).map_or(0, |info| info.tcpi_last_ack_recv);
         now + Span::from_micros(-i64::from(silent_ms) * 1000)
     }
 
@@ -286,6 +303,9 @@
 
 impl Drop for Socket {
     fn drop(&mut self) {
-        self.token.take().into_iter().for_each(|token| self.handle.remove(token));
+        self.token
+            .take()
+            .into_iter()
+            .for_each(|token| self.handle.remove(token));
     }
 }
