--- a/crates/gateway/src/status.rs
+++ b/crates/gateway/src/status.rs
@@ -20,7 +20,15 @@
 ];
 
 /// Columns of `SHOW QUEUE FOR 'RID'`; no row where it does not wait.
-pub const STATEMENT: [&str; 7] = ["rid", "member", "desk", "ahead", "waited_ms", "wait_ms", "wait_p90_ms"];
+pub const STATEMENT: [&str; 7] = [
+    "rid",
+    "member",
+    "desk",
+    "ahead",
+    "waited_ms",
+    "wait_ms",
+    "wait_p90_ms",
+];
 
 fn ms(secs: f64) -> String {
     format!("{}", (secs * 1e3).round())
@@ -28,7 +36,10 @@
 
 /// For the product whose next statement would wait longest.
 fn longest(of: &[Estimate]) -> Estimate {
-    of.iter().copied().max_by(|a, b| a.wait.cmp(&b.wait)).unwrap_or_default()
+    of.iter()
+        .copied()
+        .max_by(|a, b| a.wait.cmp(&b.wait))
+        .unwrap_or_default()
 }
 
 pub fn desks(of: &[DeskStatus]) -> Vec<[String; DESKS.len()]> {
@@ -40,7 +51,8 @@
             desk.waiting.to_string(),
             format!("{:.3}", desk.cpu),
             format!("{:.3}", desk.budget),
-            desk.rate.map_or("-".to_owned(), |rate| format!("{rate:.3}")),
+            desk.rate
+                .map_or("-".to_owned(), |rate| format!("{rate:.3}")),
             format!("{:.3}", desk.saved),
             ms(desk.longest.secs()),
             ms(next.wait.secs()),
@@ -54,7 +66,15 @@
     let (waited, left) = (of.waited.secs(), of.left);
     let (member, desk) = (of.member.clone(), of.desk.clone());
     let [waited, wait, p90] = [waited, left.wait.secs(), left.p90.secs()].map(ms);
-    [rid.to_owned(), member, desk, of.ahead.to_string(), waited, wait, p90]
+    [
+        rid.to_owned(),
+        member,
+        desk,
+        of.ahead.to_string(),
+        waited,
+        wait,
+        p90,
+    ]
 }
 
 /// Columns of `SHOW FLEET`: this gateway first, with its standing and the digest of its view, then those it holds.
@@ -80,10 +100,25 @@
     let view = of.view();
     let (digest, size) = (format!("{:016x}", view.digest), of.size().to_string());
     let (own, since, heard) = (of.own(), of.standing_since(), of.last_heard());
-    let own = fleet_row(now, own, true, since, heard, [of.standing().to_string(), digest, size]);
+    let own = fleet_row(
+        now,
+        own,
+        true,
+        since,
+        heard,
+        [of.standing().to_string(), digest, size],
+    );
     let none = || [String::new(), String::new(), String::new()];
-    let others =
-        of.rows().map(|held| fleet_row(now, &held.record, held.known, held.since, held.answered, none()));
+    let others = of.rows().map(|held| {
+        fleet_row(
+            now,
+            &held.record,
+            held.known,
+            held.since,
+            held.answered,
+            none(),
+        )
+    });
     [own].into_iter().chain(others).collect()
 }
 
@@ -96,7 +131,8 @@
     heard: Option<Moment>,
     view: [String; 3],
 ) -> [String; FLEET.len()] {
-    let place = |name: &Option<::fleet::Name>| name.as_ref().map_or("-".to_owned(), ToString::to_string);
+    let place =
+        |name: &Option<::fleet::Name>| name.as_ref().map_or("-".to_owned(), ToString::to_string);
     let ago = |at: Moment| format!("{:.1}", (now - at).secs());
     let [standing, digest, size] = view;
     [
@@ -118,16 +154,23 @@
 
 /// Columns of `SHOW SHARES`: what this gateway holds of each budget; at the steward then what the others hold.
 pub const SHARES: [&str; 14] = [
-    "budget", "holder", "unit", "whole", "floor", "leased", "until_ms", "wanted", "spent", "allowed",
-    "refused", "steward", "term", "differs",
+    "budget", "holder", "unit", "whole", "floor", "leased", "until_ms", "wanted", "spent",
+    "allowed", "refused", "steward", "term", "differs",
 ];
 
 pub fn shares(now: Moment, of: &Status) -> Vec<[String; SHARES.len()]> {
-    let until = |until: Option<Moment>| until.map_or("-".to_owned(), |until| ms((until - now).secs()));
+    let until =
+        |until: Option<Moment>| until.map_or("-".to_owned(), |until| ms((until - now).secs()));
     let none = || "-".to_owned();
     let steward = of.steward.as_ref().map_or_else(none, ToString::to_string);
     let term = of.number.map_or_else(none, |number| number.to_string());
-    let row = |line: &Line, holder: String, leased: Amount, ends, wanted: f64, own: [String; 3], differs| {
+    let row = |line: &Line,
+               holder: String,
+               leased: Amount,
+               ends,
+               wanted: f64,
+               own: [String; 3],
+               differs| {
         let [spent, allowed, refused] = own;
         [
             line.budget.clone(),
@@ -147,15 +190,38 @@
         ]
     };
     let own = of.lines.iter().map(|line| {
-        let spent = [format!("{:.3}", line.spent), format!("{:.3}", line.allowed), line.refused.to_string()];
-        row(line, of.me.to_string(), line.leased, line.until, line.wanted, spent, none())
+        let spent = [
+            format!("{:.3}", line.spent),
+            format!("{:.3}", line.allowed),
+            line.refused.to_string(),
+        ];
+        row(
+            line,
+            of.me.to_string(),
+            line.leased,
+            line.until,
+            line.wanted,
+            spent,
+            none(),
+        )
     });
     let others = of.lines.iter().flat_map(|line| {
-        let others = line.holdings.iter().filter(|holding| holding.who.name != of.me);
+        let others = line
+            .holdings
+            .iter()
+            .filter(|holding| holding.who.name != of.me);
         others.map(|of| {
             let differs = if of.differs { "yes" } else { "no" }.to_owned();
             let (holder, needs) = (of.who.name.to_string(), of.need.units());
-            row(line, holder, of.reserved, of.until, needs, [none(), none(), none()], differs)
+            row(
+                line,
+                holder,
+                of.reserved,
+                of.until,
+                needs,
+                [none(), none(), none()],
+                differs,
+            )
         })
     });
     own.chain(others).collect()
--- a/crates/gateway/tests/codecs.rs
+++ b/crates/gateway/tests/codecs.rs
@@ -12,7 +12,11 @@
 use quickcheck::{Gen, QuickCheck};
 
 /// Feeds the bytes in two parts, at every place, and hands what came to the check.
-fn at_every_split<T>(bytes: &[u8], mut take: impl FnMut(&mut BytesMut) -> Option<T>, check: impl Fn(Vec<T>)) {
+fn at_every_split<T>(
+    bytes: &[u8],
+    mut take: impl FnMut(&mut BytesMut) -> Option<T>,
+    check: impl Fn(Vec<T>),
+) {
     for split in 0..=bytes.len() {
         let (mut inbox, mut taken) = (BytesMut::new(), Vec::new());
         for part in [&bytes[..split], &bytes[split..]] {
@@ -28,12 +32,20 @@
 
 #[test]
 fn packets_come_whole_from_any_split() {
-    let bytes = [&[3, 0, 0, 0, 3, b'h', b'i'][..], &[0, 0, 0, 7], &[1, 0, 0, 1, 0x0e]].concat();
+    let bytes = [
+        &[3, 0, 0, 0, 3, b'h', b'i'][..],
+        &[0, 0, 0, 7],
+        &[1, 0, 0, 1, 0x0e],
+    ]
+    .concat();
     at_every_split(
         &bytes,
         |inbox| packets::take(inbox).unwrap(),
         |taken| {
-            let taken: Vec<_> = taken.iter().map(|packet| (packet.seq, &packet.body[..])).collect();
+            let taken: Vec<_> = taken
+                .iter()
+                .map(|packet| (packet.seq, &packet.body[..]))
+                .collect();
             assert_eq!(taken, [(0, &b"\x03hi"[..]), (7, b""), (1, b"\x0e")]);
         },
     );
@@ -50,11 +62,22 @@
         |taken| {
             let words: Vec<Word> = taken.iter().map(|answer| answer.word).collect();
             assert_eq!(words, [Word::Done, Word::Tell, Word::Wait]);
-            let [done, note, wait] = &taken[..] else { panic!("three") };
-            assert_eq!((&done.id[..], &done.body[..]), (&b"5eed00c0ffee0a17"[..], &b"a\tb\r\n\n"[..]));
-            assert_eq!((done.number("total"), done.number("rss")), (Some(2), Some(96)));
+            let [done, note, wait] = &taken[..] else {
+                panic!("three")
+            };
+            assert_eq!(
+                (&done.id[..], &done.body[..]),
+                (&b"5eed00c0ffee0a17"[..], &b"a\tb\r\n\n"[..])
+            );
+            assert_eq!(
+                (done.number("total"), done.number("rss")),
+                (Some(2), Some(96))
+            );
             assert_eq!(done.number::<f64>("elapsed"), Some(81.5));
-            assert_eq!((note.field("remark"), note.number("datum")), (Some(&b"done"[..]), Some(0.5)));
+            assert_eq!(
+                (note.field("remark"), note.number("datum")),
+                (Some(&b"done"[..]), Some(0.5))
+            );
             assert_eq!((wait.field("total"), &wait.id[..]), (None, &b"x"[..]));
         },
     );
@@ -73,10 +96,22 @@
 
 #[test]
 fn a_relay_carries_the_statement_as_it_came() {
-    let line =
-        lines::relay(b"5eed00c0ffee0a17", "scan", 1200, Some(2), &lines::Tags::default(), b"SELECT '\r\n'");
-    assert_eq!(line, b"do 5eed00c0ffee0a17 profile=scan,max=1200,band=2 11\r\nSELECT '\r\n'\r\n");
-    assert_eq!(lines::page(b"5eed00c0ffee0a17", 3), b"page 5eed00c0ffee0a17 3\r\n");
+    let line = lines::relay(
+        b"5eed00c0ffee0a17",
+        "scan",
+        1200,
+        Some(2),
+        &lines::Tags::default(),
+        b"SELECT '\r\n'",
+    );
+    assert_eq!(
+        line,
+        b"do 5eed00c0ffee0a17 profile=scan,max=1200,band=2 11\r\nSELECT '\r\n'\r\n"
+    );
+    assert_eq!(
+        lines::page(b"5eed00c0ffee0a17", 3),
+        b"page 5eed00c0ffee0a17 3\r\n"
+    );
 }
 
 #[test]
@@ -84,41 +119,82 @@
     let text =
         b"/* method=scan,rid=5eed00c0ffee0a17,budget=1200,acct=water,est=640.0,mem=96,new=1 */ SELECT 1";
     let read = comment::read(text).unwrap();
-    assert_eq!((read.product, read.tenant, &read.rid), ("scan", Some("water"), b"5eed00c0ffee0a17"));
-    assert_eq!((read.budget_ms, read.estimate_ms, read.memory_mb), (1200.0, Some(640.0), Some(96.0)));
+    assert_eq!(
+        (read.product, read.tenant, &read.rid),
+        ("scan", Some("water"), b"5eed00c0ffee0a17")
+    );
+    assert_eq!(
+        (read.budget_ms, read.estimate_ms, read.memory_mb),
+        (1200.0, Some(640.0), Some(96.0))
+    );
     assert_eq!(read.statement, b"SELECT 1");
 }
 
 #[test]
 fn a_comment_that_cannot_be_used_says_why() {
-    let fault = |fields: &str| comment::read(format!("/* {fields} */ SELECT 1").as_bytes()).unwrap_err();
+    let fault =
+        |fields: &str| comment::read(format!("/* {fields} */ SELECT 1").as_bytes()).unwrap_err();
     let good = "method=scan,rid=5eed00c0ffee0a17";
     assert_eq!(comment::read(b"SELECT 1"), Err(CommentError::None));
     assert_eq!(comment::read(b"/* method=scan"), Err(CommentError::None));
     assert_eq!(fault("budget=10"), CommentError::Missing("rid"));
     assert_eq!(fault("rid=xyz,budget=10"), CommentError::Unusable("rid"));
-    assert_eq!(fault("rid=5eed00c0ffee0a17,budget=10"), CommentError::Missing("method"));
+    assert_eq!(
+        fault("rid=5eed00c0ffee0a17,budget=10"),
+        CommentError::Missing("method")
+    );
     assert_eq!(fault(good), CommentError::Missing("budget"));
     for budget in ["0", "-5", "NaN", "inf", "soon", "99999999999", ""] {
-        assert_eq!(fault(&format!("{good},budget={budget}")), CommentError::Unusable("budget"), "{budget}");
+        assert_eq!(
+            fault(&format!("{good},budget={budget}")),
+            CommentError::Unusable("budget"),
+            "{budget}"
+        );
     }
-    assert_eq!(fault(&format!("{good},budget=9,est=much")), CommentError::Unusable("est"));
-    assert_eq!(fault(&format!("{good},budget=9,budget=8")), CommentError::Unusable("budget"));
-    assert_eq!(comment::read(format!("/* {good},budget=9 */ ").as_bytes()), Err(CommentError::Empty));
+    assert_eq!(
+        fault(&format!("{good},budget=9,est=much")),
+        CommentError::Unusable("est")
+    );
+    assert_eq!(
+        fault(&format!("{good},budget=9,budget=8")),
+        CommentError::Unusable("budget")
+    );
+    assert_eq!(
+        comment::read(format!("/* {good},budget=9 */ ").as_bytes()),
+        Err(CommentError::Empty)
+    );
 }
 
 #[test]
 fn the_table_group_is_of_the_schema_read_or_written() {
     let cases: [(&str, Option<u32>); 13] = [
-        ("SELECT paid_on, sum(amount) FROM ledger_17.bills WHERE tag = 'paid' GROUP BY paid_on", Some(17)),
+        (
+            "SELECT paid_on, sum(amount) FROM ledger_17.bills WHERE tag = 'paid' GROUP BY paid_on",
+            Some(17),
+        ),
         ("select * from `ledger_17` . `bills`", Some(17)),
         ("SELECT 'from old_3.orders' FROM ledger_17.bills", Some(17)),
-        ("SELECT \"it\\\"s old_3.x\", 'a''b old_4.y' FROM ledger_17.bills", Some(17)),
-        ("SELECT /* old_3.orders */ 1 -- old_4.x\n FROM ledger_17.bills", Some(17)),
-        ("SELECT 1 # from old_3.orders\n FROM ledger_17.bills", Some(17)),
+        (
+            "SELECT \"it\\\"s old_3.x\", 'a''b old_4.y' FROM ledger_17.bills",
+            Some(17),
+        ),
+        (
+            "SELECT /* old_3.orders */ 1 -- old_4.x\n FROM ledger_17.bills",
+            Some(17),
+        ),
+        (
+            "SELECT 1 # from old_3.orders\n FROM ledger_17.bills",
+            Some(17),
+        ),
         ("SELECT o_3.day FROM ledger_17.bills o_3", Some(17)),
-        ("INSERT INTO ledger_17.bills SELECT * FROM staging.batch_91", Some(17)),
-        ("INSERT INTO staging.batch_9 SELECT * FROM ledger_17.bills", Some(17)),
+        (
+            "INSERT INTO ledger_17.bills SELECT * FROM staging.batch_91",
+            Some(17),
+        ),
+        (
+            "INSERT INTO staging.batch_9 SELECT * FROM ledger_17.bills",
+            Some(17),
+        ),
         ("UPDATE ledger_17.bills SET note = 'x'", Some(17)),
         ("SELECT 1 FROM staging.a, ledger_17.bills", Some(17)),
         ("SELECT 1 FROM staging.batch_91", None),
@@ -137,23 +213,48 @@
     assert_eq!(packets::command(b"\x02other"), Command::Unknown);
     assert_eq!(packets::command(b""), Command::Unknown);
     assert_eq!(packets::query(b"SET NAMES utf8mb4"), Query::Fine);
-    assert_eq!(packets::query(b"select @@version_comment limit 1"), Query::Variable("@@version_comment"));
-    assert_eq!(packets::query(b"KILL QUERY 12;"), Query::Kill { connection: 12, whole: false });
-    assert_eq!(packets::query(b"kill 12"), Query::Kill { connection: 12, whole: true });
-    assert_eq!(packets::query(b"KILL CONNECTION 7"), Query::Kill { connection: 7, whole: true });
+    assert_eq!(
+        packets::query(b"select @@version_comment limit 1"),
+        Query::Variable("@@version_comment")
+    );
+    assert_eq!(
+        packets::query(b"KILL QUERY 12;"),
+        Query::Kill {
+            connection: 12,
+            whole: false
+        }
+    );
+    assert_eq!(
+        packets::query(b"kill 12"),
+        Query::Kill {
+            connection: 12,
+            whole: true
+        }
+    );
+    assert_eq!(
+        packets::query(b"KILL CONNECTION 7"),
+        Query::Kill {
+            connection: 7,
+            whole: true
+        }
+    );
     assert_eq!(packets::query(b"/* method=a */ SET x"), Query::Statement);
 }
 
 #[test]
 fn logins_are_checked() {
     let login = |user: &str, password: &[u8], database: &str| {
-        packets::login(&toy::client::login_packet(user, password, database)[4..]).map_err(|denied| denied.0)
+        packets::login(&toy::client::login_packet(user, password, database)[4..])
+            .map_err(|denied| denied.0)
     };
     assert_eq!(login("app", b"", "warehouse"), Ok(()));
     assert_eq!(login("root", b"", "warehouse"), Err(1045));
     assert_eq!(login("app", b"secret", "warehouse"), Err(1045));
     assert_eq!(login("app", b"", "other"), Err(1049));
-    assert_eq!(packets::login(b"\x01\x02").map_err(|denied| denied.0), Err(1043));
+    assert_eq!(
+        packets::login(b"\x01\x02").map_err(|denied| denied.0),
+        Err(1043)
+    );
     // Ordinary clients name capabilities that were not offered, and write nothing of them.
     let mut eager = toy::client::login_packet("app", b"", "warehouse")[4..].to_vec();
     eager[2..4].copy_from_slice(&[0xff, 0x00]);
@@ -166,7 +267,10 @@
 
 #[test]
 fn the_boards_answers_come_whole_from_any_split() {
-    let plain = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{TOLD}", TOLD.len());
+    let plain = format!(
+        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{TOLD}",
+        TOLD.len()
+    );
     let (left, right) = TOLD.split_at(40);
     let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nConnection: close\r\n\r\n";
     let (first, second) = (left.len(), right.len());
@@ -177,7 +281,9 @@
             other => Some(other),
         };
         at_every_split(text.as_bytes(), take, |taken| {
-            let [Answered::Events(events, kept)] = &taken[..] else { panic!("{taken:?}") };
+            let [Answered::Events(events, kept)] = &taken[..] else {
+                panic!("{taken:?}")
+            };
             assert_eq!((events.last, events.events.len(), *kept), (12, 1, keep));
         });
     }
@@ -193,7 +299,13 @@
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nffffffffffffffff\r\n",
         "\u{1}\u{2}\r\n\r\n",
     ] {
-        assert!(matches!(http::take(&mut BytesMut::from(text), false), Answered::Nonsense(_)), "{text}");
+        assert!(
+            matches!(
+                http::take(&mut BytesMut::from(text), false),
+                Answered::Nonsense(_)
+            ),
+            "{text}"
+        );
     }
 }
 
@@ -202,21 +314,34 @@
     let events = |text: &str| Events::from_json(&serde_json::from_str(text).unwrap());
     let mut names = Names::new(vec!["west".into(), "east".into()], vec!["std".into()]);
     let first = names.told(events(TOLD).unwrap().events[0].list.as_ref().unwrap());
-    let ListNews::Whole(facts) = &first.news else { panic!("whole") };
-    assert_eq!((facts[0].location.0, facts[0].machine.0, facts[0].stage), (1, 0, Stage::Ready));
+    let ListNews::Whole(facts) = &first.news else {
+        panic!("whole")
+    };
+    assert_eq!(
+        (facts[0].location.0, facts[0].machine.0, facts[0].stage),
+        (1, 0, Stage::Ready)
+    );
     // Another engine at the same address is another engine; the one that is not in a whole list is gone.
     let other = events(&TOLD.replace("e-0000002a", "s-11")).unwrap();
     let second = names.told(other.events[0].list.as_ref().unwrap());
     assert_eq!(second.addresses[0], (facts[0].id, None));
     assert!(second.addresses[1].0 != facts[0].id && second.addresses[1].1 == first.addresses[0].1);
-    assert_eq!(events(&TOLD.replace("in_service", "asleep")), Err(ListError::Field("state")));
+    assert_eq!(
+        events(&TOLD.replace("in_service", "asleep")),
+        Err(ListError::Field("state"))
+    );
 }
 
 #[test]
 fn a_configuration_that_cannot_be_used_is_named() {
     let text = include_str!("../../../examples/config.json");
     assert!(Config::parse(text.as_bytes()).is_ok());
-    let fault = |text: &str| Config::parse(text.as_bytes()).err().expect("taken for good").to_string();
+    let fault = |text: &str| {
+        Config::parse(text.as_bytes())
+            .err()
+            .expect("taken for good")
+            .to_string()
+    };
     assert!(fault("{").contains("configuration"));
     assert!(fault(&text.replace("\"board\"", "\"bored\"")).contains("board is missing"));
     assert!(fault(&text.replace("8c1f30d27a5be964", "seed")).contains("seed is missing"));
@@ -230,15 +355,31 @@
         while let Ok(Some(packet)) = packets::take(&mut inbox) {
             let _ = (packets::login(&packet.body), packets::command(&packet.body));
         }
-        let _ = (packets::login(&bytes), packets::query(&bytes), table_group(&bytes));
-        let commented = [b"/* rid=5eed00c0ffee0a17,budget=9,method=", &bytes[..], b"*/ x"].concat();
+        let _ = (
+            packets::login(&bytes),
+            packets::query(&bytes),
+            table_group(&bytes),
+        );
+        let commented = [
+            b"/* rid=5eed00c0ffee0a17,budget=9,method=",
+            &bytes[..],
+            b"*/ x",
+        ]
+        .concat();
         let _ = (comment::read(&commented), Config::parse(&bytes));
         let mut inbox = BytesMut::from(&[b"x DONE - 3\r\n", &bytes[..]].concat()[..]);
         while let Ok(Some(_)) = Answer::take(&mut inbox) {}
-        let body = [b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", &bytes[..]].concat();
+        let body = [
+            b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
+            &bytes[..],
+        ]
+        .concat();
         let _ = http::take(&mut BytesMut::from(&body[..]), true);
         true
     }
     let random = Gen::from_size_and_seed(300, 11);
-    QuickCheck::new().rng(random).tests(3000).quickcheck(holds as fn(Vec<u8>) -> bool);
+    QuickCheck::new()
+        .rng(random)
+        .tests(3000)
+        .quickcheck(holds as fn(Vec<u8>) -> bool);
 }
--- a/crates/gateway/tests/connections.rs
+++ b/crates/gateway/tests/connections.rs
@@ -29,10 +29,20 @@
     fn new(engine: SocketAddr, connections: usize) -> Turns {
         let event_loop = EventLoop::try_new().unwrap();
         let span = Span::from_secs;
-        let links = Links { connect_timeout: span(5.0), idle: span(100.0), multiplex: 10 };
+        let links = Links {
+            connect_timeout: span(5.0),
+            idle: span(100.0),
+            multiplex: 10,
+        };
         let mut engines = Engines::new(&event_loop.handle(), links, connections);
         engines.listed(ENGINE, Some(engine));
-        Turns { event_loop, engines, counters: Counters::default(), now: 1000.0, next: 0 }
+        Turns {
+            event_loop,
+            engines,
+            counters: Counters::default(),
+            now: 1000.0,
+            next: 0,
+        }
     }
 
     fn at(&self) -> Moment {
@@ -60,16 +70,23 @@
             leave_by,
             avoid: &[],
         };
-        (number, self.engines.send(self.at(), &outgoing, &mut self.counters))
+        (
+            number,
+            self.engines.send(self.at(), &outgoing, &mut self.counters),
+        )
     }
 
     /// Turns until an outcome is there.
     fn outcome(&mut self) -> Report {
         let mut ready = Ready::default();
         loop {
-            self.event_loop.dispatch(std::time::Duration::from_secs(10), &mut ready).unwrap();
+            self.event_loop
+                .dispatch(std::time::Duration::from_secs(10), &mut ready)
+                .unwrap();
             for peer in std::mem::take(&mut ready.peers) {
-                let Peer::Engine(at) = peer else { panic!("{peer:?}") };
+                let Peer::Engine(at) = peer else {
+                    panic!("{peer:?}")
+                };
                 self.engines.ready(self.at(), at, &mut self.counters);
             }
             if let Some(report) = self.engines.reports().pop() {
@@ -83,9 +100,13 @@
         // Its connection comes up in the first turn, and takes the statement then.
         let mut link = script.accept();
         let mut ready = Ready::default();
-        self.event_loop.dispatch(std::time::Duration::from_secs(10), &mut ready).unwrap();
+        self.event_loop
+            .dispatch(std::time::Duration::from_secs(10), &mut ready)
+            .unwrap();
         for peer in std::mem::take(&mut ready.peers) {
-            let Peer::Engine(at) = peer else { panic!("{peer:?}") };
+            let Peer::Engine(at) = peer else {
+                panic!("{peer:?}")
+            };
             self.engines.ready(self.at(), at, &mut self.counters);
         }
         let asked = link.asked();
@@ -124,7 +145,10 @@
             assert_eq!(engine.join().unwrap().id.as_bytes(), Turns::rid(number));
             report
         });
-        assert!(matches!(report.news, News::Completed { .. }), "{ends}: {report:?}");
+        assert!(
+            matches!(report.news, News::Completed { .. }),
+            "{ends}: {report:?}"
+        );
     }
 }
 
@@ -151,9 +175,17 @@
         leave_by: None,
         avoid: &[],
     };
-    assert_eq!(turns.engines.send(turns.at(), &outgoing, &mut turns.counters), None);
+    assert_eq!(
+        turns
+            .engines
+            .send(turns.at(), &outgoing, &mut turns.counters),
+        None
+    );
     let refused = turns.engines.reports().pop().unwrap();
-    assert_eq!((refused.statement, refused.news), (StatementId(100), News::NeverSent));
+    assert_eq!(
+        (refused.statement, refused.news),
+        (StatementId(100), News::NeverSent)
+    );
     let asked = link.asked();
     link.say(&completed(&asked));
     assert!(matches!(turns.outcome().news, News::Completed { .. }));
@@ -162,7 +194,10 @@
 /// Gateways that lose their board in one instant do not ask again in step.
 #[test]
 fn a_lost_board_is_asked_again_at_an_instant_of_each_gateways_own() {
-    let closed = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    let closed = std::net::TcpListener::bind("127.0.0.1:0")
+        .unwrap()
+        .local_addr()
+        .unwrap();
     let begun = Moment::from_secs(1000.0);
     let asks: Vec<Vec<Moment>> = (0..20)
         .map(|seed| {
@@ -174,10 +209,14 @@
                 // Refused at once, in the same instant for all.
                 let mut ready = Ready::default();
                 while ready.peers.is_empty() && counters.polls_failed as usize == asked.len() {
-                    event_loop.dispatch(std::time::Duration::from_secs(10), &mut ready).unwrap();
+                    event_loop
+                        .dispatch(std::time::Duration::from_secs(10), &mut ready)
+                        .unwrap();
                 }
                 for peer in ready.peers {
-                    let Peer::Board(at) = peer else { panic!("{peer:?}") };
+                    let Peer::Board(at) = peer else {
+                        panic!("{peer:?}")
+                    };
                     board.ready(now, at, &mut counters);
                 }
                 now = board.next_due().unwrap();
--- a/crates/gateway/tests/credentials.rs
+++ b/crates/gateway/tests/credentials.rs
@@ -13,13 +13,20 @@
 }
 
 fn run(words: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_laurelhitch")).args(words).output().unwrap()
+    Command::new(env!("CARGO_BIN_EXE_laurelhitch"))
+        .args(words)
+        .output()
+        .unwrap()
 }
 
 /// What it printed; it must have gone well.
 fn fine(words: &[&str]) -> String {
     let output = run(words);
-    assert!(output.status.success(), "{words:?}: {}", String::from_utf8_lossy(&output.stderr));
+    assert!(
+        output.status.success(),
+        "{words:?}: {}",
+        String::from_utf8_lossy(&output.stderr)
+    );
     String::from_utf8(output.stdout).unwrap().trim().to_owned()
 }
 
@@ -34,22 +41,49 @@
 
 #[test]
 fn keys_go_through_their_life_and_tokens_with_them() {
-    let folder = Folder(std::env::temp_dir().join(format!("laurelhitch-keys-{}", std::process::id())));
+    let folder =
+        Folder(std::env::temp_dir().join(format!("laurelhitch-keys-{}", std::process::id())));
     let at = folder.0.to_str().unwrap();
     fine(&["keys", "new", at, "k1"]);
-    let mode = std::fs::metadata(folder.0.join("k1.key")).unwrap().permissions().mode();
+    let mode = std::fs::metadata(folder.0.join("k1.key"))
+        .unwrap()
+        .permissions()
+        .mode();
     assert_eq!(mode & 0o777, 0o600);
-    let issue = ["token", "issue", at, "k1", "--caller", "counter-7", "--member", "water", "--groups", "3-5"];
+    let issue = [
+        "token",
+        "issue",
+        at,
+        "k1",
+        "--caller",
+        "counter-7",
+        "--member",
+        "water",
+        "--groups",
+        "3-5",
+    ];
     assert!(fault(&issue).contains("index.json"));
     fine(&["keys", "announce", at, "k1", "--signs-in-s", "0"]);
     assert!(fine(&["keys", "list", at]).contains("Signing"));
     let token = fine(&issue);
     assert!(fine(&["token", "show", &token]).contains("counter-7"));
-    assert_eq!(fine(&["token", "verify", at, &token]), "granted to counter-7 of water");
+    assert_eq!(
+        fine(&["token", "verify", at, &token]),
+        "granted to counter-7 of water"
+    );
     // A key that signs later: what it signs now is early.
     fine(&["keys", "new", at, "k2"]);
     fine(&["keys", "announce", at, "k2", "--signs-in-s", "600"]);
-    let early = fine(&["token", "issue", at, "k2", "--caller", "counter-8", "--member", "water"]);
+    let early = fine(&[
+        "token",
+        "issue",
+        at,
+        "k2",
+        "--caller",
+        "counter-8",
+        "--member",
+        "water",
+    ]);
     assert!(fault(&["token", "verify", at, &early]).contains("come back"));
     fine(&["token", "revoke", at, "--caller", "counter-7"]);
     assert!(fault(&["token", "verify", at, &token]).contains("revoked"));
--- a/crates/gateway/tests/endings.rs
+++ b/crates/gateway/tests/endings.rs
@@ -45,13 +45,19 @@
         let last = text(LARGE, "SELECT 'last'");
         send(&mut first, &last);
         let next = link.asked();
-        assert_eq!(next.id, last.rid, "{way:?}: the one whose client left was sent on");
+        assert_eq!(
+            next.id, last.rid,
+            "{way:?}: the one whose client left was sent on"
+        );
         link.complete(&next);
         assert_eq!(rows(first.answer().unwrap()).len(), 1);
         assert_eq!(counter(&counts, "client_left"), 1, "{way:?}");
         if way == Way::Shuts {
             // It may still read, and is owed one final answer.
-            let mut reads = Client { stream: kept[0].try_clone().unwrap(), connection: 0 };
+            let mut reads = Client {
+                stream: kept[0].try_clone().unwrap(),
+                connection: 0,
+            };
             assert!(denied(&reads.answer().unwrap()));
             assert!(reads.answer().is_err());
         }
@@ -82,10 +88,16 @@
         let last = text(LARGE, "SELECT 'last'");
         send(&mut first, &last);
         let next = link.asked();
-        assert_eq!(next.id, last.rid, "{way:?}: the one whose client left was sent on");
+        assert_eq!(
+            next.id, last.rid,
+            "{way:?}: the one whose client left was sent on"
+        );
         link.complete(&next);
         assert_eq!(rows(first.answer().unwrap()).len(), 1);
-        let seen = (counter(&counts, "client_left"), counter(&counts, "queue_left"));
+        let seen = (
+            counter(&counts, "client_left"),
+            counter(&counts, "queue_left"),
+        );
         assert_eq!((seen, counter(&counts, "waiting")), ((1, 1), 0), "{way:?}");
         ended(gateway);
     });
@@ -99,7 +111,14 @@
         let (mut waits, held) = (gateway.client(), text(8, "SELECT 'held'"));
         send(&mut waits, &held);
         let counts = gateway.settled();
-        assert_eq!((counter(&counts, "relays_sent"), counter(&counts, "engines_open")), (1, 1), "{counts}");
+        assert_eq!(
+            (
+                counter(&counts, "relays_sent"),
+                counter(&counts, "engines_open")
+            ),
+            (1, 1),
+            "{counts}"
+        );
         let _kept = leave(way, waits, gateway.listen);
         let counts = gateway.settled();
         let lines = deaf.hear().listen();
@@ -107,12 +126,22 @@
         send(&mut other, &last);
         let mut seen = Vec::new();
         while !seen.iter().any(|line: &String| line.contains(&last.rid)) {
-            seen.push(lines.recv_timeout(millis(10_000)).expect("the last one comes"));
+            seen.push(
+                lines
+                    .recv_timeout(millis(10_000))
+                    .expect("the last one comes"),
+            );
         }
-        assert!(!seen.iter().any(|line| line.contains(&held.rid)), "{way:?}: {seen:?}");
+        assert!(
+            !seen.iter().any(|line| line.contains(&held.rid)),
+            "{way:?}: {seen:?}"
+        );
         assert_eq!(counter(&counts, "client_left"), 1, "{way:?}");
         // Its connection went with it: nothing can carry it on any more.
-        let gone = (counter(&counts, "relays_withdrawn"), counter(&counts, "engines_open"));
+        let gone = (
+            counter(&counts, "relays_withdrawn"),
+            counter(&counts, "engines_open"),
+        );
         assert_eq!(gone, (1, 0), "{way:?}");
     });
 }
@@ -152,14 +181,25 @@
         let clients: Vec<Client> = (0..1000)
             .map(|_| {
                 let mut client = gateway.client();
-                client.stream.write_all(&query_packet(&text(LARGE, "SELECT 'held'").query)).unwrap();
+                client
+                    .stream
+                    .write_all(&query_packet(&text(LARGE, "SELECT 'held'").query))
+                    .unwrap();
                 client
             })
             .collect();
-        delivered(&clients.iter().map(|client| client.stream.local_addr().unwrap()).collect::<Vec<_>>());
+        delivered(
+            &clients
+                .iter()
+                .map(|client| client.stream.local_addr().unwrap())
+                .collect::<Vec<_>>(),
+        );
         let counts = gateway.settled();
         assert_eq!(
-            (counter(&counts, "statements_taken"), counter(&counts, "open")),
+            (
+                counter(&counts, "statements_taken"),
+                counter(&counts, "open")
+            ),
             (1001, 1001),
             "{counts}"
         );
@@ -167,7 +207,11 @@
         leave_all(way, clients, gateway.listen);
         gateway.go_on();
         let counts = gateway.settled();
-        assert_eq!((counter(&counts, "client_left"), counter(&counts, "open")), (1000, 1), "{way:?}");
+        assert_eq!(
+            (counter(&counts, "client_left"), counter(&counts, "open")),
+            (1000, 1),
+            "{way:?}"
+        );
         link.complete(&asked);
         assert_eq!(rows(first.answer().unwrap()).len(), 1);
         // All room is back, and no other statement came in between.
@@ -183,7 +227,10 @@
     let mut gateway = Gateway::with(&[engine.address], patient);
     let (one, two) = (text(8, "SELECT 'one'"), text(8, "SELECT 'two'"));
     let mut client = gateway.client();
-    client.stream.write_all(&[query_packet(&one.query), query_packet(&two.query)].concat()).unwrap();
+    client
+        .stream
+        .write_all(&[query_packet(&one.query), query_packet(&two.query)].concat())
+        .unwrap();
     client.stream.shutdown(Shutdown::Write).unwrap();
     let mut link = engine.accept();
     let asked = link.asked();
@@ -242,7 +289,14 @@
     let kept = leave_all(Way::Kills, clients, gateway.listen);
     gateway.go_on();
     let counts = gateway.settled();
-    assert_eq!((counter(&counts, "client_left"), counter(&counts, "relays_withdrawn")), (8, 8), "{counts}");
+    assert_eq!(
+        (
+            counter(&counts, "client_left"),
+            counter(&counts, "relays_withdrawn")
+        ),
+        (8, 8),
+        "{counts}"
+    );
     assert_eq!(counter(&counts, "engines_benched"), 0, "{counts}");
     drop(kept);
 }
@@ -255,7 +309,10 @@
     let (one, two) = (text(8, "SELECT 'one'"), text(8, "SELECT 'two'"));
     let short = two.query.replace("budget=500000", "budget=400");
     let mut client = gateway.client();
-    client.stream.write_all(&[query_packet(&one.query), query_packet(&short)].concat()).unwrap();
+    client
+        .stream
+        .write_all(&[query_packet(&one.query), query_packet(&short)].concat())
+        .unwrap();
     let mut link = engine.accept();
     let asked = link.asked();
     sleep(millis(600));
@@ -277,7 +334,10 @@
         let mut gateway = gateway;
         assert_eq!(counter(&gateway.settled(), "relays_sent"), 1);
         let drains = target("e-0", deaf.script.address, state);
-        gateway.board.tell(false, vec![drains, target("e-1", other.address, "in_service")]);
+        gateway.board.tell(
+            false,
+            vec![drains, target("e-1", other.address, "in_service")],
+        );
         let mut link = other.comes().expect("it moves to the other engine at once");
         let asked = link.asked();
         assert_eq!(asked.id, statement.rid);
@@ -286,7 +346,10 @@
         assert_eq!(rows(client.answer().unwrap()).len(), 1);
         let counts = gateway.settled();
         assert_eq!(
-            (counter(&counts, "relays_withdrawn"), counter(&counts, "relays_sent")),
+            (
+                counter(&counts, "relays_withdrawn"),
+                counter(&counts, "relays_sent")
+            ),
             (1, 2),
             "{counts}"
         );
@@ -304,11 +367,16 @@
     let mut gateway = Gateway::with(&[first.address], effect("keyed", 1.5));
     let mut client = gateway.client();
     let plain = text(8, "INSERT INTO ledger_1.bills SELECT 1");
-    let statement = plain.query.replace("mem=8", "mem=8,token=00112233445566778899aabbccddeeff");
+    let statement = plain
+        .query
+        .replace("mem=8", "mem=8,token=00112233445566778899aabbccddeeff");
     client.stream.write_all(&query_packet(&statement)).unwrap();
     let mut link = first.accept();
     assert_eq!(link.asked().id, plain.rid);
-    gateway.board.tell(false, vec![target("e-1", deaf.script.address, "in_service")]);
+    gateway.board.tell(
+        false,
+        vec![target("e-1", deaf.script.address, "in_service")],
+    );
     while counter(&gateway.settled(), "list_events") < 1 {}
     let begun = Instant::now();
     link.reset();
@@ -317,7 +385,14 @@
     assert!(matches!(answer, Answer::Error(1105, _)), "{answer:?}");
     assert!(begun.elapsed() < millis(2500), "{:?}", begun.elapsed());
     let counts = gateway.settled();
-    assert_eq!((counter(&counts, "relays_sent"), counter(&counts, "relays_withdrawn")), (2, 1), "{counts}");
+    assert_eq!(
+        (
+            counter(&counts, "relays_sent"),
+            counter(&counts, "relays_withdrawn")
+        ),
+        (2, 1),
+        "{counts}"
+    );
     assert_eq!(counter(&counts, "engines_open"), 0, "{counts}");
     assert!(deaf.hear().listen().recv_timeout(millis(1500)).is_err());
     ended(gateway);
@@ -342,14 +417,20 @@
         let mut client = gateway.client();
         client.stream.write_all(&query_packet(&tagged)).unwrap();
         let Some(wanted) = wanted else {
-            assert!(matches!(client.answer().unwrap(), Answer::Error(1064, _)), "{fields}");
+            assert!(
+                matches!(client.answer().unwrap(), Answer::Error(1064, _)),
+                "{fields}"
+            );
             continue;
         };
         let link = link.get_or_insert_with(|| engine.accept());
         let line = link.line().unwrap();
         assert!(line.contains(wanted), "{fields}: {line}");
         link.line().unwrap();
-        link.complete(&Asked { id: statement.rid, text: "x".to_owned() });
+        link.complete(&Asked {
+            id: statement.rid,
+            text: "x".to_owned(),
+        });
         assert_eq!(rows(client.answer().unwrap()).len(), 1);
     }
 }
@@ -388,62 +469,88 @@
         (Fails::Twice, true),
     ];
     // By effect, with a mark or not: whether one that may have run is sent again.
-    let effects =
-        [("safe", false, true), ("unsafe", true, false), ("keyed", true, true), ("keyed", false, false)];
-    let cases: Vec<_> =
-        ways.iter().flat_map(|way| effects.iter().map(move |effect| (*way, *effect))).collect();
-    each(&cases, |((fails, may_have_run), (name, marked, repeatable))| {
-        let engine = Script::new();
-        let gateway = Gateway::with(&[engine.address], effect(name, 30.0));
-        let (mut client, statement) = (gateway.client(), text(8, "SELECT 'fails'"));
-        let mark = if marked { "mem=8,token=0123456789abcdef" } else { "mem=8" };
-        let query = statement.query.replace("mem=8", mark);
-        client.stream.write_all(&query_packet(&query)).unwrap();
-        let mut link = engine.accept();
-        let asked = link.asked();
-        let whole = completed(&asked);
-        match fails {
-            Fails::Says(word) => link.say(&said(&asked, word)),
-            Fails::Resets => reset(&link.stream),
-            Fails::Closes => link.stream.shutdown(Shutdown::Both).unwrap(),
-            Fails::Half => link.say(&whole[..whole.len() / 2]),
-            Fails::HalfAndCloses => {
-                link.say(&whole[..whole.len() / 2]);
-                link.stream.shutdown(Shutdown::Both).unwrap();
-            }
-            Fails::Drips => {
-                let mut stream = link.stream.try_clone().unwrap();
-                let head = format!("{} DONE total=1 6000\r\n", asked.id);
-                thread::spawn(move || {
-                    let drip = |byte: &[u8]| stream.write_all(byte).map(|()| sleep(millis(20)));
-                    head.as_bytes().chunks(1).chain(std::iter::repeat(&b"x"[..])).take(500).try_for_each(drip)
-                });
+    let effects = [
+        ("safe", false, true),
+        ("unsafe", true, false),
+        ("keyed", true, true),
+        ("keyed", false, false),
+    ];
+    let cases: Vec<_> = ways
+        .iter()
+        .flat_map(|way| effects.iter().map(move |effect| (*way, *effect)))
+        .collect();
+    each(
+        &cases,
+        |((fails, may_have_run), (name, marked, repeatable))| {
+            let engine = Script::new();
+            let gateway = Gateway::with(&[engine.address], effect(name, 30.0));
+            let (mut client, statement) = (gateway.client(), text(8, "SELECT 'fails'"));
+            let mark = if marked {
+                "mem=8,token=0123456789abcdef"
+            } else {
+                "mem=8"
+            };
+            let query = statement.query.replace("mem=8", mark);
+            client.stream.write_all(&query_packet(&query)).unwrap();
+            let mut link = engine.accept();
+            let asked = link.asked();
+            let whole = completed(&asked);
+            match fails {
+                Fails::Says(word) => link.say(&said(&asked, word)),
+                Fails::Resets => reset(&link.stream),
+                Fails::Closes => link.stream.shutdown(Shutdown::Both).unwrap(),
+                Fails::Half => link.say(&whole[..whole.len() / 2]),
+                Fails::HalfAndCloses => {
+                    link.say(&whole[..whole.len() / 2]);
+                    link.stream.shutdown(Shutdown::Both).unwrap();
+                }
+                Fails::Drips => {
+                    let mut stream = link.stream.try_clone().unwrap();
+                    let head = format!("{} DONE total=1 6000\r\n", asked.id);
+                    thread::spawn(move || {
+                        let drip = |byte: &[u8]| stream.write_all(byte).map(|()| sleep(millis(20)));
+                        head.as_bytes()
+                            .chunks(1)
+                            .chain(std::iter::repeat(&b"x"[..]))
+                            .take(500)
+                            .try_for_each(drip)
+                    });
+                }
+                Fails::Garbage => link.say("what is this\r\n"),
+                Fails::Twice => {
+                    link.say(&[whole.clone(), said(&asked, "BROKE"), whole].concat());
+                    let got = client.answer().unwrap();
+                    assert_eq!(rows(got).len(), 1, "{name}");
+                    // One answer: the next word of the session is that of its next command.
+                    assert_eq!(client.ping().unwrap(), Answer::Ok, "{name}");
+                    return drop(ended(gateway));
+                }
             }
-            Fails::Garbage => link.say("what is this\r\n"),
-            Fails::Twice => {
-                link.say(&[whole.clone(), said(&asked, "BROKE"), whole].concat());
-                let got = client.answer().unwrap();
-                assert_eq!(rows(got).len(), 1, "{name}");
-                // One answer: the next word of the session is that of its next command.
-                assert_eq!(client.ping().unwrap(), Answer::Ok, "{name}");
-                return drop(ended(gateway));
+            if !may_have_run || repeatable {
+                // On another connection, whatever became of the first.
+                let mut again = engine
+                    .comes()
+                    .unwrap_or_else(|| panic!("{fails:?}, {name}: not sent again"));
+                let asked = again.asked();
+                assert_eq!(asked.id, statement.rid);
+                again.complete(&asked);
+                assert_eq!(rows(client.answer().unwrap()).len(), 1, "{fails:?}, {name}");
+            } else {
+                let answer = client.answer().unwrap();
+                assert!(
+                    matches!(answer, Answer::Error(1105, _)),
+                    "{fails:?}, {name}: {answer:?}"
+                );
             }
-        }
-        if !may_have_run || repeatable {
-            // On another connection, whatever became of the first.
-            let mut again = engine.comes().unwrap_or_else(|| panic!("{fails:?}, {name}: not sent again"));
-            let asked = again.asked();
-            assert_eq!(asked.id, statement.rid);
-            again.complete(&asked);
-            assert_eq!(rows(client.answer().unwrap()).len(), 1, "{fails:?}, {name}");
-        } else {
-            let answer = client.answer().unwrap();
-            assert!(matches!(answer, Answer::Error(1105, _)), "{fails:?}, {name}: {answer:?}");
-        }
-        let log = ended(gateway);
-        let sent = if !may_have_run || repeatable { 2 } else { 1 };
-        assert_eq!(counter(&log, "relays_sent"), sent, "{fails:?}, {name}: {log}");
-    });
+            let log = ended(gateway);
+            let sent = if !may_have_run || repeatable { 2 } else { 1 };
+            assert_eq!(
+                counter(&log, "relays_sent"),
+                sent,
+                "{fails:?}, {name}: {log}"
+            );
+        },
+    );
 }
 
 /// Half a line on a connection at rest: what is put on it next would end with it.
@@ -486,7 +593,14 @@
     assert_eq!(rows(client.answer().unwrap()).len(), 1);
     assert!(link.silent());
     let log = ended(gateway);
-    assert_eq!((counter(&log, "relays_timed_out"), counter(&log, "completed")), (0, 1), "{log}");
+    assert_eq!(
+        (
+            counter(&log, "relays_timed_out"),
+            counter(&log, "completed")
+        ),
+        (0, 1),
+        "{log}"
+    );
 }
 
 /// A client rests with half a packet until the gateway ends: it reads what it had, then an end, never a reset; and what
@@ -509,10 +623,23 @@
     client.stream.write_all(&half[half.len() / 2..]).unwrap();
     send(&mut client, &text(8, "SELECT 'across'"));
     client.stream.shutdown(Shutdown::Write).unwrap();
-    assert_eq!(client.stream.read(&mut [0; 16]).map_err(|error| error.kind()), Ok(0));
+    assert_eq!(
+        client
+            .stream
+            .read(&mut [0; 16])
+            .map_err(|error| error.kind()),
+        Ok(0)
+    );
     let (status, log) = gateway.end(millis(5000));
     assert!(status.success());
-    assert_eq!((counter(&log, "statements_taken"), counter(&log, "relays_sent")), (1, 1), "{log}");
+    assert_eq!(
+        (
+            counter(&log, "statements_taken"),
+            counter(&log, "relays_sent")
+        ),
+        (1, 1),
+        "{log}"
+    );
     assert!(link.line().is_none());
 }
 
@@ -531,7 +658,15 @@
     let (old, new) = (text(8, "SELECT 'old'"), text(8, "SELECT 'new'"));
     send(&mut rests, &old);
     let mut comes = TcpStream::connect(gateway.listen).unwrap();
-    comes.write_all(&[login_packet("app", b"", "warehouse"), query_packet(&new.query)].concat()).unwrap();
+    comes
+        .write_all(
+            &[
+                login_packet("app", b"", "warehouse"),
+                query_packet(&new.query),
+            ]
+            .concat(),
+        )
+        .unwrap();
     gateway.go_on();
     let mut link = engine.accept();
     let mut links = vec![engine.accept()];
@@ -544,10 +679,17 @@
     assert_eq!(rows(rests.answer().unwrap()).len(), 1);
     let mut got = Vec::new();
     comes.read_to_end(&mut got).unwrap();
-    assert!(got.windows(12).any(|bytes| bytes == b"SELECT 'new'"), "no whole answer");
+    assert!(
+        got.windows(12).any(|bytes| bytes == b"SELECT 'new'"),
+        "no whole answer"
+    );
     let (status, log) = gateway.end(millis(5000));
     assert!(status.success());
-    assert_eq!((counter(&log, "completed"), counter(&log, "open")), (2, 0), "{log}");
+    assert_eq!(
+        (counter(&log, "completed"), counter(&log, "open")),
+        (2, 0),
+        "{log}"
+    );
     add_up(&log);
 }
 
@@ -559,7 +701,13 @@
     send(&mut client, &statement);
     let mut link = engine.accept();
     let asked = link.asked();
-    for signal in [Signal::TERM, Signal::TERM, Signal::HUP, Signal::INT, Signal::TERM] {
+    for signal in [
+        Signal::TERM,
+        Signal::TERM,
+        Signal::HUP,
+        Signal::INT,
+        Signal::TERM,
+    ] {
         gateway.signal(signal);
     }
     // The signals were taken in before this answer.
@@ -568,7 +716,11 @@
     assert_eq!(rows(client.answer().unwrap()).len(), 1);
     let (status, log) = gateway.end(millis(5000));
     assert!(status.success());
-    assert_eq!((counter(&log, "completed"), counter(&log, "reloads")), (1, 1), "{log}");
+    assert_eq!(
+        (counter(&log, "completed"), counter(&log, "reloads")),
+        (1, 1),
+        "{log}"
+    );
     add_up(&log);
 }
 
@@ -586,7 +738,11 @@
     assert!(denied(&client.answer().unwrap()));
     let (status, log) = gateway.end(millis(5000));
     assert!(status.success());
-    assert_eq!((counter(&log, "relays_sent"), counter(&log, "overdue")), (1, 0), "{log}");
+    assert_eq!(
+        (counter(&log, "relays_sent"), counter(&log, "overdue")),
+        (1, 0),
+        "{log}"
+    );
     add_up(&log);
 }
 
@@ -601,12 +757,27 @@
     assert_eq!(link.asked().id, statement.rid);
     // More stands behind it, unread by the gateway's commands: closed over it, the connection would be reset.
     send(&mut client, &text(8, "SELECT 'behind'"));
-    assert_eq!(gateway.client().ask(&format!("KILL {}", client.connection)).unwrap(), Answer::Ok);
+    assert_eq!(
+        gateway
+            .client()
+            .ask(&format!("KILL {}", client.connection))
+            .unwrap(),
+        Answer::Ok
+    );
     assert!(matches!(client.answer().unwrap(), Answer::Error(1317, _)));
-    assert_eq!(client.answer().unwrap_err().kind(), ErrorKind::UnexpectedEof);
+    assert_eq!(
+        client.answer().unwrap_err().kind(),
+        ErrorKind::UnexpectedEof
+    );
     client.stream.write_all(&packet(0, &[0x0e])).unwrap();
     client.stream.shutdown(Shutdown::Write).unwrap();
-    assert_eq!(client.stream.read(&mut [0; 8]).map_err(|error| error.kind()), Ok(0));
+    assert_eq!(
+        client
+            .stream
+            .read(&mut [0; 8])
+            .map_err(|error| error.kind()),
+        Ok(0)
+    );
     ended(gateway);
 }
 
@@ -618,7 +789,10 @@
         let gateway = Gateway::before(&[engine.address]);
         let config = std::fs::read(&gateway.config).unwrap();
         let pipe = gateway.config.with_extension("pipe");
-        let made = std::process::Command::new("mkfifo").arg(&pipe).status().unwrap();
+        let made = std::process::Command::new("mkfifo")
+            .arg(&pipe)
+            .status()
+            .unwrap();
         assert!(made.success());
         drop(gateway);
         let mut child = spawn(&pipe);
@@ -653,45 +827,56 @@
 #[test]
 fn a_restart_is_ready_in_time_whatever_the_board_does() {
     use toy::board::Mood;
-    each(&[Some(Mood::Late), Some(Mood::Silent), Some(Mood::Closing), None], |mood| {
-        let engine = engine(1);
-        for known in [true, false] {
-            let mut gateway = Gateway::with(&[engine.address], |config| {
-                if mood.is_none() {
-                    config["board"] = json!(free_address().to_string());
-                }
-                if !known {
-                    config["known"] = json!({"rev": 0, "notices": []});
-                }
-            });
-            mood.into_iter().for_each(|mood| gateway.board.set(mood));
-            gateway.child.kill().unwrap();
-            gateway.child.wait().unwrap();
-            gateway.child = spawn(&gateway.config);
-            let begun = Instant::now();
-            gateway.wait_ready();
-            assert!(begun.elapsed() < millis(if known { 1000 } else { 7000 }), "{mood:?}, {known}");
-            let mut client = gateway.client();
-            let answer = client.ask(&commented(3000, "SELECT 1")).unwrap();
-            if known {
-                assert_eq!(rows(answer).len(), 1);
-            } else if mood == Some(Mood::Late) {
-                // Late, and in time for the start all the same.
-                assert_eq!(rows(answer).len(), 1);
-            } else {
-                // Denied until a list comes, then served.
-                assert!(denied(&answer), "{answer:?}");
-                if mood.is_some() {
-                    gateway.board.set(Mood::Well);
-                    let until = Instant::now() + millis(9000);
-                    while denied(&client.ask(&commented(3000, "SELECT 1")).unwrap()) {
-                        assert!(Instant::now() < until, "{mood:?}: the list never came");
-                        sleep(millis(50));
+    each(
+        &[
+            Some(Mood::Late),
+            Some(Mood::Silent),
+            Some(Mood::Closing),
+            None,
+        ],
+        |mood| {
+            let engine = engine(1);
+            for known in [true, false] {
+                let mut gateway = Gateway::with(&[engine.address], |config| {
+                    if mood.is_none() {
+                        config["board"] = json!(free_address().to_string());
+                    }
+                    if !known {
+                        config["known"] = json!({"rev": 0, "notices": []});
+                    }
+                });
+                mood.into_iter().for_each(|mood| gateway.board.set(mood));
+                gateway.child.kill().unwrap();
+                gateway.child.wait().unwrap();
+                gateway.child = spawn(&gateway.config);
+                let begun = Instant::now();
+                gateway.wait_ready();
+                assert!(
+                    begun.elapsed() < millis(if known { 1000 } else { 7000 }),
+                    "{mood:?}, {known}"
+                );
+                let mut client = gateway.client();
+                let answer = client.ask(&commented(3000, "SELECT 1")).unwrap();
+                if known {
+                    assert_eq!(rows(answer).len(), 1);
+                } else if mood == Some(Mood::Late) {
+                    // Late, and in time for the start all the same.
+                    assert_eq!(rows(answer).len(), 1);
+                } else {
+                    // Denied until a list comes, then served.
+                    assert!(denied(&answer), "{answer:?}");
+                    if mood.is_some() {
+                        gateway.board.set(Mood::Well);
+                        let until = Instant::now() + millis(9000);
+                        while denied(&client.ask(&commented(3000, "SELECT 1")).unwrap()) {
+                            assert!(Instant::now() < until, "{mood:?}: the list never came");
+                            sleep(millis(50));
+                        }
                     }
                 }
             }
-        }
-    });
+        },
+    );
 }
 
 /// An answer that its client has not taken yet when the gateway is told to end is written to its end, then the client
@@ -758,13 +943,21 @@
     std::fs::write(&gateway.config, new.to_string()).unwrap();
     gateway.signal(Signal::HUP);
     let told = gateway.says("configuration read again");
-    assert!(told.contains(r#"kept=["limits.sockets", "settings"]"#), "{told}");
+    assert!(
+        told.contains(r#"kept=["limits.sockets", "settings"]"#),
+        "{told}"
+    );
     assert!(told.contains(free.as_str().unwrap()), "{told}");
     // It may have run: by the old settings never again, by the new ones it would be.
     link.say(&said(&asked, "BROKE"));
     assert!(matches!(client.answer().unwrap(), Answer::Error(1105, _)));
-    let unknown = text(8, "SELECT 1").query.replace("method=point", "method=lookup");
-    assert!(matches!(client.ask(&unknown).unwrap(), Answer::Error(1064, _)));
+    let unknown = text(8, "SELECT 1")
+        .query
+        .replace("method=point", "method=lookup");
+    assert!(matches!(
+        client.ask(&unknown).unwrap(),
+        Answer::Error(1064, _)
+    ));
     let known = text(8, "SELECT 'still'");
     send(&mut client, &known);
     let asked = link.asked();
@@ -781,11 +974,14 @@
     use dispatch::{Dispatch, Pick, Verdict, Wants};
     use settings::{Settings, Way};
     let at = Moment::from_secs;
-    let config: Value = serde_json::from_str(include_str!("../../../examples/config.json")).unwrap();
+    let config: Value =
+        serde_json::from_str(include_str!("../../../examples/config.json")).unwrap();
     let of = |effect: &str| {
         let mut settings = config["settings"].clone();
         settings["Grades"][0]["Effect"] = json!(effect);
-        let policy = Settings::from_json(&settings).policy(7, Way(Span::ZERO)).unwrap();
+        let policy = Settings::from_json(&settings)
+            .policy(7, Way(Span::ZERO))
+            .unwrap();
         let mut dispatch = Dispatch::new(policy);
         let engine = EngineFact {
             id: EngineId(1),
@@ -817,10 +1013,20 @@
         }
         for (which, of) in both.iter_mut().enumerate() {
             let due = of.tick(now).due;
-            let [(_, Pick::Relay(order))] = due[..] else { panic!("{due:?}") };
-            let news = if number % 2 == 0 { News::Error } else { News::Reset };
+            let [(_, Pick::Relay(order))] = due[..] else {
+                panic!("{due:?}")
+            };
+            let news = if number % 2 == 0 {
+                News::Error
+            } else {
+                News::Reset
+            };
             let verdict = of.report(now, id, order.relay, news, Span::from_secs(0.1), false);
-            let want = if which == 0 { Verdict::Nothing } else { Verdict::Scrap };
+            let want = if which == 0 {
+                Verdict::Nothing
+            } else {
+                Verdict::Scrap
+            };
             assert_eq!(verdict, want, "{number}, {which}");
             of.gone(id);
         }
@@ -837,9 +1043,18 @@
     send(&mut client, &statement);
     let mut link = engine.accept();
     let asked = link.asked();
-    assert_eq!(gateway.client().ask(&format!("KILL QUERY {}", client.connection)).unwrap(), Answer::Ok);
+    assert_eq!(
+        gateway
+            .client()
+            .ask(&format!("KILL QUERY {}", client.connection))
+            .unwrap(),
+        Answer::Ok
+    );
     assert!(matches!(client.answer().unwrap(), Answer::Error(1317, _)));
-    assert!(matches!(client.ask(&statement.query).unwrap(), Answer::Error(1064, _)));
+    assert!(matches!(
+        client.ask(&statement.query).unwrap(),
+        Answer::Error(1064, _)
+    ));
     assert!(link.silent());
     link.complete(&asked);
     while counter(&gateway.settled(), "relays_done") < 1 {}
@@ -854,7 +1069,8 @@
 /// A configuration that cannot be used is one line that names the place, and a status that is no success.
 #[test]
 fn a_bad_configuration_names_its_place() {
-    let config: Value = serde_json::from_str(include_str!("../../../examples/config.json")).unwrap();
+    let config: Value =
+        serde_json::from_str(include_str!("../../../examples/config.json")).unwrap();
     let changes: [(&str, Value, &str); 12] = [
         ("/board", json!("nowhere"), "board"),
         ("/seed", json!("none"), "seed"),
@@ -862,24 +1078,51 @@
         ("/limits/sockets", json!(3), "limits.sockets"),
         ("/limits/memory_mb", json!("much"), "limits.memory_mb"),
         ("/known/rev", json!(-1), "known: rev"),
-        ("/known/notices/0/pool/targets/0/state", json!("asleep"), "known: state"),
-        ("/known/notices/0/pool/targets/0/endpoint", json!("e-1"), "known: endpoint"),
-        ("/settings/Grades/0/Effect", json!("careful"), "Grades.0.Effect"),
-        ("/settings/Grades/0/Effect", json!("keyed"), "Grades.0.KeyScope"),
-        ("/settings/Grades/1/GiveUpS", json!("long"), "Grades.1.GiveUpS"),
+        (
+            "/known/notices/0/pool/targets/0/state",
+            json!("asleep"),
+            "known: state",
+        ),
+        (
+            "/known/notices/0/pool/targets/0/endpoint",
+            json!("e-1"),
+            "known: endpoint",
+        ),
+        (
+            "/settings/Grades/0/Effect",
+            json!("careful"),
+            "Grades.0.Effect",
+        ),
+        (
+            "/settings/Grades/0/Effect",
+            json!("keyed"),
+            "Grades.0.KeyScope",
+        ),
+        (
+            "/settings/Grades/1/GiveUpS",
+            json!("long"),
+            "Grades.1.GiveUpS",
+        ),
         ("/settings/PeersTotal", json!("many"), "PeersTotal"),
     ];
     each(&(0..changes.len()).collect::<Vec<_>>(), |at| {
         let (place, bad, named) = &changes[at];
         let mut config = config.clone();
         *config.pointer_mut(place).unwrap() = bad.clone();
-        let path = std::env::temp_dir().join(format!("laurelhitch-bad-{}-{at}.json", std::process::id()));
+        let path =
+            std::env::temp_dir().join(format!("laurelhitch-bad-{}-{at}.json", std::process::id()));
         std::fs::write(&path, config.to_string()).unwrap();
         let ended = spawn(&path).wait_with_output().unwrap();
         std::fs::remove_file(&path).unwrap();
         let said = String::from_utf8(ended.stderr).unwrap();
-        let faults: Vec<&str> = said.lines().filter(|line| line.starts_with("laurelhitch: ")).collect();
-        assert!(!ended.status.success() && faults.len() == 1, "{place}: {said}");
+        let faults: Vec<&str> = said
+            .lines()
+            .filter(|line| line.starts_with("laurelhitch: "))
+            .collect();
+        assert!(
+            !ended.status.success() && faults.len() == 1,
+            "{place}: {said}"
+        );
         assert!(faults[0].contains(named), "{place}: {said}");
     });
 }
--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -30,21 +30,28 @@
     let text = format!(
         "/* method=point,rid={number:016x},budget=1500,acct=water,est=5.0,mem=8 */ SELECT 1 FROM ledger_1.bills"
     );
-    Client::login(fleet.all[at].listen).and_then(|mut client| client.ask(&text)).unwrap()
+    Client::login(fleet.all[at].listen)
+        .and_then(|mut client| client.ask(&text))
+        .unwrap()
 }
 
 fn serve(fleet: &Fleet) {
     for at in fleet.everyone() {
         let answer = ask(fleet, at, 1_000_000 + at as u64);
-        assert!(matches!(answer, Answer::Rows(_)), "{}: {answer:?}", name(at));
+        assert!(
+            matches!(answer, Answer::Rows(_)),
+            "{}: {answer:?}",
+            name(at)
+        );
     }
 }
 
 /// Nobody was taken for dead but these, by anybody.
 fn only_died(fleet: &Fleet, of: &[usize]) {
     let allowed: Vec<String> = of.iter().map(|at| format!("{} dead", name(*at))).collect();
-    let wrong =
-        |(_, _, what): &&(Duration, String, String)| what.ends_with(" dead") && !allowed.contains(what);
+    let wrong = |(_, _, what): &&(Duration, String, String)| {
+        what.ends_with(" dead") && !allowed.contains(what)
+    };
     let line = fleet.time_line();
     let wrong: Vec<_> = line.iter().filter(wrong).collect();
     assert!(wrong.is_empty(), "{wrong:?}");
@@ -64,10 +71,13 @@
 fn a_partition_is_named_on_both_sides_and_heals() {
     let fleet = together(7);
     let (few, many): (Vec<usize>, Vec<usize>) = (vec![0, 5], vec![1, 2, 3, 4, 6]);
-    fleet.switch.faults(|faults| faults.partition(&[few.clone(), many.clone()]));
+    fleet
+        .switch
+        .faults(|faults| faults.partition(&[few.clone(), many.clone()]));
     fleet.settled(SOON, &many).unwrap();
-    let cut_off =
-        fleet.until(SOON, &few, |_, shown| shown.standing.starts_with("cut off") && shown.size == 2);
+    let cut_off = fleet.until(SOON, &few, |_, shown| {
+        shown.standing.starts_with("cut off") && shown.size == 2
+    });
     cut_off.unwrap();
     serve(&fleet);
     fleet.switch.faults(rig::switch::Faults::heal);
@@ -82,7 +92,9 @@
     fleet.settled(SOON, &fleet.everyone()).unwrap();
     assert!(fleet.shown(0).unwrap().heard_s.unwrap() < 5.0);
     let (one, others) = (vec![0], vec![1, 2, 3, 4]);
-    fleet.switch.faults(|faults| faults.partition(&[one.clone(), others.clone()]));
+    fleet
+        .switch
+        .faults(|faults| faults.partition(&[one.clone(), others.clone()]));
     let cut_off = fleet.until(SOON, &one, |_, shown| shown.standing.starts_with("cut off"));
     cut_off.unwrap();
     serve(&fleet);
@@ -132,7 +144,9 @@
 impl Liar {
     fn new(address: SocketAddr) -> Liar {
         let socket = UdpSocket::bind(address).unwrap();
-        socket.set_read_timeout(Some(Duration::from_millis(5))).unwrap();
+        socket
+            .set_read_timeout(Some(Duration::from_millis(5)))
+            .unwrap();
         let own = Record {
             name: Name::new("liar").unwrap(),
             life: Life(1),
@@ -141,7 +155,11 @@
             place: Place::default(),
             state: State::Alive,
         };
-        Liar { socket, own, counter: 0 }
+        Liar {
+            socket,
+            own,
+            counter: 0,
+        }
     }
 
     fn send(&mut self, to: SocketAddr, body: Body, records: Vec<Record>, engines: Vec<EngineNews>) {
@@ -178,8 +196,10 @@
                         place: Place::default(),
                         state: State::Dead,
                     });
-                    let ghost =
-                        Record { name: Name::new(&format!("ghost-{said}")).unwrap(), ..self.own.clone() };
+                    let ghost = Record {
+                        name: Name::new(&format!("ghost-{said}")).unwrap(),
+                        ..self.own.clone()
+                    };
                     let records = victims.chain([ghost]).collect();
                     let bad = |at: usize| EngineNews {
                         engine: format!("e-{at}"),
@@ -190,7 +210,9 @@
                     self.send(fleet.all[at].bound, Body::News, records, engines);
                 }
             }
-            let Ok((size, from)) = self.socket.recv_from(&mut bytes) else { continue };
+            let Ok((size, from)) = self.socket.recv_from(&mut bytes) else {
+                continue;
+            };
             if let Ok(letter) = letter::open(&ring, &rig, &bytes[..size])
                 && let Body::Ping(nonce) = letter.body
             {
@@ -215,15 +237,31 @@
     only_died(&fleet, &[]);
     for at in fleet.everyone() {
         for number in 0..12 {
-            assert!(matches!(ask(&fleet, at, 5000 + at as u64 * 100 + number), Answer::Rows(_)));
+            assert!(matches!(
+                ask(&fleet, at, 5000 + at as u64 * 100 + number),
+                Answer::Rows(_)
+            ));
         }
         fleet.print_counters(at);
-        assert_eq!(fleet.counter(at, "engines_benched"), Some(0), "{}", name(at));
+        assert_eq!(
+            fleet.counter(at, "engines_benched"),
+            Some(0),
+            "{}",
+            name(at)
+        );
         assert!(fleet.counter(at, "fleet_table").unwrap() < 200);
         let shown = fleet.shown(at).unwrap();
         let there = shown.there();
-        assert!((0..5).filter(|of| *of != at).all(|of| there.contains(&&name(of)[..])), "{shown:?}");
-        assert!(shown.rows.values().all(|row| row.incarnation < 100_000), "{shown:?}");
+        assert!(
+            (0..5)
+                .filter(|of| *of != at)
+                .all(|of| there.contains(&&name(of)[..])),
+            "{shown:?}"
+        );
+        assert!(
+            shown.rows.values().all(|row| row.incarnation < 100_000),
+            "{shown:?}"
+        );
     }
 }
 
@@ -231,7 +269,9 @@
 
 impl IpTo {
     fn beside(of: SocketAddr) -> IpTo {
-        let std::net::IpAddr::V4(ip) = of.ip() else { panic!("IPv4 here") };
+        let std::net::IpAddr::V4(ip) = of.ip() else {
+            panic!("IPv4 here")
+        };
         let [a, b, c, _] = ip.octets();
         IpTo(SocketAddr::from(([a, b, c, 250], of.port())))
     }
@@ -260,7 +300,11 @@
 #[test]
 fn seeds_that_name_nobody_alive_leave_one_alone_and_serving() {
     let mut fleet = Fleet::start(Wanted::new(PROGRAM, 4), &[0, 1, 2]).unwrap();
-    fleet.until(SOON, &[3], |_, shown| shown.standing == "alone" && shown.size == 1).unwrap();
+    fleet
+        .until(SOON, &[3], |_, shown| {
+            shown.standing == "alone" && shown.size == 1
+        })
+        .unwrap();
     serve(&fleet);
     fleet.run(1).unwrap();
     fleet.ready(1);
@@ -276,7 +320,9 @@
         faults.repeat_after = Duration::from_millis(400);
     });
     std::thread::sleep(secs(14));
-    fleet.switch.faults(|faults| *faults = rig::switch::Faults::none(6));
+    fleet
+        .switch
+        .faults(|faults| *faults = rig::switch::Faults::none(6));
     only_died(&fleet, &[]);
     fleet.settled(SOON, &fleet.everyone()).unwrap();
     let refused = |of: &str| -> i64 {
@@ -335,7 +381,10 @@
         sent
     });
     for number in 0..100 {
-        assert!(matches!(ask(&fleet, 1, 70_000 + number), Answer::Rows(_)), "{number}");
+        assert!(
+            matches!(ask(&fleet, 1, 70_000 + number), Answer::Rows(_)),
+            "{number}"
+        );
     }
     std::thread::sleep(secs(2));
     stop.store(true, std::sync::atomic::Ordering::Relaxed);
@@ -354,34 +403,63 @@
     let address = fleet.all[0].listen.to_string();
     let run = |arguments: &[&str]| Command::new(PROGRAM).args(arguments).output().unwrap();
     let table = String::from_utf8(run(&["fleet", &address]).stdout).unwrap();
-    assert!(table.contains("g01") && table.contains("together"), "{table}");
+    assert!(
+        table.contains("g01") && table.contains("together"),
+        "{table}"
+    );
     let json: serde_json::Value =
         serde_json::from_slice(&run(&["fleet", &address, "--json"]).stdout).unwrap();
     assert_eq!(json.as_array().unwrap().len(), 3);
-    let file = |ending: &str| fleet.folder().join(format!("g00.{ending}")).display().to_string();
-    let check = String::from_utf8(run(&["check", "--operator", &file("hcl"), &file("json")]).stdout).unwrap();
-    assert!(check.contains("fleet rig is on") && check.contains("hearsay counts from 2"), "{check}");
+    let file = |ending: &str| {
+        fleet
+            .folder()
+            .join(format!("g00.{ending}"))
+            .display()
+            .to_string()
+    };
+    let check =
+        String::from_utf8(run(&["check", "--operator", &file("hcl"), &file("json")]).stdout)
+            .unwrap();
+    assert!(
+        check.contains("fleet rig is on") && check.contains("hearsay counts from 2"),
+        "{check}"
+    );
     assert!(!check.contains("bounded:"), "off unless set: {check}");
     let block = std::fs::read_to_string(file("hcl")).unwrap();
     let bounded = fleet.folder().join("bounded.hcl").display().to_string();
-    std::fs::write(&bounded, block.replacen("fleet {", "fleet {\n  bounded = true", 1)).unwrap();
-    let check = String::from_utf8(run(&["check", "--operator", &bounded, &file("json")]).stdout).unwrap();
-    assert!(check.contains("bounded: 10 confirmations, 8 verifiers, 8 direct probes"), "{check}");
+    std::fs::write(
+        &bounded,
+        block.replacen("fleet {", "fleet {\n  bounded = true", 1),
+    )
+    .unwrap();
+    let check =
+        String::from_utf8(run(&["check", "--operator", &bounded, &file("json")]).stdout).unwrap();
+    assert!(
+        check.contains("bounded: 10 confirmations, 8 verifiers, 8 direct probes"),
+        "{check}"
+    );
     // Off: no socket, and no word of it.
     let mut wanted = Wanted::new(PROGRAM, 1);
     wanted.fleet = false;
     let alone = Fleet::start(wanted, &[]).unwrap();
     let off = run(&["fleet", &alone.all[0].listen.to_string()]);
-    assert!(!off.status.success() && String::from_utf8_lossy(&off.stderr).contains("its fleet is off"));
+    assert!(
+        !off.status.success() && String::from_utf8_lossy(&off.stderr).contains("its fleet is off")
+    );
     assert!(UdpSocket::bind(alone.all[0].bound).is_ok());
 }
 
 #[test]
 fn the_folder_of_keys_is_kept_by_the_command_line() {
-    let folder = std::env::temp_dir().join(format!("laurelhitch-fleet-keys-{}", std::process::id()));
+    let folder =
+        std::env::temp_dir().join(format!("laurelhitch-fleet-keys-{}", std::process::id()));
     let path = folder.display().to_string();
     let run = |arguments: &[&str]| {
-        let out = Command::new(PROGRAM).arg("fleet-keys").args(arguments).output().unwrap();
+        let out = Command::new(PROGRAM)
+            .arg("fleet-keys")
+            .args(arguments)
+            .output()
+            .unwrap();
         (
             out.status.success(),
             String::from_utf8(out.stdout).unwrap() + &String::from_utf8(out.stderr).unwrap(),
--- a/crates/gateway/tests/identity.rs
+++ b/crates/gateway/tests/identity.rs
@@ -33,19 +33,30 @@
 impl Site {
     fn new() -> Site {
         let run = RUNS.fetch_add(1, Ordering::Relaxed);
-        let folder = std::env::temp_dir().join(format!("laurelhitch-site-{}-{run}", std::process::id()));
+        let folder =
+            std::env::temp_dir().join(format!("laurelhitch-site-{}-{run}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
         let made = rcgen::generate_simple_self_signed(vec!["localhost".to_owned()]).unwrap();
         std::fs::write(folder.join("tls.pem"), made.cert.pem()).unwrap();
         std::fs::write(folder.join("tls.key"), made.signing_key.serialize_pem()).unwrap();
-        let site = Site { folder, certificate: made.cert.der().clone() };
+        let site = Site {
+            folder,
+            certificate: made.cert.der().clone(),
+        };
         site.key("k1");
         site
     }
 
     fn run(&self, words: &[&str]) -> String {
-        let output = Command::new(env!("CARGO_BIN_EXE_laurelhitch")).args(words).output().unwrap();
-        assert!(output.status.success(), "{words:?}: {}", String::from_utf8_lossy(&output.stderr));
+        let output = Command::new(env!("CARGO_BIN_EXE_laurelhitch"))
+            .args(words)
+            .output()
+            .unwrap();
+        assert!(
+            output.status.success(),
+            "{words:?}: {}",
+            String::from_utf8_lossy(&output.stderr)
+        );
         String::from_utf8(output.stdout).unwrap().trim().to_owned()
     }
 
@@ -60,7 +71,16 @@
     }
 
     fn token(&self, key: &str, more: &[&str]) -> String {
-        let issue = ["token", "issue", self.at(), key, "--caller", "counter-7", "--member", "water"];
+        let issue = [
+            "token",
+            "issue",
+            self.at(),
+            key,
+            "--caller",
+            "counter-7",
+            "--member",
+            "water",
+        ];
         self.run(&[&issue[..], more].concat())
     }
 
@@ -86,8 +106,9 @@
         let mut roots = RootCertStore::empty();
         roots.add(self.certificate.clone()).unwrap();
         let provider = Arc::new(rustls::crypto::ring::default_provider());
-        let builder =
-            ClientConfig::builder_with_provider(provider).with_safe_default_protocol_versions().unwrap();
+        let builder = ClientConfig::builder_with_provider(provider)
+            .with_safe_default_protocol_versions()
+            .unwrap();
         let config = Arc::new(builder.with_root_certificates(roots).with_no_client_auth());
         let mut plain = Client::open(listen, b"").unwrap();
         // SSLRequest: the head of a login, with the capability of TLS.
@@ -96,13 +117,21 @@
         plain.stream.write_all(&packet(1, &head)).unwrap();
         let name = ServerName::try_from("localhost").unwrap();
         let tls = ClientConnection::new(config, name).unwrap();
-        let mut secure = Secure { stream: StreamOwned::new(tls, plain.stream) };
+        let mut secure = Secure {
+            stream: StreamOwned::new(tls, plain.stream),
+        };
         let mut login = login_packet("token", b"", "warehouse");
         login[3] = 2;
         secure.stream.write_all(&login).unwrap();
         let asked = secure.packet().unwrap();
-        assert!(asked.starts_with(b"\xfemysql_clear_password\0"), "{asked:?}");
-        secure.stream.write_all(&packet(4, &[token.as_bytes(), &[0]].concat())).unwrap();
+        assert!(
+            asked.starts_with(b"\xfemysql_clear_password\0"),
+            "{asked:?}"
+        );
+        secure
+            .stream
+            .write_all(&packet(4, &[token.as_bytes(), &[0]].concat()))
+            .unwrap();
         match secure.answer() {
             Ok(()) => Ok(secure),
             Err(error) => Err(error),
@@ -141,7 +170,9 @@
     }
 
     fn ask(&mut self, text: &str) -> Result<(), (u16, String)> {
-        self.stream.write_all(&query_packet(text)).map_err(|e| (0, e.to_string()))?;
+        self.stream
+            .write_all(&query_packet(text))
+            .map_err(|e| (0, e.to_string()))?;
         self.answer()
     }
 }
@@ -154,7 +185,10 @@
 fn only_a_good_token_within_tls_logs_in_and_only_what_is_granted_reaches_an_engine() {
     let (site, engine) = (Site::new(), engine(1));
     let gateway = site.gateway(&engine, "");
-    let token = site.token("k1", &["--product", "point", "--groups", "3-5", "--desk", "counter"]);
+    let token = site.token(
+        "k1",
+        &["--product", "point", "--groups", "3-5", "--desk", "counter"],
+    );
     let mut session = site.login(gateway.listen, &token).unwrap();
     let fine = |group: u32| commented(2000, &format!("SELECT a FROM ledger_{group}.bills LIMIT 3"));
     assert_eq!(session.ask(&fine(4)), Ok(()));
@@ -171,10 +205,21 @@
     }
     // Narrowed to nothing, it is the caller all the same.
     assert_eq!(session.ask(&other(fine(5), "acct=water,", "")), Ok(()));
-    assert_eq!(engine.lines().iter().filter(|line| line.starts_with("do ")).count(), 2, "{before}");
+    assert_eq!(
+        engine
+            .lines()
+            .iter()
+            .filter(|line| line.starts_with("do "))
+            .count(),
+        2,
+        "{before}"
+    );
     // Without TLS nothing is read; with a token of another's making nobody is let in.
     let mut plain = Client::open(gateway.listen, &login_packet("app", b"", "warehouse")).unwrap();
-    assert!(matches!(plain.answer().unwrap(), toy::client::Answer::Error(3159, _)));
+    assert!(matches!(
+        plain.answer().unwrap(),
+        toy::client::Answer::Error(3159, _)
+    ));
     let forged = Site::new().token("k1", &[]);
     for bad in [&forged, "", "nonsense", &token[..token.len() - 3]] {
         assert_eq!(code(site.login(gateway.listen, bad)), 1045, "{bad}");
@@ -182,7 +227,13 @@
     gateway.signal(Signal::TERM);
     let (_, log) = gateway.end(millis(6000));
     add_up(&log);
-    assert_eq!((counter(&log, "beyond_grant"), counter(&log, "tokens_refused")), (5, 4));
+    assert_eq!(
+        (
+            counter(&log, "beyond_grant"),
+            counter(&log, "tokens_refused")
+        ),
+        (5, 4)
+    );
     assert!(!log.contains("v4.public"), "a token in the log");
 }
 
@@ -198,13 +249,24 @@
     let (code, text) = session.ask(&statement()).unwrap_err();
     assert_eq!(code, 1045);
     assert!(text.contains("expired"), "{text}");
-    let mut other = site.login(gateway.listen, &site.token("k1", &["--minutes", "0.025"])).unwrap();
+    let mut other = site
+        .login(gateway.listen, &site.token("k1", &["--minutes", "0.025"]))
+        .unwrap();
     let next = site.token("k1", &[]);
-    assert_eq!(other.ask(&format!("SET @laurelhitch_token = '{next}'")), Ok(()));
+    assert_eq!(
+        other.ask(&format!("SET @laurelhitch_token = '{next}'")),
+        Ok(())
+    );
     sleep(millis(1600));
     assert_eq!(other.ask(&statement()), Ok(()));
     // One that is not good leaves what stands.
-    assert_eq!(other.ask("SET @laurelhitch_token = 'v4.public.none'").unwrap_err().0, 1045);
+    assert_eq!(
+        other
+            .ask("SET @laurelhitch_token = 'v4.public.none'")
+            .unwrap_err()
+            .0,
+        1045
+    );
     assert_eq!(other.ask("SELECT @@max_allowed_packet"), Ok(()));
 }
 
@@ -261,8 +323,16 @@
             // Long enough for every session to have renewed.
             sleep(millis(700 + 6 * pause_ms));
             let caller = format!("mallory-{round}");
-            let token =
-                site.run(&["token", "issue", site.at(), &new, "--caller", &caller, "--member", "water"]);
+            let token = site.run(&[
+                "token",
+                "issue",
+                site.at(),
+                &new,
+                "--caller",
+                &caller,
+                "--member",
+                "water",
+            ]);
             let mut mallory = site.login(gateway.listen, &token).unwrap();
             assert_eq!(mallory.ask(&statement()), Ok(()));
             site.run(&["token", "revoke", site.at(), "--caller", &caller]);
@@ -318,7 +388,10 @@
     for bad in [&index[..index.len() / 2], &missing[..], ""] {
         std::fs::write(site.folder.join("index.json"), bad).unwrap();
         sleep(millis(600));
-        assert_eq!(session.ask(&commented(2000, "SELECT 1 FROM ledger_1.bills LIMIT 1")), Ok(()));
+        assert_eq!(
+            session.ask(&commented(2000, "SELECT 1 FROM ledger_1.bills LIMIT 1")),
+            Ok(())
+        );
     }
     let away = site.folder.with_extension("away");
     std::fs::rename(&site.folder, &away).unwrap();
@@ -330,7 +403,10 @@
     gateway.signal(Signal::TERM);
     let (_, log) = gateway.end(millis(6000));
     let failed = counter(&log, "key_files_failed");
-    let lines = log.lines().filter(|line| line.contains("the last good ones stand")).count();
+    let lines = log
+        .lines()
+        .filter(|line| line.contains("the last good ones stand"))
+        .count();
     assert!(failed >= 4 && lines as i64 == failed, "{log}");
 }
 
@@ -353,7 +429,10 @@
         open.push(stream);
     }
     for _ in 0..50 {
-        assert_eq!(session.ask(&commented(2000, "SELECT 1 FROM ledger_1.bills LIMIT 1")), Ok(()));
+        assert_eq!(
+            session.ask(&commented(2000, "SELECT 1 FROM ledger_1.bills LIMIT 1")),
+            Ok(())
+        );
     }
     let begun = Instant::now();
     for mut stream in open {
@@ -361,7 +440,10 @@
         let mut rest = Vec::new();
         let _ = stream.read_to_end(&mut rest);
     }
-    assert!(begun.elapsed() < millis(4500), "open handshakes are not ended");
+    assert!(
+        begun.elapsed() < millis(4500),
+        "open handshakes are not ended"
+    );
     gateway.signal(Signal::TERM);
     add_up(&gateway.end(millis(6000)).1);
 }
--- a/crates/gateway/tests/process.rs
+++ b/crates/gateway/tests/process.rs
@@ -24,11 +24,16 @@
     let gateway = Gateway::before(&[engine.address]);
     let mut client = gateway.client();
     for limit in [0, 1, 2, 120] {
-        let statement = format!("SELECT a, b, '{}' FROM ledger_17.bills LIMIT {limit}", "x".repeat(260));
+        let statement = format!(
+            "SELECT a, b, '{}' FROM ledger_17.bills LIMIT {limit}",
+            "x".repeat(260)
+        );
         let got = rows(client.ask(&commented(5000, &statement)).unwrap());
         let want: String = toy::engine::pages(&statement).concat();
-        let want: Vec<Vec<String>> =
-            want.lines().map(|row| row.split('\t').map(String::from).collect()).collect();
+        let want: Vec<Vec<String>> = want
+            .lines()
+            .map(|row| row.split('\t').map(String::from).collect())
+            .collect();
         assert_eq!((got.len(), &got), (limit, &want));
     }
     assert!(engine.lines().iter().any(|line| line.starts_with("page ")));
@@ -39,7 +44,11 @@
 fn login_and_query_may_come_before_the_greeting_in_any_pieces() {
     let engine = engine(1);
     let gateway = Gateway::before(&[engine.address]);
-    let both = [login_packet("app", b"", "warehouse"), query_packet(&commented(5000, "SELECT 1"))].concat();
+    let both = [
+        login_packet("app", b"", "warehouse"),
+        query_packet(&commented(5000, "SELECT 1")),
+    ]
+    .concat();
     let mut whole = Client::open(gateway.listen, &both).unwrap();
     assert_eq!(whole.answer().unwrap(), Answer::Ok);
     assert_eq!(rows(whole.answer().unwrap())[0][1], "SELECT 1");
@@ -70,23 +79,41 @@
         good.replace("est=12.0", "est=much"),
         good.replace("SELECT 1", ""),
     ] {
-        assert!(matches!(client.ask(&text).unwrap(), Answer::Error(1064, _)), "{text}");
+        assert!(
+            matches!(client.ask(&text).unwrap(), Answer::Error(1064, _)),
+            "{text}"
+        );
     }
-    for (user, password, database) in [("root", "", "warehouse"), ("app", "x", "warehouse"), ("app", "", "x")]
-    {
+    for (user, password, database) in [
+        ("root", "", "warehouse"),
+        ("app", "x", "warehouse"),
+        ("app", "", "x"),
+    ] {
         let login = login_packet(user, password.as_bytes(), database);
         let mut other = Client::open(gateway.listen, &login).unwrap();
-        assert!(matches!(other.answer().unwrap(), Answer::Error(1045 | 1049, _)));
+        assert!(matches!(
+            other.answer().unwrap(),
+            Answer::Error(1045 | 1049, _)
+        ));
         assert!(other.answer().is_err());
     }
     let mut oversized = gateway.client();
-    oversized.stream.write_all(&[0xff, 0xff, 0x7f, 0, 3]).unwrap();
-    assert!(matches!(oversized.answer().unwrap(), Answer::Error(1153, _)));
+    oversized
+        .stream
+        .write_all(&[0xff, 0xff, 0x7f, 0, 3])
+        .unwrap();
+    assert!(matches!(
+        oversized.answer().unwrap(),
+        Answer::Error(1153, _)
+    ));
     client.stream.write_all(&packet(0, &[0x55])).unwrap();
     assert!(matches!(client.answer().unwrap(), Answer::Error(1047, _)));
     assert_eq!(engine.lines(), [""; 0]);
     assert_eq!(client.ask("SET NAMES utf8").unwrap(), Answer::Ok);
-    assert_eq!(rows(client.ask("SELECT @@max_allowed_packet").unwrap()), [["65536"]]);
+    assert_eq!(
+        rows(client.ask("SELECT @@max_allowed_packet").unwrap()),
+        [["65536"]]
+    );
     assert_eq!(rows(client.ask(&good).unwrap()).len(), 1);
 }
 
@@ -94,11 +121,23 @@
 fn every_way_an_engine_fails_ends_in_one_answer() {
     let engine = engine(1);
     let gateway = Gateway::before(&[engine.address]);
-    let moods = [Mood::Full, Mood::Error, Mood::Past, Mood::Reset, Mood::LosesPages, Mood::Huge];
-    for mood in moods.into_iter().chain((0..GARBAGE.len()).map(Mood::Garbage)) {
+    let moods = [
+        Mood::Full,
+        Mood::Error,
+        Mood::Past,
+        Mood::Reset,
+        Mood::LosesPages,
+        Mood::Huge,
+    ];
+    for mood in moods
+        .into_iter()
+        .chain((0..GARBAGE.len()).map(Mood::Garbage))
+    {
         engine.set(mood);
         let (mut client, before) = (gateway.client(), engine.lines().len());
-        let answer = client.ask(&commented(800, "SELECT a FROM s_1.t LIMIT 900")).unwrap();
+        let answer = client
+            .ask(&commented(800, "SELECT a FROM s_1.t LIMIT 900"))
+            .unwrap();
         assert!(engine.lines().len() > before, "{mood:?} was never met");
         assert!(denied(&answer), "{mood:?}: {answer:?}");
         assert_eq!(client.ping().unwrap(), Answer::Ok, "{mood:?}");
@@ -115,17 +154,27 @@
     let gateway = Gateway::before(&[engine.address]);
     let mut others: Vec<Client> = (0..6).map(|_| gateway.client()).collect();
     for client in &mut others {
-        client.stream.write_all(&query_packet(&commented(3000, "SELECT 1"))).unwrap();
+        client
+            .stream
+            .write_all(&query_packet(&commented(3000, "SELECT 1")))
+            .unwrap();
     }
     sleep(millis(100));
     engine.set(Mood::Garbage(0));
-    assert!(denied(&gateway.client().ask(&commented(900, "SELECT 2")).unwrap()));
+    assert!(denied(
+        &gateway.client().ask(&commented(900, "SELECT 2")).unwrap()
+    ));
     engine.set(Mood::Well);
-    others.iter_mut().for_each(|client| assert_eq!(rows(client.answer().unwrap()).len(), 1));
+    others
+        .iter_mut()
+        .for_each(|client| assert_eq!(rows(client.answer().unwrap()).len(), 1));
     gateway.signal(Signal::TERM);
     let (_, log) = gateway.end(millis(5000));
     let (sent, reset) = (counter(&log, "relays_sent"), counter(&log, "relays_reset"));
-    assert!(reset <= 3 && reset == counter(&log, "answers_spoilt") && sent == 6 + reset, "{log}");
+    assert!(
+        reset <= 3 && reset == counter(&log, "answers_spoilt") && sent == 6 + reset,
+        "{log}"
+    );
     add_up(&log);
 }
 
@@ -148,7 +197,10 @@
             assert!(denied(&client.answer().unwrap()));
         }
         // The connection that stays open serves no further use.
-        assert_eq!(rows(gateway.client().ask(&commented(1900, "SELECT 2")).unwrap()).len(), 1);
+        assert_eq!(
+            rows(gateway.client().ask(&commented(1900, "SELECT 2")).unwrap()).len(),
+            1
+        );
     }
 }
 
@@ -161,7 +213,10 @@
     client.stream.write_all(&query_packet(&first)).unwrap();
     sleep(millis(100));
     let second = first.replace("SELECT 1", "SELECT 2");
-    assert!(matches!(other.ask(&second).unwrap(), Answer::Error(1064, _)));
+    assert!(matches!(
+        other.ask(&second).unwrap(),
+        Answer::Error(1064, _)
+    ));
     assert_eq!(rows(client.answer().unwrap())[0][1], "SELECT 1");
     assert_eq!(engine.lines().len(), 1);
     assert_eq!(rows(other.ask(&second).unwrap())[0][1], "SELECT 2");
@@ -172,7 +227,10 @@
     let engine = engine(1);
     let gateway = Gateway::before(&[engine.address]);
     let mut client = gateway.client();
-    assert_eq!(rows(client.ask(&commented(500, "SELECT 1")).unwrap()).len(), 1);
+    assert_eq!(
+        rows(client.ask(&commented(500, "SELECT 1")).unwrap()).len(),
+        1
+    );
     engine.set(Mood::Late);
     let begun = Instant::now();
     let late = commented(400, "SELECT 2");
@@ -180,7 +238,9 @@
     assert!(begun.elapsed() < millis(400), "{:?}", begun.elapsed());
     engine.set(Mood::Well);
     // The same id once more: what still comes of its first relay is not its answer.
-    let again = late.replace("SELECT 2", "SELECT 3").replace("budget=400", "budget=5000");
+    let again = late
+        .replace("SELECT 2", "SELECT 3")
+        .replace("budget=400", "budget=5000");
     let until = Instant::now() + millis(9000);
     let row = loop {
         match client.ask(&again).unwrap() {
@@ -198,11 +258,16 @@
 fn a_refused_connection_is_no_relay_that_ran() {
     let gateway = Gateway::before(&[free_address()]);
     let begun = Instant::now();
-    assert!(denied(&gateway.client().ask(&commented(3000, "SELECT 1")).unwrap()));
+    assert!(denied(
+        &gateway.client().ask(&commented(3000, "SELECT 1")).unwrap()
+    ));
     assert!(begun.elapsed() < millis(1500));
     gateway.signal(Signal::TERM);
     let (_, log) = gateway.end(millis(5000));
-    assert!(counter(&log, "relays_unreachable") > 0 && counter(&log, "relays_reset") == 0, "{log}");
+    assert!(
+        counter(&log, "relays_unreachable") > 0 && counter(&log, "relays_reset") == 0,
+        "{log}"
+    );
     add_up(&log);
 }
 
@@ -212,14 +277,26 @@
     rustix::net::listen(&stuck, 0).unwrap();
     let address = stuck.local_addr().unwrap();
     // With the backlog full the machine answers no further connection, as one that vanished.
-    let _full: Vec<_> = (0..4).map(|_| TcpStream::connect_timeout(&address, millis(50))).collect();
+    let _full: Vec<_> = (0..4)
+        .map(|_| TcpStream::connect_timeout(&address, millis(50)))
+        .collect();
     let gateway = Gateway::before(&[address]);
     let begun = Instant::now();
-    assert!(denied(&gateway.client().ask(&commented(3000, "SELECT 1")).unwrap()));
-    assert!((millis(300)..millis(2000)).contains(&begun.elapsed()), "{:?}", begun.elapsed());
+    assert!(denied(
+        &gateway.client().ask(&commented(3000, "SELECT 1")).unwrap()
+    ));
+    assert!(
+        (millis(300)..millis(2000)).contains(&begun.elapsed()),
+        "{:?}",
+        begun.elapsed()
+    );
     gateway.signal(Signal::TERM);
     let (_, log) = gateway.end(millis(5000));
-    assert_eq!(counter(&log, "relays_unreachable"), counter(&log, "relays_sent"), "{log}");
+    assert_eq!(
+        counter(&log, "relays_unreachable"),
+        counter(&log, "relays_sent"),
+        "{log}"
+    );
     add_up(&log);
 }
 
@@ -229,7 +306,9 @@
     let stuck = TcpListener::bind("127.0.0.1:0").unwrap();
     rustix::net::listen(&stuck, 0).unwrap();
     let address = stuck.local_addr().unwrap();
-    let full: Vec<_> = (0..4).map(|_| TcpStream::connect_timeout(&address, millis(50))).collect();
+    let full: Vec<_> = (0..4)
+        .map(|_| TcpStream::connect_timeout(&address, millis(50)))
+        .collect();
     let gateway = Gateway::with(&[address], |config| {
         config["settings"]["Limits"]["ConnectTimeoutS"] = json!(20.0);
     });
@@ -264,10 +343,19 @@
     client.stream.write_all(&query_packet(&last)).unwrap();
     let mut seen = Vec::new();
     while !seen.iter().any(|line: &String| line.contains(&rid(&last))) {
-        seen.push(comes.recv_timeout(millis(5000)).expect("the last one comes"));
+        seen.push(
+            comes
+                .recv_timeout(millis(5000))
+                .expect("the last one comes"),
+        );
     }
     let over = [rid(&out_of_time), rid(&killed)];
-    assert!(!seen.iter().any(|line| over.iter().any(|rid| line.contains(rid))), "{seen:?}");
+    assert!(
+        !seen
+            .iter()
+            .any(|line| over.iter().any(|rid| line.contains(rid))),
+        "{seen:?}"
+    );
     gateway.signal(Signal::TERM);
     let (_, log) = gateway.end(millis(8000));
     assert!(counter(&log, "relays_withdrawn") >= 2, "{log}");
@@ -280,14 +368,21 @@
     let gateway = Gateway::before(&[engine.address]);
     let mut client = gateway.client();
     client.stream.write_all(&packet(0, &[0x0e])).unwrap();
-    client.stream.write_all(&query_packet(&commented(3000, "SELECT 1"))).unwrap();
+    client
+        .stream
+        .write_all(&query_packet(&commented(3000, "SELECT 1")))
+        .unwrap();
     sleep(millis(100));
     // Closed with an answer unread: its machine resets the connection.
     drop(client);
     sleep(millis(400));
     gateway.signal(Signal::TERM);
     let (_, log) = gateway.end(millis(5000));
-    assert_eq!((counter(&log, "client_left"), counter(&log, "completed")), (1, 0), "{log}");
+    assert_eq!(
+        (counter(&log, "client_left"), counter(&log, "completed")),
+        (1, 0),
+        "{log}"
+    );
     assert_eq!(counter(&log, "relays_done"), 1, "{log}");
     add_up(&log);
 }
@@ -298,12 +393,23 @@
     let gateway = Gateway::before(&[engine.address]);
     let mut client = gateway.client();
     engine.set(Mood::Silent);
-    client.stream.write_all(&query_packet(&commented(3000, "SELECT 1"))).unwrap();
+    client
+        .stream
+        .write_all(&query_packet(&commented(3000, "SELECT 1")))
+        .unwrap();
     sleep(millis(100));
     let mut other = gateway.client();
-    assert_eq!(other.ask(&format!("KILL QUERY {}", client.connection)).unwrap(), Answer::Ok);
+    assert_eq!(
+        other
+            .ask(&format!("KILL QUERY {}", client.connection))
+            .unwrap(),
+        Answer::Ok
+    );
     assert!(matches!(client.answer().unwrap(), Answer::Error(1317, _)));
-    assert!(matches!(other.ask("KILL QUERY 4000000").unwrap(), Answer::Error(1094, _)));
+    assert!(matches!(
+        other.ask("KILL QUERY 4000000").unwrap(),
+        Answer::Error(1094, _)
+    ));
     engine.set(Mood::Well);
     assert_eq!(client.ping().unwrap(), Answer::Ok);
     gateway.signal(Signal::TERM);
@@ -321,11 +427,18 @@
     let mut client = gateway.client();
     for n in 0..20 {
         assert_eq!(
-            rows(client.ask(&commented(2000, &format!("SELECT {n}"))).unwrap())[0][1],
+            rows(
+                client
+                    .ask(&commented(2000, &format!("SELECT {n}")))
+                    .unwrap()
+            )[0][1],
             format!("SELECT {n}")
         );
     }
-    assert_eq!((client.ping().unwrap(), engine.connections()), (Answer::Ok, 1));
+    assert_eq!(
+        (client.ping().unwrap(), engine.connections()),
+        (Answer::Ok, 1)
+    );
 }
 
 #[test]
@@ -335,19 +448,39 @@
     let mut steady = gateway.client();
     let mut rng = Pcg64Mcg::seed_from_u64(3);
     for round in 0..200 {
-        let mut noise = if round % 2 == 0 { login_packet("app", b"", "warehouse") } else { Vec::new() };
+        let mut noise = if round % 2 == 0 {
+            login_packet("app", b"", "warehouse")
+        } else {
+            Vec::new()
+        };
         let length = rng.random_range(1..3000);
         noise.extend((0..length).map(|_| rng.random::<u8>()));
         // Small packets, so that some are read as commands.
         let small = rng.random_range(1..60u8);
-        noise.extend((0..5).flat_map(|_| packet(0, &vec![rng.random_range(0..32u8); small.into()])));
+        noise
+            .extend((0..5).flat_map(|_| packet(0, &vec![rng.random_range(0..32u8); small.into()])));
         let mut stream = TcpStream::connect(gateway.listen).unwrap();
         let _ = stream.write_all(&noise);
     }
     for n in 0..5 {
-        assert_eq!(rows(steady.ask(&commented(2000, &format!("SELECT {n}"))).unwrap()).len(), 1);
+        assert_eq!(
+            rows(
+                steady
+                    .ask(&commented(2000, &format!("SELECT {n}")))
+                    .unwrap()
+            )
+            .len(),
+            1
+        );
     }
-    assert_eq!(engine.lines().iter().filter(|line| line.starts_with("do ")).count(), 5);
+    assert_eq!(
+        engine
+            .lines()
+            .iter()
+            .filter(|line| line.starts_with("do "))
+            .count(),
+        5
+    );
 }
 
 #[test]
@@ -355,15 +488,35 @@
     let engine = engine(300);
     let gateway = Gateway::before(&[engine.address]);
     let client = gateway.client();
-    (&client.stream).write_all(&query_packet(&commented(3000, "SELECT a FROM s_1.t LIMIT 900"))).unwrap();
+    (&client.stream)
+        .write_all(&query_packet(&commented(
+            3000,
+            "SELECT a FROM s_1.t LIMIT 900",
+        )))
+        .unwrap();
     sleep(millis(100));
-    gateway.client().ask(&format!("KILL QUERY {}", client.connection)).unwrap();
+    gateway
+        .client()
+        .ask(&format!("KILL QUERY {}", client.connection))
+        .unwrap();
     sleep(millis(400));
-    let said = |word: &str| engine.lines().iter().filter(|line| line.starts_with(word)).count();
-    assert_eq!((said("do "), said("page "), said("forget "), said("undo ")), (1, 0, 1, 0));
+    let said = |word: &str| {
+        engine
+            .lines()
+            .iter()
+            .filter(|line| line.starts_with(word))
+            .count()
+    };
+    assert_eq!(
+        (said("do "), said("page "), said("forget "), said("undo ")),
+        (1, 0, 1, 0)
+    );
     gateway.signal(Signal::TERM);
     let (_, log) = gateway.end(millis(5000));
-    assert_eq!((counter(&log, "client_left"), counter(&log, "relays_done")), (1, 1));
+    assert_eq!(
+        (counter(&log, "client_left"), counter(&log, "relays_done")),
+        (1, 1)
+    );
     add_up(&log);
 }
 
@@ -372,7 +525,9 @@
     let (first, second) = (engine(1), engine(1));
     let gateway = Gateway::before(&[first.address, second.address]);
     let mut client = gateway.client();
-    gateway.board.tell(false, vec![target("e-0", first.address, "terminating")]);
+    gateway
+        .board
+        .tell(false, vec![target("e-0", first.address, "terminating")]);
     sleep(millis(250));
     let before = first.lines().len();
     for _ in 0..20 {
@@ -380,9 +535,15 @@
     }
     assert_eq!(first.lines().len(), before);
     let gone = target("e-1", second.address, "terminated");
-    gateway.board.tell(false, vec![gone, target("e-2", second.address, "in_service")]);
+    gateway.board.tell(
+        false,
+        vec![gone, target("e-2", second.address, "in_service")],
+    );
     sleep(millis(250));
-    assert_eq!(rows(client.ask(&commented(2000, "SELECT 2")).unwrap()).len(), 1);
+    assert_eq!(
+        rows(client.ask(&commented(2000, "SELECT 2")).unwrap()).len(),
+        1
+    );
     assert_eq!(second.connections(), 2);
     assert_eq!(first.lines().len(), before);
 }
@@ -393,7 +554,9 @@
     let gateway = Gateway::before(&[first.address]);
     let mut client = gateway.client();
     rows(client.ask(&commented(2000, "SELECT 1")).unwrap());
-    gateway.board.tell(false, vec![target("e-0", second.address, "in_service")]);
+    gateway
+        .board
+        .tell(false, vec![target("e-0", second.address, "in_service")]);
     sleep(millis(250));
     rows(client.ask(&commented(2000, "SELECT 1")).unwrap());
     assert_eq!((first.lines().len(), second.lines().len()), (1, 1));
@@ -402,7 +565,9 @@
 #[test]
 fn idle_connections_end_from_either_side() {
     let engine = engine(1);
-    let gateway = Gateway::with(&[engine.address], |c| c["settings"]["Limits"]["ConnIdleS"] = json!(0.5));
+    let gateway = Gateway::with(&[engine.address], |c| {
+        c["settings"]["Limits"]["ConnIdleS"] = json!(0.5)
+    });
     let mut client = gateway.client();
     rows(client.ask(&commented(2000, "SELECT 1")).unwrap());
     engine.hang_up();
@@ -422,8 +587,9 @@
     let engine = engine(5);
     let gateway = Gateway::before(&[engine.address]);
     let mut client = gateway.client();
-    let both: Vec<u8> =
-        (1..=3).flat_map(|n| query_packet(&commented(5000, &format!("SELECT {n}")))).collect();
+    let both: Vec<u8> = (1..=3)
+        .flat_map(|n| query_packet(&commented(5000, &format!("SELECT {n}"))))
+        .collect();
     client.stream.write_all(&both).unwrap();
     for n in 1..=3 {
         assert_eq!(rows(client.answer().unwrap())[0][1], format!("SELECT {n}"));
@@ -437,7 +603,10 @@
     let mut client = gateway.client();
     // Far more work than its budget: denied by the first tick, after the clients' news of that turn.
     let hopeless = || query_packet(&commented(300, "SELECT 1").replace("est=12.0", "est=9000000"));
-    client.stream.write_all(&(0..6).flat_map(|_| hopeless()).collect::<Vec<u8>>()).unwrap();
+    client
+        .stream
+        .write_all(&(0..6).flat_map(|_| hopeless()).collect::<Vec<u8>>())
+        .unwrap();
     let begun = Instant::now();
     (0..6).for_each(|_| assert!(denied(&client.answer().unwrap())));
     assert!(begun.elapsed() < millis(200), "{:?}", begun.elapsed());
@@ -449,12 +618,19 @@
     let gateway = Gateway::before(&[first.address]);
     let mut client = gateway.client();
     for _ in 0..3 {
-        gateway.board.tell(false, vec![target("e-0", first.address, "in_service")]);
+        gateway
+            .board
+            .tell(false, vec![target("e-0", first.address, "in_service")]);
     }
     sleep(millis(300));
-    gateway.board.restart(vec![target("e-9", second.address, "in_service")]);
+    gateway
+        .board
+        .restart(vec![target("e-9", second.address, "in_service")]);
     sleep(millis(1500));
-    assert_eq!(rows(client.ask(&commented(2000, "SELECT 1")).unwrap()).len(), 1);
+    assert_eq!(
+        rows(client.ask(&commented(2000, "SELECT 1")).unwrap()).len(),
+        1
+    );
     assert_eq!((first.connections(), second.connections()), (0, 1));
 }
 
@@ -464,7 +640,9 @@
     let gateway = Gateway::before(&[first.address, second.address]);
     gateway.board.set(board::Mood::Late);
     sleep(millis(1200));
-    gateway.board.tell(false, vec![target("e-0", first.address, "terminating")]);
+    gateway
+        .board
+        .tell(false, vec![target("e-0", first.address, "terminating")]);
     sleep(millis(5800));
     let before = first.lines().len();
     let mut client = gateway.client();
@@ -478,12 +656,19 @@
 fn a_board_that_breaks_off_or_stops_mid_event_is_asked_again_within_two_seconds() {
     let engines = [engine(1), engine(1), engine(1)];
     let gateway = Gateway::before(&[engines[0].address]);
-    for (n, mood) in [board::Mood::Broken, board::Mood::Stopped].into_iter().enumerate() {
+    for (n, mood) in [board::Mood::Broken, board::Mood::Stopped]
+        .into_iter()
+        .enumerate()
+    {
         // The question that is open meets the mood, and so does the event.
         sleep(millis(1100));
         gateway.board.set(mood);
         let drained = target(&format!("e-{n}"), engines[n].address, "terminating");
-        let fresh = target(&format!("e-{}", n + 1), engines[n + 1].address, "in_service");
+        let fresh = target(
+            &format!("e-{}", n + 1),
+            engines[n + 1].address,
+            "in_service",
+        );
         gateway.board.tell(false, vec![drained, fresh]);
         sleep(millis(1100));
         gateway.board.set(board::Mood::Well);
@@ -507,16 +692,30 @@
     let (first, second) = (engine(1), engine(1));
     let gateway = Gateway::before(&[first.address]);
     let mut client = gateway.client();
-    for mood in [board::Mood::Nonsense, board::Mood::Closing, board::Mood::Silent] {
+    for mood in [
+        board::Mood::Nonsense,
+        board::Mood::Closing,
+        board::Mood::Silent,
+    ] {
         gateway.board.set(mood);
         sleep(millis(1500));
-        assert_eq!(rows(client.ask(&commented(2000, "SELECT 1")).unwrap()).len(), 1, "{mood:?}");
+        assert_eq!(
+            rows(client.ask(&commented(2000, "SELECT 1")).unwrap()).len(),
+            1,
+            "{mood:?}"
+        );
     }
     let drained = target("e-0", first.address, "terminating");
-    gateway.board.tell(false, vec![drained, target("e-1", second.address, "in_service")]);
+    gateway.board.tell(
+        false,
+        vec![drained, target("e-1", second.address, "in_service")],
+    );
     gateway.board.set(board::Mood::Well);
     sleep(millis(2500));
-    assert_eq!(rows(client.ask(&commented(2000, "SELECT 1")).unwrap()).len(), 1);
+    assert_eq!(
+        rows(client.ask(&commented(2000, "SELECT 1")).unwrap()).len(),
+        1
+    );
     assert_eq!(second.connections(), 1);
 }
 
@@ -526,13 +725,19 @@
     let gateway = Gateway::before(&[engine.address]);
     let mut open = gateway.client();
     let mut idle = gateway.client();
-    open.stream.write_all(&query_packet(&commented(3000, "SELECT 1"))).unwrap();
+    open.stream
+        .write_all(&query_packet(&commented(3000, "SELECT 1")))
+        .unwrap();
     sleep(millis(50));
     gateway.signal(Signal::TERM);
     sleep(millis(300));
     let mut late = gateway.client();
-    late.stream.write_all(&query_packet(&commented(3000, "SELECT 2"))).unwrap();
-    idle.stream.write_all(&query_packet(&commented(3000, "SELECT 3"))).unwrap();
+    late.stream
+        .write_all(&query_packet(&commented(3000, "SELECT 2")))
+        .unwrap();
+    idle.stream
+        .write_all(&query_packet(&commented(3000, "SELECT 3")))
+        .unwrap();
     for client in [&mut open, &mut late, &mut idle] {
         assert_eq!(rows(client.answer().unwrap()).len(), 1);
     }
@@ -550,7 +755,10 @@
     sleep(millis(400));
     let mut late = gateway.client();
     sleep(millis(150));
-    assert_eq!(rows(late.ask(&commented(2000, "SELECT 1")).unwrap()).len(), 1);
+    assert_eq!(
+        rows(late.ask(&commented(2000, "SELECT 1")).unwrap()).len(),
+        1
+    );
     let (status, log) = gateway.end(millis(2000));
     assert!(status.success());
     assert_eq!(counter(&log, "completed"), 1);
@@ -562,7 +770,10 @@
     let gateway = Gateway::before(&[engine.address]);
     engine.set(Mood::Silent);
     let mut client = gateway.client();
-    client.stream.write_all(&query_packet(&commented(60_000, "SELECT 1"))).unwrap();
+    client
+        .stream
+        .write_all(&query_packet(&commented(60_000, "SELECT 1")))
+        .unwrap();
     sleep(millis(50));
     gateway.signal(Signal::TERM);
     assert!(denied(&client.answer().unwrap()));
@@ -582,22 +793,36 @@
         sleep(millis(60));
     };
     // Nothing of a file that cannot be used is taken, and the program goes on.
-    for bad in ["", &good[..good.len() / 2], "{}", &good.replace("\"rev\"", "\"ver\"")] {
+    for bad in [
+        "",
+        &good[..good.len() / 2],
+        "{}",
+        &good.replace("\"rev\"", "\"ver\""),
+    ] {
         hang_up(bad);
-        assert_eq!(rows(gateway.client().ask(&commented(2000, "SELECT 1")).unwrap()).len(), 1);
+        assert_eq!(
+            rows(gateway.client().ask(&commented(2000, "SELECT 1")).unwrap()).len(),
+            1
+        );
     }
     // Another board with numbers that go on, twice in a row, and an event that only the file tells.
     let moved = Board::start("127.0.0.1:0").unwrap();
     let drained = target("e-0", first.address, "terminating");
     moved.tell(true, vec![target("e-0", first.address, "in_service")]);
-    moved.tell(false, vec![drained, target("e-1", second.address, "in_service")]);
+    moved.tell(
+        false,
+        vec![drained, target("e-1", second.address, "in_service")],
+    );
     let mut config: Value = serde_json::from_str(&good).unwrap();
     config["known"] = moved.known();
     config["board"] = json!(free_address().to_string());
     config["seed"] = json!("0123456789abcdef");
     hang_up(&config.to_string());
     let mut client = gateway.client();
-    client.stream.write_all(&query_packet(&commented(2000, "SELECT 2"))).unwrap();
+    client
+        .stream
+        .write_all(&query_packet(&commented(2000, "SELECT 2")))
+        .unwrap();
     sleep(millis(100));
     config["board"] = json!(moved.address.to_string());
     config["known"] = json!({"rev": 0, "notices": []});
@@ -610,15 +835,25 @@
     gateway.signal(Signal::TERM);
     moved.tell(
         false,
-        vec![target("e-1", second.address, "terminating"), target("e-2", first.address, "in_service")],
+        vec![
+            target("e-1", second.address, "terminating"),
+            target("e-2", first.address, "in_service"),
+        ],
     );
     hang_up(&config.to_string());
     sleep(millis(150));
-    assert_eq!(rows(gateway.client().ask(&commented(2000, "SELECT 3")).unwrap()).len(), 1);
+    assert_eq!(
+        rows(gateway.client().ask(&commented(2000, "SELECT 3")).unwrap()).len(),
+        1
+    );
     assert_eq!((first.lines().len(), second.lines().len()), (told + 1, 1));
     let (status, log) = gateway.end(millis(5000));
     assert!(status.success());
-    assert_eq!((counter(&log, "reloads"), counter(&log, "reloads_failed")), (4, 4), "{log}");
+    assert_eq!(
+        (counter(&log, "reloads"), counter(&log, "reloads_failed")),
+        (4, 4),
+        "{log}"
+    );
     assert_eq!(counter(&log, "list_events"), 2, "{log}");
     assert!(log.contains(r#"kept=["seed"]"#), "{log}");
     add_up(&log);
@@ -634,51 +869,87 @@
     gateway.child.wait().unwrap();
     gateway.child = spawn(&gateway.config);
     gateway.wait_ready();
-    assert_eq!(rows(gateway.client().ask(&commented(2000, "SELECT 1")).unwrap()).len(), 1);
+    assert_eq!(
+        rows(gateway.client().ask(&commented(2000, "SELECT 1")).unwrap()).len(),
+        1
+    );
     assert!(old.ping().is_err());
 }
 
 #[test]
 fn more_clients_than_descriptors_wait_and_cost_nothing() {
     let engine = engine(1);
-    let gateway = Gateway::with(&[engine.address], |config| config["limits"]["sockets"] = json!(16));
+    let gateway = Gateway::with(&[engine.address], |config| {
+        config["limits"]["sockets"] = json!(16)
+    });
     sleep(millis(100));
     let mut clients: Vec<Client> = (0..8).map(|_| gateway.client()).collect();
     engine.set(Mood::Silent);
     clients.iter_mut().for_each(|client| {
-        client.stream.write_all(&query_packet(&commented(2500, "SELECT 1"))).unwrap();
+        client
+            .stream
+            .write_all(&query_packet(&commented(2500, "SELECT 1")))
+            .unwrap();
     });
     sleep(millis(100));
     let mut waiting = TcpStream::connect(gateway.listen).unwrap();
     waiting.set_read_timeout(Some(millis(1000))).unwrap();
     assert!(waiting.read(&mut [0; 8]).is_err());
     let stat = std::fs::read_to_string(format!("/proc/{}/stat", gateway.child.id())).unwrap();
-    let ticks: u64 = stat.split(' ').skip(13).take(2).map(|ticks| ticks.parse::<u64>().unwrap()).sum();
+    let ticks: u64 = stat
+        .split(' ')
+        .skip(13)
+        .take(2)
+        .map(|ticks| ticks.parse::<u64>().unwrap())
+        .sum();
     assert!(ticks < 50, "{ticks} ticks of CPU");
     assert!(denied(&clients[7].answer().unwrap()));
     engine.set(Mood::Well);
     waiting.set_read_timeout(Some(millis(5000))).unwrap();
     assert!(waiting.read(&mut [0; 8]).unwrap() > 0);
-    assert_eq!(rows(gateway.client().ask(&commented(2000, "SELECT 1")).unwrap()).len(), 1);
+    assert_eq!(
+        rows(gateway.client().ask(&commented(2000, "SELECT 1")).unwrap()).len(),
+        1
+    );
 }
 
 #[test]
 fn clients_that_stay_or_say_nothing_keep_nobody_out() {
     let engine = engine(1);
-    let gateway = Gateway::with(&[engine.address], |config| config["limits"]["sockets"] = json!(64));
+    let gateway = Gateway::with(&[engine.address], |config| {
+        config["limits"]["sockets"] = json!(64)
+    });
     let mut stay = Vec::new();
     for n in 0..100 {
         let mut client = gateway.client();
-        assert_eq!(rows(client.ask(&commented(2000, &format!("SELECT {n}"))).unwrap()).len(), 1);
+        assert_eq!(
+            rows(
+                client
+                    .ask(&commented(2000, &format!("SELECT {n}")))
+                    .unwrap()
+            )
+            .len(),
+            1
+        );
         stay.push(client);
     }
     // Those without a login go before the ones that asked once.
-    let silent: Vec<TcpStream> = (0..300).map(|_| TcpStream::connect(gateway.listen).unwrap()).collect();
+    let silent: Vec<TcpStream> = (0..300)
+        .map(|_| TcpStream::connect(gateway.listen).unwrap())
+        .collect();
     let begun = Instant::now();
-    assert_eq!(rows(gateway.client().ask(&commented(2000, "SELECT 1")).unwrap()).len(), 1);
+    assert_eq!(
+        rows(gateway.client().ask(&commented(2000, "SELECT 1")).unwrap()).len(),
+        1
+    );
     assert!(begun.elapsed() < millis(500), "{:?}", begun.elapsed());
     sleep(millis(100));
-    assert!(stay.iter_mut().rev().take(8).all(|client| client.ping().is_ok()));
+    assert!(
+        stay.iter_mut()
+            .rev()
+            .take(8)
+            .all(|client| client.ping().is_ok())
+    );
     // Silence is no login, and half a query no query: both end in time.
     let half = query_packet(&commented(2000, "SELECT 1"));
     let begun_only = [login_packet("app", b"", "warehouse"), half[..20].to_vec()].concat();
@@ -700,7 +971,9 @@
 #[test]
 fn bad_clients_get_a_word_or_a_close_in_time() {
     let engine = engine(1);
-    let gateway = Gateway::with(&[engine.address], |config| config["limits"]["memory_mb"] = json!(2));
+    let gateway = Gateway::with(&[engine.address], |config| {
+        config["limits"]["memory_mb"] = json!(2)
+    });
     let login = login_packet("app", b"", "warehouse");
     let query = query_packet(&commented(2000, "SELECT 1"));
     let again = query_packet(&commented(2000, "SELECT 1").replace("point", "nothing"));
@@ -713,7 +986,12 @@
         [&login[..], &query[..30]].concat(),
         [&login[..], &[0xff, 0xff, 0xff, 0, 3][..]].concat(),
         [&[0xff, 0xff, 0xff, 0][..], &vec![b'x'; 60 << 20]].concat(),
-        [&login[..], &[1, 0, 0, 0, 0x0e].repeat(4000), &[9, 0, 0, 0, 3]].concat(),
+        [
+            &login[..],
+            &[1, 0, 0, 0, 0x0e].repeat(4000),
+            &[9, 0, 0, 0, 3],
+        ]
+        .concat(),
         [&login[..], &again.repeat(400), &query[..30]].concat(),
         [&login[..], &[0, 0, 0, 0], &[0; 64], &[0xfe; 300]].concat(),
         vec![0; 4000],
@@ -737,7 +1015,16 @@
         .collect();
     for n in 0..30 {
         let asked = Instant::now();
-        assert_eq!(rows(gateway.client().ask(&commented(2000, &format!("SELECT {n}"))).unwrap()).len(), 1);
+        assert_eq!(
+            rows(
+                gateway
+                    .client()
+                    .ask(&commented(2000, &format!("SELECT {n}")))
+                    .unwrap()
+            )
+            .len(),
+            1
+        );
         assert!(asked.elapsed() < millis(500), "{:?}", asked.elapsed());
         sleep(millis(50));
     }
@@ -751,7 +1038,10 @@
     }
     assert!(engine.lines().len() == 30, "{:?}", engine.lines());
     let status = std::fs::read_to_string(format!("/proc/{}/status", gateway.child.id())).unwrap();
-    let peak = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).unwrap();
+    let peak = status
+        .lines()
+        .find_map(|line| line.strip_prefix("VmHWM:"))
+        .unwrap();
     let peak: u64 = peak.trim().trim_end_matches(" kB").parse().unwrap();
     assert!(peak < 16_000, "{peak} kB");
     gateway.signal(Signal::TERM);
@@ -765,23 +1055,39 @@
     fn spawn_short(config: &std::path::Path) -> Child {
         let command = format!("ulimit -n 40; exec {}", env!("CARGO_BIN_EXE_laurelhitch"));
         let mut shell = Command::new("/bin/sh");
-        shell.args(["-c", &command]).env("RELAY_CONFIG", config).stderr(Stdio::piped()).spawn().unwrap()
+        shell
+            .args(["-c", &command])
+            .env("RELAY_CONFIG", config)
+            .stderr(Stdio::piped())
+            .spawn()
+            .unwrap()
     }
     let engine = engine(1);
     let gateway = Gateway::by(spawn_short, &[engine.address], "", |_| {});
     let mut first = gateway.client();
-    let _more: Vec<TcpStream> = (0..60).map(|_| TcpStream::connect(gateway.listen).unwrap()).collect();
+    let _more: Vec<TcpStream> = (0..60)
+        .map(|_| TcpStream::connect(gateway.listen).unwrap())
+        .collect();
     sleep(millis(300));
     assert!(denied(&first.ask(&commented(2000, "SELECT 1")).unwrap()));
     drop(_more);
     sleep(millis(600));
-    assert_eq!(rows(first.ask(&commented(2000, "SELECT 1")).unwrap()).len(), 1);
+    assert_eq!(
+        rows(first.ask(&commented(2000, "SELECT 1")).unwrap()).len(),
+        1
+    );
     gateway.signal(Signal::TERM);
     let (status, log) = gateway.end(millis(5000));
     assert!(status.success());
-    assert!(counter(&log, "relays_unsent") > 0 && counter(&log, "relays_unreachable") == 0, "{log}");
+    assert!(
+        counter(&log, "relays_unsent") > 0 && counter(&log, "relays_unreachable") == 0,
+        "{log}"
+    );
     // Once for each time that it ran short anew, not once a turn.
-    assert!((1..5).contains(&log.lines().filter(|line| line.contains("accept")).count()), "{log}");
+    assert!(
+        (1..5).contains(&log.lines().filter(|line| line.contains("accept")).count()),
+        "{log}"
+    );
     assert!(counter(&log, "busy_ms") < 300, "{log}");
     add_up(&log);
 }
@@ -792,11 +1098,17 @@
     let gateway = Gateway::before(&[engine.address]);
     let mut client = gateway.client();
     gateway.signal(Signal::STOP);
-    client.stream.write_all(&query_packet(&commented(2000, "SELECT 1"))).unwrap();
+    client
+        .stream
+        .write_all(&query_packet(&commented(2000, "SELECT 1")))
+        .unwrap();
     sleep(millis(400));
     gateway.signal(Signal::CONT);
     assert_eq!(rows(client.answer().unwrap()).len(), 1);
-    assert_eq!(rows(client.ask(&commented(2000, "SELECT 2")).unwrap()).len(), 1);
+    assert_eq!(
+        rows(client.ask(&commented(2000, "SELECT 2")).unwrap()).len(),
+        1
+    );
 }
 
 #[test]
@@ -811,9 +1123,15 @@
             break;
         }
     }
-    assert_eq!(rows(gateway.client().ask(&commented(2000, "SELECT 1")).unwrap()).len(), 1);
+    assert_eq!(
+        rows(gateway.client().ask(&commented(2000, "SELECT 1")).unwrap()).len(),
+        1
+    );
     let status = std::fs::read_to_string(format!("/proc/{}/status", gateway.child.id())).unwrap();
-    let held = status.lines().find_map(|line| line.strip_prefix("VmRSS:")).unwrap();
+    let held = status
+        .lines()
+        .find_map(|line| line.strip_prefix("VmRSS:"))
+        .unwrap();
     let held: u64 = held.trim().trim_end_matches(" kB").parse().unwrap();
     assert!(held < 50_000, "{held} kB");
     assert_eq!(rows(slow.answer().unwrap()).len(), 120);
@@ -828,9 +1146,20 @@
     sleep(millis(100));
     gateway.signal(Signal::TERM);
     let (_, log) = gateway.end(millis(4000));
-    assert_eq!(log.lines().filter(|line| line.contains("counters:")).count(), 2);
+    assert_eq!(
+        log.lines()
+            .filter(|line| line.contains("counters:"))
+            .count(),
+        2
+    );
     assert_eq!(counter(&log, "completed"), 1);
-    let nowhere = spawn(std::path::Path::new("/nowhere/config.json")).wait_with_output().unwrap();
+    let nowhere = spawn(std::path::Path::new("/nowhere/config.json"))
+        .wait_with_output()
+        .unwrap();
     let said = String::from_utf8(nowhere.stderr).unwrap();
-    assert_eq!((nowhere.status.success(), said.lines().count()), (false, 1), "{said}");
+    assert_eq!(
+        (nowhere.status.success(), said.lines().count()),
+        (false, 1),
+        "{said}"
+    );
 }
--- a/crates/gateway/tests/queues.rs
+++ b/crates/gateway/tests/queues.rs
@@ -43,10 +43,21 @@
 }
 
 fn text(member: &str, desk: &str, budget_ms: u64) -> (String, String) {
-    let rid = format!("{:016x}", RUNS.fetch_add(1, std::sync::atomic::Ordering::Relaxed));
-    let desk = if desk.is_empty() { String::new() } else { format!(",desk={desk}") };
-    let fields = format!("method=point,rid={rid},budget={budget_ms},acct={member}{desk},est=12.0,mem=8");
-    (rid, format!("/* {fields} */ SELECT 1 FROM ledger_1.bills LIMIT 1"))
+    let rid = format!(
+        "{:016x}",
+        RUNS.fetch_add(1, std::sync::atomic::Ordering::Relaxed)
+    );
+    let desk = if desk.is_empty() {
+        String::new()
+    } else {
+        format!(",desk={desk}")
+    };
+    let fields =
+        format!("method=point,rid={rid},budget={budget_ms},acct={member}{desk},est=12.0,mem=8");
+    (
+        rid,
+        format!("/* {fields} */ SELECT 1 FROM ledger_1.bills LIMIT 1"),
+    )
 }
 
 /// Completed, denied, other answers, by member.
@@ -85,13 +96,17 @@
 }
 
 fn joined(threads: Vec<thread::JoinHandle<()>>) {
-    threads.into_iter().for_each(|thread| thread.join().unwrap());
+    threads
+        .into_iter()
+        .for_each(|thread| thread.join().unwrap());
 }
 
 /// Rows of `SHOW QUEUE`, by member and desk.
 fn status(client: &mut Client) -> BTreeMap<(String, String), Vec<String>> {
     let rows = rows(client.ask("SHOW QUEUE").unwrap());
-    rows.into_iter().map(|row| ((row[0].clone(), row[1].clone()), row)).collect()
+    rows.into_iter()
+        .map(|row| ((row[0].clone(), row[1].clone()), row))
+        .collect()
 }
 
 #[test]
@@ -109,13 +124,19 @@
         power[0] > 30 && f64::from(power[0]) >= 0.95 * f64::from(power[0] + power[1] + power[2]),
         "{counts:?}"
     );
-    assert!(water[0] > power[0] && water[1] > 20 && water[2] == 0, "{counts:?}");
+    assert!(
+        water[0] > power[0] && water[1] > 20 && water[2] == 0,
+        "{counts:?}"
+    );
     gateway.signal(Signal::TERM);
     let (status, log) = gateway.end(millis(6000));
     assert!(status.success());
     add_up(&log);
     let names = ["turned_away", "displaced", "released", "denied", "left"];
-    let ends: i64 = names.iter().map(|name| counter(&log, &format!("queue_{name}"))).sum();
+    let ends: i64 = names
+        .iter()
+        .map(|name| counter(&log, &format!("queue_{name}")))
+        .sum();
     assert_eq!(counter(&log, "queue_entered"), ends, "{log}");
 }
 
@@ -139,18 +160,28 @@
     assert_eq!(told[&("power".into(), "all".into())][2], "0");
     let one = rows(other.ask(&format!("show queue for '{last}'")).unwrap());
     assert!(
-        one.is_empty() || (one[0][1..3] == ["water", "kiosk"] && one[0][4].parse::<f64>().unwrap() > 100.0),
+        one.is_empty()
+            || (one[0][1..3] == ["water", "kiosk"] && one[0][4].parse::<f64>().unwrap() > 100.0),
         "{one:?}"
     );
     assert!(rows(other.ask("SHOW QUEUE FOR 'ffffffffffffffff'").unwrap()).is_empty());
     let program = env!("CARGO_BIN_EXE_laurelhitch");
     let listen = gateway.listen.to_string();
-    let asked =
-        Command::new(program).args(["queue", &listen, "--member", "water", "--json"]).output().unwrap();
+    let asked = Command::new(program)
+        .args(["queue", &listen, "--member", "water", "--json"])
+        .output()
+        .unwrap();
     let asked: Value = serde_json::from_slice(&asked.stdout).unwrap();
-    assert_eq!((asked[0]["desk"].as_str(), asked[1]["desk"].as_str()), (Some("counter"), Some("kiosk")));
+    assert_eq!(
+        (asked[0]["desk"].as_str(), asked[1]["desk"].as_str()),
+        (Some("counter"), Some("kiosk"))
+    );
     let answers = asks.into_iter().map(|mut client| client.answer().unwrap());
-    assert!(answers.into_iter().all(|answer| matches!(answer, Answer::Rows(_) | Answer::Error(1226, _))));
+    assert!(
+        answers
+            .into_iter()
+            .all(|answer| matches!(answer, Answer::Rows(_) | Answer::Error(1226, _)))
+    );
 }
 
 trait Asks {
@@ -175,7 +206,9 @@
     let mut login = toy::client::login_packet("app", b"", "warehouse");
     login[4] &= !1;
     login[4 + 28] = 1;
-    let mut asks: Vec<Client> = (0..12).map(|_| Client::open(gateway.listen, &login).unwrap()).collect();
+    let mut asks: Vec<Client> = (0..12)
+        .map(|_| Client::open(gateway.listen, &login).unwrap())
+        .collect();
     for client in &mut asks {
         assert_eq!(client.answer().unwrap(), Answer::Ok);
         client.stream.write_all_query(&text("water", "", 9000).1);
@@ -203,7 +236,10 @@
     // One that announces nothing gets none.
     let mut plain = gateway.client();
     plain.stream.write_all_query(&text("water", "", 9000).1);
-    assert!(matches!(plain.answer().unwrap(), Answer::Rows(_) | Answer::Error(1226, _)));
+    assert!(matches!(
+        plain.answer().unwrap(),
+        Answer::Rows(_) | Answer::Error(1226, _)
+    ));
 }
 
 #[test]
@@ -213,8 +249,14 @@
     let counts = Arc::new(Mutex::new(Counts::new()));
     let flood = load(gateway.listen, "water", 50, 0, 4000, &counts);
     sleep(millis(1500));
-    assert!(status(&mut gateway.client()).values().any(|row| row[2] != "0"));
-    gateway.board.tell(false, vec![target("e-0", one.address, "terminating")]);
+    assert!(
+        status(&mut gateway.client())
+            .values()
+            .any(|row| row[2] != "0")
+    );
+    gateway
+        .board
+        .tell(false, vec![target("e-0", one.address, "terminating")]);
     sleep(millis(800));
     let before = one.lines().len();
     sleep(millis(1000));
@@ -258,7 +300,10 @@
     drop(asks);
     for mut client in stay {
         assert_eq!(client.answer().unwrap(), Answer::Ok);
-        assert!(matches!(client.answer().unwrap(), Answer::Rows(_) | Answer::Error(1226, _)));
+        assert!(matches!(
+            client.answer().unwrap(),
+            Answer::Rows(_) | Answer::Error(1226, _)
+        ));
     }
     gateway.signal(Signal::TERM);
     let (_, log) = gateway.end(millis(6000));
@@ -275,11 +320,19 @@
         .map(|_| {
             let listen = gateway.listen;
             thread::spawn(move || {
-                let (until, mut client) = (Instant::now() + millis(3500), Client::login(listen).unwrap());
+                let (until, mut client) = (
+                    Instant::now() + millis(3500),
+                    Client::login(listen).unwrap(),
+                );
                 while Instant::now() < until {
-                    let report = text("water", "kiosk", 8000).1.replace("method=point", "method=scan");
+                    let report = text("water", "kiosk", 8000)
+                        .1
+                        .replace("method=point", "method=scan");
                     let answer = client.ask(&report).unwrap();
-                    assert!(matches!(answer, Answer::Rows(_) | Answer::Error(1226, _)), "{answer:?}");
+                    assert!(
+                        matches!(answer, Answer::Rows(_) | Answer::Error(1226, _)),
+                        "{answer:?}"
+                    );
                     if matches!(answer, Answer::Error(..)) {
                         sleep(millis(100));
                     }
@@ -304,10 +357,16 @@
 #[test]
 fn a_thousand_teams_a_budget_of_zero_and_statements_larger_than_all_are_served_through_a_reload() {
     let engine = engine(5);
-    let member =
-        |at| format!("member \"m{at}\" {{ cpu_s_per_s = {} }}\n", if at % 2 == 0 { "0" } else { "0.01" });
+    let member = |at| {
+        format!(
+            "member \"m{at}\" {{ cpu_s_per_s = {} }}\n",
+            if at % 2 == 0 { "0" } else { "0.01" }
+        )
+    };
     let members: String = (0..1000).map(member).collect();
-    let teams = format!("queues {{\ndefault_member = \"m0\"\nburst_ms = 100\nageing_ms = 200\n{members}}}\n");
+    let teams = format!(
+        "queues {{\ndefault_member = \"m0\"\nburst_ms = 100\nageing_ms = 200\n{members}}}\n"
+    );
     let gateway = Gateway::operated(&[engine.address], &teams, |config| {
         small(config);
         config["settings"]["Tenants"] = json!([]);
@@ -317,15 +376,23 @@
         thread::spawn(move || {
             let mut client = Client::login(listen).unwrap();
             (0..60)
-                .filter(|_| matches!(client.ask(&text(name, "", 2000).1).unwrap(), Answer::Rows(_)))
+                .filter(|_| {
+                    matches!(
+                        client.ask(&text(name, "", 2000).1).unwrap(),
+                        Answer::Rows(_)
+                    )
+                })
                 .count()
         })
     };
     // The first two are owed nothing, the third less than one statement a second; each costs more than can be saved.
     let asks = ["m0", "m500", "m999"].map(ask);
     sleep(millis(200));
-    std::fs::write(gateway.config.with_extension("hcl"), teams.replace("ageing_ms = 200", "ageing_ms = 100"))
-        .unwrap();
+    std::fs::write(
+        gateway.config.with_extension("hcl"),
+        teams.replace("ageing_ms = 200", "ageing_ms = 100"),
+    )
+    .unwrap();
     gateway.signal(Signal::HUP);
     for served in asks {
         let served = served.join().unwrap();
@@ -334,7 +401,13 @@
     gateway.signal(Signal::TERM);
     let (_, log) = gateway.end(millis(6000));
     add_up(&log);
-    assert_eq!((counter(&log, "reloads_failed"), counter(&log, "desks_unknown")), (0, 0));
+    assert_eq!(
+        (
+            counter(&log, "reloads_failed"),
+            counter(&log, "desks_unknown")
+        ),
+        (0, 0)
+    );
 }
 
 #[test]
@@ -350,8 +423,11 @@
     sleep(millis(400));
     let mut client = gateway.client();
     assert!(status(&mut client).contains_key(&("water".into(), "window".into())));
-    for bad in [&TEAMS.replace("ageing_ms", "ageing"), "queues {", &TEAMS.replace("\"power\"", "\"nobody\"")]
-    {
+    for bad in [
+        &TEAMS.replace("ageing_ms", "ageing"),
+        "queues {",
+        &TEAMS.replace("\"power\"", "\"nobody\""),
+    ] {
         std::fs::write(&file, bad).unwrap();
         gateway.signal(Signal::HUP);
         sleep(millis(200));
@@ -371,12 +447,19 @@
     let engine = engine(300);
     let gateway = Gateway::operated(&[engine.address], TEAMS, small);
     let mut asks: Vec<Client> = (0..20).map(|_| gateway.client()).collect();
-    asks.iter_mut().for_each(|client| client.stream.write_all_query(&text("water", "counter", 2000).1));
+    asks.iter_mut().for_each(|client| {
+        client
+            .stream
+            .write_all_query(&text("water", "counter", 2000).1)
+    });
     sleep(millis(100));
     gateway.signal(Signal::TERM);
     let begun = Instant::now();
     for mut client in asks {
-        assert!(matches!(client.answer().unwrap(), Answer::Rows(_) | Answer::Error(1226, _)));
+        assert!(matches!(
+            client.answer().unwrap(),
+            Answer::Rows(_) | Answer::Error(1226, _)
+        ));
     }
     assert!(begun.elapsed() < millis(2500));
     let (status, log) = gateway.end(millis(4000));
@@ -387,10 +470,20 @@
 #[test]
 fn a_desk_is_named_by_the_comment_or_the_clients_network_and_unknown_ones_are_counted() {
     let engine = engine(1);
-    let gateway = Gateway::operated(&[engine.address], &TEAMS.replace("127.3.0.0/16", "127.0.0.0/8"), small);
+    let gateway = Gateway::operated(
+        &[engine.address],
+        &TEAMS.replace("127.3.0.0/16", "127.0.0.0/8"),
+        small,
+    );
     let mut client = gateway.client();
     for (desk, unknown) in [("", 0), ("counter", 0), ("cellar", 1), ("", 1)] {
-        assert!(matches!(client.ask(&text("water", desk, 2000).1).unwrap(), Answer::Rows(_)), "{unknown}");
+        assert!(
+            matches!(
+                client.ask(&text("water", desk, 2000).1).unwrap(),
+                Answer::Rows(_)
+            ),
+            "{unknown}"
+        );
     }
     gateway.signal(Signal::TERM);
     assert_eq!(counter(&gateway.end(millis(6000)).1, "desks_unknown"), 1);
@@ -401,7 +494,10 @@
     let engine = engine(1);
     let gateway = Gateway::before(&[engine.address]);
     let mut client = gateway.client();
-    assert!(matches!(client.ask("SHOW QUEUE").unwrap(), Answer::Error(1064, _)));
+    assert!(matches!(
+        client.ask("SHOW QUEUE").unwrap(),
+        Answer::Error(1064, _)
+    ));
     client.stream.write_all_query("SELECT @@version");
     assert!(matches!(client.answer().unwrap(), Answer::Rows(_)));
     std::io::Write::write_all(&mut client.stream, &packet(0, &[0x0e])).unwrap();
--- a/crates/gateway/tests/shares.rs
+++ b/crates/gateway/tests/shares.rs
@@ -35,7 +35,9 @@
     let fleet = Fleet::start(wanted, &[]).unwrap();
     let all = fleet.everyone();
     fleet.settled(SOON, &all).unwrap();
-    fleet.until_parts(SOON, &all, |parts| out(parts) > WHOLE * 0.99).unwrap();
+    fleet
+        .until_parts(SOON, &all, |parts| out(parts) > WHOLE * 0.99)
+        .unwrap();
     fleet
 }
 
@@ -49,12 +51,23 @@
 }
 
 fn stewards(parts: &[BTreeMap<String, Part>]) -> usize {
-    parts.iter().filter(|parts| parts[BUDGET].is_steward).count()
+    parts
+        .iter()
+        .filter(|parts| parts[BUDGET].is_steward)
+        .count()
 }
 
 fn steward(fleet: &Fleet) -> usize {
-    let is = |at: &usize| fleet.parts(*at).is_some_and(|parts| parts[BUDGET].is_steward);
-    fleet.everyone().into_iter().find(is).expect("one of them is")
+    let is = |at: &usize| {
+        fleet
+            .parts(*at)
+            .is_some_and(|parts| parts[BUDGET].is_steward)
+    };
+    fleet
+        .everyone()
+        .into_iter()
+        .find(is)
+        .expect("one of them is")
 }
 
 /// Clients of these gateways whose statements fail at every engine, so that each wants further relays; ended with it.
@@ -70,8 +83,14 @@
 impl Flood {
     fn at(fleet: &Fleet, of: &[usize]) -> Flood {
         static RIDS: AtomicU64 = AtomicU64::new(1 << 40);
-        fleet.engines.iter().for_each(|engine| engine.set(Mood::Error));
-        let (ends, asked) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicU64::new(0)));
+        fleet
+            .engines
+            .iter()
+            .for_each(|engine| engine.set(Mood::Error));
+        let (ends, asked) = (
+            Arc::new(AtomicBool::new(false)),
+            Arc::new(AtomicU64::new(0)),
+        );
         let client = |at: &usize| {
             let (listen, ends, asked) = (fleet.all[*at].listen, ends.clone(), asked.clone());
             std::thread::spawn(move || {
@@ -104,15 +123,27 @@
             }
             seen
         });
-        Flood { ends, asked, clients, seen, began }
+        Flood {
+            ends,
+            asked,
+            clients,
+            seen,
+            began,
+        }
     }
 
     /// Ends it: further relays that came to the engines by time, and statements asked.
     fn end(self) -> Spent {
         self.ends.store(true, Ordering::Relaxed);
-        self.clients.into_iter().for_each(|client| client.join().unwrap());
+        self.clients
+            .into_iter()
+            .for_each(|client| client.join().unwrap());
         let seen = self.seen.join().unwrap();
-        Spent { lasted: self.began.elapsed().as_secs_f64(), seen, asked: self.asked.load(Ordering::Relaxed) }
+        Spent {
+            lasted: self.began.elapsed().as_secs_f64(),
+            seen,
+            asked: self.asked.load(Ordering::Relaxed),
+        }
     }
 }
 
@@ -132,7 +163,8 @@
 fn again(engines: &[Engine]) -> usize {
     let mut seen = BTreeSet::new();
     let lines = engines.iter().flat_map(|engine| engine.lines());
-    let relays = lines.filter_map(|line| line.strip_prefix("do ").map(|rest| rest[..16].to_owned()));
+    let relays =
+        lines.filter_map(|line| line.strip_prefix("do ").map(|rest| rest[..16].to_owned()));
     relays.filter(|rid| !seen.insert(rid.clone())).count()
 }
 
@@ -167,8 +199,16 @@
         spent.all(),
         spent.asked
     );
-    let said: f64 = fleet.everyone().into_iter().map(|at| fleet.parts(at).unwrap()[BUDGET].spent).sum();
-    assert!((said - spent.all() as f64).abs() <= 5.0, "{said} said, {} arrived", spent.all());
+    let said: f64 = fleet
+        .everyone()
+        .into_iter()
+        .map(|at| fleet.parts(at).unwrap()[BUDGET].spent)
+        .sum();
+    assert!(
+        (said - spent.all() as f64).abs() <= 5.0,
+        "{said} said, {} arrived",
+        spent.all()
+    );
 }
 
 #[test]
@@ -193,19 +233,32 @@
         let few: Vec<usize> = if round == 0 {
             vec![first, 4]
         } else {
-            (0..3).filter(|at| *at != first).take(1).chain([4]).collect()
+            (0..3)
+                .filter(|at| *at != first)
+                .take(1)
+                .chain([4])
+                .collect()
         };
         let many: Vec<usize> = (0..5).filter(|at| !few.contains(at)).collect();
-        fleet.switch.faults(|faults| faults.partition(&[few.clone(), many.clone()]));
+        fleet
+            .switch
+            .faults(|faults| faults.partition(&[few.clone(), many.clone()]));
         // The many have a steward among them, and all that the few do not keep as floors.
         let floors = WHOLE * 0.2 / 5.0 * few.len() as f64;
-        let whole =
-            |parts: &[BTreeMap<String, Part>]| stewards(parts) == 1 && out(parts) > (WHOLE - floors) * 0.99;
+        let whole = |parts: &[BTreeMap<String, Part>]| {
+            stewards(parts) == 1 && out(parts) > (WHOLE - floors) * 0.99
+        };
         fleet.until_parts(SOON, &many, whole).unwrap();
         // The few have their floors, and serve.
-        fleet.until_parts(SOON, &few, |parts| parts.iter().all(|of| of[BUDGET].leased == 0.0)).unwrap();
+        fleet
+            .until_parts(SOON, &few, |parts| {
+                parts.iter().all(|of| of[BUDGET].leased == 0.0)
+            })
+            .unwrap();
         fleet.switch.faults(rig::switch::Faults::heal);
-        fleet.until_parts(SOON, &fleet.everyone(), |parts| out(parts) > WHOLE * 0.99).unwrap();
+        fleet
+            .until_parts(SOON, &fleet.everyone(), |parts| out(parts) > WHOLE * 0.99)
+            .unwrap();
         held(&fleet, &flood.end(), WHOLE);
     }
 }
@@ -218,7 +271,9 @@
     fleet.kill(first);
     let rest = fleet.everyone();
     let floor = WHOLE * 0.2 / 5.0;
-    let back = |parts: &[BTreeMap<String, Part>]| stewards(parts) == 1 && out(parts) > (WHOLE - floor) * 0.99;
+    let back = |parts: &[BTreeMap<String, Part>]| {
+        stewards(parts) == 1 && out(parts) > (WHOLE - floor) * 0.99
+    };
     fleet.until_parts(SOON, &rest, back).unwrap();
     // Killed again during the hand-over, and started anew without memory.
     fleet.run(first).unwrap();
@@ -228,7 +283,9 @@
     fleet.run(second).unwrap();
     fleet.ready(second);
     fleet
-        .until_parts(SOON, &fleet.everyone(), |parts| stewards(parts) == 1 && out(parts) > WHOLE * 0.99)
+        .until_parts(SOON, &fleet.everyone(), |parts| {
+            stewards(parts) == 1 && out(parts) > WHOLE * 0.99
+        })
         .unwrap();
     held(&fleet, &flood.end(), WHOLE);
 }
@@ -246,7 +303,9 @@
     sleep(Duration::from_millis(LEASE_MS));
     fleet.signal(first, Signal::CONT);
     fleet
-        .until_parts(SOON, &fleet.everyone(), |parts| stewards(parts) == 1 && out(parts) > WHOLE * 0.99)
+        .until_parts(SOON, &fleet.everyone(), |parts| {
+            stewards(parts) == 1 && out(parts) > WHOLE * 0.99
+        })
         .unwrap();
     let spent = flood.end();
     held(&fleet, &spent, WHOLE);
@@ -263,7 +322,9 @@
     let flood = Flood::at(&fleet, &[0, 1, 2, 3, 4, 5]);
     [2, 3, 5].into_iter().for_each(|at| fleet.kill(at));
     let (rest, floors) = (fleet.everyone(), WHOLE * 0.2 / 6.0 * 3.0);
-    fleet.until_parts(SOON, &rest, |parts| out(parts) > (WHOLE - floors) * 0.99).unwrap();
+    fleet
+        .until_parts(SOON, &rest, |parts| out(parts) > (WHOLE - floors) * 0.99)
+        .unwrap();
     held(&fleet, &flood.end(), WHOLE);
 }
 
@@ -282,7 +343,8 @@
         fleet.run(at).unwrap();
         fleet.ready(at);
     }
-    let whole = |parts: &[BTreeMap<String, Part>]| stewards(parts) == 1 && out(parts) > WHOLE * 0.99;
+    let whole =
+        |parts: &[BTreeMap<String, Part>]| stewards(parts) == 1 && out(parts) > WHOLE * 0.99;
     fleet.until_parts(SOON, &fleet.everyone(), whole).unwrap();
     held(&fleet, &flood.end(), WHOLE);
 }
@@ -293,7 +355,9 @@
     let fleet = divided(4);
     let (all, even) = (fleet.everyone(), WHOLE / 4.0);
     let evenly = |parts: &[BTreeMap<String, Part>]| {
-        parts.iter().all(|parts| (may(&parts[BUDGET]) - even).abs() < even * 0.05)
+        parts
+            .iter()
+            .all(|parts| (may(&parts[BUDGET]) - even).abs() < even * 0.05)
     };
     fleet.until_parts(SOON, &all, evenly).unwrap();
     let flood = Flood::at(&fleet, &all);
@@ -310,12 +374,18 @@
     let mut fleet = divided(4);
     let flood = Flood::at(&fleet, &[3, 3, 0]);
     let all = fleet.everyone();
-    fleet.until_parts(SOON, &all, |parts| may(&parts[3][BUDGET]) > WHOLE * 0.4).unwrap();
+    fleet
+        .until_parts(SOON, &all, |parts| may(&parts[3][BUDGET]) > WHOLE * 0.4)
+        .unwrap();
     let (began, mut leased) = (Instant::now(), Duration::ZERO);
     fleet.signal(3, Signal::TERM);
     let floor = WHOLE * 0.2 / 4.0;
     // A question that is out at the time is answered to nobody: its part is free a renewal later all the same.
-    leased += fleet.until_parts(SOON, &[0, 1, 2], |parts| out(parts) > (WHOLE - floor) * 0.99).unwrap();
+    leased += fleet
+        .until_parts(SOON, &[0, 1, 2], |parts| {
+            out(parts) > (WHOLE - floor) * 0.99
+        })
+        .unwrap();
     assert!(leased <= began.elapsed());
     assert!(leased < Duration::from_millis(LEASE_MS), "{leased:?}");
     assert!(fleet.ended(3, Duration::from_secs(10)));
@@ -333,9 +403,13 @@
     let flood = Flood::at(&fleet, &[0, 1, 2, 3, 4]);
     sleep(Duration::from_secs(8));
     held(&fleet, &flood.end(), WHOLE);
-    fleet.switch.faults(|faults| *faults = rig::switch::Faults::none(5));
     fleet
-        .until_parts(SOON, &fleet.everyone(), |parts| stewards(parts) == 1 && out(parts) > WHOLE * 0.99)
+        .switch
+        .faults(|faults| *faults = rig::switch::Faults::none(5));
+    fleet
+        .until_parts(SOON, &fleet.everyone(), |parts| {
+            stewards(parts) == 1 && out(parts) > WHOLE * 0.99
+        })
         .unwrap();
 }
 
@@ -350,17 +424,27 @@
     // One voter's smaller file is enough: the steward grants no more than that leaves, long before it reads its own.
     let voter = *order.iter().find(|at| **at < 3).unwrap();
     fleet.rewrite(&[voter], &smaller).unwrap();
-    fleet.until_parts(SOON, &order, |parts| out(parts) < WHOLE / 3.0).unwrap();
+    fleet
+        .until_parts(SOON, &order, |parts| out(parts) < WHOLE / 3.0)
+        .unwrap();
     for at in &order {
         fleet.rewrite(&[*at], &smaller).unwrap();
         sleep(Duration::from_millis(400));
     }
-    fleet.until_parts(SOON, &order, |parts| (out(parts) - WHOLE / 3.0).abs() < 0.01).unwrap();
+    fleet
+        .until_parts(SOON, &order, |parts| {
+            (out(parts) - WHOLE / 3.0).abs() < 0.01
+        })
+        .unwrap();
     let _ = flood.end();
     let named = |line: &rig::fleet::Line| {
         line.fields["message"] == "shares: files differ; the smaller whole of a voter counts"
     };
-    assert!(fleet.lines(first).iter().any(named), "{:?}", fleet.lines(first));
+    assert!(
+        fleet.lines(first).iter().any(named),
+        "{:?}",
+        fleet.lines(first)
+    );
     // From here on, a lease after the last file, the third holds.
     sleep(Duration::from_millis(LEASE_MS));
     let flood = Flood::at(&fleet, &[0, 1, 2, 3]);
@@ -380,19 +464,25 @@
         parts.iter().map(|parts| may(&parts[of])).sum()
     };
     let whole = |parts: &[BTreeMap<String, Part>]| {
-        (sum(parts, "member.water") - 9.0).abs() < 0.01 && (sum(parts, "member.power") - 3.0).abs() < 0.01
+        (sum(parts, "member.water") - 9.0).abs() < 0.01
+            && (sum(parts, "member.power") - 3.0).abs() < 0.01
     };
     fleet.until_parts(SOON, &all, whole).unwrap();
     // The lines go by what is held here, not by a guess of it.
     let (mut lines, mut held) = (0.0, 0.0);
     for at in &all {
         let mut client = Client::login(fleet.all[*at].listen).unwrap();
-        let toy::client::Answer::Rows(rows) = client.ask("SHOW QUEUE").unwrap() else { panic!("rows") };
+        let toy::client::Answer::Rows(rows) = client.ask("SHOW QUEUE").unwrap() else {
+            panic!("rows")
+        };
         let water = rows.iter().find(|row| row[0] == "water").unwrap();
         lines += water[4].parse::<f64>().unwrap();
         held += may(&fleet.parts(*at).unwrap()["member.water"]);
     }
-    assert!((lines - 9.0).abs() < 0.3 && (held - 9.0).abs() < 0.3, "{lines} in the lines, {held} held");
+    assert!(
+        (lines - 9.0).abs() < 0.3 && (held - 9.0).abs() < 0.3,
+        "{lines} in the lines, {held} held"
+    );
 }
 
 #[test]
@@ -401,13 +491,27 @@
     let run = |arguments: &[&str]| Command::new(PROGRAM).args(arguments).output().unwrap();
     let address = fleet.all[steward(&fleet)].listen.to_string();
     let table = String::from_utf8(run(&["shares", &address]).stdout).unwrap();
-    assert!((0..3).all(|at| table.contains(&name(at))) && table.contains(BUDGET), "{table}");
+    assert!(
+        (0..3).all(|at| table.contains(&name(at))) && table.contains(BUDGET),
+        "{table}"
+    );
     let json: serde_json::Value =
         serde_json::from_slice(&run(&["shares", &address, "--json"]).stdout).unwrap();
     assert_eq!(json.as_array().unwrap().len(), 3);
-    let file = |ending: &str| fleet.folder().join(format!("g00.{ending}")).display().to_string();
-    let check = String::from_utf8(run(&["check", "--operator", &file("hcl"), &file("json")]).stdout).unwrap();
-    assert!(check.contains("among 3 gateways at most") && check.contains(BUDGET), "{check}");
+    let file = |ending: &str| {
+        fleet
+            .folder()
+            .join(format!("g00.{ending}"))
+            .display()
+            .to_string()
+    };
+    let check =
+        String::from_utf8(run(&["check", "--operator", &file("hcl"), &file("json")]).stdout)
+            .unwrap();
+    assert!(
+        check.contains("among 3 gateways at most") && check.contains(BUDGET),
+        "{check}"
+    );
     let off = Fleet::start(Wanted::new(PROGRAM, 1), &[]).unwrap();
     let said = run(&["shares", &off.all[0].listen.to_string()]);
     assert!(!said.status.success());
--- a/crates/gateway/tests/standing_terms.rs
+++ b/crates/gateway/tests/standing_terms.rs
@@ -38,7 +38,10 @@
     let (mut stands, last) = (gateway.client(), text(LARGE, "SELECT 'last'"));
     send(&mut stands, &last);
     let asked = link.asked();
-    assert_eq!(asked.id, last.rid, "{case}: a statement was sent on after its client had gone");
+    assert_eq!(
+        asked.id, last.rid,
+        "{case}: a statement was sent on after its client had gone"
+    );
     link.complete(&asked);
     assert_eq!(rows(stands.answer().unwrap()).len(), 1, "{case}");
 }
@@ -49,7 +52,10 @@
     send(&mut stands, &last);
     let mut link = engine.accept();
     let asked = link.asked();
-    assert_eq!(asked.id, last.rid, "{case}: a statement was sent on after its client had gone");
+    assert_eq!(
+        asked.id, last.rid,
+        "{case}: a statement was sent on after its client had gone"
+    );
     link.complete(&asked);
     assert_eq!(rows(stands.answer().unwrap()).len(), 1, "{case}");
 }
@@ -63,7 +69,10 @@
   burst_ms       = 500
   member "water" { cpu_s_per_s = 4.0 }
 }"#;
-    let cases: Vec<_> = WAYS.iter().flat_map(|way| [("line", "", *way), ("queue", QUEUES, *way)]).collect();
+    let cases: Vec<_> = WAYS
+        .iter()
+        .flat_map(|way| [("line", "", *way), ("queue", QUEUES, *way)])
+        .collect();
     each(&cases, |(place, operator, way)| {
         let engine = Script::new();
         let mut gateway = Gateway::operated(&[engine.address], operator, patient);
@@ -71,7 +80,11 @@
         let mut waits = gateway.client();
         send(&mut waits, &text(LARGE, "SELECT 'gone'"));
         let counts = gateway.settled();
-        assert_eq!((counter(&counts, "open"), counter(&counts, "relays_sent")), (2, 1), "{counts}");
+        assert_eq!(
+            (counter(&counts, "open"), counter(&counts, "relays_sent")),
+            (2, 1),
+            "{counts}"
+        );
         let left = Instant::now();
         let _kept = leave(way, waits, gateway.listen);
         grace_passes(&mut gateway, left);
@@ -91,7 +104,10 @@
         let (one, two) = (text(LARGE, "SELECT 'one'"), text(LARGE, "SELECT 'behind'"));
         let mut client = gateway.client();
         let connection = client.connection;
-        client.stream.write_all(&[query_packet(&one.query), query_packet(&two.query)].concat()).unwrap();
+        client
+            .stream
+            .write_all(&[query_packet(&one.query), query_packet(&two.query)].concat())
+            .unwrap();
         let mut link = engine.accept();
         let asked = link.asked();
         assert_eq!(asked.id, one.rid);
@@ -101,7 +117,10 @@
         if way == Way::Kills {
             assert_eq!(counter(&gateway.settled(), "client_left"), 1);
             left = Instant::now();
-            let again = Client { stream: kept.remove(0), connection };
+            let again = Client {
+                stream: kept.remove(0),
+                connection,
+            };
             kept.extend(leave(way, again, gateway.listen));
         }
         grace_passes(&mut gateway, left);
@@ -109,7 +128,11 @@
         gateway.settled();
         only_who_stands_is_sent(&gateway, &mut link, &format!("{way:?}"));
         let log = ended(gateway);
-        assert_eq!(counter(&log, "client_left"), if way == Way::Kills { 2 } else { 1 }, "{way:?}: {log}");
+        assert_eq!(
+            counter(&log, "client_left"),
+            if way == Way::Kills { 2 } else { 1 },
+            "{way:?}: {log}"
+        );
     });
 }
 
@@ -123,7 +146,14 @@
         let gone = text(8, "SELECT 'gone'");
         send(&mut waits, &gone);
         let counts = gateway.settled();
-        assert_eq!((counter(&counts, "relays_sent"), counter(&counts, "engines_open")), (1, 1), "{counts}");
+        assert_eq!(
+            (
+                counter(&counts, "relays_sent"),
+                counter(&counts, "engines_open")
+            ),
+            (1, 1),
+            "{counts}"
+        );
         let left = Instant::now();
         let _kept = leave(way, waits, gateway.listen);
         grace_passes(&mut gateway, left);
@@ -131,8 +161,13 @@
         let (mut stands, last) = (gateway.client(), text(8, "SELECT 'last'"));
         send(&mut stands, &last);
         loop {
-            let line = lines.recv_timeout(millis(10_000)).expect("the last one comes");
-            assert!(!line.contains(&gone.rid), "{way:?}: sent on after its client had gone: {line}");
+            let line = lines
+                .recv_timeout(millis(10_000))
+                .expect("the last one comes");
+            assert!(
+                !line.contains(&gone.rid),
+                "{way:?}: sent on after its client had gone: {line}"
+            );
             if line.contains(&last.rid) {
                 return;
             }
@@ -143,7 +178,10 @@
 /// It waits while the only engine drains, for its first attempt or for one after a failure; then another engine comes.
 #[test]
 fn an_engine_that_comes_after_the_grace_gets_nothing_of_who_has_gone() {
-    let cases: Vec<_> = WAYS.iter().flat_map(|way| [("first", *way), ("retry", *way)]).collect();
+    let cases: Vec<_> = WAYS
+        .iter()
+        .flat_map(|way| [("first", *way), ("retry", *way)])
+        .collect();
     each(&cases, |(attempt, way)| {
         let (drains, comes) = (Script::new(), Script::new());
         let mut gateway = Gateway::with(&[drains.address], patient);
@@ -172,7 +210,9 @@
         let left = Instant::now();
         let _kept = leave(way, waits, gateway.listen);
         grace_passes(&mut gateway, left);
-        gateway.board.tell(false, vec![target("e-1", comes.address, "in_service")]);
+        gateway
+            .board
+            .tell(false, vec![target("e-1", comes.address, "in_service")]);
         while counter(&gateway.settled(), "list_events") < 2 {}
         only_who_stands_is_sent_first(&gateway, &comes, &format!("{attempt}, {way:?}"));
         ended(gateway);
@@ -198,8 +238,15 @@
         assert_eq!(rows(first.answer().unwrap()).len(), 1, "{way:?}");
         let (status, log) = gateway.end(millis(8000));
         assert!(status.success(), "{log}");
-        assert_eq!((counter(&log, "relays_sent"), counter(&log, "client_left")), (1, 1), "{way:?}: {log}");
-        assert!(link.line().is_none(), "{way:?}: sent on after its client had gone");
+        assert_eq!(
+            (counter(&log, "relays_sent"), counter(&log, "client_left")),
+            (1, 1),
+            "{way:?}: {log}"
+        );
+        assert!(
+            link.line().is_none(),
+            "{way:?}: sent on after its client had gone"
+        );
         add_up(&log);
     });
 }
@@ -209,7 +256,10 @@
 #[test]
 fn who_came_and_went_before_the_gateway_looked_is_not_sent() {
     let of = ["session", "handshake"];
-    let cases: Vec<_> = WAYS.iter().flat_map(|way| of.map(|place| (place, *way))).collect();
+    let cases: Vec<_> = WAYS
+        .iter()
+        .flat_map(|way| of.map(|place| (place, *way)))
+        .collect();
     each(&cases, |(place, way)| {
         if (place, way) == ("handshake", Way::Kills) {
             // Nobody has a number to kill before the greeting.
@@ -236,8 +286,13 @@
 /// A connection that the gateway has not taken yet, with its login.
 fn came_unseen(gateway: &Gateway) -> Client {
     let mut stream = TcpStream::connect(gateway.listen).unwrap();
-    stream.write_all(&login_packet("app", b"", "warehouse")).unwrap();
-    Client { stream, connection: 0 }
+    stream
+        .write_all(&login_packet("app", b"", "warehouse"))
+        .unwrap();
+    Client {
+        stream,
+        connection: 0,
+    }
 }
 
 /// It waits in the machine's backlog, since all sessions have an answer to come and none may go for it.
@@ -252,8 +307,14 @@
             config["limits"]["sockets"] = json!(2 * SESSIONS);
         });
         let mut clients: Vec<Client> = (0..SESSIONS).map(|_| gateway.client()).collect();
-        let texts: Vec<Text> = clients.iter().map(|_| text(LARGE, "SELECT 'held'")).collect();
-        clients.iter_mut().zip(&texts).for_each(|(client, text)| send(client, text));
+        let texts: Vec<Text> = clients
+            .iter()
+            .map(|_| text(LARGE, "SELECT 'held'"))
+            .collect();
+        clients
+            .iter_mut()
+            .zip(&texts)
+            .for_each(|(client, text)| send(client, text));
         let mut link = engine.accept();
         let mut asked = link.asked();
         let counts = gateway.settled();
@@ -270,9 +331,15 @@
         grace_passes(&mut gateway, left);
         // Each answer makes room for it, and for the one behind it at the engine.
         for done in 0..SESSIONS {
-            assert_ne!(asked.id, gone.rid, "{way:?}: sent on after its client had gone");
+            assert_ne!(
+                asked.id, gone.rid,
+                "{way:?}: sent on after its client had gone"
+            );
             link.complete(&asked);
-            let whose = texts.iter().position(|text| text.rid == asked.id).expect("one of those held");
+            let whose = texts
+                .iter()
+                .position(|text| text.rid == asked.id)
+                .expect("one of those held");
             assert_eq!(rows(clients[whose].answer().unwrap()).len(), 1);
             gateway.settled();
             if done + 1 < SESSIONS {
@@ -293,7 +360,11 @@
         let mut gateway = Gateway::with(&[engine.address], patient);
         let (one, gone) = (text(LARGE, "SELECT 'one'"), text(LARGE, "SELECT 'behind'"));
         let mut client = gateway.client();
-        let quit = if ends == "quits" { packet(0, &[QUIT]) } else { Vec::new() };
+        let quit = if ends == "quits" {
+            packet(0, &[QUIT])
+        } else {
+            Vec::new()
+        };
         let all = [query_packet(&one.query), quit, query_packet(&gone.query)].concat();
         client.stream.write_all(&all).unwrap();
         let mut link = engine.accept();
@@ -302,7 +373,10 @@
         gateway.settled();
         let left = Instant::now();
         if ends == "killed" {
-            gateway.client().ask(&format!("KILL {}", client.connection)).unwrap();
+            gateway
+                .client()
+                .ask(&format!("KILL {}", client.connection))
+                .unwrap();
         }
         grace_passes(&mut gateway, left);
         link.complete(&asked);
@@ -327,9 +401,17 @@
 }
 
 fn spawn_limited<const DESCRIPTORS: usize>(config: &std::path::Path) -> Child {
-    let command = format!("ulimit -n {DESCRIPTORS}; exec {}", env!("CARGO_BIN_EXE_laurelhitch"));
+    let command = format!(
+        "ulimit -n {DESCRIPTORS}; exec {}",
+        env!("CARGO_BIN_EXE_laurelhitch")
+    );
     let mut shell = Command::new("/bin/sh");
-    shell.args(["-c", &command]).env("RELAY_CONFIG", config).stderr(Stdio::piped()).spawn().unwrap()
+    shell
+        .args(["-c", &command])
+        .env("RELAY_CONFIG", config)
+        .stderr(Stdio::piped())
+        .spawn()
+        .unwrap()
 }
 
 /// Idle clients fill the descriptors while the board is down, then it comes back, with another engine in place of the one
@@ -341,11 +423,15 @@
     each(&[DESCRIPTORS, 1024], |configured| {
         let (old, new) = (engine(1), engine(1));
         let place = free_address();
-        let mut gateway =
-            Gateway::by(spawn_limited::<DESCRIPTORS>, &[old.address], "", |config: &mut Value| {
+        let mut gateway = Gateway::by(
+            spawn_limited::<DESCRIPTORS>,
+            &[old.address],
+            "",
+            |config: &mut Value| {
                 config["limits"]["sockets"] = json!(configured);
                 config["board"] = json!(place.to_string());
-            });
+            },
+        );
         let clients = idle_clients(&gateway, 4 * DESCRIPTORS);
         let failed = counter(&gateway.settled(), "polls_failed");
         // It has asked in vain with the descriptors full, and not only before.
@@ -354,12 +440,18 @@
         board.tell(true, vec![target("e-0", old.address, "in_service")]);
         board.tell(
             false,
-            vec![target("e-0", old.address, "terminated"), target("e-1", new.address, "in_service")],
+            vec![
+                target("e-0", old.address, "terminated"),
+                target("e-1", new.address, "in_service"),
+            ],
         );
         let until = Instant::now() + millis(10_000);
         let mut newcomers = Vec::new();
         while counter(&gateway.settled(), "list_events") < 1 {
-            assert!(Instant::now() < until, "{configured}: it never came back to the board");
+            assert!(
+                Instant::now() < until,
+                "{configured}: it never came back to the board"
+            );
             if configured == DESCRIPTORS {
                 newcomers = idle_clients(&gateway, 4);
             }
@@ -370,9 +462,15 @@
         }
         let ask = || Client::login(gateway.listen)?.ask(&commented(2000, "SELECT 1"));
         while ask().map_or(true, |answer| denied(&answer)) {
-            assert!(Instant::now() < until, "{configured}: it never served again");
+            assert!(
+                Instant::now() < until,
+                "{configured}: it never served again"
+            );
         }
-        assert!(new.lines().iter().any(|line| line.starts_with("do ")), "{configured}");
+        assert!(
+            new.lines().iter().any(|line| line.starts_with("do ")),
+            "{configured}"
+        );
         ended(gateway);
     });
 }
@@ -385,10 +483,18 @@
 fn nine_in_ten_restarted_gateways_are_ready_in_time() {
     const RESTARTED: usize = 20;
     let ready_within = Duration::from_secs(6);
-    let moods = [Some(Mood::Well), Some(Mood::Silent), Some(Mood::Closing), None];
+    let moods = [
+        Some(Mood::Well),
+        Some(Mood::Silent),
+        Some(Mood::Closing),
+        None,
+    ];
     let engine = Script::new();
     let start = |which: usize| {
-        let (mood, known) = (moods[which % moods.len()], (which / moods.len()).is_multiple_of(2));
+        let (mood, known) = (
+            moods[which % moods.len()],
+            (which / moods.len()).is_multiple_of(2),
+        );
         let mut gateway = Gateway::with(&[engine.address], |config| {
             patient(config);
             if mood.is_none() {
@@ -400,22 +506,30 @@
         send(&mut client, &text(8, "SELECT 'open'"));
         gateway.settled();
         if !known {
-            let mut config: Value = serde_json::from_slice(&std::fs::read(&gateway.config).unwrap()).unwrap();
+            let mut config: Value =
+                serde_json::from_slice(&std::fs::read(&gateway.config).unwrap()).unwrap();
             config["known"] = json!({"rev": 0, "notices": []});
             std::fs::write(&gateway.config, config.to_string()).unwrap();
         }
         (gateway, client)
     };
     let mut gateways: Vec<(Gateway, Client)> = thread::scope(|scope| {
-        let starting: Vec<_> = (0..RESTARTED).map(|which| scope.spawn(move || start(which))).collect();
-        starting.into_iter().map(|gateway| gateway.join().unwrap()).collect()
+        let starting: Vec<_> = (0..RESTARTED)
+            .map(|which| scope.spawn(move || start(which)))
+            .collect();
+        starting
+            .into_iter()
+            .map(|gateway| gateway.join().unwrap())
+            .collect()
     });
     for (gateway, _) in &mut gateways {
         gateway.child.kill().unwrap();
         gateway.child.wait().unwrap();
     }
     let begun = Instant::now();
-    gateways.iter_mut().for_each(|(gateway, _)| gateway.child = spawn(&gateway.config));
+    gateways
+        .iter_mut()
+        .for_each(|(gateway, _)| gateway.child = spawn(&gateway.config));
     let mut ready: Vec<Duration> = thread::scope(|scope| {
         let waiting: Vec<_> = gateways
             .iter_mut()
@@ -426,9 +540,15 @@
                 })
             })
             .collect();
-        waiting.into_iter().map(|ready| ready.join().unwrap_or(Duration::MAX)).collect()
+        waiting
+            .into_iter()
+            .map(|ready| ready.join().unwrap_or(Duration::MAX))
+            .collect()
     });
     ready.sort();
     let in_time = ready.iter().filter(|took| **took <= ready_within).count();
-    assert!(10 * in_time >= 9 * RESTARTED, "{in_time} of {RESTARTED} in time: {ready:?}");
+    assert!(
+        10 * in_time >= 9 * RESTARTED,
+        "{in_time} of {RESTARTED} in time: {ready:?}"
+    );
 }
--- a/crates/gateway/tests/support/clients.rs
+++ b/crates/gateway/tests/support/clients.rs
@@ -29,7 +29,10 @@
 
 pub fn text(mem: u32, statement: &str) -> Text {
     let query = commented(500_000, statement).replace("mem=8", &format!("mem={mem}"));
-    Text { rid: query.split("rid=").nth(1).unwrap()[..16].to_owned(), query }
+    Text {
+        rid: query.split("rid=").nth(1).unwrap()[..16].to_owned(),
+        query,
+    }
 }
 
 /// So much memory that only one such statement runs at a time.
@@ -59,9 +62,14 @@
 }
 
 pub fn leave_all(way: Way, clients: Vec<Client>, gateway: SocketAddr) -> Vec<TcpStream> {
-    let mut ends: Vec<SocketAddr> =
-        clients.iter().map(|client| client.stream.local_addr().unwrap()).collect();
-    let kept: Vec<TcpStream> = clients.into_iter().flat_map(|client| left(way, client, gateway)).collect();
+    let mut ends: Vec<SocketAddr> = clients
+        .iter()
+        .map(|client| client.stream.local_addr().unwrap())
+        .collect();
+    let kept: Vec<TcpStream> = clients
+        .into_iter()
+        .flat_map(|client| left(way, client, gateway))
+        .collect();
     ends.extend(kept.iter().map(|stream| stream.local_addr().unwrap()));
     delivered(&ends);
     kept
@@ -82,7 +90,9 @@
             // All at once, since a gateway that stands still sends no greeting.
             let mut other = TcpStream::connect(gateway).unwrap();
             let kill = query_packet(&format!("KILL QUERY {}", client.connection));
-            other.write_all(&[login_packet("app", b"", "warehouse"), kill].concat()).unwrap();
+            other
+                .write_all(&[login_packet("app", b"", "warehouse"), kill].concat())
+                .unwrap();
             vec![client.stream, other]
         }
     }
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -50,7 +50,10 @@
 pub fn spawn(config: &Path) -> Child {
     let program = env!("CARGO_BIN_EXE_laurelhitch");
     let mut command = Command::new(program);
-    command.env("RELAY_CONFIG", config).env_remove("LAURELHITCH_OPERATOR").stderr(Stdio::piped());
+    command
+        .env("RELAY_CONFIG", config)
+        .env_remove("LAURELHITCH_OPERATOR")
+        .stderr(Stdio::piped());
     // The operator's file of this run, if it has one.
     let operator = config.with_extension("hcl");
     if operator.exists() {
@@ -70,7 +73,11 @@
     }
 
     /// The same with an operator's file.
-    pub fn operated(engines: &[SocketAddr], operator: &str, change: impl FnOnce(&mut Value)) -> Self {
+    pub fn operated(
+        engines: &[SocketAddr],
+        operator: &str,
+        change: impl FnOnce(&mut Value),
+    ) -> Self {
         Self::by(spawn, engines, operator, change)
     }
 
@@ -91,13 +98,21 @@
         config["known"] = board.known();
         change(&mut config);
         let run = RUNS.fetch_add(1, Ordering::Relaxed);
-        let path = std::env::temp_dir().join(format!("laurelhitch-{}-{run}.json", std::process::id()));
+        let path =
+            std::env::temp_dir().join(format!("laurelhitch-{}-{run}.json", std::process::id()));
         std::fs::write(&path, config.to_string()).unwrap();
         if !operator.is_empty() {
             std::fs::write(path.with_extension("hcl"), operator).unwrap();
         }
         let (log, lines) = (String::new(), None);
-        let gateway = Gateway { child: spawn(&path), config: path, listen, board, log, lines };
+        let gateway = Gateway {
+            child: spawn(&path),
+            config: path,
+            listen,
+            board,
+            log,
+            lines,
+        };
         gateway.wait_ready();
         gateway
     }
@@ -107,7 +122,10 @@
         if let Some(said) = self.child.stderr.take() {
             let (tell, lines) = channel();
             thread::spawn(move || {
-                BufReader::new(said).lines().map_while(Result::ok).try_for_each(|line| tell.send(line))
+                BufReader::new(said)
+                    .lines()
+                    .map_while(Result::ok)
+                    .try_for_each(|line| tell.send(line))
             });
             self.lines = Some(lines);
         }
@@ -147,7 +165,13 @@
     fn until_state(&self, state: char) {
         let until = Instant::now() + millis(10_000);
         let stat = || std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).unwrap();
-        while !stat().rsplit(')').next().unwrap().trim_start().starts_with(state) {
+        while !stat()
+            .rsplit(')')
+            .next()
+            .unwrap()
+            .trim_start()
+            .starts_with(state)
+        {
             assert!(Instant::now() < until, "never in state {state}");
             thread::yield_now();
         }
@@ -187,7 +211,14 @@
         let mut log = std::mem::take(&mut self.log);
         match self.lines.take() {
             Some(lines) => lines.iter().for_each(|line| log += &format!("{line}\n")),
-            None => drop(self.child.stderr.take().unwrap().read_to_string(&mut log).unwrap()),
+            None => drop(
+                self.child
+                    .stderr
+                    .take()
+                    .unwrap()
+                    .read_to_string(&mut log)
+                    .unwrap(),
+            ),
         }
         (status, log)
     }
@@ -204,11 +235,15 @@
 
 pub fn commented(budget_ms: u64, statement: &str) -> String {
     let rid = RUNS.fetch_add(1, Ordering::Relaxed);
-    format!("/* method=point,rid={rid:016x},budget={budget_ms},acct=water,est=12.0,mem=8 */ {statement}")
+    format!(
+        "/* method=point,rid={rid:016x},budget={budget_ms},acct=water,est=12.0,mem=8 */ {statement}"
+    )
 }
 
 pub fn rows(answer: Answer) -> Vec<Vec<String>> {
-    let Answer::Rows(rows) = answer else { panic!("{answer:?}") };
+    let Answer::Rows(rows) = answer else {
+        panic!("{answer:?}")
+    };
     rows
 }
 
@@ -218,18 +253,37 @@
 
 /// A number out of the counters' last line.
 pub fn counter(log: &str, name: &str) -> i64 {
-    let line = log.lines().rfind(|line| line.contains("counters:")).expect("no counters");
-    let word = line.split(' ').find_map(|word| word.strip_prefix(name)?.strip_prefix('='));
-    word.and_then(|number| number.parse().ok()).unwrap_or_else(|| panic!("no {name} in {line}"))
+    let line = log
+        .lines()
+        .rfind(|line| line.contains("counters:"))
+        .expect("no counters");
+    let word = line
+        .split(' ')
+        .find_map(|word| word.strip_prefix(name)?.strip_prefix('='));
+    word.and_then(|number| number.parse().ok())
+        .unwrap_or_else(|| panic!("no {name} in {line}"))
 }
 
 pub fn add_up(log: &str) {
     let sum = |names: &[&str]| names.iter().map(|name| counter(log, name)).sum::<i64>();
-    assert_eq!((counter(log, "overdue"), counter(log, "books_differ")), (0, 0), "{log}");
+    assert_eq!(
+        (counter(log, "overdue"), counter(log, "books_differ")),
+        (0, 0),
+        "{log}"
+    );
     let ends = ["completed", "denied", "scrapped", "client_left", "open"];
     assert_eq!(counter(log, "statements_taken"), sum(&ends), "{log}");
-    let relays =
-        ["done", "full", "past", "error", "timed_out", "unreachable", "reset", "cancelled", "unsent"];
+    let relays = [
+        "done",
+        "full",
+        "past",
+        "error",
+        "timed_out",
+        "unreachable",
+        "reset",
+        "cancelled",
+        "unsent",
+    ];
     let relays: Vec<String> = relays.iter().map(|name| format!("relays_{name}")).collect();
     let relays: Vec<&str> = relays.iter().map(String::as_str).collect();
     assert!(counter(log, "relays_sent") >= sum(&relays), "{log}");
--- a/crates/gateway/tests/support/script.rs
+++ b/crates/gateway/tests/support/script.rs
@@ -52,7 +52,14 @@
     /// The next connection, if one comes in time.
     pub fn comes(&self) -> Option<Link> {
         let mut of = [PollFd::new(&self.listener, PollFlags::IN)];
-        poll(&mut of, Some(&Timespec { tv_sec: PATIENCE.as_secs() as i64, tv_nsec: 0 })).unwrap();
+        poll(
+            &mut of,
+            Some(&Timespec {
+                tv_sec: PATIENCE.as_secs() as i64,
+                tv_nsec: 0,
+            }),
+        )
+        .unwrap();
         (!of[0].revents().is_empty()).then(|| Link::on(self.listener.accept().unwrap().0))
     }
 
@@ -92,7 +99,10 @@
     fn on(stream: TcpStream) -> Link {
         stream.set_read_timeout(Some(PATIENCE)).unwrap();
         stream.set_nodelay(true).unwrap();
-        Link { input: BufReader::new(stream.try_clone().unwrap()), stream }
+        Link {
+            input: BufReader::new(stream.try_clone().unwrap()),
+            stream,
+        }
     }
 
     /// The next line; none at the gateway's end of it.
@@ -115,7 +125,10 @@
                 let mut body = vec![0; length.parse::<usize>().unwrap() + 2];
                 self.input.read_exact(&mut body).unwrap();
                 body.truncate(body.len() - 2);
-                return Asked { id: id.to_owned(), text: String::from_utf8(body).unwrap() };
+                return Asked {
+                    id: id.to_owned(),
+                    text: String::from_utf8(body).unwrap(),
+                };
             }
         }
     }
@@ -133,7 +146,9 @@
 
     /// No further byte of the gateway's has come: told by one that stands at its end, or has sent nothing.
     pub fn silent(&mut self) -> bool {
-        self.stream.set_read_timeout(Some(Duration::from_millis(1))).unwrap();
+        self.stream
+            .set_read_timeout(Some(Duration::from_millis(1)))
+            .unwrap();
         let got = self.input.fill_buf().map(<[u8]>::len);
         self.stream.set_read_timeout(Some(PATIENCE)).unwrap();
         match got {
@@ -151,7 +166,11 @@
 /// machine under load passes even its own packets on some time later.
 pub fn delivered(ends: &[SocketAddr]) {
     let name = |end: &SocketAddr| match end {
-        SocketAddr::V4(end) => format!("{:08X}:{:04X}", u32::from(*end.ip()).swap_bytes(), end.port()),
+        SocketAddr::V4(end) => format!(
+            "{:08X}:{:04X}",
+            u32::from(*end.ip()).swap_bytes(),
+            end.port()
+        ),
         SocketAddr::V6(_) => panic!("{end}"),
     };
     let ends: Vec<String> = ends.iter().map(name).collect();
@@ -161,7 +180,8 @@
         let on_its_way = table.lines().skip(1).any(|line| {
             let words: Vec<&str> = line.split_whitespace().collect();
             // With bytes that were not taken yet, or an end that was not.
-            let waits = !words[4].starts_with("00000000:") || ["04", "09", "0B"].contains(&words[3]);
+            let waits =
+                !words[4].starts_with("00000000:") || ["04", "09", "0B"].contains(&words[3]);
             waits && ends.iter().any(|end| end == words[1])
         });
         if !on_its_way {
@@ -175,7 +195,11 @@
 /// The whole answer to a statement.
 pub fn completed(asked: &Asked) -> String {
     let row = format!("0\t{}\tx\n", asked.text);
-    format!("{} DONE total=1,elapsed=12.5,rss=8 {}\r\n{row}\r\n", asked.id, row.len())
+    format!(
+        "{} DONE total=1,elapsed=12.5,rss=8 {}\r\n{row}\r\n",
+        asked.id,
+        row.len()
+    )
 }
 
 /// An answer of one word and no rows.
--- a/crates/identity/benches/verdicts.rs
+++ b/crates/identity/benches/verdicts.rs
@@ -15,13 +15,35 @@
     let (secret, public) = token::fresh().expect("randomness");
     let id = KeyId::try_from("k1".to_owned()).expect("a name");
     let now = Moment::from_secs(1000.0);
-    let mut guard = Guard::new(now, Terms { remembered, checks_per_s: 1e12, ..Terms::default() });
-    let listed =
-        Listed { id: id.clone(), announced_s: 0.0, signs_s: Some(0.0), retires_s: None, withdrawn_s: None };
+    let mut guard = Guard::new(
+        now,
+        Terms {
+            remembered,
+            checks_per_s: 1e12,
+            ..Terms::default()
+        },
+    );
+    let listed = Listed {
+        id: id.clone(),
+        announced_s: 0.0,
+        signs_s: Some(0.0),
+        retires_s: None,
+        withdrawn_s: None,
+    };
     let public: BTreeMap<_, _> = [(id.clone(), public)].into();
     let lines: String = (0..100_000).map(|n| format!("token r{n}\n")).collect();
     let revoked = Revoked::parse(&lines).expect("a list");
-    guard.take(now, &Index { version: 1, keys: vec![listed] }, &public, revoked).expect("an index");
+    guard
+        .take(
+            now,
+            &Index {
+                version: 1,
+                keys: vec![listed],
+            },
+            &public,
+            revoked,
+        )
+        .expect("an index");
     let grant = Grant {
         member: "m".into(),
         desks: None,
@@ -31,8 +53,14 @@
         networks: None,
     };
     let (issued_s, expires_s) = (900.0, 2000.0);
-    let claims =
-        Claims { caller: "c".into(), id: "t".into(), issued_s, not_before_s: issued_s, expires_s, grant };
+    let claims = Claims {
+        caller: "c".into(),
+        id: "t".into(),
+        issued_s,
+        not_before_s: issued_s,
+        expires_s,
+        grant,
+    };
     (guard, token::sign(&claims, &id, &secret).expect("signed"))
 }
 
@@ -45,7 +73,11 @@
     let lines: String = (0..100_000).map(|n| format!("token r{n}\n")).collect();
     let revoked = Revoked::parse(&lines).expect("a list");
     let plain: HashSet<String> = (0..100_000).map(|n| format!("r{n}")).collect();
-    println!("revocations: {} bytes for {} entries", revoked.bytes(), revoked.len());
+    println!(
+        "revocations: {} bytes for {} entries",
+        revoked.bytes(),
+        revoked.len()
+    );
     let mut n = 0;
     c.bench_function("not on the list", |b| {
         b.iter(|| {
--- a/crates/identity/src/grants.rs
+++ b/crates/identity/src/grants.rs
@@ -63,7 +63,10 @@
     /// Whether its sets are bounded and its ranges are ranges.
     pub fn usable(&self) -> bool {
         let small = |len: Option<usize>| len.is_none_or(|len| len <= Self::MOST);
-        let ranges = self.groups.as_ref().is_none_or(|of| of.iter().all(|(from, to)| from <= to));
+        let ranges = self
+            .groups
+            .as_ref()
+            .is_none_or(|of| of.iter().all(|(from, to)| from <= to));
         ranges
             && !self.member.is_empty()
             && small(self.desks.as_ref().map(BTreeSet::len))
@@ -75,36 +78,60 @@
     /// # Errors
     /// The first reason for which it may not run.
     pub fn allows(&self, request: &Request<'_>) -> Result<(), Beyond> {
-        let within =
-            |set: &Option<BTreeSet<String>>, name: &str| set.as_ref().is_none_or(|set| set.contains(name));
+        let within = |set: &Option<BTreeSet<String>>, name: &str| {
+            set.as_ref().is_none_or(|set| set.contains(name))
+        };
         let checks = [
-            (request.member.is_none_or(|member| member == self.member), Beyond::Member),
-            (request.desk.is_none_or(|desk| within(&self.desks, desk)), Beyond::Desk),
+            (
+                request.member.is_none_or(|member| member == self.member),
+                Beyond::Member,
+            ),
+            (
+                request.desk.is_none_or(|desk| within(&self.desks, desk)),
+                Beyond::Desk,
+            ),
             (within(&self.products, request.product), Beyond::Product),
             (self.allows_group(request.group), Beyond::Group),
-            (self.most_open.is_none_or(|most| request.open < most), Beyond::Open),
+            (
+                self.most_open.is_none_or(|most| request.open < most),
+                Beyond::Open,
+            ),
             (self.allows_from(request.from), Beyond::Network),
         ];
-        checks.into_iter().find(|(fine, _)| !fine).map_or(Ok(()), |(_, beyond)| Err(beyond))
+        checks
+            .into_iter()
+            .find(|(fine, _)| !fine)
+            .map_or(Ok(()), |(_, beyond)| Err(beyond))
     }
 
     /// One that names no group may read any, so it needs a grant of all.
     fn allows_group(&self, group: Option<u32>) -> bool {
-        let Some(ranges) = &self.groups else { return true };
-        let within =
-            |group: u32| ranges.iter().any(|(from, to)| RangeInclusive::new(*from, *to).contains(&group));
+        let Some(ranges) = &self.groups else {
+            return true;
+        };
+        let within = |group: u32| {
+            ranges
+                .iter()
+                .any(|(from, to)| RangeInclusive::new(*from, *to).contains(&group))
+        };
         group.is_some_and(within)
     }
 
     pub fn allows_from(&self, from: IpAddr) -> bool {
         // A mapped address is the same machine as its plain one.
         let from = from.to_canonical();
-        self.networks.as_ref().is_none_or(|of| of.iter().any(|network| network.contains(&from)))
+        self.networks
+            .as_ref()
+            .is_none_or(|of| of.iter().any(|network| network.contains(&from)))
     }
 
     /// The desk that its statements wait at when they name none: its only one.
     pub fn desk<'a>(&'a self, named: Option<&'a str>) -> Option<&'a str> {
-        let only = self.desks.as_ref().filter(|desks| desks.len() == 1).and_then(|desks| desks.first());
+        let only = self
+            .desks
+            .as_ref()
+            .filter(|desks| desks.len() == 1)
+            .and_then(|desks| desks.first());
         named.or(only.map(String::as_str))
     }
 }
--- a/crates/identity/src/guard.rs
+++ b/crates/identity/src/guard.rs
@@ -144,10 +144,14 @@
         }
         // The usual callers' tokens are remembered; a flood of bad ones must not take the time of all.
         if !self.may_check(now) {
-            return Verdict::Later { back: self.terms.back };
+            return Verdict::Later {
+                back: self.terms.back,
+            };
         }
         self.checked += 1;
-        let Some(public) = self.ring.public(&id) else { return Verdict::Refused(Why::UnknownKey) };
+        let Some(public) = self.ring.public(&id) else {
+            return Verdict::Refused(Why::UnknownKey);
+        };
         match token::open(token, public) {
             Err(why) => Verdict::Refused(why.into()),
             Ok(claims) => {
@@ -155,7 +159,8 @@
                 let claims = Arc::new(claims);
                 let verdict = self.hold(now, claims.clone(), &id);
                 if let Verdict::Granted { until, .. } = verdict {
-                    self.verdicts.put(now, digest, (Arc::new(id), claims), until);
+                    self.verdicts
+                        .put(now, digest, (Arc::new(id), claims), until);
                 }
                 verdict
             }
@@ -176,8 +181,15 @@
     fn not_here(&self, now: Moment, token: &str, why: Why) -> Verdict {
         // Its own word, unchecked; a lie about it earns no more than to be told to come back.
         let age = token::issued_unchecked(token).map(|issued| (now - issued).secs());
-        let fresh = age.is_some_and(|age| (-self.terms.skew.secs()..=self.terms.grace.secs()).contains(&age));
-        if fresh { Verdict::Later { back: self.terms.back } } else { Verdict::Refused(why) }
+        let fresh = age
+            .is_some_and(|age| (-self.terms.skew.secs()..=self.terms.grace.secs()).contains(&age));
+        if fresh {
+            Verdict::Later {
+                back: self.terms.back,
+            }
+        } else {
+            Verdict::Refused(why)
+        }
     }
 
     /// Of a token whose signature holds.
@@ -199,9 +211,13 @@
             return Verdict::Refused(Why::Expired);
         }
         if now < from {
-            return Verdict::Later { back: (from - now).min(self.terms.back) };
+            return Verdict::Later {
+                back: (from - now).min(self.terms.back),
+            };
         }
-        let signed = self.ring.signed_at(id, Moment::from_secs(claims.issued_s), self.terms.skew);
+        let signed = self
+            .ring
+            .signed_at(id, Moment::from_secs(claims.issued_s), self.terms.skew);
         if !signed {
             return Verdict::Refused(Why::NotSigning);
         }
--- a/crates/identity/src/keys.rs
+++ b/crates/identity/src/keys.rs
@@ -17,7 +17,11 @@
     fn try_from(name: String) -> Result<Self, IndexError> {
         let fine = |byte: u8| byte.is_ascii_alphanumeric() || b"-_".contains(&byte);
         let usable = (1..=32).contains(&name.len()) && name.bytes().all(fine);
-        if usable { Ok(KeyId(name)) } else { Err(IndexError::Name) }
+        if usable {
+            Ok(KeyId(name))
+        } else {
+            Err(IndexError::Name)
+        }
     }
 }
 
@@ -95,7 +99,8 @@
     /// # Errors
     /// It is no index, or contradicts itself; nothing of it is used then.
     pub fn parse(text: &str) -> Result<Self, IndexError> {
-        let index: Index = serde_json::from_str(text).map_err(|e| IndexError::Form(e.to_string()))?;
+        let index: Index =
+            serde_json::from_str(text).map_err(|e| IndexError::Form(e.to_string()))?;
         index.check()?;
         Ok(index)
     }
@@ -109,7 +114,12 @@
             if seen.insert(&key.id, ()).is_some() {
                 return Err(IndexError::Twice(key.id.0.clone()));
             }
-            let steps = [Some(key.announced_s), key.signs_s, key.retires_s, key.withdrawn_s];
+            let steps = [
+                Some(key.announced_s),
+                key.signs_s,
+                key.retires_s,
+                key.withdrawn_s,
+            ];
             let steps: Vec<f64> = steps.into_iter().flatten().collect();
             let ordered = steps.is_sorted() && steps.iter().all(|at| at.is_finite() && *at >= 0.0);
             // A key may be withdrawn before it ever signed, but not retire so.
@@ -167,7 +177,9 @@
         let mut keys = BTreeMap::new();
         for listed in &index.keys {
             let id = &listed.id;
-            let key = public.get(id).ok_or_else(|| IndexError::Missing(id.0.clone()))?;
+            let key = public
+                .get(id)
+                .ok_or_else(|| IndexError::Missing(id.0.clone()))?;
             let back = self.gone.contains(id) && listed.standing(now) != Standing::Withdrawn;
             let other = self.keys.get(id).is_some_and(|(_, known)| known != key);
             if back || other {
@@ -176,7 +188,12 @@
             keys.insert(id.clone(), (listed.clone(), *key));
         }
         // One that vanishes from the index is as good as withdrawn.
-        let gone = self.keys.keys().filter(|id| !keys.contains_key(*id)).cloned().collect::<Vec<_>>();
+        let gone = self
+            .keys
+            .keys()
+            .filter(|id| !keys.contains_key(*id))
+            .cloned()
+            .collect::<Vec<_>>();
         (self.version, self.keys) = (index.version, keys);
         gone.into_iter().for_each(|id| self.bury(id));
         self.look(now);
@@ -201,7 +218,10 @@
     /// Time goes on: keys whose time has come are withdrawn for good.
     pub fn look(&mut self, now: Moment) {
         let now = self.not_before(now);
-        let over = self.keys.iter().filter(|(_, (listed, _))| listed.standing(now) == Standing::Withdrawn);
+        let over = self
+            .keys
+            .iter()
+            .filter(|(_, (listed, _))| listed.standing(now) == Standing::Withdrawn);
         let over: Vec<KeyId> = over.map(|(id, _)| id.clone()).collect();
         over.into_iter().for_each(|id| self.bury(id));
     }
@@ -211,7 +231,9 @@
         if self.gone.contains(id) {
             return Standing::Withdrawn;
         }
-        self.keys.get(id).map_or(Standing::Unknown, |(listed, _)| listed.standing(now))
+        self.keys
+            .get(id)
+            .map_or(Standing::Unknown, |(listed, _)| listed.standing(now))
     }
 
     pub fn public(&self, id: &KeyId) -> Option<&[u8; 32]> {
@@ -220,9 +242,15 @@
 
     /// Whether the key signed at a moment, give or take what clocks differ by.
     pub fn signed_at(&self, id: &KeyId, at: Moment, skew: Span) -> bool {
-        let Some((listed, _)) = self.keys.get(id) else { return false };
-        let from = listed.signs_s.is_some_and(|from| Moment::from_secs(from) <= at + skew);
-        from && listed.retires_s.is_none_or(|until| at + (Span::ZERO - skew) < Moment::from_secs(until))
+        let Some((listed, _)) = self.keys.get(id) else {
+            return false;
+        };
+        let from = listed
+            .signs_s
+            .is_some_and(|from| Moment::from_secs(from) <= at + skew);
+        from && listed
+            .retires_s
+            .is_none_or(|until| at + (Span::ZERO - skew) < Moment::from_secs(until))
     }
 
     pub fn withdrawn_at(&self, id: &KeyId) -> Option<Moment> {
@@ -236,7 +264,12 @@
     /// The next moment at which a key's standing changes by itself.
     pub fn next_change(&self, now: Moment) -> Option<Moment> {
         let steps = |listed: &Listed| [listed.signs_s, listed.retires_s, listed.withdrawn_s];
-        let all = self.keys.values().flat_map(|(listed, _)| steps(listed)).flatten().map(Moment::from_secs);
+        let all = self
+            .keys
+            .values()
+            .flat_map(|(listed, _)| steps(listed))
+            .flatten()
+            .map(Moment::from_secs);
         all.filter(|at| *at > now).min()
     }
 }
--- a/crates/identity/src/revoked.rs
+++ b/crates/identity/src/revoked.rs
@@ -36,15 +36,20 @@
     }
 
     fn bits(&self, print: &Print) -> (usize, [usize; Self::SET]) {
-        let word = |at: usize| u64::from_le_bytes(print[at..at + 8].try_into().expect("eight bytes"));
+        let word =
+            |at: usize| u64::from_le_bytes(print[at..at + 8].try_into().expect("eight bytes"));
         let block = (word(0) % self.0.len() as u64) as usize;
         let of = word(8);
-        (block, std::array::from_fn(|n| (of >> (n * 9)) as usize & 511))
+        (
+            block,
+            std::array::from_fn(|n| (of >> (n * 9)) as usize & 511),
+        )
     }
 
     fn add(&mut self, print: &Print) {
         let (block, bits) = self.bits(print);
-        bits.into_iter().for_each(|bit| self.0[block][bit / 64] |= 1 << (bit % 64));
+        bits.into_iter()
+            .for_each(|bit| self.0[block][bit / 64] |= 1 << (bit % 64));
     }
 
     fn may_hold(&self, print: &Print) -> bool {
@@ -52,7 +57,8 @@
             return false;
         }
         let (block, bits) = self.bits(print);
-        bits.into_iter().all(|bit| self.0[block][bit / 64] >> (bit % 64) & 1 == 1)
+        bits.into_iter()
+            .all(|bit| self.0[block][bit / 64] >> (bit % 64) & 1 == 1)
     }
 }
 
@@ -81,7 +87,9 @@
                 "token" => Some(Kind::Token),
                 _ => None,
             };
-            let said = line.split_once(' ').and_then(|(word, name)| Some((kind(word)?, name.trim())));
+            let said = line
+                .split_once(' ')
+                .and_then(|(word, name)| Some((kind(word)?, name.trim())));
             let (kind, name) = said.filter(|(_, name)| !name.is_empty()).ok_or(at + 1)?;
             if prints.len() >= Self::MOST {
                 return Err(at + 1);
--- a/crates/identity/src/token.rs
+++ b/crates/identity/src/token.rs
@@ -78,7 +78,10 @@
 /// When a token was issued, by its own unchecked word: only for whether to ask again is it used.
 pub fn issued_unchecked(token: &str) -> Option<Moment> {
     let claims = claims_unchecked(token).ok()?;
-    claims.issued_s.is_finite().then(|| Moment::from_secs(claims.issued_s))
+    claims
+        .issued_s
+        .is_finite()
+        .then(|| Moment::from_secs(claims.issued_s))
 }
 
 /// # Errors
@@ -91,9 +94,14 @@
     let trusted = trusted.map_err(|_| TokenError::Signature)?;
     let claims: Claims = serde_json::from_str(trusted.payload()).map_err(|_| TokenError::Claims)?;
     let times = [claims.issued_s, claims.not_before_s, claims.expires_s];
-    let sound = times.iter().all(|at| at.is_finite() && *at >= 0.0) && claims.not_before_s < claims.expires_s;
+    let sound = times.iter().all(|at| at.is_finite() && *at >= 0.0)
+        && claims.not_before_s < claims.expires_s;
     let named = (1..=128).contains(&claims.caller.len()) && (1..=64).contains(&claims.id.len());
-    if sound && named && claims.grant.usable() { Ok(claims) } else { Err(TokenError::Claims) }
+    if sound && named && claims.grant.usable() {
+        Ok(claims)
+    } else {
+        Err(TokenError::Claims)
+    }
 }
 
 /// # Errors
@@ -104,7 +112,11 @@
     let key = AsymmetricSecretKey::<V4>::from(secret).map_err(|_| TokenError::Signature)?;
     let token = PublicToken::sign(&key, &message, Some(&footer), Some(PURPOSE));
     let token = token.map_err(|_| TokenError::Signature)?;
-    if token.len() > LONGEST { Err(TokenError::Long) } else { Ok(token) }
+    if token.len() > LONGEST {
+        Err(TokenError::Long)
+    } else {
+        Ok(token)
+    }
 }
 
 /// A fresh pair: the secret half and the public one.
@@ -113,8 +125,16 @@
 /// The machine gives no randomness.
 pub fn fresh() -> Result<(Zeroizing<[u8; 64]>, [u8; 32]), TokenError> {
     let pair = AsymmetricKeyPair::<V4>::generate().map_err(|_| TokenError::Signature)?;
-    let secret = pair.secret.as_bytes().try_into().map_err(|_| TokenError::Signature)?;
-    let public = pair.public.as_bytes().try_into().map_err(|_| TokenError::Signature)?;
+    let secret = pair
+        .secret
+        .as_bytes()
+        .try_into()
+        .map_err(|_| TokenError::Signature)?;
+    let public = pair
+        .public
+        .as_bytes()
+        .try_into()
+        .map_err(|_| TokenError::Signature)?;
     Ok((Zeroizing::new(secret), public))
 }
 
@@ -122,6 +142,9 @@
     /// From when and until when it holds, with this much given for clocks that differ.
     pub fn holds(&self, skew: Span) -> (Moment, Moment) {
         let back = Span::ZERO - skew;
-        (Moment::from_secs(self.not_before_s) + back, Moment::from_secs(self.expires_s) + skew)
+        (
+            Moment::from_secs(self.not_before_s) + back,
+            Moment::from_secs(self.expires_s) + skew,
+        )
     }
 }
--- a/crates/identity/src/verdicts.rs
+++ b/crates/identity/src/verdicts.rs
@@ -30,7 +30,13 @@
 
 impl Verdicts {
     pub fn new(most: usize) -> Self {
-        Verdicts { most, known: BTreeMap::new(), order: BTreeSet::new(), ends: BTreeSet::new(), uses: 0 }
+        Verdicts {
+            most,
+            known: BTreeMap::new(),
+            order: BTreeSet::new(),
+            ends: BTreeSet::new(),
+            uses: 0,
+        }
     }
 
     /// The key that signed it, and what it says.
@@ -64,7 +70,15 @@
         self.uses += 1;
         self.order.insert((self.uses, digest));
         self.ends.insert((ends, digest));
-        self.known.insert(digest, Known { key, claims, ends, used: self.uses });
+        self.known.insert(
+            digest,
+            Known {
+                key,
+                claims,
+                ends,
+                used: self.uses,
+            },
+        );
     }
 
     fn remove(&mut self, digest: &Digest) {
