--- a/crates/operator/src/shares_block.rs
+++ b/crates/operator/src/shares_block.rs
@@ -37,8 +37,9 @@
     /// # Errors
     /// A field that cannot be used, or contradicts another.
     pub fn terms(self, queues: Option<&queues::Terms>) -> Result<Option<Terms>, Fault> {
-        let number =
-            |name, value, default, least, most| within(&["shares", name], value, default, least, most);
+        let number = |name, value, default, least, most| {
+            within(&["shares", name], value, default, least, most)
+        };
         let span = |name, value, default: f64| {
             number(name, value, default, 20.0, 600_000.0).map(|ms| Span::from_secs(ms / 1e3))
         };
@@ -46,7 +47,11 @@
         let floor_part = number("floor_part", self.floor_part, 0.2, 0.0, 1.0)?;
         let budget = |of: Use, whole: f64| {
             let whole = Amount::of(whole);
-            Budget { of, whole, floor: Amount((whole.0 as f64 * floor_part / most as f64) as u64) }
+            Budget {
+                of,
+                whole,
+                floor: Amount((whole.0 as f64 * floor_part / most as f64) as u64),
+            }
         };
         let mut budgets = Vec::new();
         if self.members {
@@ -55,18 +60,32 @@
             budgets.extend(members.map(|m| budget(Use::Member(m.name.clone()), m.claim.budget)));
         }
         for (product, whole) in &self.relays_per_s {
-            let whole = within(&["shares", "relays_per_s", product], Some(*whole), 0.0, 1e-3, 1e6)?;
+            let whole = within(
+                &["shares", "relays_per_s", product],
+                Some(*whole),
+                0.0,
+                1e-3,
+                1e6,
+            )?;
             budgets.push(budget(Use::Relays(product.clone()), whole));
         }
         if let Some(trials) = self.trials_per_s {
-            budgets.push(budget(Use::Trials, number("trials_per_s", Some(trials), 0.0, 1e-3, 1e6)?));
+            budgets.push(budget(
+                Use::Trials,
+                number("trials_per_s", Some(trials), 0.0, 1e-3, 1e6)?,
+            ));
         }
         if self.cold {
             budgets.push(budget(Use::Cold, 1.0));
         }
         budgets.sort_by_key(Budget::name);
-        let named = |name: &String| Name::new(name).map_err(|why| fault(&["shares", "voters"], why));
-        let mut voters = self.voters.iter().map(named).collect::<Result<Vec<_>, _>>()?;
+        let named =
+            |name: &String| Name::new(name).map_err(|why| fault(&["shares", "voters"], why));
+        let mut voters = self
+            .voters
+            .iter()
+            .map(named)
+            .collect::<Result<Vec<_>, _>>()?;
         voters.sort();
         let terms = Terms {
             budgets,
@@ -87,7 +106,11 @@
                 TermsError::Short => "term_ms",
                 TermsError::Lease => "lease_ms",
             };
-            if field == "shares" { fault(&["shares"], why) } else { fault(&["shares", field], why) }
+            if field == "shares" {
+                fault(&["shares"], why)
+            } else {
+                fault(&["shares", field], why)
+            }
         })?;
         Ok(self.enabled.then_some(terms))
     }
--- a/crates/queues/benches/lines.rs
+++ b/crates/queues/benches/lines.rs
@@ -16,24 +16,50 @@
 }
 
 fn terms(teams: usize) -> Terms {
-    let claim = Claim { budget: 1.0, weight: 1.0 };
-    let desk = |_| DeskTerms { name: "all".into(), claim, networks: Vec::new() };
-    let member = |at: usize| MemberTerms { name: format!("m{at}"), claim, desks: (0..1).map(desk).collect() };
-    let bound = Bound { statements: 1 << 30, cpu: 1e12 };
+    let claim = Claim {
+        budget: 1.0,
+        weight: 1.0,
+    };
+    let desk = |_| DeskTerms {
+        name: "all".into(),
+        claim,
+        networks: Vec::new(),
+    };
+    let member = |at: usize| MemberTerms {
+        name: format!("m{at}"),
+        claim,
+        desks: (0..1).map(desk).collect(),
+    };
+    let bound = Bound {
+        statements: 1 << 30,
+        cpu: 1e12,
+    };
     let (ageing, burst) = (Span::from_secs(600.0), Span::from_secs(2.0));
-    Terms { members: (0..teams).map(member).collect(), ageing, burst, each: bound, all: bound }
+    Terms {
+        members: (0..teams).map(member).collect(),
+        ageing,
+        burst,
+        each: bound,
+        all: bound,
+    }
 }
 
 fn entry(id: u64, teams: u64) -> Entry {
     let mixed = id.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 20;
-    let place =
-        Place { by: at(100.0 + (mixed % 100_000) as f64 / 1e3), id: StatementId(id), over_allowance: false };
+    let place = Place {
+        by: at(100.0 + (mixed % 100_000) as f64 / 1e3),
+        id: StatementId(id),
+        over_allowance: false,
+    };
     Entry {
         id: StatementId(id),
         desk: DeskId((mixed % teams) as u32),
         product: ProductId((mixed % 2) as usize),
         place,
-        need: Need { cpu: 0.01 + (mixed % 97) as f64 / 100.0, memory_mb: 1.0 },
+        need: Need {
+            cpu: 0.01 + (mixed % 97) as f64 / 100.0,
+            memory_mb: 1.0,
+        },
         full_until: at(1e6),
         useful_until: at(1e6),
         key: None,
@@ -58,11 +84,17 @@
     }
 
     fn enter(&mut self, entry: &Entry) {
-        self.0.entry(entry.desk.0).or_default().insert(entry.place, entry.need);
+        self.0
+            .entry(entry.desk.0)
+            .or_default()
+            .insert(entry.place, entry.need);
     }
 
     fn next(&self) -> Option<(u32, Place)> {
-        let firsts = self.0.iter().filter_map(|(team, line)| Some((*team, *line.first_key_value()?.0)));
+        let firsts = self
+            .0
+            .iter()
+            .filter_map(|(team, line)| Some((*team, *line.first_key_value()?.0)));
         firsts.min_by_key(|(_, place)| *place)
     }
 
@@ -73,7 +105,9 @@
 
 fn costs(c: &mut Criterion) {
     let mut group = c.benchmark_group("lines");
-    group.sample_size(10).warm_up_time(std::time::Duration::from_millis(300));
+    group
+        .sample_size(10)
+        .warm_up_time(std::time::Duration::from_millis(300));
     group.measurement_time(std::time::Duration::from_millis(500));
     for teams in [10, 1_000, 100_000] {
         let (mut lines, mut plain) = (filled(teams), Plain::filled(teams));
@@ -93,8 +127,14 @@
                 lines.over(offer.place.id);
                 let (by, new) = (offer.place.by, StatementId(id + 1));
                 id += 1;
-                let again =
-                    Entry { place: Place { by, id: new, over_allowance: false }, ..entry(id, teams as u64) };
+                let again = Entry {
+                    place: Place {
+                        by,
+                        id: new,
+                        over_allowance: false,
+                    },
+                    ..entry(id, teams as u64)
+                };
                 lines.enter(at(0.01), &Entry { id: new, ..again })
             })
         });
@@ -130,7 +170,14 @@
                 let need = line.remove(&place).expect("just seen");
                 id += 1;
                 let by = place.by;
-                line.insert(Place { by, id: StatementId(id), over_allowance: false }, need);
+                line.insert(
+                    Place {
+                        by,
+                        id: StatementId(id),
+                        over_allowance: false,
+                    },
+                    need,
+                );
             })
         });
         group.bench_function(BenchmarkId::new("plain estimate", teams), |b| {
--- a/crates/queues/src/budget.rs
+++ b/crates/queues/src/budget.rs
@@ -29,7 +29,11 @@
 
 impl Till {
     pub fn new(now: Moment) -> Self {
-        Till { secs: 0.0, at: now, stretch: 1.0 }
+        Till {
+            secs: 0.0,
+            at: now,
+            stretch: 1.0,
+        }
     }
 
     pub fn go_on(&mut self, now: Moment) {
@@ -55,7 +59,12 @@
 
     pub fn new(now: Till, claim: Claim, burst: Span) -> Self {
         let bucket = Bucket::full(now.secs, claim.budget, burst.secs());
-        Account { claim, bucket, lent: 0.0, paid: 0.0 }
+        Account {
+            claim,
+            bucket,
+            lent: 0.0,
+            paid: 0.0,
+        }
     }
 
     /// New terms: what it has used stays used.
--- a/crates/queues/src/hall.rs
+++ b/crates/queues/src/hall.rs
@@ -41,26 +41,58 @@
 
 impl Hall {
     pub fn new(dispatch: Dispatch, lines: Option<Lines>) -> Self {
-        Hall { dispatch, lines, owed: Vec::new(), waits: Vec::new(), tally: Tally::default() }
+        Hall {
+            dispatch,
+            lines,
+            owed: Vec::new(),
+            waits: Vec::new(),
+            tally: Tally::default(),
+        }
     }
 
     /// Takes a statement. With lines it is held, or denied at once; without, it is as `Dispatch::pick`.
     pub fn pick(&mut self, now: Moment, id: StatementId, desk: DeskId, wants: &Wants) -> Pick {
-        let Some(lines) = &mut self.lines else { return self.dispatch.pick(now, id, wants) };
+        let Some(lines) = &mut self.lines else {
+            return self.dispatch.pick(now, id, wants);
+        };
         let lent = |cpu: Span| lines.would_be_lent(now, desk, cpu.secs());
         let entered = self.dispatch.enter(now, id, wants, lent);
-        let Some((place, forecast)) = entered else { return Pick::Held };
+        let Some((place, forecast)) = entered else {
+            return Pick::Held;
+        };
         // Of no team's making, so that it stands by its limit alone.
-        let place = Place { over_allowance: false, ..place };
-        let need = Need { cpu: forecast.cpu.secs(), memory_mb: forecast.memory_mb };
-        let Forecast { full_until, useful_until, .. } = forecast;
+        let place = Place {
+            over_allowance: false,
+            ..place
+        };
+        let need = Need {
+            cpu: forecast.cpu.secs(),
+            memory_mb: forecast.memory_mb,
+        };
+        let Forecast {
+            full_until,
+            useful_until,
+            ..
+        } = forecast;
         let (product, key) = (wants.product, wants.key);
-        let entering =
-            lines.enter(now, &Entry { id, desk, product, place, need, full_until, useful_until, key });
+        let entering = lines.enter(
+            now,
+            &Entry {
+                id,
+                desk,
+                product,
+                place,
+                need,
+                full_until,
+                useful_until,
+                key,
+            },
+        );
         self.tally.entered += 1;
         for (victim, back) in entering.displaced {
             self.tally.displaced += 1;
-            self.owed.push((victim, self.dispatch.turn_away(now, victim, back)));
+            self.owed
+                .push((victim, self.dispatch.turn_away(now, victim, back)));
         }
         match entering.entered {
             Entered::Waits(_) => Pick::Held,
@@ -85,7 +117,9 @@
         if let Some(lines) = &mut self.lines {
             let cpu = match news {
                 News::Completed { cpu, .. } => cpu.map(Span::secs),
-                News::TurnedAway | News::Unreachable | News::NeverSent | News::Withdrawn => Some(0.0),
+                News::TurnedAway | News::Unreachable | News::NeverSent | News::Withdrawn => {
+                    Some(0.0)
+                }
                 _ => None,
             };
             lines.came_to(now, id, cpu);
@@ -98,20 +132,32 @@
 
     /// Offers what waits, as far as there is room.
     pub fn tick(&mut self, now: Moment) -> Tick {
-        let Some(lines) = &mut self.lines else { return self.dispatch.tick(now) };
+        let Some(lines) = &mut self.lines else {
+            return self.dispatch.tick(now);
+        };
         let mut due = std::mem::take(&mut self.owed);
         self.waits.clear();
         lines.round(now, self.dispatch.capacity(now), self.dispatch.carries());
         for place in lines.past(now) {
             let last = Offer { place, lent: false };
-            offer(&mut self.dispatch, lines, &mut self.waits, &mut self.tally, now, last, &mut due);
+            offer(
+                &mut self.dispatch,
+                lines,
+                &mut self.waits,
+                &mut self.tally,
+                now,
+                last,
+                &mut due,
+            );
         }
         // Statements with a relay behind them stand in the module's own line: among all, the earliest hard limit.
         let again = self.dispatch.line();
         let mut again = again.into_iter().peekable();
         loop {
             let next = lines.next();
-            while let Some(place) = again.next_if(|place| next.is_none_or(|next| *place < next.place)) {
+            while let Some(place) =
+                again.next_if(|place| next.is_none_or(|next| *place < next.place))
+            {
                 let pick = self.dispatch.ask(now, place.id);
                 match pick {
                     Pick::Held => continue,
@@ -121,10 +167,23 @@
                 due.push((place.id, pick));
             }
             let Some(next) = next else { break };
-            offer(&mut self.dispatch, lines, &mut self.waits, &mut self.tally, now, next, &mut due);
+            offer(
+                &mut self.dispatch,
+                lines,
+                &mut self.waits,
+                &mut self.tally,
+                now,
+                next,
+                &mut due,
+            );
         }
         let (probe, list, wait) = self.dispatch.rest(now, lines.len());
-        Tick { due, probe, list, wait }
+        Tick {
+            due,
+            probe,
+            list,
+            wait,
+        }
     }
 
     /// Its client left while it waits with nothing out: what to answer, should anybody still read. `Pick::Held`: it is
@@ -173,12 +232,17 @@
 
     /// Members' budgets as this gateway's part of them at present, by their places in the terms.
     pub fn lease(&mut self, now: Moment, rates: &[Option<f64>]) {
-        self.lines.iter_mut().for_each(|lines| lines.lease(now, rates));
+        self.lines
+            .iter_mut()
+            .for_each(|lines| lines.lease(now, rates));
     }
 
     /// What members wanted and spent of their budgets since the start, in predicted CPU seconds.
     pub fn flows(&self) -> Vec<(f64, f64)> {
-        self.lines.as_ref().map(|lines| lines.flows().collect()).unwrap_or_default()
+        self.lines
+            .as_ref()
+            .map(|lines| lines.flows().collect())
+            .unwrap_or_default()
     }
 
     /// How each engine stands.
@@ -198,7 +262,9 @@
 
     /// Other terms, with all that waits; nothing where there are no lines.
     pub fn change(&mut self, now: Moment, terms: Terms) {
-        self.lines.iter_mut().for_each(|lines| lines.change(now, terms.clone()));
+        self.lines
+            .iter_mut()
+            .for_each(|lines| lines.change(now, terms.clone()));
     }
 
     pub fn tally(&self) -> Tally {
@@ -215,7 +281,9 @@
     }
 
     pub fn longest_passed(&self) -> Span {
-        self.lines.as_ref().map_or(Span::ZERO, Lines::longest_passed)
+        self.lines
+            .as_ref()
+            .map_or(Span::ZERO, Lines::longest_passed)
     }
 
     pub fn status(&mut self, now: Moment, most: usize) -> Option<Vec<DeskStatus>> {
@@ -248,14 +316,17 @@
     match pick {
         Pick::Held => {
             tally.refused += 1;
-            let useful = dispatch.forecast(now, id).map_or(now, |forecast| forecast.useful_until);
+            let useful = dispatch
+                .forecast(now, id)
+                .map_or(now, |forecast| forecast.useful_until);
             return lines.refused(id, offer.lent, useful);
         }
         Pick::Relay(Order { charge, .. }) => {
             tally.released += 1;
             let wait = lines.released(now, id, charge.secs());
-            let well =
-                |wait: &Wait| (wait.told.wait - wait.real).secs().abs() <= (0.2 * wait.real.secs()).max(0.02);
+            let well = |wait: &Wait| {
+                (wait.told.wait - wait.real).secs().abs() <= (0.2 * wait.real.secs()).max(0.02)
+            };
             tally.told_well += u64::from(wait.as_ref().is_some_and(well));
             waits.extend(wait);
         }
--- a/crates/queues/src/lines.rs
+++ b/crates/queues/src/lines.rs
@@ -82,7 +82,13 @@
 impl Waiter {
     fn wait(&self, now: Moment, id: StatementId) -> Wait {
         let (product, desk) = (ProductId(self.lane), DeskId(self.desk));
-        Wait { id, product, desk, told: self.told, real: now - self.entered }
+        Wait {
+            id,
+            product,
+            desk,
+            told: self.told,
+            real: now - self.entered,
+        }
     }
 }
 
@@ -127,7 +133,10 @@
 
     /// The team whose turn it is: the first under its budget, else the one that was lent least.
     fn first(&self) -> Option<u32> {
-        self.under.first().map(|(_, team)| *team).or_else(|| self.over.first().map(|(_, team)| *team))
+        self.under
+            .first()
+            .map(|(_, team)| *team)
+            .or_else(|| self.over.first().map(|(_, team)| *team))
     }
 }
 
@@ -290,7 +299,12 @@
     }
 
     fn lay_out(&mut self) {
-        self.owed = self.terms.members.iter().map(|member| member.claim.budget).sum();
+        self.owed = self
+            .terms
+            .members
+            .iter()
+            .map(|member| member.claim.budget)
+            .sum();
         let (now, till, lanes, burst) = (self.now, self.till, self.products, self.terms.burst);
         for terms in &self.terms.members {
             let member = self.members.len() as u32;
@@ -353,7 +367,10 @@
             let before = std::mem::replace(&mut self.cores, cores);
             for desk in self.passed.iter().map(|(_, desk)| *desk as usize) {
                 let Desk { paces, pace, .. } = &mut self.desks[desk];
-                paces.iter_mut().chain([pace]).for_each(|pace| pace.advance(now, before));
+                paces
+                    .iter_mut()
+                    .chain([pace])
+                    .for_each(|pace| pace.advance(now, before));
             }
             self.whole.advance(now, before);
         }
@@ -366,7 +383,11 @@
                 Team::Member(member) => self.show_member(member),
             }
         }
-        let frontiers = self.frontiers.iter_mut().flatten().filter(|frontier| !frontier.is_empty());
+        let frontiers = self
+            .frontiers
+            .iter_mut()
+            .flatten()
+            .filter(|frontier| !frontier.is_empty());
         frontiers.for_each(|frontier| *frontier = Frontier::default());
         for id in std::mem::take(&mut self.parked) {
             if self.waiting.get(&id).is_some_and(|waiter| !waiter.in_line) {
@@ -381,7 +402,9 @@
         self.at(now);
         let first = !std::mem::replace(&mut self.leased, true);
         for (at, rate) in rates.iter().enumerate() {
-            let (Some(rate), Some(member)) = (*rate, self.members.get_mut(at)) else { continue };
+            let (Some(rate), Some(member)) = (*rate, self.members.get_mut(at)) else {
+                continue;
+            };
             if !first && member.account.claim().budget == rate {
                 continue;
             }
@@ -400,12 +423,18 @@
             let desks = member.desks.clone();
             desks.into_iter().for_each(|desk| self.show_desk(desk));
         }
-        self.owed = self.members.iter().map(|member| member.account.claim().budget).sum();
+        self.owed = self
+            .members
+            .iter()
+            .map(|member| member.account.claim().budget)
+            .sum();
     }
 
     /// What each member wanted and spent of its budget since the start.
     pub fn flows(&self) -> impl Iterator<Item = (f64, f64)> {
-        self.members.iter().map(|member| (member.wanted, member.account.paid()))
+        self.members
+            .iter()
+            .map(|member| (member.wanted, member.account.paid()))
     }
 
     /// Whether a statement of this cost that comes now would wait for what other members lend.
@@ -419,7 +448,11 @@
         let lane = entry.product.0;
         let desk = entry.desk.0.min(self.desks.len() as u32 - 1);
         let usual = &mut self.usual[entry.product.0];
-        *usual = if *usual > 0.0 { *usual + (entry.need.cpu - *usual) * 0.05 } else { entry.need.cpu };
+        *usual = if *usual > 0.0 {
+            *usual + (entry.need.cpu - *usual) * 0.05
+        } else {
+            entry.need.cpu
+        };
         let member = self.desks[desk as usize].member;
         self.members[member as usize].wanted += entry.need.cpu;
         let raw = self.raw(desk, lane, entry.place, entry.need);
@@ -428,15 +461,26 @@
         // one whose key's turn has to come first nothing is known.
         let useful = (entry.full_until - now).secs();
         let wait = told.p90.secs() * DOUBT;
-        let seen = self.desks[desk as usize].paces[entry.product.0].known(now, self.cores).is_some();
+        let seen = self.desks[desk as usize].paces[entry.product.0]
+            .known(now, self.cores)
+            .is_some();
         if seen && entry.key.is_none() && wait > useful.max(0.05) {
             let back = Span::from_secs((told.p90.secs() - useful).max(told.wait.secs() * 0.5));
-            return Entering { entered: Entered::TurnedAway { back }, displaced: Vec::new() };
+            return Entering {
+                entered: Entered::TurnedAway { back },
+                displaced: Vec::new(),
+            };
         }
         let Some(displaced) = self.make_room(desk, entry.place, entry.need) else {
-            return Entering { entered: Entered::TurnedAway { back: told.wait }, displaced: Vec::new() };
+            return Entering {
+                entered: Entered::TurnedAway { back: told.wait },
+                displaced: Vec::new(),
+            };
         };
-        let displaced = displaced.into_iter().map(|(id, waiter)| (id, self.back(&waiter))).collect();
+        let displaced = displaced
+            .into_iter()
+            .map(|(id, waiter)| (id, self.back(&waiter)))
+            .collect();
         self.waiting.insert(
             entry.id,
             Waiter {
@@ -462,12 +506,20 @@
         if first {
             self.line_up(entry.id);
         }
-        Entering { entered: Entered::Waits(told), displaced }
+        Entering {
+            entered: Entered::Waits(told),
+            displaced,
+        }
     }
 
     /// Room at the desk and in all, if need be in the place of those with the worse claim: at one desk those that
     /// would leave later, among desks the last of the one with the most waiting for what it is owed.
-    fn make_room(&mut self, desk: u32, place: Place, need: Need) -> Option<Vec<(StatementId, Waiter)>> {
+    fn make_room(
+        &mut self,
+        desk: u32,
+        place: Place,
+        need: Need,
+    ) -> Option<Vec<(StatementId, Waiter)>> {
         let mut out: Vec<(StatementId, Waiter)> = Vec::new();
         let fits = |bound: crate::terms::Bound, count: u32, cpu: f64| {
             count == 0 || count < bound.statements && cpu + need.cpu <= bound.cpu
@@ -479,13 +531,24 @@
                 return Some(out);
             }
             let own = (of.cpu + need.cpu) / owed(of);
-            let heaviest = self.heavy.last().copied().filter(|_| here).filter(|(_, other)| *other != desk);
-            let heaviest = heaviest.filter(|(load, _)| f64::from_bits(*load) > own).map(|(_, other)| other);
+            let heaviest = self
+                .heavy
+                .last()
+                .copied()
+                .filter(|_| here)
+                .filter(|(_, other)| *other != desk);
+            let heaviest = heaviest
+                .filter(|(load, _)| f64::from_bits(*load) > own)
+                .map(|(_, other)| other);
             let from = heaviest.unwrap_or(desk);
-            let victim = self.last_of(from).filter(|last| heaviest.is_some() || last.by > place.by);
+            let victim = self
+                .last_of(from)
+                .filter(|last| heaviest.is_some() || last.by > place.by);
             let Some(victim) = victim.filter(|_| out.len() < DISPLACED) else {
                 // Its claim is not better after all: who was to go stays.
-                out.into_iter().rev().for_each(|(id, waiter)| self.put_back(id, waiter));
+                out.into_iter()
+                    .rev()
+                    .for_each(|(id, waiter)| self.put_back(id, waiter));
                 return None;
             };
             let waiter = self.take_out(victim.id).expect("in line");
@@ -495,12 +558,22 @@
 
     fn last_of(&self, desk: u32) -> Option<Place> {
         let roots = &self.desks[desk as usize].roots;
-        roots.iter().filter_map(|root| self.arena.last(*root)).map(|(place, _)| place).max()
+        roots
+            .iter()
+            .filter_map(|root| self.arena.last(*root))
+            .map(|(place, _)| place)
+            .max()
     }
 
     fn put_back(&mut self, id: StatementId, waiter: Waiter) {
         self.useful.insert((waiter.useful_until, id));
-        self.waiting.insert(id, Waiter { in_line: false, ..waiter });
+        self.waiting.insert(
+            id,
+            Waiter {
+                in_line: false,
+                ..waiter
+            },
+        );
         if let Some(key) = waiter.key {
             self.keys.entry(key).or_default().push_front(id);
         }
@@ -510,8 +583,15 @@
     /// The next to ask the module about, and whether what it would take is lent; or nobody in this round any more.
     pub fn next(&self) -> Option<Offer> {
         let aged = |since: &Moment| *since + self.terms.ageing <= self.now;
-        let passed = self.passed.iter().take(LOOK).take_while(|(since, _)| aged(since));
-        if let Some(place) = passed.into_iter().find_map(|(_, desk)| self.first_at(*desk)) {
+        let passed = self
+            .passed
+            .iter()
+            .take(LOOK)
+            .take_while(|(since, _)| aged(since));
+        if let Some(place) = passed
+            .into_iter()
+            .find_map(|(_, desk)| self.first_at(*desk))
+        {
             return Some(Offer { place, lent: false });
         }
         let mut best: Option<Place> = None;
@@ -520,7 +600,10 @@
                 if best.is_some_and(|best| best <= *place) {
                     break;
                 }
-                best = [best, self.first_of(*member, lane, 0)].into_iter().flatten().min();
+                best = [best, self.first_of(*member, lane, 0)]
+                    .into_iter()
+                    .flatten()
+                    .min();
                 if best == Some(*place) {
                     break;
                 }
@@ -532,8 +615,9 @@
         let mut best: Option<(u64, Place)> = None;
         for lane in 0..self.root.len() {
             let over = self.root[lane].over.iter().take(LOOK);
-            let found =
-                over.filter_map(|(paid, member)| Some((*paid, self.first_of(*member, lane, 1)?))).next();
+            let found = over
+                .filter_map(|(paid, member)| Some((*paid, self.first_of(*member, lane, 1)?)))
+                .next();
             best = [best, found].into_iter().flatten().min();
         }
         best.map(|(_, place)| Offer { place, lent: true })
@@ -558,12 +642,17 @@
 
     /// The first of a member in a lane that may have room: of its desks under budget, else of those over it.
     fn first_of(&self, member: u32, lane: Lane, lent: usize) -> Option<Place> {
-        let (ranks, frontier) = (&self.members[member as usize].ranks[lane], &self.frontiers[lane][lent]);
+        let (ranks, frontier) = (
+            &self.members[member as usize].ranks[lane],
+            &self.frontiers[lane][lent],
+        );
         if frontier.closed() {
             return None;
         }
         let first = |desk: u32| {
-            self.arena.first_with_room(self.desks[desk as usize].roots[lane], frontier).map(|found| found.0)
+            self.arena
+                .first_with_room(self.desks[desk as usize].roots[lane], frontier)
+                .map(|found| found.0)
         };
         let mut best: Option<Place> = None;
         for (place, desk) in ranks.under.iter().take(LOOK) {
@@ -572,14 +661,29 @@
             }
             best = [best, first(*desk)].into_iter().flatten().min();
         }
-        best.or_else(|| ranks.over.iter().take(LOOK).find_map(|(_, desk)| first(*desk)))
+        best.or_else(|| {
+            ranks
+                .over
+                .iter()
+                .take(LOOK)
+                .find_map(|(_, desk)| first(*desk))
+        })
     }
 
     /// The module has no room for it now. `useful_until`: its word anew.
     pub fn refused(&mut self, id: StatementId, lent: bool, useful_until: Moment) {
-        let Some(waiter) = self.waiting.get_mut(&id) else { return };
+        let Some(waiter) = self.waiting.get_mut(&id) else {
+            return;
+        };
         let old = std::mem::replace(&mut waiter.useful_until, useful_until);
-        let Waiter { desk, lane, need, key, in_line, .. } = *waiter;
+        let Waiter {
+            desk,
+            lane,
+            need,
+            key,
+            in_line,
+            ..
+        } = *waiter;
         self.useful.remove(&(old, id));
         self.useful.insert((useful_until, id));
         if !in_line {
@@ -595,7 +699,8 @@
             }
             // A heavy head would be passed by light ones for ever: now room is saved up for it.
             let since = self.desks[desk as usize].passed_since;
-            if since.is_some_and(|since| since + self.terms.ageing + self.terms.ageing <= self.now) {
+            if since.is_some_and(|since| since + self.terms.ageing + self.terms.ageing <= self.now)
+            {
                 loan.close();
                 owed.close();
             }
@@ -644,14 +749,25 @@
         let desk_owes = of.account.owes(now, cpu);
         // What is owed to a desk is owed to its member, whatever that used for its others.
         let holder_owes = desk_owes || holder.account.owes(now, cpu);
-        let by = (holder.account.pay(now, cpu, holder_owes), of.account.pay(now, cpu, desk_owes));
+        let by = (
+            holder.account.pay(now, cpu, holder_owes),
+            of.account.pay(now, cpu, desk_owes),
+        );
         if by.0 == Paid::Lent {
             self.lent_now = self.lent_now.max(lent.0);
         }
         if by.1 == Paid::Lent {
             holder.lent_now = holder.lent_now.max(lent.1);
         }
-        self.charges.insert(id, Charge { desk, member, by, cpu });
+        self.charges.insert(
+            id,
+            Charge {
+                desk,
+                member,
+                by,
+                cpu,
+            },
+        );
         self.show_desk(desk);
     }
 
@@ -666,11 +782,17 @@
     /// What a relay came to: `Some` CPU seconds where told, zero where it is known not to have run.
     pub fn came_to(&mut self, now: Moment, id: StatementId, cpu: Option<f64>) {
         self.at(now);
-        let (Some(charge), Some(cpu)) = (self.charges.get_mut(&id), cpu) else { return };
+        let (Some(charge), Some(cpu)) = (self.charges.get_mut(&id), cpu) else {
+            return;
+        };
         let more = cpu - std::mem::replace(&mut charge.cpu, cpu);
         let charge = *charge;
-        self.members[charge.member as usize].account.correct(self.till, charge.by.0, more);
-        self.desks[charge.desk as usize].account.correct(self.till, charge.by.1, more);
+        self.members[charge.member as usize]
+            .account
+            .correct(self.till, charge.by.0, more);
+        self.desks[charge.desk as usize]
+            .account
+            .correct(self.till, charge.by.1, more);
         self.show_desk(charge.desk);
     }
 
@@ -688,7 +810,8 @@
     /// Those whose use has ended: the module is to be asked about them once more.
     pub fn past(&self, now: Moment) -> Vec<Place> {
         let past = self.useful.iter().take_while(|(at, _)| *at <= now);
-        past.filter_map(|(_, id)| Some(self.waiting.get(id)?.place)).collect()
+        past.filter_map(|(_, id)| Some(self.waiting.get(id)?.place))
+            .collect()
     }
 
     /// The gateway ends: nothing waits up to then without being asked about once more.
@@ -706,9 +829,17 @@
     }
 
     fn line_up(&mut self, id: StatementId) {
-        let Some(waiter) = self.waiting.get_mut(&id) else { return };
+        let Some(waiter) = self.waiting.get_mut(&id) else {
+            return;
+        };
         waiter.in_line = true;
-        let Waiter { desk, lane, place, need, .. } = *waiter;
+        let Waiter {
+            desk,
+            lane,
+            place,
+            need,
+            ..
+        } = *waiter;
         let (now, cores) = (self.now, self.cores);
         let of = &mut self.desks[desk as usize];
         let first = of.count == 0;
@@ -740,9 +871,17 @@
     }
 
     fn out_of_line(&mut self, id: StatementId) {
-        let Some(waiter) = self.waiting.get_mut(&id).filter(|waiter| waiter.in_line) else { return };
+        let Some(waiter) = self.waiting.get_mut(&id).filter(|waiter| waiter.in_line) else {
+            return;
+        };
         waiter.in_line = false;
-        let Waiter { desk, lane, place, need, .. } = *waiter;
+        let Waiter {
+            desk,
+            lane,
+            place,
+            need,
+            ..
+        } = *waiter;
         let (now, cores) = (self.now, self.cores);
         let of = &mut self.desks[desk as usize];
         self.arena.remove(&mut of.roots[lane], place);
@@ -805,7 +944,10 @@
                 if alone || desk.account.owes(now, need.cpu) {
                     return Shown::Under(place);
                 }
-                refill = [refill, desk.account.owes_at(now, need.cpu)].into_iter().flatten().min();
+                refill = [refill, desk.account.owes_at(now, need.cpu)]
+                    .into_iter()
+                    .flatten()
+                    .min();
                 Shown::Over(lent)
             });
             member.ranks[lane].change(at, &mut desk.shown[lane], shown);
@@ -822,14 +964,18 @@
         let mut refill: Option<Moment> = None;
         for lane in 0..member.ranks.len() {
             let ranks = &member.ranks[lane];
-            let first =
-                ranks.first().and_then(|desk| self.arena.first(self.desks[desk as usize].roots[lane]));
+            let first = ranks
+                .first()
+                .and_then(|desk| self.arena.first(self.desks[desk as usize].roots[lane]));
             let desk_owed = member.desks.len() > 1 && !ranks.under.is_empty();
             let shown = first.map(|(place, need)| {
                 if alone || desk_owed || member.account.owes(now, need.cpu) {
                     return Shown::Under(place);
                 }
-                refill = [refill, member.account.owes_at(now, need.cpu)].into_iter().flatten().min();
+                refill = [refill, member.account.owes_at(now, need.cpu)]
+                    .into_iter()
+                    .flatten()
+                    .min();
                 Shown::Over(lent)
             });
             self.root[lane].change(at, &mut member.shown[lane], shown);
@@ -902,25 +1048,46 @@
     /// Every desk where something waits, then as many of the others as `most` allows.
     pub fn status(&mut self, now: Moment, most: usize) -> Vec<DeskStatus> {
         self.at(now);
-        let busy: Vec<u32> = self.heavy.iter().rev().map(|(_, desk)| *desk).take(most).collect();
-        let idle = (0..self.desks.len() as u32).filter(|desk| self.desks[*desk as usize].count == 0);
+        let busy: Vec<u32> = self
+            .heavy
+            .iter()
+            .rev()
+            .map(|(_, desk)| *desk)
+            .take(most)
+            .collect();
+        let idle =
+            (0..self.desks.len() as u32).filter(|desk| self.desks[*desk as usize].count == 0);
         let mut shown: Vec<u32> = idle.take(most - busy.len()).chain(busy).collect();
         shown.sort_unstable();
-        shown.into_iter().map(|desk| self.desk_status(now, desk)).collect()
+        shown
+            .into_iter()
+            .map(|desk| self.desk_status(now, desk))
+            .collect()
     }
 
     fn desk_status(&mut self, now: Moment, at: u32) -> DeskStatus {
-        let last = Place { by: now + Span::from_secs(3e9), id: StatementId(u64::MAX), over_allowance: true };
+        let last = Place {
+            by: now + Span::from_secs(3e9),
+            id: StatementId(u64::MAX),
+            over_allowance: true,
+        };
         let mut next = Vec::new();
         for product in 0..self.products {
-            let need = Need { cpu: self.usual[product], memory_mb: 0.0 };
+            let need = Need {
+                cpu: self.usual[product],
+                memory_mb: 0.0,
+            };
             let raw = self.raw(at, product, last, need);
             next.push(self.records[product].tell(raw));
         }
         let cores = self.cores;
         let desk = &mut self.desks[at as usize];
-        let oldest =
-            desk.roots.iter().filter_map(|root| self.arena.first(*root)).map(|first| first.0.id).min();
+        let oldest = desk
+            .roots
+            .iter()
+            .filter_map(|root| self.arena.first(*root))
+            .map(|first| first.0.id)
+            .min();
         let oldest = oldest.and_then(|id| self.waiting.get(&id));
         DeskStatus {
             member: self.members[desk.member as usize].name.clone(),
@@ -960,35 +1127,59 @@
         let (till, burst, leased) = (self.till, self.terms.burst, self.leased);
         if leased {
             // What the terms say is all gateways' together.
-            self.members.iter_mut().for_each(|member| member.account.lease(till, 0.0));
-            self.desks.iter_mut().for_each(|desk| desk.account.lease(till, 0.0));
+            self.members
+                .iter_mut()
+                .for_each(|member| member.account.lease(till, 0.0));
+            self.desks
+                .iter_mut()
+                .for_each(|desk| desk.account.lease(till, 0.0));
         }
         let keep = |account: &mut Account, claim: crate::terms::Claim| {
-            if leased { account.hold(till, claim.weight, burst) } else { account.change(till, claim, burst) }
+            if leased {
+                account.hold(till, claim.weight, burst)
+            } else {
+                account.change(till, claim, burst)
+            }
         };
-        let by_name: BTreeMap<&str, u32> =
-            self.members.iter().enumerate().map(|(at, member)| (member.name.as_str(), at as u32)).collect();
-        let member_now: Vec<Option<u32>> =
-            old_members.iter().map(|old| by_name.get(old.name.as_str()).copied()).collect();
+        let by_name: BTreeMap<&str, u32> = self
+            .members
+            .iter()
+            .enumerate()
+            .map(|(at, member)| (member.name.as_str(), at as u32))
+            .collect();
+        let member_now: Vec<Option<u32>> = old_members
+            .iter()
+            .map(|old| by_name.get(old.name.as_str()).copied())
+            .collect();
         let same = |name: &str, desk: &u32| self.desks[*desk as usize].name == name;
         let desk_now: Vec<(u32, bool)> = old_desks
             .iter()
             .map(|old| {
                 let member = &self.members[member_now[old.member as usize].unwrap_or(0) as usize];
-                let kept = member.desks.iter().copied().find(|desk| same(&old.name, desk));
+                let kept = member
+                    .desks
+                    .iter()
+                    .copied()
+                    .find(|desk| same(&old.name, desk));
                 let kept = kept.filter(|_| member_now[old.member as usize].is_some());
                 (kept.unwrap_or(member.desks[0]), kept.is_some())
             })
             .collect();
         for (old, now_at) in old_members.iter().zip(&member_now) {
-            let Some(member) = now_at.map(|at| &mut self.members[at as usize]) else { continue };
+            let Some(member) = now_at.map(|at| &mut self.members[at as usize]) else {
+                continue;
+            };
             let claim = member.account.claim();
             member.account = old.account.clone();
             member.wanted = old.wanted;
             keep(&mut member.account, claim);
             member.lent_now = old.lent_now;
         }
-        for (old, (at, _)) in old_desks.into_iter().zip(&desk_now).filter(|(_, (_, kept))| *kept) {
+        for (old, (at, _)) in old_desks
+            .into_iter()
+            .zip(&desk_now)
+            .filter(|(_, (_, kept))| *kept)
+        {
             let desk = &mut self.desks[*at as usize];
             let claim = desk.account.claim();
             (desk.account, desk.paces, desk.pace) = (old.account, old.paces, old.pace);
@@ -1002,8 +1193,17 @@
         for (id, waiter) in waiting {
             let desk = desk_now[waiter.desk as usize].0;
             self.useful.insert((waiter.useful_until, id));
-            self.waiting.insert(id, Waiter { desk, in_line: false, ..waiter });
-            let first = waiter.key.is_none_or(|key| self.keys[&key].front() == Some(&id));
+            self.waiting.insert(
+                id,
+                Waiter {
+                    desk,
+                    in_line: false,
+                    ..waiter
+                },
+            );
+            let first = waiter
+                .key
+                .is_none_or(|key| self.keys[&key].front() == Some(&id));
             if first {
                 self.line_up(id);
             }
@@ -1015,7 +1215,9 @@
     }
 
     pub fn member_of(&self, desk: DeskId) -> Option<MemberId> {
-        self.desks.get(desk.0 as usize).map(|desk| MemberId(desk.member))
+        self.desks
+            .get(desk.0 as usize)
+            .map(|desk| MemberId(desk.member))
     }
 }
 
--- a/crates/queues/src/order.rs
+++ b/crates/queues/src/order.rs
@@ -28,7 +28,8 @@
 
     pub fn refused(&mut self, need: Need) {
         self.asked += 1;
-        self.least.retain(|known| known.cpu < need.cpu || known.memory_mb < need.memory_mb);
+        self.least
+            .retain(|known| known.cpu < need.cpu || known.memory_mb < need.memory_mb);
         self.least.push(need);
     }
 
@@ -46,7 +47,9 @@
     }
 
     pub fn may_have_room(&self, need: Need) -> bool {
-        self.least.iter().all(|known| need.cpu < known.cpu || need.memory_mb < known.memory_mb)
+        self.least
+            .iter()
+            .all(|known| need.cpu < known.cpu || need.memory_mb < known.memory_mb)
     }
 }
 
@@ -83,7 +86,11 @@
 impl Arena {
     /// `seed`: of the shape of the trees only; no order depends on it.
     pub fn new(seed: u64) -> Self {
-        Arena { nodes: Vec::new(), free: Vec::new(), rng: Pcg64Mcg::seed_from_u64(seed) }
+        Arena {
+            nodes: Vec::new(),
+            free: Vec::new(),
+            rng: Pcg64Mcg::seed_from_u64(seed),
+        }
     }
 
     fn node(&self, at: u32) -> &Node {
@@ -91,9 +98,15 @@
     }
 
     fn sum(&mut self, at: u32) {
-        let Node { need, left, right, .. } = *self.node(at);
+        let Node {
+            need, left, right, ..
+        } = *self.node(at);
         let (mut least, mut cpu, mut count) = (need, need.cpu, 1);
-        for child in [left, right].into_iter().flatten().map(|child| self.node(child)) {
+        for child in [left, right]
+            .into_iter()
+            .flatten()
+            .map(|child| self.node(child))
+        {
             least.cpu = least.cpu.min(child.least.cpu);
             least.memory_mb = least.memory_mb.min(child.least.memory_mb);
             (cpu, count) = (cpu + child.cpu, count + child.count);
@@ -119,7 +132,9 @@
     }
 
     fn merge(&mut self, low: Option<u32>, high: Option<u32>) -> Option<u32> {
-        let (Some(a), Some(b)) = (low, high) else { return low.or(high) };
+        let (Some(a), Some(b)) = (low, high) else {
+            return low.or(high);
+        };
         let top = if self.node(a).weight >= self.node(b).weight {
             self.nodes[a as usize].right = self.merge(self.node(a).right, high);
             a
@@ -134,8 +149,16 @@
     /// The place must not be in it yet.
     pub fn insert(&mut self, root: &mut Root, place: Place, need: Need) {
         let weight = self.rng.random::<u64>();
-        let node =
-            Node { place, need, weight, left: None, right: None, least: need, cpu: need.cpu, count: 1 };
+        let node = Node {
+            place,
+            need,
+            weight,
+            left: None,
+            right: None,
+            least: need,
+            cpu: need.cpu,
+            count: 1,
+        };
         let at = match self.free.pop() {
             Some(at) => {
                 self.nodes[at as usize] = node;
@@ -205,7 +228,11 @@
             return None;
         }
         self.search(node.left, frontier)
-            .or_else(|| frontier.may_have_room(node.need).then_some((node.place, node.need)))
+            .or_else(|| {
+                frontier
+                    .may_have_room(node.need)
+                    .then_some((node.place, node.need))
+            })
             .or_else(|| self.search(node.right, frontier))
     }
 
@@ -214,8 +241,9 @@
         let (mut at, mut count, mut cpu) = (root.0, 0, 0.0);
         while let Some(node) = at.map(|at| self.node(at)) {
             if node.place < place {
-                let (below, work) =
-                    node.left.map_or((0, 0.0), |left| (self.node(left).count, self.node(left).cpu));
+                let (below, work) = node.left.map_or((0, 0.0), |left| {
+                    (self.node(left).count, self.node(left).cpu)
+                });
                 (count, cpu) = (count + below + 1, cpu + work + node.need.cpu);
                 at = node.right;
             } else {
@@ -227,7 +255,8 @@
 
     /// How many there are, and the CPU seconds they need.
     pub fn all(&self, root: Root) -> (u32, f64) {
-        root.0.map_or((0, 0.0), |at| (self.node(at).count, self.node(at).cpu))
+        root.0
+            .map_or((0, 0.0), |at| (self.node(at).count, self.node(at).cpu))
     }
 
     /// All places, in order.
--- a/crates/queues/src/pace.rs
+++ b/crates/queues/src/pace.rs
@@ -19,7 +19,12 @@
     const SOME_S: f64 = 0.3;
 
     pub fn new(now: Moment) -> Self {
-        Pace { released: 0.0, core_s: 0.0, at: now, waiting: false }
+        Pace {
+            released: 0.0,
+            core_s: 0.0,
+            at: now,
+            waiting: false,
+        }
     }
 
     pub fn advance(&mut self, now: Moment, cores: f64) {
@@ -29,7 +34,11 @@
         }
         self.at = now;
         // What nobody waited for tells nothing: the memory fades in times of waiting only, and slowly else.
-        let fade = if self.waiting { Self::MEMORY_S } else { 10.0 * Self::MEMORY_S };
+        let fade = if self.waiting {
+            Self::MEMORY_S
+        } else {
+            10.0 * Self::MEMORY_S
+        };
         let keep = (-gone / fade).exp();
         (self.released, self.core_s) = (self.released * keep, self.core_s * keep);
         if self.waiting {
@@ -80,7 +89,10 @@
     const ENOUGH: f64 = 12.0;
 
     pub fn new() -> Self {
-        Spread { counts: vec![0.0; Self::STEPS], all: 0.0 }
+        Spread {
+            counts: vec![0.0; Self::STEPS],
+            all: 0.0,
+        }
     }
 
     pub fn saw(&mut self, figure: f64) {
@@ -105,7 +117,11 @@
             left -= self.counts[at];
             at += 1;
         }
-        let within = if self.counts[at] > 0.0 { (left / self.counts[at]).clamp(0.0, 1.0) } else { 0.5 };
+        let within = if self.counts[at] > 0.0 {
+            (left / self.counts[at]).clamp(0.0, 1.0)
+        } else {
+            0.5
+        };
         Some(Self::LOWEST * Self::STEP.powf(at as f64 + within))
     }
 }
@@ -140,12 +156,25 @@
 
     pub fn tell(&self, raw: f64) -> Estimate {
         if raw < Self::SOME_S {
-            let p90 = self.alone.part(0.9).filter(|p90| *p90 > 2e-3).unwrap_or(0.0);
-            return Estimate { wait: Span::from_secs(raw), p90: Span::from_secs(p90.max(raw)) };
+            let p90 = self
+                .alone
+                .part(0.9)
+                .filter(|p90| *p90 > 2e-3)
+                .unwrap_or(0.0);
+            return Estimate {
+                wait: Span::from_secs(raw),
+                p90: Span::from_secs(p90.max(raw)),
+            };
         }
-        let (half, most) = (self.ratio.part(0.5).unwrap_or(1.0), self.ratio.part(0.9).unwrap_or(2.0));
+        let (half, most) = (
+            self.ratio.part(0.5).unwrap_or(1.0),
+            self.ratio.part(0.9).unwrap_or(2.0),
+        );
         let wait = raw * half.clamp(0.25, 4.0);
-        Estimate { wait: Span::from_secs(wait), p90: Span::from_secs((raw * most.min(16.0)).max(wait)) }
+        Estimate {
+            wait: Span::from_secs(wait),
+            p90: Span::from_secs((raw * most.min(16.0)).max(wait)),
+        }
     }
 
     pub fn was(&mut self, raw: f64, real: Span) {
--- a/crates/queues/src/terms.rs
+++ b/crates/queues/src/terms.rs
@@ -63,7 +63,10 @@
         let mut terms = self.clone();
         for member in &mut terms.members {
             member.claim.budget *= part;
-            member.desks.iter_mut().for_each(|desk| desk.claim.budget *= part);
+            member
+                .desks
+                .iter_mut()
+                .for_each(|desk| desk.claim.budget *= part);
         }
         terms
     }
@@ -100,7 +103,10 @@
         let (mut directory, mut next) = (Directory::default(), 0);
         for (at, terms) in terms.members.iter().enumerate() {
             directory.by_name.insert(terms.name.clone(), at);
-            let mut member = Member { first: next, ..Member::default() };
+            let mut member = Member {
+                first: next,
+                ..Member::default()
+            };
             for desk in &terms.desks {
                 member.desks.insert(desk.name.clone(), next);
                 for network in &desk.networks {
@@ -121,7 +127,10 @@
     pub fn find(&self, member: Option<&str>, desk: Option<&str>, from: Option<IpAddr>) -> Belongs {
         let named = member.and_then(|name| self.by_name.get(name));
         let Some(of) = self.members.get(named.copied().unwrap_or(0)) else {
-            return Belongs { desk: DeskId(0), known: false };
+            return Belongs {
+                desk: DeskId(0),
+                known: false,
+            };
         };
         let told = desk.and_then(|name| of.desks.get(name)).copied();
         let by_network = || match from? {
@@ -132,7 +141,12 @@
             },
         };
         let known = (member.is_none() || named.is_some()) && (desk.is_none() || told.is_some());
-        let at = told.or_else(|| by_network().filter(|_| desk.is_none())).unwrap_or(of.first);
-        Belongs { desk: DeskId(at), known }
+        let at = told
+            .or_else(|| by_network().filter(|_| desk.is_none()))
+            .unwrap_or(of.first);
+        Belongs {
+            desk: DeskId(at),
+            known,
+        }
     }
 }
--- a/crates/queues/tests/hall.rs
+++ b/crates/queues/tests/hall.rs
@@ -44,11 +44,27 @@
         ranks_heeded: true,
     };
     let come_back = Some(span(0.5));
-    let relaying = Relaying { most: 4, cancel: false, come_back, settle: Span::ZERO, ration: None };
-    let listing = Listing { on_request: false, ask_within: span(10.0) };
+    let relaying = Relaying {
+        most: 4,
+        cancel: false,
+        come_back,
+        settle: Span::ZERO,
+        ration: None,
+    };
+    let listing = Listing {
+        on_request: false,
+        ask_within: span(10.0),
+    };
     let products = vec![product(1.0, 0.2), product(10.0, 0.1)];
-    let mut dispatch =
-        Dispatch::new(Policy::new(seed, products, Tenancy::default(), fleet, None, relaying, listing));
+    let mut dispatch = Dispatch::new(Policy::new(
+        seed,
+        products,
+        Tenancy::default(),
+        fleet,
+        None,
+        relaying,
+        listing,
+    ));
     dispatch.told_list(at(0.0), &ListNews::Whole(vec![engine(Stage::Ready)]));
     dispatch
 }
@@ -56,15 +72,37 @@
 /// One engine: the module's chance chooses among several, and is asked more often without lines.
 fn engine(stage: Stage) -> EngineFact {
     let (location, machine, cell) = (LocationId(0), MachineId(0), CellId(0));
-    EngineFact { id: EngineId(1), scale: 1.0, location, machine, cell, stage, started: None }
+    EngineFact {
+        id: EngineId(1),
+        scale: 1.0,
+        location,
+        machine,
+        cell,
+        stage,
+        started: None,
+    }
 }
 
 fn one_team() -> Terms {
-    let claim = Claim { budget: 1.0, weight: 1.0 };
-    let desk = DeskTerms { name: "all".into(), claim, networks: Vec::new() };
-    let bound = Bound { statements: 100_000, cpu: 1e9 };
+    let claim = Claim {
+        budget: 1.0,
+        weight: 1.0,
+    };
+    let desk = DeskTerms {
+        name: "all".into(),
+        claim,
+        networks: Vec::new(),
+    };
+    let bound = Bound {
+        statements: 100_000,
+        cpu: 1e9,
+    };
     Terms {
-        members: vec![MemberTerms { name: "m".into(), claim, desks: vec![desk] }],
+        members: vec![MemberTerms {
+            name: "m".into(),
+            claim,
+            desks: vec![desk],
+        }],
         ageing: span(0.5),
         burst: span(2.0),
         each: bound,
@@ -124,7 +162,10 @@
                 let news = match rng.random_range(0..10) {
                     0 => News::Error,
                     1 => News::TurnedAway,
-                    _ => News::Completed { cpu: Some(span(latency.secs() * 0.5)), memory_mb: None },
+                    _ => News::Completed {
+                        cpu: Some(span(latency.secs() * 0.5)),
+                        memory_mb: None,
+                    },
                 };
                 let settled = matches!(news, News::Completed { .. });
                 let [a, b] = [&mut plain, &mut lined]
@@ -135,7 +176,10 @@
         assert!(left > 20, "{left}");
         true
     }
-    QuickCheck::new().rng(Gen::from_size_and_seed(100, 21)).tests(25).quickcheck(same as fn(u64) -> bool);
+    QuickCheck::new()
+        .rng(Gen::from_size_and_seed(100, 21))
+        .tests(25)
+        .quickcheck(same as fn(u64) -> bool);
 }
 
 /// One answer each, and none is forgotten: whatever comes, waits, leaves, drains and returns.
@@ -144,7 +188,10 @@
     fn day(seed: u64) -> bool {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut terms = one_team();
-        terms.members.push(MemberTerms { name: "n".into(), ..terms.members[0].clone() });
+        terms.members.push(MemberTerms {
+            name: "n".into(),
+            ..terms.members[0].clone()
+        });
         (terms.each.statements, terms.all.statements) = (20, 30);
         let mut hall = hall(seed, terms.clone());
         // Ends by statement, and what is out.
@@ -158,7 +205,10 @@
                 let id = StatementId(next);
                 next += 1;
                 let budget = rng.random_range(0.1..3.0f64);
-                let wants = Wants { budget: span(budget), ..wants(&mut rng) };
+                let wants = Wants {
+                    budget: span(budget),
+                    ..wants(&mut rng)
+                };
                 ends.insert(id, at(now + budget));
                 let desk = DeskId(rng.random_range(0..3));
                 if hall.pick(at(now), id, desk, &wants) != Pick::Held {
@@ -173,7 +223,9 @@
                     }
                     Pick::Held => panic!("never due"),
                     Pick::Deny { come_back } => {
-                        assert!(come_back.is_some_and(|back| back <= span(0.5) && back > Span::ZERO));
+                        assert!(
+                            come_back.is_some_and(|back| back <= span(0.5) && back > Span::ZERO)
+                        );
                         (denied, _) = (denied + 1, ends.remove(&id).expect("a second end"));
                     }
                     Pick::Scrap => drop(ends.remove(&id).expect("a second end")),
@@ -181,7 +233,14 @@
             }
             for (id, relay) in out.clone() {
                 let over = ends.get(&id).is_none_or(|end| *end <= at(now));
-                let news = if over { News::TimedOut } else { News::Completed { cpu: None, memory_mb: None } };
+                let news = if over {
+                    News::TimedOut
+                } else {
+                    News::Completed {
+                        cpu: None,
+                        memory_mb: None,
+                    }
+                };
                 if over || rng.random::<f64>() < 0.05 {
                     out.remove(&id);
                     ends.remove(&id);
@@ -195,7 +254,11 @@
             match rng.random_range(0..100) {
                 0 => {
                     drained = !drained;
-                    let stage = if drained { Stage::Draining } else { Stage::Ready };
+                    let stage = if drained {
+                        Stage::Draining
+                    } else {
+                        Stage::Ready
+                    };
                     hall.told_list(at(now), &ListNews::Changes(vec![engine(stage)]));
                 }
                 1 => {
@@ -222,5 +285,8 @@
         assert!(tally.displaced + tally.turned_away > 0 && denied > 0);
         hall.waiting() == 0 && ends.is_empty()
     }
-    QuickCheck::new().rng(Gen::from_size_and_seed(100, 4)).tests(40).quickcheck(day as fn(u64) -> bool);
+    QuickCheck::new()
+        .rng(Gen::from_size_and_seed(100, 4))
+        .tests(40)
+        .quickcheck(day as fn(u64) -> bool);
 }
--- a/crates/rig/src/fleet.rs
+++ b/crates/rig/src/fleet.rs
@@ -106,7 +106,11 @@
     /// Those it counts as there.
     pub fn there(&self) -> Vec<&str> {
         let there = |row: &Row| row.known && (row.state == "alive" || row.state == "suspect");
-        self.rows.iter().filter(|(_, row)| there(row)).map(|(name, _)| &name[..]).collect()
+        self.rows
+            .iter()
+            .filter(|(_, row)| there(row))
+            .map(|(name, _)| &name[..])
+            .collect()
     }
 }
 
@@ -135,7 +139,10 @@
 
 /// Addresses of this run's own: each process and rig has a network of loopback for itself.
 fn address(run: u8, part: u8, at: usize, port: u16) -> SocketAddr {
-    SocketAddr::new(IpAddr::V4(Ipv4Addr::new(127, 200 + run % 50, part, 1 + at as u8)), port)
+    SocketAddr::new(
+        IpAddr::V4(Ipv4Addr::new(127, 200 + run % 50, part, 1 + at as u8)),
+        port,
+    )
 }
 
 static RIGS: std::sync::atomic::AtomicU32 = std::sync::atomic::AtomicU32::new(0);
@@ -152,12 +159,15 @@
         let (run, half) = ((process % 50) as u8, (rig as u8) << 1);
         let folder = std::env::temp_dir().join(format!("laurelhitch-rig-{process}-{rig}"));
         std::fs::create_dir_all(folder.join("keys"))?;
-        let engines: io::Result<Vec<Engine>> =
-            (0..wanted.engines).map(|_| Engine::start("127.0.0.1:0", wanted.engine_delay)).collect();
+        let engines: io::Result<Vec<Engine>> = (0..wanted.engines)
+            .map(|_| Engine::start("127.0.0.1:0", wanted.engine_delay))
+            .collect();
         let engines = engines?;
         let board = Board::start("127.0.0.1:0")?;
-        let listed =
-            engines.iter().enumerate().map(|(at, e)| target(&format!("e-{at}"), e.address, "in_service"));
+        let listed = engines
+            .iter()
+            .enumerate()
+            .map(|(at, e)| target(&format!("e-{at}"), e.address, "in_service"));
         board.tell(true, listed.collect());
         let port = 20_000 + (process % 10_000) as u16;
         let all: Vec<One> = (0..wanted.gateways)
@@ -173,14 +183,24 @@
             .collect();
         let ports: Vec<_> = all.iter().map(|one| (one.advertised, one.bound)).collect();
         let switch = Switch::start(&ports, wanted.seed)?;
-        let mut fleet = Fleet { wanted, all, engines, board, switch, started: Instant::now(), folder };
+        let mut fleet = Fleet {
+            wanted,
+            all,
+            engines,
+            board,
+            switch,
+            started: Instant::now(),
+            folder,
+        };
         for at in 0..fleet.all.len() {
             let folder = fleet.keys(at);
             std::fs::create_dir_all(&folder)?;
             fleet.key(at, "first", 1)?;
             fleet.signs(at, "first")?;
         }
-        let first: Vec<usize> = (0..fleet.all.len()).filter(|at| !later.contains(at)).collect();
+        let first: Vec<usize> = (0..fleet.all.len())
+            .filter(|at| !later.contains(at))
+            .collect();
         for at in &first {
             fleet.run(*at)?;
         }
@@ -194,7 +214,10 @@
 
     /// Puts a key into a gateway's folder; SIGHUP has it read.
     pub fn key(&self, at: usize, key: &str, byte: u8) -> io::Result<()> {
-        std::fs::write(self.keys(at).join(format!("{key}.key")), format!("{byte:02x}").repeat(32) + "\n")
+        std::fs::write(
+            self.keys(at).join(format!("{key}.key")),
+            format!("{byte:02x}").repeat(32) + "\n",
+        )
     }
 
     pub fn signs(&self, at: usize, key: &str) -> io::Result<()> {
@@ -204,8 +227,16 @@
     /// Where nobody says otherwise, the seeds of all are the first three.
     fn seeds(&self) -> String {
         let first = || self.all.iter().take(3).map(|one| one.advertised).collect();
-        let seeds = if self.wanted.seeds.is_empty() { first() } else { self.wanted.seeds.clone() };
-        seeds.iter().map(|seed| format!("\"{seed}\"")).collect::<Vec<_>>().join(", ")
+        let seeds = if self.wanted.seeds.is_empty() {
+            first()
+        } else {
+            self.wanted.seeds.clone()
+        };
+        seeds
+            .iter()
+            .map(|seed| format!("\"{seed}\""))
+            .collect::<Vec<_>>()
+            .join(", ")
     }
 
     fn place(&self, at: usize) -> String {
@@ -232,14 +263,18 @@
     /// Starts the process of one, which must not run.
     pub fn run(&mut self, at: usize) -> io::Result<()> {
         let (listen, own) = (self.all[at].listen, self.all[at].name.clone());
-        let mut config: Value =
-            serde_json::from_str(include_str!("../../../examples/config.json")).map_err(io::Error::other)?;
+        let mut config: Value = serde_json::from_str(include_str!("../../../examples/config.json"))
+            .map_err(io::Error::other)?;
         config["name"] = json!(own);
         config["listen"] = json!(listen.to_string());
         config["seed"] = json!(format!("{:016x}", self.wanted.seed + at as u64));
         config["board"] = json!(self.board.address.to_string());
         config["known"] = self.board.known();
-        let peers = if self.wanted.peers == 0 { self.wanted.gateways } else { self.wanted.peers };
+        let peers = if self.wanted.peers == 0 {
+            self.wanted.gateways
+        } else {
+            self.wanted.peers
+        };
         config["settings"]["PeersTotal"] = json!(peers);
         if let Some(tenants) = config["settings"]["Tenants"].as_array_mut() {
             let further = self.wanted.tenants.iter();
@@ -248,7 +283,10 @@
         let path = self.folder.join(format!("{own}.json"));
         std::fs::write(&path, config.to_string())?;
         let mut command = Command::new(&self.wanted.program);
-        command.env("RELAY_CONFIG", &path).env_remove("LAURELHITCH_OPERATOR").args(["--log-format", "json"]);
+        command
+            .env("RELAY_CONFIG", &path)
+            .env_remove("LAURELHITCH_OPERATOR")
+            .args(["--log-format", "json"]);
         if self.wanted.fleet {
             let operator = self.folder.join(format!("{own}.hcl"));
             std::fs::write(&operator, self.operator(at))?;
@@ -256,13 +294,19 @@
         }
         let mut child = command.stderr(Stdio::piped()).spawn()?;
         let log = BufReader::new(child.stderr.take().expect("piped"));
-        let (lines, counters, started) =
-            (self.all[at].lines.clone(), self.all[at].counters.clone(), self.started);
+        let (lines, counters, started) = (
+            self.all[at].lines.clone(),
+            self.all[at].counters.clone(),
+            self.started,
+        );
         thread::spawn(move || {
             for line in log.lines().map_while(Result::ok) {
                 match serde_json::from_str::<Value>(&line) {
                     Ok(fields) => {
-                        let line = Line { at: started.elapsed(), fields: fields["fields"].clone() };
+                        let line = Line {
+                            at: started.elapsed(),
+                            fields: fields["fields"].clone(),
+                        };
                         lines.lock().expect("no holder panics").push(line);
                     }
                     Err(_) => *counters.lock().expect("no holder panics") = line,
@@ -288,7 +332,9 @@
     pub fn parts(&self, at: usize) -> Option<BTreeMap<String, Part>> {
         self.all[at].child.as_ref()?;
         let mut client = Client::login(self.all[at].listen).ok()?;
-        let Ok(Answer::Rows(rows)) = client.ask("SHOW SHARES") else { return None };
+        let Ok(Answer::Rows(rows)) = client.ask("SHOW SHARES") else {
+            return None;
+        };
         let own = rows.into_iter().filter(|row| row[1] == self.all[at].name);
         let number = |text: &str| text.parse().unwrap_or(0.0);
         let part = |row: Vec<String>| {
@@ -319,7 +365,10 @@
     ) -> Result<Duration, String> {
         let began = Instant::now();
         loop {
-            let all: Vec<_> = of.iter().map(|at| self.parts(*at).unwrap_or_default()).collect();
+            let all: Vec<_> = of
+                .iter()
+                .map(|at| self.parts(*at).unwrap_or_default())
+                .collect();
             if all.iter().all(|parts| !parts.is_empty()) && holds(&all) {
                 return Ok(began.elapsed());
             }
@@ -333,8 +382,16 @@
     /// Waits until one answers its clients.
     pub fn ready(&self, at: usize) {
         let until = Instant::now() + Duration::from_secs(20);
-        while Client::login(self.all[at].listen).and_then(|mut client| client.ping()).is_err() {
-            assert!(Instant::now() < until, "{} is never ready: {:?}", name(at), self.lines(at));
+        while Client::login(self.all[at].listen)
+            .and_then(|mut client| client.ping())
+            .is_err()
+        {
+            assert!(
+                Instant::now() < until,
+                "{} is never ready: {:?}",
+                name(at),
+                self.lines(at)
+            );
             sleep(Duration::from_millis(10));
         }
     }
@@ -345,7 +402,10 @@
 
     /// By gateway; nothing for one that does not run.
     pub fn process_ids(&self) -> Vec<Option<u32>> {
-        self.all.iter().map(|one| one.child.as_ref().map(Child::id)).collect()
+        self.all
+            .iter()
+            .map(|one| one.child.as_ref().map(Child::id))
+            .collect()
     }
 
     pub fn signal(&self, at: usize, signal: Signal) {
@@ -369,7 +429,9 @@
     }
 
     pub fn ended(&mut self, at: usize, within: Duration) -> bool {
-        let Some(mut child) = self.all[at].child.take() else { return true };
+        let Some(mut child) = self.all[at].child.take() else {
+            return true;
+        };
         let until = Instant::now() + within;
         loop {
             match child.try_wait() {
@@ -390,15 +452,26 @@
 
     /// A counter out of the last that were printed (SIGUSR1, exit).
     pub fn counter(&self, at: usize, of: &str) -> Option<i64> {
-        let line = self.all[at].counters.lock().expect("no holder panics").clone();
-        line.split(' ').find_map(|word| word.strip_prefix(of)?.strip_prefix('=')?.parse().ok())
+        let line = self.all[at]
+            .counters
+            .lock()
+            .expect("no holder panics")
+            .clone();
+        line.split(' ')
+            .find_map(|word| word.strip_prefix(of)?.strip_prefix('=')?.parse().ok())
     }
 
     pub fn print_counters(&self, at: usize) {
         *self.all[at].counters.lock().expect("no holder panics") = String::new();
         self.signal(at, Signal::USR1);
         let until = Instant::now() + Duration::from_secs(5);
-        while self.all[at].counters.lock().expect("no holder panics").is_empty() && Instant::now() < until {
+        while self.all[at]
+            .counters
+            .lock()
+            .expect("no holder panics")
+            .is_empty()
+            && Instant::now() < until
+        {
             sleep(Duration::from_millis(5));
         }
     }
@@ -407,10 +480,23 @@
     pub fn shown(&self, at: usize) -> Option<Shown> {
         self.all[at].child.as_ref()?;
         let mut client = Client::login(self.all[at].listen).ok()?;
-        let Ok(Answer::Rows(rows)) = client.ask("SHOW FLEET") else { return None };
+        let Ok(Answer::Rows(rows)) = client.ask("SHOW FLEET") else {
+            return None;
+        };
         let mut shown = Shown::default();
         for row in rows {
-            let [name, state, incarnation, known, standing, digest, size, .., heard] = &row[..] else {
+            let [
+                name,
+                state,
+                incarnation,
+                known,
+                standing,
+                digest,
+                size,
+                ..,
+                heard,
+            ] = &row[..]
+            else {
                 return None;
             };
             if standing.is_empty() {
@@ -450,8 +536,14 @@
                 return Ok(began.elapsed());
             }
             if began.elapsed() > within {
-                let lines = wrong.iter().map(|(at, shown)| format!("{}: {shown:?}", name(*at)));
-                return Err(format!("after {:?}: {}", began.elapsed(), lines.collect::<Vec<_>>().join("\n")));
+                let lines = wrong
+                    .iter()
+                    .map(|(at, shown)| format!("{}: {shown:?}", name(*at)));
+                return Err(format!(
+                    "after {:?}: {}",
+                    began.elapsed(),
+                    lines.collect::<Vec<_>>().join("\n")
+                ));
             }
             sleep(Duration::from_millis(25));
         }
@@ -460,8 +552,11 @@
     /// All of these hold each other, and nobody else, and say that they are together.
     pub fn settled(&self, within: Duration, of: &[usize]) -> Result<Duration, String> {
         self.until(within, of, |at, shown| {
-            let others: Vec<String> =
-                of.iter().filter(|other| **other != at).map(|other| name(*other)).collect();
+            let others: Vec<String> = of
+                .iter()
+                .filter(|other| **other != at)
+                .map(|other| name(*other))
+                .collect();
             shown.standing == "together"
                 && shown.there() == others.iter().map(|name| &name[..]).collect::<Vec<_>>()
         })
--- a/crates/rig/src/main.rs
+++ b/crates/rig/src/main.rs
@@ -73,7 +73,12 @@
 
 fn run() -> Result<(), Box<dyn std::error::Error>> {
     match Arguments::parse().command {
-        Command::Run { file, seed, program, alone } => play(file, seed, program, alone),
+        Command::Run {
+            file,
+            seed,
+            program,
+            alone,
+        } => play(file, seed, program, alone),
         Command::Scale(arguments) => measure(arguments),
         Command::Hollow => scale::worker::run(),
     }
@@ -86,7 +91,11 @@
 
 fn measure(arguments: Scale) -> Result<(), Box<dyn std::error::Error>> {
     // Looked at first, so that a long run is not lost for a wrong path.
-    let mut json = arguments.json.as_ref().map(|path| create(path)).transpose()?;
+    let mut json = arguments
+        .json
+        .as_ref()
+        .map(|path| create(path))
+        .transpose()?;
     let report = scale::run(Options {
         hollow: arguments.hollow,
         real: arguments.real,
@@ -149,7 +158,12 @@
                 part.steward
             );
         }
-        println!("at the end  {}  busy {busy} ms  {} of {}  {there}", name(at), shown.standing, shown.size);
+        println!(
+            "at the end  {}  busy {busy} ms  {} of {}  {there}",
+            name(at),
+            shown.standing,
+            shown.size
+        );
     }
     for (at, carried) in fleet.switch.carried().iter().enumerate() {
         println!(
--- a/crates/rig/src/scale/hollow.rs
+++ b/crates/rig/src/scale/hollow.rs
@@ -49,7 +49,10 @@
 /// Both clocks now.
 pub fn times() -> Times {
     let moment = Moment::from_secs;
-    Times { now: moment(process::monotonic_s()), steady: moment(process::boottime_s()) }
+    Times {
+        now: moment(process::monotonic_s()),
+        steady: moment(process::boottime_s()),
+    }
 }
 
 fn name(text: &str) -> Name {
@@ -83,13 +86,27 @@
             plan.fleet.paces.clone(),
             rng.random(),
         );
-        let own = Who { name: membership.own().name.clone(), life: membership.own().life };
+        let own = Who {
+            name: membership.own().name.clone(),
+            life: membership.own().life,
+        };
         let mut control = Control::new(membership);
         if let Some(terms) = &plan.shares {
             control.set_leases(Shares::new(times.steady, own, terms.clone(), rng.random()));
         }
-        let usage = Usage { member, ..Usage::default() };
-        Ok(Hollow { member, control, socket, unread: true, rng, usage, unsent: 0 })
+        let usage = Usage {
+            member,
+            ..Usage::default()
+        };
+        Ok(Hollow {
+            member,
+            control,
+            socket,
+            unread: true,
+            rng,
+            usage,
+            unsent: 0,
+        })
     }
 
     pub fn set_unread(&mut self) {
@@ -97,7 +114,11 @@
     }
 
     pub fn due(&self, times: Times) -> Moment {
-        if self.unread { times.now } else { self.control.due(times) }
+        if self.unread {
+            times.now
+        } else {
+            self.control.due(times)
+        }
     }
 
     pub fn view(&mut self) -> (u64, usize) {
@@ -121,8 +142,14 @@
         self.control.turn(times(), !self.unread);
         self.flush(layout, links, to_real);
         let events = self.control.membership_mut().take_events();
-        let leases = self.control.leases_mut().map(Shares::take_events).unwrap_or_default();
-        let chosen = leases.iter().any(|event| matches!(event, shares::Event::Chosen(_)));
+        let leases = self
+            .control
+            .leases_mut()
+            .map(Shares::take_events)
+            .unwrap_or_default();
+        let chosen = leases
+            .iter()
+            .any(|event| matches!(event, shares::Event::Chosen(_)));
         self.usage.cpu_s += process::thread_cpu_s() - began;
         Happened { events, chosen }
     }
@@ -138,14 +165,24 @@
                 Err(error) if error.kind() == ErrorKind::WouldBlock => self.unread = false,
                 // An earlier datagram came to nobody; nothing is wrong with this socket.
                 Err(error)
-                    if matches!(error.kind(), ErrorKind::Interrupted | ErrorKind::ConnectionRefused) => {}
+                    if matches!(
+                        error.kind(),
+                        ErrorKind::Interrupted | ErrorKind::ConnectionRefused
+                    ) => {}
                 Err(_) => return,
             }
         }
     }
 
     /// What a real process sent comes from its bound address, and its losses are drawn here.
-    fn take(&mut self, now: Moment, from: SocketAddr, bytes: &[u8], layout: &Layout, links: &Links) {
+    fn take(
+        &mut self,
+        now: Moment,
+        from: SocketAddr,
+        bytes: &[u8],
+        layout: &Layout,
+        links: &Links,
+    ) {
         let sender = layout.member_bound_at(from);
         let real = sender.filter(|sender| *sender >= layout.hollow);
         if real.is_some_and(|sender| self.lost(sender, self.member, layout, links)) {
@@ -168,7 +205,9 @@
         for datagram in self.control.take_out() {
             self.usage.datagrams += 1;
             self.usage.bytes += datagram.bytes.len() as u64;
-            let Some(to) = layout.member_at(datagram.to) else { continue };
+            let Some(to) = layout.member_at(datagram.to) else {
+                continue;
+            };
             if self.lost(self.member, to, layout, links) {
                 continue;
             }
--- a/crates/rig/src/scale/layout.rs
+++ b/crates/rig/src/scale/layout.rs
@@ -48,14 +48,20 @@
     }
 
     pub fn name(&self, member: usize) -> String {
-        if member < self.hollow { format!("h{member:04}") } else { crate::fleet::name(member - self.hollow) }
+        if member < self.hollow {
+            format!("h{member:04}")
+        } else {
+            crate::fleet::name(member - self.hollow)
+        }
     }
 
     pub fn member_named(&self, name: &str) -> Option<usize> {
         let number = |text: &str| text.parse::<usize>().ok();
         match name.split_at_checked(1)? {
             ("h", rest) => number(rest).filter(|member| *member < self.hollow),
-            ("g", rest) => number(rest).map(|at| at + self.hollow).filter(|member| *member < self.len()),
+            ("g", rest) => number(rest)
+                .map(|at| at + self.hollow)
+                .filter(|member| *member < self.len()),
             _ => None,
         }
     }
@@ -73,32 +79,47 @@
     }
 
     fn hollow_at(&self, address: SocketAddr) -> Option<usize> {
-        let IpAddr::V4(ip) = address.ip() else { return None };
+        let IpAddr::V4(ip) = address.ip() else {
+            return None;
+        };
         let [_, network, third, fourth] = ip.octets();
-        let (third, fourth) = (usize::from(third).checked_sub(1)?, usize::from(fourth).checked_sub(1)?);
+        let (third, fourth) = (
+            usize::from(third).checked_sub(1)?,
+            usize::from(fourth).checked_sub(1)?,
+        );
         let member = third * HOSTS + fourth;
-        (network == self.network && address.port() == self.port && member < self.hollow).then_some(member)
+        (network == self.network && address.port() == self.port && member < self.hollow)
+            .then_some(member)
     }
 
     /// Whom a datagram to this advertised address is for.
     pub fn member_at(&self, advertised: SocketAddr) -> Option<usize> {
-        let real = self.real.iter().position(|real| real.advertised == advertised);
-        real.map(|at| at + self.hollow).or_else(|| self.hollow_at(advertised))
+        let real = self
+            .real
+            .iter()
+            .position(|real| real.advertised == advertised);
+        real.map(|at| at + self.hollow)
+            .or_else(|| self.hollow_at(advertised))
     }
 
     /// Whose socket is bound there.
     pub fn member_bound_at(&self, bound: SocketAddr) -> Option<usize> {
         let real = self.real.iter().position(|real| real.bound == bound);
-        real.map(|at| at + self.hollow).or_else(|| self.hollow_at(bound))
+        real.map(|at| at + self.hollow)
+            .or_else(|| self.hollow_at(bound))
     }
 
     /// Where a member's socket is bound.
     pub fn bound(&self, member: usize) -> SocketAddr {
-        self.real.get(member.wrapping_sub(self.hollow)).map_or_else(|| self.advertised(member), |r| r.bound)
+        self.real
+            .get(member.wrapping_sub(self.hollow))
+            .map_or_else(|| self.advertised(member), |r| r.bound)
     }
 
     /// One hollow gateway of each zone.
     pub fn seeds(&self) -> Vec<SocketAddr> {
-        (0..self.zones.min(self.hollow)).map(|member| self.advertised(member)).collect()
+        (0..self.zones.min(self.hollow))
+            .map(|member| self.advertised(member))
+            .collect()
     }
 }
--- a/crates/rig/src/scale/limits.rs
+++ b/crates/rig/src/scale/limits.rs
@@ -21,14 +21,23 @@
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum LimitError {
     #[error("{flag}: {value} is not between {least} and {most}")]
-    Flag { flag: &'static str, value: String, least: usize, most: usize },
+    Flag {
+        flag: &'static str,
+        value: String,
+        least: usize,
+        most: usize,
+    },
     #[error("--hollow, --real: {0} processes; fewer than 200 is the bound")]
     Processes(usize),
-    #[error("--hollow: {needed} MiB needed as estimated; half of the machine's memory is {bound} MiB")]
+    #[error(
+        "--hollow: {needed} MiB needed as estimated; half of the machine's memory is {bound} MiB"
+    )]
     Estimate { needed: u64, bound: u64 },
     #[error("memory: the run took {taken} MiB; half of the machine's memory is {bound} MiB")]
     Memory { taken: u64, bound: u64 },
-    #[error("--hollow: a hollow process needs {needed} descriptors; the limit (ulimit -n) is {bound}")]
+    #[error(
+        "--hollow: a hollow process needs {needed} descriptors; the limit (ulimit -n) is {bound}"
+    )]
     Files { needed: u64, bound: u64 },
 }
 
@@ -36,7 +45,16 @@
 /// The value of a flag is outside of its bounds.
 pub fn flag(flag: &'static str, value: usize, least: usize, most: usize) -> Result<(), LimitError> {
     let usable = (least..=most).contains(&value);
-    if usable { Ok(()) } else { Err(LimitError::Flag { flag, value: value.to_string(), least, most }) }
+    if usable {
+        Ok(())
+    } else {
+        Err(LimitError::Flag {
+            flag,
+            value: value.to_string(),
+            least,
+            most,
+        })
+    }
 }
 
 const fn mebibytes(bytes: u64) -> u64 {
@@ -77,10 +95,16 @@
     if processes.len() > MOST_PROCESSES {
         return Err(LimitError::Processes(processes.len()));
     }
-    let taken: u64 = processes.iter().filter_map(|pid| process::memory_bytes(*pid)).sum();
+    let taken: u64 = processes
+        .iter()
+        .filter_map(|pid| process::memory_bytes(*pid))
+        .sum();
     let bound = half_of_memory();
     if taken > bound {
-        return Err(LimitError::Memory { taken: mebibytes(taken), bound: mebibytes(bound) });
+        return Err(LimitError::Memory {
+            taken: mebibytes(taken),
+            bound: mebibytes(bound),
+        });
     }
     Ok(taken)
 }
--- a/crates/rig/src/scale/links.rs
+++ b/crates/rig/src/scale/links.rs
@@ -13,7 +13,10 @@
 
 impl Links {
     pub fn direct(&self, from: usize, to: usize) -> bool {
-        !self.cut.iter().any(|(a, b)| (*a, *b) == (from, to) || (*a, *b) == (to, from))
+        !self
+            .cut
+            .iter()
+            .any(|(a, b)| (*a, *b) == (from, to) || (*a, *b) == (to, from))
     }
 
     /// Directly or by way of one other region: others can vouch for those there.
--- a/crates/rig/src/scale/process.rs
+++ b/crates/rig/src/scale/process.rs
@@ -34,7 +34,12 @@
     let stat = fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
     // The command in parentheses may hold spaces; user and system time are the 12th and 13th fields after it.
     let after = stat.rsplit_once(')')?.1;
-    let ticks: Vec<u64> = after.split_whitespace().skip(11).take(2).filter_map(|f| f.parse().ok()).collect();
+    let ticks: Vec<u64> = after
+        .split_whitespace()
+        .skip(11)
+        .take(2)
+        .filter_map(|f| f.parse().ok())
+        .collect();
     let per_second = rustix::param::clock_ticks_per_second() as f64;
     (ticks.len() == 2).then(|| ticks.iter().sum::<u64>() as f64 / per_second)
 }
@@ -42,7 +47,11 @@
 fn kilobytes(path: &str, field: &str) -> Option<u64> {
     let text = fs::read_to_string(path).ok()?;
     let line = text.lines().find_map(|line| line.strip_prefix(field))?;
-    line.trim_start_matches(':').split_whitespace().next()?.parse().ok()
+    line.trim_start_matches(':')
+        .split_whitespace()
+        .next()?
+        .parse()
+        .ok()
 }
 
 /// Resident memory of a process; nothing once it has ended.
--- a/crates/rig/src/scale/report.rs
+++ b/crates/rig/src/scale/report.rs
@@ -21,7 +21,11 @@
             let at = (part * values.len() as f64).ceil() as usize;
             values.get(at.saturating_sub(1)).copied().unwrap_or(0.0)
         };
-        Spread { median: rank(0.5), p99: rank(0.99), max: rank(1.0) }
+        Spread {
+            median: rank(0.5),
+            p99: rank(0.99),
+            max: rank(1.0),
+        }
     }
 }
 
@@ -40,8 +44,9 @@
 
 impl Cost {
     pub fn of(usages: &[Usage], window_s: f64) -> Cost {
-        let rates =
-            |of: &dyn Fn(&Usage) -> f64| Spread::of(usages.iter().map(|u| of(u) / window_s).collect());
+        let rates = |of: &dyn Fn(&Usage) -> f64| {
+            Spread::of(usages.iter().map(|u| of(u) / window_s).collect())
+        };
         Cost {
             gateways: usages.len(),
             window_s,
@@ -164,7 +169,10 @@
             self.cost.lines()
         );
         let memory = &self.memory_bytes_per_gateway;
-        text += &format!("  memory, KiB            median {:>10.1}\n", memory.median / 1024.0);
+        text += &format!(
+            "  memory, KiB            median {:>10.1}\n",
+            memory.median / 1024.0
+        );
         text += &format!("  steady: {:?}\n  {:?}\n", self.steady, self.troubles);
         if let Some(coordinator) = &self.coordinator {
             text += &format!("coordinator\n{}", coordinator.lines());
@@ -173,7 +181,11 @@
         text += &format!(
             "hollow process by gateway {:.3}% of a core, real {:?}%: {:+.1}%\n",
             compared.hollow_process_cpu_part * 100.0,
-            compared.real_cpu_part.iter().map(|part| (part * 1e5).round() / 1e3).collect::<Vec<_>>(),
+            compared
+                .real_cpu_part
+                .iter()
+                .map(|part| (part * 1e5).round() / 1e3)
+                .collect::<Vec<_>>(),
             compared.hollow_from_real * 100.0
         );
         for fault in &self.faults {
--- a/crates/rig/src/scale/run.rs
+++ b/crates/rig/src/scale/run.rs
@@ -81,7 +81,12 @@
 fn check(options: &Options) -> Result<Script, ScaleError> {
     limits::flag("--hollow", options.hollow, VOTERS, limits::MOST_GATEWAYS)?;
     limits::flag("--real", options.real, 0, limits::MOST_REAL)?;
-    limits::flag("--hollow, --real together", options.hollow + options.real, VOTERS, limits::MOST_GATEWAYS)?;
+    limits::flag(
+        "--hollow, --real together",
+        options.hollow + options.real,
+        VOTERS,
+        limits::MOST_GATEWAYS,
+    )?;
     limits::flag("--engines", options.engines, 1, 1000)?;
     limits::flag("--regions", options.regions, 1, 64)?;
     limits::flag("--zones", options.zones, options.regions, 64)?;
@@ -92,13 +97,22 @@
     if options.real > 0 && !options.gateway.is_file() {
         return Err(ScaleError::Program(options.gateway.clone()));
     }
-    let script = options.faults.as_deref().map(Script::read).transpose()?.unwrap_or_default();
+    let script = options
+        .faults
+        .as_deref()
+        .map(Script::read)
+        .transpose()?
+        .unwrap_or_default();
     let layout = layout(options, Vec::new());
     let text = operator_file::hollow(&layout, &script.block, options.budgets);
     operator::Operator::parse(std::path::Path::new("operator.hcl"), &text)?;
     let parts = parts(&layout);
     let largest = parts.iter().map(Vec::len).max().unwrap_or(0);
-    limits::before(options.hollow + options.real, parts.len() + options.real + 1, largest)?;
+    limits::before(
+        options.hollow + options.real,
+        parts.len() + options.real + 1,
+        largest,
+    )?;
     Ok(script)
 }
 
@@ -124,25 +138,41 @@
     wanted.block = operator_file::fleet_lines(&script.block);
     wanted.places = (0..options.real)
         .map(|at| options.hollow + at)
-        .map(|member| (format!("z{}", layout.zone(member)), format!("r{}", layout.region(member))))
+        .map(|member| {
+            (
+                format!("z{}", layout.zone(member)),
+                format!("r{}", layout.region(member)),
+            )
+        })
         .collect();
     wanted.tenants = operator_file::tenants(options.budgets);
-    wanted.further =
-        operator_file::leases(&Layout { real: vec![unused(); options.real], ..layout }, options.budgets);
+    wanted.further = operator_file::leases(
+        &Layout {
+            real: vec![unused(); options.real],
+            ..layout
+        },
+        options.budgets,
+    );
     Fleet::start(wanted, &[])
 }
 
 /// Stands for an address that is not needed, where only the number of gateways counts.
 fn unused() -> RealAddress {
     let nowhere = std::net::SocketAddr::from(([127, 0, 0, 1], 0));
-    RealAddress { bound: nowhere, advertised: nowhere }
+    RealAddress {
+        bound: nowhere,
+        advertised: nowhere,
+    }
 }
 
 impl Run {
     fn start(options: Options, script: Script) -> Result<Run, ScaleError> {
         let real = real_processes(&options, &script)?;
         let addresses = real.all.iter();
-        let addresses = addresses.map(|one| RealAddress { bound: one.bound, advertised: one.advertised });
+        let addresses = addresses.map(|one| RealAddress {
+            bound: one.bound,
+            advertised: one.advertised,
+        });
         let layout = layout(&options, addresses.collect());
         let text = operator_file::hollow(&layout, &script.block, options.budgets);
         let workers = Workers::start(options.rig.clone(), &layout, options.seed, &text)?;
@@ -164,8 +194,15 @@
     fn steady(&mut self) -> Result<Report, ScaleError> {
         let all: Vec<usize> = (0..self.layout.hollow).collect();
         let began_s = monotonic_s();
-        self.workers.tell_owners(&all, |members| Command::Start { members, within_s: START_S })?;
-        let mut seen = Seen { began_s, agrees_from_s: began_s + START_S, ..Seen::default() };
+        self.workers.tell_owners(&all, |members| Command::Start {
+            members,
+            within_s: START_S,
+        })?;
+        let mut seen = Seen {
+            began_s,
+            agrees_from_s: began_s + START_S,
+            ..Seen::default()
+        };
         self.watch(began_s + self.options.seconds / 2.0, &mut seen)?;
         self.window()?;
         self.watch(began_s + self.options.seconds, &mut seen)?;
@@ -178,7 +215,12 @@
     /// Figures count from now on.
     fn window(&mut self) -> Result<(), ScaleError> {
         self.workers.tell(&Command::Window)?;
-        self.real_cpu_s = self.real.process_ids().into_iter().map(|pid| pid.and_then(cpu_s)).collect();
+        self.real_cpu_s = self
+            .real
+            .process_ids()
+            .into_iter()
+            .map(|pid| pid.and_then(cpu_s))
+            .collect();
         self.real_sent = self.real_sent();
         Ok(())
     }
@@ -197,10 +239,16 @@
 
     /// What real processes took since the window began: what they sent by their own counters, and their CPU.
     fn real_usage(&self) -> (Vec<Usage>, Vec<f64>) {
-        let cpu: Vec<Option<f64>> =
-            self.real.process_ids().into_iter().map(|pid| pid.and_then(cpu_s)).collect();
+        let cpu: Vec<Option<f64>> = self
+            .real
+            .process_ids()
+            .into_iter()
+            .map(|pid| pid.and_then(cpu_s))
+            .collect();
         let both = cpu.iter().zip(&self.real_cpu_s);
-        let cpu: Vec<f64> = both.map(|(now, then)| now.unwrap_or(0.0) - then.unwrap_or(0.0)).collect();
+        let cpu: Vec<f64> = both
+            .map(|(now, then)| now.unwrap_or(0.0) - then.unwrap_or(0.0))
+            .collect();
         let sent = self.real_sent();
         let usage = |at: usize| Usage {
             member: self.layout.hollow + at,
@@ -211,15 +259,28 @@
         ((0..self.options.real).map(usage).collect(), cpu)
     }
 
-    fn report(&self, seen: &Seen, figures: &[Figures], real: &[Usage], real_cpu: Vec<f64>) -> Report {
+    fn report(
+        &self,
+        seen: &Seen,
+        figures: &[Figures],
+        real: &[Usage],
+        real_cpu: Vec<f64>,
+    ) -> Report {
         let window_s = window_s(figures);
-        let usages: Vec<Usage> = figures.iter().flat_map(|of| of.gateways.iter().copied()).collect();
-        let coordinator = usages.iter().filter(|usage| Some(usage.member) == self.coordinator);
+        let usages: Vec<Usage> = figures
+            .iter()
+            .flat_map(|of| of.gateways.iter().copied())
+            .collect();
+        let coordinator = usages
+            .iter()
+            .filter(|usage| Some(usage.member) == self.coordinator);
         let coordinator: Vec<Usage> = coordinator.copied().collect();
         let shared = |of: &&Figures| of.gateways.iter().any(|usage| usage.member >= VOTERS);
         let memory = figures.iter().filter(shared).flat_map(|of| {
             let grown = of.memory_bytes.saturating_sub(of.empty_memory_bytes);
-            of.gateways.iter().map(move |_| grown as f64 / of.gateways.len() as f64)
+            of.gateways
+                .iter()
+                .map(move |_| grown as f64 / of.gateways.len() as f64)
         });
         Report {
             hollow: self.options.hollow,
@@ -243,10 +304,19 @@
         }
     }
 
-    fn comparison(&self, figures: &[Figures], real: &[Usage], cpu: &[f64], window_s: f64) -> Comparison {
-        let shared = figures.iter().filter(|of| of.gateways.iter().any(|usage| usage.member >= VOTERS));
-        let (cpu_s, gateways) = shared
-            .fold((0.0, 0), |(cpu, gateways), of| (cpu + of.process_cpu_s, gateways + of.gateways.len()));
+    fn comparison(
+        &self,
+        figures: &[Figures],
+        real: &[Usage],
+        cpu: &[f64],
+        window_s: f64,
+    ) -> Comparison {
+        let shared = figures
+            .iter()
+            .filter(|of| of.gateways.iter().any(|usage| usage.member >= VOTERS));
+        let (cpu_s, gateways) = shared.fold((0.0, 0), |(cpu, gateways), of| {
+            (cpu + of.process_cpu_s, gateways + of.gateways.len())
+        });
         let hollow = cpu_s / window_s / (gateways.max(1) as f64);
         let real_cpu_part: Vec<f64> = cpu.iter().map(|cpu| cpu / window_s).collect();
         let mean = real_cpu_part.iter().sum::<f64>() / real_cpu_part.len().max(1) as f64;
@@ -274,13 +344,19 @@
 
     fn processes(&self) -> Vec<u32> {
         let real = self.real.process_ids().into_iter().flatten();
-        [std::process::id()].into_iter().chain(self.workers.process_ids()).chain(real).collect()
+        [std::process::id()]
+            .into_iter()
+            .chain(self.workers.process_ids())
+            .chain(real)
+            .collect()
     }
 
     /// Until a time; what is seen meanwhile is noted.
     fn watch(&mut self, until_s: f64, seen: &mut Seen) -> Result<(), ScaleError> {
         loop {
-            self.most_memory_bytes = self.most_memory_bytes.max(limits::during(&self.processes())?);
+            self.most_memory_bytes = self
+                .most_memory_bytes
+                .max(limits::during(&self.processes())?);
             if seen.agreed_s.is_none() && monotonic_s() >= seen.agrees_from_s {
                 self.look(seen)?;
             }
@@ -303,7 +379,9 @@
                 }
                 News::Chosen { member, at_s } => {
                     self.coordinator = Some(member);
-                    if seen.before.is_some_and(|before| before != member) && seen.changed_s.is_none() {
+                    if seen.before.is_some_and(|before| before != member)
+                        && seen.changed_s.is_none()
+                    {
                         seen.changed_s = Some(at_s);
                     }
                 }
@@ -326,7 +404,13 @@
             .map_or(((0, 0), 0), |(view, group)| (*view, *group));
         let asked = by_view.values().sum();
         let living = self.truth.living();
-        seen.last = Agreement { largest_group: group, asked, views: by_view.len(), size, living };
+        seen.last = Agreement {
+            largest_group: group,
+            asked,
+            views: by_view.len(),
+            size,
+            living,
+        };
         let lives = |member: &usize| self.truth.lives(*member);
         let hollow = (0..self.layout.hollow).filter(lives).count();
         let all = group == hollow && asked == hollow && size == living;
@@ -364,12 +448,21 @@
         let actions = self.plan(&fault);
         // Views that agree before all is done say nothing of it.
         let before = self.coordinator;
-        let mut seen = Seen { began_s, agrees_from_s: f64::INFINITY, before, ..Seen::default() };
+        let mut seen = Seen {
+            began_s,
+            agrees_from_s: f64::INFINITY,
+            before,
+            ..Seen::default()
+        };
         for (after_s, action) in actions {
             self.watch((began_s + after_s).min(until_s), &mut seen)?;
             self.act(action, &mut seen)?;
         }
-        let lasting_s = if fault.what.lasts() { fault.seconds } else { 0.0 };
+        let lasting_s = if fault.what.lasts() {
+            fault.seconds
+        } else {
+            0.0
+        };
         seen.agrees_from_s = monotonic_s().max(began_s + lasting_s);
         self.watch(until_s, &mut seen)?;
         let figures = self.workers.figures()?;
@@ -378,7 +471,9 @@
     }
 
     fn living_hollow(&self) -> Vec<usize> {
-        (0..self.layout.hollow).filter(|member| self.truth.lives(*member)).collect()
+        (0..self.layout.hollow)
+            .filter(|member| self.truth.lives(*member))
+            .collect()
     }
 
     /// What happens when, counted from the fault's beginning: drawn from the seed.
@@ -392,20 +487,42 @@
             What::Rack => {
                 let zone = living.first().map_or(0, |member| self.layout.zone(*member));
                 living.retain(|member| self.layout.zone(*member) == zone);
-                vec![(0.0, Action::Kill(living.into_iter().take(fault.gateways).collect()))]
+                vec![(
+                    0.0,
+                    Action::Kill(living.into_iter().take(fault.gateways).collect()),
+                )]
             }
             What::Zone => {
                 // The coordinator's own among them, if it is there: zone 0 holds the first voter.
                 let members = (0..self.layout.len()).filter(|member| self.truth.lives(*member));
-                vec![(0.0, Action::Kill(members.filter(|member| self.layout.zone(*member) == 0).collect()))]
+                vec![(
+                    0.0,
+                    Action::Kill(
+                        members
+                            .filter(|member| self.layout.zone(*member) == 0)
+                            .collect(),
+                    ),
+                )]
             }
             What::Regions => {
-                let cut = Links { cut: vec![(0, 1)], ..Links::default() };
-                vec![(0.0, Action::Links(cut)), (fault.seconds, Action::Links(Links::default()))]
+                let cut = Links {
+                    cut: vec![(0, 1)],
+                    ..Links::default()
+                };
+                vec![
+                    (0.0, Action::Links(cut)),
+                    (fault.seconds, Action::Links(Links::default())),
+                ]
             }
             What::Loss => {
-                let lossy = Links { lost: fault.lost, ..Links::default() };
-                vec![(0.0, Action::Links(lossy)), (fault.seconds, Action::Links(Links::default()))]
+                let lossy = Links {
+                    lost: fault.lost,
+                    ..Links::default()
+                };
+                vec![
+                    (0.0, Action::Links(lossy)),
+                    (fault.seconds, Action::Links(Links::default())),
+                ]
             }
             What::CoordinatorStop | What::CoordinatorKill => self.coordinator_fault(fault),
             What::AllAtOnce => {
@@ -438,7 +555,11 @@
                 break;
             }
             let fails = self.rng.random::<f64>() < failures / (failures + restarts);
-            let ends = if fails { Action::Kill(vec![member]) } else { Action::Leave(vec![member]) };
+            let ends = if fails {
+                Action::Kill(vec![member])
+            } else {
+                Action::Leave(vec![member])
+            };
             actions.push((at_s, ends));
             actions.push((at_s + AWAY_S, Action::Start(vec![member])));
         }
@@ -448,7 +569,10 @@
 
     fn lives(&mut self, members: &[usize], lives: bool) -> io::Result<()> {
         self.truth.set_lives(monotonic_s(), members, lives);
-        self.workers.tell(&Command::Lives { members: members.to_vec(), lives })
+        self.workers.tell(&Command::Lives {
+            members: members.to_vec(),
+            lives,
+        })
     }
 
     fn act(&mut self, action: Action, seen: &mut Seen) -> Result<(), ScaleError> {
@@ -456,18 +580,23 @@
             Action::Kill(members) => {
                 seen.ended.extend(&members);
                 self.lives(&members, false)?;
-                self.workers.tell_owners(&members, |members| Command::Kill { members })?;
-                self.real_of(&members).into_iter().for_each(|at| self.real.kill(at));
+                self.workers
+                    .tell_owners(&members, |members| Command::Kill { members })?;
+                self.real_of(&members)
+                    .into_iter()
+                    .for_each(|at| self.real.kill(at));
             }
             Action::Leave(members) => {
                 seen.ended.extend(&members);
                 self.lives(&members, false)?;
-                self.workers.tell_owners(&members, |members| Command::Leave { members })?;
+                self.workers
+                    .tell_owners(&members, |members| Command::Leave { members })?;
             }
             Action::Start(members) => {
                 let within_s = if members.len() > 1 { START_S } else { 0.0 };
                 self.lives(&members, true)?;
-                self.workers.tell_owners(&members, |members| Command::Start { members, within_s })?;
+                self.workers
+                    .tell_owners(&members, |members| Command::Start { members, within_s })?;
                 for at in self.real_of(&members) {
                     self.real.run(at)?;
                 }
@@ -498,11 +627,20 @@
     fn start_process(&mut self, process: usize) -> Result<(), ScaleError> {
         let members = self.workers.members(process).to_vec();
         self.workers.respawn(process)?;
-        let gone = (0..self.layout.len()).filter(|member| !self.truth.lives(*member)).collect();
-        self.workers.tell(&Command::Lives { members: gone, lives: false })?;
+        let gone = (0..self.layout.len())
+            .filter(|member| !self.truth.lives(*member))
+            .collect();
+        self.workers.tell(&Command::Lives {
+            members: gone,
+            lives: false,
+        })?;
         self.lives(&members, true)?;
         self.set_links(self.truth.links().clone())?;
-        self.workers.tell_owners(&members, |members| Command::Start { members, within_s: 0.0 })?;
+        self.workers
+            .tell_owners(&members, |members| Command::Start {
+                members,
+                within_s: 0.0,
+            })?;
         Ok(())
     }
 
@@ -522,7 +660,10 @@
 
     /// Real ones among these members, by number.
     fn real_of(&self, members: &[usize]) -> Vec<usize> {
-        members.iter().filter_map(|member| member.checked_sub(self.layout.hollow)).collect()
+        members
+            .iter()
+            .filter_map(|member| member.checked_sub(self.layout.hollow))
+            .collect()
     }
 }
 
@@ -542,18 +683,32 @@
 }
 
 fn fault_report(fault: Fault, seen: &Seen, figures: &[Figures]) -> FaultReport {
-    let usages: Vec<Usage> = figures.iter().flat_map(|of| of.gateways.iter().copied()).collect();
-    let mut detected: Vec<f64> = seen.detected.iter().map(|(_, at_s)| at_s - seen.began_s).collect();
+    let usages: Vec<Usage> = figures
+        .iter()
+        .flat_map(|of| of.gateways.iter().copied())
+        .collect();
+    let mut detected: Vec<f64> = seen
+        .detected
+        .iter()
+        .map(|(_, at_s)| at_s - seen.began_s)
+        .collect();
     detected.sort_by(f64::total_cmp);
-    let all = seen.ended.iter().all(|member| seen.detected.iter().any(|(of, _)| of == member));
+    let all = seen
+        .ended
+        .iter()
+        .all(|member| seen.detected.iter().any(|(of, _)| of == member));
     let troubles = troubles(figures);
     FaultReport {
         ended: seen.ended.len(),
         detected_s: detected.first().copied(),
         all_detected_s: detected.last().copied().filter(|_| all),
-        agreed_s: seen
-            .agreed_s
-            .map(|at_s| at_s - if fault.what.lasts() { seen.agrees_from_s } else { seen.began_s }),
+        agreed_s: seen.agreed_s.map(|at_s| {
+            at_s - if fault.what.lasts() {
+                seen.agrees_from_s
+            } else {
+                seen.began_s
+            }
+        }),
         false_deaths: troubles.false_deaths,
         coordinator_change_s: seen.changed_s.map(|at_s| at_s - seen.began_s),
         at_the_end: seen.last,
--- a/crates/rig/src/scale/script.rs
+++ b/crates/rig/src/scale/script.rs
@@ -23,7 +23,14 @@
     #[error("{0}: {1}")]
     Form(PathBuf, String),
     #[error("{file}: fault {number} ({what} at {at_s} s): {field}: {why}", file = .file.display())]
-    Field { file: PathBuf, number: usize, what: String, at_s: f64, field: &'static str, why: String },
+    Field {
+        file: PathBuf,
+        number: usize,
+        what: String,
+        at_s: f64,
+        field: &'static str,
+        why: String,
+    },
     #[error("{0}: {1}: {2}")]
     Top(PathBuf, &'static str, String),
 }
@@ -55,7 +62,9 @@
         }
 
         fn visit_map<A: MapAccess<'de>>(self, one: A) -> Result<Vec<Fault>, A::Error> {
-            Ok(vec![Deserialize::deserialize(MapAccessDeserializer::new(one))?])
+            Ok(vec![Deserialize::deserialize(MapAccessDeserializer::new(
+                one,
+            ))?])
         }
     }
     from.deserialize_any(Faults)
@@ -121,7 +130,11 @@
     pub fn lasts(self) -> bool {
         matches!(
             self,
-            What::Daily | What::Regions | What::Loss | What::CoordinatorStop | What::CoordinatorKill
+            What::Daily
+                | What::Regions
+                | What::Loss
+                | What::CoordinatorStop
+                | What::CoordinatorKill
         )
     }
 
@@ -145,14 +158,20 @@
             return Some(("at_s", format!("{} is no time after the start", self.at_s)));
         }
         if self.what.lasts() && !(self.seconds > 0.0 && self.seconds < watched_s) {
-            let why = format!("{} is not between 0 and the {watched_s} s until the next fault", self.seconds);
+            let why = format!(
+                "{} is not between 0 and the {watched_s} s until the next fault",
+                self.seconds
+            );
             return Some(("seconds", why));
         }
         if !(0.0..=1.0).contains(&self.lost) {
             return Some(("lost", format!("{} is no share between 0 and 1", self.lost)));
         }
         if !(1.0..=1e5).contains(&self.compressed) {
-            return Some(("compressed", format!("{} is not between 1 and 100000", self.compressed)));
+            return Some((
+                "compressed",
+                format!("{} is not between 1 and 100000", self.compressed),
+            ));
         }
         (self.gateways == 0).then(|| ("gateways", "0 is no rack".to_owned()))
     }
@@ -162,7 +181,8 @@
     /// # Errors
     /// The file cannot be read, or a field of it cannot be used.
     pub fn read(file: &Path) -> Result<Self, ScriptError> {
-        let text = std::fs::read_to_string(file).map_err(|e| ScriptError::Unreadable(file.into(), e))?;
+        let text =
+            std::fs::read_to_string(file).map_err(|e| ScriptError::Unreadable(file.into(), e))?;
         Self::parse(file, &text)
     }
 
@@ -185,7 +205,14 @@
         for (at, fault) in script.fault.iter().enumerate() {
             if let Some((field, why)) = fault.fault(script.watched_s(at)) {
                 let (what, at_s) = (fault.what.name(), fault.at_s);
-                return Err(ScriptError::Field { file: file.into(), number: at + 1, what, at_s, field, why });
+                return Err(ScriptError::Field {
+                    file: file.into(),
+                    number: at + 1,
+                    what,
+                    at_s,
+                    field,
+                    why,
+                });
             }
         }
         Ok(script)
@@ -193,7 +220,10 @@
 
     /// From one fault to the next, or to the end.
     pub fn watched_s(&self, at: usize) -> f64 {
-        let next = self.fault.get(at + 1).map_or(self.seconds, |next| next.at_s);
+        let next = self
+            .fault
+            .get(at + 1)
+            .map_or(self.seconds, |next| next.at_s);
         (next - self.fault[at].at_s).max(0.0)
     }
 }
--- a/crates/rig/src/scale/truth.rs
+++ b/crates/rig/src/scale/truth.rs
@@ -63,7 +63,11 @@
     /// Whether `by` is wrong to hold `member` for dead now.
     pub fn false_death(&self, now_s: f64, by: usize, member: usize) -> bool {
         let (from, to) = (self.layout.region(by), self.layout.region(member));
-        let healed = self.healed_s.get(&(from, to)).copied().unwrap_or(f64::NEG_INFINITY);
+        let healed = self
+            .healed_s
+            .get(&(from, to))
+            .copied()
+            .unwrap_or(f64::NEG_INFINITY);
         let steady = now_s - healed.max(self.changed_s[member]) > GRACE_S;
         self.lives[member] && steady && self.links.reachable(from, to, self.layout.regions)
     }
--- a/crates/rig/src/scale/worker.rs
+++ b/crates/rig/src/scale/worker.rs
@@ -77,11 +77,24 @@
 
 impl Worker {
     fn new(setup: Setup) -> Result<Worker, Box<dyn std::error::Error>> {
-        let operator = operator::Operator::parse(Path::new("operator's file of the run"), &setup.operator)?;
-        let fleet = operator.fleet.ok_or("the operator's file has no fleet block")?;
-        let plan = Plan { layout: setup.layout, fleet, shares: operator.shares, seed: setup.seed };
+        let operator =
+            operator::Operator::parse(Path::new("operator's file of the run"), &setup.operator)?;
+        let fleet = operator
+            .fleet
+            .ok_or("the operator's file has no fleet block")?;
+        let plan = Plan {
+            layout: setup.layout,
+            fleet,
+            shares: operator.shares,
+            seed: setup.seed,
+        };
         let epoll = epoll::create(epoll::CreateFlags::CLOEXEC)?;
-        epoll::add(&epoll, io::stdin(), epoll::EventData::new_u64(INPUT), epoll::EventFlags::IN)?;
+        epoll::add(
+            &epoll,
+            io::stdin(),
+            epoll::EventData::new_u64(INPUT),
+            epoll::EventFlags::IN,
+        )?;
         let first = setup.members.first().copied().unwrap_or(0) as u64;
         let to_real = vec![Usage::default(); plan.layout.real.len()];
         Ok(Worker {
@@ -112,7 +125,11 @@
         loop {
             let wait = self.wait();
             events.clear();
-            match epoll::wait(&self.epoll, rustix::buffer::spare_capacity(&mut events), Some(&wait)) {
+            match epoll::wait(
+                &self.epoll,
+                rustix::buffer::spare_capacity(&mut events),
+                Some(&wait),
+            ) {
                 Ok(_) | Err(rustix::io::Errno::INTR) => {}
                 Err(error) => return Err(error.into()),
             }
@@ -130,10 +147,17 @@
     }
 
     fn wait(&self) -> Timespec {
-        let next = [self.due.first(), self.starts.first()].into_iter().flatten().map(|(at, _)| *at).min();
+        let next = [self.due.first(), self.starts.first()]
+            .into_iter()
+            .flatten()
+            .map(|(at, _)| *at)
+            .min();
         let left = next.map_or(LONGEST_WAIT_S, |next| (next - times().now).secs());
         let left = left.clamp(0.0, LONGEST_WAIT_S);
-        Timespec { tv_sec: 0, tv_nsec: (left * 1e9) as _ }
+        Timespec {
+            tv_sec: 0,
+            tv_nsec: (left * 1e9) as _,
+        }
     }
 
     fn readable(&mut self, member: usize) {
@@ -167,7 +191,10 @@
         let life = self.lives.entry(member).or_insert(self.generation << 8);
         *life += 1;
         let hollow = Hollow::start(&self.plan, member, *life).map_err(|error| {
-            io::Error::new(error.kind(), format!("{}: {error}", self.plan.layout.advertised(member)))
+            io::Error::new(
+                error.kind(),
+                format!("{}: {error}", self.plan.layout.advertised(member)),
+            )
         })?;
         let data = epoll::EventData::new_u64(member as u64);
         epoll::add(&self.epoll, &hollow.socket, data, epoll::EventFlags::IN)?;
@@ -178,9 +205,15 @@
 
     fn turn_due(&mut self) -> io::Result<()> {
         let now = times().now;
-        let due: Vec<usize> = self.due.range(..=(now, usize::MAX)).map(|(_, member)| *member).collect();
+        let due: Vec<usize> = self
+            .due
+            .range(..=(now, usize::MAX))
+            .map(|(_, member)| *member)
+            .collect();
         for member in due {
-            let Some(hollow) = self.hollows.get_mut(&member) else { continue };
+            let Some(hollow) = self.hollows.get_mut(&member) else {
+                continue;
+            };
             let happened = hollow.turn(&self.plan.layout, self.truth.links(), &mut self.to_real);
             self.tell(member, happened)?;
             self.schedule(member);
@@ -194,8 +227,12 @@
             answer(&Answer::Chosen { member: by, at_s })?;
         }
         for event in happened.events {
-            let Event::Changed { name, state, .. } = event else { continue };
-            let Some(member) = self.plan.layout.member_named(name.as_str()) else { continue };
+            let Event::Changed { name, state, .. } = event else {
+                continue;
+            };
+            let Some(member) = self.plan.layout.member_named(name.as_str()) else {
+                continue;
+            };
             if state.counts() {
                 continue;
             }
@@ -256,7 +293,9 @@
     fn end(&mut self, member: usize) {
         self.starts.retain(|(_, other)| *other != member);
         // Its socket leaves the loop as it is closed.
-        let Some(hollow) = self.hollows.remove(&member) else { return };
+        let Some(hollow) = self.hollows.remove(&member) else {
+            return;
+        };
         self.schedule(member);
         self.ended.stalls += hollow.stalls();
         self.ended.undelivered += hollow.undelivered();
@@ -277,8 +316,15 @@
         (self.window_s, self.window_cpu_s) = (process::monotonic_s(), process::process_cpu_s());
         self.before = self.troubles();
         self.false_deaths = 0;
-        let fresh = |usage: &mut Usage| *usage = Usage { member: usage.member, ..Usage::default() };
-        self.hollows.values_mut().for_each(|hollow| fresh(&mut hollow.usage));
+        let fresh = |usage: &mut Usage| {
+            *usage = Usage {
+                member: usage.member,
+                ..Usage::default()
+            }
+        };
+        self.hollows
+            .values_mut()
+            .for_each(|hollow| fresh(&mut hollow.usage));
         self.to_real.iter_mut().for_each(fresh);
     }
 
@@ -303,7 +349,11 @@
         for hollow in self.hollows.values_mut() {
             *counts.entry(hollow.view()).or_default() += 1;
         }
-        let count = |((digest, size), gateways)| ViewCount { digest, size, gateways };
+        let count = |((digest, size), gateways)| ViewCount {
+            digest,
+            size,
+            gateways,
+        };
         counts.into_iter().map(count).collect()
     }
 }
--- a/crates/rig/src/scale/workers.rs
+++ b/crates/rig/src/scale/workers.rs
@@ -39,11 +39,17 @@
 
 /// Members by process: each voter alone, the others in even parts.
 pub fn parts(layout: &Layout) -> Vec<Vec<usize>> {
-    let mut parts: Vec<Vec<usize>> = (0..VOTERS.min(layout.hollow)).map(|voter| vec![voter]).collect();
+    let mut parts: Vec<Vec<usize>> = (0..VOTERS.min(layout.hollow))
+        .map(|voter| vec![voter])
+        .collect();
     let others = layout.hollow - parts.len();
     let processes = others.div_ceil(MOST_A_PROCESS);
     let first = parts.len();
-    parts.extend((0..processes).map(|process| (first + process..layout.hollow).step_by(processes).collect()));
+    parts.extend((0..processes).map(|process| {
+        (first + process..layout.hollow)
+            .step_by(processes)
+            .collect()
+    }));
     parts
 }
 
@@ -52,13 +58,33 @@
     ///
     /// # Errors
     /// One of them cannot be started or cannot use what it is told.
-    pub fn start(program: PathBuf, layout: &Layout, seed: u64, operator: &str) -> io::Result<Workers> {
+    pub fn start(
+        program: PathBuf,
+        layout: &Layout,
+        seed: u64,
+        operator: &str,
+    ) -> io::Result<Workers> {
         let (sender, answers) = channel();
-        let mut workers = Workers { program, all: Vec::new(), answers, sender, news: Vec::new() };
+        let mut workers = Workers {
+            program,
+            all: Vec::new(),
+            answers,
+            sender,
+            news: Vec::new(),
+        };
         for members in parts(layout) {
-            let setup =
-                Setup { seed, generation: 0, layout: layout.clone(), members, operator: operator.to_owned() };
-            workers.all.push(Worker { setup, child: None, stopped: false });
+            let setup = Setup {
+                seed,
+                generation: 0,
+                layout: layout.clone(),
+                members,
+                operator: operator.to_owned(),
+            };
+            workers.all.push(Worker {
+                setup,
+                child: None,
+                stopped: false,
+            });
         }
         for at in 0..workers.all.len() {
             workers.spawn(at)?;
@@ -68,13 +94,17 @@
     }
 
     fn spawn(&mut self, at: usize) -> io::Result<()> {
-        let mut child =
-            Program::new(&self.program).arg("hollow").stdin(Stdio::piped()).stdout(Stdio::piped()).spawn()?;
+        let mut child = Program::new(&self.program)
+            .arg("hollow")
+            .stdin(Stdio::piped())
+            .stdout(Stdio::piped())
+            .spawn()?;
         let output = BufReader::new(child.stdout.take().expect("piped"));
         let (sender, generation) = (self.sender.clone(), self.all[at].setup.generation);
         std::thread::spawn(move || {
             for line in output.lines().map_while(Result::ok) {
-                let answer = serde_json::from_str(&line).unwrap_or_else(|e| Answer::Failed(e.to_string()));
+                let answer =
+                    serde_json::from_str(&line).unwrap_or_else(|e| Answer::Failed(e.to_string()));
                 if sender.send((at, generation, answer)).is_err() {
                     return;
                 }
@@ -86,14 +116,19 @@
     }
 
     fn write(&mut self, at: usize, line: &str) -> io::Result<()> {
-        let Some(child) = &mut self.all[at].child else { return Ok(()) };
+        let Some(child) = &mut self.all[at].child else {
+            return Ok(());
+        };
         let input = child.stdin.as_mut().expect("piped");
         input.write_all(line.as_bytes())?;
         input.write_all(b"\n")
     }
 
     fn wait_ready(&mut self, mut of: Vec<usize>) -> io::Result<()> {
-        self.gather(&mut of, |answer| matches!(answer, Answer::Ready).then_some(())).map(drop)
+        self.gather(&mut of, |answer| {
+            matches!(answer, Answer::Ready).then_some(())
+        })
+        .map(drop)
     }
 
     /// Waits until each of these answered so; what else comes is kept.
@@ -104,7 +139,10 @@
     ) -> io::Result<Vec<T>> {
         let (until, mut found) = (Instant::now() + ANSWER_WITHIN, Vec::new());
         while !of.is_empty() {
-            match self.answers.recv_timeout(until.saturating_duration_since(Instant::now())) {
+            match self
+                .answers
+                .recv_timeout(until.saturating_duration_since(Instant::now()))
+            {
                 Ok((at, generation, answer)) if generation == self.all[at].setup.generation => {
                     match wanted(&answer) {
                         Some(value) => {
@@ -116,7 +154,8 @@
                 }
                 Ok(_) => {}
                 Err(RecvTimeoutError::Timeout | RecvTimeoutError::Disconnected) => {
-                    let why = format!("hollow processes {of:?} did not answer within {ANSWER_WITHIN:?}");
+                    let why =
+                        format!("hollow processes {of:?} did not answer within {ANSWER_WITHIN:?}");
                     return Err(io::Error::new(io::ErrorKind::TimedOut, why));
                 }
             }
@@ -175,7 +214,11 @@
     ) -> io::Result<()> {
         for at in 0..self.all.len() {
             let own = &self.all[at].setup.members;
-            let own: Vec<usize> = members.iter().copied().filter(|member| own.contains(member)).collect();
+            let own: Vec<usize> = members
+                .iter()
+                .copied()
+                .filter(|member| own.contains(member))
+                .collect();
             if !own.is_empty() {
                 let line = serde_json::to_string(&command(own))?;
                 self.write(at, &line)?;
@@ -213,12 +256,16 @@
 
     fn tell_running(&mut self, command: &Command) -> io::Result<()> {
         let line = serde_json::to_string(command)?;
-        self.running().into_iter().try_for_each(|at| self.write(at, &line))
+        self.running()
+            .into_iter()
+            .try_for_each(|at| self.write(at, &line))
     }
 
     /// The process that carries a member.
     pub fn of(&self, member: usize) -> Option<usize> {
-        self.all.iter().position(|worker| worker.setup.members.contains(&member))
+        self.all
+            .iter()
+            .position(|worker| worker.setup.members.contains(&member))
     }
 
     pub fn members(&self, at: usize) -> &[usize] {
@@ -226,7 +273,9 @@
     }
 
     fn signal(&mut self, at: usize, signal: Signal) -> io::Result<()> {
-        let Some(child) = &self.all[at].child else { return Ok(()) };
+        let Some(child) = &self.all[at].child else {
+            return Ok(());
+        };
         Ok(kill_process(Pid::from_child(child), signal)?)
     }
 
@@ -263,7 +312,10 @@
     }
 
     pub fn process_ids(&self) -> Vec<u32> {
-        self.all.iter().filter_map(|worker| Some(worker.child.as_ref()?.id())).collect()
+        self.all
+            .iter()
+            .filter_map(|worker| Some(worker.child.as_ref()?.id()))
+            .collect()
     }
 }
 
--- a/crates/rig/src/script.rs
+++ b/crates/rig/src/script.rs
@@ -116,16 +116,22 @@
                     fleet.ended(*at, Duration::from_secs(5));
                     fleet.run(*at)?;
                 }
-                _ => signal.into_iter().for_each(|signal| fleet.signal(*at, signal)),
+                _ => signal
+                    .into_iter()
+                    .for_each(|signal| fleet.signal(*at, signal)),
             }
         }
         fleet.switch.faults(|faults| match self.what {
             What::Partition => faults.partition(&self.groups),
-            What::OneWay if self.gateways.len() == 2 => faults.cut[self.gateways[0]][self.gateways[1]] = true,
+            What::OneWay if self.gateways.len() == 2 => {
+                faults.cut[self.gateways[0]][self.gateways[1]] = true
+            }
             What::Chain => faults.chain(),
             What::Heal => faults.heal(),
             What::Lose => faults.lost = self.value,
-            What::Repeat => (faults.repeated, faults.repeat_after) = (self.value, Duration::from_millis(300)),
+            What::Repeat => {
+                (faults.repeated, faults.repeat_after) = (self.value, Duration::from_millis(300))
+            }
             What::Spoil => faults.spoilt = self.value,
             What::DelayMs => faults.delay.1 = Duration::from_secs_f64(self.value / 1e3),
             _ => {}
--- a/crates/rig/src/switch.rs
+++ b/crates/rig/src/switch.rs
@@ -43,17 +43,24 @@
 
     /// Only those of one group reach each other; whoever is in none reaches nobody.
     pub fn partition(&mut self, groups: &[Vec<usize>]) {
-        let together =
-            |a: usize, b: usize| groups.iter().any(|group| group.contains(&a) && group.contains(&b));
+        let together = |a: usize, b: usize| {
+            groups
+                .iter()
+                .any(|group| group.contains(&a) && group.contains(&b))
+        };
         for (a, row) in self.cut.iter_mut().enumerate() {
-            row.iter_mut().enumerate().for_each(|(b, cut)| *cut = !together(a, b));
+            row.iter_mut()
+                .enumerate()
+                .for_each(|(b, cut)| *cut = !together(a, b));
         }
     }
 
     /// Each reaches only its neighbours in the line.
     pub fn chain(&mut self) {
         for (a, row) in self.cut.iter_mut().enumerate() {
-            row.iter_mut().enumerate().for_each(|(b, cut)| *cut = a.abs_diff(b) > 1);
+            row.iter_mut()
+                .enumerate()
+                .for_each(|(b, cut)| *cut = a.abs_diff(b) > 1);
         }
     }
 
@@ -89,7 +96,10 @@
         for (advertised, bound) in ports {
             let socket = UdpSocket::bind(advertised)?;
             socket.set_nonblocking(true)?;
-            made.push(Port { socket, bound: *bound });
+            made.push(Port {
+                socket,
+                bound: *bound,
+            });
         }
         let faults = Arc::new(Mutex::new(Faults::none(ports.len())));
         let carried = Arc::new(Mutex::new(vec![Carried::default(); ports.len()]));
@@ -104,7 +114,12 @@
         };
         let ends = end.clone();
         let thread = std::thread::spawn(move || run.run(&ends));
-        Ok(Switch { faults, carried, end, thread: Some(thread) })
+        Ok(Switch {
+            faults,
+            carried,
+            end,
+            thread: Some(thread),
+        })
     }
 
     pub fn faults(&self, change: impl FnOnce(&mut Faults)) {
@@ -120,7 +135,10 @@
 impl Drop for Switch {
     fn drop(&mut self) {
         self.end.store(true, Ordering::Relaxed);
-        self.thread.take().into_iter().for_each(|thread| drop(thread.join()));
+        self.thread
+            .take()
+            .into_iter()
+            .for_each(|thread| drop(thread.join()));
     }
 }
 
@@ -140,13 +158,25 @@
     fn run(mut self, end: &AtomicBool) {
         let mut bytes = [0; 4096];
         while !end.load(Ordering::Relaxed) {
-            let wait = self.late.peek().map_or(Duration::from_millis(20), |Reverse(first)| {
-                first.0.saturating_duration_since(Instant::now()).min(Duration::from_millis(20))
-            });
+            let wait = self
+                .late
+                .peek()
+                .map_or(Duration::from_millis(20), |Reverse(first)| {
+                    first
+                        .0
+                        .saturating_duration_since(Instant::now())
+                        .min(Duration::from_millis(20))
+                });
             {
-                let mut fds: Vec<PollFd> =
-                    self.ports.iter().map(|port| PollFd::new(&port.socket, PollFlags::IN)).collect();
-                let wait = rustix::event::Timespec { tv_sec: 0, tv_nsec: wait.subsec_nanos().into() };
+                let mut fds: Vec<PollFd> = self
+                    .ports
+                    .iter()
+                    .map(|port| PollFd::new(&port.socket, PollFlags::IN))
+                    .collect();
+                let wait = rustix::event::Timespec {
+                    tv_sec: 0,
+                    tv_nsec: wait.subsec_nanos().into(),
+                };
                 let _ = poll(&mut fds, Some(&wait));
             }
             for to in 0..self.ports.len() {
@@ -157,9 +187,17 @@
                     }
                 }
             }
-            while self.late.peek().is_some_and(|Reverse(first)| first.0 <= Instant::now()) {
-                let Some(Reverse((_, _, from, to, bytes))) = self.late.pop() else { break };
-                let _ = self.ports[from].socket.send_to(&bytes, self.ports[to].bound);
+            while self
+                .late
+                .peek()
+                .is_some_and(|Reverse(first)| first.0 <= Instant::now())
+            {
+                let Some(Reverse((_, _, from, to, bytes))) = self.late.pop() else {
+                    break;
+                };
+                let _ = self.ports[from]
+                    .socket
+                    .send_to(&bytes, self.ports[to].bound);
             }
         }
     }
@@ -184,7 +222,13 @@
         let due = Instant::now() + least + (most - least).mul_f64(delay);
         if repeated < faults.repeated {
             self.next += 1;
-            self.late.push(Reverse((due + faults.repeat_after, self.next, from, to, bytes.clone())));
+            self.late.push(Reverse((
+                due + faults.repeat_after,
+                self.next,
+                from,
+                to,
+                bytes.clone(),
+            )));
         }
         self.next += 1;
         self.late.push(Reverse((due, self.next, from, to, bytes)));
--- a/crates/rig/tests/scale.rs
+++ b/crates/rig/tests/scale.rs
@@ -13,8 +13,20 @@
 #[test]
 fn sixty_hollow_beside_two_real_agree_again_after_a_rack_ends() {
     let began = Instant::now();
-    let flags =
-        ["--hollow", "60", "--real", "2", "--regions", "2", "--zones", "4", "--seconds", "8", "--seed", "1"];
+    let flags = [
+        "--hollow",
+        "60",
+        "--real",
+        "2",
+        "--regions",
+        "2",
+        "--zones",
+        "4",
+        "--seconds",
+        "8",
+        "--seed",
+        "1",
+    ];
     let report = scale_report("scale-small.hcl", &flags);
     assert!(began.elapsed() < WITHIN, "{:?}", began.elapsed());
     assert!(number(&report, "/start_agreed_s") < 8.0, "{report:#}");
@@ -22,18 +34,36 @@
     assert_eq!(number(&report, "/troubles/false_deaths"), 0.0, "{report:#}");
     let median = |of: &str| number(&report, &format!("/{of}/median"));
     assert!(median("bytes_per_second") < MOST_BYTES, "{report:#}");
-    assert!(median("datagrams_per_second") < MOST_DATAGRAMS, "{report:#}");
-    assert!(median("bytes_per_second") > 0.0 && median("cpu_part") > 0.0, "{report:#}");
-    assert!(median("memory_bytes_per_gateway") < MOST_MEMORY, "{report:#}");
+    assert!(
+        median("datagrams_per_second") < MOST_DATAGRAMS,
+        "{report:#}"
+    );
+    assert!(
+        median("bytes_per_second") > 0.0 && median("cpu_part") > 0.0,
+        "{report:#}"
+    );
+    assert!(
+        median("memory_bytes_per_gateway") < MOST_MEMORY,
+        "{report:#}"
+    );
     let real = number(&report, "/comparison/real/bytes_per_second/median");
     let apart = real / median("bytes_per_second");
-    assert!((0.5..2.0).contains(&apart), "real ones send {apart} times as much: {report:#}");
+    assert!(
+        (0.5..2.0).contains(&apart),
+        "real ones send {apart} times as much: {report:#}"
+    );
     let fault = &report["faults"][0];
     assert_eq!(fault["ended"], 5);
     assert!(number(fault, "/detected_s") <= number(fault, "/all_detected_s"));
-    assert!(number(fault, "/detected_s") > 0.0 && number(fault, "/agreed_s") < 9.9, "{report:#}");
+    assert!(
+        number(fault, "/detected_s") > 0.0 && number(fault, "/agreed_s") < 9.9,
+        "{report:#}"
+    );
     // Nobody agrees on an end that was not detected; views are compared four times a second.
-    assert!(number(fault, "/agreed_s") >= number(fault, "/all_detected_s"), "{report:#}");
+    assert!(
+        number(fault, "/agreed_s") >= number(fault, "/all_detected_s"),
+        "{report:#}"
+    );
     assert_eq!(number(fault, "/false_deaths"), 0.0, "{report:#}");
 }
 
@@ -51,25 +81,55 @@
         std::fs::write(&path, text).unwrap();
         path.display().to_string()
     };
-    let words = file("words.hcl", "seconds = 10\nfault {\n  at_s = 1\n  what = \"quake\"\n}\n");
-    let long = file("long.hcl", "seconds = 10\nfault {\n  at_s = 1\n  what = \"loss\"\n  seconds = 20\n}\n");
+    let words = file(
+        "words.hcl",
+        "seconds = 10\nfault {\n  at_s = 1\n  what = \"quake\"\n}\n",
+    );
+    let long = file(
+        "long.hcl",
+        "seconds = 10\nfault {\n  at_s = 1\n  what = \"loss\"\n  seconds = 20\n}\n",
+    );
     let block = file("block.hcl", "seconds = 10\nblock = \"period_ms = 1\"\n");
     let json = folder.join("none/out.json").display().to_string();
     let cases: [(&[&str], &str); 9] = [
-        (&["--hollow", "2", "--real", "0"], "--hollow: 2 is not between 3 and 4096"),
+        (
+            &["--hollow", "2", "--real", "0"],
+            "--hollow: 2 is not between 3 and 4096",
+        ),
         (&["--hollow", "5000", "--real", "0"], "--hollow: 5000"),
         (&["--hollow", "60", "--real", "101"], "--real: 101"),
-        (&["--hollow", "60", "--real", "0", "--budgets", "25"], "--budgets: 25"),
-        (&["--hollow", "60", "--real", "0", "--seconds", "0"], "--seconds: 0"),
-        (&["--hollow", "60", "--real", "0", "--faults", &words], "quake"),
-        (&["--hollow", "60", "--real", "0", "--faults", &long], "fault 1 (loss at 1 s): seconds: 20"),
-        (&["--hollow", "60", "--real", "0", "--faults", &block], "fleet.period_ms: 1 is not between"),
-        (&["--hollow", "60", "--real", "0", "--json", &json], "--json: "),
+        (
+            &["--hollow", "60", "--real", "0", "--budgets", "25"],
+            "--budgets: 25",
+        ),
+        (
+            &["--hollow", "60", "--real", "0", "--seconds", "0"],
+            "--seconds: 0",
+        ),
+        (
+            &["--hollow", "60", "--real", "0", "--faults", &words],
+            "quake",
+        ),
+        (
+            &["--hollow", "60", "--real", "0", "--faults", &long],
+            "fault 1 (loss at 1 s): seconds: 20",
+        ),
+        (
+            &["--hollow", "60", "--real", "0", "--faults", &block],
+            "fleet.period_ms: 1 is not between",
+        ),
+        (
+            &["--hollow", "60", "--real", "0", "--json", &json],
+            "--json: ",
+        ),
     ];
     for (arguments, says) in cases {
         let out = scale(arguments);
         let said = String::from_utf8(out.stderr).unwrap();
-        assert!(!out.status.success() && said.contains(says), "{arguments:?}: {said}");
+        assert!(
+            !out.status.success() && said.contains(says),
+            "{arguments:?}: {said}"
+        );
         assert_eq!(said.trim_end().lines().count(), 1, "{said}");
     }
     std::fs::remove_dir_all(&folder).unwrap();
--- a/crates/rig/tests/scale_parts.rs
+++ b/crates/rig/tests/scale_parts.rs
@@ -16,7 +16,14 @@
         bound: ([127, 200, 0, 1], 20_000 + at).into(),
         advertised: ([127, 200, 1, 1], 20_000 + at).into(),
     };
-    Layout { hollow, real: vec![real(0), real(1)], regions: 4, zones: 8, network: 100, port: 25_000 }
+    Layout {
+        hollow,
+        real: vec![real(0), real(1)],
+        regions: 4,
+        zones: 8,
+        network: 100,
+        port: 25_000,
+    }
 }
 
 #[test]
@@ -54,10 +61,22 @@
     assert!(!truth.false_death(500.0 + GRACE_S, 1, 2));
     assert!(truth.false_death(501.0 + GRACE_S, 1, 2));
     // Two regions apart still hear of each other by way of a third.
-    truth.set_links(1000.0, Links { cut: vec![(0, 1)], lost: 0.0 });
+    truth.set_links(
+        1000.0,
+        Links {
+            cut: vec![(0, 1)],
+            lost: 0.0,
+        },
+    );
     assert!(truth.false_death(1001.0, 0, 1));
     let alone = (1..4).map(|other| (0, other)).collect();
-    truth.set_links(1100.0, Links { cut: alone, lost: 0.0 });
+    truth.set_links(
+        1100.0,
+        Links {
+            cut: alone,
+            lost: 0.0,
+        },
+    );
     assert!(!truth.false_death(1101.0, 0, 1) && truth.false_death(1101.0, 1, 2));
     truth.set_links(1200.0, Links::default());
     assert!(!truth.false_death(1201.0, 0, 1));
@@ -67,14 +86,23 @@
 #[test]
 fn spreads_are_by_nearest_rank() {
     let spread = Spread::of((1..=200).map(f64::from).collect());
-    assert_eq!((spread.median, spread.p99, spread.max), (100.0, 198.0, 200.0));
+    assert_eq!(
+        (spread.median, spread.p99, spread.max),
+        (100.0, 198.0, 200.0)
+    );
     assert_eq!(Spread::of(Vec::new()), Spread::default());
 }
 
 #[test]
 fn bounds_are_told_before_anything_starts() {
-    assert_eq!(limits::before(60, 200, 60).unwrap_err(), LimitError::Processes(200));
-    assert!(matches!(limits::before(1_000_000, 10, 60), Err(LimitError::Estimate { .. })));
+    assert_eq!(
+        limits::before(60, 200, 60).unwrap_err(),
+        LimitError::Processes(200)
+    );
+    assert!(matches!(
+        limits::before(1_000_000, 10, 60),
+        Err(LimitError::Estimate { .. })
+    ));
     assert!(limits::before(60, 6, 60).is_ok());
     assert!(limits::during(&[std::process::id()]).unwrap() > 0);
 }
@@ -91,7 +119,11 @@
         Path::new("f.hcl"),
         "seconds = 5\nfault {\n  at_s = 5\n  what = \"regions\"\n  seconds = 1\n}\n",
     );
-    assert!(late.unwrap_err().to_string().starts_with("f.hcl: fault 1 (regions at 5 s): seconds: 1 is not"));
+    assert!(
+        late.unwrap_err()
+            .to_string()
+            .starts_with("f.hcl: fault 1 (regions at 5 s): seconds: 1 is not")
+    );
 }
 
 #[test]
--- a/crates/rig/tests/support/mod.rs
+++ b/crates/rig/tests/support/mod.rs
@@ -13,30 +13,53 @@
 /// The gateway's program, built beside the rig's whenever the workspace's tests are.
 pub fn gateway() -> PathBuf {
     let program = Path::new(RIG).with_file_name("laurelhitch");
-    assert!(program.is_file(), "{} is missing: cargo test --workspace builds it", program.display());
+    assert!(
+        program.is_file(),
+        "{} is missing: cargo test --workspace builds it",
+        program.display()
+    );
     program
 }
 
 pub fn example(name: &str) -> PathBuf {
-    Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/rig").join(name)
+    Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("../../examples/rig")
+        .join(name)
 }
 
 pub fn scale(arguments: &[&str]) -> Output {
-    Command::new(RIG).arg("scale").args(arguments).output().unwrap()
+    Command::new(RIG)
+        .arg("scale")
+        .args(arguments)
+        .output()
+        .unwrap()
 }
 
 pub fn number(of: &Value, path: &str) -> f64 {
-    of.pointer(path).and_then(Value::as_f64).unwrap_or_else(|| panic!("{path} in {of:#}"))
+    of.pointer(path)
+        .and_then(Value::as_f64)
+        .unwrap_or_else(|| panic!("{path} in {of:#}"))
 }
 
 /// What a run with this script of `examples/rig` reports.
 pub fn scale_report(script: &str, arguments: &[&str]) -> Value {
     static RUNS: AtomicUsize = AtomicUsize::new(0);
-    let run = format!("{}-{}", std::process::id(), RUNS.fetch_add(1, Ordering::Relaxed));
+    let run = format!(
+        "{}-{}",
+        std::process::id(),
+        RUNS.fetch_add(1, Ordering::Relaxed)
+    );
     let json = std::env::temp_dir().join(format!("laurelhitch-scale-{run}.json"));
     let (json_path, program) = (json.display().to_string(), gateway().display().to_string());
     let faults = example(script).display().to_string();
-    let further = ["--faults", &faults, "--json", &json_path, "--program", &program];
+    let further = [
+        "--faults",
+        &faults,
+        "--json",
+        &json_path,
+        "--program",
+        &program,
+    ];
     let out = scale(&[arguments, &further].concat());
     assert!(out.status.success(), "{out:?}");
     let report = serde_json::from_slice(&std::fs::read(&json).unwrap()).unwrap();
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -45,7 +45,11 @@
 impl Settings {
     pub fn from_lines(text: &str) -> Self {
         let pairs = text.lines().filter_map(|line| line.trim().split_once('='));
-        Settings(pairs.map(|(path, value)| (path.to_owned(), value.to_owned())).collect())
+        Settings(
+            pairs
+                .map(|(path, value)| (path.to_owned(), value.to_owned()))
+                .collect(),
+        )
     }
 
     pub fn from_json(settings: &Value) -> Self {
@@ -55,20 +59,27 @@
     }
 
     fn may<T: FromStr>(&self, key: &str) -> Result<Option<T>, SettingsError> {
-        let Some(value) = self.0.get(key).filter(|v| !v.is_empty()) else { return Ok(None) };
-        let unreadable = |_| SettingsError::Unreadable { key: key.into(), value: value.clone() };
+        let Some(value) = self.0.get(key).filter(|v| !v.is_empty()) else {
+            return Ok(None);
+        };
+        let unreadable = |_| SettingsError::Unreadable {
+            key: key.into(),
+            value: value.clone(),
+        };
         value.parse().map(Some).map_err(unreadable)
     }
 
     fn need<T: FromStr>(&self, key: &str) -> Result<T, SettingsError> {
-        self.may(key)?.ok_or_else(|| SettingsError::Missing(key.into()))
+        self.may(key)?
+            .ok_or_else(|| SettingsError::Missing(key.into()))
     }
 
     fn number(&self, key: &str) -> Result<Option<f64>, SettingsError> {
         match self.may::<f64>(key)? {
-            Some(n) if !n.is_finite() || n < 0.0 => {
-                Err(SettingsError::Unreadable { key: key.into(), value: n.to_string() })
-            }
+            Some(n) if !n.is_finite() || n < 0.0 => Err(SettingsError::Unreadable {
+                key: key.into(),
+                value: n.to_string(),
+            }),
             n => Ok(n),
         }
     }
@@ -78,17 +89,30 @@
     }
 
     fn need_span(&self, key: &str) -> Result<Span, SettingsError> {
-        self.span(key)?.ok_or_else(|| SettingsError::Missing(key.into()))
+        self.span(key)?
+            .ok_or_else(|| SettingsError::Missing(key.into()))
     }
 
     fn words(&self, key: &str) -> Vec<&str> {
         let value = self.0.get(key).map_or("", String::as_str);
-        value.split(',').map(str::trim).filter(|w| !w.is_empty()).collect()
+        value
+            .split(',')
+            .map(str::trim)
+            .filter(|w| !w.is_empty())
+            .collect()
     }
 
     fn numbers(&self, key: &str) -> Result<Vec<f64>, SettingsError> {
-        let unreadable = |w: &str| SettingsError::Unreadable { key: key.into(), value: w.into() };
-        let number = |w: &str| w.parse().ok().filter(|n: &f64| n.is_finite()).ok_or_else(|| unreadable(w));
+        let unreadable = |w: &str| SettingsError::Unreadable {
+            key: key.into(),
+            value: w.into(),
+        };
+        let number = |w: &str| {
+            w.parse()
+                .ok()
+                .filter(|n: &f64| n.is_finite())
+                .ok_or_else(|| unreadable(w))
+        };
         self.words(key).into_iter().map(number).collect()
     }
 
@@ -100,10 +124,17 @@
         let names = self.words(names);
         let place = |w: &str| {
             let named = names.iter().position(|n| *n == w).map(|at| at as u16);
-            let unreadable = || SettingsError::Unreadable { key: key.into(), value: w.into() };
+            let unreadable = || SettingsError::Unreadable {
+                key: key.into(),
+                value: w.into(),
+            };
             w.parse().ok().or(named).ok_or_else(unreadable)
         };
-        self.words(key).into_iter().map(place).collect::<Result<_, _>>().map(Some)
+        self.words(key)
+            .into_iter()
+            .map(place)
+            .collect::<Result<_, _>>()
+            .map(Some)
     }
 
     fn product(&self, at: usize, threads: f64, way: Way) -> Result<Product, SettingsError> {
@@ -117,12 +148,20 @@
                     "zone" => RepeatGroup::Location,
                     "cell" => RepeatGroup::Cell,
                     other => {
-                        return Err(SettingsError::Unreadable { key: key("KeyScope"), value: other.into() });
+                        return Err(SettingsError::Unreadable {
+                            key: key("KeyScope"),
+                            value: other.into(),
+                        });
                     }
                 },
                 remembered: way.within(self.need_span(&key("WindowS"))?),
             },
-            other => return Err(SettingsError::Unreadable { key: key("Effect"), value: other.into() }),
+            other => {
+                return Err(SettingsError::Unreadable {
+                    key: key("Effect"),
+                    value: other.into(),
+                });
+            }
         };
         let places = |name: &str, names: &str| self.places(&key(name), names);
         Ok(Product {
@@ -134,7 +173,8 @@
             hard_limit: self.need_span(&key("GiveUpS"))?,
             threads,
             in_turn: self.may(&key("InTurn"))?.unwrap_or(false),
-            locations: places("ZonesOnly", "Zones")?.map(|of| of.into_iter().map(LocationId).collect()),
+            locations: places("ZonesOnly", "Zones")?
+                .map(|of| of.into_iter().map(LocationId).collect()),
             machines: places("MachineTypesAllowed", "MachineTypes")?
                 .map(|of| of.into_iter().map(MachineId).collect()),
         })
@@ -147,7 +187,10 @@
 
     /// The order of the values in a load report.
     pub fn report_fields(&self) -> Vec<String> {
-        self.words("Feedback.Fields").into_iter().map(String::from).collect()
+        self.words("Feedback.Fields")
+            .into_iter()
+            .map(String::from)
+            .collect()
     }
 
     /// `way`: what a relay may take to its engine.
@@ -155,21 +198,32 @@
         let threads = self.numbers("Extra.Parallelism")?;
         let count: usize = self.need("Grades.count")?;
         let thread = |at: usize| threads.get(at).copied().unwrap_or(1.0).max(1.0);
-        let products =
-            (0..count).map(|at| self.product(at, thread(at), way)).collect::<Result<Vec<_>, _>>()?;
+        let products = (0..count)
+            .map(|at| self.product(at, thread(at), way))
+            .collect::<Result<Vec<_>, _>>()?;
         let tenants: usize = self.may("Tenants.count")?.unwrap_or(0);
-        let allowance = |at: usize| Ok(self.number(&format!("Tenants.{at}.AllowancePerS"))?.unwrap_or(0.0));
+        let allowance = |at: usize| {
+            Ok(self
+                .number(&format!("Tenants.{at}.AllowancePerS"))?
+                .unwrap_or(0.0))
+        };
         let tenancy = Tenancy {
-            allowances: (0..tenants).map(allowance).collect::<Result<_, SettingsError>>()?,
+            allowances: (0..tenants)
+                .map(allowance)
+                .collect::<Result<_, SettingsError>>()?,
             over_gain: self.number("OverShareWorth")?.unwrap_or(1.0),
         };
         let fleet = Fleet {
             peers: self.peers()?,
             cores: self.numbers("Extra.KindCores")?,
             memory_mb: self.numbers("Extra.MemoryByKindMb")?,
-            note_pace: self.span("Extra.ProgressPaceS")?.filter(|pace| *pace > Span::ZERO),
+            note_pace: self
+                .span("Extra.ProgressPaceS")?
+                .filter(|pace| *pace > Span::ZERO),
             ranks_heeded: self.may("Extra.RanksHeeded")?.unwrap_or(false),
-            idle: self.span("Limits.ConnIdleS")?.filter(|idle| *idle > Span::ZERO),
+            idle: self
+                .span("Limits.ConnIdleS")?
+                .filter(|idle| *idle > Span::ZERO),
         };
         let cold = match self.number("Rules.StartCapacity")? {
             None => None,
@@ -177,7 +231,9 @@
                 share,
                 warm_after: self.need_span("Rules.ColdS")?,
                 multiple: self.number("Rules.TipMultiple")?.unwrap_or(1.0),
-                window: self.span("Rules.TipAfterS")?.unwrap_or(Span::from_secs(1.0)),
+                window: self
+                    .span("Rules.TipAfterS")?
+                    .unwrap_or(Span::from_secs(1.0)),
             }),
         };
         let ration = match self.span("Rules.ResendSpanS")? {
@@ -198,9 +254,13 @@
         };
         let listing = Listing {
             on_request: self.may::<String>("Discovery")?.as_deref() == Some("on_request"),
-            ask_within: self.span("Rules.AskWithinS")?.unwrap_or(Span::from_secs(10.0)),
+            ask_within: self
+                .span("Rules.AskWithinS")?
+                .unwrap_or(Span::from_secs(10.0)),
         };
-        Ok(Policy::new(seed, products, tenancy, fleet, cold, relaying, listing))
+        Ok(Policy::new(
+            seed, products, tenancy, fleet, cold, relaying, listing,
+        ))
     }
 
     pub fn products(&self) -> usize {
@@ -209,7 +269,9 @@
 
     fn names(&self, list: &str) -> Result<Vec<String>, SettingsError> {
         let count: usize = self.may(&format!("{list}.count"))?.unwrap_or(0);
-        (0..count).map(|at| self.need(&format!("{list}.{at}.Name"))).collect()
+        (0..count)
+            .map(|at| self.need(&format!("{list}.{at}.Name")))
+            .collect()
     }
 
     pub fn product_names(&self) -> Result<Vec<String>, SettingsError> {
@@ -226,7 +288,10 @@
     }
 
     pub fn machine_names(&self) -> Vec<String> {
-        self.words("MachineTypes").into_iter().map(String::from).collect()
+        self.words("MachineTypes")
+            .into_iter()
+            .map(String::from)
+            .collect()
     }
 
     pub fn links(&self) -> Result<Links, SettingsError> {
@@ -240,7 +305,9 @@
     /// The longest hard limit of any product.
     pub fn longest_hard_limit(&self) -> Result<Span, SettingsError> {
         let limit = |at: usize| self.need_span(&format!("Grades.{at}.GiveUpS"));
-        (0..self.products()).map(limit).try_fold(Span::ZERO, |most, limit| Ok(most.max(limit?)))
+        (0..self.products())
+            .map(limit)
+            .try_fold(Span::ZERO, |most, limit| Ok(most.max(limit?)))
     }
 
     /// Gateways before the same engines, this one among them.
@@ -255,12 +322,22 @@
 }
 
 fn flatten(value: &Value, path: String, pairs: &mut BTreeMap<String, String>) {
-    let below = |name: &str| if path.is_empty() { name.to_owned() } else { format!("{path}.{name}") };
+    let below = |name: &str| {
+        if path.is_empty() {
+            name.to_owned()
+        } else {
+            format!("{path}.{name}")
+        }
+    };
     match value {
-        Value::Object(of) => of.iter().for_each(|(name, value)| flatten(value, below(name), pairs)),
+        Value::Object(of) => of
+            .iter()
+            .for_each(|(name, value)| flatten(value, below(name), pairs)),
         Value::Array(of) if of.iter().any(Value::is_object) => {
             pairs.insert(below("count"), of.len().to_string());
-            of.iter().enumerate().for_each(|(at, value)| flatten(value, below(&at.to_string()), pairs));
+            of.iter()
+                .enumerate()
+                .for_each(|(at, value)| flatten(value, below(&at.to_string()), pairs));
         }
         Value::Array(of) => {
             // As on the wire, where commas join a list.
@@ -273,5 +350,7 @@
 }
 
 fn plain(value: &Value) -> String {
-    value.as_str().map_or_else(|| value.to_string(), String::from)
+    value
+        .as_str()
+        .map_or_else(|| value.to_string(), String::from)
 }
--- a/crates/settings/tests/forms.rs
+++ b/crates/settings/tests/forms.rs
@@ -23,14 +23,29 @@
 
 #[test]
 fn both_forms_read_alike() {
-    let (lines, json) =
-        (Settings::from_lines(LINES), Settings::from_json(&serde_json::from_str(JSON).unwrap()));
+    let (lines, json) = (
+        Settings::from_lines(LINES),
+        Settings::from_json(&serde_json::from_str(JSON).unwrap()),
+    );
     assert_eq!(lines, json);
     assert_eq!(json.product_names().unwrap(), ["point", "load"]);
-    assert_eq!((json.tenant_names().unwrap(), json.products()), (vec!["water".to_owned()], 2));
-    assert_eq!((json.location_names(), json.machine_names().len()), (vec!["west".into(), "east".into()], 2));
+    assert_eq!(
+        (json.tenant_names().unwrap(), json.products()),
+        (vec!["water".to_owned()], 2)
+    );
+    assert_eq!(
+        (json.location_names(), json.machine_names().len()),
+        (vec!["west".into(), "east".into()], 2)
+    );
     let links = json.links().unwrap();
-    assert_eq!((links.connect_timeout.secs(), links.idle.secs(), links.multiplex), (0.25, 30.0, 100));
+    assert_eq!(
+        (
+            links.connect_timeout.secs(),
+            links.idle.secs(),
+            links.multiplex
+        ),
+        (0.25, 30.0, 100)
+    );
     assert!(json.policy(1, WAY).is_ok() && json.bills().unwrap());
 }
 
@@ -41,11 +56,21 @@
         Err(error) => error.to_string(),
     };
     assert!(fault("PeersTotal=1").contains("Grades.count is missing"));
-    assert!(fault(&LINES.replace("GiveUpS=4.0", "GiveUpS=soon")).contains("Grades.0.GiveUpS cannot be read"));
     assert!(
-        fault(&LINES.replace("Effect=safe", "Effect=odd")).contains("Grades.0.Effect cannot be read: odd")
+        fault(&LINES.replace("GiveUpS=4.0", "GiveUpS=soon"))
+            .contains("Grades.0.GiveUpS cannot be read")
+    );
+    assert!(
+        fault(&LINES.replace("Effect=safe", "Effect=odd"))
+            .contains("Grades.0.Effect cannot be read: odd")
+    );
+    assert!(
+        Settings::from_lines("")
+            .links()
+            .unwrap_err()
+            .to_string()
+            .contains("ConnectTimeoutS is missing")
     );
-    assert!(Settings::from_lines("").links().unwrap_err().to_string().contains("ConnectTimeoutS is missing"));
 }
 
 /// Who sends has the window less the way, and of a short window no more than a tenth goes.
@@ -54,8 +79,13 @@
     use admission::interface::*;
     let at = Moment::from_secs;
     for (window, way, left) in [("5.0", 0.0, 5.0), ("5.0", 0.05, 4.95), ("0.2", 0.05, 0.18)] {
-        let lines = LINES.replace("Grades.1.WindowS=5.0", &format!("Grades.1.WindowS={window}"));
-        let policy = Settings::from_lines(&lines).policy(1, Way(Span::from_secs(way))).unwrap();
+        let lines = LINES.replace(
+            "Grades.1.WindowS=5.0",
+            &format!("Grades.1.WindowS={window}"),
+        );
+        let policy = Settings::from_lines(&lines)
+            .policy(1, Way(Span::from_secs(way)))
+            .unwrap();
         let relay = Relay {
             engine: EngineId(1),
             location: LocationId(0),
@@ -84,6 +114,10 @@
             place: None,
             relays: vec![relay],
         };
-        assert_eq!(policy.repeat_until(&statement), Some(at(10.0 + left)), "{window}, {way}");
+        assert_eq!(
+            policy.repeat_until(&statement),
+            Some(at(10.0 + left)),
+            "{window}, {way}"
+        );
     }
 }
--- a/crates/shares/src/amount.rs
+++ b/crates/shares/src/amount.rs
@@ -7,7 +7,9 @@
 use serde::{Deserialize, Serialize};
 
 /// Millionths of a budget's unit a second.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub struct Amount(pub u64);
 
 impl Amount {
@@ -18,7 +20,11 @@
     /// Rounded down; what is not finite or negative is nothing.
     pub fn of(units: f64) -> Self {
         let millionths = units * 1e6;
-        Amount(if millionths > 0.0 { (millionths as u64).min(Self::MOST.0) } else { 0 })
+        Amount(if millionths > 0.0 {
+            (millionths as u64).min(Self::MOST.0)
+        } else {
+            0
+        })
     }
 
     pub fn units(self) -> f64 {
--- a/crates/shares/src/bucket.rs
+++ b/crates/shares/src/bucket.rs
@@ -17,11 +17,19 @@
 
     /// Nothing is saved yet: whoever starts with a burst has it from somebody else.
     pub fn empty(at: f64, rate: f64, burst_s: f64) -> Self {
-        Bucket { rate, burst_s, level: 0.0, at }
+        Bucket {
+            rate,
+            burst_s,
+            level: 0.0,
+            at,
+        }
     }
 
     pub fn full(at: f64, rate: f64, burst_s: f64) -> Self {
-        Bucket { level: rate * burst_s, ..Bucket::empty(at, rate, burst_s) }
+        Bucket {
+            level: rate * burst_s,
+            ..Bucket::empty(at, rate, burst_s)
+        }
     }
 
     pub fn rate(&self) -> f64 {
@@ -87,6 +95,10 @@
         let kept = self.level / self.most().max(1e-9);
         (self.rate, self.burst_s) = (rate, burst_s);
         let most = self.most();
-        self.level = if most > 0.0 { (kept * most).min(most) } else { most };
+        self.level = if most > 0.0 {
+            (kept * most).min(most)
+        } else {
+            most
+        };
     }
 }
--- a/crates/shares/src/core.rs
+++ b/crates/shares/src/core.rs
@@ -144,7 +144,9 @@
     }
 
     pub fn is_steward(&self, now: Moment) -> bool {
-        self.office.as_ref().is_some_and(|office| office.chosen(now, &self.terms).is_some())
+        self.office
+            .as_ref()
+            .is_some_and(|office| office.chosen(now, &self.terms).is_some())
     }
 
     /// Its books, as long as it is the steward.
@@ -158,7 +160,10 @@
             return Some(&self.me.name);
         }
         let promised = self.voter.as_ref().and_then(|voter| voter.promised(now));
-        promised.map(|who| &who.name).filter(|name| **name != self.me.name).or(self.holder.steward.as_ref())
+        promised
+            .map(|who| &who.name)
+            .filter(|name| **name != self.me.name)
+            .or(self.holder.steward.as_ref())
     }
 
     /// When `turn` is due next.
@@ -166,12 +171,19 @@
         if self.left {
             return self.holder.next + Span::from_secs(3600.0);
         }
-        let lease = self.holder.last().filter(|_| self.leased).map(|lease| lease.until);
+        let lease = self
+            .holder
+            .last()
+            .filter(|_| self.leased)
+            .map(|lease| lease.until);
         let stand = self.voter.as_ref().map(|voter| match self.office {
             Some(_) => self.next_canvass,
             None => self.stands_at(voter),
         });
-        [lease, stand].into_iter().flatten().fold(self.holder.next, Moment::min)
+        [lease, stand]
+            .into_iter()
+            .flatten()
+            .fold(self.holder.next, Moment::min)
     }
 
     fn event(&mut self, event: Event) {
@@ -181,7 +193,10 @@
     }
 
     fn send(&mut self, to: &Name, word: Word) {
-        self.out.push(Letter { to: to.clone(), word });
+        self.out.push(Letter {
+            to: to.clone(),
+            word,
+        });
     }
 
     fn after(&self, now: Moment, renewals: f64) -> Moment {
@@ -190,9 +205,15 @@
 
     /// One behind the other, or candidates would divide the votes between them.
     fn stands_at(&self, voter: &Voter) -> Moment {
-        let rank = self.terms.voters.iter().position(|name| *name == self.me.name).unwrap_or(0);
+        let rank = self
+            .terms
+            .voters
+            .iter()
+            .position(|name| *name == self.me.name)
+            .unwrap_or(0);
         let later = rank as f64 + chance(self.seed, voter.highest());
-        self.after(voter.free_at(), STAGGER * later).max(self.next_canvass)
+        self.after(voter.free_at(), STAGGER * later)
+            .max(self.next_canvass)
     }
 
     // Time.
@@ -226,7 +247,11 @@
 
     /// What the clock alone has ended: first of all in every call, so that one that stood still acts on nothing old.
     fn look(&mut self, now: Moment) {
-        if self.office.as_ref().is_some_and(|office| office.over(now, &self.terms)) {
+        if self
+            .office
+            .as_ref()
+            .is_some_and(|office| office.over(now, &self.terms))
+        {
             self.office = None;
             self.event(Event::Over);
         }
@@ -240,7 +265,9 @@
         let (me, voters) = (self.me.clone(), self.terms.voters.clone());
         self.next_canvass = self.after(now, 1.0);
         self.tries += 1;
-        let Some(number) = self.office.as_ref().map(|office| office.number) else { return };
+        let Some(number) = self.office.as_ref().map(|office| office.number) else {
+            return;
+        };
         for voter in voters {
             self.count = self.count.next();
             let count = self.count;
@@ -248,7 +275,10 @@
                 office.asks(now, count, &voter);
             }
             if voter == me.name {
-                let yes = self.voter.as_mut().is_some_and(|own| own.canvassed(now, &me, number, &self.terms));
+                let yes = self
+                    .voter
+                    .as_mut()
+                    .is_some_and(|own| own.canvassed(now, &me, number, &self.terms));
                 if yes {
                     self.voted(now, &voter, count);
                 }
@@ -260,7 +290,9 @@
 
     fn voted(&mut self, now: Moment, by: &Name, count: Count) {
         let before = self.is_steward(now);
-        let Some(office) = &mut self.office else { return };
+        let Some(office) = &mut self.office else {
+            return;
+        };
         office.voted(now, by, count, &self.terms);
         if !before && self.is_steward(now) {
             self.tries = 0;
@@ -273,10 +305,17 @@
 
     /// No steward's, no candidate's any more; those who voted for it need not wait out their promise.
     fn resign(&mut self, now: Moment) {
-        let Some(office) = self.office.take() else { return };
+        let Some(office) = self.office.take() else {
+            return;
+        };
         for voter in self.terms.voters.clone() {
             if voter != self.me.name {
-                self.send(&voter, Word::Resign { number: office.number });
+                self.send(
+                    &voter,
+                    Word::Resign {
+                        number: office.number,
+                    },
+                );
             }
         }
         let me = self.me.clone();
@@ -295,8 +334,12 @@
         let to = match self.steward(now).cloned() {
             Some(steward) => steward,
             None => {
-                let others: Vec<&Name> =
-                    self.terms.voters.iter().filter(|name| **name != self.me.name).collect();
+                let others: Vec<&Name> = self
+                    .terms
+                    .voters
+                    .iter()
+                    .filter(|name| **name != self.me.name)
+                    .collect();
                 let at = (chance(self.seed, self.count.0) * others.len() as f64) as usize;
                 match others.get(at) {
                     Some(voter) => (*voter).clone(),
@@ -321,7 +364,13 @@
         self.asked_at = now;
         let count = self.holder.ask(now, to.clone());
         let clock_ms = ((now - Moment::from_secs(0.0)).secs() * 1e3) as u64;
-        let ask = Ask { count, holds, leaves, clock_ms, needs };
+        let ask = Ask {
+            count,
+            holds,
+            leaves,
+            clock_ms,
+            needs,
+        };
         if to != self.me.name {
             return self.send(&to, Word::Ask(ask));
         }
@@ -359,10 +408,13 @@
         amounts: Vec<Amount>,
     ) -> Result<(), Refused> {
         let held = |core: &Core| -> Vec<Amount> {
-            (0..core.needs.len()).map(|at| core.holder.held(now, at)).collect()
+            (0..core.needs.len())
+                .map(|at| core.holder.held(now, at))
+                .collect()
         };
         let before = held(self);
-        self.holder.granted(now, by, count, number, amounts, &self.terms)?;
+        self.holder
+            .granted(now, by, count, number, amounts, &self.terms)?;
         // What fell is free for others once this gateway has said so; what rose and is short may rise on.
         let (after, needs) = (held(self), &self.needs);
         let all = before.iter().zip(&after).zip(needs);
@@ -383,7 +435,11 @@
     pub fn leave(&mut self, now: Moment) {
         self.look(now);
         self.holder.give_back();
-        if let Some(steward) = self.steward(now).cloned().filter(|name| *name != self.me.name) {
+        if let Some(steward) = self
+            .steward(now)
+            .cloned()
+            .filter(|name| *name != self.me.name)
+        {
             self.ask_of(now, steward, true);
         }
         self.resign(now);
@@ -412,16 +468,27 @@
             }
             Word::Canvass { number, count } => {
                 let terms = &self.terms;
-                let Some(voter) = &mut self.voter else { return Err(Refused::NoVoter) };
+                let Some(voter) = &mut self.voter else {
+                    return Err(Refused::NoVoter);
+                };
                 let yes = voter.canvassed(now, from, number, terms);
                 let highest = voter.highest();
                 if yes {
                     self.holder.steward = Some(from.name.clone());
                 }
-                self.send(&from.name, Word::Vote { count, yes, highest });
+                self.send(
+                    &from.name,
+                    Word::Vote {
+                        count,
+                        yes,
+                        highest,
+                    },
+                );
                 Ok(())
             }
-            Word::Vote { count, yes: true, .. } => {
+            Word::Vote {
+                count, yes: true, ..
+            } => {
                 self.voted(now, &from.name, count);
                 Ok(())
             }
@@ -430,7 +497,10 @@
                     voter.heard_of(highest);
                     let next = voter.highest() + 1;
                     // Whoever promised itself to this gateway keeps to it under a higher number.
-                    let office = self.office.as_mut().filter(|office| office.number <= highest);
+                    let office = self
+                        .office
+                        .as_mut()
+                        .filter(|office| office.number <= highest);
                     office.into_iter().for_each(|office| office.number = next);
                 }
                 Ok(())
@@ -445,10 +515,17 @@
                 Ok(())
             }
             Word::Ask(ask) => self.asked(now, from, &ask),
-            Word::Grant { count, number, amounts } => {
+            Word::Grant {
+                count,
+                number,
+                amounts,
+            } => {
                 let of = |budget: &crate::terms::Budget| {
                     let mark = budget.mark();
-                    amounts.iter().find(|(of, _)| *of == mark).map_or(Amount::ZERO, |(_, amount)| *amount)
+                    amounts
+                        .iter()
+                        .find(|(of, _)| *of == mark)
+                        .map_or(Amount::ZERO, |(_, amount)| *amount)
                 };
                 let amounts = self.terms.budgets.iter().map(of).collect();
                 self.granted(now, &from.name, count, number, amounts)
@@ -465,16 +542,32 @@
     fn asked(&mut self, now: Moment, from: &Who, ask: &Ask) -> Result<(), Refused> {
         if self.is_steward(now) {
             let Some(amounts) = self.granting(now, from, ask) else {
-                return if ask.leaves { Ok(()) } else { Err(Refused::Old) };
+                return if ask.leaves {
+                    Ok(())
+                } else {
+                    Err(Refused::Old)
+                };
             };
             let budgets = self.terms.budgets.iter().map(|budget| budget.mark());
             let amounts = budgets.zip(amounts).collect();
             let number = self.office.as_ref().map_or(0, |office| office.number);
-            self.send(&from.name, Word::Grant { count: ask.count, number, amounts });
+            self.send(
+                &from.name,
+                Word::Grant {
+                    count: ask.count,
+                    number,
+                    amounts,
+                },
+            );
             return Ok(());
         }
-        let Some(voter) = &self.voter else { return Err(Refused::NoVoter) };
-        let steward = voter.promised(now).map(|who| who.name.clone()).filter(|name| *name != self.me.name);
+        let Some(voter) = &self.voter else {
+            return Err(Refused::NoVoter);
+        };
+        let steward = voter
+            .promised(now)
+            .map(|who| who.name.clone())
+            .filter(|name| *name != self.me.name);
         self.send(&from.name, Word::Steer { steward });
         Ok(())
     }
@@ -483,15 +576,30 @@
     /// stay as long as they were given for: of lengths and drift only those hold that were told at the start.
     pub fn change(&mut self, now: Moment, terms: Terms) {
         self.look(now);
-        let (lease, term, drift_ppm, most) =
-            (self.terms.lease, self.terms.term, self.terms.drift_ppm, self.terms.most);
-        let terms = Terms { lease, term, drift_ppm, most, voters: self.terms.voters.clone(), ..terms };
+        let (lease, term, drift_ppm, most) = (
+            self.terms.lease,
+            self.terms.term,
+            self.terms.drift_ppm,
+            self.terms.most,
+        );
+        let terms = Terms {
+            lease,
+            term,
+            drift_ppm,
+            most,
+            voters: self.terms.voters.clone(),
+            ..terms
+        };
         let old = std::mem::replace(&mut self.terms, terms);
         self.holder.change(&old, &self.terms);
         if let Some(office) = &mut self.office {
             office.change(&old, &self.terms);
         }
-        let from = |at: usize| old.budgets.iter().position(|was| was.of == self.terms.budgets[at].of);
+        let from = |at: usize| {
+            old.budgets
+                .iter()
+                .position(|was| was.of == self.terms.budgets[at].of)
+        };
         self.told = vec![Amount::ZERO; self.terms.budgets.len()];
         self.needs = (0..self.terms.budgets.len())
             .map(|at| from(at).map_or(Amount::ZERO, |at| self.needs[at]))
--- a/crates/shares/src/holder.rs
+++ b/crates/shares/src/holder.rs
@@ -31,7 +31,14 @@
 
 impl Holder {
     pub fn new(now: Moment) -> Self {
-        Holder { count: Count::default(), out: None, lease: None, steward: None, silent: 0, next: now }
+        Holder {
+            count: Count::default(),
+            out: None,
+            lease: None,
+            steward: None,
+            silent: 0,
+            next: now,
+        }
     }
 
     /// What it holds now: the clock is looked at first, since nothing else ends a lease of a process that stood still.
@@ -45,7 +52,8 @@
     }
 
     pub fn held(&self, now: Moment, at: usize) -> Amount {
-        self.lease(now).map_or(Amount::ZERO, |lease| lease.amounts[at])
+        self.lease(now)
+            .map_or(Amount::ZERO, |lease| lease.amounts[at])
     }
 
     /// A new question goes to this one; the answer to any other counts no more.
@@ -89,9 +97,15 @@
         amounts: Vec<Amount>,
         terms: &Terms,
     ) -> Result<(), Refused> {
-        let last = self.out.as_ref().filter(|(_, to)| to == by && count == self.count);
+        let last = self
+            .out
+            .as_ref()
+            .filter(|(_, to)| to == by && count == self.count);
         let stale = terms.faults.stale_grants.then_some(now);
-        let sent = last.map(|(sent, _)| *sent).or(stale).ok_or(Refused::Unasked)?;
+        let sent = last
+            .map(|(sent, _)| *sent)
+            .or(stale)
+            .ok_or(Refused::Unasked)?;
         let until = sent + terms.held_for(terms.lease);
         (self.out, self.silent) = (None, 0);
         if now >= until {
@@ -100,15 +114,31 @@
         if terms.faults.keeps_given
             && let Some(held) = self.lease.as_ref().filter(|held| now < held.until)
         {
-            let amounts = held.amounts.iter().zip(&amounts).map(|(held, given)| *held.max(given)).collect();
-            self.lease = Some(Lease { count, number, amounts, until });
+            let amounts = held
+                .amounts
+                .iter()
+                .zip(&amounts)
+                .map(|(held, given)| *held.max(given))
+                .collect();
+            self.lease = Some(Lease {
+                count,
+                number,
+                amounts,
+                until,
+            });
             return Ok(());
         }
         // No more than its own file has to give, should the steward's differ.
         let least = amounts.iter().zip(&terms.budgets);
-        let amounts =
-            least.map(|(amount, budget)| (*amount).min(terms.leased(budget.whole, budget.floor))).collect();
-        self.lease = Some(Lease { count, number, amounts, until });
+        let amounts = least
+            .map(|(amount, budget)| (*amount).min(terms.leased(budget.whole, budget.floor)))
+            .collect();
+        self.lease = Some(Lease {
+            count,
+            number,
+            amounts,
+            until,
+        });
         Ok(())
     }
 
@@ -125,6 +155,8 @@
             let from = was.iter().position(|was| was.of == budget.of)?;
             Some(lease.amounts[from].min(new.leased(budget.whole, budget.floor)))
         };
-        lease.amounts = (0..new.budgets.len()).map(|at| held(at).unwrap_or(Amount::ZERO)).collect();
+        lease.amounts = (0..new.budgets.len())
+            .map(|at| held(at).unwrap_or(Amount::ZERO))
+            .collect();
     }
 }
--- a/crates/shares/src/ledger.rs
+++ b/crates/shares/src/ledger.rs
@@ -38,7 +38,12 @@
     /// Of two times that both tell the larger word: what rises is told soon, a moment without work is not its end.
     fn needed(&self) -> f64 {
         let tells = |((_, often), over): &(&(f64, f64), f64)| often * over >= ENOUGH;
-        let first = self.wanted.iter().zip(OVER_S).position(|of| tells(&of)).unwrap_or(OVER_S.len() - 1);
+        let first = self
+            .wanted
+            .iter()
+            .zip(OVER_S)
+            .position(|of| tells(&of))
+            .unwrap_or(OVER_S.len() - 1);
         let both = &self.wanted[first..(first + 2).min(OVER_S.len())];
         both.iter().map(|(wanted, _)| *wanted).fold(0.0, f64::max)
     }
@@ -132,7 +137,12 @@
             }
         };
         self.accounts = terms.budgets.iter().enumerate().map(account).collect();
-        self.by_use = terms.budgets.iter().enumerate().map(|(at, budget)| (budget.name(), at)).collect();
+        self.by_use = terms
+            .budgets
+            .iter()
+            .enumerate()
+            .map(|(at, budget)| (budget.name(), at))
+            .collect();
     }
 
     pub fn core(&self) -> &Core {
@@ -141,7 +151,11 @@
 
     /// The place of a budget, for the calls below.
     pub fn find(&self, of: &Use) -> Option<usize> {
-        self.core.terms().budgets.iter().position(|budget| budget.of == *of)
+        self.core
+            .terms()
+            .budgets
+            .iter()
+            .position(|budget| budget.of == *of)
     }
 
     pub fn named(&self, name: &str) -> Option<usize> {
@@ -174,7 +188,9 @@
                 account.bucket.fill(to);
             };
             let floor = self.core.terms().budgets[at].floor.units();
-            if let Some(until) = until.filter(|until| *until <= now && secs(*until) > account.bucket.at()) {
+            if let Some(until) =
+                until.filter(|until| *until <= now && secs(*until) > account.bucket.at())
+            {
                 fill(account, secs(until));
                 account.bucket.cut(floor);
             }
@@ -234,7 +250,11 @@
     pub fn left(&mut self, now: Moment, at: usize) -> f64 {
         self.settle(now);
         let bucket = &self.accounts[at].bucket;
-        if bucket.owes(1.0) { bucket.level().max(1.0) } else { 0.0 }
+        if bucket.owes(1.0) {
+            bucket.level().max(1.0)
+        } else {
+            0.0
+        }
     }
 
     /// What it needs a second, where that is known otherwise than by what was wanted.
@@ -282,8 +302,17 @@
     /// Budgets, whole and floors from now on: savings are cut with a part that shrinks, debts and counts stay.
     pub fn change(&mut self, now: Moment, terms: Terms) {
         self.settle(now);
-        let uses: Vec<Use> = self.core.terms().budgets.iter().map(|budget| budget.of.clone()).collect();
-        let old = uses.into_iter().zip(std::mem::take(&mut self.accounts)).collect();
+        let uses: Vec<Use> = self
+            .core
+            .terms()
+            .budgets
+            .iter()
+            .map(|budget| budget.of.clone())
+            .collect();
+        let old = uses
+            .into_iter()
+            .zip(std::mem::take(&mut self.accounts))
+            .collect();
         self.core.change(now, terms);
         self.lay_out(now, old);
     }
--- a/crates/shares/src/office.rs
+++ b/crates/shares/src/office.rs
@@ -64,7 +64,9 @@
 
     fn see(&mut self, now: Moment, ask: &Ask, terms: &Terms) {
         let last = self.last.replace((ask.count, now, ask.clock_ms));
-        let Some((_, now, theirs)) = last.filter(|(count, ..)| ask.holds == Some(*count)) else { return };
+        let Some((_, now, theirs)) = last.filter(|(count, ..)| ask.holds == Some(*count)) else {
+            return;
+        };
         let (from, from_theirs) = *self.from.get_or_insert((now, theirs));
         let own = (now - from).secs();
         if own < Self::ENOUGH_S {
@@ -80,11 +82,15 @@
     /// The most that it may hold of a budget.
     fn reserved(&self, now: Moment, at: usize) -> Amount {
         let live = self.granted.iter().filter(|granted| now < granted.until);
-        live.map(|granted| granted.amounts[at]).max().unwrap_or(Amount::ZERO)
+        live.map(|granted| granted.amounts[at])
+            .max()
+            .unwrap_or(Amount::ZERO)
     }
 
     fn last(&self, at: usize) -> Amount {
-        self.granted.last().map_or(Amount::ZERO, |granted| granted.amounts[at])
+        self.granted
+            .last()
+            .map_or(Amount::ZERO, |granted| granted.amounts[at])
     }
 }
 
@@ -121,7 +127,9 @@
 
     /// One more vote, or one renewed.
     pub fn voted(&mut self, now: Moment, by: &Name, count: Count, terms: &Terms) {
-        let Some((_, sent)) = self.asked.remove(&count).filter(|(of, _)| of == by) else { return };
+        let Some((_, sent)) = self.asked.remove(&count).filter(|(of, _)| of == by) else {
+            return;
+        };
         let until = sent + terms.held_for(terms.term);
         let held = self.votes.entry(by.clone()).or_insert(until);
         *held = (*held).max(until);
@@ -139,7 +147,8 @@
 
     /// Since when it is the steward, as long as it is.
     pub fn chosen(&self, now: Moment, terms: &Terms) -> Option<Moment> {
-        self.chosen.filter(|_| self.until(terms).is_some_and(|until| now < until))
+        self.chosen
+            .filter(|_| self.until(terms).is_some_and(|until| now < until))
     }
 
     /// It was the steward, and is not any more: its books are worth nothing.
@@ -149,22 +158,36 @@
 
     /// From here on nothing is held on an earlier steward's grant.
     pub fn open_from(&self, terms: &Terms) -> Option<Moment> {
-        self.chosen.map(|chosen| if terms.faults.no_wait { chosen } else { chosen + terms.lease })
+        self.chosen.map(|chosen| {
+            if terms.faults.no_wait {
+                chosen
+            } else {
+                chosen + terms.lease
+            }
+        })
     }
 
     /// The whole of a budget in force: of those voters whose files say otherwise the least, as long as they say it.
     pub fn whole(&self, now: Moment, at: usize, terms: &Terms) -> Amount {
         let fresh = |entry: &&Entry| now - entry.heard < terms.lease && !entry.left;
-        let voters = self.books.iter().filter(|(who, _)| terms.voters.contains(&who.name));
-        let told = voters.map(|(_, entry)| entry).filter(fresh).map(|entry| entry.told[at].0);
+        let voters = self
+            .books
+            .iter()
+            .filter(|(who, _)| terms.voters.contains(&who.name));
+        let told = voters
+            .map(|(_, entry)| entry)
+            .filter(fresh)
+            .map(|entry| entry.told[at].0);
         told.fold(terms.budgets[at].whole, Amount::min)
     }
 
     /// Budgets over which a holder's file differs.
     pub fn differ(&self, now: Moment, terms: &Terms) -> BTreeSet<(Name, usize)> {
         let mut all = BTreeSet::new();
-        for (who, entry) in
-            self.books.iter().filter(|(_, entry)| now - entry.heard < terms.lease && !entry.left)
+        for (who, entry) in self
+            .books
+            .iter()
+            .filter(|(_, entry)| now - entry.heard < terms.lease && !entry.left)
         {
             for (at, budget) in terms.budgets.iter().enumerate() {
                 if entry.told[at] != (budget.whole, budget.floor) {
@@ -180,30 +203,52 @@
     fn pool(&self, now: Moment, at: usize, terms: &Terms) -> Amount {
         let own = terms.budgets[at].floor;
         let whole = self.whole(now, at, terms);
-        let fresh = self.books.values().filter(|entry| now - entry.heard < terms.lease && !entry.left);
+        let fresh = self
+            .books
+            .values()
+            .filter(|entry| now - entry.heard < terms.lease && !entry.left);
         let over: Amount = fresh.map(|entry| entry.told[at].1.less(own)).sum();
         terms.leased(whole, own).less(over)
     }
 
     /// What one that asks may hold from now on; none where it is not to be answered.
-    pub fn asked(&mut self, now: Moment, by: &Who, ask: &Ask, terms: &Terms) -> Option<Vec<Amount>> {
+    pub fn asked(
+        &mut self,
+        now: Moment,
+        by: &Who,
+        ask: &Ask,
+        terms: &Terms,
+    ) -> Option<Vec<Amount>> {
         let chosen = self.chosen(now, terms)?;
         let forget = now + Span::from_secs(-2.0 * terms.lease.secs());
         self.books.retain(|_, entry| entry.heard > forget);
-        if self.books.get(by).is_some_and(|entry| ask.count <= entry.count) {
+        if self
+            .books
+            .get(by)
+            .is_some_and(|entry| ask.count <= entry.count)
+        {
             return None;
         }
         if !self.books.contains_key(by) && self.books.len() >= 2 * terms.most {
             return None;
         }
-        let open = chosen + if terms.faults.no_wait { Span::ZERO } else { terms.lease };
+        let open = chosen
+            + if terms.faults.no_wait {
+                Span::ZERO
+            } else {
+                terms.lease
+            };
         let line = |at: usize| {
             let mark = terms.budgets[at].mark();
-            ask.needs.iter().find(|need| need.mark == mark).copied().unwrap_or(Need {
-                whole: terms.budgets[at].whole,
-                floor: terms.budgets[at].floor,
-                ..Need::default()
-            })
+            ask.needs
+                .iter()
+                .find(|need| need.mark == mark)
+                .copied()
+                .unwrap_or(Need {
+                    whole: terms.budgets[at].whole,
+                    floor: terms.budgets[at].floor,
+                    ..Need::default()
+                })
         };
         let lines: Vec<Need> = (0..terms.budgets.len()).map(line).collect();
         let met = self.books.contains_key(by);
@@ -218,10 +263,18 @@
         });
         (entry.count, entry.heard, entry.left) = (ask.count, now, ask.leaves);
         entry.clock.see(now, ask, terms);
-        entry.needs = lines.iter().map(|line| line.need.min(Amount::MOST)).collect();
-        entry.told = lines.iter().map(|line| (line.whole.min(Amount::MOST), line.floor)).collect();
+        entry.needs = lines
+            .iter()
+            .map(|line| line.need.min(Amount::MOST))
+            .collect();
+        entry.told = lines
+            .iter()
+            .map(|line| (line.whole.min(Amount::MOST), line.floor))
+            .collect();
         // It takes no answer any more but to this question, and holds what it says: all others are void.
-        entry.granted.retain(|granted| now < granted.until && Some(granted.count) == ask.holds);
+        entry
+            .granted
+            .retain(|granted| now < granted.until && Some(granted.count) == ask.holds);
         if ask.leaves {
             entry.granted.clear();
             return None;
@@ -235,18 +288,31 @@
             let amounts: Vec<Amount> = adopted.collect();
             let until = now + terms.lease;
             let entry = self.books.get_mut(by).expect("just made");
-            entry.granted.push(Granted { count: ask.holds.unwrap_or_default(), amounts, until });
+            entry.granted.push(Granted {
+                count: ask.holds.unwrap_or_default(),
+                amounts,
+                until,
+            });
         }
-        let amounts: Vec<Amount> =
-            (0..lines.len()).map(|at| self.grant(now, by, at, now >= open, terms)).collect();
+        let amounts: Vec<Amount> = (0..lines.len())
+            .map(|at| self.grant(now, by, at, now >= open, terms))
+            .collect();
         let entry = self.books.get_mut(by).expect("just made");
         let until = now + terms.lease;
-        entry.granted.push(Granted { count: ask.count, amounts: amounts.clone(), until });
+        entry.granted.push(Granted {
+            count: ask.count,
+            amounts: amounts.clone(),
+            until,
+        });
         Some(amounts)
     }
 
     fn others(&self, now: Moment, by: &Who, at: usize) -> Amount {
-        self.books.iter().filter(|(who, _)| *who != by).map(|(_, entry)| entry.reserved(now, at)).sum()
+        self.books
+            .iter()
+            .filter(|(who, _)| *who != by)
+            .map(|(_, entry)| entry.reserved(now, at))
+            .sum()
     }
 
     fn grant(&self, now: Moment, by: &Who, at: usize, open: bool, terms: &Terms) -> Amount {
@@ -257,23 +323,44 @@
         let (pool, last) = (self.pool(now, at, terms), own.last(at));
         let quiet = Span::from_secs(terms.renew.secs() * QUIET);
         let asks = |entry: &Entry| now - entry.heard < quiet && !entry.left && !entry.clock.off;
-        let asking: Vec<&Who> =
-            self.books.iter().filter(|(_, entry)| asks(entry)).map(|(who, _)| who).collect();
-        let needs: Vec<Amount> = asking.iter().map(|who| self.books[*who].needs[at]).collect();
+        let asking: Vec<&Who> = self
+            .books
+            .iter()
+            .filter(|(_, entry)| asks(entry))
+            .map(|(who, _)| who)
+            .collect();
+        let needs: Vec<Amount> = asking
+            .iter()
+            .map(|who| self.books[*who].needs[at])
+            .collect();
         let parts = divide(pool, &needs);
-        let part = asking.iter().position(|who| *who == by).map_or(Amount::ZERO, |of| parts[of]);
+        let part = asking
+            .iter()
+            .position(|who| *who == by)
+            .map_or(Amount::ZERO, |of| parts[of]);
         let others = self.others(now, by, at);
         let room = pool.less(others);
         // Before all that an earlier steward granted is over, others may hold what is not in the books.
-        let most = if open { room } else { room.min(own.reserved(now, at)) };
+        let most = if open {
+            room
+        } else {
+            room.min(own.reserved(now, at))
+        };
         // A whole that shrank falls at once.
-        let least = if others + last > pool { Amount::ZERO } else { Amount(last.0 / FALL) };
+        let least = if others + last > pool {
+            Amount::ZERO
+        } else {
+            Amount(last.0 / FALL)
+        };
         part.max(least).min(most)
     }
 
     /// Holders whose clocks run further off than is told.
     pub fn drifting(&self) -> impl Iterator<Item = &Name> {
-        self.books.iter().filter(|(_, entry)| entry.clock.off && !entry.left).map(|(who, _)| &who.name)
+        self.books
+            .iter()
+            .filter(|(_, entry)| entry.clock.off && !entry.left)
+            .map(|(who, _)| &who.name)
     }
 
     pub fn holdings(&self, now: Moment, at: usize, terms: &Terms) -> Vec<Holding> {
@@ -285,15 +372,24 @@
             until: entry.granted.iter().map(|granted| granted.until).max(),
             differs: entry.told[at] != own,
         };
-        self.books.iter().filter(|(_, entry)| !entry.left).map(of).collect()
+        self.books
+            .iter()
+            .filter(|(_, entry)| !entry.left)
+            .map(of)
+            .collect()
     }
 
     /// New terms: budgets by their names, in another order or with others between.
     pub fn change(&mut self, old: &Terms, new: &Terms) {
-        let from: Vec<Option<usize>> =
-            new.budgets.iter().map(|budget| old.budgets.iter().position(|was| was.of == budget.of)).collect();
+        let from: Vec<Option<usize>> = new
+            .budgets
+            .iter()
+            .map(|budget| old.budgets.iter().position(|was| was.of == budget.of))
+            .collect();
         let amounts = |of: &[Amount]| -> Vec<Amount> {
-            from.iter().map(|at| at.map_or(Amount::ZERO, |at| of[at])).collect()
+            from.iter()
+                .map(|at| at.map_or(Amount::ZERO, |at| of[at]))
+                .collect()
         };
         for entry in self.books.values_mut() {
             entry.needs = amounts(&entry.needs);
@@ -301,7 +397,10 @@
             entry.told = told
                 .map(|(budget, at)| at.map_or((budget.whole, budget.floor), |at| entry.told[at]))
                 .collect();
-            entry.granted.iter_mut().for_each(|granted| granted.amounts = amounts(&granted.amounts));
+            entry
+                .granted
+                .iter_mut()
+                .for_each(|granted| granted.amounts = amounts(&granted.amounts));
         }
     }
 }
--- a/crates/shares/src/terms.rs
+++ b/crates/shares/src/terms.rs
@@ -109,7 +109,9 @@
     Voters,
     #[error("at least four times as long as renewing")]
     Short,
-    #[error("a lease has to outlast a term and two renewals, or every change of steward leaves floors alone")]
+    #[error(
+        "a lease has to outlast a term and two renewals, or every change of steward leaves floors alone"
+    )]
     Lease,
 }
 
@@ -121,7 +123,10 @@
             return Err(TermsError::Budgets);
         }
         for (at, budget) in self.budgets.iter().enumerate() {
-            if self.budgets[..at].iter().any(|other| other.mark() == budget.mark()) {
+            if self.budgets[..at]
+                .iter()
+                .any(|other| other.mark() == budget.mark())
+            {
                 return Err(TermsError::Twice(budget.name()));
             }
             if budget.floor.times(self.most) > budget.whole {
@@ -136,7 +141,11 @@
         if term < 4.0 * renew {
             return Err(TermsError::Short);
         }
-        if self.lease.secs() < term + 2.0 * renew { Err(TermsError::Lease) } else { Ok(()) }
+        if self.lease.secs() < term + 2.0 * renew {
+            Err(TermsError::Lease)
+        } else {
+            Ok(())
+        }
     }
 
     /// So long its holder counts a span that whoever granted it counts in full: by the fastest clock the grantor's is
--- a/crates/shares/src/voter.rs
+++ b/crates/shares/src/voter.rs
@@ -19,8 +19,16 @@
 
 impl Voter {
     pub fn new(now: Moment, terms: &Terms) -> Self {
-        let abstains_until = if terms.faults.no_abstaining { now } else { now + terms.term };
-        Voter { abstains_until, promised: None, highest: 0 }
+        let abstains_until = if terms.faults.no_abstaining {
+            now
+        } else {
+            now + terms.term
+        };
+        Voter {
+            abstains_until,
+            promised: None,
+            highest: 0,
+        }
     }
 
     pub fn highest(&self) -> u64 {
@@ -35,7 +43,10 @@
 
     /// Whom it promised itself to, as long as that holds.
     pub fn promised(&self, now: Moment) -> Option<&Who> {
-        self.promised.as_ref().filter(|(_, _, until)| now < *until).map(|(who, _, _)| who)
+        self.promised
+            .as_ref()
+            .filter(|(_, _, until)| now < *until)
+            .map(|(who, _, _)| who)
     }
 
     /// When it is free to be a candidate's, itself among them.
--- a/crates/shares/src/word.rs
+++ b/crates/shares/src/word.rs
@@ -15,7 +15,9 @@
 }
 
 /// Counts a gateway's own questions; an answer names the one that it answers.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub struct Count(pub u64);
 
 impl Count {
@@ -106,6 +108,10 @@
             Word::Grant { amounts, .. } => amounts.len() > MOST_BUDGETS,
             _ => false,
         };
-        if many || !left.is_empty() { Err(Refused::Form) } else { Ok(word) }
+        if many || !left.is_empty() {
+            Err(Refused::Form)
+        } else {
+            Ok(word)
+        }
     }
 }
