--- a/crates/shares/tests/random.rs
+++ b/crates/shares/tests/random.rs
@@ -12,9 +12,15 @@
 fn life(seed: u64) -> Result<(), String> {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let count = rng.random_range(3..=50usize);
-    let voters = [1, 3, 5][rng.random_range(0..3usize)].min(count | 1).min(if count < 5 { 3 } else { 5 });
-    let clocks: Vec<i64> = (0..count).map(|_| rng.random_range(-DRIFT_PPM..=DRIFT_PPM)).collect();
-    let mut world = World::new(count, terms(count, voters, Faults::default()), |at| clocks[at]);
+    let voters = [1, 3, 5][rng.random_range(0..3usize)]
+        .min(count | 1)
+        .min(if count < 5 { 3 } else { 5 });
+    let clocks: Vec<i64> = (0..count)
+        .map(|_| rng.random_range(-DRIFT_PPM..=DRIFT_PPM))
+        .collect();
+    let mut world = World::new(count, terms(count, voters, Faults::default()), |at| {
+        clocks[at]
+    });
     let mut groups = vec![0usize; count];
     let (mut lost, mut late, mut again) = (0.0, 0.01, 0.0);
     world.start_all();
@@ -34,7 +40,9 @@
                 world.leave(at, &mut well);
                 world.start(at);
             }
-            5 => groups.iter_mut().for_each(|group| *group = rng.random_range(0..3usize) / 2),
+            5 => groups
+                .iter_mut()
+                .for_each(|group| *group = rng.random_range(0..3usize) / 2),
             6 => groups.fill(0),
             7 => (lost, late, again) = (rng.random::<f64>() * 0.5, rng.random::<f64>() * 3.0, 0.5),
             8 => (lost, late, again) = (0.0, 0.01, 0.0),
@@ -50,7 +58,11 @@
             let mut rng = chance.borrow_mut();
             let cut = groups[from] != groups[to] || rng.random::<f64>() < lost;
             let again_after_s = (rng.random::<f64>() < again).then(|| rng.random::<f64>() * 8.0);
-            Way { lost: cut, delay_s: rng.random::<f64>() * late, again_after_s }
+            Way {
+                lost: cut,
+                delay_s: rng.random::<f64>() * late,
+                again_after_s,
+            }
         };
         world.run(0.7, 0.1, &mut way);
         if world.worst_ppm > 1_000_000 || world.most_stewards > 1 {
@@ -70,7 +82,10 @@
     world.run(20.0, 0.1, &mut well);
     let out = [world.out(0), world.out(1)];
     if world.worst_ppm > 1_000_000 || out.iter().any(|out| *out < 0.999) {
-        return Err(format!("seed {seed}: {out:?} out in the end of {count}, {} ppm", world.worst_ppm));
+        return Err(format!(
+            "seed {seed}: {out:?} out in the end of {count}, {} ppm",
+            world.worst_ppm
+        ));
     }
     Ok(())
 }
@@ -79,7 +94,11 @@
 fn random_fleets_never_exceed_the_whole_and_have_it_all_out_in_the_end() {
     let threads: Vec<_> = (0..4u64)
         .map(|thread| {
-            std::thread::spawn(move || (0..10).map(|of| life(thread * 1000 + of)).collect::<Vec<_>>())
+            std::thread::spawn(move || {
+                (0..10)
+                    .map(|of| life(thread * 1000 + of))
+                    .collect::<Vec<_>>()
+            })
         })
         .collect();
     for lives in threads {
@@ -93,9 +112,16 @@
 #[test]
 #[ignore = "long"]
 fn the_same_for_two_thousand() {
-    let lives =
-        |thread: u64| move || (0..500).map(|of| life(100_000 + thread * 1000 + of)).collect::<Vec<_>>();
-    let threads: Vec<_> = (0..4u64).map(|thread| std::thread::spawn(lives(thread))).collect();
+    let lives = |thread: u64| {
+        move || {
+            (0..500)
+                .map(|of| life(100_000 + thread * 1000 + of))
+                .collect::<Vec<_>>()
+        }
+    };
+    let threads: Vec<_> = (0..4u64)
+        .map(|thread| std::thread::spawn(lives(thread)))
+        .collect();
     for lives in threads {
         for life in lives.join().unwrap() {
             assert_eq!(life, Ok(()));
@@ -110,7 +136,10 @@
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let (whole, burst, step) = (10.0, 2.0, 0.1);
         let mut parts = [whole / 4.0; 4];
-        let mut buckets: Vec<Bucket> = parts.iter().map(|part| Bucket::empty(0.0, *part, burst)).collect();
+        let mut buckets: Vec<Bucket> = parts
+            .iter()
+            .map(|part| Bucket::empty(0.0, *part, burst))
+            .collect();
         let mut spent = Vec::new();
         for at in 1..400 {
             let now = f64::from(at) * step;
@@ -135,15 +164,26 @@
         }
         let windows = [1usize, 5, 20, 100].into_iter().all(|window| {
             let most = whole * (window as f64 * step + burst) + 1e-6;
-            spent.windows(window).all(|of| of.iter().sum::<f64>() <= most)
+            spent
+                .windows(window)
+                .all(|of| of.iter().sum::<f64>() <= most)
         });
-        windows && buckets.iter().all(|bucket| bucket.level() <= bucket.most() + 1e-9)
+        windows
+            && buckets
+                .iter()
+                .all(|bucket| bucket.level() <= bucket.most() + 1e-9)
     }
-    QuickCheck::new().rng(Gen::from_size_and_seed(100, 7)).tests(200).quickcheck(holds as fn(u64) -> bool);
+    QuickCheck::new()
+        .rng(Gen::from_size_and_seed(100, 7))
+        .tests(200)
+        .quickcheck(holds as fn(u64) -> bool);
     // A debt is not forgiven by a share that comes or goes, and nothing saved comes of one that grows.
     let mut bucket = Bucket::empty(0.0, 1.0, 2.0);
     bucket.fill(2.0);
-    assert!(bucket.owes(5.0), "one larger than all it may save goes when it is full");
+    assert!(
+        bucket.owes(5.0),
+        "one larger than all it may save goes when it is full"
+    );
     bucket.pay(5.0);
     for rate in [0.1, 4.0, 0.0, 1.0] {
         bucket.cut(rate);
--- a/crates/shares/tests/search.rs
+++ b/crates/shares/tests/search.rs
@@ -77,9 +77,17 @@
             _ => false,
         };
         let late = trouble == Trouble::Late;
-        let delay_s = if late { [2.9, 0.4, 1.6][number as usize % 3] } else { 0.01 };
+        let delay_s = if late {
+            [2.9, 0.4, 1.6][number as usize % 3]
+        } else {
+            0.01
+        };
         let again_after_s = (trouble == Trouble::Again).then_some(3.9);
-        Way { lost, delay_s, again_after_s }
+        Way {
+            lost,
+            delay_s,
+            again_after_s,
+        }
     };
     match trouble {
         Trouble::Stopped => world.slots[0].stopped = true,
@@ -155,10 +163,14 @@
         world.start_all();
         // One wants it all, one some of it, one nothing.
         for (at, wants) in [20.0, 4.0, 0.0].into_iter().enumerate() {
-            world.slots[at].needs = vec![shares::Amount::of(wants), shares::Amount::of(wants / 3.0)];
+            world.slots[at].needs =
+                vec![shares::Amount::of(wants), shares::Amount::of(wants / 3.0)];
         }
         world.run(12.0, STEP_S, &mut well);
-        vec![State { troubles: Vec::new(), world }]
+        vec![State {
+            troubles: Vec::new(),
+            world,
+        }]
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Trouble>) {
@@ -177,13 +189,17 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::<Self>::always(NEVER_MORE, |_, state| state.world.worst_ppm <= 1_000_000),
-            Property::<Self>::always("one steward at most", |_, state| state.world.most_stewards <= 1),
+            Property::<Self>::always("one steward at most", |_, state| {
+                state.world.most_stewards <= 1
+            }),
             Property::<Self>::always(ALL_OUT, |_, state| {
                 let mut world = state.world.clone();
                 world.run(WELL_S, STEP_S, &mut well);
                 let floors = world.lives().all(|at| {
                     let core = world.slots[at].core.as_ref().unwrap();
-                    (0..2).all(|of| core.may_spend(world.clock(at), of) >= world.terms.budgets[of].floor)
+                    (0..2).all(|of| {
+                        core.may_spend(world.clock(at), of) >= world.terms.budgets[of].floor
+                    })
                 });
                 floors && world.worst_ppm <= 1_000_000 && (0..2).all(|of| world.out(of) > 0.999)
             }),
@@ -193,7 +209,8 @@
             Property::<Self>::sometimes("a lease lapses", |_, state| {
                 let core = |at: usize| state.world.slots[at].core.as_ref();
                 (0..3).any(|at| {
-                    core(at).is_some_and(|core| core.holder().lease(state.world.clock(at)).is_none())
+                    core(at)
+                        .is_some_and(|core| core.holder().lease(state.world.clock(at)).is_none())
                 })
             }),
         ]
@@ -202,7 +219,15 @@
 
 /// States, and which property was found broken.
 fn search(faults: Faults, troubles: usize, fast_ppm: [i64; 3]) -> (usize, Vec<&'static str>) {
-    let checker = Budgets { faults, troubles, fast_ppm }.checker().threads(4).spawn_bfs().join();
+    let checker = Budgets {
+        faults,
+        troubles,
+        fast_ppm,
+    }
+    .checker()
+    .threads(4)
+    .spawn_bfs()
+    .join();
     let broken = [NEVER_MORE, "one steward at most", ALL_OUT];
     let broken = broken.into_iter().filter(|name| {
         let found = checker.discovery(name);
@@ -220,7 +245,11 @@
 fn in_every_order_of_three_troubles_the_sum_holds() {
     let states = 1 + 15 + 225 + 3375;
     for clocks in [[0; 3], APART, [-DRIFT_PPM, DRIFT_PPM, 0]] {
-        assert_eq!(search(Faults::default(), 3, clocks), (states, vec![]), "{clocks:?}");
+        assert_eq!(
+            search(Faults::default(), 3, clocks),
+            (states, vec![]),
+            "{clocks:?}"
+        );
     }
 }
 
@@ -228,15 +257,53 @@
 fn the_search_finds_each_mechanism_that_is_taken_out() {
     let off = Faults::default();
     for (faults, name) in [
-        (Faults { no_wait: true, ..off }, "no wait after a change of steward"),
-        (Faults { wall_clock: true, ..off }, "a lease by a clock that others set"),
-        (Faults { keeps_given: true, ..off }, "what was given back goes on being spent"),
-        (Faults { stale_grants: true, ..off }, "an answer of before counts"),
-        (Faults { no_abstaining: true, ..off }, "a voter without memory votes at once"),
-        (Faults { no_drift: true, ..off }, "lengths by every clock alike"),
+        (
+            Faults {
+                no_wait: true,
+                ..off
+            },
+            "no wait after a change of steward",
+        ),
+        (
+            Faults {
+                wall_clock: true,
+                ..off
+            },
+            "a lease by a clock that others set",
+        ),
+        (
+            Faults {
+                keeps_given: true,
+                ..off
+            },
+            "what was given back goes on being spent",
+        ),
+        (
+            Faults {
+                stale_grants: true,
+                ..off
+            },
+            "an answer of before counts",
+        ),
+        (
+            Faults {
+                no_abstaining: true,
+                ..off
+            },
+            "a voter without memory votes at once",
+        ),
+        (
+            Faults {
+                no_drift: true,
+                ..off
+            },
+            "lengths by every clock alike",
+        ),
     ] {
         let clocks = [APART, [0; 3], [-DRIFT_PPM, DRIFT_PPM, DRIFT_PPM]];
-        let searches = [2, 3].into_iter().flat_map(|troubles| clocks.map(|clocks| (troubles, clocks)));
+        let searches = [2, 3]
+            .into_iter()
+            .flat_map(|troubles| clocks.map(|clocks| (troubles, clocks)));
         let found = searches.into_iter().find_map(|(troubles, clocks)| {
             let broken = search(faults, troubles, clocks).1;
             println!("{name}: {broken:?}");
@@ -253,7 +320,11 @@
     for clocks in [[0; 3], APART] {
         let began = std::time::Instant::now();
         let found = search(Faults::default(), 4, clocks);
-        println!("{clocks:?}: {} states in {:.0} s", found.0, began.elapsed().as_secs_f64());
+        println!(
+            "{clocks:?}: {} states in {:.0} s",
+            found.0,
+            began.elapsed().as_secs_f64()
+        );
         assert_eq!(found.1, Vec::<&str>::new());
     }
 }
--- a/crates/shares/tests/world/mod.rs
+++ b/crates/shares/tests/world/mod.rs
@@ -20,7 +20,10 @@
         floor: Amount::of(whole * 0.2 / most as f64),
     };
     let terms = Terms {
-        budgets: vec![budget(Use::Relays("scan".into()), 30.0), budget(Use::Member("water".into()), 12.0)],
+        budgets: vec![
+            budget(Use::Relays("scan".into()), 30.0),
+            budget(Use::Member("water".into()), 12.0),
+        ],
         voters: (0..voters).map(name).collect(),
         most,
         lease: Span::from_secs(6.0),
@@ -90,7 +93,15 @@
             needs: needs.clone(),
         };
         let slots = (0..count).map(slot).collect();
-        World { now_us: 0, slots, flying: Vec::new(), next: 0, terms, worst_ppm: 0, most_stewards: 0 }
+        World {
+            now_us: 0,
+            slots,
+            flying: Vec::new(),
+            next: 0,
+            terms,
+            worst_ppm: 0,
+            most_stewards: 0,
+        }
     }
 
     pub fn now(&self) -> f64 {
@@ -100,7 +111,11 @@
     /// Its own steady clock.
     pub fn clock(&self, at: usize) -> Moment {
         let fast = 1.0 + self.slots[at].fast_ppm as f64 / 1e6;
-        let set = if self.terms.faults.wall_clock { self.slots[at].set_by_us as f64 / 1e6 } else { 0.0 };
+        let set = if self.terms.faults.wall_clock {
+            self.slots[at].set_by_us as f64 / 1e6
+        } else {
+            0.0
+        };
         Moment::from_secs(1000.0 + 1000.0 * at as f64 + self.now() * fast + set)
     }
 
@@ -108,8 +123,16 @@
         let now = self.clock(at);
         let slot = &mut self.slots[at];
         slot.life += 1;
-        let me = Who { name: name(at), life: Life(slot.life * 100 + at as u64) };
-        slot.core = Some(Core::new(now, me, self.terms.clone(), at as u64 * 7919 + slot.life));
+        let me = Who {
+            name: name(at),
+            life: Life(slot.life * 100 + at as u64),
+        };
+        slot.core = Some(Core::new(
+            now,
+            me,
+            self.terms.clone(),
+            at as u64 * 7919 + slot.life,
+        ));
         slot.stopped = false;
     }
 
@@ -138,10 +161,14 @@
     }
 
     fn pump(&mut self, at: usize, way: &mut impl FnMut(usize, usize) -> Way) {
-        let Some(core) = &mut self.slots[at].core else { return };
+        let Some(core) = &mut self.slots[at].core else {
+            return;
+        };
         let from = core.me().clone();
         for letter in core.take_out() {
-            let Some(to) = (0..self.slots.len()).find(|to| name(*to) == letter.to) else { continue };
+            let Some(to) = (0..self.slots.len()).find(|to| name(*to) == letter.to) else {
+                continue;
+            };
             let way = way(at, to);
             let mut delays = vec![way.delay_s];
             delays.extend(way.again_after_s.map(|later| way.delay_s + later));
@@ -153,7 +180,13 @@
                 let arrives = self.now_us + (delay * 1e6) as i64;
                 let bytes = letter.word.bytes();
                 let to = letter.to.clone();
-                self.flying.push(Flying { arrives, number: self.next, from: from.clone(), to, bytes });
+                self.flying.push(Flying {
+                    arrives,
+                    number: self.next,
+                    from: from.clone(),
+                    to,
+                    bytes,
+                });
             }
         }
         core_events(self.slots[at].core.as_mut());
@@ -164,14 +197,30 @@
         self.now_us += (step_s * 1e6) as i64;
         loop {
             let due = |flying: &&Flying| {
-                let to = self.slots.iter().enumerate().find(|(at, _)| name(*at) == flying.to);
+                let to = self
+                    .slots
+                    .iter()
+                    .enumerate()
+                    .find(|(at, _)| name(*at) == flying.to);
                 flying.arrives <= self.now_us && to.is_some_and(|(_, slot)| !slot.stopped)
             };
-            let first = self.flying.iter().filter(due).min_by_key(|flying| (flying.arrives, flying.number));
-            let Some(number) = first.map(|flying| flying.number) else { break };
-            let at = self.flying.iter().position(|flying| flying.number == number).unwrap();
+            let first = self
+                .flying
+                .iter()
+                .filter(due)
+                .min_by_key(|flying| (flying.arrives, flying.number));
+            let Some(number) = first.map(|flying| flying.number) else {
+                break;
+            };
+            let at = self
+                .flying
+                .iter()
+                .position(|flying| flying.number == number)
+                .unwrap();
             let flying = self.flying.remove(at);
-            let to = (0..self.slots.len()).find(|to| name(*to) == flying.to).unwrap();
+            let to = (0..self.slots.len())
+                .find(|to| name(*to) == flying.to)
+                .unwrap();
             let now = self.clock(to);
             if let Some(core) = &mut self.slots[to].core
                 && let Ok(word) = shares::word::Word::read(&flying.bytes)
@@ -184,7 +233,9 @@
         for at in 0..self.slots.len() {
             let now = self.clock(at);
             let slot = &mut self.slots[at];
-            let Some(core) = slot.core.as_mut().filter(|_| !slot.stopped) else { continue };
+            let Some(core) = slot.core.as_mut().filter(|_| !slot.stopped) else {
+                continue;
+            };
             for (of, need) in slot.needs.iter().enumerate() {
                 core.needs(of, *need);
             }
@@ -196,7 +247,8 @@
         }
         // Nothing waits for ever for one that is gone.
         let now = self.now_us;
-        self.flying.retain(|flying| flying.arrives > now - 30_000_000);
+        self.flying
+            .retain(|flying| flying.arrives > now - 30_000_000);
     }
 
     pub fn run(&mut self, lasts_s: f64, step_s: f64, way: &mut impl FnMut(usize, usize) -> Way) {
@@ -209,7 +261,9 @@
     /// What all that exist may spend of a budget, each by its own clock as it would look at it now.
     pub fn sum(&self, at: usize) -> Amount {
         let of = |(slot, of): (usize, &Slot)| {
-            of.core.as_ref().map_or(Amount::ZERO, |core| core.may_spend(self.clock(slot), at))
+            of.core
+                .as_ref()
+                .map_or(Amount::ZERO, |core| core.may_spend(self.clock(slot), at))
         };
         self.slots.iter().enumerate().map(of).sum()
     }
@@ -234,8 +288,12 @@
     }
 
     pub fn stewards(&self) -> Vec<usize> {
-        let is =
-            |at: &usize| self.slots[*at].core.as_ref().is_some_and(|core| core.is_steward(self.clock(*at)));
+        let is = |at: &usize| {
+            self.slots[*at]
+                .core
+                .as_ref()
+                .is_some_and(|core| core.is_steward(self.clock(*at)))
+        };
         (0..self.slots.len()).filter(is).collect()
     }
 }
@@ -245,5 +303,8 @@
 }
 
 pub fn well(_: usize, _: usize) -> Way {
-    Way { delay_s: 0.01, ..Way::default() }
+    Way {
+        delay_s: 0.01,
+        ..Way::default()
+    }
 }
--- a/crates/wirehost/src/frames.rs
+++ b/crates/wirehost/src/frames.rs
@@ -13,15 +13,32 @@
     #[error("input: {0}")]
     Io(#[from] io::Error),
     #[error("batch {batch}: cut off: {got} of {want} bytes of the {part}")]
-    CutOff { batch: u32, part: &'static str, got: usize, want: usize },
+    CutOff {
+        batch: u32,
+        part: &'static str,
+        got: usize,
+        want: usize,
+    },
     #[error("batch {batch}: length {length} does not hold {count} records")]
     Length { batch: u32, length: u32, count: u32 },
     #[error("batch {batch}, record {record}: unknown {what} {code}")]
-    Unknown { batch: u32, record: usize, what: &'static str, code: u64 },
+    Unknown {
+        batch: u32,
+        record: usize,
+        what: &'static str,
+        code: u64,
+    },
     #[error(
         "batch {batch}, record {record}: {what} at {offset}, {count} long, outside a tail of {tail} bytes"
     )]
-    Outside { batch: u32, record: usize, what: &'static str, offset: u32, count: u32, tail: usize },
+    Outside {
+        batch: u32,
+        record: usize,
+        what: &'static str,
+        offset: u32,
+        count: u32,
+        tail: usize,
+    },
 }
 
 /// One batch as it came: its records are read in place.
@@ -39,28 +56,54 @@
     if head.is_empty() {
         return Ok(None);
     }
-    let batch = if head.len() >= 4 { Fields(&head).u32(0) } else { 0 };
+    let batch = if head.len() >= 4 {
+        Fields(&head).u32(0)
+    } else {
+        0
+    };
     if head.len() < 20 {
-        return Err(FrameError::CutOff { batch, part: "header", got: head.len(), want: 20 });
+        return Err(FrameError::CutOff {
+            batch,
+            part: "header",
+            got: head.len(),
+            want: 20,
+        });
     }
     let head = Fields(&head);
     let (length, count) = (head.u32(12), head.u32(16));
     if u64::from(length) < 4 + u64::from(count) * EVENT as u64 {
-        return Err(FrameError::Length { batch, length, count });
+        return Err(FrameError::Length {
+            batch,
+            length,
+            count,
+        });
     }
     let want = length as usize - 4;
     // The buffer grows with what arrives, never with what the header claims.
     let mut body = Vec::new();
     input.take(want as u64).read_to_end(&mut body)?;
     if body.len() < want {
-        return Err(FrameError::CutOff { batch, part: "body", got: body.len(), want });
-    }
-    Ok(Some(Batch { number: batch, clock: head.f64(4), body, count: count as usize }))
+        return Err(FrameError::CutOff {
+            batch,
+            part: "body",
+            got: body.len(),
+            want,
+        });
+    }
+    Ok(Some(Batch {
+        number: batch,
+        clock: head.f64(4),
+        body,
+        count: count as usize,
+    }))
 }
 
 impl Batch {
     pub fn records(&self) -> impl Iterator<Item = (usize, Fields<'_>)> {
-        self.body[..self.count * EVENT].chunks_exact(EVENT).map(Fields).enumerate()
+        self.body[..self.count * EVENT]
+            .chunks_exact(EVENT)
+            .map(Fields)
+            .enumerate()
     }
 
     fn tail(&self) -> &[u8] {
@@ -76,15 +119,18 @@
     ) -> Result<&[u8], FrameError> {
         let (offset, count) = at;
         let tail = self.tail();
-        let end = (count as usize).checked_mul(size).and_then(|len| len.checked_add(offset as usize));
-        end.and_then(|end| tail.get(offset as usize..end)).ok_or(FrameError::Outside {
-            batch: self.number,
-            record,
-            what,
-            offset,
-            count,
-            tail: tail.len(),
-        })
+        let end = (count as usize)
+            .checked_mul(size)
+            .and_then(|len| len.checked_add(offset as usize));
+        end.and_then(|end| tail.get(offset as usize..end))
+            .ok_or(FrameError::Outside {
+                batch: self.number,
+                record,
+                what,
+                offset,
+                count,
+                tail: tail.len(),
+            })
     }
 
     pub fn text(&self, record: usize, at: (u32, u32)) -> Result<String, FrameError> {
@@ -96,11 +142,19 @@
         record: usize,
         at: (u32, u32),
     ) -> Result<impl Iterator<Item = Fields<'_>>, FrameError> {
-        Ok(self.within(record, "list", at, ENTRY)?.chunks_exact(ENTRY).map(Fields))
+        Ok(self
+            .within(record, "list", at, ENTRY)?
+            .chunks_exact(ENTRY)
+            .map(Fields))
     }
 
     pub fn unknown(&self, record: usize, what: &'static str, code: u64) -> FrameError {
-        FrameError::Unknown { batch: self.number, record, what, code }
+        FrameError::Unknown {
+            batch: self.number,
+            record,
+            what,
+            code,
+        }
     }
 }
 
@@ -167,16 +221,32 @@
 
     fn with_text(&mut self, code: u8, gateway: u16, text: &str) {
         let (offset, length) = (self.tail.len() as u32, text.len() as u32);
-        self.put(code, gateway, &[&offset.to_le_bytes(), &length.to_le_bytes()]);
+        self.put(
+            code,
+            gateway,
+            &[&offset.to_le_bytes(), &length.to_le_bytes()],
+        );
         self.tail.extend(text.as_bytes());
     }
 
     pub fn attempt(&mut self, gateway: u16, id: u64, engine: u32, allow_s: f64) {
-        self.put(10, gateway, &[&id.to_le_bytes(), &engine.to_le_bytes(), &allow_s.to_le_bytes()]);
+        self.put(
+            10,
+            gateway,
+            &[
+                &id.to_le_bytes(),
+                &engine.to_le_bytes(),
+                &allow_s.to_le_bytes(),
+            ],
+        );
     }
 
     pub fn push_back(&mut self, gateway: u16, id: u64, come_back_s: f64) {
-        self.put(20, gateway, &[&id.to_le_bytes(), &come_back_s.to_le_bytes()]);
+        self.put(
+            20,
+            gateway,
+            &[&id.to_le_bytes(), &come_back_s.to_le_bytes()],
+        );
     }
 
     pub fn surrender(&mut self, gateway: u16, id: u64) {
@@ -212,7 +282,11 @@
     }
 
     pub fn tune(&mut self, gateway: u16, id: u64, memory_mb: f32, rank: u8) {
-        self.put(130, gateway, &[&id.to_le_bytes(), &memory_mb.to_le_bytes(), &[rank]]);
+        self.put(
+            130,
+            gateway,
+            &[&id.to_le_bytes(), &memory_mb.to_le_bytes(), &[rank]],
+        );
     }
 }
 
--- a/crates/wirehost/src/host.rs
+++ b/crates/wirehost/src/host.rs
@@ -34,7 +34,9 @@
             match code {
                 120 => {
                     let entries = batch.entries(record, fields.range(2))?;
-                    let facts = entries.map(|e| engine_fact(batch, record, e)).collect::<Result<_, _>>()?;
+                    let facts = entries
+                        .map(|e| engine_fact(batch, record, e))
+                        .collect::<Result<_, _>>()?;
                     self.lists.insert(fields.u8(1), facts);
                 }
                 10 => {
@@ -54,7 +56,9 @@
                     replies.remove(&id);
                 }
                 20 | 30 | 40 | 50 | 60 | 70 | 80 | 90 | 110 => {
-                    let Some(gateway) = self.gateways.get_mut(&id) else { continue };
+                    let Some(gateway) = self.gateways.get_mut(&id) else {
+                        continue;
+                    };
                     let actions = replies.entry(id).or_default();
                     gateway.event(batch, record, fields, now, &self.lists, actions)?;
                 }
@@ -66,7 +70,9 @@
             if let Some(gateway) = self.gateways.get_mut(&id) {
                 gateway.ask_line(now, &mut actions);
             }
-            actions.iter().for_each(|action| action.write(id, &mut reply));
+            actions
+                .iter()
+                .for_each(|action| action.write(id, &mut reply));
         }
         Ok(reply)
     }
@@ -138,8 +144,12 @@
         match fields.u8(0) {
             20 => {
                 let sheet = fields.u8(3);
-                let listed =
-                    || lists.get(&sheet).cloned().ok_or_else(|| batch.unknown(record, "list", sheet.into()));
+                let listed = || {
+                    lists
+                        .get(&sheet)
+                        .cloned()
+                        .ok_or_else(|| batch.unknown(record, "list", sheet.into()))
+                };
                 let news = match fields.u8(4) {
                     0 => ListNews::Changes(listed()?),
                     1 | 2 => ListNews::Whole(listed()?),
@@ -157,7 +167,11 @@
             }
             40 => report(self, 23, News::Streaming, fields.f64(11), false),
             110 => {
-                let news = if fields.u8(21) == 1 { News::Progress(fields.f32(13)) } else { News::Strained };
+                let news = if fields.u8(21) == 1 {
+                    News::Progress(fields.f32(13))
+                } else {
+                    News::Strained
+                };
                 report(self, 11, news, 0.0, false);
             }
             50 => {
@@ -186,14 +200,22 @@
         Ok(())
     }
 
-    fn taken(&mut self, now: Moment, id: StatementId, fields: Fields<'_>, actions: &mut Vec<Action>) {
+    fn taken(
+        &mut self,
+        now: Moment,
+        id: StatementId,
+        fields: Fields<'_>,
+        actions: &mut Vec<Action>,
+    ) {
         let told = fields.u8(11) & 1 != 0;
         let wants = Wants {
             product: ProductId(fields.u8(46).into()),
             tenant: TenantId(fields.u16(36).into()),
             group: GroupId(fields.f32(24) as u32),
             estimate: Some(Span::from_secs(fields.f64(38))).filter(|cpu| told && *cpu > Span::ZERO),
-            memory_mb: Some(fields.f32(12)).filter(|mb| mb.is_finite()).unwrap_or(0.0),
+            memory_mb: Some(fields.f32(12))
+                .filter(|mb| mb.is_finite())
+                .unwrap_or(0.0),
             key: Some(OrderKey(fields.u64(28))).filter(|key| key.0 != 0),
             marked: true,
             budget: Span::from_secs(fields.f64(16)),
@@ -204,7 +226,9 @@
 
     fn ask_line(&mut self, now: Moment, actions: &mut Vec<Action>) {
         let tick = self.dispatch.tick(now);
-        tick.due.iter().for_each(|(id, pick)| picked(*id, pick, actions));
+        tick.due
+            .iter()
+            .for_each(|(id, pick)| picked(*id, pick, actions));
         actions.extend(tick.probe.iter().map(|engine| Action::Test(*engine)));
         actions.extend(tick.list.map(Action::List));
         let due = now + tick.wait;
@@ -260,6 +284,8 @@
             stage => return Err(batch.unknown(record, "engine stage", stage.into())),
         },
         cell: CellId(entry.u16(13)),
-        started: Some(entry.f64(15)).filter(|at| at.is_finite() && *at > 0.0).map(Moment::from_secs),
+        started: Some(entry.f64(15))
+            .filter(|at| at.is_finite() && *at > 0.0)
+            .map(Moment::from_secs),
     })
 }
--- a/crates/wirehost/tests/frames.rs
+++ b/crates/wirehost/tests/frames.rs
@@ -6,7 +6,10 @@
 
 fn bytes(hex: &str) -> Vec<u8> {
     let digits: String = hex.split_whitespace().collect();
-    (0..digits.len()).step_by(2).map(|at| u8::from_str_radix(&digits[at..at + 2], 16).unwrap()).collect()
+    (0..digits.len())
+        .step_by(2)
+        .map(|at| u8::from_str_radix(&digits[at..at + 2], 16).unwrap())
+        .collect()
 }
 
 fn record(hex: &str) -> Vec<u8> {
@@ -16,7 +19,12 @@
 }
 
 fn frame(records: &[Vec<u8>], tail: &[u8]) -> Vec<u8> {
-    let body: Vec<u8> = records.iter().flatten().copied().chain(tail.iter().copied()).collect();
+    let body: Vec<u8> = records
+        .iter()
+        .flatten()
+        .copied()
+        .chain(tail.iter().copied())
+        .collect();
     let mut frame = bytes("0c000000 508d976e12d32040");
     frame.extend((4 + body.len() as u32).to_le_bytes());
     frame.extend((records.len() as u32).to_le_bytes());
@@ -38,15 +46,30 @@
 fn the_worked_batch_is_read_in_place() {
     let work = "1e 0300 c4913a5d00380000 01 0000c043 b81e85eb51b8ce3f 00003041 640ad2557c3bf091 0000 \
                 fa7e6abc7493883f 00";
-    let sent =
-        frame(&[record(work), record("46 0300 4d00000000000000"), record("3c 0500 192b6f0e38850d00")], &[]);
+    let sent = frame(
+        &[
+            record(work),
+            record("46 0300 4d00000000000000"),
+            record("3c 0500 192b6f0e38850d00"),
+        ],
+        &[],
+    );
     assert_eq!(sent.len(), 16 + 0x94);
     let batch = read_batch(&mut &sent[..]).unwrap().unwrap();
     assert_eq!(batch.number, 12);
     let (_, item) = batch.records().next().unwrap();
-    assert_eq!((item.u8(0), item.u16(1), item.u64(3)), (30, 3, 0x3800_5d3a_91c4));
-    assert_eq!((item.f32(12), item.f64(16), item.f32(24)), (384.0, 0.24, 11.0));
-    assert_eq!((item.u64(28), item.f64(38), item.u8(46)), (0x91f0_3b7c_55d2_0a64, 0.012, 0));
+    assert_eq!(
+        (item.u8(0), item.u16(1), item.u64(3)),
+        (30, 3, 0x3800_5d3a_91c4)
+    );
+    assert_eq!(
+        (item.f32(12), item.f64(16), item.f32(24)),
+        (384.0, 0.24, 11.0)
+    );
+    assert_eq!(
+        (item.u64(28), item.f64(38), item.u8(46)),
+        (0x91f0_3b7c_55d2_0a64, 0.012, 0)
+    );
     // None of the instances is attached: there is nothing to say.
     assert_eq!(
         encode_reply(12, &Host::default().answer(&batch).unwrap()),
@@ -94,7 +117,9 @@
     let text = b"PeersTotal=1";
     let attach = record("0a 0300 0100000000000000 00000000 0c000000");
     let sent = frame(&[attach], text);
-    let reply = Host::default().answer(&read_batch(&mut &sent[..]).unwrap().unwrap()).unwrap();
+    let reply = Host::default()
+        .answer(&read_batch(&mut &sent[..]).unwrap().unwrap())
+        .unwrap();
     let reply = encode_reply(12, &reply);
     assert_eq!(reply[12], 100);
     assert!(String::from_utf8_lossy(&reply).contains("settings: Grades.count is missing"));
@@ -111,5 +136,8 @@
         TestResult::passed()
     }
     let random = quickcheck::Gen::from_size_and_seed(400, 7);
-    QuickCheck::new().rng(random).tests(400).quickcheck(holds as fn(Vec<u8>, u8) -> TestResult);
+    QuickCheck::new()
+        .rng(random)
+        .tests(400)
+        .quickcheck(holds as fn(Vec<u8>, u8) -> TestResult);
 }
--- a/examples/toy/src/board.rs
+++ b/examples/toy/src/board.rs
@@ -46,7 +46,11 @@
     pub fn start(address: &str) -> io::Result<Board> {
         let listener = TcpListener::bind(address)?;
         let (mood, events) = (Arc::new(Mutex::new(Mood::Well)), Arc::default());
-        let board = Board { address: listener.local_addr()?, mood, events };
+        let board = Board {
+            address: listener.local_addr()?,
+            mood,
+            events,
+        };
         let serving = board.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
@@ -98,7 +102,8 @@
                 rest.split(['&', ' ']).next()?.parse::<u64>().ok()
             };
             let watch = parameter("watch=").unwrap_or(0) as usize;
-            let until = Instant::now() + Duration::from_millis(parameter("linger=").unwrap_or(0).min(5000));
+            let until =
+                Instant::now() + Duration::from_millis(parameter("linger=").unwrap_or(0).min(5000));
             let mood = *self.mood.lock().unwrap();
             match mood {
                 Mood::Well | Mood::Late | Mood::Broken | Mood::Stopped => {}
@@ -119,8 +124,16 @@
             let notices = events.get(watch..).unwrap_or(&[]);
             let body = json!({"rev": events.len(), "notices": notices}).to_string();
             let whole = !matches!(mood, Mood::Broken | Mood::Stopped);
-            let part = if whole { &body[..] } else { &body[..body.len() / 2] };
-            write!(out, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{part}", body.len())?;
+            let part = if whole {
+                &body[..]
+            } else {
+                &body[..body.len() / 2]
+            };
+            write!(
+                out,
+                "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{part}",
+                body.len()
+            )?;
             if mood == Mood::Broken {
                 return Ok(());
             }
--- a/examples/toy/src/engine.rs
+++ b/examples/toy/src/engine.rs
@@ -63,7 +63,11 @@
     pub fn start(address: &str, delay: Duration) -> io::Result<Engine> {
         let listener = TcpListener::bind(address)?;
         let (mood, seen) = (Arc::new(Mutex::new(Mood::Well)), Arc::default());
-        let engine = Engine { address: listener.local_addr()?, mood, seen };
+        let engine = Engine {
+            address: listener.local_addr()?,
+            mood,
+            seen,
+        };
         let serving = engine.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
@@ -113,7 +117,11 @@
                 continue;
             }
             let words: Vec<&str> = line.trim_end().split(' ').collect();
-            self.seen.lock().unwrap().lines.push(line.trim_end().to_owned());
+            self.seen
+                .lock()
+                .unwrap()
+                .lines
+                .push(line.trim_end().to_owned());
             let id = words.get(1).copied().unwrap_or("").to_owned();
             match words[..] {
                 ["do", _, _, length] => {
@@ -123,7 +131,12 @@
                     let text = String::from_utf8_lossy(&body).into_owned();
                     let pages = pages(&text);
                     let total = pages.len();
-                    let done = answer(&id, "DONE", &format!("total={total},elapsed=12.5,rss=8"), &pages[0]);
+                    let done = answer(
+                        &id,
+                        "DONE",
+                        &format!("total={total},elapsed=12.5,rss=8"),
+                        &pages[0],
+                    );
                     results.insert(id.clone(), pages);
                     let answer = match *self.mood.lock().unwrap() {
                         Mood::Well => done,
@@ -142,15 +155,24 @@
                         Mood::Garbage(which) => {
                             let garbage = GARBAGE[which % GARBAGE.len()];
                             let rest = garbage.strip_prefix(b"ID").unwrap_or(garbage);
-                            let head = if rest.len() < garbage.len() { id.as_bytes() } else { b"" };
+                            let head = if rest.len() < garbage.len() {
+                                id.as_bytes()
+                            } else {
+                                b""
+                            };
                             out.lock().unwrap().write_all(&[head, rest].concat())?;
                             continue;
                         }
-                        Mood::Twice => {
-                            [&done[..], &answer("ffffffffffffffff", "DONE", "total=1", ""), &done].concat()
-                        }
+                        Mood::Twice => [
+                            &done[..],
+                            &answer("ffffffffffffffff", "DONE", "total=1", ""),
+                            &done,
+                        ]
+                        .concat(),
                         Mood::Half => {
-                            out.lock().unwrap().write_all(&done.as_bytes()[..done.len() / 2])?;
+                            out.lock()
+                                .unwrap()
+                                .write_all(&done.as_bytes()[..done.len() / 2])?;
                             dead = true;
                             continue;
                         }
@@ -168,7 +190,10 @@
                     });
                 }
                 ["page", _, number] => {
-                    let page = number.parse().ok().and_then(|n: usize| results.get(&id)?.get(n));
+                    let page = number
+                        .parse()
+                        .ok()
+                        .and_then(|n: usize| results.get(&id)?.get(n));
                     let answer = match page {
                         Some(page) => answer(&id, "MORE", &format!("index={number}"), page),
                         None => answer(&id, "BROKE", "-", ""),
@@ -177,9 +202,13 @@
                 }
                 ["undo", _] => {
                     let late = late.remove(&id);
-                    late.map(|done| out.lock().unwrap().write_all(done.as_bytes())).transpose()?;
+                    late.map(|done| out.lock().unwrap().write_all(done.as_bytes()))
+                        .transpose()?;
                 }
-                ["ping", _] => out.lock().unwrap().write_all(answer(&id, "FIT", "-", "").as_bytes())?,
+                ["ping", _] => out
+                    .lock()
+                    .unwrap()
+                    .write_all(answer(&id, "FIT", "-", "").as_bytes())?,
                 ["forget" | "bump", ..] => {}
                 _ => return Ok(()),
             }
@@ -193,12 +222,25 @@
 
 /// `LIMIT n` gives n rows, in pages of 6,000 bytes at most; the middle column tells the statement.
 pub fn pages(statement: &str) -> Vec<String> {
-    let limit = statement.rsplit_once("LIMIT ").and_then(|(_, n)| n.trim().parse().ok()).unwrap_or(1);
+    let limit = statement
+        .rsplit_once("LIMIT ")
+        .and_then(|(_, n)| n.trim().parse().ok())
+        .unwrap_or(1);
     let mut pages = vec![String::new()];
-    let text: String = statement.chars().filter(|c| !c.is_control()).take(300).collect();
+    let text: String = statement
+        .chars()
+        .filter(|c| !c.is_control())
+        .take(300)
+        .collect();
     for row in 0..limit {
-        let row = format!("{row}\t{text}\t{}\n", if row % 2 == 0 { "" } else { "NULL" });
-        if pages.last().is_some_and(|page| page.len() + row.len() > 6000) {
+        let row = format!(
+            "{row}\t{text}\t{}\n",
+            if row % 2 == 0 { "" } else { "NULL" }
+        );
+        if pages
+            .last()
+            .is_some_and(|page| page.len() + row.len() > 6000)
+        {
             pages.push(String::new());
         }
         pages.last_mut().expect("never empty").push_str(&row);
--- a/examples/toy/src/main.rs
+++ b/examples/toy/src/main.rs
@@ -16,7 +16,10 @@
     let board = Board::start(config["board"].as_str().ok_or("no board")?)?;
     println!("notice board on {}", board.address);
     for event in config["known"]["notices"].as_array().into_iter().flatten() {
-        let targets = event["pool"]["targets"].as_array().cloned().unwrap_or_default();
+        let targets = event["pool"]["targets"]
+            .as_array()
+            .cloned()
+            .unwrap_or_default();
         for target in &targets {
             let address = target["endpoint"].as_str().ok_or("no endpoint")?;
             let engine = Engine::start(address, Duration::from_millis(30))?;
@@ -31,7 +34,8 @@
 
 fn ask(address: &str, statement: &str) -> Result<(), Box<dyn Error>> {
     let rid = SystemTime::now().duration_since(UNIX_EPOCH)?.as_nanos() as u64;
-    let comment = format!("/* method=point,rid={rid:016x},budget=2000,acct=water,est=12.0,mem=8 */");
+    let comment =
+        format!("/* method=point,rid={rid:016x},budget=2000,acct=water,est=12.0,mem=8 */");
     match Client::login(address.parse()?)?.ask(&format!("{comment} {statement}"))? {
         Answer::Rows(rows) => rows.iter().for_each(|row| println!("{}", row.join(" | "))),
         other => println!("{other:?}"),
