--- a/crates/control/src/leases.rs
+++ b/crates/control/src/leases.rs
@@ -1,7 +1,7 @@
 //! What holds the leases of one gateway.
 
 use admission::interface::{Moment, Span};
-use shares::Shares;
+use quota::Shares;
 
 use crate::Times;
 
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,4 +1,4 @@
-//! The control code of one gateway: membership (`crates/fleet`) and leases (`crates/shares`) composed. Pure: datagrams
+//! The control code of one gateway: membership (`crates/membership`) and leases (`crates/quota`) composed. Pure: datagrams
 //! and time in, datagrams, events and the next due time out. Nothing here does I/O.
 //!
 //! The gateway's process and the hollow gateways of the rig's scale run both drive this type over a UDP socket, so that
@@ -9,8 +9,8 @@
 use std::net::SocketAddr;
 
 use admission::interface::Moment;
-use fleet::{Datagram, Gateway, Refused};
-use shares::Who;
+use membership::{Datagram, Gateway, Refused};
+use quota::Who;
 
 pub use leases::Leases;
 
@@ -23,7 +23,7 @@
     pub steady: Moment,
 }
 
-/// Membership, and leases where budgets are divided among all gateways. `L` is what holds the leases: `shares::Shares`
+/// Membership, and leases where budgets are divided among all gateways. `L` is what holds the leases: `quota::Shares`
 /// itself, or the caller's own type around it.
 pub struct Control<L> {
     membership: Gateway,
--- a/crates/gateway/benches/list.rs
+++ b/crates/gateway/benches/list.rs
@@ -18,7 +18,7 @@
 use gateway::service::WAY;
 use serde_json::{Value, json};
 use settings::Settings;
-use toy::board::{event, target};
+use stand_ins::board::{event, target};
 
 const SIZES: [u32; 4] = [10, 100, 1_000, 3_100];
 const ROUNDS: usize = 15;
--- a/crates/gateway/benches/memory.rs
+++ b/crates/gateway/benches/memory.rs
@@ -12,9 +12,9 @@
 
 use fit::{Line, median, spread};
 use serde_json::{Value, json};
+use stand_ins::client::{Client, query_packet};
+use stand_ins::engine::{Engine, Mood};
 use support::*;
-use toy::client::{Client, query_packet};
-use toy::engine::{Engine, Mood};
 
 const ROUNDS: usize = 3;
 const SESSIONS: [usize; 6] = [0, 250, 500, 1_000, 2_000, 4_000];
--- a/crates/gateway/benches/work.rs
+++ b/crates/gateway/benches/work.rs
@@ -8,8 +8,8 @@
 
 use rustix::process::Signal;
 use serde_json::json;
+use stand_ins::client::Answer;
 use support::*;
-use toy::client::Answer;
 
 const CLIENTS: usize = 8;
 const EACH: usize = 1500;
@@ -32,7 +32,7 @@
     let asks = (0..CLIENTS).map(|client| {
         let listen = gateway.listen;
         thread::spawn(move || {
-            let mut own = toy::client::Client::login(listen).unwrap();
+            let mut own = stand_ins::client::Client::login(listen).unwrap();
             for n in 0..EACH {
                 let (rid, member) = (client * EACH + n, (client * 131 + n * 17) % count);
                 let fields = format!(
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -3,9 +3,9 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-use ::fleet::Name;
-use operator::{Callers, FleetTerms, Operator, OperatorError};
-use queues::Terms;
+use ::membership::Name;
+use operator_config::{Callers, FleetTerms, Operator, OperatorError};
+use scheduler::Terms;
 use serde_json::Value;
 use settings::{Settings, SettingsError};
 use thiserror::Error;
@@ -33,7 +33,7 @@
     #[error("{0}: shares.relays_per_s.{1}: the configuration knows no such product")]
     Product(String, String),
     #[error("{0}: fleet.name: the configuration's name cannot be taken: {1}")]
-    Name(String, ::fleet::who::NoName),
+    Name(String, ::membership::who::NoName),
 }
 
 /// The operator's file beside the configuration: what of it is in force at this gateway.
@@ -45,7 +45,7 @@
     /// Files and terms by which callers are known; nothing where they are not.
     pub callers: Option<Callers>,
     /// Budgets that are divided among all gateways; nothing where they are not.
-    pub shares: Option<::shares::Terms>,
+    pub shares: Option<::quota::Terms>,
     /// How gateways know each other, and this one's name; nothing where they don't.
     pub fleet: Option<(Name, FleetTerms)>,
 }
@@ -72,7 +72,7 @@
             }
         }
         // Divided among all, a budget is whole here: what of it is this gateway's is told as it changes.
-        let divided = |of: &::shares::Use| matches!(of, ::shares::Use::Member(_));
+        let divided = |of: &::quota::Use| matches!(of, ::quota::Use::Member(_));
         let divided = operator
             .shares
             .as_ref()
@@ -86,7 +86,7 @@
         let products = config.settings.product_names()?;
         let of = operator.shares.iter().flat_map(|terms| &terms.budgets);
         let unknown = of.filter_map(|budget| match &budget.of {
-            ::shares::Use::Relays(product) if !products.contains(product) => Some(product.clone()),
+            ::quota::Use::Relays(product) if !products.contains(product) => Some(product.clone()),
             _ => None,
         });
         if let Some(product) = unknown.into_iter().next() {
--- a/crates/gateway/src/fleet/files.rs
+++ b/crates/gateway/src/fleet/files.rs
@@ -5,7 +5,7 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-use ::fleet::{KeyError, Ring};
+use ::membership::{KeyError, Ring};
 use thiserror::Error;
 use zeroize::Zeroizing;
 
--- a/crates/gateway/src/fleet/mod.rs
+++ b/crates/gateway/src/fleet/mod.rs
@@ -10,11 +10,11 @@
 use std::rc::Rc;
 
 use ::control::{Control, Times};
-use ::fleet::{EngineWord, Event, Gateway, Name, State};
+use ::membership::{EngineWord, Event, Gateway, Name, State};
 use admission::interface::*;
 use calloop::generic::Generic;
 use calloop::{Interest, Mode, PostAction, RegistrationToken};
-use operator::FleetTerms;
+use operator_config::FleetTerms;
 use thiserror::Error;
 use tracing::{info, warn};
 
--- a/crates/gateway/src/fleet/parts.rs
+++ b/crates/gateway/src/fleet/parts.rs
@@ -2,8 +2,8 @@
 //! values, and spending counted where it happens.
 
 use ::control::Leases;
-use ::fleet::{Life, Name};
-use ::shares::{Event, Refused, Shares, Terms, Use, Who};
+use ::membership::{Life, Name};
+use ::quota::{Event, Refused, Shares, Terms, Use, Who};
 use admission::interface::*;
 use tracing::{info, warn};
 
@@ -190,7 +190,7 @@
         self.members.iter().any(Option::is_some)
     }
 
-    pub fn status(&mut self) -> (Moment, ::shares::Status) {
+    pub fn status(&mut self) -> (Moment, ::quota::Status) {
         let steady = self.clock.steady();
         (steady, self.shares.status(steady))
     }
--- a/crates/gateway/src/keywatch.rs
+++ b/crates/gateway/src/keywatch.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, SystemTime};
 
 use calloop::channel::{Channel, SyncSender, sync_channel};
-use operator::Callers;
+use operator_config::Callers;
 use rustls::ServerConfig;
 use rustls::pki_types::pem::PemObject;
 use rustls::pki_types::{CertificateDer, PrivateKeyDer};
--- a/crates/gateway/src/service/intake.rs
+++ b/crates/gateway/src/service/intake.rs
@@ -7,7 +7,7 @@
 use dispatch::Wants;
 use identity::grants::{Beyond, Request};
 use identity::token::Claims;
-use queues::DeskId;
+use scheduler::DeskId;
 
 use super::endings::denial;
 use super::{InFlight, OVERDUE_S, Service};
--- a/crates/gateway/src/service/mod.rs
+++ b/crates/gateway/src/service/mod.rs
@@ -13,7 +13,7 @@
 use bytes::Bytes;
 use dispatch::Dispatch;
 use identity::Guard;
-use queues::{Directory, Hall, Lines, Terms};
+use scheduler::{Directory, Hall, Lines, Terms};
 use settings::{Settings, SettingsError, Way};
 use tracing::{info, warn};
 
--- a/crates/gateway/src/status.rs
+++ b/crates/gateway/src/status.rs
@@ -1,9 +1,9 @@
 //! What waits, as rows: the same for the status query and for the command line that asks it.
 
-use ::fleet::{Gateway, Record};
-use ::shares::{Amount, Line, Status};
+use ::membership::{Gateway, Record};
+use ::quota::{Amount, Line, Status};
 use admission::interface::Moment;
-use queues::{DeskStatus, Estimate, StatementStatus};
+use scheduler::{DeskStatus, Estimate, StatementStatus};
 
 /// Columns of `SHOW QUEUE`.
 pub const DESKS: [&str; 10] = [
@@ -131,8 +131,9 @@
     heard: Option<Moment>,
     view: [String; 3],
 ) -> [String; FLEET.len()] {
-    let place =
-        |name: &Option<::fleet::Name>| name.as_ref().map_or("-".to_owned(), ToString::to_string);
+    let place = |name: &Option<::membership::Name>| {
+        name.as_ref().map_or("-".to_owned(), ToString::to_string)
+    };
     let ago = |at: Moment| format!("{:.1}", (now - at).secs());
     let [standing, digest, size] = view;
     [
--- a/crates/gateway/tests/codecs.rs
+++ b/crates/gateway/tests/codecs.rs
@@ -244,7 +244,7 @@
 #[test]
 fn logins_are_checked() {
     let login = |user: &str, password: &[u8], database: &str| {
-        packets::login(&toy::client::login_packet(user, password, database)[4..])
+        packets::login(&stand_ins::client::login_packet(user, password, database)[4..])
             .map_err(|denied| denied.0)
     };
     assert_eq!(login("app", b"", "warehouse"), Ok(()));
@@ -256,7 +256,7 @@
         Err(1043)
     );
     // Ordinary clients name capabilities that were not offered, and write nothing of them.
-    let mut eager = toy::client::login_packet("app", b"", "warehouse")[4..].to_vec();
+    let mut eager = stand_ins::client::login_packet("app", b"", "warehouse")[4..].to_vec();
     eager[2..4].copy_from_slice(&[0xff, 0x00]);
     assert_eq!(packets::login(&eager), Ok(()));
 }
--- a/crates/gateway/tests/connections.rs
+++ b/crates/gateway/tests/connections.rs
@@ -243,7 +243,7 @@
 #[test]
 fn the_last_look_before_all_sessions_are_shut_takes_what_has_come() {
     use gateway::clients::{Clients, News};
-    use toy::client::{login_packet, query_packet};
+    use stand_ins::client::{login_packet, query_packet};
     let event_loop: EventLoop<'static, Ready> = EventLoop::try_new().unwrap();
     let (now, mut counters) = (Moment::from_secs(1000.0), Counters::default());
     let mut clients = Clients::new(&event_loop.handle(), 8, 1 << 20, false, now);
--- a/crates/gateway/tests/endings.rs
+++ b/crates/gateway/tests/endings.rs
@@ -11,8 +11,8 @@
 
 use rustix::process::Signal;
 use serde_json::{Value, json};
-use toy::board::target;
-use toy::client::{Answer, Client, login_packet, packet, query_packet};
+use stand_ins::board::target;
+use stand_ins::client::{Answer, Client, login_packet, packet, query_packet};
 
 use support::clients::*;
 use support::script::{Asked, Link, Script, completed, delivered, reset, said};
@@ -826,7 +826,7 @@
 /// Nine in ten are to be ready within 10 s, whatever the notice board does: slow, silent, or down, and with no list yet.
 #[test]
 fn a_restart_is_ready_in_time_whatever_the_board_does() {
-    use toy::board::Mood;
+    use stand_ins::board::Mood;
     each(
         &[
             Some(Mood::Late),
--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -5,11 +5,11 @@
 use std::process::Command;
 use std::time::{Duration, Instant};
 
-use ::fleet::letter::{self, Body, Letter, View};
-use ::fleet::{EngineNews, EngineWord, Incarnation, Life, Name, Place, Record, Ring, State};
-use rig::fleet::{Fleet, Wanted, name};
+use ::membership::letter::{self, Body, Letter, View};
+use ::membership::{EngineNews, EngineWord, Incarnation, Life, Name, Place, Record, Ring, State};
+use process_harness::fleet::{Fleet, Wanted, name};
 use rustix::process::Signal;
-use toy::client::{Answer, Client};
+use stand_ins::client::{Answer, Client};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_laurelhitch");
 const SOON: Duration = Duration::from_secs(40);
@@ -80,7 +80,7 @@
     });
     cut_off.unwrap();
     serve(&fleet);
-    fleet.switch.faults(rig::switch::Faults::heal);
+    fleet.switch.faults(process_harness::switch::Faults::heal);
     fleet.settled(SOON, &fleet.everyone()).unwrap();
 }
 
@@ -101,7 +101,7 @@
     let old = fleet.shown(0).unwrap();
     assert!(old.heard_s.unwrap() > 2.0 && old.rows.len() == 4, "{old:?}");
     assert!(fleet.shown(1).unwrap().heard_s.unwrap() < old.heard_s.unwrap());
-    fleet.switch.faults(rig::switch::Faults::heal);
+    fleet.switch.faults(process_harness::switch::Faults::heal);
     fleet.settled(SOON, &fleet.everyone()).unwrap();
     assert!(fleet.shown(0).unwrap().heard_s.unwrap() < 5.0);
 }
@@ -113,7 +113,7 @@
     // As long as several rounds of probes and the longest suspicion of these paces.
     std::thread::sleep(secs(12));
     only_died(&fleet, &[]);
-    fleet.switch.faults(rig::switch::Faults::heal);
+    fleet.switch.faults(process_harness::switch::Faults::heal);
     fleet.settled(SOON, &fleet.everyone()).unwrap();
 }
 
@@ -322,7 +322,7 @@
     std::thread::sleep(secs(14));
     fleet
         .switch
-        .faults(|faults| *faults = rig::switch::Faults::none(6));
+        .faults(|faults| *faults = process_harness::switch::Faults::none(6));
     only_died(&fleet, &[]);
     fleet.settled(SOON, &fleet.everyone()).unwrap();
     let refused = |of: &str| -> i64 {
--- a/crates/gateway/tests/identity.rs
+++ b/crates/gateway/tests/identity.rs
@@ -14,9 +14,9 @@
 use rustix::process::Signal;
 use rustls::pki_types::{CertificateDer, ServerName};
 use rustls::{ClientConfig, ClientConnection, RootCertStore, StreamOwned};
+use stand_ins::client::{Client, login_packet, packet, query_packet};
+use stand_ins::engine::Engine;
 use support::*;
-use toy::client::{Client, login_packet, packet, query_packet};
-use toy::engine::Engine;
 
 /// A folder of keys and a certificate, and the command line that keeps them.
 struct Site {
@@ -218,7 +218,7 @@
     let mut plain = Client::open(gateway.listen, &login_packet("app", b"", "warehouse")).unwrap();
     assert!(matches!(
         plain.answer().unwrap(),
-        toy::client::Answer::Error(3159, _)
+        stand_ins::client::Answer::Error(3159, _)
     ));
     let forged = Site::new().token("k1", &[]);
     for bad in [&forged, "", "nonsense", &token[..token.len() - 3]] {
--- a/crates/gateway/tests/process.rs
+++ b/crates/gateway/tests/process.rs
@@ -12,9 +12,9 @@
 use rand_pcg::Pcg64Mcg;
 use rustix::process::Signal;
 use serde_json::{Value, json};
-use toy::board::{self, Board, target};
-use toy::client::{Answer, Client, login_packet, packet, query_packet};
-use toy::engine::{GARBAGE, Mood};
+use stand_ins::board::{self, Board, target};
+use stand_ins::client::{Answer, Client, login_packet, packet, query_packet};
+use stand_ins::engine::{GARBAGE, Mood};
 
 use support::*;
 
@@ -29,7 +29,7 @@
             "x".repeat(260)
         );
         let got = rows(client.ask(&commented(5000, &statement)).unwrap());
-        let want: String = toy::engine::pages(&statement).concat();
+        let want: String = stand_ins::engine::pages(&statement).concat();
         let want: Vec<Vec<String>> = want
             .lines()
             .map(|row| row.split('\t').map(String::from).collect())
--- a/crates/gateway/tests/queues.rs
+++ b/crates/gateway/tests/queues.rs
@@ -11,10 +11,10 @@
 
 use rustix::process::Signal;
 use serde_json::{Value, json};
+use stand_ins::board::target;
+use stand_ins::client::{Answer, Client, packet};
+use stand_ins::engine::Mood;
 use support::*;
-use toy::board::target;
-use toy::client::{Answer, Client, packet};
-use toy::engine::Mood;
 
 /// Two members and desks, budgets of which one engine of two cores has enough for some 25 statements a second each.
 const TEAMS: &str = r#"
@@ -190,7 +190,7 @@
 
 impl Asks for std::net::TcpStream {
     fn write_all_query(&mut self, text: &str) {
-        std::io::Write::write_all(self, &toy::client::query_packet(text)).unwrap();
+        std::io::Write::write_all(self, &stand_ins::client::query_packet(text)).unwrap();
     }
 }
 
@@ -203,7 +203,7 @@
         config["settings"]["Grades"][0]["GoalTimeS"] = json!(12.0);
     });
     // The capabilities of a MariaDB client: not marked as MySQL's, and further ones behind what is reserved.
-    let mut login = toy::client::login_packet("app", b"", "warehouse");
+    let mut login = stand_ins::client::login_packet("app", b"", "warehouse");
     login[4] &= !1;
     login[4 + 28] = 1;
     let mut asks: Vec<Client> = (0..12)
--- a/crates/gateway/tests/shares.rs
+++ b/crates/gateway/tests/shares.rs
@@ -8,10 +8,10 @@
 use std::thread::{JoinHandle, sleep};
 use std::time::{Duration, Instant};
 
-use rig::fleet::{Fleet, Part, Wanted, name};
+use process_harness::fleet::{Fleet, Part, Wanted, name};
 use rustix::process::Signal;
-use toy::client::Client;
-use toy::engine::{Engine, Mood};
+use stand_ins::client::Client;
+use stand_ins::engine::{Engine, Mood};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_laurelhitch");
 const SOON: Duration = Duration::from_secs(40);
@@ -255,7 +255,7 @@
                 parts.iter().all(|of| of[BUDGET].leased == 0.0)
             })
             .unwrap();
-        fleet.switch.faults(rig::switch::Faults::heal);
+        fleet.switch.faults(process_harness::switch::Faults::heal);
         fleet
             .until_parts(SOON, &fleet.everyone(), |parts| out(parts) > WHOLE * 0.99)
             .unwrap();
@@ -405,7 +405,7 @@
     held(&fleet, &flood.end(), WHOLE);
     fleet
         .switch
-        .faults(|faults| *faults = rig::switch::Faults::none(5));
+        .faults(|faults| *faults = process_harness::switch::Faults::none(5));
     fleet
         .until_parts(SOON, &fleet.everyone(), |parts| {
             stewards(parts) == 1 && out(parts) > WHOLE * 0.99
@@ -437,7 +437,7 @@
         })
         .unwrap();
     let _ = flood.end();
-    let named = |line: &rig::fleet::Line| {
+    let named = |line: &process_harness::fleet::Line| {
         line.fields["message"] == "shares: files differ; the smaller whole of a voter counts"
     };
     assert!(
@@ -472,7 +472,7 @@
     let (mut lines, mut held) = (0.0, 0.0);
     for at in &all {
         let mut client = Client::login(fleet.all[*at].listen).unwrap();
-        let toy::client::Answer::Rows(rows) = client.ask("SHOW QUEUE").unwrap() else {
+        let stand_ins::client::Answer::Rows(rows) = client.ask("SHOW QUEUE").unwrap() else {
             panic!("rows")
         };
         let water = rows.iter().find(|row| row[0] == "water").unwrap();
--- a/crates/gateway/tests/standing_terms.rs
+++ b/crates/gateway/tests/standing_terms.rs
@@ -11,8 +11,8 @@
 
 use rustix::process::Signal;
 use serde_json::{Value, json};
-use toy::board::{Board, Mood, target};
-use toy::client::{Client, login_packet, packet, query_packet};
+use stand_ins::board::{Board, Mood, target};
+use stand_ins::client::{Client, login_packet, packet, query_packet};
 
 use support::clients::*;
 use support::script::{Link, Script, said};
--- a/crates/gateway/tests/support/clients.rs
+++ b/crates/gateway/tests/support/clients.rs
@@ -6,7 +6,7 @@
 
 use rustix::process::Signal;
 use serde_json::{Value, json};
-use toy::client::{Client, login_packet, query_packet};
+use stand_ins::client::{Client, login_packet, query_packet};
 
 use super::script::{Asked, Link, Script, delivered, reset};
 use super::{Gateway, add_up, commented, millis};
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -15,9 +15,9 @@
 
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::{Value, json};
-use toy::board::{Board, target};
-use toy::client::{Answer, Client};
-use toy::engine::Engine;
+use stand_ins::board::{Board, target};
+use stand_ins::client::{Answer, Client};
+use stand_ins::engine::Engine;
 
 /// A gateway, ended with the test whatever became of it.
 pub struct Gateway {
--- a/crates/fleet/tests/bounded.rs
+++ b/crates/membership/tests/bounded.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddr;
 
 use admission::interface::Moment;
-use fleet::letter::{self, Body, Letter, View};
-use fleet::{Bounds, Gateway, Name, Place, Record, Ring, State, Terms};
+use membership::letter::{self, Body, Letter, View};
+use membership::{Bounds, Gateway, Name, Place, Record, Ring, State, Terms};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -288,7 +288,7 @@
 
 /// One that never was there, told by a single host.
 fn invented() -> Record {
-    let (life, incarnation) = (fleet::Life(7), fleet::Incarnation(1));
+    let (life, incarnation) = (membership::Life(7), membership::Incarnation(1));
     let (name, address) = (
         Name::new("g999").unwrap(),
         SocketAddr::from(([10, 0, 0, 200], 7946)),
@@ -387,7 +387,11 @@
         };
         let receiver = world.all[0].as_mut().unwrap();
         let refused = receiver.receive(now, by.address, &letter::seal(&ring(), &message));
-        assert_eq!(refused, Err(fleet::Refused::Form), "{first}, {buckets}");
+        assert_eq!(
+            refused,
+            Err(membership::Refused::Form),
+            "{first}, {buckets}"
+        );
         assert_eq!(receiver.tally.refused_form, at as u64 + 1);
     }
     world.run(5.0);
@@ -446,7 +450,7 @@
         by.address,
         &letter::seal(&ring(), &message),
     );
-    assert_eq!(refused, Err(fleet::Refused::Form));
+    assert_eq!(refused, Err(membership::Refused::Form));
 }
 
 /// The fleet that tells one of its gateways that a living one is dead, by four hosts, while the two don't reach each other;
--- a/crates/fleet/tests/hostile.rs
+++ b/crates/membership/tests/hostile.rs
@@ -3,8 +3,10 @@
 use std::net::SocketAddr;
 
 use admission::interface::{Moment, Span};
-use fleet::letter::{self, Body, Letter, Nonce, View};
-use fleet::{Bounds, Gateway, Incarnation, Life, Name, Place, Record, Refused, Ring, State, Terms};
+use membership::letter::{self, Body, Letter, Nonce, View};
+use membership::{
+    Bounds, Gateway, Incarnation, Life, Name, Place, Record, Refused, Ring, State, Terms,
+};
 use quickcheck::{QuickCheck, TestResult};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
--- a/crates/fleet/tests/letters.rs
+++ b/crates/membership/tests/letters.rs
@@ -1,6 +1,6 @@
 //! Which letters of a sender were seen before.
 
-use fleet::letter::Seen;
+use membership::letter::Seen;
 
 #[test]
 fn each_counter_counts_once_within_the_window() {
--- a/crates/fleet/tests/life.rs
+++ b/crates/membership/tests/life.rs
@@ -5,8 +5,8 @@
 use std::net::SocketAddr;
 
 use admission::interface::Moment;
-use fleet::letter;
-use fleet::{Bounds, Gateway, Name, Place, Ring, Terms};
+use membership::letter;
+use membership::{Bounds, Gateway, Name, Place, Ring, Terms};
 use stateright::{Checker, Model, Property};
 
 const KEY: [u8; 32] = [7; 32];
@@ -292,7 +292,7 @@
     assert!(search(false, 2).1);
 }
 
-/// `cargo test -p laurelhitch-fleet --release -- --ignored`.
+/// `cargo test -p laurelhitch-membership --release -- --ignored`.
 #[test]
 #[ignore = "long"]
 fn the_same_for_five() {
--- a/crates/operator/src/fleet_block.rs
+++ b/crates/operator_config/src/fleet_block.rs
@@ -4,7 +4,7 @@
 use std::path::PathBuf;
 
 use admission::interface::Span;
-use fleet::{Bounds, Name, Place, Terms};
+use membership::{Bounds, Name, Place, Terms};
 use serde::Deserialize;
 
 use crate::{Fault, fault, yes};
--- a/crates/operator/src/lib.rs
+++ b/crates/operator_config/src/lib.rs
@@ -88,11 +88,11 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Operator {
     /// Budgets of all gateways together.
-    pub queues: Option<queues::Terms>,
+    pub queues: Option<scheduler::Terms>,
     pub identity: Option<Callers>,
     pub fleet: Option<FleetTerms>,
     /// Budgets that are divided among all; only where gateways know each other.
-    pub shares: Option<shares::Terms>,
+    pub shares: Option<quota::Terms>,
 }
 
 impl Operator {
--- a/crates/operator/src/queues_block.rs
+++ b/crates/operator_config/src/queues_block.rs
@@ -4,7 +4,7 @@
 
 use admission::interface::Span;
 use ipnet::IpNet;
-use queues::{Bound, Claim, DeskTerms, MemberTerms, Terms};
+use scheduler::{Bound, Claim, DeskTerms, MemberTerms, Terms};
 use serde::Deserialize;
 
 use crate::{Fault, fault, within, yes};
--- a/crates/operator/src/shares_block.rs
+++ b/crates/operator_config/src/shares_block.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeMap;
 
 use admission::interface::Span;
-use fleet::Name;
+use membership::Name;
+use quota::{Amount, Budget, Terms, TermsError, Use};
 use serde::Deserialize;
-use shares::{Amount, Budget, Terms, TermsError, Use};
 
 use crate::{Fault, fault, within, yes};
 
@@ -36,7 +36,7 @@
     ///
     /// # Errors
     /// A field that cannot be used, or contradicts another.
-    pub fn terms(self, queues: Option<&queues::Terms>) -> Result<Option<Terms>, Fault> {
+    pub fn terms(self, queues: Option<&scheduler::Terms>) -> Result<Option<Terms>, Fault> {
         let number = |name, value, default, least, most| {
             within(&["shares", name], value, default, least, most)
         };
@@ -96,7 +96,7 @@
             renew: span("renew_ms", self.renew_ms, 500.0)?,
             drift_ppm: (number("drift", self.drift, 0.01, 0.0, 0.2)? * 1e6) as u32,
             burst: span("burst_ms", self.burst_ms, 2000.0)?,
-            faults: shares::Faults::default(),
+            faults: quota::Faults::default(),
         };
         terms.check().map_err(|why| {
             let field = match &why {
--- a/crates/operator/tests/file.rs
+++ b/crates/operator_config/tests/file.rs
@@ -2,7 +2,7 @@
 
 use std::path::Path;
 
-use operator::Operator;
+use operator_config::Operator;
 
 const GOOD: &str = r#"
 queues {
@@ -215,7 +215,10 @@
     };
     assert_eq!(bounds(""), None);
     assert_eq!(bounds("  bounded = false\n"), None);
-    assert_eq!(bounds("  bounded = true\n"), Some(fleet::Bounds::default()));
+    assert_eq!(
+        bounds("  bounded = true\n"),
+        Some(membership::Bounds::default())
+    );
     let set =
         bounds("  bounded = true\n  confirmations = 3\n  gossip_bytes_per_s = 900\n").unwrap();
     assert_eq!((set.confirmations, set.gossip_bytes_per_s), (3, 900.0));
--- a/crates/rig/src/fleet.rs
+++ b/crates/process_harness/src/fleet.rs
@@ -12,8 +12,8 @@
 use client::{Answer, Client};
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::{Value, json};
-use toy::board::{Board, target};
-use toy::engine::Engine;
+use stand_ins::board::{Board, target};
+use stand_ins::engine::Engine;
 
 use crate::switch::Switch;
 
@@ -157,7 +157,7 @@
         let rig = RIGS.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
         let process = std::process::id();
         let (run, half) = ((process % 50) as u8, (rig as u8) << 1);
-        let folder = std::env::temp_dir().join(format!("laurelhitch-rig-{process}-{rig}"));
+        let folder = std::env::temp_dir().join(format!("laurelhitch-harness-{process}-{rig}"));
         std::fs::create_dir_all(folder.join("keys"))?;
         let engines: io::Result<Vec<Engine>> = (0..wanted.engines)
             .map(|_| Engine::start("127.0.0.1:0", wanted.engine_delay))
--- a/crates/rig/src/main.rs
+++ b/crates/process_harness/src/main.rs
@@ -3,9 +3,9 @@
 use std::process::ExitCode;
 
 use clap::{Args, Parser, Subcommand};
-use rig::fleet::{Fleet, Wanted, name};
-use rig::scale::{self, Options};
-use rig::script::Script;
+use process_harness::fleet::{Fleet, Wanted, name};
+use process_harness::scale::{self, Options};
+use process_harness::script::Script;
 
 /// Plays faults between several gateway processes on loopback.
 #[derive(Parser)]
@@ -60,7 +60,7 @@
     /// Budgets divided by leases among all.
     #[arg(long, default_value_t = 24)]
     budgets: usize,
-    /// Faults, in HCL: see examples/rig.
+    /// Faults, in HCL: see examples/harness.
     #[arg(long)]
     faults: Option<PathBuf>,
     /// Where the figures go.
@@ -181,7 +181,7 @@
     match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("laurelhitch-rig: {error}");
+            eprintln!("laurelhitch-harness: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/rig/src/scale/hollow.rs
+++ b/crates/process_harness/src/scale/hollow.rs
@@ -5,11 +5,11 @@
 
 use admission::interface::Moment;
 use control::{Control, Times};
-use fleet::{Event, Gateway, Name, Place, Ring};
-use operator::FleetTerms;
+use membership::{Event, Gateway, Name, Place, Ring};
+use operator_config::FleetTerms;
+use quota::{Shares, Who};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use shares::{Shares, Who};
 
 use super::layout::Layout;
 use super::links::Links;
@@ -25,7 +25,7 @@
 pub struct Plan {
     pub layout: Layout,
     pub fleet: FleetTerms,
-    pub shares: Option<shares::Terms>,
+    pub shares: Option<quota::Terms>,
     pub seed: u64,
 }
 
@@ -149,7 +149,7 @@
             .unwrap_or_default();
         let chosen = leases
             .iter()
-            .any(|event| matches!(event, shares::Event::Chosen(_)));
+            .any(|event| matches!(event, quota::Event::Chosen(_)));
         self.usage.cpu_s += process::thread_cpu_s() - began;
         Happened { events, chosen }
     }
--- a/crates/rig/src/scale/worker.rs
+++ b/crates/process_harness/src/scale/worker.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 
 use admission::interface::Moment;
-use fleet::{Event, State};
+use membership::{Event, State};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use rustix::event::{Timespec, epoll};
@@ -77,8 +77,10 @@
 
 impl Worker {
     fn new(setup: Setup) -> Result<Worker, Box<dyn std::error::Error>> {
-        let operator =
-            operator::Operator::parse(Path::new("operator's file of the run"), &setup.operator)?;
+        let operator = operator_config::Operator::parse(
+            Path::new("operator's file of the run"),
+            &setup.operator,
+        )?;
         let fleet = operator
             .fleet
             .ok_or("the operator's file has no fleet block")?;
--- a/crates/rig/tests/scale_parts.rs
+++ b/crates/process_harness/tests/scale_parts.rs
@@ -3,13 +3,13 @@
 use std::collections::BTreeSet;
 use std::path::Path;
 
-use rig::scale::layout::{Layout, RealAddress, VOTERS};
-use rig::scale::limits::{self, LimitError};
-use rig::scale::links::Links;
-use rig::scale::report::Spread;
-use rig::scale::script::Script;
-use rig::scale::truth::{GRACE_S, Truth};
-use rig::scale::workers::{MOST_A_PROCESS, parts};
+use process_harness::scale::layout::{Layout, RealAddress, VOTERS};
+use process_harness::scale::limits::{self, LimitError};
+use process_harness::scale::links::Links;
+use process_harness::scale::report::Spread;
+use process_harness::scale::script::Script;
+use process_harness::scale::truth::{GRACE_S, Truth};
+use process_harness::scale::workers::{MOST_A_PROCESS, parts};
 
 fn layout(hollow: usize) -> Layout {
     let real = |at: u16| RealAddress {
@@ -109,7 +109,7 @@
 
 #[test]
 fn the_examples_can_be_used_and_faults_last_no_longer_than_until_the_next() {
-    let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/rig");
+    let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/harness");
     for name in ["small", "ends", "network", "coordinator"] {
         let script = Script::read(&folder.join(format!("scale-{name}.hcl"))).unwrap();
         assert!(!script.fault.is_empty());
--- a/crates/rig/tests/support/mod.rs
+++ b/crates/process_harness/tests/support/mod.rs
@@ -9,7 +9,7 @@
 
 use serde_json::Value;
 
-const RIG: &str = env!("CARGO_BIN_EXE_laurelhitch-rig");
+const RIG: &str = env!("CARGO_BIN_EXE_laurelhitch-harness");
 /// The gateway's program, built beside the rig's whenever the workspace's tests are.
 pub fn gateway() -> PathBuf {
     let program = Path::new(RIG).with_file_name("laurelhitch");
@@ -23,7 +23,7 @@
 
 pub fn example(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR"))
-        .join("../../examples/rig")
+        .join("../../examples/harness")
         .join(name)
 }
 
@@ -41,7 +41,7 @@
         .unwrap_or_else(|| panic!("{path} in {of:#}"))
 }
 
-/// What a run with this script of `examples/rig` reports.
+/// What a run with this script of `examples/harness` reports.
 pub fn scale_report(script: &str, arguments: &[&str]) -> Value {
     static RUNS: AtomicUsize = AtomicUsize::new(0);
     let run = format!(
--- a/crates/shares/src/core.rs
+++ b/crates/quota/src/core.rs
@@ -2,7 +2,7 @@
 //! on this; what is saved and spent on it stands in `ledger`.
 
 use admission::interface::{Moment, Span};
-use fleet::Name;
+use membership::Name;
 
 use crate::amount::Amount;
 use crate::holder::Holder;
--- a/crates/shares/src/holder.rs
+++ b/crates/quota/src/holder.rs
@@ -1,7 +1,7 @@
 //! A gateway's own lease: what it may spend beyond its floors, until when, and whom it asks for more.
 
 use admission::interface::{Moment, Span};
-use fleet::Name;
+use membership::Name;
 
 use crate::amount::Amount;
 use crate::terms::Terms;
--- a/crates/shares/src/office.rs
+++ b/crates/quota/src/office.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use admission::interface::{Moment, Span};
-use fleet::Name;
+use membership::Name;
 
 use crate::amount::Amount;
 use crate::divide::divide;
--- a/crates/shares/src/terms.rs
+++ b/crates/quota/src/terms.rs
@@ -1,7 +1,7 @@
 //! What the operator says of the budgets, checked.
 
 use admission::interface::Span;
-use fleet::Name;
+use membership::Name;
 use sha2::{Digest, Sha256};
 use thiserror::Error;
 
--- a/crates/shares/src/word.rs
+++ b/crates/quota/src/word.rs
@@ -1,6 +1,6 @@
-//! What gateways say to each other of budgets: carried, signed and kept from repeating by `crates/fleet`.
+//! What gateways say to each other of budgets: carried, signed and kept from repeating by `crates/membership`.
 
-use fleet::{Life, Name};
+use membership::{Life, Name};
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
--- a/crates/shares/tests/divide.rs
+++ b/crates/quota/tests/divide.rs
@@ -1,7 +1,7 @@
 //! How a whole is divided by need.
 
-use shares::Amount;
-use shares::divide::divide;
+use quota::Amount;
+use quota::divide::divide;
 
 #[test]
 fn parts_meet_needs_and_never_exceed_the_whole() {
--- a/crates/shares/tests/random.rs
+++ b/crates/quota/tests/random.rs
@@ -3,9 +3,9 @@
 mod world;
 
 use quickcheck::{Gen, QuickCheck};
+use quota::{Amount, Bucket, Faults};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use shares::{Amount, Bucket, Faults};
 use world::{DRIFT_PPM, Way, World, terms, well};
 
 /// One fleet's life: what went wrong with it, if anything.
@@ -108,7 +108,7 @@
     }
 }
 
-/// `cargo test -p laurelhitch-shares --release --test random -- --ignored`.
+/// `cargo test -p laurelhitch-quota --release --test random -- --ignored`.
 #[test]
 #[ignore = "long"]
 fn the_same_for_two_thousand() {
--- a/crates/shares/tests/search.rs
+++ b/crates/quota/tests/search.rs
@@ -5,7 +5,7 @@
 
 use std::hash::{Hash, Hasher};
 
-use shares::Faults;
+use quota::Faults;
 use stateright::{Checker, Model, Property};
 use world::{DRIFT_PPM, Way, World, terms, well};
 
@@ -163,8 +163,7 @@
         world.start_all();
         // One wants it all, one some of it, one nothing.
         for (at, wants) in [20.0, 4.0, 0.0].into_iter().enumerate() {
-            world.slots[at].needs =
-                vec![shares::Amount::of(wants), shares::Amount::of(wants / 3.0)];
+            world.slots[at].needs = vec![quota::Amount::of(wants), quota::Amount::of(wants / 3.0)];
         }
         world.run(12.0, STEP_S, &mut well);
         vec![State {
@@ -313,7 +312,7 @@
     }
 }
 
-/// `cargo test -p laurelhitch-shares --release --test search -- --ignored --nocapture`.
+/// `cargo test -p laurelhitch-quota --release --test search -- --ignored --nocapture`.
 #[test]
 #[ignore = "long"]
 fn the_same_for_four_troubles() {
--- a/crates/shares/tests/world/mod.rs
+++ b/crates/quota/tests/world/mod.rs
@@ -3,8 +3,8 @@
 #![allow(dead_code)]
 
 use admission::interface::{Moment, Span};
-use fleet::{Life, Name};
-use shares::{Amount, Budget, Core, Faults, Terms, Use, Who};
+use membership::{Life, Name};
+use quota::{Amount, Budget, Core, Faults, Terms, Use, Who};
 
 /// Far beyond what clocks do, so that what drift undoes is undone within a search.
 pub const DRIFT_PPM: i64 = 100_000;
@@ -223,7 +223,7 @@
                 .unwrap();
             let now = self.clock(to);
             if let Some(core) = &mut self.slots[to].core
-                && let Ok(word) = shares::word::Word::read(&flying.bytes)
+                && let Ok(word) = quota::word::Word::read(&flying.bytes)
             {
                 let _ = core.receive(now, &flying.from, word);
                 self.pump(to, way);
--- a/crates/queues/benches/lines.rs
+++ b/crates/scheduler/benches/lines.rs
@@ -5,9 +5,9 @@
 
 use admission::interface::*;
 use criterion::{BatchSize, BenchmarkId, Criterion, criterion_group, criterion_main};
-use queues::lines::Entry;
-use queues::order::Need;
-use queues::*;
+use scheduler::lines::Entry;
+use scheduler::order::Need;
+use scheduler::*;
 
 const WAITING: u64 = 100_000;
 
--- a/crates/queues/src/budget.rs
+++ b/crates/scheduler/src/budget.rs
@@ -1,7 +1,7 @@
 //! One team's account: what it is owed, and its part of what others leave.
 
 use admission::interface::{Moment, Span};
-use shares::Bucket;
+use quota::Bucket;
 
 use crate::terms::Claim;
 
--- a/crates/queues/tests/hall.rs
+++ b/crates/scheduler/tests/hall.rs
@@ -5,10 +5,10 @@
 use admission::interface::*;
 use admission::policy::Policy;
 use dispatch::{Dispatch, Pick, Wants};
-use queues::*;
 use quickcheck::{Gen, QuickCheck};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
+use scheduler::*;
 
 fn span(secs: f64) -> Span {
     Span::from_secs(secs)
--- a/crates/queues/tests/lines.rs
+++ b/crates/scheduler/tests/lines.rs
@@ -4,12 +4,12 @@
 use std::collections::BTreeMap;
 
 use admission::interface::*;
-use queues::lines::{Entered, Entry, Offer};
-use queues::order::{Arena, Frontier, Need, Root};
-use queues::*;
 use quickcheck::{Gen, QuickCheck};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
+use scheduler::lines::{Entered, Entry, Offer};
+use scheduler::order::{Arena, Frontier, Need, Root};
+use scheduler::*;
 
 fn at(secs: f64) -> Moment {
     Moment::from_secs(1000.0 + secs)
--- a/crates/lab/examples/membership.rs
+++ b/crates/simulator/examples/membership.rs
@@ -2,8 +2,8 @@
 
 use std::time::Instant;
 
-use fleet::{Bounds, Gateway, Name, Place, Ring, Terms};
-use lab::mesh::{KEY, Mesh, address, name};
+use membership::{Bounds, Gateway, Name, Place, Ring, Terms};
+use simulator::mesh::{KEY, Mesh, address, name};
 
 const SEED: u64 = 61;
 
@@ -198,7 +198,7 @@
                     .iter()
                     .filter(|death| death.false_one && death.at > healed)
                     .collect();
-                let other = |death: &&&lab::mesh::Death| death.by % 2 != death.of % 2;
+                let other = |death: &&&simulator::mesh::Death| death.by % 2 != death.of % 2;
                 let mut subjects: Vec<usize> = false_ones.iter().map(|death| death.of).collect();
                 subjects.sort_unstable();
                 subjects.dedup();
--- a/crates/lab/src/control/command.rs
+++ b/crates/simulator/src/control/command.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use clap::{Args, ValueEnum};
-use fleet::Terms;
+use membership::Terms;
 use serde::{Deserialize, Serialize};
 
 use crate::control::coordinator::{self, Change, ChangeSpent};
--- a/crates/lab/src/control/coordinator.rs
+++ b/crates/simulator/src/control/coordinator.rs
@@ -1,5 +1,5 @@
 //! A change of the coordinator of divided budgets, by the number of holders. Its computing takes no simulated time here,
-//! so that the times are those of the protocol alone; what it computes is measured by `crates/shares/benches`.
+//! so that the times are those of the protocol alone; what it computes is measured by `crates/quota/benches`.
 
 use std::time::Duration;
 
@@ -170,7 +170,7 @@
     let now = admission::interface::Moment::from_secs(mesh.now);
     mesh.lives()
         .into_iter()
-        .take(shares::terms::MOST_VOTERS)
+        .take(quota::terms::MOST_VOTERS)
         .find(|at| {
             mesh.peer(*at)
                 .is_some_and(|peer| peer.peer.shares.core().is_steward(peer.peer.clock(now)))
--- a/crates/lab/src/control/ledger.rs
+++ b/crates/simulator/src/control/ledger.rs
@@ -5,14 +5,14 @@
 use std::time::Duration;
 
 use admission::interface::{Moment, Span};
-use fleet::letter::{self, Body, Letter, View};
-use fleet::{Incarnation, Life, Name, Place, Record, Ring, State};
+use membership::letter::{self, Body, Letter, View};
+use membership::{Incarnation, Life, Name, Place, Record, Ring, State};
+use quota::core::Core;
+use quota::word::{Ask, Count, Need, Word};
+use quota::{Amount, Budget, Terms, Use, Who};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use serde::Serialize;
-use shares::core::Core;
-use shares::word::{Ask, Count, Need, Word};
-use shares::{Amount, Budget, Terms, Use, Who};
 
 use crate::control::limits::{Ended, Limits, Watch};
 use crate::control::measured::thread_cpu;
@@ -21,7 +21,7 @@
 
 /// What all holders together want of a budget, as a multiple of it: it is short.
 const WANTED: f64 = 1.3;
-/// Questions a renewal of a holder whose needs move all the time, see `shares::core`.
+/// Questions a renewal of a holder whose needs move all the time, see `quota::core`.
 pub const MOST_QUESTIONS_A_RENEWAL: f64 = 4.0;
 /// Datagrams sealed and opened to measure what one takes.
 const FRAMES: u32 = 2000;
--- a/crates/lab/src/control/measured.rs
+++ b/crates/simulator/src/control/measured.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use admission::interface::Moment;
-use fleet::Datagram;
+use membership::Datagram;
 use rustix::time::{ClockId, clock_gettime};
 
 use crate::mesh::Peer;
--- a/crates/lab/src/control/membership.rs
+++ b/crates/simulator/src/control/membership.rs
@@ -4,8 +4,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use fleet::letter::{self, Body};
-use fleet::{Gateway, Name, Ring, Terms};
+use membership::letter::{self, Body};
+use membership::{Gateway, Name, Ring, Terms};
 use serde::{Deserialize, Serialize};
 
 use crate::control::limits::{Ended, Limits, Watch, resident_bytes};
--- a/crates/lab/src/front.rs
+++ b/crates/simulator/src/front.rs
@@ -5,7 +5,7 @@
 
 use admission::interface::*;
 use dispatch::{Dispatch, Pick, Tick, Verdict, Wants};
-use queues::{DeskId, Hall, Lines, Terms, Wait};
+use scheduler::{DeskId, Hall, Lines, Terms, Wait};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Policy {
--- a/crates/lab/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -2,11 +2,11 @@
 use std::process::ExitCode;
 
 use clap::{Parser, Subcommand};
-use lab::control;
-use lab::front::Policy;
-use lab::play::{Outcome, Play};
-use lab::scenario::{Budgets, Scenario};
-use lab::{mesh, parts};
+use simulator::control;
+use simulator::front::Policy;
+use simulator::play::{Outcome, Play};
+use simulator::scenario::{Budgets, Scenario};
+use simulator::{mesh, parts};
 
 /// Emulates a deployment in simulated time, around the real decisions.
 #[derive(Parser)]
@@ -167,7 +167,7 @@
                 std::fs::write(json, serde_json::to_string_pretty(&outcome.figures)? + "\n")?;
             }
             if let Some(path) = waits {
-                let line = |t: &lab::figures::Told| {
+                let line = |t: &simulator::figures::Told| {
                     format!(
                         "{:.6},{},{},{},{:.6},{:.6},{:.6}\n",
                         t.at, t.gateway, t.desk, t.product, t.told, t.p90, t.real
@@ -180,7 +180,7 @@
                 )?;
             }
             if let Some(folder) = plot {
-                lab::plot::draw(&outcome, &folder)?;
+                simulator::plot::draw(&outcome, &folder)?;
             }
             Ok(kept(&outcome))
         }
@@ -231,7 +231,7 @@
             );
             for count in gateways.split(',') {
                 let count: usize = count.trim().parse()?;
-                let terms = fleet::Terms::default;
+                let terms = membership::Terms::default;
                 let wanted = |name: &str| way.as_deref().is_none_or(|way| way == name);
                 let mut all = Vec::new();
                 if wanted("fleet") {
@@ -325,11 +325,11 @@
     match run() {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => {
-            eprintln!("laurelhitch-lab: a rule was broken");
+            eprintln!("laurelhitch-simulator: a rule was broken");
             ExitCode::FAILURE
         }
         Err(error) => {
-            eprintln!("laurelhitch-lab: {error}");
+            eprintln!("laurelhitch-simulator: {error}");
             ExitCode::from(2)
         }
     }
--- a/crates/lab/src/mesh.rs
+++ b/crates/simulator/src/mesh.rs
@@ -1,4 +1,4 @@
-//! Hundreds of gateways that know each other, in simulated time: the code of `crates/fleet` itself, and two plainer ways
+//! Hundreds of gateways that know each other, in simulated time: the code of `crates/membership` itself, and two plainer ways
 //! of our own to compare with, between the same faults of network and processes, drawn from the same seed.
 
 use std::cmp::Reverse;
@@ -6,7 +6,7 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
 use admission::interface::{Moment, Span};
-use fleet::{Datagram, Event as Told, Gateway, Name, Place, Ring, Standing, State, Terms};
+use membership::{Datagram, Event as Told, Gateway, Name, Place, Ring, Standing, State, Terms};
 use rand::seq::SliceRandom;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
--- a/crates/lab/src/parts.rs
+++ b/crates/simulator/src/parts.rs
@@ -1,14 +1,14 @@
-//! Budgets divided among hundreds of gateways, in simulated time: the code of `crates/shares` itself between the faults of
+//! Budgets divided among hundreds of gateways, in simulated time: the code of `crates/quota` itself between the faults of
 //! `mesh`, with work that wants to be spent, beside two plainer ways on the same work.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 
 use admission::interface::{Moment, Span};
-use fleet::{Datagram, Life};
+use membership::{Datagram, Life};
+use quota::{Amount, Bucket, Budget, Faults, Shares, Terms, Use, Who};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use shares::{Amount, Bucket, Budget, Faults, Shares, Terms, Use, Who};
 
 use crate::mesh::{Mesh, Peer, address, name, number};
 
@@ -119,7 +119,7 @@
 
     fn take_out(&mut self) -> Vec<Datagram> {
         let life = self.life.to_le_bytes();
-        let datagram = |letter: shares::Letter| {
+        let datagram = |letter: quota::Letter| {
             let at: usize = letter.to.as_str()[1..]
                 .parse()
                 .expect("a gateway of the lab");
@@ -147,8 +147,8 @@
 }
 
 /// Budgets of these members, for so many gateways.
-pub fn members(of: &[queues::MemberTerms], most: usize) -> Terms {
-    let budget = |member: &queues::MemberTerms| {
+pub fn members(of: &[scheduler::MemberTerms], most: usize) -> Terms {
+    let budget = |member: &scheduler::MemberTerms| {
         let whole = Amount::of(member.claim.budget);
         let floor = Amount((whole.0 as f64 * 0.2 / most as f64) as u64);
         Budget {
--- a/crates/lab/src/play.rs
+++ b/crates/simulator/src/play.rs
@@ -17,9 +17,9 @@
 use std::collections::BTreeMap;
 
 use admission::interface::*;
-use queues::Directory;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
+use scheduler::Directory;
 
 use self::connections::Connections;
 use self::coordination::Usage;
@@ -61,7 +61,7 @@
     connections: Connections,
     /// By engine: the part of its answers that is lost.
     lost_answers: Vec<f64>,
-    health_mesh: Option<Mesh<fleet::Gateway>>,
+    health_mesh: Option<Mesh<membership::Gateway>>,
     lease_mesh: Option<Mesh<Part>>,
     /// By gateway and tenant: what its queues had used when budgets were last divided.
     usage: Vec<Vec<Usage>>,
@@ -268,7 +268,10 @@
 }
 
 /// The queues of one gateway: the file's budgets are of all gateways together.
-fn gateway_terms(scenario: &Scenario, site_terms: Option<&queues::Terms>) -> Option<queues::Terms> {
+fn gateway_terms(
+    scenario: &Scenario,
+    site_terms: Option<&scheduler::Terms>,
+) -> Option<scheduler::Terms> {
     let share = match scenario.budgets {
         Budgets::Guess => 1.0 / scenario.gateways as f64,
         Budgets::Even | Budgets::Leases => 1.0,
@@ -291,7 +294,7 @@
 }
 
 /// The scenario's tenants, with what its queues guarantee them.
-fn tenants(scenario: &Scenario, site_terms: Option<&queues::Terms>) -> Vec<Tenant> {
+fn tenants(scenario: &Scenario, site_terms: Option<&scheduler::Terms>) -> Vec<Tenant> {
     let tenant = |name: &String| {
         let settings =
             site_terms.and_then(|terms| terms.members.iter().find(|of| of.name == *name));
--- a/crates/lab/src/play/coordination.rs
+++ b/crates/simulator/src/play/coordination.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use admission::interface::*;
-use queues::Hall;
+use scheduler::Hall;
 
 use super::events::Event;
 use super::{Emulation, moment};
@@ -20,21 +20,21 @@
 pub(super) type Usage = (f64, f64);
 
 /// The mesh in which gateways exchange engine health, where the scenario has one.
-pub(super) fn health_mesh(scenario: &Scenario, seed: u64) -> Option<Mesh<fleet::Gateway>> {
+pub(super) fn health_mesh(scenario: &Scenario, seed: u64) -> Option<Mesh<membership::Gateway>> {
     if !scenario.fleet {
         return None;
     }
     Some(mesh::gateways(
         scenario.gateways,
         seed,
-        fleet::Terms::default(),
+        membership::Terms::default(),
     ))
 }
 
 /// The mesh in which gateways lease tenants' budgets, where the scenario divides them so.
 pub(super) fn lease_mesh(
     scenario: &Scenario,
-    queue_terms: Option<&queues::Terms>,
+    queue_terms: Option<&scheduler::Terms>,
     seed: u64,
 ) -> Option<Mesh<Part>> {
     let queue_terms = queue_terms.filter(|_| scenario.budgets == Budgets::Leases)?;
@@ -144,23 +144,23 @@
 
 /// Tells the others of new or longer ejections, and of those that are over.
 fn publish_ejections(
-    peer: &mut fleet::Gateway,
+    peer: &mut membership::Gateway,
     mesh_now: Moment,
     published: &BTreeMap<EngineId, Moment>,
     ejections: &BTreeMap<EngineId, Moment>,
 ) {
     for (id, until) in ejections {
         if published.get(id).is_none_or(|told| told < until) {
-            peer.saw(mesh_now, &id.0.to_string(), fleet::EngineWord::Bad);
+            peer.saw(mesh_now, &id.0.to_string(), membership::EngineWord::Bad);
         }
     }
     for id in published.keys().filter(|id| !ejections.contains_key(id)) {
-        peer.saw(mesh_now, &id.0.to_string(), fleet::EngineWord::Back);
+        peer.saw(mesh_now, &id.0.to_string(), membership::EngineWord::Back);
     }
 }
 
 /// Doubts about engines that a gateway heard from others, in the time of the run.
-fn heard_doubts(peer: &mut fleet::Gateway, mesh_now: Moment) -> Vec<EngineDoubt> {
+fn heard_doubts(peer: &mut membership::Gateway, mesh_now: Moment) -> Vec<EngineDoubt> {
     let head_start = Span::from_secs(MESH_HEAD_START_S);
     let run_time = |mesh_time: Moment| mesh_time + (Span::ZERO - head_start);
     let heard = peer.doubted(mesh_now).into_iter().filter_map(|doubt| {
--- a/crates/lab/src/play/requests.rs
+++ b/crates/simulator/src/play/requests.rs
@@ -1,9 +1,9 @@
 //! Clients' requests of one run, drawn before anything is decided, so that every policy meets the same ones.
 
-use queues::{DeskId, Directory};
 use rand::{RngExt, SeedableRng};
 use rand_distr::{Distribution, Exp, StandardNormal};
 use rand_pcg::Pcg64Mcg;
+use scheduler::{DeskId, Directory};
 
 use crate::scenario::{Kind, Product, Scenario, Trouble};
 
--- a/crates/lab/src/play/statements.rs
+++ b/crates/simulator/src/play/statements.rs
@@ -2,8 +2,8 @@
 
 use admission::interface::*;
 use dispatch::{Pick, Wants};
-use queues::{DeskId, Wait};
 use rand::RngExt;
+use scheduler::{DeskId, Wait};
 
 use super::events::Event;
 use super::requests::Request;
--- a/crates/lab/src/scenario.rs
+++ b/crates/simulator/src/scenario.rs
@@ -45,7 +45,7 @@
     pub traffic: BTreeMap<String, BTreeMap<String, Traffic>>,
     #[serde(default)]
     pub script: BTreeMap<String, Several<Trouble>>,
-    pub queues: Option<operator::QueuesBlock>,
+    pub queues: Option<operator_config::QueuesBlock>,
 }
 
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
@@ -334,7 +334,7 @@
         Ok(all)
     }
 
-    pub fn terms(&self) -> Result<Option<queues::Terms>, String> {
+    pub fn terms(&self) -> Result<Option<scheduler::Terms>, String> {
         let Some(block) = self.queues.clone() else {
             return Ok(None);
         };
--- a/crates/lab/tests/cases.rs
+++ b/crates/simulator/tests/cases.rs
@@ -1,9 +1,9 @@
 //! The hard cases of waiting work in simulated time, with the real decisions: each by name, some seeds, no rule broken.
 
-use lab::figures::Figures;
-use lab::front::Policy;
-use lab::play::Play;
-use lab::scenario::Scenario;
+use simulator::figures::Figures;
+use simulator::front::Policy;
+use simulator::play::Play;
+use simulator::scenario::Scenario;
 
 /// Three members before four engines at some three quarters of what they can do; scripts are added.
 const SITE: &str = r#"
--- a/crates/lab/tests/control.rs
+++ b/crates/simulator/tests/control.rs
@@ -2,12 +2,12 @@
 
 use std::time::Duration;
 
-use fleet::Terms;
-use lab::control::coordinator;
-use lab::control::fit::{Line, Power, Shape};
-use lab::control::ledger;
-use lab::control::limits::{Ended, Limits};
-use lab::control::membership::{self, Counted, Plan, Situation};
+use membership::Terms;
+use simulator::control::coordinator;
+use simulator::control::fit::{Line, Power, Shape};
+use simulator::control::ledger;
+use simulator::control::limits::{Ended, Limits};
+use simulator::control::membership::{self, Counted, Plan, Situation};
 
 const LIMITS: Limits = Limits {
     real_time: Duration::from_secs(60),
@@ -147,7 +147,7 @@
         "a head and a code: {first:?}"
     );
     assert!(
-        first.longest_question_bytes <= fleet::gateway::LONGEST_CARRIED,
+        first.longest_question_bytes <= membership::gateway::LONGEST_CARRIED,
         "{first:?}"
     );
     assert_eq!(ledger::measure(&plan).0, first);
--- a/crates/lab/tests/figures.rs
+++ b/crates/simulator/tests/figures.rs
@@ -1,6 +1,6 @@
 //! The lab's own figures, against sums done by hand.
 
-use lab::figures::fair;
+use simulator::figures::fair;
 
 #[test]
 fn fair_shares_fill_up_what_is_owed_and_lend_the_rest_by_weight() {
--- a/crates/lab/tests/fleet.rs
+++ b/crates/simulator/tests/fleet.rs
@@ -3,12 +3,12 @@
 use std::collections::BTreeSet;
 
 use admission::interface::{Moment, Span};
-use fleet::letter;
-use fleet::{
+use membership::letter;
+use membership::{
     EngineNews, EngineWord, Gateway, Incarnation, Life, Name, Place, Record, Ring, Standing, State,
     Terms,
 };
-use lab::mesh::{self, KEY, Mesh, address, gateways, name};
+use simulator::mesh::{self, KEY, Mesh, address, gateways, name};
 
 fn started(count: usize, seed: u64) -> Mesh<Gateway> {
     started_by(count, seed, Terms::default())
--- a/crates/lab/tests/fleet_bounded.rs
+++ b/crates/simulator/tests/fleet_bounded.rs
@@ -1,9 +1,9 @@
 //! Membership with limits on what it sends, in simulated time: what it takes while much happens at once.
 
-use fleet::{Bounds, Gateway, Terms};
-use lab::mesh::{self, Mesh, gateways};
+use membership::{Bounds, Gateway, Terms};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
+use simulator::mesh::{self, Mesh, gateways};
 
 /// Sent by one gateway a second in the mean, at most, whatever happens: half of 6 KB in both directions together, less some for
 /// leases.
--- a/crates/lab/tests/mass.rs
+++ b/crates/simulator/tests/mass.rs
@@ -3,13 +3,13 @@
 
 use std::path::Path;
 
-use lab::figures::Figures;
-use lab::front::Policy;
-use lab::play::Play;
-use lab::scenario::Scenario;
+use simulator::figures::Figures;
+use simulator::front::Policy;
+use simulator::play::Play;
+use simulator::scenario::Scenario;
 
 fn scenario(name: &str) -> Scenario {
-    let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/lab");
+    let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/simulator");
     Scenario::read(&folder.join(format!("{name}.hcl"))).unwrap()
 }
 
--- a/crates/lab/tests/shares.rs
+++ b/crates/simulator/tests/shares.rs
@@ -1,7 +1,7 @@
 //! The hard cases of divided budgets at 20 and 300 gateways in simulated time, over the very code: the sum of what all may
 //! spend is looked at every 50 ms, and what was spent in every window of a second.
 
-use lab::parts::{Part, STEP_S, WHOLE, Way, Work, parts, terms, times};
+use simulator::parts::{Part, STEP_S, WHOLE, Way, Work, parts, terms, times};
 
 /// So many that want more than there is, and hold all of it.
 fn started(count: usize, seed: u64) -> Work {
--- a/examples/rig/scale-coordinator.hcl
+++ b/examples/harness/scale-coordinator.hcl
@@ -1,6 +1,6 @@
 # The process of the coordinator of the leases is stopped for 20 s, later killed and started again after 5 s; then all end
 # and start within one second.
-#   laurelhitch-rig scale --hollow 1898 --real 2 --regions 4 --zones 8 --seconds 60 --faults examples/rig/scale-coordinator.hcl
+#   laurelhitch-harness scale --hollow 1898 --real 2 --regions 4 --zones 8 --seconds 60 --faults examples/harness/scale-coordinator.hcl
 seconds = 130
 
 fault {
--- a/examples/rig/scale-ends.hcl
+++ b/examples/harness/scale-ends.hcl
@@ -1,6 +1,6 @@
 # What ends at the users' size: one gateway, a rack of 40 at one instant, a day's failures and restarts in 144 s (600 times
 # the daily rate), a zone.
-#   laurelhitch-rig scale --hollow 1898 --real 2 --regions 4 --zones 8 --seconds 60 --faults examples/rig/scale-ends.hcl
+#   laurelhitch-harness scale --hollow 1898 --real 2 --regions 4 --zones 8 --seconds 60 --faults examples/harness/scale-ends.hcl
 seconds = 190
 
 fault {
--- a/examples/rig/scale-hard-network.hcl
+++ b/examples/harness/scale-hard-network.hcl
@@ -1,6 +1,6 @@
 # The hard cases that CI plays with limits on what gateways send, second part: a third of all datagrams lost, two regions apart,
 # all started again within a second, a zone. Paces are four times as fast as the defaults.
-#   laurelhitch-rig scale --hollow 40 --real 4 --regions 2 --zones 4 --seconds 16 --faults examples/rig/scale-hard-network.hcl
+#   laurelhitch-harness scale --hollow 40 --real 4 --regions 2 --zones 4 --seconds 16 --faults examples/harness/scale-hard-network.hcl
 seconds = 68
 block   = "bounded = true\n  period_ms = 250\n  answer_ms = 110\n  hold_ms = 500"
 
--- a/examples/rig/scale-network.hcl
+++ b/examples/harness/scale-network.hcl
@@ -1,5 +1,5 @@
 # A third of all datagrams lost, then two regions that do not reach each other for 2 minutes while both reach the others.
-#   laurelhitch-rig scale --hollow 1898 --real 2 --regions 4 --zones 8 --seconds 60 --faults examples/rig/scale-network.hcl
+#   laurelhitch-harness scale --hollow 1898 --real 2 --regions 4 --zones 8 --seconds 60 --faults examples/harness/scale-network.hcl
 seconds = 250
 
 fault {
--- a/examples/rig/scale-size.hcl
+++ b/examples/harness/scale-size.hcl
@@ -1,6 +1,6 @@
 # The hard cases at the users' size, one after another on one fleet: a rack of 40, a third of all datagrams lost for 30 s, two
 # regions that do not reach each other for 2 minutes, the coordinator's process killed and started again, a zone.
-#   laurelhitch-rig scale --hollow 1898 --real 2 --regions 4 --zones 8 --seconds 200 --budgets 1 --faults examples/rig/scale-size.hcl
+#   laurelhitch-harness scale --hollow 1898 --real 2 --regions 4 --zones 8 --seconds 200 --budgets 1 --faults examples/harness/scale-size.hcl
 seconds = 410
 
 fault {
--- a/examples/rig/scale-small.hcl
+++ b/examples/harness/scale-small.hcl
@@ -1,5 +1,5 @@
 # The faults of the small scale run that CI plays: one rack of five. Paces are four times as fast as the defaults.
-#   laurelhitch-rig scale --hollow 60 --real 2 --regions 2 --zones 4 --seconds 8 --faults examples/rig/scale-small.hcl
+#   laurelhitch-harness scale --hollow 60 --real 2 --regions 2 --zones 4 --seconds 8 --faults examples/harness/scale-small.hcl
 seconds = 10
 block   = "period_ms = 250\n  answer_ms = 110\n  hold_ms = 500"
 
--- a/examples/toy/src/main.rs
+++ b/examples/stand_ins/src/main.rs
@@ -1,5 +1,5 @@
-//! `laurelhitch-toy serve CONFIG` plays the notice board and all engines that a configuration knows;
-//! `laurelhitch-toy ask ADDRESS STATEMENT` sends one statement through a gateway and prints its rows.
+//! `laurelhitch-stand-ins serve CONFIG` plays the notice board and all engines that a configuration knows;
+//! `laurelhitch-stand-ins ask ADDRESS STATEMENT` sends one statement through a gateway and prints its rows.
 
 use std::error::Error;
 use std::process::ExitCode;
@@ -7,9 +7,9 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use serde_json::Value;
-use toy::board::Board;
-use toy::client::{Answer, Client};
-use toy::engine::Engine;
+use stand_ins::board::Board;
+use stand_ins::client::{Answer, Client};
+use stand_ins::engine::Engine;
 
 fn serve(path: &str) -> Result<(), Box<dyn Error>> {
     let config: Value = serde_json::from_slice(&std::fs::read(path)?)?;
@@ -49,12 +49,12 @@
     let done = match words[..] {
         ["serve", path] => serve(path),
         ["ask", address, statement] => ask(address, statement),
-        _ => Err("usage: laurelhitch-toy serve CONFIG | ask ADDRESS STATEMENT".into()),
+        _ => Err("usage: laurelhitch-stand-ins serve CONFIG | ask ADDRESS STATEMENT".into()),
     };
     match done {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("laurelhitch-toy: {error}");
+            eprintln!("laurelhitch-stand-ins: {error}");
             ExitCode::FAILURE
         }
     }
