--- a/crates/admission/src/policy.rs
+++ b/crates/admission/src/policy.rs
@@ -1,7 +1,7 @@
 //! Every decision, table and tuned value of laurelhitch. It is called like a client library, on one thread:
-//! `place` (where to send this statement, or not yet, or never), `after` (what to do after this outcome; a
-//! progress note leaves the relay out), `pause` (how long to wait), and told facts. The caller keeps statements
-//! and timers and asks again by `Place`, on any change and when the pause is over. Reasons: docs/design.md.
+//! `position` (where to send this statement, or not yet, or never), `after` (what to do after this outcome; a
+//! progress note leaves the attempt out), `pause` (how long to wait), and told facts. The caller keeps statements
+//! and timers and asks again by `QueuePosition`, on any change and when the pause is over. Reasons: docs/design.md.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -25,7 +25,7 @@
 const LEAST: f64 = 0.5;
 /// Part of this gateway's share of an engine's memory that running statements may need: estimates scatter.
 const MEMORY: f64 = 0.85;
-/// Part of its hard limit that a statement may be held, in all waits between two relays.
+/// Part of its deadline that a statement may be held, in all waits between two attempts.
 const HOLD: f64 = 0.05;
 /// Demand is smoothed over this time, by bands each of whose statements cost twice those of the one before.
 const DEMAND_S: f64 = 5.0;
@@ -42,25 +42,25 @@
 /// Predicts CPU seconds by fingerprint. Emptied by the eviction of the one unused longest.
 struct Costs {
     /// Smoothed true CPU and estimate, and when it was last used.
-    prints: BTreeMap<(ProductId, GroupId), (f64, f64, u64)>,
-    /// Slow mean of true CPU by product: the usual work, for cold engines and statements with no estimate.
+    prints: BTreeMap<(ClassId, TableGroupId), (f64, f64, u64)>,
+    /// Slow mean of true CPU by query class: the usual work, for cold engines and statements with no estimate.
     usual: Vec<(f64, f64)>,
     uses: u64,
 }
 
 impl Costs {
-    /// An unseen fingerprint borrows the others' median k, first of the same product: estimates lie so.
+    /// An unseen fingerprint borrows the others' median k, first of the same query class: estimates lie so.
     fn predict(&self, s: &Statement) -> f64 {
         let others = |own: bool| {
             let of = self
                 .prints
                 .iter()
-                .filter(|(print, _)| !own || print.0 == s.product);
+                .filter(|(print, _)| !own || print.0 == s.class);
             median(of.map(|(_, (cpu, estimate, _))| cpu / estimate).collect())
         };
         let seen = self
             .prints
-            .get(&(s.product, s.group))
+            .get(&(s.class, s.group))
             .map(|(cpu, estimate, _)| cpu / estimate);
         let k = seen
             .or_else(|| others(true))
@@ -80,12 +80,12 @@
         self.uses += 1;
         let cost = self
             .prints
-            .entry((s.product, s.group))
+            .entry((s.class, s.group))
             .or_insert((seen, estimate, self.uses));
         let smooth = |old: f64, seen: f64| old + SMOOTH * (seen - old);
         *cost = (smooth(cost.0, seen), smooth(cost.1, estimate), self.uses);
-        let (mean, seen) = self.usual[s.product.0];
-        self.usual[s.product.0] = (
+        let (mean, seen) = self.usual[s.class.0];
+        self.usual[s.class.0] = (
             mean + (cpu.min(1e4) - mean) / (seen + 1.0),
             (seen + 1.0).min(199.0),
         );
@@ -100,7 +100,7 @@
 
 fn estimate(s: &Statement) -> f64 {
     s.estimate
-        .map(Span::secs)
+        .map(TimeDelta::secs)
         .filter(|e| *e > 0.0)
         .unwrap_or(1.0)
 }
@@ -116,7 +116,7 @@
     latency: f64,
     cpu: f64,
     best: Option<f64>,
-    at: Option<Moment>,
+    at: Option<Timestamp>,
 }
 
 impl Lag {
@@ -125,7 +125,7 @@
     /// The best is forgotten at this rate, or one lucky spell would look like a jam for ever after.
     const FORGET_PER_S: f64 = 0.005;
 
-    fn fade(&mut self, now: Moment) {
+    fn fade(&mut self, now: Timestamp) {
         let gone = (now - self.at.replace(now).unwrap_or(now)).secs().max(0.0);
         let keep = (-gone / Self::MEMORY_S).exp();
         (self.latency, self.cpu) = (self.latency * keep, self.cpu * keep);
@@ -134,7 +134,7 @@
             .map(|best| best * (1.0 + Self::FORGET_PER_S * gone));
     }
 
-    fn saw(&mut self, now: Moment, thread_s: f64, cpu: f64) {
+    fn saw(&mut self, now: Timestamp, thread_s: f64, cpu: f64) {
         self.fade(now);
         (self.latency, self.cpu) = (self.latency + thread_s, self.cpu + cpu);
         let seen = self.latency / self.cpu.max(1e-9);
@@ -160,11 +160,11 @@
 #[derive(Clone, Default)]
 struct Health {
     failures: f64,
-    due: Option<Moment>,
-    benched_until: Option<Moment>,
+    due: Option<Timestamp>,
+    ejected_until: Option<Timestamp>,
     bench: f64,
-    trial: Option<StatementId>,
-    worked: Option<Moment>,
+    outlier_probe: Option<StatementId>,
+    worked: Option<Timestamp>,
     hearsay: bool,
 }
 
@@ -176,22 +176,22 @@
     memory_mb: f64,
     held_mb: f64,
     left: Vec<f64>,
-    filled: Moment,
+    filled: Timestamp,
     bound: f64,
-    cut: Moment,
+    cut: Timestamp,
     threads: [f64; 4],
-    /// Rank, threads, memory of relays given up that may run on, until their likely end in a jam.
-    ghosts: Vec<(Moment, u8, f64, f64)>,
+    /// Rank, threads, memory of attempts given up that may run on, until their likely end in a jam.
+    ghosts: Vec<(Timestamp, u8, f64, f64)>,
     lag: Lag,
 }
 
 impl Books {
-    fn new(now: Moment, cores: f64, memory_mb: f64, products: usize) -> Self {
+    fn new(now: Timestamp, cores: f64, memory_mb: f64, classes: usize) -> Self {
         Books {
             cores,
             memory_mb,
             held_mb: 0.0,
-            left: vec![f64::INFINITY; products],
+            left: vec![f64::INFINITY; classes],
             filled: now,
             bound: cores.max(1.0),
             cut: now,
@@ -202,9 +202,10 @@
     }
 
     /// Running threads as one of this rank meets them: light ones need not wait for what yields to them.
-    fn running(&self, rank: u8) -> f64 {
-        let met =
-            |of: usize, threads: f64| threads * (WEIGHTS[of] / WEIGHTS[rank as usize & 3]).min(1.0);
+    fn running(&self, priority: u8) -> f64 {
+        let met = |of: usize, threads: f64| {
+            threads * (WEIGHTS[of] / WEIGHTS[priority as usize & 3]).min(1.0)
+        };
         self.threads
             .iter()
             .enumerate()
@@ -216,7 +217,7 @@
         self.cores * share * BURST_S
     }
 
-    fn fill(&mut self, now: Moment, warmth: f64, demand: &[Demand]) {
+    fn fill(&mut self, now: Timestamp, warmth: f64, demand: &[Demand]) {
         let gone = (now - self.filled).secs().max(0.0);
         self.filled = now;
         self.lag.fade(now);
@@ -238,20 +239,26 @@
         self.left[p] = (self.left[p] - predicted).max(floor);
     }
 
-    fn run(&mut self, rank: u8, threads: f64, memory_mb: f64) {
-        let running = &mut self.threads[rank as usize & 3];
+    fn run(&mut self, priority: u8, threads: f64, memory_mb: f64) {
+        let running = &mut self.threads[priority as usize & 3];
         *running = (*running + threads).max(0.0);
         self.held_mb = (self.held_mb + memory_mb).max(0.0);
     }
 
-    fn lay_ghosts(&mut self, now: Moment) {
+    fn lay_ghosts(&mut self, now: Timestamp) {
         let over: Vec<_> = self.ghosts.extract_if(.., |ghost| ghost.0 <= now).collect();
         over.into_iter()
-            .for_each(|(_, rank, threads, mb)| self.run(rank, -threads, -mb));
+            .for_each(|(_, priority, threads, mb)| self.run(priority, -threads, -mb));
     }
 
     /// The thread bound follows latency per CPU second, and only an outcome that met the bound may widen it.
-    fn widen_or_shrink(&mut self, now: Moment, over: f64, threads: f64, (least, most): (f64, f64)) {
+    fn widen_or_shrink(
+        &mut self,
+        now: Timestamp,
+        over: f64,
+        threads: f64,
+        (least, most): (f64, f64),
+    ) {
         if over <= NEAR && self.running(0) + threads >= self.bound * 0.7 {
             self.bound = (self.bound + 0.15 * threads).min((self.cores * most).max(1.0));
         } else if over > JAMMED && (now - self.cut).secs() > 0.5 {
@@ -262,27 +269,31 @@
 
 #[derive(Clone)]
 struct Engine {
-    fact: EngineFact,
+    fact: EngineInfo,
     books: Books,
     out: u32,
     health: Health,
     cold_left: f64,
     waiting: f64,
-    /// Connections there as far as own relays tell, and when one was last taken.
-    linked: (u32, Option<Moment>),
+    /// Connections there as far as own attempts tell, and when one was last taken.
+    linked: (u32, Option<Timestamp>),
 }
 
 impl Engine {
     /// Failed answers in a row, or none when one was due, take the engine out for a spell that doubles.
-    fn bench(&mut self, now: Moment) {
+    fn bench(&mut self, now: Timestamp) {
         self.health.bench = (self.health.bench * 2.0).clamp(1.0, 8.0);
-        self.health.benched_until = Some(now + Span::from_secs(self.health.bench));
-        (self.health.trial, self.health.due, self.health.failures) = (None, None, 0.0);
+        self.health.ejected_until = Some(now + TimeDelta::from_secs(self.health.bench));
+        (
+            self.health.outlier_probe,
+            self.health.due,
+            self.health.failures,
+        ) = (None, None, 0.0);
         self.health.hearsay = false;
     }
 
-    /// Connections that stand; some time is left for the way, or the engine's close would cross a relay.
-    fn linked(&self, now: Moment, idle: Span) -> u32 {
+    /// Connections that stand; some time is left for the way, or the engine's close would cross an attempt.
+    fn linked(&self, now: Timestamp, idle: TimeDelta) -> u32 {
         let (most, taken) = self.linked;
         if taken.is_some_and(|taken| (now - taken).secs() < idle.secs() * 0.7) {
             most
@@ -291,8 +302,8 @@
         }
     }
 
-    fn heard(&mut self, now: Moment, pace: f64) {
-        self.health.due = (self.out > 0).then(|| now + Span::from_secs(pace));
+    fn heard(&mut self, now: Timestamp, pace: f64) {
+        self.health.due = (self.out > 0).then(|| now + TimeDelta::from_secs(pace));
     }
 }
 
@@ -301,21 +312,21 @@
 struct Turn {
     line: VecDeque<StatementId>,
     out: Option<StatementId>,
-    rest_until: Option<Moment>,
+    rest_until: Option<Timestamp>,
 }
 
-/// Rule 7 and own rations: number, statements taken and relays by slice; slices leave as the window passes.
+/// Rule 7 and own retry_budgets: number, statements taken and attempts by slice; slices leave as the window passes.
 struct Spent {
-    terms: Ration,
+    terms: RetryBudget,
     slices: VecDeque<(i64, f64, f64)>,
 }
 
 impl Spent {
     const SLICES: i64 = 20;
 
-    fn slice(&mut self, now: Moment) -> &mut (i64, f64, f64) {
+    fn slice(&mut self, now: Timestamp) -> &mut (i64, f64, f64) {
         let slice_s = (self.terms.window.secs() / Self::SLICES as f64).max(1e-3);
-        let at = ((now - Moment::from_secs(0.0)).secs() / slice_s).floor() as i64;
+        let at = ((now - Timestamp::from_secs(0.0)).secs() / slice_s).floor() as i64;
         self.slices.retain(|s| s.0 >= at - Self::SLICES);
         if self.slices.back().is_none_or(|s| s.0 < at) {
             self.slices.push_back((at, 0.0, 0.0));
@@ -323,25 +334,25 @@
         self.slices.back_mut().expect("just pushed")
     }
 
-    /// The oldest slice lies partly outside the window: its relays count, its statements do not.
-    fn room(&mut self, now: Moment) -> bool {
+    /// The oldest slice lies partly outside the window: its attempts count, its statements do not.
+    fn room(&mut self, now: Timestamp) -> bool {
         let at = self.slice(now).0;
-        let relays: f64 = self.slices.iter().map(|s| s.2).sum();
+        let attempts: f64 = self.slices.iter().map(|s| s.2).sum();
         let taken: f64 = self
             .slices
             .iter()
             .filter(|s| s.0 > at - Self::SLICES)
             .map(|s| s.1)
             .sum();
-        relays + 1.0 <= self.terms.free + self.terms.share * taken
+        attempts + 1.0 <= self.terms.min_retries + self.terms.ratio * taken
     }
 }
 
-/// Predicted CPU seconds and gain asked for a second, smoothed, and the product's share of each engine.
+/// Predicted CPU seconds and gain asked for a second, smoothed, and the query class's share of each engine.
 #[derive(Default)]
 struct Demand {
     cpu: f64,
-    gain: f64,
+    priority_weight: f64,
     share: f64,
     bands: [(f64, f64); BANDS],
 }
@@ -349,57 +360,57 @@
 struct Tenant {
     left: f64,
     rate: f64,
-    at: Option<Moment>,
+    at: Option<Timestamp>,
 }
 
 pub struct Policy {
     rng: Pcg64Mcg,
-    products: Vec<Product>,
+    classes: Vec<QueryClass>,
     demand: Vec<Demand>,
-    demand_at: Option<Moment>,
+    demand_at: Option<Timestamp>,
     delivered: f64,
     price: f64,
-    tenancy: Tenancy,
+    tenancy: TenantQuotas,
     tenants: Vec<Tenant>,
     lopsided: f64,
-    fleet: Fleet,
-    cold: Option<ColdStart>,
-    relaying: Relaying,
+    fleet: FleetConfig,
+    cold: Option<SlowStart>,
+    retry_policy: RetryPolicy,
     costs: Costs,
     needs: Vec<(f64, f64)>,
     engines: BTreeMap<EngineId, Engine>,
     whole: Books,
     turns: BTreeMap<OrderKey, Turn>,
-    rations: Vec<Spent>,
-    /// Trials of benched engines, or a small gateway would spend its traffic on them.
-    trials: Spent,
-    listing: Listing,
-    allowed: Allowed,
+    retry_budgets: Vec<Spent>,
+    /// Trials of ejected engines, or a small gateway would spend its traffic on them.
+    outlier_probes: Spent,
+    discovery: DiscoveryMode,
+    allowed: QuotaGrant,
     /// When the engine list was last asked for, and how soon it is again unless an answer comes.
-    asked: (Option<Moment>, f64),
+    asked: (Option<Timestamp>, f64),
 }
 
 impl Policy {
     pub fn new(
         seed: u64,
-        products: Vec<Product>,
-        tenancy: Tenancy,
-        fleet: Fleet,
-        cold: Option<ColdStart>,
-        relaying: Relaying,
-        listing: Listing,
+        classes: Vec<QueryClass>,
+        tenancy: TenantQuotas,
+        fleet: FleetConfig,
+        cold: Option<SlowStart>,
+        retry_policy: RetryPolicy,
+        discovery: DiscoveryMode,
     ) -> Self {
-        let share = 1.0 / products.len().max(1) as f64;
-        // Retries must not feed a jam, so the module sets a ration of its own beside the stated one.
-        let own = Ration {
-            free: 5.0,
-            share: 0.2,
-            window: Span::from_secs(10.0),
+        let share = 1.0 / classes.len().max(1) as f64;
+        // Retries must not feed a jam, so the module sets a retry_budget of its own beside the stated one.
+        let own = RetryBudget {
+            min_retries: 5.0,
+            ratio: 0.2,
+            window: TimeDelta::from_secs(10.0),
         };
-        let rations = [own].into_iter().chain(relaying.ration);
+        let retry_budgets = [own].into_iter().chain(retry_policy.retry_budget);
         Policy {
             rng: Pcg64Mcg::seed_from_u64(seed),
-            demand: products
+            demand: classes
                 .iter()
                 .map(|_| Demand {
                     share,
@@ -410,7 +421,7 @@
             delivered: 0.0,
             price: 0.0,
             tenants: tenancy
-                .allowances
+                .quotas
                 .iter()
                 .map(|a| Tenant {
                     left: *a,
@@ -420,72 +431,74 @@
                 .collect(),
             costs: Costs {
                 prints: BTreeMap::new(),
-                usual: vec![(0.0, 0.0); products.len()],
+                usual: vec![(0.0, 0.0); classes.len()],
                 uses: 0,
             },
-            needs: vec![(1.0, 1.0); products.len()],
+            needs: vec![(1.0, 1.0); classes.len()],
             engines: BTreeMap::new(),
-            whole: Books::new(Moment::from_secs(0.0), 0.0, 0.0, products.len()),
+            whole: Books::new(Timestamp::from_secs(0.0), 0.0, 0.0, classes.len()),
             turns: BTreeMap::new(),
-            trials: Spent {
-                terms: Ration {
-                    free: 1.0,
-                    share: 0.05,
+            outlier_probes: Spent {
+                terms: RetryBudget {
+                    min_retries: 1.0,
+                    ratio: 0.05,
                     ..own
                 },
                 slices: VecDeque::new(),
             },
-            rations: rations
+            retry_budgets: retry_budgets
                 .map(|terms| Spent {
                     terms,
                     slices: VecDeque::new(),
                 })
                 .collect(),
-            listing,
-            allowed: Allowed::default(),
+            discovery,
+            allowed: QuotaGrant::default(),
             asked: (None, 0.0),
-            products,
+            classes,
             tenancy,
             lopsided: 1.0,
             fleet,
             cold,
-            relaying,
+            retry_policy,
         }
     }
 
-    pub fn place(&mut self, now: Moment, s: &Statement) -> Answer {
-        let Some(place) = s.place else {
-            return Answer::NotYet(self.take(now, s));
+    pub fn place(&mut self, now: Timestamp, s: &Statement) -> Placement {
+        let Some(position) = s.queue_position else {
+            return Placement::Queue(self.take(now, s));
         };
-        if s.relays.iter().any(|r| r.state == RelayState::Out) {
-            return Answer::NotYet(place);
+        if s.attempts.iter().any(|r| r.state == AttemptState::InFlight) {
+            return Placement::Queue(position);
         }
-        let product = &self.products[s.product.0];
-        let (predicted, left) = (self.costs.predict(s), (s.hard_limit - now).secs());
+        let class = &self.classes[s.class.0];
+        let (predicted, left) = (self.costs.predict(s), (s.deadline - now).secs());
         let (_, spare) = self.spare(now, s, predicted);
         let too_late = self.repeat_until(s).is_some_and(|until| until <= now);
-        let hopeless =
-            left < 0.03 || s.relays.len() >= self.relaying.most.max(1) || spare < 0.0 || too_late;
-        let (hold, turn) = (product.hard_limit.secs() * HOLD, self.in_turn(now, s));
-        if hopeless || !s.relays.is_empty() && !self.may_relay_again(now, s.product) {
+        let hopeless = left < 0.03
+            || s.attempts.len() >= self.retry_policy.max_attempts.max(1)
+            || spare < 0.0
+            || too_late;
+        let (hold, turn) = (class.time_limit.secs() * HOLD, self.ordered_by_key(now, s));
+        if hopeless || !s.attempts.is_empty() && !self.may_relay_again(now, s.class) {
             return self.give_up(now, s);
         }
-        if turn && let Some(id) = self.choose(now, s, place, predicted) {
+        if turn && let Some(id) = self.choose(now, s, position, predicted) {
             return self.send(now, s, id, predicted);
         }
         // One that waits for its key's turn keeps waiting: its place there beats an early no.
-        let held = (now - s.held_since).secs();
+        let held = (now - s.waiting_since).secs();
         if (turn && held >= hold) || left < 0.05 {
             self.give_up(now, s)
         } else {
-            Answer::NotYet(place)
+            Placement::Queue(position)
         }
     }
 
-    /// How much longer it may wait for its quoted time, and to be of use at all. An answer that comes when it earns
+    /// How much longer it may wait for its latency objective, and to be of use at all. An answer that comes when it earns
     /// nothing only takes cores from those that still can.
-    fn spare(&self, now: Moment, s: &Statement, predicted: f64) -> (f64, f64) {
-        let (product, left) = (&self.products[s.product.0], (s.hard_limit - now).secs());
+    fn spare(&self, now: Timestamp, s: &Statement, predicted: f64) -> (f64, f64) {
+        let (class, left) = (&self.classes[s.class.0], (s.deadline - now).secs());
         let best = median(
             self.engines
                 .values()
@@ -493,58 +506,59 @@
                 .collect(),
         )
         .unwrap_or(1.0);
-        let alone = predicted / product.threads * best;
-        let quoted_left = left.min(quoted(product, predicted) - (now - s.taken).secs());
-        let useful = if product.late_gain > 0.0 {
+        let alone = predicted / class.threads * best;
+        let quoted_left = left.min(latency_objective(class, predicted) - (now - s.received).secs());
+        let useful = if class.late_priority_weight > 0.0 {
             left
         } else {
             quoted_left
         };
-        let expected = predicted / product.threads * self.whole.lag.now().unwrap_or(best).max(best);
+        let expected = predicted / class.threads * self.whole.lag.now().unwrap_or(best).max(best);
         (quoted_left - expected, useful - alone * 0.5)
     }
 
     /// What it would take, and how long it may wait for that: for a queue ahead. Nothing changes by asking.
-    pub fn forecast(&self, now: Moment, s: &Statement) -> Forecast {
+    pub fn forecast(&self, now: Timestamp, s: &Statement) -> Forecast {
         let predicted = self.costs.predict(s);
         let (full, useful) = self.spare(now, s, predicted);
-        let useful = useful.min((s.hard_limit - now).secs() - 0.05);
-        let [full_until, useful_until] =
-            [full.min(useful), useful].map(|left| now + Span::from_secs(left));
+        let useful = useful.min((s.deadline - now).secs() - 0.05);
+        let [objective_until, useful_until] =
+            [full.min(useful), useful].map(|left| now + TimeDelta::from_secs(left));
         Forecast {
-            cpu: Span::from_secs(predicted),
+            cpu: TimeDelta::from_secs(predicted),
             memory_mb: self.need_mb(s),
-            full_until,
+            objective_until,
             useful_until,
         }
     }
 
-    /// A queue ahead has no room for it, or would hold it too long: denied as ever, with when to come back.
-    pub fn turn_away(&mut self, now: Moment, s: &Statement, back: Span) -> Answer {
-        let Answer::Deny { come_back } = self.give_up(now, s) else {
-            return Answer::Scrap;
+    /// A queue ahead has no room for it, or would hold it too long: rejected as ever, with when to come back.
+    pub fn reject(&mut self, now: Timestamp, s: &Statement, back: TimeDelta) -> Placement {
+        let Placement::Reject { retry_after } = self.give_up(now, s) else {
+            return Placement::Fail;
         };
-        Answer::Deny {
-            come_back: come_back.map(|longest| back.max(Span::from_secs(0.02)).min(longest)),
+        Placement::Reject {
+            retry_after: retry_after
+                .map(|longest| back.max(TimeDelta::from_secs(0.02)).min(longest)),
         }
     }
 
-    /// What this gateway carries, in shares of one, as far as tenants and allowances tell.
-    pub fn carries(&self) -> f64 {
+    /// What this gateway carries, in shares of one, as far as tenants and quotas tell.
+    pub fn traffic_share(&self) -> f64 {
         self.lopsided
     }
 
-    /// Cores of the engines in use, as this gateway's share of what they can do now; most benched, all are in use.
-    pub fn capacity(&self, now: Moment) -> f64 {
+    /// Cores of the engines in use, as this gateway's share of what they can do now; most ejected, all are in use.
+    pub fn capacity(&self, now: Timestamp) -> f64 {
         let ready = self
             .engines
             .values()
-            .filter(|e| e.fact.stage == Stage::Ready);
+            .filter(|e| e.fact.stage == EngineStage::Ready);
         let (mut all, mut fit) = ((0, 0.0), (0, 0.0));
         for e in ready {
             let cores = e.books.cores * warmth(self.cold, e, now);
             all = (all.0 + 1, all.1 + cores);
-            fit = if e.health.benched_until.is_none() {
+            fit = if e.health.ejected_until.is_none() {
                 (fit.0 + 1, fit.1 + cores)
             } else {
                 fit
@@ -553,45 +567,57 @@
         if fit.0 * 2 < all.0 { all.1 } else { fit.1 }
     }
 
-    pub fn after(&mut self, now: Moment, s: &Statement, o: &Outcome) -> After {
-        let Some(relay) = s.relays.get(o.relay.0 as usize) else {
-            return After::Stay;
+    pub fn after(&mut self, now: Timestamp, s: &Statement, o: &AttemptReport) -> NextStep {
+        let Some(attempt) = s.attempts.get(o.attempt.0 as usize) else {
+            return NextStep::Continue;
         };
-        let (predicted, threads, charge) =
-            (self.costs.predict(s), relay.threads, relay.charge.secs());
+        let (predicted, threads, charge) = (
+            self.costs.predict(s),
+            attempt.threads,
+            attempt.charge.secs(),
+        );
         let pace = self
             .fleet
-            .note_pace
+            .progress_interval
             .map_or(3.0 * predicted + 1.0, |p| p.secs() * 1.25 + 0.3);
-        let Some(engine) = self.engines.get_mut(&relay.engine) else {
+        let Some(engine) = self.engines.get_mut(&attempt.engine) else {
             return self.next(now, s, o);
         };
-        if matches!(o.news, News::Progress(_) | News::Strained | News::Streaming) {
+        if matches!(
+            o.event,
+            AttemptEvent::Progress(_) | AttemptEvent::Stalled | AttemptEvent::Streaming
+        ) {
             engine.heard(now, pace);
-            return self.noted(now, s, relay, o);
+            return self.noted(now, s, attempt, o);
         }
         engine.out = engine.out.saturating_sub(1);
-        if !matches!(o.news, News::TimedOut | News::Cancelled) {
+        if !matches!(o.event, AttemptEvent::TimedOut | AttemptEvent::Cancelled) {
             engine.heard(now, pace);
         }
         let mut books = [&mut engine.books, &mut self.whole];
-        let tried = engine.health.trial.take_if(|id| *id == s.id).is_some();
+        let tried = engine
+            .health
+            .outlier_probe
+            .take_if(|id| *id == s.id)
+            .is_some();
         let expected = charge / threads * books[0].lag.now().unwrap_or(1.0).max(1.0);
-        let runs_on = !self.relaying.cancel && matches!(o.news, News::TimedOut | News::Cancelled);
-        let until = now + Span::from_secs(if runs_on { expected } else { 0.0 });
+        let runs_on = !self.retry_policy.can_cancel
+            && matches!(o.event, AttemptEvent::TimedOut | AttemptEvent::Cancelled);
+        let until = now + TimeDelta::from_secs(if runs_on { expected } else { 0.0 });
         for b in &mut books {
-            b.ghosts.push((until, relay.rank, threads, relay.memory_mb));
+            b.ghosts
+                .push((until, attempt.priority, threads, attempt.memory_mb));
             b.lay_ghosts(now);
         }
         // Far past what the engine's pace explains, the statement was lost there.
-        let lost = o.news == News::TimedOut && o.latency.secs() > 4.0 * expected + 1.0;
+        let lost = o.event == AttemptEvent::TimedOut && o.latency.secs() > 4.0 * expected + 1.0;
         engine.health.failures += f64::from(u8::from(lost));
-        match o.news {
-            News::Completed { cpu, memory_mb } => {
+        match o.event {
+            AttemptEvent::Completed { cpu, memory_mb } => {
                 let h = &mut engine.health;
-                (h.failures, h.bench, h.benched_until) = (h.failures * 0.8, h.bench * 0.98, None);
+                (h.failures, h.bench, h.ejected_until) = (h.failures * 0.8, h.bench * 0.98, None);
                 (h.worked, h.hearsay) = (Some(now), false);
-                let true_cpu = cpu.map_or(charge, Span::secs);
+                let true_cpu = cpu.map_or(charge, TimeDelta::secs);
                 let fleet = books[1].lag.clone();
                 // On one engine as far as one peer that is away explains, or a hot gateway would fill it alone.
                 let away = self.fleet.peers / (self.fleet.peers - 1.0).max(0.5);
@@ -601,7 +627,7 @@
                 ];
                 self.delivered += true_cpu / DEMAND_S;
                 for (b, within) in books.into_iter().zip(within) {
-                    b.left[s.product.0] += charge - true_cpu;
+                    b.left[s.class.0] += charge - true_cpu;
                     b.lag.saw(now, o.latency.secs() * threads, true_cpu);
                     let over = b.lag.over_best(&fleet);
                     over.into_iter()
@@ -610,22 +636,21 @@
                 cpu.into_iter()
                     .for_each(|cpu| self.costs.learn(s, charge, cpu.secs()));
                 if let Some(seen) = memory_mb.filter(|_| s.memory_mb > 0.0) {
-                    let (needed, estimated) = self.needs[s.product.0];
-                    self.needs[s.product.0] =
-                        (needed * 0.99 + seen, estimated * 0.99 + s.memory_mb);
+                    let (needed, estimated) = self.needs[s.class.0];
+                    self.needs[s.class.0] = (needed * 0.99 + seen, estimated * 0.99 + s.memory_mb);
                 }
             }
-            News::TurnedAway | News::NeverSent => {
-                books.iter_mut().for_each(|b| b.left[s.product.0] += charge);
+            AttemptEvent::Rejected | AttemptEvent::NeverSent => {
+                books.iter_mut().for_each(|b| b.left[s.class.0] += charge);
                 (engine.books.bound, engine.books.cut) = ((engine.books.bound * 0.8).max(1.0), now);
-                engine.health.failures += f64::from(u8::from(o.news == News::TurnedAway));
+                engine.health.failures += f64::from(u8::from(o.event == AttemptEvent::Rejected));
             }
-            News::Withdrawn => books.iter_mut().for_each(|b| b.left[s.product.0] += charge),
+            AttemptEvent::Withdrawn => books.iter_mut().for_each(|b| b.left[s.class.0] += charge),
             // The charge stays, or an engine that fails fast would look the emptiest and draw the rest.
-            News::Error if s.relays.len() >= SEVERAL => {}
-            News::Error | News::Unreachable => engine.health.failures += 1.0,
+            AttemptEvent::Error if s.attempts.len() >= SEVERAL => {}
+            AttemptEvent::Error | AttemptEvent::Unreachable => engine.health.failures += 1.0,
             // A connection may fail alone; a process that dies takes all that is out along.
-            News::Reset => engine.health.failures += FAILURES / 9.0,
+            AttemptEvent::Reset => engine.health.failures += FAILURES / 9.0,
             _ => {}
         }
         if engine.health.failures >= FAILURES || (tried && engine.health.failures >= 1.0) {
@@ -634,7 +659,7 @@
         self.next(now, s, o)
     }
 
-    pub fn pause(&mut self, now: Moment, held: usize) -> Pause {
+    pub fn end_turn(&mut self, now: Timestamp, held: usize) -> Wakeup {
         self.share_out(now);
         self.whole.lay_ghosts(now);
         for engine in self.engines.values_mut() {
@@ -648,28 +673,28 @@
             |turn: &Turn| turn.out.is_some() || turn.rest_until.is_some_and(|until| until > now);
         self.turns
             .retain(|_, turn| !turn.line.is_empty() || rests(turn));
-        let wait = Span::from_secs(if held > 0 { 0.02 } else { 0.25 });
-        Pause {
+        let wait = TimeDelta::from_secs(if held > 0 { 0.02 } else { 0.25 });
+        Wakeup {
             wait,
-            list: self.ask_list(now),
-            ..Pause::default()
+            discovery: self.ask_list(now),
+            ..Wakeup::default()
         }
     }
 
-    pub fn told_list(&mut self, now: Moment, news: &ListNews) {
+    pub fn on_endpoint_update(&mut self, now: Timestamp, event: &EndpointUpdate) {
         self.asked.1 = 0.0;
-        let facts = match news {
-            ListNews::Failed => return self.asked = (Some(now), 0.5),
-            ListNews::Changes(facts) | ListNews::Whole(facts) => facts,
+        let facts = match event {
+            EndpointUpdate::Failed => return self.asked = (Some(now), 0.5),
+            EndpointUpdate::Events(facts) | EndpointUpdate::Snapshot(facts) => facts,
         };
-        if matches!(news, ListNews::Whole(_)) {
+        if matches!(event, EndpointUpdate::Snapshot(_)) {
             self.engines
                 .values_mut()
-                .for_each(|engine| engine.fact.stage = Stage::Gone);
+                .for_each(|engine| engine.fact.stage = EngineStage::Removed);
         }
         // Spread by chance, or all gateways that hear of a cold engine would use it at once.
         let usual =
-            self.costs.usual.iter().map(|usual| usual.0).sum::<f64>() / self.products.len() as f64;
+            self.costs.usual.iter().map(|usual| usual.0).sum::<f64>() / self.classes.len() as f64;
         let peers = self.fleet.peers;
         for fact in facts {
             let scale = if fact.scale > 0.0 && fact.scale.is_finite() {
@@ -691,7 +716,7 @@
                     now,
                     cores / peers,
                     memory_mb / peers * MEMORY,
-                    self.products.len(),
+                    self.classes.len(),
                 ),
                 out: 0,
                 health: Health::default(),
@@ -726,13 +751,13 @@
             }
             engine.fact = *fact;
         }
-        // Gone engines leave once their last relay is over.
+        // Gone engines leave once their last attempt is over.
         self.engines
-            .retain(|_, e| e.fact.stage != Stage::Gone || e.out > 0);
+            .retain(|_, e| e.fact.stage != EngineStage::Removed || e.out > 0);
         let ready = || {
             self.engines
                 .values()
-                .filter(|e| e.fact.stage == Stage::Ready)
+                .filter(|e| e.fact.stage == EngineStage::Ready)
                 .map(|e| &e.books)
         };
         let (cores, before) = (ready().map(|b| b.cores).sum::<f64>(), self.whole.cores);
@@ -751,7 +776,7 @@
 
     /// Enough others lost statements there: left out while that is fresh and, by chance, some time longer; then one
     /// statement is the trial. What it did for this gateway since outweighs it; a bench of one's own stands.
-    pub fn told_doubts(&mut self, now: Moment, doubts: &[EngineDoubt]) {
+    pub fn on_outlier_gossip(&mut self, now: Timestamp, doubts: &[OutlierReport]) {
         for doubt in doubts {
             let Some(e) = self.engines.get_mut(&doubt.id) else {
                 continue;
@@ -759,37 +784,37 @@
             let since = e.health.worked.max(e.fact.started);
             let own = e
                 .health
-                .benched_until
+                .ejected_until
                 .is_some_and(|until| !e.health.hearsay || until >= doubt.until);
             if doubt.until > now && !own && since.is_none_or(|since| since < doubt.seen) {
                 let later = (doubt.until - now).secs() * (1.0 + self.rng.random::<f64>());
-                (e.health.benched_until, e.health.hearsay) =
-                    (Some(now + Span::from_secs(later)), true);
+                (e.health.ejected_until, e.health.hearsay) =
+                    (Some(now + TimeDelta::from_secs(later)), true);
             }
         }
     }
 
     pub fn health(&self) -> impl Iterator<Item = EngineHealth> {
-        let of = |(id, e): (&EngineId, &Engine)| (*id, e.health.benched_until, e.health.hearsay);
+        let of = |(id, e): (&EngineId, &Engine)| (*id, e.health.ejected_until, e.health.hearsay);
         self.engines
             .iter()
             .map(of)
-            .map(|(id, benched_until, on_hearsay)| EngineHealth {
+            .map(|(id, ejected_until, by_gossip)| EngineHealth {
                 id,
-                benched_until,
-                on_hearsay,
+                ejected_until,
+                by_gossip,
             })
     }
 
-    /// What it holds of each engine, to be checked from outside: relays out, and whether it is benched.
-    pub fn beliefs(&self) -> impl Iterator<Item = (EngineId, u32, bool)> {
+    /// What it holds of each engine, to be checked from outside: attempts out, and whether it is ejected.
+    pub fn engines(&self) -> impl Iterator<Item = (EngineId, u32, bool)> {
         self.engines
             .iter()
-            .map(|(id, e)| (*id, e.out, e.health.benched_until.is_some()))
+            .map(|(id, e)| (*id, e.out, e.health.ejected_until.is_some()))
     }
 
     /// Those that wait for memory there are others' too: no time for more, however near its best.
-    pub fn told_load(&mut self, id: EngineId, report: &LoadReport) {
+    pub fn on_load_report(&mut self, id: EngineId, report: &LoadReport) {
         self.engines
             .get_mut(&id)
             .into_iter()
@@ -797,50 +822,51 @@
     }
 
     /// Over, through us or because the client left: its turn passes on.
-    pub fn told_over(&mut self, s: &Statement) {
+    pub fn on_statement_over(&mut self, s: &Statement) {
         self.turn(s)
             .into_iter()
             .for_each(|turn| turn.line.retain(|id| *id != s.id));
     }
 
-    fn take(&mut self, now: Moment, s: &Statement) -> Place {
-        let (predicted, over_allowance) = (
+    fn take(&mut self, now: Timestamp, s: &Statement) -> QueuePosition {
+        let (predicted, over_quota) = (
             self.costs.predict(s),
-            self.over_allowance(now, s.tenant) || s.lent,
+            self.over_quota(now, s.tenant) || s.borrowed,
         );
-        let (cpu, gain) = (
+        let (cpu, priority_weight) = (
             predicted / DEMAND_S,
-            self.products[s.product.0].gain / DEMAND_S,
+            self.classes[s.class.0].priority_weight / DEMAND_S,
         );
         self.fade_demand(now);
-        let demand = &mut self.demand[s.product.0];
-        (demand.cpu, demand.gain) = (demand.cpu + cpu, demand.gain + gain);
-        let counts = if over_allowance { 0.0 } else { 1.0 };
+        let demand = &mut self.demand[s.class.0];
+        (demand.cpu, demand.priority_weight) =
+            (demand.cpu + cpu, demand.priority_weight + priority_weight);
+        let counts = if over_quota { 0.0 } else { 1.0 };
         let band =
             &mut demand.bands[(predicted.log2() + 7.0).clamp(0.0, BANDS as f64 - 1.0) as usize];
-        *band = (band.0 + cpu * counts, band.1 + gain * counts);
-        self.rations
+        *band = (band.0 + cpu * counts, band.1 + priority_weight * counts);
+        self.retry_budgets
             .iter_mut()
-            .chain([&mut self.trials])
+            .chain([&mut self.outlier_probes])
             .for_each(|spent| spent.slice(now).1 += 1.0);
         if let Some(key) = self.turn_key(s) {
             self.turns.entry(key).or_default().line.push_back(s.id);
         }
-        Place {
-            by: s.hard_limit,
+        QueuePosition {
+            deadline: s.deadline,
             id: s.id,
-            over_allowance,
+            over_quota,
         }
     }
 
     /// One that carries more than 1/peers sees every tenant over: what the least is over is its own doing.
-    fn over_allowance(&mut self, now: Moment, tenant: TenantId) -> bool {
+    fn over_quota(&mut self, now: Timestamp, tenant: TenantId) -> bool {
         let peers = self.fleet.peers;
-        let allowances = self.tenancy.allowances.iter().map(|a| a / peers);
-        if tenant.0 >= self.tenants.len() || self.tenancy.over_gain >= 1.0 {
+        let quotas = self.tenancy.quotas.iter().map(|a| a / peers);
+        if tenant.0 >= self.tenants.len() || self.tenancy.over_quota_weight >= 1.0 {
             return false;
         }
-        for (at, (t, allowed)) in self.tenants.iter_mut().zip(allowances.clone()).enumerate() {
+        for (at, (t, allowed)) in self.tenants.iter_mut().zip(quotas.clone()).enumerate() {
             let gone = (now - t.at.replace(now).unwrap_or(now)).secs();
             t.rate = t.rate * (-gone / 3.0).exp() + if at == tenant.0 { 1.0 / 3.0 } else { 0.0 };
             // Three seconds and a few: at a quiet gateway chance alone would put a tenant over.
@@ -851,7 +877,7 @@
         let seen = self
             .tenants
             .iter()
-            .zip(allowances)
+            .zip(quotas)
             .filter(|(t, _)| t.rate > 0.05 * all);
         let least = seen
             .map(|(t, allowed)| t.rate / allowed.max(1e-6))
@@ -863,7 +889,7 @@
         over
     }
 
-    fn fade_demand(&mut self, now: Moment) {
+    fn fade_demand(&mut self, now: Timestamp) {
         let gone = (now - self.demand_at.replace(now).unwrap_or(now)).secs();
         let keep = (-gone / DEMAND_S).exp();
         for demand in &mut self.demand {
@@ -871,17 +897,21 @@
                 .bands
                 .iter_mut()
                 .for_each(|band| *band = (band.0 * keep, band.1 * keep));
-            (demand.cpu, demand.gain) = (demand.cpu * keep, demand.gain * keep);
+            (demand.cpu, demand.priority_weight) =
+                (demand.cpu * keep, demand.priority_weight * keep);
         }
         self.delivered *= keep;
     }
 
     /// Shares follow predicted demand, the best gain per CPU second first: pressure falls on heavy work. The
     /// gain per CPU second at which capacity ends is the price that the near-best exception asks.
-    fn share_out(&mut self, now: Moment) {
+    fn share_out(&mut self, now: Timestamp) {
         self.fade_demand(now);
-        let all =
-            |(p, demand): (usize, &Demand)| demand.bands.map(|(cpu, gain)| (gain / cpu, cpu, p));
+        let all = |(p, demand): (usize, &Demand)| {
+            demand
+                .bands
+                .map(|(cpu, priority_weight)| (priority_weight / cpu, cpu, p))
+        };
         let mut bands: Vec<_> = self
             .demand
             .iter()
@@ -894,10 +924,10 @@
         let mut left = capacity;
         self.price = 0.0;
         self.demand.iter_mut().for_each(|demand| demand.share = 0.0);
-        for (gain, cpu, p) in bands {
+        for (priority_weight, cpu, p) in bands {
             self.demand[p].share += cpu.min(left);
             self.price = if cpu >= left && left > 0.0 {
-                gain
+                priority_weight
             } else {
                 self.price
             };
@@ -908,7 +938,7 @@
             .for_each(|d| d.share = (d.share / (capacity - left).max(1e-6)).max(0.02));
     }
 
-    fn fill(&mut self, now: Moment) {
+    fn fill(&mut self, now: Timestamp) {
         let best = median(
             self.engines
                 .values()
@@ -933,30 +963,25 @@
 
     fn choose(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         s: &Statement,
-        place: Place,
+        position: QueuePosition,
         predicted: f64,
     ) -> Option<EngineId> {
         self.fill(now);
-        let (rank, need) = (self.rank(s, predicted), self.need_mb(s));
-        let (p, product, usual) = (
-            s.product.0,
-            &self.products[s.product.0],
-            self.usual(s.product.0),
-        );
-        let pays = product.gain / predicted >= self.price * 0.999;
+        let (priority, need) = (self.priority(s, predicted), self.need_mb(s));
+        let (p, class, usual) = (s.class.0, &self.classes[s.class.0], self.usual(s.class.0));
+        let pays = class.priority_weight / predicted >= self.price * 0.999;
         let listed = self
             .engines
             .values()
-            .filter(|e| e.fact.stage == Stage::Ready);
-        let all: Vec<&Engine> = listed
-            .filter(|e| allowed(product, s, &e.fact, now))
-            .collect();
-        let trials = self.trials.room(now) && self.allowed.trials.is_none_or(|left| left >= 1.0);
+            .filter(|e| e.fact.stage == EngineStage::Ready);
+        let all: Vec<&Engine> = listed.filter(|e| allowed(class, s, &e.fact, now)).collect();
+        let outlier_probes = self.outlier_probes.room(now)
+            && self.allowed.outlier_probes.is_none_or(|left| left >= 1.0);
         let back = |h: &Health| {
-            h.benched_until
-                .is_none_or(|until| until <= now && h.trial.is_none() && trials)
+            h.ejected_until
+                .is_none_or(|until| until <= now && h.outlier_probe.is_none() && outlier_probes)
         };
         let mut fit: Vec<&Engine> = all.iter().copied().filter(|e| back(&e.health)).collect();
         // Most bad at once is a common cause, or ours: benching would put the whole load on the rest.
@@ -968,10 +993,10 @@
         let stuck = self
             .engines
             .values()
-            .filter(|e| e.health.benched_until.is_some());
-        let stuck: f64 = stuck.map(|e| e.books.running(rank)).sum();
-        let full_up = self.whole.running(rank) - stuck >= self.whole.bound;
-        // Nothing is short: who is over an allowance is denied first, not for nothing.
+            .filter(|e| e.health.ejected_until.is_some());
+        let stuck: f64 = stuck.map(|e| e.books.running(priority)).sum();
+        let full_up = self.whole.running(priority) - stuck >= self.whole.bound;
+        // Nothing is short: who is over an quota is rejected first, not for nothing.
         let calm = self.whole.running(0) < 0.7 * self.whole.bound
             && self
                 .whole
@@ -996,11 +1021,11 @@
             let (full, left) = (books.full(share) * warmth, books.left[p]);
             let over = own.lag.over_best(&self.whole.lag);
             let near = pays && engine.waiting < 1.0 && over.is_none_or(|over| over <= NEAR);
-            let spare = (books.bound.min(books.cores) * 0.8).max(product.threads);
+            let spare = (books.bound.min(books.cores) * 0.8).max(class.threads);
             let ample =
-                left >= predicted + full * 0.5 && books.running(rank) + product.threads <= spare;
+                left >= predicted + full * 0.5 && books.running(priority) + class.threads <= spare;
             let enough = left >= predicted || left >= full * 0.99 || near;
-            let afford = if place.over_allowance && !calm {
+            let afford = if position.over_quota && !calm {
                 ample
             } else {
                 enough
@@ -1013,16 +1038,16 @@
             let fits = own.held_mb + need <= own.memory_mb
                 || own.held_mb <= 0.3 * own.memory_mb && room
                 || self.whole.held_mb <= 0.0;
-            if !(afford && fits && cold_ok) || own.running(rank) >= own.bound || full_up {
+            if !(afford && fits && cold_ok) || own.running(priority) >= own.bound || full_up {
                 continue;
             }
-            let last = if s.relays.iter().any(|r| r.engine == engine.fact.id) {
+            let last = if s.attempts.iter().any(|r| r.engine == engine.fact.id) {
                 1e3
             } else {
                 0.0
             };
-            // A free connection saves a handshake: one relay empties a small share's bucket for longer than idle
-            // connections are kept, so the fullest bucket alone would open one for nearly every relay.
+            // A free connection saves a handshake: one attempt empties a small share's bucket for longer than idle
+            // connections are kept, so the fullest bucket alone would open one for nearly every attempt.
             let linked = if self
                 .fleet
                 .idle
@@ -1041,176 +1066,202 @@
         best.map(|(_, id)| id)
     }
 
-    fn send(&mut self, now: Moment, s: &Statement, id: EngineId, predicted: f64) -> Answer {
-        let (rank, need, usual) = (
-            self.rank(s, predicted),
+    fn send(&mut self, now: Timestamp, s: &Statement, id: EngineId, predicted: f64) -> Placement {
+        let (priority, need, usual) = (
+            self.priority(s, predicted),
             self.need_mb(s),
-            self.usual(s.product.0),
+            self.usual(s.class.0),
         );
-        let threads = self.products[s.product.0].threads;
+        let threads = self.classes[s.class.0].threads;
         let pace = self
             .fleet
-            .note_pace
+            .progress_interval
             .map_or(f64::INFINITY, |p| p.secs() * 1.25 + 0.3);
         let engine = self.engines.get_mut(&id).expect("chosen from the table");
         for books in [&mut engine.books, &mut self.whole] {
             books.charge(
-                s.product.0,
+                s.class.0,
                 predicted,
-                books.full(self.demand[s.product.0].share),
+                books.full(self.demand[s.class.0].share),
             );
-            books.run(rank, threads, need);
+            books.run(priority, threads, need);
         }
         engine.cold_left -= usual;
         let linked = self.fleet.idle.map_or(0, |idle| engine.linked(now, idle));
         engine.out += 1;
         engine.linked = (linked.max(engine.out), Some(now));
         let lag = engine.books.lag.now().unwrap_or(1.0);
-        let due = now + Span::from_secs((4.0 * predicted * lag / threads + 0.5).min(pace));
+        let due = now + TimeDelta::from_secs((4.0 * predicted * lag / threads + 0.5).min(pace));
         engine.health.due = Some(engine.health.due.map_or(due, |d| d.min(due)));
-        let trial = engine.health.benched_until.is_some();
-        if trial {
-            engine.health.trial = Some(s.id);
-            self.trials.slice(now).2 += 1.0;
-            self.allowed.trials.iter_mut().for_each(|left| *left -= 1.0);
+        let outlier_probe = engine.health.ejected_until.is_some();
+        if outlier_probe {
+            engine.health.outlier_probe = Some(s.id);
+            self.outlier_probes.slice(now).2 += 1.0;
+            self.allowed
+                .outlier_probes
+                .iter_mut()
+                .for_each(|left| *left -= 1.0);
         }
         let fact = engine.fact;
-        let again = if s.relays.is_empty() { 0.0 } else { 1.0 };
-        self.rations
+        let again = if s.attempts.is_empty() { 0.0 } else { 1.0 };
+        self.retry_budgets
             .iter_mut()
             .for_each(|spent| spent.slice(now).2 += again);
-        let left = self.allowed.relays.get_mut(s.product.0);
+        let left = self.allowed.retries.get_mut(s.class.0);
         left.into_iter().flatten().for_each(|left| *left -= again);
         self.turn(s)
             .into_iter()
             .for_each(|turn| turn.out = Some(s.id));
-        let relay = Relay {
+        let attempt = Attempt {
             engine: id,
             location: fact.location,
             cell: fact.cell,
             sent: now,
-            charge: Span::from_secs(predicted),
+            charge: TimeDelta::from_secs(predicted),
             threads,
             memory_mb: need,
-            rank,
-            trial,
-            state: RelayState::Out,
+            priority,
+            outlier_probe,
+            state: AttemptState::InFlight,
         };
-        Answer::Send {
-            relay,
-            limit: None,
-            rank: self.fleet.ranks_heeded.then_some(rank),
+        Placement::Send {
+            attempt,
+            timeout: None,
+            priority: self.fleet.priorities_honored.then_some(priority),
         }
     }
 
     fn need_mb(&self, s: &Statement) -> f64 {
-        let (needed, estimated) = self.needs[s.product.0];
+        let (needed, estimated) = self.needs[s.class.0];
         s.memory_mb.max(0.0) * needed / estimated.max(1e-9)
     }
 
-    /// A product's usual CPU, for rule 4: the completed alone are too light where the heavy are denied.
+    /// A query class's usual CPU, for rule 4: the completed alone are too light where the heavy are rejected.
     fn usual(&self, p: usize) -> f64 {
-        let asked = self.demand[p].gain / self.products[p].gain.max(1e-6);
+        let asked = self.demand[p].priority_weight / self.classes[p].priority_weight.max(1e-6);
         self.costs.usual[p]
             .0
             .max(self.demand[p].cpu / asked.max(1e-6))
             .max(1e-4)
     }
 
-    /// Short quoted time first: the light ones hardly slow the heavy, the heavy would ruin the light.
-    fn rank(&self, s: &Statement, predicted: f64) -> u8 {
+    /// Short latency objective first: the light ones hardly slow the heavy, the heavy would ruin the light.
+    fn priority(&self, s: &Statement, predicted: f64) -> u8 {
         let total: f64 = self.demand.iter().map(|d| d.cpu).sum::<f64>().max(1e-9);
-        let part = |p: usize| quoted(&self.products[p], self.usual(p)) * self.demand[p].cpu / total;
-        let usual: f64 = (0..self.products.len()).map(part).sum();
-        let part = quoted(&self.products[s.product.0], predicted) / usual.max(1e-9);
-        let rank = [0.5, 0.8, 1.6].iter().filter(|edge| part < **edge).count() as u8;
-        if self.fleet.ranks_heeded { rank } else { 1 }
+        let part = |p: usize| {
+            latency_objective(&self.classes[p], self.usual(p)) * self.demand[p].cpu / total
+        };
+        let usual: f64 = (0..self.classes.len()).map(part).sum();
+        let part = latency_objective(&self.classes[s.class.0], predicted) / usual.max(1e-9);
+        let priority = [0.5, 0.8, 1.6].iter().filter(|edge| part < **edge).count() as u8;
+        if self.fleet.priorities_honored {
+            priority
+        } else {
+            1
+        }
     }
 
-    fn noted(&mut self, now: Moment, s: &Statement, relay: &Relay, o: &Outcome) -> After {
-        let News::Progress(done) = o.news else {
-            return After::Stay;
+    fn noted(
+        &mut self,
+        now: Timestamp,
+        s: &Statement,
+        attempt: &Attempt,
+        o: &AttemptReport,
+    ) -> NextStep {
+        let AttemptEvent::Progress(done) = o.event else {
+            return NextStep::Continue;
         };
-        let product = &self.products[s.product.0];
-        let (elapsed, left) = ((now - relay.sent).secs(), (s.hard_limit - now).secs());
+        let class = &self.classes[s.class.0];
+        let (elapsed, left) = ((now - attempt.sent).secs(), (s.deadline - now).secs());
         let lag = self
             .engines
-            .get(&relay.engine)
+            .get(&attempt.engine)
             .and_then(|e| e.books.lag.now())
             .unwrap_or(1.0)
             .max(1.0);
-        let fresh = relay.charge.secs() / product.threads * lag;
+        let fresh = attempt.charge.secs() / class.threads * lag;
         let total = elapsed / done.clamp(0.001, 1.0);
         let pays = total - elapsed > 2.0 * fresh && fresh * 1.3 < left && total > 3.5 * fresh;
-        let repeatable =
-            effect(product, s) == Effect::Idempotent && s.relays.len() < self.relaying.most;
-        let cancel =
-            self.relaying.cancel && repeatable && pays && self.may_relay_again(now, s.product);
+        let repeatable = effect(class, s) == Effect::Idempotent
+            && s.attempts.len() < self.retry_policy.max_attempts;
+        let cancel = self.retry_policy.can_cancel
+            && repeatable
+            && pays
+            && self.may_relay_again(now, s.class);
         if cancel {
-            After::Cancel(o.relay)
+            NextStep::Cancel(o.attempt)
         } else {
-            After::Stay
+            NextStep::Continue
         }
     }
 
-    fn next(&mut self, now: Moment, s: &Statement, o: &Outcome) -> After {
-        let settle = self.relaying.settle;
+    fn next(&mut self, now: Timestamp, s: &Statement, o: &AttemptReport) -> NextStep {
+        let settle = self.retry_policy.order_settle;
         if let Some(turn) = self.turn(s) {
             turn.out = turn.out.filter(|id| *id != s.id);
-            if matches!(o.news, News::TimedOut | News::Reset | News::Cancelled) {
+            if matches!(
+                o.event,
+                AttemptEvent::TimedOut | AttemptEvent::Reset | AttemptEvent::Cancelled
+            ) {
                 turn.rest_until = Some(now + settle);
             }
         }
-        if o.settled {
-            self.told_over(s);
-            return After::Over;
+        if o.answered {
+            self.on_statement_over(s);
+            return NextStep::Done;
         }
-        let ran = s.relays.iter().any(|r| r.state == RelayState::MayHaveRun);
-        let its_own = o.news == News::Error && s.relays.len() >= SEVERAL;
+        let ran = s
+            .attempts
+            .iter()
+            .any(|r| r.state == AttemptState::MayHaveRun);
+        let its_own = o.event == AttemptEvent::Error && s.attempts.len() >= SEVERAL;
         let never_again =
-            its_own || ran && effect(&self.products[s.product.0], s) == Effect::Unrepeatable;
+            its_own || ran && effect(&self.classes[s.class.0], s) == Effect::NonIdempotent;
         if !never_again
-            && (s.hard_limit - now).secs() >= 0.03
-            && s.relays.len() < self.relaying.most
+            && (s.deadline - now).secs() >= 0.03
+            && s.attempts.len() < self.retry_policy.max_attempts
         {
-            return After::Ask;
+            return NextStep::Requeue;
         }
-        let Answer::Deny { come_back } = self.give_up(now, s) else {
-            return After::Scrap;
+        let Placement::Reject { retry_after } = self.give_up(now, s) else {
+            return NextStep::Fail;
         };
-        After::Deny { come_back }
+        NextStep::Reject { retry_after }
     }
 
-    /// Rule 2: a denial says that trying again is harmless, so it needs proof.
-    fn give_up(&mut self, now: Moment, s: &Statement) -> Answer {
-        self.told_over(s);
-        let ran = s.relays.iter().find(|r| r.state != RelayState::NeverRan);
-        let harmless = ran.is_none_or(|ran| match effect(&self.products[s.product.0], s) {
+    /// Rule 2: a rejection says that trying again is harmless, so it needs proof.
+    fn give_up(&mut self, now: Timestamp, s: &Statement) -> Placement {
+        self.on_statement_over(s);
+        let ran = s
+            .attempts
+            .iter()
+            .find(|r| r.state != AttemptState::NeverRan);
+        let harmless = ran.is_none_or(|ran| match effect(&self.classes[s.class.0], s) {
             Effect::Idempotent => true,
-            Effect::Deduplicated {
-                group: RepeatGroup::All,
-                remembered,
-            } => now - ran.sent < remembered,
+            Effect::IdempotentByKey {
+                scope: DeduplicationScope::All,
+                window,
+            } => now - ran.sent < window,
             _ => false,
         });
         if harmless {
-            Answer::Deny {
-                come_back: self.relaying.come_back,
+            Placement::Reject {
+                retry_after: self.retry_policy.max_retry_after,
             }
         } else {
-            Answer::Scrap
+            Placement::Fail
         }
     }
 
     /// Rule 2 in time: a repeat that leaves later may meet an engine that has forgotten the first.
-    pub fn repeat_until(&self, s: &Statement) -> Option<Moment> {
-        let Effect::Deduplicated { remembered, .. } = effect(&self.products[s.product.0], s) else {
+    pub fn repeat_until(&self, s: &Statement) -> Option<Timestamp> {
+        let Effect::IdempotentByKey { window, .. } = effect(&self.classes[s.class.0], s) else {
             return None;
         };
-        s.relays
+        s.attempts
             .iter()
-            .find(|r| r.state != RelayState::NeverRan)
-            .map(|ran| ran.sent + remembered)
+            .find(|r| r.state != AttemptState::NeverRan)
+            .map(|ran| ran.sent + window)
     }
 
     fn turn(&mut self, s: &Statement) -> Option<&mut Turn> {
@@ -1218,10 +1269,10 @@
     }
 
     fn turn_key(&self, s: &Statement) -> Option<OrderKey> {
-        s.key.filter(|_| self.products[s.product.0].in_turn)
+        s.key.filter(|_| self.classes[s.class.0].ordered_by_key)
     }
 
-    fn in_turn(&self, now: Moment, s: &Statement) -> bool {
+    fn ordered_by_key(&self, now: Timestamp, s: &Statement) -> bool {
         let Some(turn) = self.turn_key(s).and_then(|key| self.turns.get(&key)) else {
             return true;
         };
@@ -1229,32 +1280,33 @@
         rested && turn.out.is_none() && turn.line.front().is_none_or(|id| *id == s.id)
     }
 
-    fn may_relay_again(&mut self, now: Moment, product: ProductId) -> bool {
-        let left = self.allowed.relays.get(product.0).copied().flatten();
-        left.is_none_or(|left| left >= 1.0) && self.rations.iter_mut().all(|spent| spent.room(now))
+    fn may_relay_again(&mut self, now: Timestamp, class: ClassId) -> bool {
+        let left = self.allowed.retries.get(class.0).copied().flatten();
+        left.is_none_or(|left| left >= 1.0)
+            && self.retry_budgets.iter_mut().all(|spent| spent.room(now))
     }
 
     /// In parts of 1/peers, which its books are cut by.
     fn cold_part(&self) -> f64 {
         self.allowed
-            .cold
+            .slow_start
             .map_or(1.0, |part| part * self.fleet.peers)
     }
 
     /// Holds until it is told anew; what is sent meanwhile is taken off.
-    pub fn told_allowed(&mut self, allowed: Allowed) {
+    pub fn on_quota(&mut self, allowed: QuotaGrant) {
         self.allowed = allowed;
     }
 
     /// Spread by chance, or every gateway that lost its subscription would ask in the same instant.
-    fn ask_list(&mut self, now: Moment) -> Option<ListAsk> {
+    fn ask_list(&mut self, now: Timestamp) -> Option<DiscoveryRequest> {
         let (asked, every) = self.asked;
         let again = asked.is_none_or(|asked| every > 0.0 && (now - asked).secs() >= every);
-        if !self.listing.on_request || !again {
+        if !self.discovery.on_request || !again {
             return None;
         }
         let (longest, chance) = (
-            self.listing.ask_within.secs() * 0.4,
+            self.discovery.request_within.secs() * 0.4,
             self.rng.random::<f64>(),
         );
         let later = if asked.is_none() {
@@ -1263,70 +1315,70 @@
             every * (1.5 + chance)
         };
         self.asked = (Some(now), later.min(longest));
-        Some(ListAsk::Subscribe)
+        Some(DiscoveryRequest::Watch)
     }
 }
 
 /// Without its mark no engine knows a repeat.
-fn effect(product: &Product, s: &Statement) -> Effect {
-    let unknown = !s.marked && matches!(product.effect, Effect::Deduplicated { .. });
+fn effect(class: &QueryClass, s: &Statement) -> Effect {
+    let unknown = !s.has_idempotency_key && matches!(class.effect, Effect::IdempotentByKey { .. });
     if unknown {
-        Effect::Unrepeatable
+        Effect::NonIdempotent
     } else {
-        product.effect
+        class.effect
     }
 }
 
-fn quoted(product: &Product, cpu: f64) -> f64 {
-    product.quoted.secs() + product.quoted_stretch * cpu / product.threads
+fn latency_objective(class: &QueryClass, cpu: f64) -> f64 {
+    class.latency_objective.secs() + class.latency_objective_stretch * cpu / class.threads
 }
 
 /// Rule 4 tells only where it starts and when it ends: the curve lies under the straight line between.
-fn warmth(cold: Option<ColdStart>, engine: &Engine, now: Moment) -> f64 {
+fn warmth(cold: Option<SlowStart>, engine: &Engine, now: Timestamp) -> f64 {
     let (Some(cold), Some(started)) = (cold, engine.fact.started) else {
         return 1.0;
     };
-    let age = (now - started).secs() / cold.warm_after.secs().max(1e-3);
+    let age = (now - started).secs() / cold.warm_up.secs().max(1e-3);
     if age >= 1.0 {
         1.0
     } else {
-        cold.share + (1.0 - cold.share) * age.max(0.0).powi(2)
+        cold.initial_share + (1.0 - cold.initial_share) * age.max(0.0).powi(2)
     }
 }
 
-fn cold_budget(books: &Books, cold: ColdStart, warmth: f64) -> f64 {
-    books.cores * warmth * COLD_PART * cold.multiple * cold.window.secs() * 0.5
+fn cold_budget(books: &Books, cold: SlowStart, warmth: f64) -> f64 {
+    books.cores * warmth * COLD_PART * cold.overload_multiple * cold.window.secs() * 0.5
 }
 
-fn allowed(product: &Product, s: &Statement, fact: &EngineFact, now: Moment) -> bool {
-    let placed = product
+fn allowed(class: &QueryClass, s: &Statement, fact: &EngineInfo, now: Timestamp) -> bool {
+    let placed = class
         .locations
         .as_ref()
         .is_none_or(|of| of.contains(&fact.location))
-        && product
+        && class
             .machines
             .as_ref()
             .is_none_or(|of| of.contains(&fact.machine));
-    let again = |ran: &Relay| match effect(product, s) {
+    let again = |ran: &Attempt| match effect(class, s) {
         Effect::Idempotent => true,
-        Effect::Unrepeatable => false,
-        Effect::Deduplicated { remembered, .. } if now - ran.sent >= remembered => false,
-        Effect::Deduplicated {
-            group: RepeatGroup::All,
+        Effect::NonIdempotent => false,
+        Effect::IdempotentByKey { window, .. } if now - ran.sent >= window => false,
+        Effect::IdempotentByKey {
+            scope: DeduplicationScope::All,
             ..
         } => true,
-        Effect::Deduplicated {
-            group: RepeatGroup::Location,
+        Effect::IdempotentByKey {
+            scope: DeduplicationScope::Location,
             ..
         } => fact.location == ran.location,
-        Effect::Deduplicated {
-            group: RepeatGroup::Cell,
+        Effect::IdempotentByKey {
+            scope: DeduplicationScope::Cell,
             ..
         } => fact.cell == ran.cell,
     };
     placed
-        && s.relays
+        && s.attempts
             .iter()
-            .find(|r| r.state != RelayState::NeverRan)
+            .find(|r| r.state != AttemptState::NeverRan)
             .is_none_or(again)
 }
--- a/crates/control/src/leases.rs
+++ b/crates/control/src/leases.rs
@@ -1,6 +1,6 @@
 //! What holds the leases of one gateway.
 
-use admission::interface::{Moment, Span};
+use admission::interface::{TimeDelta, Timestamp};
 use quota::Shares;
 
 use crate::Times;
@@ -12,8 +12,8 @@
     fn shares_mut(&mut self) -> &mut Shares;
 
     /// When leases are due next, by the clock of the event loop.
-    fn due(&self, times: Times) -> Moment {
-        times.now + (self.shares().due() - times.steady).max(Span::ZERO)
+    fn due(&self, times: Times) -> Timestamp {
+        times.now + (self.shares().due() - times.steady).max(TimeDelta::ZERO)
     }
 }
 
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -8,7 +8,7 @@
 
 use std::net::SocketAddr;
 
-use admission::interface::Moment;
+use admission::interface::Timestamp;
 use membership::{Datagram, Gateway, Refused};
 use quota::Who;
 
@@ -18,9 +18,9 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Times {
     /// The clock of the event loop, which membership goes by.
-    pub now: Moment,
+    pub now: Timestamp,
     /// A clock that nobody sets and that runs on while the machine sleeps: leases end by it.
-    pub steady: Moment,
+    pub steady: Timestamp,
 }
 
 /// Membership, and leases where budgets are divided among all gateways. `L` is what holds the leases: `quota::Shares`
@@ -67,14 +67,21 @@
     ///
     /// # Errors
     /// It counts for nothing; this is why, and membership counted it.
-    pub fn receive(&mut self, now: Moment, from: SocketAddr, bytes: &[u8]) -> Result<(), Refused> {
+    pub fn receive(
+        &mut self,
+        now: Timestamp,
+        from: SocketAddr,
+        bytes: &[u8],
+    ) -> Result<(), Refused> {
         self.membership.receive(now, from, bytes)
     }
 
     /// When [`Control::turn`] is due next, by the clock of the event loop.
-    pub fn due(&self, times: Times) -> Moment {
+    pub fn due(&self, times: Times) -> Timestamp {
         let leases = self.leases.as_ref().map(|leases| leases.due(times));
-        leases.into_iter().fold(self.membership.due(), Moment::min)
+        leases
+            .into_iter()
+            .fold(self.membership.due(), Timestamp::min)
     }
 
     /// Does what is due and passes lease messages both ways. `drained`: all datagrams that had come were handed in; as
@@ -102,7 +109,7 @@
         self.send_leases(times.now);
     }
 
-    fn send_leases(&mut self, now: Moment) {
+    fn send_leases(&mut self, now: Timestamp) {
         let Some(leases) = &mut self.leases else {
             return;
         };
--- a/crates/dispatch/benches/engines.rs
+++ b/crates/dispatch/benches/engines.rs
@@ -9,7 +9,7 @@
 use std::time::Instant;
 
 use admission::interface::*;
-use dispatch::Pick;
+use dispatch::Decision;
 use support::fit::{Line, median, spread};
 use support::simulation::*;
 
@@ -96,12 +96,12 @@
 /// A turn while statements stand in line for which no engine has room.
 fn held_turn(engines: u32, seed: u64, samples: &mut Samples) {
     let mut dispatch = dispatch(gateways_before(engines), engines, seed);
-    let now = Moment::from_secs(1.0);
+    let now = Timestamp::from_secs(1.0);
     let mut next = 0;
-    while (dispatch.line().len() as u64) < HELD {
+    while (dispatch.queue_positions().len() as u64) < HELD {
         next += 1;
-        let pick = dispatch.pick(now, StatementId(next), &wants(0));
-        assert_eq!(pick, Pick::Held, "the first ask only gives a place");
+        let pick = dispatch.pick(now, StatementId(next), &request(0));
+        assert_eq!(pick, Decision::Queued, "the first ask only gives a place");
         dispatch.tick(now);
     }
     let begun = Instant::now();
--- a/crates/dispatch/benches/support/simulation.rs
+++ b/crates/dispatch/benches/support/simulation.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use admission::interface::*;
-use dispatch::{Dispatch, Order, Pick, Tick, Wants};
+use dispatch::{AttemptOrder, Decision, Dispatcher, StatementRequest, Tick};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use serde_json::{Value, json};
@@ -17,12 +17,12 @@
 /// The mean at a gateway.
 pub const STATEMENTS_PER_S: f64 = 380.0;
 pub const ENGINE_CORES: f64 = 8.0;
-const STATEMENT_CPU: Span = Span::from_micros(20_000);
+const STATEMENT_CPU: TimeDelta = TimeDelta::from_micros(20_000);
 const STATEMENT_MB: f64 = 8.0;
-const STATEMENT_BUDGET: Span = Span::from_micros(1_940_000);
+const STATEMENT_BUDGET: TimeDelta = TimeDelta::from_micros(1_940_000);
 /// Table groups that the statements spread over.
 const TABLE_GROUPS: u32 = 16;
-const NETWORK_DELAY: Span = Span::from_micros(50_000);
+const NETWORK_DELAY: TimeDelta = TimeDelta::from_micros(50_000);
 /// The gateway closes a connection that was idle for this part of `Limits.ConnIdleS`.
 const POOL_IDLE_PART: f64 = 0.8;
 
@@ -42,38 +42,38 @@
     config["settings"].take()
 }
 
-fn engine_list(engines: u32) -> ListNews {
-    let fact = |id| EngineFact {
+fn engine_list(engines: u32) -> EndpointUpdate {
+    let fact = |id| EngineInfo {
         id: EngineId(id),
         scale: ENGINE_CORES,
         location: LocationId(0),
         machine: MachineId(0),
         cell: CellId(0),
-        stage: Stage::Ready,
+        stage: EngineStage::Ready,
         started: None,
     };
-    ListNews::Whole((1..=engines).map(fact).collect())
+    EndpointUpdate::Snapshot((1..=engines).map(fact).collect())
 }
 
-pub fn dispatch(gateways: u32, engines: u32, seed: u64) -> Dispatch {
+pub fn dispatch(gateways: u32, engines: u32, seed: u64) -> Dispatcher {
     let settings = Settings::from_json(&settings(gateways));
     let policy = settings
         .policy(seed, Way(NETWORK_DELAY))
         .expect("the example's settings");
-    let mut dispatch = Dispatch::new(policy);
-    dispatch.told_list(Moment::from_secs(0.0), &engine_list(engines));
+    let mut dispatch = Dispatcher::new(policy);
+    dispatch.on_endpoint_update(Timestamp::from_secs(0.0), &engine_list(engines));
     dispatch
 }
 
-pub fn wants(group: u32) -> Wants {
-    Wants {
-        product: ProductId(0),
+pub fn request(group: u32) -> StatementRequest {
+    StatementRequest {
+        class: ClassId(0),
         tenant: TenantId(0),
-        group: GroupId(group),
+        group: TableGroupId(group),
         estimate: Some(STATEMENT_CPU),
         memory_mb: STATEMENT_MB,
         key: None,
-        marked: false,
+        has_idempotency_key: false,
         budget: STATEMENT_BUDGET,
     }
 }
@@ -92,22 +92,22 @@
 struct Pool {
     busy: u32,
     /// Since when each of the others has been idle, the last used at the end.
-    idle: Vec<Moment>,
+    idle: Vec<Timestamp>,
 }
 
 impl Pool {
-    fn close_idle(&mut self, now: Moment, idle_s: f64) {
+    fn close_idle(&mut self, now: Timestamp, idle_s: f64) {
         self.idle.retain(|since| (now - *since).secs() < idle_s);
     }
 
     /// True: a new connection was opened for it.
-    fn take(&mut self, now: Moment, idle_s: f64) -> bool {
+    fn take(&mut self, now: Timestamp, idle_s: f64) -> bool {
         self.close_idle(now, idle_s);
         self.busy += 1;
         self.idle.pop().is_none()
     }
 
-    fn give_back(&mut self, now: Moment) {
+    fn give_back(&mut self, now: Timestamp) {
         self.busy -= 1;
         self.idle.push(now);
     }
@@ -135,13 +135,13 @@
 }
 
 struct Attempt {
-    order: Order,
-    sent: Moment,
+    order: AttemptOrder,
+    sent: Timestamp,
     timed_out: bool,
 }
 
 struct Gateway {
-    dispatch: Dispatch,
+    dispatch: Dispatcher,
     arrivals: Pcg64Mcg,
     next_statement: u64,
     attempts: BTreeMap<StatementId, Attempt>,
@@ -188,8 +188,8 @@
 
 pub struct Simulation {
     plan: Plan,
-    now: Moment,
-    events: BTreeMap<(Moment, u64), Event>,
+    now: Timestamp,
+    events: BTreeMap<(Timestamp, u64), Event>,
     next_event: u64,
     gateways: Vec<Gateway>,
     /// Statements that run on each engine, of the gateways that are run.
@@ -224,7 +224,7 @@
         let mut simulation = Simulation {
             running: vec![0; plan.engines as usize + 1],
             plan,
-            now: Moment::from_secs(0.0),
+            now: Timestamp::from_secs(0.0),
             events: BTreeMap::new(),
             next_event: 0,
             gateways,
@@ -238,7 +238,7 @@
 
     /// Runs on for so long; work and totals go on counting.
     pub fn run(&mut self, span_s: f64) {
-        let end = self.now + Span::from_secs(span_s);
+        let end = self.now + TimeDelta::from_secs(span_s);
         while let Some(next) = self.events.first_entry().filter(|next| next.key().0 < end) {
             let ((at, _), event) = next.remove_entry();
             self.now = at;
@@ -262,7 +262,7 @@
             .for_each(|gateway| gateway.sent.clear());
     }
 
-    fn at(&mut self, at: Moment, event: Event) {
+    fn at(&mut self, at: Timestamp, event: Event) {
         self.next_event += 1;
         self.events.insert((at, self.next_event), event);
     }
@@ -271,7 +271,7 @@
         let chance: f64 = self.gateways[gateway].arrivals.random();
         let gap_s = -(1.0 - chance).ln() / self.plan.statements_per_s;
         self.at(
-            self.now + Span::from_secs(gap_s),
+            self.now + TimeDelta::from_secs(gap_s),
             Event::Arrival { gateway },
         );
     }
@@ -281,9 +281,9 @@
         let gateway = &mut self.gateways[at];
         gateway.next_statement += 1;
         let id = StatementId(gateway.next_statement);
-        let wants = wants(id.0 as u32 % TABLE_GROUPS);
+        let request = request(id.0 as u32 % TABLE_GROUPS);
         let begun = Instant::now();
-        let pick = gateway.dispatch.pick(self.now, id, &wants);
+        let pick = gateway.dispatch.pick(self.now, id, &request);
         self.work.pick += begun.elapsed();
         self.work.statements += 1;
         self.totals.arrived += 1;
@@ -293,7 +293,7 @@
 
     fn turn(&mut self, at: usize) {
         let gateway = &mut self.gateways[at];
-        let held = gateway.dispatch.line().len() as u64;
+        let held = gateway.dispatch.queue_positions().len() as u64;
         let begun = Instant::now();
         let Tick { due, wait, .. } = gateway.dispatch.tick(self.now);
         let took = begun.elapsed();
@@ -313,22 +313,22 @@
         }
     }
 
-    fn picked(&mut self, at: usize, id: StatementId, pick: Pick) {
+    fn picked(&mut self, at: usize, id: StatementId, pick: Decision) {
         match pick {
-            Pick::Held => {}
-            Pick::Deny { .. } | Pick::Scrap => self.totals.rejected += 1,
-            Pick::Relay(order) => self.send(at, id, order),
+            Decision::Queued => {}
+            Decision::Reject { .. } | Decision::Fail => self.totals.rejected += 1,
+            Decision::Forward(order) => self.send(at, id, order),
         }
     }
 
-    fn send(&mut self, at: usize, id: StatementId, order: Order) {
+    fn send(&mut self, at: usize, id: StatementId, order: AttemptOrder) {
         let running = &mut self.running[order.engine.0 as usize];
         *running += 1;
         let slower = match self.plan.model {
             EngineModel::Unloaded => 1.0,
             EngineModel::Shared => (f64::from(*running) / ENGINE_CORES).max(1.0),
         };
-        let answered = self.now + Span::from_secs(STATEMENT_CPU.secs() * slower);
+        let answered = self.now + TimeDelta::from_secs(STATEMENT_CPU.secs() * slower);
         let timed_out = answered >= order.due;
         let gateway = &mut self.gateways[at];
         *gateway.sent.entry(order.engine).or_default() += 1;
@@ -371,20 +371,25 @@
             .entry(order.engine)
             .or_default()
             .give_back(self.now);
-        let completed = News::Completed {
+        let completed = AttemptEvent::Completed {
             cpu: Some(STATEMENT_CPU),
             memory_mb: Some(STATEMENT_MB),
         };
-        let news = if timed_out { News::TimedOut } else { completed };
+        let event = if timed_out {
+            AttemptEvent::TimedOut
+        } else {
+            completed
+        };
         let latency = self.now - sent;
         let begun = Instant::now();
-        let verdict = gateway
-            .dispatch
-            .report(self.now, id, order.relay, news, latency, !timed_out);
+        let verdict =
+            gateway
+                .dispatch
+                .report(self.now, id, order.attempt, event, latency, !timed_out);
         self.work.report += begun.elapsed();
         self.totals.completed += u64::from(!timed_out);
         self.totals.timed_out += u64::from(timed_out);
-        self.totals.rejected += u64::from(verdict != dispatch::Verdict::Nothing);
+        self.totals.rejected += u64::from(verdict != dispatch::FollowUp::None);
         self.turn(at);
     }
 
--- a/crates/dispatch/tests/cold_engine.rs
+++ b/crates/dispatch/tests/cold_engine.rs
@@ -5,16 +5,16 @@
 
 use admission::interface::*;
 use admission::policy::Policy;
-use dispatch::{Dispatch, Order, Pick, Verdict, Wants};
+use dispatch::{AttemptOrder, Decision, Dispatcher, FollowUp, StatementRequest};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
 const CORES: f64 = 8.0;
-const COLD: ColdStart = ColdStart {
-    share: 0.4,
-    warm_after: Span::from_micros(20_000_000),
-    multiple: 2.5,
-    window: Span::from_micros(2_000_000),
+const COLD: SlowStart = SlowStart {
+    initial_share: 0.4,
+    warm_up: TimeDelta::from_micros(20_000_000),
+    overload_multiple: 2.5,
+    window: TimeDelta::from_micros(2_000_000),
 };
 const COLD_ENGINE: EngineId = EngineId(0);
 const STARTED_S: f64 = 1000.0;
@@ -23,8 +23,8 @@
 /// Longer than any statement may be held, so that demand never ends.
 const BUDGET_S: f64 = 4.0;
 
-fn span(secs: f64) -> Span {
-    Span::from_secs(secs)
+fn span(secs: f64) -> TimeDelta {
+    TimeDelta::from_secs(secs)
 }
 
 /// What the cold engine does with what comes. All of it counts against it, also what it turns away.
@@ -46,67 +46,70 @@
     seed: u64,
 }
 
-fn gateway(case: Case, number: usize) -> Dispatch {
-    let product = Product {
+fn gateway(case: Case, number: usize) -> Dispatcher {
+    let class = QueryClass {
         effect: Effect::Idempotent,
-        gain: 1.0,
-        late_gain: 1.0,
-        quoted: span(BUDGET_S),
-        quoted_stretch: 2.0,
-        hard_limit: span(BUDGET_S),
+        priority_weight: 1.0,
+        late_priority_weight: 1.0,
+        latency_objective: span(BUDGET_S),
+        latency_objective_stretch: 2.0,
+        time_limit: span(BUDGET_S),
         threads: 1.0,
-        in_turn: false,
+        ordered_by_key: false,
         locations: None,
         machines: None,
     };
-    let fleet = Fleet {
+    let fleet = FleetConfig {
         peers: case.gateways as f64,
         cores: vec![CORES],
         memory_mb: Vec::new(),
-        note_pace: None,
-        ranks_heeded: false,
+        progress_interval: None,
+        priorities_honored: false,
         idle: None,
     };
-    let relaying = Relaying {
-        most: 3,
-        cancel: false,
-        come_back: Some(span(0.4)),
-        settle: Span::ZERO,
-        ration: None,
+    let retry_policy = RetryPolicy {
+        max_attempts: 3,
+        can_cancel: false,
+        max_retry_after: Some(span(0.4)),
+        order_settle: TimeDelta::ZERO,
+        retry_budget: None,
     };
-    let listing = Listing {
+    let discovery = DiscoveryMode {
         on_request: false,
-        ask_within: span(10.0),
+        request_within: span(10.0),
     };
     let seed = case.seed * 1000 + number as u64;
-    let tenancy = Tenancy {
-        allowances: Vec::new(),
-        over_gain: 1.0,
+    let tenancy = TenantQuotas {
+        quotas: Vec::new(),
+        over_quota_weight: 1.0,
     };
-    let mut gateway = Dispatch::new(Policy::new(
+    let mut gateway = Dispatcher::new(Policy::new(
         seed,
-        vec![product],
+        vec![class],
         tenancy,
         fleet,
         Some(COLD),
-        relaying,
-        listing,
+        retry_policy,
+        discovery,
     ));
-    let mut engines = vec![engine(COLD_ENGINE.0, Some(Moment::from_secs(STARTED_S)))];
+    let mut engines = vec![engine(COLD_ENGINE.0, Some(Timestamp::from_secs(STARTED_S)))];
     engines.extend((1..=case.hung).map(|id| engine(id, None)));
-    gateway.told_list(Moment::from_secs(STARTED_S), &ListNews::Whole(engines));
+    gateway.on_endpoint_update(
+        Timestamp::from_secs(STARTED_S),
+        &EndpointUpdate::Snapshot(engines),
+    );
     gateway
 }
 
-fn engine(id: u32, started: Option<Moment>) -> EngineFact {
+fn engine(id: u32, started: Option<Timestamp>) -> EngineInfo {
     let (location, machine, cell) = (LocationId(0), MachineId(0), CellId(0));
-    EngineFact {
+    EngineInfo {
         id: EngineId(id),
         scale: 1.0,
         location,
         machine,
         cell,
-        stage: Stage::Ready,
+        stage: EngineStage::Ready,
         started,
     }
 }
@@ -131,9 +134,9 @@
         {
             self.came.pop_front();
         }
-        let age = (self.came[0] - STARTED_S) / COLD.warm_after.secs();
-        let share = COLD.share + (1.0 - COLD.share) * age.clamp(0.0, 1.0);
-        let allowed = COLD.multiple * share * CORES * COLD.window.secs() / case.mean_s;
+        let age = (self.came[0] - STARTED_S) / COLD.warm_up.secs();
+        let share = COLD.initial_share + (1.0 - COLD.initial_share) * age.clamp(0.0, 1.0);
+        let allowed = COLD.overload_multiple * share * CORES * COLD.window.secs() / case.mean_s;
         let bound = allowed + 2.0 * allowed.sqrt() + 2.0;
         assert!(
             self.came.len() as f64 <= bound,
@@ -147,14 +150,14 @@
 /// What is out of one gateway, with when its outcome comes.
 struct Out {
     statement: StatementId,
-    order: Order,
-    sent: Moment,
+    order: AttemptOrder,
+    sent: Timestamp,
 }
 
 /// All gateways in step: a burst, and then twice what the engine bears when warm. How many came to the cold engine.
 fn run(case: Case) -> usize {
     let mut rng = Pcg64Mcg::seed_from_u64(case.seed);
-    let mut gateways: Vec<Dispatch> = (0..case.gateways)
+    let mut gateways: Vec<Dispatcher> = (0..case.gateways)
         .map(|number| gateway(case, number))
         .collect();
     let mut out: Vec<Vec<Out>> = gateways.iter().map(|_| Vec::new()).collect();
@@ -162,7 +165,7 @@
     let per_step = (2.0 * CORES / case.mean_s / case.gateways as f64 * STEP_S).max(0.2);
     for step in 0..STEPS {
         let now_s = STARTED_S + step as f64 * STEP_S;
-        let now = Moment::from_secs(now_s);
+        let now = Timestamp::from_secs(now_s);
         for (gateway, out) in gateways.iter_mut().zip(&mut out) {
             let ended: Vec<Out> = out
                 .extract_if(.., |out| {
@@ -176,37 +179,42 @@
             } in ended
             {
                 let cpu = Some(order.charge);
-                let news = match case.does {
-                    _ if order.engine != COLD_ENGINE => News::TimedOut,
-                    Does::CompletesAtOnce => News::Completed {
+                let event = match case.does {
+                    _ if order.engine != COLD_ENGINE => AttemptEvent::TimedOut,
+                    Does::CompletesAtOnce => AttemptEvent::Completed {
                         cpu,
                         memory_mb: None,
                     },
-                    Does::TurnsAway => News::TurnedAway,
+                    Does::TurnsAway => AttemptEvent::Rejected,
                 };
-                let settled = matches!(news, News::Completed { .. });
+                let answered = matches!(event, AttemptEvent::Completed { .. });
                 let verdict =
-                    gateway.report(now, statement, order.relay, news, now - sent, settled);
-                assert!(!matches!(verdict, Verdict::Cancel(_)));
+                    gateway.report(now, statement, order.attempt, event, now - sent, answered);
+                assert!(!matches!(verdict, FollowUp::Cancel(_)));
             }
             let burst = if step == 0 { 20 } else { 0 };
             let more = per_step.trunc() as usize + usize::from(rng.random_bool(per_step.fract()));
             for _ in 0..burst + more {
                 next += 1;
-                let wants = Wants {
-                    product: ProductId(0),
+                let request = StatementRequest {
+                    class: ClassId(0),
                     tenant: TenantId(0),
-                    group: GroupId(rng.random_range(0..8)),
+                    group: TableGroupId(rng.random_range(0..8)),
                     estimate: Some(span(case.mean_s * rng.random_range(0.2..1.8))),
                     memory_mb: 0.0,
                     key: None,
-                    marked: false,
+                    has_idempotency_key: false,
                     budget: span(BUDGET_S),
                 };
-                assert_eq!(gateway.pick(now, StatementId(next), &wants), Pick::Held);
+                assert_eq!(
+                    gateway.pick(now, StatementId(next), &request),
+                    Decision::Queued
+                );
             }
             for (statement, pick) in gateway.tick(now).due {
-                let Pick::Relay(order) = pick else { continue };
+                let Decision::Forward(order) = pick else {
+                    continue;
+                };
                 if order.engine == COLD_ENGINE {
                     cold.take(now_s, case);
                 }
--- a/crates/gateway/benches/list.rs
+++ b/crates/gateway/benches/list.rs
@@ -8,9 +8,9 @@
 use std::net::SocketAddr;
 use std::time::Instant;
 
-use admission::interface::{Moment, Span};
+use admission::interface::{TimeDelta, Timestamp};
 use bytes::BytesMut;
-use dispatch::Dispatch;
+use dispatch::Dispatcher;
 use fit::{Line, median, spread};
 use gateway::board::http::{self, Answered};
 use gateway::board::list::Names;
@@ -47,8 +47,8 @@
     answer(1, true, (1..=engines).map(engine).collect())
 }
 
-fn dispatch(settings: &Settings) -> Dispatch {
-    Dispatch::new(settings.policy(1, WAY).expect("the example's settings"))
+fn dispatch(settings: &Settings) -> Dispatcher {
+    Dispatcher::new(settings.policy(1, WAY).expect("the example's settings"))
 }
 
 fn read(bytes: &[u8]) -> Events {
@@ -59,13 +59,13 @@
 }
 
 /// Microseconds of taking names, and of telling the decisions.
-fn tell(names: &mut Names, dispatch: &mut Dispatch, events: &[Event]) -> (f64, f64) {
+fn tell(names: &mut Names, dispatch: &mut Dispatcher, events: &[Event]) -> (f64, f64) {
     let change = events[0].list.as_ref().expect("a change of the list");
     let begun = Instant::now();
     let told = names.told(change);
     let named_us = begun.elapsed().as_secs_f64() * 1e6;
     let begun = Instant::now();
-    dispatch.told_list(Moment::from_secs(1.0) + Span::ZERO, &told.news);
+    dispatch.on_endpoint_update(Timestamp::from_secs(1.0) + TimeDelta::ZERO, &told.news);
     (named_us, begun.elapsed().as_secs_f64() * 1e6)
 }
 
--- a/crates/gateway/src/board/http.rs
+++ b/crates/gateway/src/board/http.rs
@@ -1,4 +1,4 @@
-//! The notice board's answers, as HTTP/1.1 brings them.
+//! The discovery service's answers, as HTTP/1.1 brings them.
 
 use bytes::BytesMut;
 
--- a/crates/gateway/src/board/list.rs
+++ b/crates/gateway/src/board/list.rs
@@ -1,4 +1,4 @@
-//! The list's numbered events, in the form of the notice board's answers and of the configuration's `known`.
+//! The list's numbered events, in the form of the discovery service's answers and of the configuration's `known`.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -20,9 +20,9 @@
     pub location: String,
     pub machine: String,
     pub cell: u16,
-    pub stage: Stage,
+    pub stage: EngineStage,
     pub scale: f64,
-    pub started: Option<Moment>,
+    pub started: Option<Timestamp>,
 }
 
 #[derive(Clone, Debug, PartialEq)]
@@ -77,9 +77,9 @@
 fn target(json: &Value) -> Result<Target, ListError> {
     let text = |name: &'static str| json[name].as_str().ok_or(ListError::Field(name));
     let stage = match text("state")? {
-        "in_service" => Stage::Ready,
-        "terminating" => Stage::Draining,
-        "terminated" => Stage::Gone,
+        "in_service" => EngineStage::Ready,
+        "terminating" => EngineStage::Draining,
+        "terminated" => EngineStage::Removed,
         _ => return Err(ListError::Field("state")),
     };
     let started = json["boot_ms"].as_f64().filter(|ms| *ms > 0.0);
@@ -93,7 +93,7 @@
         cell: json["pod_group"].as_u64().unwrap_or(0).min(u16::MAX.into()) as u16,
         stage,
         scale: json["capacity_hint"].as_f64().unwrap_or(1.0),
-        started: started.map(|ms| Moment::from_secs(ms / 1e3)),
+        started: started.map(|ms| Timestamp::from_secs(ms / 1e3)),
     })
 }
 
@@ -108,7 +108,7 @@
 
 /// What a change means: facts for the decisions, and each engine's address, none when it is gone.
 pub struct Told {
-    pub news: ListNews,
+    pub news: EndpointUpdate,
     pub addresses: Vec<(EngineId, Option<SocketAddr>)>,
     /// Engines that take nothing new from here on.
     pub closed: Vec<EngineId>,
@@ -150,17 +150,17 @@
                 self.next += 1;
                 EngineId(self.next)
             });
-            let gone = target.stage == Stage::Gone;
+            let gone = target.stage == EngineStage::Removed;
             if gone {
                 self.engines.remove(&target.uid);
             }
             addresses.push((id, (!gone).then_some(target.address)));
-            closed.extend((target.stage != Stage::Ready).then_some(id));
-            // Names that the settings do not hold stand past their end, where no product is bound.
+            closed.extend((target.stage != EngineStage::Ready).then_some(id));
+            // Names that the settings do not hold stand past their end, where no query class is bound.
             let place = |of: &[String], name: &String| {
                 of.iter().position(|n| n == name).unwrap_or(of.len())
             };
-            facts.push(EngineFact {
+            facts.push(EngineInfo {
                 id,
                 scale: target.scale,
                 location: LocationId(place(&self.locations, &target.location) as u16),
@@ -171,9 +171,9 @@
             });
         }
         let news = if change.whole {
-            ListNews::Whole(facts)
+            EndpointUpdate::Snapshot(facts)
         } else {
-            ListNews::Changes(facts)
+            EndpointUpdate::Events(facts)
         };
         Told {
             news,
--- a/crates/gateway/src/board/mod.rs
+++ b/crates/gateway/src/board/mod.rs
@@ -1,4 +1,4 @@
-//! The notice board: long polls for the list's events. A poll that is slow stays open while a fresh one is
+//! The discovery service: long polls for the list's events. A poll that is slow stays open while a fresh one is
 //! made beside it: a board that answers late is still heard, and a silent connection hides nothing.
 
 pub mod http;
@@ -30,7 +30,7 @@
 
 struct Poll {
     socket: Socket,
-    asked: Moment,
+    asked: Timestamp,
     /// The number it asked from.
     watch: u64,
     connecting: bool,
@@ -44,8 +44,8 @@
     /// Four at most.
     polls: BTreeMap<u64, Poll>,
     last: u64,
-    ask_at: Option<Moment>,
-    wait: Span,
+    ask_at: Option<Timestamp>,
+    wait: TimeDelta,
     /// The last question found no descriptor.
     short: bool,
     /// Of a fleet that loses its board in one instant each gateway asks again at an instant of its own.
@@ -54,7 +54,7 @@
 }
 
 impl Board {
-    pub fn new(handle: &Loop, address: SocketAddr, last: u64, seed: u64, now: Moment) -> Self {
+    pub fn new(handle: &Loop, address: SocketAddr, last: u64, seed: u64, now: Timestamp) -> Self {
         Board {
             handle: handle.clone(),
             address,
@@ -62,7 +62,7 @@
             polls: BTreeMap::new(),
             last,
             ask_at: Some(now),
-            wait: Span::from_secs(FIRST_WAIT_S),
+            wait: TimeDelta::from_secs(FIRST_WAIT_S),
             short: false,
             rng: Pcg64Mcg::seed_from_u64(seed),
             events: Vec::new(),
@@ -77,7 +77,7 @@
     /// taken, an older file tells nothing. Polls at another address are dropped, since it may never answer them.
     pub fn moved(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         address: SocketAddr,
         known: Events,
         counters: &mut Counters,
@@ -89,7 +89,7 @@
             info!(from = %self.address, to = %address, "notice board moved");
             self.address = address;
             self.polls.clear();
-            self.wait = Span::from_secs(FIRST_WAIT_S);
+            self.wait = TimeDelta::from_secs(FIRST_WAIT_S);
             self.ask_at = Some(now);
         }
     }
@@ -98,14 +98,14 @@
         std::mem::take(&mut self.events)
     }
 
-    pub fn next_due(&self) -> Option<Moment> {
+    pub fn next_due(&self) -> Option<Timestamp> {
         let poll = |p: &Poll| {
-            p.asked + Span::from_secs(if p.late { GIVE_UP_S } else { LINGER_S + LATE_S })
+            p.asked + TimeDelta::from_secs(if p.late { GIVE_UP_S } else { LINGER_S + LATE_S })
         };
         self.polls.values().map(poll).chain(self.ask_at).min()
     }
 
-    pub fn expire(&mut self, now: Moment, counters: &mut Counters) {
+    pub fn expire(&mut self, now: Timestamp, counters: &mut Counters) {
         let since = |p: &Poll| (now - p.asked).secs();
         for (at, poll) in &mut self.polls {
             if !poll.late && since(poll) >= LINGER_S + LATE_S {
@@ -128,12 +128,12 @@
     }
 
     /// Asks at once, since there may be a descriptor by now.
-    pub fn ask_again(&mut self, now: Moment, counters: &mut Counters) {
+    pub fn ask_again(&mut self, now: Timestamp, counters: &mut Counters) {
         self.ask(now, counters);
         self.short = false;
     }
 
-    fn ask(&mut self, now: Moment, counters: &mut Counters) {
+    fn ask(&mut self, now: Timestamp, counters: &mut Counters) {
         self.ask_at = None;
         if self.polls.len() >= POLLS {
             self.polls.pop_first();
@@ -160,7 +160,7 @@
         }
     }
 
-    fn question(&self, now: Moment, poll: &mut Poll, counters: &mut Counters) {
+    fn question(&self, now: Timestamp, poll: &mut Poll, counters: &mut Counters) {
         counters.polls += 1;
         (poll.asked, poll.watch, poll.late) = (now, self.last, false);
         let linger = (LINGER_S * 1e3) as u64;
@@ -172,17 +172,17 @@
     }
 
     /// Growing waits, but far below the time after which events count as told.
-    fn failed(&mut self, now: Moment, why: &str, counters: &mut Counters) {
+    fn failed(&mut self, now: Timestamp, why: &str, counters: &mut Counters) {
         counters.polls_failed += 1;
         debug!(why, "poll failed");
         if self.polls.values().all(|poll| poll.late) {
             let part = 0.5 + 0.5 * self.rng.random::<f64>();
-            self.ask_at = Some(now + Span::from_secs(self.wait.secs() * part));
-            self.wait = Span::from_secs((self.wait.secs() * 2.0).min(LONGEST_WAIT_S));
+            self.ask_at = Some(now + TimeDelta::from_secs(self.wait.secs() * part));
+            self.wait = TimeDelta::from_secs((self.wait.secs() * 2.0).min(LONGEST_WAIT_S));
         }
     }
 
-    pub fn ready(&mut self, now: Moment, at: u64, counters: &mut Counters) {
+    pub fn ready(&mut self, now: Timestamp, at: u64, counters: &mut Counters) {
         let Some(poll) = self.polls.get_mut(&at) else {
             return;
         };
@@ -216,7 +216,7 @@
                 if early && self.last <= before {
                     return self.failed(now, "an early answer with no later event", counters);
                 }
-                self.wait = Span::from_secs(FIRST_WAIT_S);
+                self.wait = TimeDelta::from_secs(FIRST_WAIT_S);
                 if self.polls.values().any(|poll| !poll.late) {
                     return;
                 }
--- a/crates/gateway/src/clients/comment.rs
+++ b/crates/gateway/src/clients/comment.rs
@@ -25,7 +25,7 @@
 /// A statement with its fields; names and text as they came.
 #[derive(Debug, PartialEq)]
 pub struct Commented<'a> {
-    pub product: &'a str,
+    pub class: &'a str,
     pub rid: [u8; 16],
     pub budget_ms: f64,
     pub tenant: Option<&'a str>,
@@ -86,7 +86,7 @@
         return Err(CommentError::Empty);
     }
     Ok(Commented {
-        product: field("method")?.ok_or(CommentError::Missing("method"))?,
+        class: field("method")?.ok_or(CommentError::Missing("method"))?,
         rid,
         budget_ms,
         tenant: field("acct")?,
--- a/crates/gateway/src/clients/mod.rs
+++ b/crates/gateway/src/clients/mod.rs
@@ -48,7 +48,7 @@
         text: Bytes,
         from: IpAddr,
         /// When it had come: earlier than now where it stood behind another.
-        came: Moment,
+        came: Timestamp,
     },
     /// A token, at login or later, to be judged.
     Token {
@@ -105,9 +105,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Left {
     /// In which turn that was seen.
-    pub seen: Moment,
+    pub seen: Timestamp,
     /// When its end had come to this machine: long before where we stood still, or its connection waited to be taken.
-    pub came: Moment,
+    pub came: Timestamp,
 }
 
 struct Session {
@@ -123,17 +123,17 @@
     /// A query that waits for its answer, and once taken its statement.
     asked: bool,
     statement: Option<StatementId>,
-    opened: Moment,
+    opened: Timestamp,
     /// Commands so far. One that never sent any is the first to go when sessions run short.
     commands: u64,
     /// When it last moved: a phase, a command, or bytes taken by the client.
-    moved: Moment,
+    moved: Timestamp,
     /// Since when a packet has been begun and not ended.
-    begun: Option<Moment>,
+    begun: Option<Timestamp>,
     /// Since when whole packets have stood behind an open statement: their clients' time runs.
-    behind: Option<Moment>,
+    behind: Option<Timestamp>,
     /// When its client had been heard of last before we took its connection.
-    heard: Moment,
+    heard: Timestamp,
     left: Option<Left>,
     written: u64,
 }
@@ -151,7 +151,7 @@
 
     /// May be closed for another, the least first: one that has had its last word, one that never asked, one at rest;
     /// of these the one that has stood still for longest.
-    fn spare(&self) -> Option<(Rest, Moment)> {
+    fn spare(&self) -> Option<(Rest, Timestamp)> {
         let owed = self.phase == Phase::Open && (self.asked || self.socket.unwritten() > 0);
         let rest = match self.phase {
             Phase::Closing => Rest::Over,
@@ -162,15 +162,15 @@
     }
 
     /// A packet that is not read to its end; what follows has no meaning.
-    fn turn_away(&mut self, now: Moment, why: &str) {
+    fn turn_away(&mut self, now: Timestamp, why: &str) {
         self.socket
             .put(&Answer::to(self.seq).error(1153, b"08S01", why));
         (self.phase, self.moved) = (Phase::Closing, now);
     }
 
     /// Why it has to go by now.
-    fn over(&self, now: Moment) -> bool {
-        let past = |since: Moment, limit: f64| (now - since).secs() > limit;
+    fn over(&self, now: Timestamp) -> bool {
+        let past = |since: Timestamp, limit: f64| (now - since).secs() > limit;
         match self.phase {
             Phase::Closing => past(self.moved, LINGER_S),
             _ if self.commands == 0 && past(self.opened, FIRST_S) => true,
@@ -200,11 +200,11 @@
     /// Sessions whose clients send no more, while they stand.
     left: BTreeSet<u32>,
     news: Vec<News>,
-    sweep: Moment,
+    sweep: Timestamp,
 }
 
 impl Clients {
-    pub fn new(handle: &Loop, share: usize, bound: usize, progress: bool, now: Moment) -> Self {
+    pub fn new(handle: &Loop, share: usize, bound: usize, progress: bool, now: Timestamp) -> Self {
         let progressing = BTreeSet::new();
         let (sessions, again, left, news) = (
             BTreeMap::new(),
@@ -242,7 +242,7 @@
     /// Against clients that keep their connection for good, or connect by the hundred and say nothing. Those that
     /// have not asked yet go first, the oldest of them; but so many may always be on their way in that one who
     /// just came has the time to ask: then the longest idle goes.
-    fn make_room(&mut self, now: Moment, counters: &mut Counters) {
+    fn make_room(&mut self, now: Timestamp, counters: &mut Counters) {
         for _ in 0..MAKE_ROOM {
             if self.sessions.len() < self.share || !self.close_one(now, counters) {
                 return;
@@ -251,13 +251,13 @@
     }
 
     /// A descriptor is needed for something else than clients. False: no session can be spared.
-    pub fn give_up_one(&mut self, now: Moment, counters: &mut Counters) -> bool {
+    pub fn give_up_one(&mut self, now: Timestamp, counters: &mut Counters) -> bool {
         let before = self.sessions.len();
         (0..MAKE_ROOM).any(|_| self.close_one(now, counters) && self.sessions.len() < before)
     }
 
     /// Closes the session that can best be spared, or answers it if it asks just then. False: none can.
-    fn close_one(&mut self, now: Moment, counters: &mut Counters) -> bool {
+    fn close_one(&mut self, now: Timestamp, counters: &mut Counters) -> bool {
         let (mut new, mut oldest) = (0, [None; 3]);
         for (id, session) in &self.sessions {
             let Some((rest, since)) = session.spare() else {
@@ -265,7 +265,7 @@
             };
             new += usize::from(rest == Rest::New);
             let oldest = &mut oldest[rest as usize];
-            *oldest = oldest.map_or(Some((since, *id)), |old: (Moment, u32)| {
+            *oldest = oldest.map_or(Some((since, *id)), |old: (Timestamp, u32)| {
                 Some(old.min((since, *id)))
             });
         }
@@ -293,7 +293,7 @@
 
     /// The last look before a session is closed: nothing whole has come since it was read. What has is worked off, and the
     /// session stays for its answer.
-    fn at_rest(&mut self, now: Moment, id: u32, counters: &mut Counters) -> bool {
+    fn at_rest(&mut self, now: Timestamp, id: u32, counters: &mut Counters) -> bool {
         let Some(session) = self.sessions.get_mut(&id) else {
             return true;
         };
@@ -313,7 +313,7 @@
 
     /// Ends a session that rests: our side is shut first and its client read until it closes too. Closed at once, what
     /// may still come would have the machine reset the connection, and throw away what was written before.
-    fn part(&mut self, now: Moment, id: u32, counters: &mut Counters) {
+    fn part(&mut self, now: Timestamp, id: u32, counters: &mut Counters) {
         if self.at_rest(now, id, counters)
             && let Some(session) = self.sessions.get_mut(&id)
         {
@@ -323,7 +323,7 @@
     }
 
     /// The gateway ends, and nothing is owed: ends all sessions so. False: something came in this very moment.
-    pub fn part_all(&mut self, now: Moment, counters: &mut Counters) -> bool {
+    pub fn part_all(&mut self, now: Timestamp, counters: &mut Counters) -> bool {
         let all: Vec<u32> = self.sessions.keys().copied().collect();
         // First a look at all, so that what came is answered before anybody is sent away.
         let ask = all
@@ -362,7 +362,7 @@
 
     pub fn accept(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         stream: TcpStream,
         from: IpAddr,
         counters: &mut Counters,
@@ -402,7 +402,7 @@
         self.ready(now, id, counters);
     }
 
-    pub fn ready(&mut self, now: Moment, id: u32, counters: &mut Counters) {
+    pub fn ready(&mut self, now: Timestamp, id: u32, counters: &mut Counters) {
         let Some(session) = self.sessions.get_mut(&id) else {
             return;
         };
@@ -411,7 +411,7 @@
     }
 
     /// Goes on with sessions that had used up their part of the turn before.
-    pub fn go_on(&mut self, now: Moment, counters: &mut Counters) {
+    pub fn go_on(&mut self, now: Timestamp, counters: &mut Counters) {
         std::mem::take(&mut self.again)
             .into_iter()
             .for_each(|id| self.work(now, id, counters));
@@ -432,7 +432,7 @@
     }
 
     /// Reads a part and works off whole packets, up to the next statement.
-    fn work(&mut self, now: Moment, id: u32, counters: &mut Counters) {
+    fn work(&mut self, now: Timestamp, id: u32, counters: &mut Counters) {
         if self.read(id).is_err() {
             return self.end(id, counters);
         }
@@ -502,7 +502,7 @@
     }
 
     /// Writes what is to be written, and closes what has said all.
-    fn settle(&mut self, now: Moment, id: u32, counters: &mut Counters) {
+    fn settle(&mut self, now: Timestamp, id: u32, counters: &mut Counters) {
         let Some(session) = self.sessions.get_mut(&id) else {
             return;
         };
@@ -521,7 +521,7 @@
         }
     }
 
-    fn packet(&mut self, now: Moment, id: u32, body: &[u8], counters: &mut Counters) {
+    fn packet(&mut self, now: Timestamp, id: u32, body: &[u8], counters: &mut Counters) {
         let Some(session) = self.sessions.get_mut(&id) else {
             return;
         };
@@ -694,7 +694,7 @@
     }
 
     /// The session's token was found good: it is logged in, or goes on with this one.
-    pub fn known(&mut self, now: Moment, id: u32, token: Rc<str>, counters: &mut Counters) {
+    pub fn known(&mut self, now: Timestamp, id: u32, token: Rc<str>, counters: &mut Counters) {
         if let Some(session) = self.sessions.get_mut(&id) {
             session.token = Some(token);
             session.phase = Phase::Open;
@@ -705,7 +705,7 @@
     /// Its token is not good enough to log in with: it is told why, and its session ends.
     pub fn unknown(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         id: u32,
         counters: &mut Counters,
         answer: impl FnOnce(Answer) -> BytesMut,
@@ -726,7 +726,7 @@
     /// A report ahead of a session's answer; one that does not read its reports gets no more.
     pub fn tell_progress(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         id: u32,
         done: u32,
         text: &str,
@@ -748,7 +748,7 @@
     /// Gives a session its one answer, and reads on behind it. False: nobody waits for it any more.
     pub fn answer(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         id: u32,
         counters: &mut Counters,
         answer: impl FnOnce(Answer) -> BytesMut,
@@ -765,7 +765,7 @@
     /// The statement that another session wants ended. `whole`: its session too.
     pub fn kill(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         id: u32,
         whole: bool,
         counters: &mut Counters,
@@ -807,7 +807,7 @@
         self.news.extend(session.statement.map(News::Left));
     }
 
-    pub fn next_due(&self, now: Moment) -> Option<Moment> {
+    pub fn next_due(&self, now: Timestamp) -> Option<Timestamp> {
         let sweep = (!self.sessions.is_empty()).then_some(self.sweep);
         if self.again.is_empty() && self.news.is_empty() {
             sweep
@@ -816,11 +816,11 @@
         }
     }
 
-    pub fn expire(&mut self, now: Moment, counters: &mut Counters) {
+    pub fn expire(&mut self, now: Timestamp, counters: &mut Counters) {
         if now < self.sweep {
             return;
         }
-        self.sweep = now + Span::from_secs(SWEEP_S);
+        self.sweep = now + TimeDelta::from_secs(SWEEP_S);
         let over = self
             .sessions
             .iter()
--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -1,9 +1,9 @@
 //! The Unix clock as moments. Read once, then run on by the monotonic clock: a step of the system's clock
-//! would end relays early or never.
+//! would end attempts early or never.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use admission::interface::Moment;
+use admission::interface::Timestamp;
 
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
@@ -19,25 +19,25 @@
         }
     }
 
-    pub fn now(&self) -> Moment {
-        Moment::from_secs((self.unix + self.at.elapsed()).as_secs_f64())
+    pub fn now(&self) -> Timestamp {
+        Timestamp::from_secs((self.unix + self.at.elapsed()).as_secs_f64())
     }
 
     /// A clock of this machine that nobody sets, and that runs on while the machine sleeps: what was leased ends by it.
-    pub fn steady(&self) -> Moment {
+    pub fn steady(&self) -> Timestamp {
         steady()
     }
 
     /// The same point on the monotonic clock; the past counts as now.
-    pub fn instant(&self, moment: Moment) -> Instant {
+    pub fn instant(&self, moment: Timestamp) -> Instant {
         let left = (moment - self.now()).secs().max(0.0);
         Instant::now() + Duration::from_secs_f64(left)
     }
 }
 
 /// The Unix time as the machine tells it now, for what other machines dated: it may step, and is no measure of spans.
-pub fn unix() -> Moment {
-    Moment::from_secs(since_epoch().as_secs_f64())
+pub fn unix() -> Timestamp {
+    Timestamp::from_secs(since_epoch().as_secs_f64())
 }
 
 fn since_epoch() -> Duration {
@@ -47,7 +47,7 @@
 }
 
 /// See [`Clock::steady`].
-pub fn steady() -> Moment {
+pub fn steady() -> Timestamp {
     let now = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
-    Moment::from_secs(now.tv_sec as f64 + now.tv_nsec as f64 / 1e9)
+    Timestamp::from_secs(now.tv_sec as f64 + now.tv_nsec as f64 / 1e9)
 }
--- a/crates/gateway/src/command.rs
+++ b/crates/gateway/src/command.rs
@@ -172,10 +172,7 @@
         config.name,
         config.listen
     );
-    println!(
-        "  products: {}",
-        config.settings.product_names()?.join(", ")
-    );
+    println!("  products: {}", config.settings.class_names()?.join(", "));
     println!("  members: {}", config.settings.tenant_names()?.join(", "));
     let file = operator
         .as_deref()
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -31,7 +31,7 @@
     #[error("{0}: queues.member.{1}: the configuration knows no such member")]
     Member(String, String),
     #[error("{0}: shares.relays_per_s.{1}: the configuration knows no such product")]
-    Product(String, String),
+    QueryClass(String, String),
     #[error("{0}: fleet.name: the configuration's name cannot be taken: {1}")]
     Name(String, ::membership::who::NoName),
 }
@@ -83,14 +83,14 @@
             1.0 / config.settings.peers()?
         };
         let queues = operator.queues.map(|terms| terms.part(part));
-        let products = config.settings.product_names()?;
+        let classes = config.settings.class_names()?;
         let of = operator.shares.iter().flat_map(|terms| &terms.budgets);
         let unknown = of.filter_map(|budget| match &budget.of {
-            ::quota::Use::Relays(product) if !products.contains(product) => Some(product.clone()),
+            ::quota::Use::Relays(class) if !classes.contains(class) => Some(class.clone()),
             _ => None,
         });
-        if let Some(product) = unknown.into_iter().next() {
-            return Err(ConfigError::Product(path.display().to_string(), product));
+        if let Some(class) = unknown.into_iter().next() {
+            return Err(ConfigError::QueryClass(path.display().to_string(), class));
         }
         let named = |terms: FleetTerms| {
             let own = || {
--- a/crates/gateway/src/credentials.rs
+++ b/crates/gateway/src/credentials.rs
@@ -6,7 +6,7 @@
 use std::path::{Path, PathBuf};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-use admission::interface::Moment;
+use admission::interface::Timestamp;
 use clap::{Args, Subcommand};
 use identity::grants::Grant;
 use identity::keys::{Index, KeyId, Listed};
@@ -74,11 +74,11 @@
     caller: String,
     #[arg(long)]
     member: String,
-    /// Desks, products, table groups (`3-5` or `7`) and networks that it is limited to; without one, all.
+    /// Desks, query classes, table groups (`3-5` or `7`) and networks that it is limited to; without one, all.
     #[arg(long)]
     desk: Vec<String>,
     #[arg(long)]
-    product: Vec<String>,
+    class: Vec<String>,
     #[arg(long, value_parser = range)]
     groups: Vec<(u32, u32)>,
     #[arg(long)]
@@ -146,7 +146,7 @@
         Keys::List { folder } => {
             let index = keyfiles::index(&folder)?;
             println!("version {}", index.version);
-            let now = Moment::from_secs(now_s());
+            let now = Timestamp::from_secs(now_s());
             for listed in &index.keys {
                 println!("{:<32}  {:?}", listed.id.as_str(), listed.standing(now));
             }
@@ -221,7 +221,7 @@
             let grant = Grant {
                 member: issue.member,
                 desks: set(issue.desk),
-                products: set(issue.product),
+                classes: set(issue.class),
                 groups: (!issue.groups.is_empty()).then_some(issue.groups),
                 most_open: issue.most_open,
                 networks: (!issue.network.is_empty()).then_some(issue.network),
@@ -250,7 +250,7 @@
             Ok(())
         }
         Token::Verify { folder, token } => {
-            let (files, now) = (keyfiles::read(&folder)?, Moment::from_secs(now_s()));
+            let (files, now) = (keyfiles::read(&folder)?, Timestamp::from_secs(now_s()));
             let mut guard = Guard::new(now, Terms::default());
             guard.take(now, &files.index, &files.public, files.revoked)?;
             match guard.verdict(now, &token) {
--- a/crates/gateway/src/engines/lines.rs
+++ b/crates/gateway/src/engines/lines.rs
@@ -121,7 +121,7 @@
     }
 }
 
-/// A relay as the engine reads it.
+/// An attempt as the engine reads it.
 /// What a statement carries through unchanged: its mark against repeats, and what it keeps its order by.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Tags {
@@ -129,20 +129,21 @@
     pub key: Option<Box<str>>,
 }
 
-pub fn relay(
+pub fn attempt(
     rid: &Rid,
-    product: &str,
+    class: &str,
     max_ms: u64,
-    rank: Option<u8>,
+    priority: Option<u8>,
     tags: &Tags,
     statement: &[u8],
 ) -> Vec<u8> {
     let mut line = Vec::with_capacity(statement.len() + 192);
     line.extend(b"do ");
     line.extend(rid);
-    line.extend(format!(" profile={product},max={max_ms}").as_bytes());
-    rank.into_iter()
-        .for_each(|rank| line.extend(format!(",band={rank}").as_bytes()));
+    line.extend(format!(" profile={class},max={max_ms}").as_bytes());
+    priority
+        .into_iter()
+        .for_each(|priority| line.extend(format!(",band={priority}").as_bytes()));
     let Tags { mark, key } = tags;
     mark.iter()
         .for_each(|mark| line.extend(format!(",replay={mark}").as_bytes()));
--- a/crates/gateway/src/engines/mod.rs
+++ b/crates/gateway/src/engines/mod.rs
@@ -1,4 +1,4 @@
-//! Connections to engines and the relays on them. An engine is known by its id, never by its address: a new
+//! Connections to engines and the attempts on them. An engine is known by its id, never by its address: a new
 //! one may listen where another did.
 
 pub mod lines;
@@ -30,50 +30,50 @@
 /// side before its own, with a slow loop and a slow way between.
 const IDLE_PART: f64 = 0.8;
 
-/// A relay to be written.
+/// An attempt to be written.
 pub struct Outgoing<'a> {
     pub statement: StatementId,
-    pub relay: RelayNo,
+    pub attempt: AttemptNumber,
     pub engine: EngineId,
     pub rid: Rid,
-    pub product: &'a str,
+    pub class: &'a str,
     pub tags: &'a Tags,
     pub text: &'a [u8],
-    pub due: Moment,
-    pub rank: Option<u8>,
+    pub due: Timestamp,
+    pub priority: Option<u8>,
     /// A repeat that has not left whole by then stays here.
-    pub leave_by: Option<Moment>,
-    /// Connections that earlier relays of the statement went on: what still comes there is not this one's.
+    pub leave_by: Option<Timestamp>,
+    /// Connections that earlier attempts of the statement went on: what still comes there is not this one's.
     pub avoid: &'a [u64],
 }
 
-/// What became of a relay; with a completed one its pages in order.
+/// What became of an attempt; with a completed one its pages in order.
 #[derive(Debug)]
 pub struct Report {
     pub statement: StatementId,
-    pub relay: RelayNo,
-    pub news: News,
-    pub latency: Span,
+    pub attempt: AttemptNumber,
+    pub event: AttemptEvent,
+    pub latency: TimeDelta,
     pub pages: Vec<Bytes>,
 }
 
 /// A result on its way: told done, some pages still to come.
 struct Coming {
-    latency: Span,
-    cpu: Option<Span>,
+    latency: TimeDelta,
+    cpu: Option<TimeDelta>,
     memory_mb: Option<f64>,
     pages: Vec<Option<Bytes>>,
     size: usize,
     /// When its last part came.
-    moved: Moment,
+    moved: Timestamp,
 }
 
-struct Relay {
+struct SentAttempt {
     statement: StatementId,
-    relay: RelayNo,
-    sent: Moment,
-    due: Moment,
-    /// Of all bytes put on the connection, the first of this relay's, and the first after them.
+    attempt: AttemptNumber,
+    sent: Timestamp,
+    due: Timestamp,
+    /// Of all bytes put on the connection, the first of this attempt's, and the first after them.
     starts_at: u64,
     ends_at: u64,
     coming: Option<Coming>,
@@ -83,21 +83,21 @@
 
 struct Connection {
     engine: EngineId,
-    /// Where it leads; an engine listed elsewhere since takes its relays there.
+    /// Where it leads; an engine listed elsewhere since takes its attempts there.
     address: SocketAddr,
     socket: Socket,
     /// Until when it may take to come up; none once it is up.
-    connecting: Option<Moment>,
+    connecting: Option<Timestamp>,
     /// Bounded by the settings' multiplex.
-    relays: HashMap<Rid, Relay>,
+    attempts: HashMap<Rid, SentAttempt>,
     /// Since when an answer has been begun and not ended.
-    begun: Option<Moment>,
-    quiet_since: Moment,
-    /// A relay on it was given up unanswered: it takes no more. A vanished machine keeps its connections open, one
-    /// spoilt answer may be its last, and a late answer must not be taken for a further relay's.
+    begun: Option<Timestamp>,
+    quiet_since: Timestamp,
+    /// An attempt on it was given up unanswered: it takes no more. A vanished machine keeps its connections open, one
+    /// spoilt answer may be its last, and a late answer must not be taken for a further attempt's.
     spent: bool,
     /// When something is next to be done about it, as it stands in `ends`.
-    end: Moment,
+    end: Timestamp,
 }
 
 pub struct Engines {
@@ -112,15 +112,15 @@
     /// The connections of each engine; leaves with the last of them.
     of: BTreeMap<EngineId, BTreeSet<u64>>,
     /// When each connection is not up in time, stalls or is idle for too long; as many as connections.
-    ends: BTreeSet<(Moment, u64)>,
+    ends: BTreeSet<(Timestamp, u64)>,
     /// Connections with more to read than their part of a turn; emptied by the next.
     again: BTreeSet<u64>,
-    /// Where each relay is; leaves with the relay.
-    places: HashMap<(StatementId, RelayNo), (u64, Rid)>,
-    /// When relays time out; as many as relays.
-    dues: BTreeSet<(Moment, StatementId, RelayNo)>,
+    /// Where each attempt is; leaves with the attempt.
+    places: HashMap<(StatementId, AttemptNumber), (u64, Rid)>,
+    /// When attempts time out; as many as attempts.
+    dues: BTreeSet<(Timestamp, StatementId, AttemptNumber)>,
     /// When repeats must have left; emptied as it passes.
-    leaves: BTreeSet<(Moment, StatementId, RelayNo)>,
+    leaves: BTreeSet<(Timestamp, StatementId, AttemptNumber)>,
     reports: Vec<Report>,
 }
 
@@ -148,7 +148,7 @@
             Some(address) => drop(self.addresses.insert(engine, address)),
             None => drop(self.addresses.remove(&engine)),
         }
-        // Idle ones to where it is no longer go at once, the others with their last relay.
+        // Idle ones to where it is no longer go at once, the others with their last attempt.
         let of: Vec<u64> = self
             .of
             .get(&engine)
@@ -161,7 +161,7 @@
 
     /// The list says that an engine drains or is gone: what has not begun to leave for it must not begin any more. A
     /// connection that comes up late would carry it past the grace.
-    pub fn closed(&mut self, now: Moment, engine: EngineId, counters: &mut Counters) {
+    pub fn closed(&mut self, now: Timestamp, engine: EngineId, counters: &mut Counters) {
         let of: Vec<u64> = self
             .of
             .get(&engine)
@@ -175,15 +175,15 @@
             };
             let written = connection.socket.written;
             let unbegun = connection
-                .relays
+                .attempts
                 .iter()
-                .filter(|(_, relay)| relay.starts_at >= written);
+                .filter(|(_, attempt)| attempt.starts_at >= written);
             let mut unbegun: Vec<(u64, Rid)> = unbegun
-                .map(|(rid, relay)| (relay.starts_at, *rid))
+                .map(|(rid, attempt)| (attempt.starts_at, *rid))
                 .collect();
             unbegun.sort_unstable();
             for (_, rid) in unbegun {
-                self.withdraw(now, at, &rid, News::Withdrawn, counters);
+                self.withdraw(now, at, &rid, AttemptEvent::Withdrawn, counters);
             }
         }
     }
@@ -197,18 +197,18 @@
     }
 
     /// The connection it went on; none if it was reported as never sent.
-    pub fn send(&mut self, now: Moment, o: &Outgoing, counters: &mut Counters) -> Option<u64> {
+    pub fn send(&mut self, now: Timestamp, o: &Outgoing, counters: &mut Counters) -> Option<u64> {
         counters.relays_sent += 1;
         let at = self.connection(now, o, counters)?;
         let max_ms = ((o.due - now).secs() * 1e3).max(1.0) as u64;
         let connection = self.connections.get_mut(&at).expect("just chosen");
         let starts_at = connection.socket.put;
-        connection.socket.put(&lines::relay(
-            &o.rid, o.product, max_ms, o.rank, o.tags, o.text,
+        connection.socket.put(&lines::attempt(
+            &o.rid, o.class, max_ms, o.priority, o.tags, o.text,
         ));
-        let relay = Relay {
+        let attempt = SentAttempt {
             statement: o.statement,
-            relay: o.relay,
+            attempt: o.attempt,
             sent: now,
             due: o.due,
             starts_at,
@@ -216,28 +216,28 @@
             coming: None,
             unwanted: false,
         };
-        connection.relays.insert(o.rid, relay);
-        self.places.insert((o.statement, o.relay), (at, o.rid));
-        self.dues.insert((o.due, o.statement, o.relay));
+        connection.attempts.insert(o.rid, attempt);
+        self.places.insert((o.statement, o.attempt), (at, o.rid));
+        self.dues.insert((o.due, o.statement, o.attempt));
         self.leaves
-            .extend(o.leave_by.map(|by| (by, o.statement, o.relay)));
+            .extend(o.leave_by.map(|by| (by, o.statement, o.attempt)));
         self.settle(at);
         self.flush(now, at, counters);
         Some(at)
     }
 
     /// An idle connection, the last used, so that the others may end; else a new one; with descriptors short the
-    /// one with the fewest relays. A connection that is spoilt or reset costs all relays on it, so each has its
-    /// own as far as descriptors go. None: the relay was reported as never sent.
-    fn connection(&mut self, now: Moment, o: &Outgoing, counters: &mut Counters) -> Option<u64> {
+    /// one with the fewest attempts. A connection that is spoilt or reset costs all attempts on it, so each has its
+    /// own as far as descriptors go. None: the attempt was reported as never sent.
+    fn connection(&mut self, now: Timestamp, o: &Outgoing, counters: &mut Counters) -> Option<u64> {
         let (most, address) = (self.links.multiplex, self.addresses.get(&o.engine).copied());
         loop {
             let fits = |(at, c): &(u64, &Connection)| {
                 address.is_none_or(|address| address == c.address)
                     && !c.spent
-                    && c.relays.len() < most
+                    && c.attempts.len() < most
                     && !o.avoid.contains(at)
-                    && !c.relays.contains_key(&o.rid)
+                    && !c.attempts.contains_key(&o.rid)
             };
             let of = self
                 .of
@@ -247,10 +247,10 @@
                 .map(|at| (*at, &self.connections[at]));
             let least = of
                 .filter(fits)
-                .min_by_key(|(_, c)| (c.relays.len(), Reverse(c.quiet_since)));
+                .min_by_key(|(_, c)| (c.attempts.len(), Reverse(c.quiet_since)));
             let full = self.connections.len() >= self.share;
             let Some((at, rests)) =
-                least.map(|(at, c)| (at, c.relays.is_empty() && c.connecting.is_none()))
+                least.map(|(at, c)| (at, c.attempts.is_empty() && c.connecting.is_none()))
             else {
                 break;
             };
@@ -271,16 +271,16 @@
                 return Some(at);
             }
         }
-        let never = |news| Report {
+        let never = |event| Report {
             statement: o.statement,
-            relay: o.relay,
-            news,
-            latency: Span::ZERO,
+            attempt: o.attempt,
+            event,
+            latency: TimeDelta::ZERO,
             pages: Vec::new(),
         };
         if self.connections.len() >= self.share && !self.close_one_idle(counters) {
             counters.relays_unsent += 1;
-            self.reports.push(never(News::NeverSent));
+            self.reports.push(never(AttemptEvent::NeverSent));
             return None;
         }
         let at = self.next;
@@ -291,14 +291,14 @@
                 let error = other.and_then(|(_, opened)| opened.err());
                 debug!(engine = o.engine.0, ?error, "no connection could be begun");
                 // Our own shortage must not be laid at the engine's door.
-                let (news, count) = match error {
+                let (event, count) = match error {
                     Some(error) if is_shortage(&error) => {
-                        (News::NeverSent, &mut counters.relays_unsent)
+                        (AttemptEvent::NeverSent, &mut counters.relays_unsent)
                     }
-                    _ => (News::Unreachable, &mut counters.relays_unreachable),
+                    _ => (AttemptEvent::Unreachable, &mut counters.relays_unreachable),
                 };
                 *count += 1;
-                self.reports.push(never(news));
+                self.reports.push(never(event));
                 return None;
             }
         };
@@ -309,7 +309,7 @@
             address,
             socket,
             connecting: Some(now + self.links.connect_timeout),
-            relays: HashMap::new(),
+            attempts: HashMap::new(),
             begun: None,
             quiet_since: now,
             spent: false,
@@ -322,7 +322,10 @@
     }
 
     fn close_one_idle(&mut self, counters: &mut Counters) -> bool {
-        let idle = self.connections.iter().filter(|(_, c)| c.relays.is_empty());
+        let idle = self
+            .connections
+            .iter()
+            .filter(|(_, c)| c.attempts.is_empty());
         let oldest = idle.min_by_key(|(_, c)| c.quiet_since).map(|(at, _)| *at);
         counters.engine_idle_closed += u64::from(oldest.is_some());
         oldest.and_then(|at| self.drop_connection(at)).is_some()
@@ -342,22 +345,22 @@
     /// stands at which they are looked at next.
     fn settle(&mut self, at: u64) {
         let (rest, idle) = (
-            Span::from_secs(REST_S),
-            Span::from_secs(self.links.idle.secs() * IDLE_PART),
+            TimeDelta::from_secs(REST_S),
+            TimeDelta::from_secs(self.links.idle.secs() * IDLE_PART),
         );
         let Some(connection) = self.connections.get_mut(&at) else {
             return;
         };
-        let empty = connection.relays.is_empty();
+        let empty = connection.attempts.is_empty();
         let there = self.addresses.get(&connection.engine) == Some(&connection.address);
         if empty && connection.connecting.is_none() && (connection.spent || !there) {
             drop(self.drop_connection(at));
             return;
         }
         let coming = connection
-            .relays
+            .attempts
             .values()
-            .filter_map(|relay| relay.coming.as_ref());
+            .filter_map(|attempt| attempt.coming.as_ref());
         let coming = coming.map(|coming| coming.moved).min();
         let stalls = connection
             .begun
@@ -366,8 +369,8 @@
             .map(|since| since + rest);
         let quiet = empty.then_some(connection.quiet_since + idle);
         let end = stalls.chain(connection.connecting).chain(quiet).min();
-        // With relays out the last of them looks after itself.
-        let end = end.unwrap_or(connection.quiet_since + Span::from_secs(1e9));
+        // With attempts out the last of them looks after itself.
+        let end = end.unwrap_or(connection.quiet_since + TimeDelta::from_secs(1e9));
         if end != connection.end {
             self.ends.remove(&(connection.end, at));
             self.ends.insert((end, at));
@@ -375,59 +378,73 @@
         }
     }
 
-    /// Gives a relay up by the decisions' word.
-    pub fn cancel(&mut self, now: Moment, id: StatementId, no: RelayNo, counters: &mut Counters) {
+    /// Gives an attempt up by the decisions' word.
+    pub fn cancel(
+        &mut self,
+        now: Timestamp,
+        id: StatementId,
+        no: AttemptNumber,
+        counters: &mut Counters,
+    ) {
         counters.relays_cancelled += u64::from(self.places.contains_key(&(id, no)));
-        self.give_up(now, id, no, News::Cancelled, counters);
+        self.give_up(now, id, no, AttemptEvent::Cancelled, counters);
     }
 
     /// Its client sends no more: what has not left whole stays here. Nothing is said of what has.
     pub fn stay(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         id: StatementId,
-        no: RelayNo,
+        no: AttemptNumber,
         counters: &mut Counters,
     ) -> bool {
         let Some((at, rid)) = self.places.get(&(id, no)).copied() else {
             return false;
         };
-        self.withdraw(now, at, &rid, News::Withdrawn, counters)
+        self.withdraw(now, at, &rid, AttemptEvent::Withdrawn, counters)
     }
 
     /// No client waits for it any more: what is still to come of its result is not asked for.
-    pub fn unwanted(&mut self, now: Moment, id: StatementId, no: RelayNo, counters: &mut Counters) {
+    pub fn unwanted(
+        &mut self,
+        now: Timestamp,
+        id: StatementId,
+        no: AttemptNumber,
+        counters: &mut Counters,
+    ) {
         if self.stay(now, id, no, counters) {
             return;
         }
         let Some((at, rid)) = self.places.get(&(id, no)).copied() else {
             return;
         };
-        let relay = self
+        let attempt = self
             .connections
             .get_mut(&at)
-            .and_then(|connection| connection.relays.get_mut(&rid));
-        relay.into_iter().for_each(|relay| relay.unwanted = true);
+            .and_then(|connection| connection.attempts.get_mut(&rid));
+        attempt
+            .into_iter()
+            .for_each(|attempt| attempt.unwanted = true);
         self.complete(now, at, &rid, counters);
     }
 
-    /// Relays out to each engine, as they stand on the sockets.
+    /// Attempts out to each engine, as they stand on the sockets.
     pub fn out(&self) -> BTreeMap<EngineId, u32> {
         let mut out = BTreeMap::new();
         self.connections
             .values()
-            .for_each(|c| *out.entry(c.engine).or_default() += c.relays.len() as u32);
-        out.retain(|_, relays| *relays > 0);
+            .for_each(|c| *out.entry(c.engine).or_default() += c.attempts.len() as u32);
+        out.retain(|_, attempts| *attempts > 0);
         out
     }
 
     /// The gateway ends: what is out is to have ended by then.
-    pub fn end_by(&mut self, by: Moment) {
+    pub fn end_by(&mut self, by: Timestamp) {
         for connection in self.connections.values_mut() {
             connection
-                .relays
+                .attempts
                 .values_mut()
-                .for_each(|relay| relay.due = relay.due.min(by));
+                .for_each(|attempt| attempt.due = attempt.due.min(by));
         }
         self.dues = std::mem::take(&mut self.dues)
             .into_iter()
@@ -435,32 +452,32 @@
             .collect();
     }
 
-    /// Where a statement's relays stand, for a line in the log.
+    /// Where a statement's attempts stand, for a line in the log.
     pub fn stand(&self, id: StatementId) -> String {
         let places: Vec<_> = self.places.iter().filter(|(key, _)| key.0 == id).collect();
         let dues: Vec<_> = self.dues.iter().filter(|due| due.1 == id).collect();
         format!("{places:?} due {dues:?}")
     }
 
-    pub fn next_due(&self, now: Moment) -> Option<Moment> {
-        let relay = self.dues.first().map(|due| due.0);
+    pub fn next_due(&self, now: Timestamp) -> Option<Timestamp> {
+        let attempt = self.dues.first().map(|due| due.0);
         let again = (!self.again.is_empty()).then_some(now);
         let leave = self.leaves.first().map(|leave| leave.0);
         self.ends
             .first()
             .map(|end| end.0)
             .into_iter()
-            .chain(relay)
+            .chain(attempt)
             .chain(leave)
             .chain(again)
             .min()
     }
 
-    pub fn expire(&mut self, now: Moment, counters: &mut Counters) {
+    pub fn expire(&mut self, now: Timestamp, counters: &mut Counters) {
         while let Some((due, id, no)) = self.dues.first().copied().filter(|due| due.0 <= now) {
             counters.relays_timed_out += 1;
-            self.give_up(now, id, no, News::TimedOut, counters);
-            // Gone already where the relay was; else an entry that nothing else would take out.
+            self.give_up(now, id, no, AttemptEvent::TimedOut, counters);
+            // Gone already where the attempt was; else an entry that nothing else would take out.
             self.dues.remove(&(due, id, no));
         }
         while let Some((_, id, no)) = self.leaves.first().copied().filter(|leave| leave.0 <= now) {
@@ -471,7 +488,7 @@
             let connection = &self.connections[&at];
             if connection.connecting.is_some() {
                 self.end(now, at, "not up in time", counters);
-            } else if connection.relays.is_empty() && connection.begun.is_none() {
+            } else if connection.attempts.is_empty() && connection.begun.is_none() {
                 counters.engine_idle_closed += 1;
                 drop(self.drop_connection(at));
             } else {
@@ -482,7 +499,7 @@
     }
 
     /// Reads on where a turn's part was not enough.
-    pub fn go_on(&mut self, now: Moment, counters: &mut Counters) {
+    pub fn go_on(&mut self, now: Timestamp, counters: &mut Counters) {
         std::mem::take(&mut self.again)
             .into_iter()
             .for_each(|at| self.read(now, at, counters));
@@ -490,10 +507,10 @@
 
     fn give_up(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         id: StatementId,
-        no: RelayNo,
-        news: News,
+        no: AttemptNumber,
+        event: AttemptEvent,
         counters: &mut Counters,
     ) {
         let Some((at, rid)) = self.places.get(&(id, no)).copied() else {
@@ -502,73 +519,76 @@
         let Some(connection) = self.connections.get_mut(&at) else {
             return;
         };
-        let Some(relay) = connection.relays.get(&rid) else {
+        let Some(attempt) = connection.attempts.get(&rid) else {
             return;
         };
         // Not up in the statement's time tells of the engine; bytes that it did not take yet, of nobody.
         let kept = if connection.connecting.is_some() {
-            News::Unreachable
+            AttemptEvent::Unreachable
         } else {
-            News::NeverSent
+            AttemptEvent::NeverSent
         };
-        if relay.ends_at > connection.socket.written && self.withdraw(now, at, &rid, kept, counters)
+        if attempt.ends_at > connection.socket.written
+            && self.withdraw(now, at, &rid, kept, counters)
         {
             return;
         }
         let Some(connection) = self.connections.get_mut(&at) else {
             return;
         };
-        let Some(relay) = connection.relays.get(&rid) else {
+        let Some(attempt) = connection.attempts.get(&rid) else {
             return;
         };
-        if relay.coming.is_some() {
+        if attempt.coming.is_some() {
             connection.socket.put(&lines::forget(&rid));
         } else {
             connection.socket.put(&lines::undo(&rid));
         }
         connection.spent = true;
-        let latency = now - relay.sent;
-        self.over(now, at, &rid, news, latency, Vec::new());
+        let latency = now - attempt.sent;
+        self.over(now, at, &rid, event, latency, Vec::new());
         self.flush(now, at, counters);
         self.settle(at);
     }
 
-    /// Takes a relay back that has not left this machine whole. It has its answer, or is about to: a connection that comes
+    /// Takes an attempt back that has not left this machine whole. It has its answer, or is about to: a connection that comes
     /// up later, or takes bytes again, must not carry it on after that. True: it is off the books, and never ran.
     fn withdraw(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         at: u64,
         rid: &Rid,
-        news: News,
+        event: AttemptEvent,
         counters: &mut Counters,
     ) -> bool {
         let Some(connection) = self.connections.get_mut(&at) else {
             return false;
         };
-        let Some(relay) = connection.relays.get(rid) else {
+        let Some(attempt) = connection.attempts.get(rid) else {
             return false;
         };
-        let (from, to, latency) = (relay.starts_at, relay.ends_at, now - relay.sent);
+        let (from, to, latency) = (attempt.starts_at, attempt.ends_at, now - attempt.sent);
         if to <= connection.socket.written {
             return false;
         }
-        let alone = connection.relays.len() == 1;
+        let alone = connection.attempts.len() == 1;
         if connection.socket.take_back(from, to) {
             let later = connection
-                .relays
+                .attempts
                 .values_mut()
-                .filter(|relay| relay.starts_at >= to);
-            later.for_each(|relay| {
-                (relay.starts_at, relay.ends_at) =
-                    (relay.starts_at - (to - from), relay.ends_at - (to - from));
+                .filter(|attempt| attempt.starts_at >= to);
+            later.for_each(|attempt| {
+                (attempt.starts_at, attempt.ends_at) = (
+                    attempt.starts_at - (to - from),
+                    attempt.ends_at - (to - from),
+                );
             });
         } else if !alone {
             // Begun already, and others' are behind it: its end is needed for them to be read.
             return false;
         }
         counters.relays_withdrawn += 1;
-        self.over(now, at, rid, news, latency, Vec::new());
+        self.over(now, at, rid, event, latency, Vec::new());
         if alone {
             // Nobody waits for it any more, or what it began must not be ended.
             drop(self.drop_connection(at));
@@ -578,38 +598,38 @@
         true
     }
 
-    /// Takes a relay off the books and tells of its end.
+    /// Takes an attempt off the books and tells of its end.
     fn over(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         at: u64,
         rid: &Rid,
-        news: News,
-        latency: Span,
+        event: AttemptEvent,
+        latency: TimeDelta,
         pages: Vec<Bytes>,
     ) {
         let Some(connection) = self.connections.get_mut(&at) else {
             return;
         };
-        let Some(relay) = connection.relays.remove(rid) else {
+        let Some(attempt) = connection.attempts.remove(rid) else {
             return;
         };
-        if connection.relays.is_empty() {
+        if connection.attempts.is_empty() {
             connection.quiet_since = now;
         }
-        let (statement, relay_no) = (relay.statement, relay.relay);
+        let (statement, relay_no) = (attempt.statement, attempt.attempt);
         self.places.remove(&(statement, relay_no));
-        self.dues.remove(&(relay.due, statement, relay_no));
+        self.dues.remove(&(attempt.due, statement, relay_no));
         self.reports.push(Report {
             statement,
-            relay: relay_no,
-            news,
+            attempt: relay_no,
+            event,
             latency,
             pages,
         });
     }
 
-    fn flush(&mut self, now: Moment, at: u64, counters: &mut Counters) {
+    fn flush(&mut self, now: Timestamp, at: u64, counters: &mut Counters) {
         let Some(connection) = self.connections.get_mut(&at) else {
             return;
         };
@@ -621,43 +641,43 @@
     }
 
     /// A connection is lost. What had not left this machine whole never ran; the rest may have.
-    fn end(&mut self, now: Moment, at: u64, why: &str, counters: &mut Counters) {
+    fn end(&mut self, now: Timestamp, at: u64, why: &str, counters: &mut Counters) {
         let Some(connection) = self.connections.get(&at) else {
             return;
         };
         debug!(
             engine = connection.engine.0,
-            relays = connection.relays.len(),
+            attempts = connection.attempts.len(),
             why,
             "connection lost"
         );
         let written = connection.socket.written;
-        let mut ends: Vec<(StatementId, Rid, News, Span)> = connection
-            .relays
+        let mut ends: Vec<(StatementId, Rid, AttemptEvent, TimeDelta)> = connection
+            .attempts
             .iter()
-            .map(|(rid, relay)| {
-                let never = connection.connecting.is_some() || relay.ends_at > written;
-                let news = if never {
-                    News::Unreachable
+            .map(|(rid, attempt)| {
+                let never = connection.connecting.is_some() || attempt.ends_at > written;
+                let event = if never {
+                    AttemptEvent::Unreachable
                 } else {
-                    News::Reset
+                    AttemptEvent::Reset
                 };
-                (relay.statement, *rid, news, now - relay.sent)
+                (attempt.statement, *rid, event, now - attempt.sent)
             })
             .collect();
         // In the order of taking, not of the hash: what follows must not hang on it.
         ends.sort_by_key(|end| end.0);
-        for (_, rid, news, latency) in ends {
-            match news {
-                News::Reset => counters.relays_reset += 1,
+        for (_, rid, event, latency) in ends {
+            match event {
+                AttemptEvent::Reset => counters.relays_reset += 1,
                 _ => counters.relays_unreachable += 1,
             }
-            self.over(now, at, &rid, news, latency, Vec::new());
+            self.over(now, at, &rid, event, latency, Vec::new());
         }
         self.drop_connection(at);
     }
 
-    pub fn ready(&mut self, now: Moment, at: u64, counters: &mut Counters) {
+    pub fn ready(&mut self, now: Timestamp, at: u64, counters: &mut Counters) {
         let Some(connection) = self.connections.get_mut(&at) else {
             return;
         };
@@ -674,7 +694,7 @@
     }
 
     /// Reads a bounded part. Bytes that can't be used end the connection at once, whatever else it says.
-    fn read(&mut self, now: Moment, at: u64, counters: &mut Counters) {
+    fn read(&mut self, now: Timestamp, at: u64, counters: &mut Counters) {
         for _ in 0..READS {
             let Some(connection) = self.connections.get_mut(&at) else {
                 return;
@@ -708,7 +728,7 @@
                 Ok(()) => {}
             }
             let partial = !connection.socket.inbox.is_empty();
-            if partial && connection.relays.is_empty() {
+            if partial && connection.attempts.is_empty() {
                 // Nobody asked for it, and what is put on this connection next would stand behind it.
                 counters.answers_spoilt += 1;
                 return self.end(now, at, "half an answer to nothing", counters);
@@ -725,41 +745,42 @@
         self.settle(at);
     }
 
-    fn answered(&mut self, now: Moment, at: u64, answer: Answer, counters: &mut Counters) {
+    fn answered(&mut self, now: Timestamp, at: u64, answer: Answer, counters: &mut Counters) {
         let Some(connection) = self.connections.get_mut(&at) else {
             return;
         };
         let rid = Rid::try_from(&answer.id[..]).ok();
-        let Some((rid, relay)) = rid.and_then(|rid| Some((rid, connection.relays.get_mut(&rid)?)))
+        let Some((rid, attempt)) =
+            rid.and_then(|rid| Some((rid, connection.attempts.get_mut(&rid)?)))
         else {
-            // Late, twice or unasked: no further relay of that id is ever on this connection.
+            // Late, twice or unasked: no further attempt of that id is ever on this connection.
             counters.answers_late += u64::from(answer.word != Word::Fit);
             return;
         };
-        let latency = now - relay.sent;
+        let latency = now - attempt.sent;
         let end = match answer.word {
             Word::Fit => return,
             Word::Tell => {
                 counters.notes += 1;
-                let news = match (answer.field("remark"), answer.number::<f64>("datum")) {
-                    (Some(b"done"), Some(done)) if done.is_finite() => News::Progress(done),
-                    (Some(b"spills" | b"waits"), _) => News::Strained,
+                let event = match (answer.field("remark"), answer.number::<f64>("datum")) {
+                    (Some(b"done"), Some(done)) if done.is_finite() => AttemptEvent::Progress(done),
+                    (Some(b"spills" | b"waits"), _) => AttemptEvent::Stalled,
                     _ => return,
                 };
-                let (statement, relay) = (relay.statement, relay.relay);
+                let (statement, attempt) = (attempt.statement, attempt.attempt);
                 self.reports.push(Report {
                     statement,
-                    relay,
-                    news,
+                    attempt,
+                    event,
                     latency,
                     pages: Vec::new(),
                 });
                 return;
             }
-            Word::Wait => (News::TurnedAway, &mut counters.relays_full),
-            Word::Past => (News::NeverSent, &mut counters.relays_past),
-            Word::Broke => (News::Error, &mut counters.relays_error),
-            Word::Done if relay.coming.is_some() => {
+            Word::Wait => (AttemptEvent::Rejected, &mut counters.relays_full),
+            Word::Past => (AttemptEvent::NeverSent, &mut counters.relays_past),
+            Word::Broke => (AttemptEvent::Error, &mut counters.relays_error),
+            Word::Done if attempt.coming.is_some() => {
                 counters.answers_late += 1;
                 return;
             }
@@ -771,15 +792,15 @@
                 }
                 let mut coming = Coming {
                     latency,
-                    cpu: told(&answer, "elapsed").map(|ms| Span::from_secs(ms / 1e3)),
+                    cpu: told(&answer, "elapsed").map(|ms| TimeDelta::from_secs(ms / 1e3)),
                     memory_mb: told(&answer, "rss"),
                     size: answer.body.len(),
                     pages: vec![None; total],
                     moved: now,
                 };
                 coming.pages[0] = Some(answer.body);
-                relay.coming = Some(coming);
-                if !relay.unwanted {
+                attempt.coming = Some(coming);
+                if !attempt.unwanted {
                     (1..total).for_each(|number| connection.socket.put(&lines::page(&rid, number)));
                     self.flush(now, at, counters);
                 }
@@ -788,7 +809,7 @@
             Word::More => {
                 counters.pages += 1;
                 let number = answer.number::<usize>("index").unwrap_or(0);
-                let coming = relay.coming.as_mut();
+                let coming = attempt.coming.as_mut();
                 let slot = coming
                     .and_then(|c| Some((&mut c.size, &mut c.moved, c.pages.get_mut(number)?)));
                 let Some((size, moved, slot @ None)) = slot else {
@@ -804,15 +825,15 @@
         self.over(now, at, &rid, end.0, latency, Vec::new());
     }
 
-    /// Ends a relay whose pages are all there, or not wanted. What is no text of whole rows ends the connection.
-    fn complete(&mut self, now: Moment, at: u64, rid: &Rid, counters: &mut Counters) {
+    /// Ends an attempt whose pages are all there, or not wanted. What is no text of whole rows ends the connection.
+    fn complete(&mut self, now: Timestamp, at: u64, rid: &Rid, counters: &mut Counters) {
         let Some(connection) = self.connections.get_mut(&at) else {
             return;
         };
-        let Some(relay) = connection.relays.get_mut(rid) else {
+        let Some(attempt) = connection.attempts.get_mut(rid) else {
             return;
         };
-        let Some(coming) = relay.coming.as_mut() else {
+        let Some(coming) = attempt.coming.as_mut() else {
             return;
         };
         let missing = coming.pages.iter().any(Option::is_none);
@@ -829,10 +850,10 @@
             );
             return self.end(now, at, "a result that is no rows of text", counters);
         }
-        if missing && !relay.unwanted {
+        if missing && !attempt.unwanted {
             return;
         }
-        let news = News::Completed {
+        let event = AttemptEvent::Completed {
             cpu: coming.cpu,
             memory_mb: coming.memory_mb,
         };
@@ -841,7 +862,7 @@
         if missing {
             connection.socket.put(&lines::forget(rid));
         }
-        self.over(now, at, rid, news, latency, pages);
+        self.over(now, at, rid, event, latency, pages);
         self.flush(now, at, counters);
     }
 }
--- a/crates/gateway/src/fleet/mod.rs
+++ b/crates/gateway/src/fleet/mod.rs
@@ -48,10 +48,10 @@
     token: Option<RegistrationToken>,
     /// The machine may hold datagrams that no edge will announce again.
     unread: bool,
-    look_at: Moment,
+    look_at: Timestamp,
     /// Benches of this gateway's own that were told, and until when; leaves as they end.
-    told: BTreeMap<EngineId, Moment>,
-    lines: (Moment, f64),
+    told: BTreeMap<EngineId, Timestamp>,
+    lines: (Timestamp, f64),
     pub unlogged: u64,
     /// Datagrams that the machine would not take.
     pub unsent: u64,
@@ -61,7 +61,7 @@
     /// # Errors
     /// The address cannot be bound, or a key cannot be used.
     pub fn start(
-        now: Moment,
+        now: Timestamp,
         handle: &Loop,
         terms: &FleetTerms,
         name: &Name,
@@ -91,7 +91,7 @@
             terms.paces.clone(),
             // The configuration's seed may be one text for many starts: a life must not be.
             seed ^ u64::from(std::process::id()) << 32
-                ^ (now - Moment::from_secs(0.0)).secs().to_bits(),
+                ^ (now - Timestamp::from_secs(0.0)).secs().to_bits(),
         );
         info!(%name, bind = %terms.bind, advertise = %terms.advertise, "fleet");
         Ok(Fleet {
@@ -137,7 +137,7 @@
         self.unread = true;
     }
 
-    pub fn next_due(&self, now: Moment) -> Moment {
+    pub fn next_due(&self, now: Timestamp) -> Timestamp {
         if self.unread {
             return now;
         }
@@ -150,7 +150,7 @@
     }
 
     /// Reads what came, does what is due, sends what follows.
-    pub fn turn(&mut self, now: Moment) {
+    pub fn turn(&mut self, now: Timestamp) {
         let mut bytes = [0; 2048];
         for _ in 0..READS {
             if !self.unread {
@@ -201,16 +201,16 @@
     /// comes back, by this gateway's own numbers.
     pub fn engines(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         health: impl Iterator<Item = EngineHealth>,
         names: &Names,
-    ) -> Vec<EngineDoubt> {
+    ) -> Vec<OutlierReport> {
         if now < self.look_at {
             return Vec::new();
         }
-        self.look_at = now + Span::from_secs(LOOK_S);
-        let benched: BTreeMap<EngineId, Moment> = health
-            .filter_map(|of| Some((of.id, of.benched_until.filter(|_| !of.on_hearsay)?)))
+        self.look_at = now + TimeDelta::from_secs(LOOK_S);
+        let benched: BTreeMap<EngineId, Timestamp> = health
+            .filter_map(|of| Some((of.id, of.ejected_until.filter(|_| !of.by_gossip)?)))
             .collect();
         for (id, until) in &benched {
             if self.told.get(id).is_none_or(|told| told < until)
@@ -230,7 +230,7 @@
         let doubts = self.control.membership_mut().doubted(now).into_iter();
         doubts
             .filter_map(|doubt| {
-                Some(EngineDoubt {
+                Some(OutlierReport {
                     id: names.id(&doubt.engine)?,
                     seen: doubt.seen,
                     until: doubt.until,
@@ -240,7 +240,7 @@
     }
 
     /// Others are told that it goes; they suspect nothing.
-    pub fn leave(&mut self, now: Moment) {
+    pub fn leave(&mut self, now: Timestamp) {
         self.control.leave(Times {
             now,
             steady: steady(),
@@ -253,7 +253,7 @@
     }
 
     /// As the other counters are printed.
-    pub fn counters(&mut self, now: Moment) -> String {
+    pub fn counters(&mut self, now: Timestamp) -> String {
         let each = self.control.membership().tally.each();
         let mut text: String = each
             .iter()
@@ -286,7 +286,7 @@
         text
     }
 
-    fn log(&mut self, now: Moment) {
+    fn log(&mut self, now: Timestamp) {
         let gone = (now - self.lines.0).secs().max(0.0);
         self.lines = (
             now,
--- a/crates/gateway/src/fleet/parts.rs
+++ b/crates/gateway/src/fleet/parts.rs
@@ -19,15 +19,15 @@
 pub struct Parts {
     shares: Shares,
     clock: Clock,
-    /// Places of budgets: further relays by product, members by their place in the lines.
-    relays: Vec<Option<usize>>,
+    /// Places of budgets: further attempts by query class, members by their place in the lines.
+    attempts: Vec<Option<usize>>,
     members: Vec<Option<usize>>,
-    trials: Option<usize>,
+    outlier_probes: Option<usize>,
     cold: Option<usize>,
     flows: Vec<Flow>,
-    products: Vec<String>,
+    classes: Vec<String>,
     names: Vec<String>,
-    /// Relays taken back at the last look, for want of a share.
+    /// Attempts taken back at the last look, for want of a share.
     pub short: u64,
 }
 
@@ -48,7 +48,7 @@
         name: Name,
         life: Life,
         terms: Terms,
-        products: &[String],
+        classes: &[String],
         members: &[String],
         seed: u64,
     ) -> Self {
@@ -57,12 +57,12 @@
         let mut parts = Parts {
             shares,
             clock,
-            relays: Vec::new(),
+            attempts: Vec::new(),
             members: Vec::new(),
-            trials: None,
+            outlier_probes: None,
             cold: None,
             flows: vec![Flow::default(); members.len()],
-            products: products.to_vec(),
+            classes: classes.to_vec(),
             names: members.to_vec(),
             short: 0,
         };
@@ -72,17 +72,17 @@
 
     fn place(&mut self) {
         let find = |of: Use| self.shares.find(&of);
-        self.relays = self
-            .products
+        self.attempts = self
+            .classes
             .iter()
-            .map(|product| find(Use::Relays(product.clone())))
+            .map(|class| find(Use::Relays(class.clone())))
             .collect();
         self.members = self
             .names
             .iter()
             .map(|member| find(Use::Member(member.clone())))
             .collect();
-        (self.trials, self.cold) = (find(Use::Trials), find(Use::Cold));
+        (self.outlier_probes, self.cold) = (find(Use::Trials), find(Use::Cold));
     }
 
     /// Other budgets, and members as the lines now number them. What else differs waits for a restart; it is named.
@@ -113,41 +113,43 @@
     }
 
     /// What the decisions may do until they are told anew. `carries`: this gateway's traffic, in shares of one.
-    pub fn allowed(&mut self, carries: f64, peers: f64, benched: usize) -> Allowed {
+    pub fn allowed(&mut self, carries: f64, peers: f64, benched: usize) -> QuotaGrant {
         let steady = self.clock.steady();
         let left = |shares: &mut Shares, at: usize| shares.left(steady, at);
-        let relays = self
-            .relays
+        let retries = self
+            .attempts
             .iter()
             .map(|at| at.map(|at| left(&mut self.shares, at)))
             .collect::<Vec<_>>();
-        let trials = self.trials.map(|at| {
+        let outlier_probes = self.outlier_probes.map(|at| {
             self.shares.needs_at(steady, at, benched as f64);
             left(&mut self.shares, at)
         });
-        let cold = self.cold.map(|at| {
+        let slow_start = self.cold.map(|at| {
             // As much of every cold engine as it has of the traffic.
             self.shares.needs_at(steady, at, (carries / peers).min(1.0));
             self.shares.rate(steady, at)
         });
-        Allowed {
-            relays,
-            trials,
-            cold,
+        QuotaGrant {
+            retries,
+            outlier_probes,
+            slow_start,
         }
     }
 
-    /// A relay that is to go: further ones and trials are paid for here, by the clock as it is now. False: what the
+    /// An attempt that is to go: further ones and trials are paid for here, by the clock as it is now. False: what the
     /// decisions were told is over by now.
-    pub fn spend(&mut self, product: usize, again: bool, trial: bool) -> bool {
+    pub fn spend(&mut self, class: usize, again: bool, outlier_probe: bool) -> bool {
         let steady = self.clock.steady();
-        let relay = self
-            .relays
-            .get(product)
+        let attempt = self
+            .attempts
+            .get(class)
             .copied()
             .flatten()
             .filter(|_| again);
-        let uses = relay.into_iter().chain(self.trials.filter(|_| trial));
+        let uses = attempt
+            .into_iter()
+            .chain(self.outlier_probes.filter(|_| outlier_probe));
         let uses: Vec<usize> = uses.collect();
         let there = uses.iter().all(|at| self.shares.room(steady, *at, 1.0));
         if there {
@@ -159,10 +161,10 @@
         there
     }
 
-    /// A relay failed: one more is wanted, whether or not it can be had.
-    pub fn wants_relay(&mut self, product: usize) {
+    /// An attempt failed: one more is wanted, whether or not it can be had.
+    pub fn wants_relay(&mut self, class: usize) {
         let steady = self.clock.steady();
-        if let Some(at) = self.relays.get(product).copied().flatten() {
+        if let Some(at) = self.attempts.get(class).copied().flatten() {
             self.shares.wants(steady, at, 1.0);
         }
     }
@@ -190,7 +192,7 @@
         self.members.iter().any(Option::is_some)
     }
 
-    pub fn status(&mut self) -> (Moment, ::quota::Status) {
+    pub fn status(&mut self) -> (Timestamp, ::quota::Status) {
         let steady = self.clock.steady();
         (steady, self.shares.status(steady))
     }
--- a/crates/gateway/src/lifecycle.rs
+++ b/crates/gateway/src/lifecycle.rs
@@ -28,7 +28,7 @@
 use crate::socket::{Peer, Ready};
 
 /// Network facts of a planned restart. After SIGTERM statements go on coming for 0.7 s; the kill comes no sooner
-/// than the longest hard limit, but 3 s at most, after that.
+/// than the longest deadline, but 3 s at most, after that.
 const STILL_COMING_S: f64 = 0.7;
 const LONGEST_S: f64 = 3.0;
 /// How long before the kill all is answered, as a part of that limit and at most; half of it is left to slow
@@ -46,7 +46,7 @@
 const ACCEPTS: usize = 32;
 
 /// How long a start waits for its first list. Then it listens all the same, and denies until one comes: who is not
-/// ready within 10 s of a restart is missed, and a notice board that is down at a start may be down for long.
+/// ready within 10 s of a restart is missed, and a discovery service that is down at a start may be down for long.
 const FIRST_LIST_S: f64 = 5.0;
 /// How long those that rest have to see that we end, and to end too.
 const PART_S: f64 = 0.3;
@@ -55,19 +55,19 @@
 enum Phase {
     /// No list yet, so nothing to decide on: nobody can connect until then.
     Starting {
-        until: Moment,
+        until: Timestamp,
     },
     /// Listening; nothing taken yet.
     Ready,
     Serving,
     /// SIGTERM came: what still comes until then is taken, and all is answered by the end.
     Draining {
-        until: Moment,
-        end: Moment,
+        until: Timestamp,
+        end: Timestamp,
     },
     /// All is answered and nobody can connect any more: sessions are shut, and read until their clients close too.
     Parting {
-        end: Moment,
+        end: Timestamp,
     },
     Exit,
 }
@@ -101,13 +101,13 @@
     short: bool,
     clock: Clock,
     /// The one timer, set to whatever is due first: all that is due ends in the same turn.
-    timer: Option<(Moment, RegistrationToken)>,
+    timer: Option<(Timestamp, RegistrationToken)>,
     service: Service,
     /// Where the configuration comes from, and what of it stands; its list has gone to the board.
     source: PathBuf,
     config: Config,
     operated: Operated,
-    longest: Span,
+    longest: TimeDelta,
 }
 
 /// The signals that a gateway heeds. Asked for before all else: one that comes while the program still starts waits,
@@ -126,11 +126,14 @@
 }
 
 /// When all is answered after SIGTERM, and when the program ends at the latest.
-pub fn drained(longest: Span) -> (Span, Span) {
+pub fn drained(longest: TimeDelta) -> (TimeDelta, TimeDelta) {
     let longest = longest.secs().min(LONGEST_S);
     let room = (longest * ROOM_PART).min(ROOM_S);
     let by = STILL_COMING_S + longest - room;
-    (Span::from_secs(by), Span::from_secs(by + room / 2.0))
+    (
+        TimeDelta::from_secs(by),
+        TimeDelta::from_secs(by + room / 2.0),
+    )
 }
 
 impl Lifecycle {
@@ -201,7 +204,7 @@
         if let Some((name, terms)) = &operated.fleet {
             let mut fleet = Fleet::start(now, &handle, terms, name, config.seed)?;
             if let Some(terms) = &operated.shares {
-                let products = config.settings.product_names()?;
+                let classes = config.settings.class_names()?;
                 let (own, members) = (fleet.gateway().own().clone(), operated.member_names());
                 let terms = terms.clone();
                 let parts = Parts::new(
@@ -209,7 +212,7 @@
                     own.name,
                     own.life,
                     terms,
-                    &products,
+                    &classes,
                     &members,
                     config.seed,
                 );
@@ -221,7 +224,7 @@
         info!(name = config.name, "starting");
         Ok(Lifecycle {
             phase: Phase::Starting {
-                until: now + Span::from_secs(FIRST_LIST_S),
+                until: now + TimeDelta::from_secs(FIRST_LIST_S),
             },
             event_loop,
             listener: None,
@@ -231,7 +234,7 @@
             clock,
             timer: None,
             service,
-            longest: config.settings.longest_hard_limit()?,
+            longest: config.settings.longest_deadline()?,
             source,
             config,
             operated,
@@ -290,7 +293,7 @@
         Ok(())
     }
 
-    fn arm(&mut self, due: Moment) -> Result<(), StartError> {
+    fn arm(&mut self, due: Timestamp) -> Result<(), StartError> {
         let handle = self.event_loop.handle();
         match self.timer.take_if(|timer| timer.0 != due) {
             None if self.timer.is_some() => return Ok(()),
@@ -308,7 +311,7 @@
         Ok(())
     }
 
-    fn due(&self) -> Moment {
+    fn due(&self) -> Timestamp {
         let now = self.clock.now();
         let due = self.service.next_due(now);
         let due = if self.backlog && !self.crowded {
@@ -324,7 +327,7 @@
         }
     }
 
-    fn ready(&mut self, now: Moment, peer: Peer) {
+    fn ready(&mut self, now: Timestamp, peer: Peer) {
         let service = &mut self.service;
         match peer {
             Peer::Listener => self.backlog = true,
@@ -335,7 +338,7 @@
         }
     }
 
-    fn accept(&mut self, now: Moment) {
+    fn accept(&mut self, now: Timestamp) {
         let Some(listener) = &self.listener else {
             return;
         };
@@ -368,7 +371,7 @@
         }
     }
 
-    fn signal(&mut self, now: Moment, signal: Signal) {
+    fn signal(&mut self, now: Timestamp, signal: Signal) {
         match signal {
             Signal::SIGUSR1 => self.print(),
             Signal::SIGHUP => self.reload(now),
@@ -379,12 +382,12 @@
             _ => {
                 info!("draining");
                 let (by, end) = drained(self.longest);
-                let until = now + Span::from_secs(STILL_COMING_S);
+                let until = now + TimeDelta::from_secs(STILL_COMING_S);
                 self.phase = Phase::Draining {
                     until,
                     end: now + end,
                 };
-                self.service.answer_by(now + by);
+                self.service.drain_deadline(now + by);
                 self.service
                     .fleet()
                     .into_iter()
@@ -395,7 +398,7 @@
 
     /// The file again, in every phase: a file that cannot be used leaves the old configuration standing, and of
     /// a usable one only the board and the list are taken, since nothing in hand may be touched.
-    fn reload(&mut self, now: Moment) {
+    fn reload(&mut self, now: Timestamp) {
         match Config::read(&self.source) {
             Err(error) => {
                 self.service.counters.reloads_failed += 1;
@@ -446,7 +449,7 @@
     }
 
     /// The operator's file again, whole or not at all. What is off or on stays so: sessions were told at their start.
-    fn reload_operator(&mut self, now: Moment) {
+    fn reload_operator(&mut self, now: Timestamp) {
         let Some(path) = self.operated.file.clone() else {
             return;
         };
@@ -494,7 +497,7 @@
         }
     }
 
-    fn reload_queues(&mut self, now: Moment, operated: Operated) {
+    fn reload_queues(&mut self, now: Timestamp, operated: Operated) {
         match (&self.operated.queues, &operated.queues) {
             (Some(old), Some(new)) if old != new => {
                 info!(
@@ -512,7 +515,7 @@
         }
     }
 
-    fn step(&mut self, now: Moment) -> Result<(), StartError> {
+    fn step(&mut self, now: Timestamp) -> Result<(), StartError> {
         self.phase = match self.phase {
             Phase::Starting { until } if self.service.can_decide() || until <= now => {
                 if !self.service.can_decide() {
@@ -539,7 +542,7 @@
                 } else {
                     self.listener = None;
                     Phase::Parting {
-                        end: end.min(now + Span::from_secs(PART_S)),
+                        end: end.min(now + TimeDelta::from_secs(PART_S)),
                     }
                 }
             }
--- a/crates/gateway/src/service/attempts.rs
+++ b/crates/gateway/src/service/attempts.rs
@@ -1,14 +1,14 @@
 //! Attempts of statements at engines: picks of the decisions go out, reports of engines come back.
 
 use admission::interface::*;
-use dispatch::{Order, Pick, Verdict};
+use dispatch::{AttemptOrder, Decision, FollowUp};
 
 use super::Service;
 use crate::engines::{Outgoing, Report};
 use crate::fleet::Fleet;
 
 impl Service {
-    pub(super) fn reports(&mut self, now: Moment) -> bool {
+    pub(super) fn reports(&mut self, now: Timestamp) -> bool {
         let mut any = false;
         loop {
             let reports = self.engines.reports();
@@ -22,30 +22,34 @@
         }
     }
 
-    pub(super) fn report(&mut self, now: Moment, report: Report) {
+    pub(super) fn report(&mut self, now: Timestamp, report: Report) {
         let id = report.statement;
         let Some(in_flight) = self.in_flight.get_mut(&id) else {
             return;
         };
-        let mut news = report.news;
-        if let News::Completed { cpu, memory_mb } = &mut news
+        let mut event = report.event;
+        if let AttemptEvent::Completed { cpu, memory_mb } = &mut event
             && !self.bills
         {
             (*cpu, *memory_mb) = (None, None);
         }
-        let still_out = matches!(news, News::Progress(_) | News::Strained | News::Streaming);
+        let still_out = matches!(
+            event,
+            AttemptEvent::Progress(_) | AttemptEvent::Stalled | AttemptEvent::Streaming
+        );
         in_flight
             .out
-            .retain(|relay| still_out || *relay != report.relay);
-        let completed = matches!(news, News::Completed { .. });
-        let failed = !still_out && !completed && news != News::Cancelled && !in_flight.answered;
+            .retain(|attempt| still_out || *attempt != report.attempt);
+        let completed = matches!(event, AttemptEvent::Completed { .. });
+        let failed =
+            !still_out && !completed && event != AttemptEvent::Cancelled && !in_flight.answered;
         if let Some(parts) = self
             .fleet
             .as_mut()
             .and_then(Fleet::parts)
             .filter(|_| failed)
         {
-            parts.wants_relay(in_flight.product);
+            parts.wants_relay(in_flight.class);
         }
         if completed && !in_flight.answered {
             let pages = report.pages;
@@ -56,47 +60,49 @@
         }
         match self
             .hall
-            .report(now, id, report.relay, news, report.latency, completed)
+            .report(now, id, report.attempt, event, report.latency, completed)
         {
-            Verdict::Nothing => {}
-            Verdict::Cancel(relay) => self.engines.cancel(now, id, relay, &mut self.counters),
-            Verdict::Deny { come_back } => self.reject(now, id, come_back),
-            Verdict::Scrap => self.fail(now, id),
+            FollowUp::None => {}
+            FollowUp::Cancel(attempt) => self.engines.cancel(now, id, attempt, &mut self.counters),
+            FollowUp::Reject { retry_after } => self.reject(now, id, retry_after),
+            FollowUp::Fail => self.fail(now, id),
         }
         self.forget(id);
     }
 
-    pub(super) fn picked(&mut self, now: Moment, id: StatementId, pick: Pick) {
+    pub(super) fn picked(&mut self, now: Timestamp, id: StatementId, pick: Decision) {
         match pick {
-            Pick::Held => {}
-            Pick::Relay(order) => self.relay(now, id, order),
-            Pick::Deny { come_back } => self.reject(now, id, come_back),
-            Pick::Scrap => self.fail(now, id),
+            Decision::Queued => {}
+            Decision::Forward(order) => self.attempt(now, id, order),
+            Decision::Reject { retry_after } => self.reject(now, id, retry_after),
+            Decision::Fail => self.fail(now, id),
         }
         self.forget(id);
     }
 
-    pub(super) fn relay(&mut self, now: Moment, id: StatementId, order: Order) {
+    pub(super) fn attempt(&mut self, now: Timestamp, id: StatementId, order: AttemptOrder) {
         let Some(in_flight) = self.in_flight.get_mut(&id) else {
             return;
         };
         if let Some(parts) = self.fleet.as_mut().and_then(Fleet::parts)
-            && (order.again || order.trial)
-            && !parts.spend(in_flight.product, order.again, order.trial)
+            && (order.is_retry || order.outlier_probe)
+            && !parts.spend(in_flight.class, order.is_retry, order.outlier_probe)
         {
-            return self.unspent(now, id, order.relay);
+            return self.unspent(now, id, order.attempt);
         }
-        in_flight.out.push(order.relay);
+        in_flight.out.push(order.attempt);
         let outgoing = Outgoing {
             statement: id,
-            relay: order.relay,
+            attempt: order.attempt,
             engine: order.engine,
             rid: in_flight.rid,
-            product: &self.products[in_flight.product],
+            class: &self.classes[in_flight.class],
             tags: &in_flight.tags,
             text: &in_flight.text,
-            due: self.answer_by.map_or(order.due, |by| by.min(order.due)),
-            rank: order.rank,
+            due: self
+                .drain_deadline
+                .map_or(order.due, |by| by.min(order.due)),
+            priority: order.priority,
             leave_by: order.leave_by,
             avoid: &in_flight.went_on,
         };
@@ -104,15 +110,19 @@
         in_flight.went_on.extend(went_on);
     }
 
-    /// The share that a relay was to go on ended before it went: back in line, as one that never left.
-    pub(super) fn unspent(&mut self, now: Moment, id: StatementId, relay: RelayNo) {
-        match self
-            .hall
-            .report(now, id, relay, News::NeverSent, Span::ZERO, false)
-        {
-            Verdict::Nothing | Verdict::Cancel(_) => {}
-            Verdict::Deny { come_back } => self.reject(now, id, come_back),
-            Verdict::Scrap => self.fail(now, id),
+    /// The share that an attempt was to go on ended before it went: back in line, as one that never left.
+    pub(super) fn unspent(&mut self, now: Timestamp, id: StatementId, attempt: AttemptNumber) {
+        match self.hall.report(
+            now,
+            id,
+            attempt,
+            AttemptEvent::NeverSent,
+            TimeDelta::ZERO,
+            false,
+        ) {
+            FollowUp::None | FollowUp::Cancel(_) => {}
+            FollowUp::Reject { retry_after } => self.reject(now, id, retry_after),
+            FollowUp::Fail => self.fail(now, id),
         }
     }
 }
--- a/crates/gateway/src/service/callers.rs
+++ b/crates/gateway/src/service/callers.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use admission::interface::Moment;
+use admission::interface::Timestamp;
 use identity::grants::Beyond;
 use identity::token::Claims;
 use identity::{Guard, Verdict as Judged};
@@ -25,7 +25,7 @@
     }
 
     /// A token at login or later: only one that holds now replaces what stood.
-    pub(super) fn judge(&mut self, now: Moment, session: u32, token: &Rc<str>, login: bool) {
+    pub(super) fn judge(&mut self, now: Timestamp, session: u32, token: &Rc<str>, login: bool) {
         let Some(guard) = &mut self.guard else { return };
         let counters = &mut self.counters;
         let (code, state, text) = match guard.verdict(unix(), token) {
--- a/crates/gateway/src/service/endings.rs
+++ b/crates/gateway/src/service/endings.rs
@@ -2,28 +2,28 @@
 
 use admission::interface::*;
 use bytes::{Bytes, BytesMut};
-use dispatch::Pick;
+use dispatch::Decision;
 use tracing::warn;
 
 use super::Service;
 use crate::clients::packets::Answer;
 
 /// Longer than any client is told to stay away: the decisions cut it to what they allow.
-const LONG: Span = Span::from_micros(3_600_000_000);
+const LONG: TimeDelta = TimeDelta::from_micros(3_600_000_000);
 
 /// A client's end that comes together with its statement and is younger than this may be that of one that only shut its
 /// sending side, and still reads; of one that went for good nothing may leave any more 0.1 s later.
 const JUST_LEFT_S: f64 = 0.05;
 
-pub(super) fn denial(come_back: Option<Span>) -> String {
-    let back = |wait: Span| format!("denied; backoff={}", (wait.secs() * 1e3).round() as u64);
-    come_back.map_or("denied".to_owned(), back)
+pub(super) fn denial(retry_after: Option<TimeDelta>) -> String {
+    let back = |wait: TimeDelta| format!("denied; backoff={}", (wait.secs() * 1e3).round() as u64);
+    retry_after.map_or("denied".to_owned(), back)
 }
 
 impl Service {
     /// The last guard of one answer before the budget ends, whatever went wrong before it. Never seen to act;
     /// its line in the log is a fault of ours, and tells where the statement stood.
-    pub(super) fn overdue(&mut self, now: Moment) {
+    pub(super) fn overdue(&mut self, now: Timestamp) {
         while let Some((ends, id)) = self.ends.first().copied().filter(|end| end.0 <= now) {
             self.ends.pop_first();
             let Some(in_flight) = self.in_flight.get(&id) else {
@@ -42,7 +42,7 @@
         }
     }
 
-    pub(super) fn left(&mut self, now: Moment, id: StatementId) {
+    pub(super) fn left(&mut self, now: Timestamp, id: StatementId) {
         let Some(in_flight) = self
             .in_flight
             .get_mut(&id)
@@ -56,14 +56,14 @@
         let out = in_flight.out.clone();
         self.hall.gone(now, id);
         out.into_iter()
-            .for_each(|relay| self.engines.unwanted(now, id, relay, &mut self.counters));
+            .for_each(|attempt| self.engines.unwanted(now, id, attempt, &mut self.counters));
         self.forget(id);
     }
 
     /// Takes out what waits, wherever it does, for a client that sends no more: in line, for a connection that comes up
-    /// or for a further relay. It gets its answer all the same, since who only shut the sending side still reads. What
+    /// or for a further attempt. It gets its answer all the same, since who only shut the sending side still reads. What
     /// has left goes on; so does, for this turn, what came together with its client's end a moment ago.
-    pub(super) fn leave(&mut self, now: Moment) {
+    pub(super) fn leave(&mut self, now: Timestamp) {
         for (id, left) in self.clients.left() {
             let Some(in_flight) = self
                 .in_flight
@@ -76,8 +76,8 @@
             if just_left && in_flight.taken == now {
                 continue;
             }
-            for relay in in_flight.out.clone() {
-                self.engines.stay(now, id, relay, &mut self.counters);
+            for attempt in in_flight.out.clone() {
+                self.engines.stay(now, id, attempt, &mut self.counters);
             }
             self.reports(now);
             if self
@@ -89,34 +89,39 @@
             }
             self.counters.client_left += 1;
             match self.hall.leave(now, id, LONG) {
-                Pick::Deny { come_back } => self.answer_rejected(now, id, come_back),
+                Decision::Reject { retry_after } => self.answer_rejected(now, id, retry_after),
                 _ => self.answer_failed(now, id),
             }
             self.forget(id);
         }
     }
 
-    pub(super) fn reject(&mut self, now: Moment, id: StatementId, come_back: Option<Span>) {
+    pub(super) fn reject(
+        &mut self,
+        now: Timestamp,
+        id: StatementId,
+        retry_after: Option<TimeDelta>,
+    ) {
         self.counters.denied += 1;
-        self.answer_rejected(now, id, come_back);
+        self.answer_rejected(now, id, retry_after);
     }
 
     pub(super) fn answer_rejected(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         id: StatementId,
-        come_back: Option<Span>,
+        retry_after: Option<TimeDelta>,
     ) {
-        let text = denial(come_back);
+        let text = denial(retry_after);
         self.answer(now, id, |answer| answer.error(1226, b"42000", &text));
     }
 
-    pub(super) fn fail(&mut self, now: Moment, id: StatementId) {
+    pub(super) fn fail(&mut self, now: Timestamp, id: StatementId) {
         self.counters.scrapped += 1;
         self.answer_failed(now, id);
     }
 
-    pub(super) fn answer_failed(&mut self, now: Moment, id: StatementId) {
+    pub(super) fn answer_failed(&mut self, now: Timestamp, id: StatementId) {
         self.answer(now, id, |answer| {
             answer.error(1105, b"HY000", "the statement could not be completed")
         });
@@ -124,7 +129,7 @@
 
     pub(super) fn answer(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         id: StatementId,
         answer: impl FnOnce(Answer) -> BytesMut,
     ) {
--- a/crates/gateway/src/service/intake.rs
+++ b/crates/gateway/src/service/intake.rs
@@ -4,7 +4,7 @@
 
 use admission::interface::*;
 use bytes::Bytes;
-use dispatch::Wants;
+use dispatch::StatementRequest;
 use identity::grants::{Beyond, Request};
 use identity::token::Claims;
 use scheduler::DeskId;
@@ -34,12 +34,12 @@
     Wrong(String),
     /// As many are open as the settings allow.
     Full,
-    /// The caller may not run it, which is no denial.
+    /// The caller may not run it, which is no rejection.
     Beyond(Beyond),
     /// The session's token holds no more.
     Unknown(String),
     /// Its key is still arriving here.
-    Later(Span),
+    Later(TimeDelta),
 }
 
 impl<T: ToString> From<T> for Unusable {
@@ -49,7 +49,7 @@
 }
 
 impl Service {
-    pub(super) fn heard(&mut self, now: Moment, news: clients::News) {
+    pub(super) fn heard(&mut self, now: Timestamp, news: clients::News) {
         match news {
             clients::News::Asked {
                 session,
@@ -90,11 +90,11 @@
     /// `waited`: how long it has stood behind another on its session.
     pub(super) fn asked(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         session: u32,
         text: &Bytes,
         from: IpAddr,
-        waited: Span,
+        waited: TimeDelta,
     ) {
         // Reset in the very turn in which it came: nothing would tell any more that its client has left.
         if !self.clients.stands(session) {
@@ -104,7 +104,7 @@
         }
         let wanted = self.caller(session).and_then(|claims| {
             let (wants, rid, tags, statement, desk) = self.wants(text, from, claims.as_deref())?;
-            let wants = Wants {
+            let wants = StatementRequest {
                 budget: wants.budget - waited,
                 ..wants
             };
@@ -137,11 +137,11 @@
         let id = StatementId(self.next);
         self.next += 1;
         self.counters.statements_taken += 1;
-        let product = wants.product.0;
-        let ends = now + wants.budget.max(Span::ZERO) + Span::from_secs(OVERDUE_S);
+        let class = wants.class.0;
+        let ends = now + wants.budget.max(TimeDelta::ZERO) + TimeDelta::from_secs(OVERDUE_S);
         let ends = self
-            .answer_by
-            .map_or(ends, |by| ends.min(by + Span::from_secs(OVERDUE_S)));
+            .drain_deadline
+            .map_or(ends, |by| ends.min(by + TimeDelta::from_secs(OVERDUE_S)));
         self.ends.insert((ends, id));
         let (out, went_on) = (Vec::new(), Vec::new());
         if let Some(caller) = &caller {
@@ -152,7 +152,7 @@
             session,
             rid,
             caller,
-            product,
+            class,
             tags,
             text,
             answered: false,
@@ -174,16 +174,16 @@
         text: &Bytes,
         from: IpAddr,
         claims: Option<&Claims>,
-    ) -> Result<(Wants, Rid, Tags, Bytes, DeskId), Unusable> {
+    ) -> Result<(StatementRequest, Rid, Tags, Bytes, DeskId), Unusable> {
         let mut read = comment::read(text)?;
         if let Some(claims) = claims {
             let open = self.open.get(&claims.caller).copied().unwrap_or(0);
             let group = comment::table_group(read.statement);
-            let (member, desk, product) = (read.tenant, read.desk, read.product);
+            let (member, desk, class) = (read.tenant, read.desk, read.class);
             let beyond = claims.grant.allows(&Request {
                 member,
                 desk,
-                product,
+                class,
                 group,
                 from,
                 open,
@@ -197,7 +197,7 @@
             read.desk = claims.grant.desk(read.desk);
         }
         let named = |names: &[String], name: &str| names.iter().position(|known| known == name);
-        let product = named(&self.products, read.product).ok_or("unknown method")?;
+        let class = named(&self.classes, read.class).ok_or("unknown method")?;
         let tenant = match read.tenant {
             Some(name) if !self.tenants.is_empty() => {
                 named(&self.tenants, name).ok_or("unknown acct")?
@@ -217,22 +217,23 @@
         self.counters.desks_unknown += u64::from(found.is_some_and(|found| !found.known));
         let desk = found.map_or(DeskId(0), |found| found.desk);
         let budget_s = read.budget_ms / 1e3;
-        let budget = Span::from_secs(budget_s - NETWORK_DELAY_S.min(budget_s * NETWORK_DELAY_PART));
+        let budget =
+            TimeDelta::from_secs(budget_s - NETWORK_DELAY_S.min(budget_s * NETWORK_DELAY_PART));
         // Digits of the platform's own; what is none keeps its order by its letters all the same.
         let number =
             |key: &str| u64::from_str_radix(key, 16).unwrap_or_else(|_| order_key_hash(key));
         let key = read.key.map(number).filter(|key| *key != 0).map(OrderKey);
-        let wants = Wants {
-            product: ProductId(product),
+        let wants = StatementRequest {
+            class: ClassId(class),
             tenant: TenantId(tenant),
-            group: GroupId(comment::table_group(read.statement).unwrap_or(0)),
+            group: TableGroupId(comment::table_group(read.statement).unwrap_or(0)),
             estimate: read
                 .estimate_ms
                 .filter(|ms| *ms > 0.0)
-                .map(|ms| Span::from_secs(ms / 1e3)),
+                .map(|ms| TimeDelta::from_secs(ms / 1e3)),
             memory_mb: read.memory_mb.unwrap_or(0.0),
             key,
-            marked: read.mark.is_some(),
+            has_idempotency_key: read.mark.is_some(),
             budget,
         };
         let tags = Tags {
--- a/crates/gateway/src/service/mod.rs
+++ b/crates/gateway/src/service/mod.rs
@@ -11,7 +11,7 @@
 
 use admission::interface::*;
 use bytes::Bytes;
-use dispatch::Dispatch;
+use dispatch::Dispatcher;
 use identity::Guard;
 use scheduler::{Directory, Hall, Lines, Terms};
 use settings::{Settings, SettingsError, Way};
@@ -27,8 +27,8 @@
 use crate::fleet::parts::Flow;
 
 /// Network fact: the longest time that what has left is on its way to an engine.
-pub const WAY: Way = Way(Span::from_micros(50_000));
-/// How long after its hard limit a statement may still be without the decisions' answer, within its budget.
+pub const WAY: Way = Way(TimeDelta::from_micros(50_000));
+/// How long after its deadline a statement may still be without the decisions' answer, within its budget.
 const OVERDUE_S: f64 = 0.004;
 /// How often those that wait are told of their progress, where their client takes it.
 const PROGRESS_S: f64 = 1.0;
@@ -41,15 +41,15 @@
     rid: Rid,
     /// Whose it is, where callers are known.
     caller: Option<String>,
-    product: usize,
+    class: usize,
     tags: Tags,
     text: Bytes,
     answered: bool,
-    taken: Moment,
+    taken: Timestamp,
     /// When it is answered by whatever stands here, if by nothing else.
-    ends: Moment,
+    ends: Timestamp,
     /// One, where a statement may not have two out at the same time.
-    out: Vec<RelayNo>,
+    out: Vec<AttemptNumber>,
     /// The connections that its attempts went on, as many as attempts.
     went_on: Vec<u64>,
 }
@@ -70,7 +70,7 @@
     open: BTreeMap<String, u32>,
     names: Names,
     peers: f64,
-    products: Vec<String>,
+    classes: Vec<String>,
     tenants: Vec<String>,
     bills: bool,
     most_open: usize,
@@ -79,18 +79,18 @@
     /// Their ids as clients gave them: of two with one id an engine's answer could be for either.
     rids: BTreeMap<Rid, StatementId>,
     /// Ends of all statements not answered yet; leaves with the answer or the client.
-    ends: BTreeSet<(Moment, StatementId)>,
-    wake: Moment,
-    check: Moment,
-    progress: Moment,
-    answer_by: Option<Moment>,
+    ends: BTreeSet<(Timestamp, StatementId)>,
+    wake: Timestamp,
+    check: Timestamp,
+    progress: Timestamp,
+    drain_deadline: Option<Timestamp>,
     /// A whole list was told: there is something to decide on.
     listed: bool,
 }
 
 impl Service {
     pub fn new(
-        now: Moment,
+        now: Timestamp,
         settings: &Settings,
         seed: u64,
         clients: Clients,
@@ -98,21 +98,21 @@
         board: Board,
         terms: Option<&Terms>,
     ) -> Result<Self, SettingsError> {
-        let (directory, products) = (terms.map(Directory::new), settings.products());
-        let lines = terms.map(|terms| Lines::new(now, terms.clone(), products, seed));
+        let (directory, classes) = (terms.map(Directory::new), settings.classes());
+        let lines = terms.map(|terms| Lines::new(now, terms.clone(), classes, seed));
         Ok(Service {
             clients,
             engines,
             board,
             counters: Counters::default(),
-            hall: Hall::new(Dispatch::new(settings.policy(seed, WAY)?), lines),
+            hall: Hall::new(Dispatcher::new(settings.policy(seed, WAY)?), lines),
             directory,
             fleet: None,
             guard: None,
             open: BTreeMap::new(),
             names: Names::new(settings.location_names(), settings.machine_names()),
             peers: settings.peers()?,
-            products: settings.product_names()?,
+            classes: settings.class_names()?,
             tenants: settings.tenant_names()?,
             bills: settings.bills()?,
             most_open: settings.most_open()?,
@@ -123,19 +123,19 @@
             wake: now,
             check: now,
             progress: now,
-            answer_by: None,
+            drain_deadline: None,
             listed: false,
         })
     }
 
-    pub fn told(&mut self, now: Moment, events: &[Event]) {
+    pub fn told(&mut self, now: Timestamp, events: &[Event]) {
         for change in events.iter().filter_map(|event| event.list.as_ref()) {
             let told = self.names.told(change);
             info!(whole = change.whole, engines = change.targets.len(), "list");
             told.addresses
                 .into_iter()
                 .for_each(|(id, address)| self.engines.listed(id, address));
-            self.hall.told_list(now, &told.news);
+            self.hall.on_endpoint_update(now, &told.news);
             told.closed
                 .into_iter()
                 .for_each(|id| self.engines.closed(now, id, &mut self.counters));
@@ -144,7 +144,7 @@
     }
 
     /// Other terms for what waits, in the file's own budgets as this gateway's part.
-    pub fn change(&mut self, now: Moment, terms: &Terms) {
+    pub fn change(&mut self, now: Timestamp, terms: &Terms) {
         self.directory = Some(Directory::new(terms));
         self.hall.change(now, terms.clone());
     }
@@ -172,9 +172,9 @@
     }
 
     /// The gateway ends: all that is in hand, and all that still comes, is answered by then.
-    pub fn answer_by(&mut self, by: Moment) {
-        self.answer_by = Some(by);
-        let last = by + Span::from_secs(OVERDUE_S);
+    pub fn drain_deadline(&mut self, by: Timestamp) {
+        self.drain_deadline = Some(by);
+        let last = by + TimeDelta::from_secs(OVERDUE_S);
         self.in_flight
             .values_mut()
             .for_each(|in_flight| in_flight.ends = in_flight.ends.min(last));
@@ -182,7 +182,7 @@
             .into_iter()
             .map(|(end, id)| (end.min(last), id))
             .collect();
-        self.hall.answer_by(by);
+        self.hall.drain_deadline(by);
         self.engines.end_by(by);
     }
 
@@ -191,7 +191,7 @@
         self.clients.all_quiet()
     }
 
-    pub fn next_due(&self, now: Moment) -> Moment {
+    pub fn next_due(&self, now: Timestamp) -> Timestamp {
         let dues = [
             self.engines.next_due(now),
             self.clients.next_due(now),
@@ -202,11 +202,11 @@
         dues.into_iter()
             .chain([end, fleet])
             .flatten()
-            .fold(self.wake, Moment::min)
+            .fold(self.wake, Timestamp::min)
     }
 
     /// Works off what all peers brought, then asks once for all that waits.
-    pub fn turn(&mut self, now: Moment) {
+    pub fn turn(&mut self, now: Timestamp) {
         self.engines.expire(now, &mut self.counters);
         self.engines.go_on(now, &mut self.counters);
         self.clients.expire(now, &mut self.counters);
@@ -230,7 +230,7 @@
         if let Some(fleet) = &mut self.fleet {
             fleet.turn(now);
             let doubts = fleet.engines(now, self.hall.health(), &self.names);
-            self.hall.told_doubts(now, &doubts);
+            self.hall.on_outlier_gossip(now, &doubts);
         }
         self.divided(now);
         let tick = self.hall.tick(now);
@@ -241,18 +241,18 @@
         let again = self.reports(now) || self.clients.has_news();
         self.overdue(now);
         if self.progress <= now && self.directory.is_some() {
-            self.progress = now + Span::from_secs(PROGRESS_S);
+            self.progress = now + TimeDelta::from_secs(PROGRESS_S);
             self.tell_progress(now);
         }
         if self.check <= now {
-            self.check = now + Span::from_secs(CHECK_S);
+            self.check = now + TimeDelta::from_secs(CHECK_S);
             self.compare();
         }
-        self.wake = now + if again { Span::ZERO } else { tick.wait };
+        self.wake = now + if again { TimeDelta::ZERO } else { tick.wait };
     }
 
     /// What of the budgets of all is this gateway's at present, for the lines and the decisions.
-    fn divided(&mut self, now: Moment) {
+    fn divided(&mut self, now: Timestamp) {
         let Some(parts) = self.fleet.as_mut().and_then(Fleet::parts) else {
             return;
         };
@@ -265,9 +265,9 @@
             let rates = parts.members(&flows.collect::<Vec<_>>());
             self.hall.lease(now, &rates);
         }
-        let benched = self.hall.beliefs().filter(|held| held.2).count();
+        let benched = self.hall.engines().filter(|engine| engine.ejected).count();
         let allowed = parts.allowed(self.hall.carries(), self.peers, benched);
-        self.hall.told_allowed(allowed);
+        self.hall.on_quota(allowed);
     }
 
     /// Statements in flight as the decisions hold them, against what is out on the sockets. A difference would have
@@ -275,9 +275,9 @@
     fn compare(&mut self) {
         let held = self
             .hall
-            .beliefs()
-            .filter(|held| held.1 > 0)
-            .map(|(engine, out, _)| (engine, out));
+            .engines()
+            .filter(|engine| engine.in_flight > 0)
+            .map(|engine| (engine.id, engine.in_flight));
         let (held, out) = (held.collect::<BTreeMap<_, _>>(), self.engines.out());
         self.counters.books_checked += 1;
         if held != out {
@@ -292,7 +292,7 @@
 
     /// Engines left out at present.
     pub fn benched(&self) -> usize {
-        self.hall.beliefs().filter(|held| held.2).count()
+        self.hall.engines().filter(|engine| engine.ejected).count()
     }
 
     /// Other gateways are to be known from now on.
