--- a/crates/gateway/src/service/shown.rs
+++ b/crates/gateway/src/service/shown.rs
@@ -2,7 +2,7 @@
 
 use std::net::IpAddr;
 
-use admission::interface::{Moment, Span};
+use admission::interface::{TimeDelta, Timestamp};
 use bytes::Bytes;
 
 use super::Service;
@@ -15,7 +15,7 @@
 const STATUS_ROWS: usize = 1000;
 
 impl Service {
-    pub(super) fn tell_fleet(&mut self, now: Moment, session: u32, text: &Bytes) {
+    pub(super) fn tell_fleet(&mut self, now: Timestamp, session: u32, text: &Bytes) {
         let Some(fleet) = &mut self.fleet else {
             return self.unknown(now, session, text);
         };
@@ -24,7 +24,7 @@
         self.clients.answer(now, session, &mut self.counters, table);
     }
 
-    pub(super) fn tell_shares(&mut self, now: Moment, session: u32, text: &Bytes) {
+    pub(super) fn tell_shares(&mut self, now: Timestamp, session: u32, text: &Bytes) {
         let Some(parts) = self.fleet.as_mut().and_then(Fleet::parts) else {
             return self.unknown(now, session, text);
         };
@@ -34,7 +34,7 @@
         self.clients.answer(now, session, &mut self.counters, table);
     }
 
-    pub(super) fn tell_progress(&mut self, now: Moment) {
+    pub(super) fn tell_progress(&mut self, now: Timestamp) {
         for (session, id) in self.clients.progressing() {
             let Some((waited, left)) = self.hall.progress(now, id) else {
                 continue;
@@ -51,7 +51,7 @@
         }
     }
 
-    pub(super) fn tell_queue(&mut self, now: Moment, session: u32, id: Option<String>) {
+    pub(super) fn tell_queue(&mut self, now: Timestamp, session: u32, id: Option<String>) {
         self.counters.statuses_told += 1;
         let Some(id) = id else {
             let rows = status::desks(&self.hall.status(now, STATUS_ROWS).unwrap_or_default());
@@ -70,7 +70,7 @@
     }
 
     /// A question to what is not on is a query like any other that cannot be used.
-    pub(super) fn unknown(&mut self, now: Moment, session: u32, text: &Bytes) {
-        self.asked(now, session, text, IpAddr::from([0; 4]), Span::ZERO);
+    pub(super) fn unknown(&mut self, now: Timestamp, session: u32, text: &Bytes) {
+        self.asked(now, session, text, IpAddr::from([0; 4]), TimeDelta::ZERO);
     }
 }
--- a/crates/gateway/src/socket.rs
+++ b/crates/gateway/src/socket.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 
 use crate::keywatch::{Known, WatchError};
-use admission::interface::{Moment, Span};
+use admission::interface::{TimeDelta, Timestamp};
 use bytes::{Buf, BufMut, BytesMut};
 use calloop::generic::Generic;
 use calloop::{Interest, LoopHandle, Mode, PostAction, RegistrationToken};
@@ -89,7 +89,7 @@
 impl Socket {
     pub fn new(stream: TcpStream, handle: &Loop, peer: Peer) -> io::Result<Self> {
         stream.set_nonblocking(true)?;
-        // Answers and relays are small and whole: waiting to fill a segment only delays them.
+        // Answers and attempts are small and whole: waiting to fill a segment only delays them.
         stream.set_nodelay(true)?;
         let stream = Rc::new(stream);
         let source = Generic::new(stream.clone(), Interest::BOTH, Mode::Edge);
@@ -229,10 +229,10 @@
 
     /// When the peer's last segment came to this machine, whether or not it was read since: its end, if it has ended. What
     /// it acknowledges counts too. Now where the machine cannot tell.
-    pub fn heard(&self, now: Moment) -> Moment {
+    pub fn heard(&self, now: Timestamp) -> Timestamp {
         let silent_ms =
             getsockopt(&*self.stream, TcpInfo).map_or(0, |info| info.tcpi_last_ack_recv);
-        now + Span::from_micros(-i64::from(silent_ms) * 1000)
+        now + TimeDelta::from_micros(-i64::from(silent_ms) * 1000)
     }
 
     pub fn put(&mut self, bytes: &[u8]) {
--- a/crates/gateway/src/status.rs
+++ b/crates/gateway/src/status.rs
@@ -2,7 +2,7 @@
 
 use ::membership::{Gateway, Record};
 use ::quota::{Amount, Line, Status};
-use admission::interface::Moment;
+use admission::interface::Timestamp;
 use scheduler::{DeskStatus, Estimate, StatementStatus};
 
 /// Columns of `SHOW QUEUE`.
@@ -34,7 +34,7 @@
     format!("{}", (secs * 1e3).round())
 }
 
-/// For the product whose next statement would wait longest.
+/// For the query class whose next statement would wait longest.
 fn longest(of: &[Estimate]) -> Estimate {
     of.iter()
         .copied()
@@ -96,7 +96,7 @@
     "heard_s",
 ];
 
-pub fn fleet(now: Moment, of: &mut Gateway) -> Vec<[String; FLEET.len()]> {
+pub fn fleet(now: Timestamp, of: &mut Gateway) -> Vec<[String; FLEET.len()]> {
     let view = of.view();
     let (digest, size) = (format!("{:016x}", view.digest), of.size().to_string());
     let (own, since, heard) = (of.own(), of.standing_since(), of.last_heard());
@@ -124,17 +124,17 @@
 
 /// `view`: standing, digest and size, of this gateway itself only.
 fn fleet_row(
-    now: Moment,
+    now: Timestamp,
     record: &Record,
     known: bool,
-    since: Moment,
-    heard: Option<Moment>,
+    since: Timestamp,
+    heard: Option<Timestamp>,
     view: [String; 3],
 ) -> [String; FLEET.len()] {
     let place = |name: &Option<::membership::Name>| {
         name.as_ref().map_or("-".to_owned(), ToString::to_string)
     };
-    let ago = |at: Moment| format!("{:.1}", (now - at).secs());
+    let ago = |at: Timestamp| format!("{:.1}", (now - at).secs());
     let [standing, digest, size] = view;
     [
         record.name.to_string(),
@@ -145,8 +145,8 @@
         digest,
         size,
         record.address.to_string(),
-        place(&record.place.zone),
-        place(&record.place.region),
+        place(&record.locality.zone),
+        place(&record.locality.region),
         ago(since),
         format!("{:016x}", record.life.0),
         heard.map_or("-".to_owned(), ago),
@@ -159,9 +159,9 @@
     "allowed", "refused", "steward", "term", "differs",
 ];
 
-pub fn shares(now: Moment, of: &Status) -> Vec<[String; SHARES.len()]> {
+pub fn shares(now: Timestamp, of: &Status) -> Vec<[String; SHARES.len()]> {
     let until =
-        |until: Option<Moment>| until.map_or("-".to_owned(), |until| ms((until - now).secs()));
+        |until: Option<Timestamp>| until.map_or("-".to_owned(), |until| ms((until - now).secs()));
     let none = || "-".to_owned();
     let steward = of.steward.as_ref().map_or_else(none, ToString::to_string);
     let term = of.number.map_or_else(none, |number| number.to_string());
--- a/crates/gateway/tests/codecs.rs
+++ b/crates/gateway/tests/codecs.rs
@@ -1,6 +1,6 @@
 //! The codecs under every split of their bytes, and under bytes that are nothing at all.
 
-use admission::interface::{ListNews, Stage};
+use admission::interface::{EndpointUpdate, EngineStage};
 use bytes::BytesMut;
 use gateway::board::http::{self, Answered};
 use gateway::board::list::Names;
@@ -96,7 +96,7 @@
 
 #[test]
 fn a_relay_carries_the_statement_as_it_came() {
-    let line = lines::relay(
+    let line = lines::attempt(
         b"5eed00c0ffee0a17",
         "scan",
         1200,
@@ -120,7 +120,7 @@
         b"/* method=scan,rid=5eed00c0ffee0a17,budget=1200,acct=water,est=640.0,mem=96,new=1 */ SELECT 1";
     let read = comment::read(text).unwrap();
     assert_eq!(
-        (read.product, read.tenant, &read.rid),
+        (read.class, read.tenant, &read.rid),
         ("scan", Some("water"), b"5eed00c0ffee0a17")
     );
     assert_eq!(
@@ -314,12 +314,12 @@
     let events = |text: &str| Events::from_json(&serde_json::from_str(text).unwrap());
     let mut names = Names::new(vec!["west".into(), "east".into()], vec!["std".into()]);
     let first = names.told(events(TOLD).unwrap().events[0].list.as_ref().unwrap());
-    let ListNews::Whole(facts) = &first.news else {
+    let EndpointUpdate::Snapshot(facts) = &first.news else {
         panic!("whole")
     };
     assert_eq!(
         (facts[0].location.0, facts[0].machine.0, facts[0].stage),
-        (1, 0, Stage::Ready)
+        (1, 0, EngineStage::Ready)
     );
     // Another engine at the same address is another engine; the one that is not in a whole list is gone.
     let other = events(&TOLD.replace("e-0000002a", "s-11")).unwrap();
--- a/crates/gateway/tests/connections.rs
+++ b/crates/gateway/tests/connections.rs
@@ -28,7 +28,7 @@
 impl Turns {
     fn new(engine: SocketAddr, connections: usize) -> Turns {
         let event_loop = EventLoop::try_new().unwrap();
-        let span = Span::from_secs;
+        let span = TimeDelta::from_secs;
         let links = Links {
             connect_timeout: span(5.0),
             idle: span(100.0),
@@ -45,8 +45,8 @@
         }
     }
 
-    fn at(&self) -> Moment {
-        Moment::from_secs(self.now)
+    fn at(&self) -> Timestamp {
+        Timestamp::from_secs(self.now)
     }
 
     fn rid(number: u64) -> Rid {
@@ -54,19 +54,19 @@
     }
 
     /// One statement, without any turn before or after it.
-    fn send(&mut self, leave_by: Option<Moment>) -> (u64, Option<u64>) {
+    fn send(&mut self, leave_by: Option<Timestamp>) -> (u64, Option<u64>) {
         self.next += 1;
-        let (number, due) = (self.next, Moment::from_secs(self.now + 60.0));
+        let (number, due) = (self.next, Timestamp::from_secs(self.now + 60.0));
         let outgoing = Outgoing {
             statement: StatementId(number),
-            relay: RelayNo(0),
+            attempt: AttemptNumber(0),
             engine: ENGINE,
             rid: Self::rid(number),
-            product: "point",
+            class: "point",
             tags: &Tags::default(),
             text: b"SELECT 1",
             due,
-            rank: None,
+            priority: None,
             leave_by,
             avoid: &[],
         };
@@ -111,7 +111,10 @@
         }
         let asked = link.asked();
         link.say(&completed(&asked));
-        assert!(matches!(self.outcome().news, News::Completed { .. }));
+        assert!(matches!(
+            self.outcome().event,
+            AttemptEvent::Completed { .. }
+        ));
         (link, at)
     }
 }
@@ -146,7 +149,7 @@
             report
         });
         assert!(
-            matches!(report.news, News::Completed { .. }),
+            matches!(report.event, AttemptEvent::Completed { .. }),
             "{ends}: {report:?}"
         );
     }
@@ -164,14 +167,14 @@
     turns.engines.listed(EngineId(2), Some(other.address));
     let outgoing = Outgoing {
         statement: StatementId(100),
-        relay: RelayNo(0),
+        attempt: AttemptNumber(0),
         engine: EngineId(2),
         rid: Turns::rid(100),
-        product: "point",
+        class: "point",
         tags: &Tags::default(),
         text: b"SELECT 1",
-        due: Moment::from_secs(turns.now + 60.0),
-        rank: None,
+        due: Timestamp::from_secs(turns.now + 60.0),
+        priority: None,
         leave_by: None,
         avoid: &[],
     };
@@ -183,12 +186,15 @@
     );
     let refused = turns.engines.reports().pop().unwrap();
     assert_eq!(
-        (refused.statement, refused.news),
-        (StatementId(100), News::NeverSent)
+        (refused.statement, refused.event),
+        (StatementId(100), AttemptEvent::NeverSent)
     );
     let asked = link.asked();
     link.say(&completed(&asked));
-    assert!(matches!(turns.outcome().news, News::Completed { .. }));
+    assert!(matches!(
+        turns.outcome().event,
+        AttemptEvent::Completed { .. }
+    ));
 }
 
 /// Gateways that lose their board in one instant do not ask again in step.
@@ -198,8 +204,8 @@
         .unwrap()
         .local_addr()
         .unwrap();
-    let begun = Moment::from_secs(1000.0);
-    let asks: Vec<Vec<Moment>> = (0..20)
+    let begun = Timestamp::from_secs(1000.0);
+    let asks: Vec<Vec<Timestamp>> = (0..20)
         .map(|seed| {
             let mut event_loop: EventLoop<'static, Ready> = EventLoop::try_new().unwrap();
             let mut board = Board::new(&event_loop.handle(), closed, 0, seed, begun);
@@ -226,7 +232,7 @@
         })
         .collect();
     for round in 0..8 {
-        let mut at: Vec<Moment> = asks.iter().map(|of| of[round]).collect();
+        let mut at: Vec<Timestamp> = asks.iter().map(|of| of[round]).collect();
         at.sort_unstable();
         at.dedup();
         assert_eq!(at.len(), 20, "round {round}");
@@ -245,7 +251,7 @@
     use gateway::clients::{Clients, News};
     use stand_ins::client::{login_packet, query_packet};
     let event_loop: EventLoop<'static, Ready> = EventLoop::try_new().unwrap();
-    let (now, mut counters) = (Moment::from_secs(1000.0), Counters::default());
+    let (now, mut counters) = (Timestamp::from_secs(1000.0), Counters::default());
     let mut clients = Clients::new(&event_loop.handle(), 8, 1 << 20, false, now);
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let mut client = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
--- a/crates/gateway/tests/endings.rs
+++ b/crates/gateway/tests/endings.rs
@@ -18,13 +18,13 @@
 use support::script::{Asked, Link, Script, completed, delivered, reset, said};
 use support::*;
 
-/// The same where the first product has another effect.
+/// The same where the first query class has another effect.
 fn effect(effect: &'static str, window_s: f64) -> impl FnOnce(&mut Value) {
     move |config| {
         patient(config);
-        let product = &mut config["settings"]["Grades"][0];
-        product["Effect"] = json!(effect);
-        (product["KeyScope"], product["WindowS"]) = (json!("all"), json!(window_s));
+        let class = &mut config["settings"]["Grades"][0];
+        class["Effect"] = json!(effect);
+        (class["KeyScope"], class["WindowS"]) = (json!("all"), json!(window_s));
     }
 }
 
@@ -161,7 +161,7 @@
         let kept = leave(way, waits, gateway.listen);
         gateway.go_on();
         let counts = gateway.settled();
-        // Any further line would be of its second relay.
+        // Any further line would be of its second attempt.
         assert!(link.silent(), "{way:?}: it was sent on");
         assert_eq!(counter(&counts, "client_left"), 1, "{way:?}: {counts}");
         drop(kept);
@@ -481,11 +481,11 @@
         .collect();
     each(
         &cases,
-        |((fails, may_have_run), (name, marked, repeatable))| {
+        |((fails, may_have_run), (name, has_idempotency_key, repeatable))| {
             let engine = Script::new();
             let gateway = Gateway::with(&[engine.address], effect(name, 30.0));
             let (mut client, statement) = (gateway.client(), text(8, "SELECT 'fails'"));
-            let mark = if marked {
+            let mark = if has_idempotency_key {
                 "mem=8,token=0123456789abcdef"
             } else {
                 "mem=8"
@@ -575,7 +575,7 @@
     ended(gateway);
 }
 
-/// The answer of the first relay comes in the turn in which it times out: it counts, and nothing is sent again.
+/// The answer of the first attempt comes in the turn in which it times out: it counts, and nothing is sent again.
 #[test]
 fn an_answer_in_the_turn_of_its_time_out_counts() {
     let engine = Script::new();
@@ -823,7 +823,7 @@
     });
 }
 
-/// Nine in ten are to be ready within 10 s, whatever the notice board does: slow, silent, or down, and with no list yet.
+/// Nine in ten are to be ready within 10 s, whatever the discovery service does: slow, silent, or down, and with no list yet.
 #[test]
 fn a_restart_is_ready_in_time_whatever_the_board_does() {
     use stand_ins::board::Mood;
@@ -863,7 +863,7 @@
                     // Late, and in time for the start all the same.
                     assert_eq!(rows(answer).len(), 1);
                 } else {
-                    // Denied until a list comes, then served.
+                    // Rejected until a list comes, then served.
                     assert!(denied(&answer), "{answer:?}");
                     if mood.is_some() {
                         gateway.board.set(Mood::Well);
@@ -971,69 +971,76 @@
 #[test]
 fn two_configurations_in_one_process_share_nothing() {
     use admission::interface::*;
-    use dispatch::{Dispatch, Pick, Verdict, Wants};
+    use dispatch::{Decision, Dispatcher, FollowUp, StatementRequest};
     use settings::{Settings, Way};
-    let at = Moment::from_secs;
+    let at = Timestamp::from_secs;
     let config: Value =
         serde_json::from_str(include_str!("../../../examples/config.json")).unwrap();
     let of = |effect: &str| {
         let mut settings = config["settings"].clone();
         settings["Grades"][0]["Effect"] = json!(effect);
         let policy = Settings::from_json(&settings)
-            .policy(7, Way(Span::ZERO))
+            .policy(7, Way(TimeDelta::ZERO))
             .unwrap();
-        let mut dispatch = Dispatch::new(policy);
-        let engine = EngineFact {
+        let mut dispatch = Dispatcher::new(policy);
+        let engine = EngineInfo {
             id: EngineId(1),
             scale: 1.0,
             location: LocationId(0),
             machine: MachineId(0),
             cell: CellId(0),
-            stage: Stage::Ready,
+            stage: EngineStage::Ready,
             started: None,
         };
-        dispatch.told_list(at(0.0), &ListNews::Whole(vec![engine]));
+        dispatch.on_endpoint_update(at(0.0), &EndpointUpdate::Snapshot(vec![engine]));
         dispatch
     };
     let mut both = [of("safe"), of("unsafe")];
-    let wants = Wants {
-        product: ProductId(0),
+    let wants = StatementRequest {
+        class: ClassId(0),
         tenant: TenantId(0),
-        group: GroupId(1),
-        estimate: Some(Span::from_secs(0.01)),
+        group: TableGroupId(1),
+        estimate: Some(TimeDelta::from_secs(0.01)),
         memory_mb: 8.0,
         key: None,
-        marked: false,
-        budget: Span::from_secs(2.0),
+        has_idempotency_key: false,
+        budget: TimeDelta::from_secs(2.0),
     };
     for number in 0..20 {
         let (id, now) = (StatementId(number), at(number as f64));
         for of in &mut both {
-            assert_eq!(of.pick(now, id, &wants), Pick::Held);
+            assert_eq!(of.pick(now, id, &wants), Decision::Queued);
         }
         for (which, of) in both.iter_mut().enumerate() {
             let due = of.tick(now).due;
-            let [(_, Pick::Relay(order))] = due[..] else {
+            let [(_, Decision::Forward(order))] = due[..] else {
                 panic!("{due:?}")
             };
             let news = if number % 2 == 0 {
-                News::Error
+                AttemptEvent::Error
             } else {
-                News::Reset
+                AttemptEvent::Reset
             };
-            let verdict = of.report(now, id, order.relay, news, Span::from_secs(0.1), false);
+            let verdict = of.report(
+                now,
+                id,
+                order.attempt,
+                news,
+                TimeDelta::from_secs(0.1),
+                false,
+            );
             let want = if which == 0 {
-                Verdict::Nothing
+                FollowUp::None
             } else {
-                Verdict::Scrap
+                FollowUp::Fail
             };
             assert_eq!(verdict, want, "{number}, {which}");
-            of.gone(id);
+            of.client_left(id);
         }
     }
 }
 
-/// An id once more at once after its statement was killed: it is that of an open statement until its relay is over, since
+/// An id once more at once after its statement was killed: it is that of an open statement until its attempt is over, since
 /// of two with one id an engine's answer could be for either; then it is like any other.
 #[test]
 fn the_id_of_a_killed_statement_is_free_once_its_relay_is_over() {
--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -6,7 +6,9 @@
 use std::time::{Duration, Instant};
 
 use ::membership::letter::{self, Body, Letter, View};
-use ::membership::{EngineNews, EngineWord, Incarnation, Life, Name, Place, Record, Ring, State};
+use ::membership::{
+    EngineNews, EngineWord, Incarnation, Life, Locality, Name, Record, Ring, State,
+};
 use process_harness::fleet::{Fleet, Wanted, name};
 use rustix::process::Signal;
 use stand_ins::client::{Answer, Client};
@@ -152,7 +154,7 @@
             life: Life(1),
             incarnation: Incarnation(1),
             address,
-            place: Place::default(),
+            locality: Locality::default(),
             state: State::Alive,
         };
         Liar {
@@ -193,7 +195,7 @@
                         life: Life(said),
                         incarnation: Incarnation(u32::MAX - (of as u32 % 2)),
                         address: fleet.all[of].advertised,
-                        place: Place::default(),
+                        locality: Locality::default(),
                         state: State::Dead,
                     });
                     let ghost = Record {
--- a/crates/gateway/tests/process.rs
+++ b/crates/gateway/tests/process.rs
@@ -1,4 +1,4 @@
-//! The gateway as a process on loopback, between our own stand-ins for clients, engines and notice board.
+//! The gateway as a process on loopback, between our own stand-ins for clients, engines and discovery service.
 
 mod support;
 
@@ -189,7 +189,7 @@
         client.stream.write_all(&query_packet(&statement)).unwrap();
         sleep(millis(100));
         engine.set(Mood::Well);
-        // What never began to come may still be at work, and is left to its hard limit.
+        // What never began to come may still be at work, and is left to its deadline.
         if mood == Mood::Half {
             assert_eq!(rows(client.answer().unwrap()).len(), 1);
             assert!(begun.elapsed() < millis(1600), "{:?}", begun.elapsed());
@@ -237,7 +237,7 @@
     assert!(denied(&client.ask(&late).unwrap()));
     assert!(begun.elapsed() < millis(400), "{:?}", begun.elapsed());
     engine.set(Mood::Well);
-    // The same id once more: what still comes of its first relay is not its answer.
+    // The same id once more: what still comes of its first attempt is not its answer.
     let again = late
         .replace("SELECT 2", "SELECT 3")
         .replace("budget=400", "budget=5000");
@@ -601,7 +601,7 @@
     let engine = engine(1);
     let gateway = Gateway::before(&[engine.address]);
     let mut client = gateway.client();
-    // Far more work than its budget: denied by the first tick, after the clients' news of that turn.
+    // Far more work than its budget: rejected by the first tick, after the clients' news of that turn.
     let hopeless = || query_packet(&commented(300, "SELECT 1").replace("est=12.0", "est=9000000"));
     client
         .stream
--- a/crates/gateway/tests/queues.rs
+++ b/crates/gateway/tests/queues.rs
@@ -60,7 +60,7 @@
     )
 }
 
-/// Completed, denied, other answers, by member.
+/// Completed, rejected, other answers, by member.
 type Counts = BTreeMap<String, [u32; 3]>;
 
 /// Clients that each ask again and again for a time, a pause between; their answers are counted.
--- a/crates/gateway/tests/shares.rs
+++ b/crates/gateway/tests/shares.rs
@@ -16,7 +16,7 @@
 const PROGRAM: &str = env!("CARGO_BIN_EXE_laurelhitch");
 const SOON: Duration = Duration::from_secs(40);
 const LEASE_MS: u64 = 2500;
-/// Further relays of points a second, for all together.
+/// Further attempts of points a second, for all together.
 const WHOLE: f64 = 6.0;
 const BURST_S: f64 = 1.0;
 const BUDGET: &str = "relays.point";
@@ -70,12 +70,12 @@
         .expect("one of them is")
 }
 
-/// Clients of these gateways whose statements fail at every engine, so that each wants further relays; ended with it.
+/// Clients of these gateways whose statements fail at every engine, so that each wants further attempts; ended with it.
 struct Flood {
     ends: Arc<AtomicBool>,
     asked: Arc<AtomicU64>,
     clients: Vec<JoinHandle<()>>,
-    /// Further relays at the engines by time, looked at every 100 ms.
+    /// Further attempts at the engines by time, looked at every 100 ms.
     seen: JoinHandle<Vec<(Duration, usize)>>,
     began: Instant,
 }
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Ends it: further relays that came to the engines by time, and statements asked.
+    /// Ends it: further attempts that came to the engines by time, and statements asked.
     fn end(self) -> Spent {
         self.ends.store(true, Ordering::Relaxed);
         self.clients
@@ -159,13 +159,13 @@
     }
 }
 
-/// Relays at all engines beyond the first of each statement.
+/// Attempts at all engines beyond the first of each statement.
 fn again(engines: &[Engine]) -> usize {
     let mut seen = BTreeSet::new();
     let lines = engines.iter().flat_map(|engine| engine.lines());
-    let relays =
+    let attempts =
         lines.filter_map(|line| line.strip_prefix("do ").map(|rest| rest[..16].to_owned()));
-    relays.filter(|rid| !seen.insert(rid.clone())).count()
+    attempts.filter(|rid| !seen.insert(rid.clone())).count()
 }
 
 /// In no window did more than the whole and what it saves up come to the engines, and one that each gateway may owe.
--- a/crates/gateway/tests/sockets.rs
+++ b/crates/gateway/tests/sockets.rs
@@ -3,7 +3,7 @@
 use std::io::Read;
 use std::net::{TcpListener, TcpStream};
 
-use admission::interface::Span;
+use admission::interface::TimeDelta;
 use calloop::EventLoop;
 use gateway::lifecycle::drained;
 use gateway::socket::{Peer, Ready, Socket};
@@ -39,12 +39,12 @@
     assert_eq!(got, "first second fourth!");
 }
 
-/// Both ends follow the deployment's longest hard limit: with a fixed figure, short ones are killed unanswered.
+/// Both ends follow the deployment's longest deadline: with a fixed figure, short ones are killed unanswered.
 #[test]
 fn draining_ends_before_the_kill_and_after_the_last_statement() {
     for (longest, by) in [(0.2, 0.85), (1.0, 1.45), (3.0, 3.4), (15.0, 3.4)] {
-        let (answered, end) = drained(Span::from_secs(longest));
-        assert_eq!(answered, Span::from_secs(by));
+        let (answered, end) = drained(TimeDelta::from_secs(longest));
+        assert_eq!(answered, TimeDelta::from_secs(by));
         // What still comes, 0.7 s, and the longest limit, 3 s at most.
         assert!(answered.secs() > 0.7 && end > answered);
         assert!(end.secs() < 0.7 + longest.min(3.0));
--- a/crates/gateway/tests/standing_terms.rs
+++ b/crates/gateway/tests/standing_terms.rs
@@ -386,7 +386,7 @@
     });
 }
 
-// Descriptors that idle clients fill while the notice board is down.
+// Descriptors that idle clients fill while the discovery service is down.
 
 /// Opens sessions that have asked once and rest, far more than there are descriptors; those that were shut for others too.
 fn idle_clients(gateway: &Gateway, number: usize) -> Vec<TcpStream> {
--- a/crates/gateway/tests/support/clients.rs
+++ b/crates/gateway/tests/support/clients.rs
@@ -14,9 +14,9 @@
 /// Statements may wait for long, and what is begun is never out of time: only the ending that is tried ends anything.
 pub fn patient(config: &mut Value) {
     let settings = &mut config["settings"];
-    for product in 0..2 {
-        settings["Grades"][product]["GiveUpS"] = json!(600.0);
-        settings["Grades"][product]["GoalTimeS"] = json!(300.0);
+    for class in 0..2 {
+        settings["Grades"][class]["GiveUpS"] = json!(600.0);
+        settings["Grades"][class]["GoalTimeS"] = json!(300.0);
     }
     settings["Limits"]["ConnectTimeoutS"] = json!(30.0);
     settings["Limits"]["MaxAttempts"] = json!(6);
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -273,7 +273,7 @@
     );
     let ends = ["completed", "denied", "scrapped", "client_left", "open"];
     assert_eq!(counter(log, "statements_taken"), sum(&ends), "{log}");
-    let relays = [
+    let attempts = [
         "done",
         "full",
         "past",
@@ -284,7 +284,10 @@
         "cancelled",
         "unsent",
     ];
-    let relays: Vec<String> = relays.iter().map(|name| format!("relays_{name}")).collect();
-    let relays: Vec<&str> = relays.iter().map(String::as_str).collect();
-    assert!(counter(log, "relays_sent") >= sum(&relays), "{log}");
+    let attempts: Vec<String> = attempts
+        .iter()
+        .map(|name| format!("relays_{name}"))
+        .collect();
+    let attempts: Vec<&str> = attempts.iter().map(String::as_str).collect();
+    assert!(counter(log, "relays_sent") >= sum(&attempts), "{log}");
 }
--- a/crates/identity/benches/verdicts.rs
+++ b/crates/identity/benches/verdicts.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, HashSet};
 use std::hint::black_box;
 
-use admission::interface::Moment;
+use admission::interface::Timestamp;
 use criterion::{Criterion, criterion_group, criterion_main};
 use identity::grants::Grant;
 use identity::keys::{Index, KeyId, Listed};
@@ -11,14 +11,14 @@
 use identity::token::{self, Claims};
 use identity::{Guard, Terms};
 
-fn guard(remembered: usize) -> (Guard, String) {
+fn guard(cached_verdicts: usize) -> (Guard, String) {
     let (secret, public) = token::fresh().expect("randomness");
     let id = KeyId::try_from("k1".to_owned()).expect("a name");
-    let now = Moment::from_secs(1000.0);
+    let now = Timestamp::from_secs(1000.0);
     let mut guard = Guard::new(
         now,
         Terms {
-            remembered,
+            cached_verdicts,
             checks_per_s: 1e12,
             ..Terms::default()
         },
@@ -47,7 +47,7 @@
     let grant = Grant {
         member: "m".into(),
         desks: None,
-        products: None,
+        classes: None,
         groups: Some(vec![(1, 9)]),
         most_open: None,
         networks: None,
@@ -65,9 +65,9 @@
 }
 
 fn costs(c: &mut Criterion) {
-    let now = Moment::from_secs(1001.0);
-    for (name, remembered) in [("remembered", 10_000), ("checked anew", 0)] {
-        let (mut guard, token) = guard(remembered);
+    let now = Timestamp::from_secs(1001.0);
+    for (name, cached_verdicts) in [("remembered", 10_000), ("checked anew", 0)] {
+        let (mut guard, token) = guard(cached_verdicts);
         c.bench_function(name, |b| b.iter(|| black_box(guard.verdict(now, &token))));
     }
     let lines: String = (0..100_000).map(|n| format!("token r{n}\n")).collect();
--- a/crates/identity/src/grants.rs
+++ b/crates/identity/src/grants.rs
@@ -17,7 +17,8 @@
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub desks: Option<BTreeSet<String>>,
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub products: Option<BTreeSet<String>>,
+    #[serde(rename = "products")]
+    pub classes: Option<BTreeSet<String>>,
     /// Table groups as ranges, both ends in.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub groups: Option<Vec<(u32, u32)>>,
@@ -32,7 +33,7 @@
 pub struct Request<'a> {
     pub member: Option<&'a str>,
     pub desk: Option<&'a str>,
-    pub product: &'a str,
+    pub class: &'a str,
     pub group: Option<u32>,
     pub from: IpAddr,
     /// Of this caller, at present.
@@ -70,7 +71,7 @@
         ranges
             && !self.member.is_empty()
             && small(self.desks.as_ref().map(BTreeSet::len))
-            && small(self.products.as_ref().map(BTreeSet::len))
+            && small(self.classes.as_ref().map(BTreeSet::len))
             && small(self.groups.as_ref().map(Vec::len))
             && small(self.networks.as_ref().map(Vec::len))
     }
@@ -90,7 +91,7 @@
                 request.desk.is_none_or(|desk| within(&self.desks, desk)),
                 Beyond::Desk,
             ),
-            (within(&self.products, request.product), Beyond::Product),
+            (within(&self.classes, request.class), Beyond::Product),
             (self.allows_group(request.group), Beyond::Group),
             (
                 self.most_open.is_none_or(|most| request.open < most),
--- a/crates/identity/src/guard.rs
+++ b/crates/identity/src/guard.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use admission::interface::{Moment, Span};
+use admission::interface::{TimeDelta, Timestamp};
 use sha2::{Digest as _, Sha256};
 use thiserror::Error;
 
@@ -15,15 +15,15 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Terms {
     /// How far clocks may differ.
-    pub skew: Span,
+    pub skew: TimeDelta,
     /// How long a token by a key that has not arrived here may be that key's fault.
-    pub grace: Span,
+    pub grace: TimeDelta,
     /// When to come back in that time.
-    pub back: Span,
+    pub back: TimeDelta,
     /// Longest life of a token.
-    pub longest: Span,
+    pub longest: TimeDelta,
     /// Verdicts remembered.
-    pub remembered: usize,
+    pub cached_verdicts: usize,
     /// Signatures checked a second beyond those that hold; further tokens are told to come back.
     pub checks_per_s: f64,
 }
@@ -31,11 +31,11 @@
 impl Default for Terms {
     fn default() -> Self {
         Terms {
-            skew: Span::from_secs(5.0),
-            grace: Span::from_secs(30.0),
-            back: Span::from_secs(0.5),
-            longest: Span::from_secs(86_400.0),
-            remembered: 10_000,
+            skew: TimeDelta::from_secs(5.0),
+            grace: TimeDelta::from_secs(30.0),
+            back: TimeDelta::from_secs(0.5),
+            longest: TimeDelta::from_secs(86_400.0),
+            cached_verdicts: 10_000,
             checks_per_s: 500.0,
         }
     }
@@ -69,11 +69,11 @@
     Granted {
         claims: Arc<Claims>,
         /// Ask again then at the latest.
-        until: Moment,
+        until: Timestamp,
     },
-    /// Not yet, and no fault of its caller's: a denial, with when to come back.
+    /// Not yet, and no fault of its caller's: a rejection, with when to come back.
     Later {
-        back: Span,
+        back: TimeDelta,
     },
     Refused(Why),
 }
@@ -84,17 +84,17 @@
     revoked: Revoked,
     verdicts: Verdicts,
     /// Checks that may still be spent on what does not hold, and since when.
-    checks: (f64, Moment),
+    checks: (f64, Timestamp),
     pub checked: u64,
 }
 
 impl Guard {
-    pub fn new(now: Moment, terms: Terms) -> Self {
+    pub fn new(now: Timestamp, terms: Terms) -> Self {
         Guard {
             terms,
             ring: KeyRing::default(),
             revoked: Revoked::default(),
-            verdicts: Verdicts::new(terms.remembered),
+            verdicts: Verdicts::new(terms.cached_verdicts),
             checks: (terms.checks_per_s, now),
             checked: 0,
         }
@@ -106,7 +106,7 @@
     /// As `KeyRing::take`; nothing has changed then.
     pub fn take(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         index: &Index,
         public: &BTreeMap<KeyId, [u8; 32]>,
         revoked: Revoked,
@@ -121,11 +121,11 @@
         &self.ring
     }
 
-    pub fn remembered(&self) -> usize {
+    pub fn cached_verdicts(&self) -> usize {
         self.verdicts.len()
     }
 
-    pub fn verdict(&mut self, now: Moment, token: &str) -> Verdict {
+    pub fn verdict(&mut self, now: Timestamp, token: &str) -> Verdict {
         self.ring.look(now);
         let digest = Sha256::digest(token.as_bytes()).into();
         if let Some((id, claims)) = self.verdicts.get(now, &digest) {
@@ -167,7 +167,7 @@
         }
     }
 
-    fn may_check(&mut self, now: Moment) -> bool {
+    fn may_check(&mut self, now: Timestamp) -> bool {
         let gone = (now - self.checks.1).secs().max(0.0);
         let left = (self.checks.0 + gone * self.terms.checks_per_s).min(self.terms.checks_per_s);
         self.checks = (left, now);
@@ -178,7 +178,7 @@
         may
     }
 
-    fn not_here(&self, now: Moment, token: &str, why: Why) -> Verdict {
+    fn not_here(&self, now: Timestamp, token: &str, why: Why) -> Verdict {
         // Its own word, unchecked; a lie about it earns no more than to be told to come back.
         let age = token::issued_unchecked(token).map(|issued| (now - issued).secs());
         let fresh = age
@@ -193,7 +193,7 @@
     }
 
     /// Of a token whose signature holds.
-    fn hold(&self, now: Moment, claims: Arc<Claims>, id: &KeyId) -> Verdict {
+    fn hold(&self, now: Timestamp, claims: Arc<Claims>, id: &KeyId) -> Verdict {
         if self.ring.standing(now, id) == Standing::Withdrawn {
             return Verdict::Refused(Why::Withdrawn);
         }
@@ -215,9 +215,9 @@
                 back: (from - now).min(self.terms.back),
             };
         }
-        let signed = self
-            .ring
-            .signed_at(id, Moment::from_secs(claims.issued_s), self.terms.skew);
+        let signed =
+            self.ring
+                .signed_at(id, Timestamp::from_secs(claims.issued_s), self.terms.skew);
         if !signed {
             return Verdict::Refused(Why::NotSigning);
         }
--- a/crates/identity/src/keys.rs
+++ b/crates/identity/src/keys.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use admission::interface::{Moment, Span};
+use admission::interface::{TimeDelta, Timestamp};
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
@@ -132,8 +132,8 @@
 }
 
 impl Listed {
-    pub fn standing(&self, now: Moment) -> Standing {
-        let past = |at: Option<f64>| at.is_some_and(|at| Moment::from_secs(at) <= now);
+    pub fn standing(&self, now: Timestamp) -> Standing {
+        let past = |at: Option<f64>| at.is_some_and(|at| Timestamp::from_secs(at) <= now);
         if past(self.withdrawn_s) {
             Standing::Withdrawn
         } else if past(self.retires_s) {
@@ -155,7 +155,7 @@
     /// Withdrawn here once, whatever the index says later; bounded, the oldest name leaves first.
     gone: Vec<KeyId>,
     /// The latest moment ever seen: a clock set back does not bring a withdrawn key back.
-    latest: Option<Moment>,
+    latest: Option<Timestamp>,
 }
 
 impl KeyRing {
@@ -165,7 +165,7 @@
     /// It is older, contradicts itself, names a key that is not there, or brings back one that was withdrawn.
     pub fn take(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         index: &Index,
         public: &BTreeMap<KeyId, [u8; 32]>,
     ) -> Result<(), IndexError> {
@@ -209,14 +209,14 @@
         }
     }
 
-    fn not_before(&mut self, now: Moment) -> Moment {
+    fn not_before(&mut self, now: Timestamp) -> Timestamp {
         let latest = self.latest.map_or(now, |latest| latest.max(now));
         self.latest = Some(latest);
         latest
     }
 
     /// Time goes on: keys whose time has come are withdrawn for good.
-    pub fn look(&mut self, now: Moment) {
+    pub fn look(&mut self, now: Timestamp) {
         let now = self.not_before(now);
         let over = self
             .keys
@@ -226,7 +226,7 @@
         over.into_iter().for_each(|id| self.bury(id));
     }
 
-    pub fn standing(&self, now: Moment, id: &KeyId) -> Standing {
+    pub fn standing(&self, now: Timestamp, id: &KeyId) -> Standing {
         let now = self.latest.map_or(now, |latest| latest.max(now));
         if self.gone.contains(id) {
             return Standing::Withdrawn;
@@ -241,20 +241,20 @@
     }
 
     /// Whether the key signed at a moment, give or take what clocks differ by.
-    pub fn signed_at(&self, id: &KeyId, at: Moment, skew: Span) -> bool {
+    pub fn signed_at(&self, id: &KeyId, at: Timestamp, skew: TimeDelta) -> bool {
         let Some((listed, _)) = self.keys.get(id) else {
             return false;
         };
         let from = listed
             .signs_s
-            .is_some_and(|from| Moment::from_secs(from) <= at + skew);
+            .is_some_and(|from| Timestamp::from_secs(from) <= at + skew);
         from && listed
             .retires_s
-            .is_none_or(|until| at + (Span::ZERO - skew) < Moment::from_secs(until))
+            .is_none_or(|until| at + (TimeDelta::ZERO - skew) < Timestamp::from_secs(until))
     }
 
-    pub fn withdrawn_at(&self, id: &KeyId) -> Option<Moment> {
-        self.keys.get(id)?.0.withdrawn_s.map(Moment::from_secs)
+    pub fn withdrawn_at(&self, id: &KeyId) -> Option<Timestamp> {
+        self.keys.get(id)?.0.withdrawn_s.map(Timestamp::from_secs)
     }
 
     pub fn version(&self) -> u64 {
@@ -262,14 +262,14 @@
     }
 
     /// The next moment at which a key's standing changes by itself.
-    pub fn next_change(&self, now: Moment) -> Option<Moment> {
+    pub fn next_change(&self, now: Timestamp) -> Option<Timestamp> {
         let steps = |listed: &Listed| [listed.signs_s, listed.retires_s, listed.withdrawn_s];
         let all = self
             .keys
             .values()
             .flat_map(|(listed, _)| steps(listed))
             .flatten()
-            .map(Moment::from_secs);
+            .map(Timestamp::from_secs);
         all.filter(|at| *at > now).min()
     }
 }
--- a/crates/identity/src/token.rs
+++ b/crates/identity/src/token.rs
@@ -1,7 +1,7 @@
 //! Tokens: PASETO v4.public (Ed25519), with the key's name in the footer. One algorithm by version, so that nothing in a
 //! token chooses how it is checked.
 
-use admission::interface::{Moment, Span};
+use admission::interface::{TimeDelta, Timestamp};
 use pasetors::Public;
 use pasetors::keys::{AsymmetricKeyPair, AsymmetricPublicKey, AsymmetricSecretKey, Generate};
 use pasetors::token::UntrustedToken;
@@ -76,12 +76,12 @@
 }
 
 /// When a token was issued, by its own unchecked word: only for whether to ask again is it used.
-pub fn issued_unchecked(token: &str) -> Option<Moment> {
+pub fn issued_unchecked(token: &str) -> Option<Timestamp> {
     let claims = claims_unchecked(token).ok()?;
     claims
         .issued_s
         .is_finite()
-        .then(|| Moment::from_secs(claims.issued_s))
+        .then(|| Timestamp::from_secs(claims.issued_s))
 }
 
 /// # Errors
@@ -140,11 +140,11 @@
 
 impl Claims {
     /// From when and until when it holds, with this much given for clocks that differ.
-    pub fn holds(&self, skew: Span) -> (Moment, Moment) {
-        let back = Span::ZERO - skew;
+    pub fn holds(&self, skew: TimeDelta) -> (Timestamp, Timestamp) {
+        let back = TimeDelta::ZERO - skew;
         (
-            Moment::from_secs(self.not_before_s) + back,
-            Moment::from_secs(self.expires_s) + skew,
+            Timestamp::from_secs(self.not_before_s) + back,
+            Timestamp::from_secs(self.expires_s) + skew,
         )
     }
 }
--- a/crates/identity/src/verdicts.rs
+++ b/crates/identity/src/verdicts.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use admission::interface::Moment;
+use admission::interface::Timestamp;
 
 use crate::keys::KeyId;
 use crate::token::Claims;
@@ -15,7 +15,7 @@
 struct Known {
     key: Arc<KeyId>,
     claims: Arc<Claims>,
-    ends: Moment,
+    ends: Timestamp,
     used: u64,
 }
 
@@ -24,7 +24,7 @@
     known: BTreeMap<Digest, Known>,
     /// By last use, for whom to forget when it is full.
     order: BTreeSet<(u64, Digest)>,
-    ends: BTreeSet<(Moment, Digest)>,
+    ends: BTreeSet<(Timestamp, Digest)>,
     uses: u64,
 }
 
@@ -40,7 +40,7 @@
     }
 
     /// The key that signed it, and what it says.
-    pub fn get(&mut self, now: Moment, digest: &Digest) -> Option<(Arc<KeyId>, Arc<Claims>)> {
+    pub fn get(&mut self, now: Timestamp, digest: &Digest) -> Option<(Arc<KeyId>, Arc<Claims>)> {
         self.forget_ended(now);
         let known = self.known.get_mut(digest)?;
         self.uses += 1;
@@ -52,10 +52,10 @@
 
     pub fn put(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         digest: Digest,
         (key, claims): (Arc<KeyId>, Arc<Claims>),
-        ends: Moment,
+        ends: Timestamp,
     ) {
         self.forget_ended(now);
         if self.most == 0 || ends <= now {
@@ -88,7 +88,7 @@
         }
     }
 
-    fn forget_ended(&mut self, now: Moment) {
+    fn forget_ended(&mut self, now: Timestamp) {
         while let Some((_, digest)) = self.ends.first().copied().filter(|(ends, _)| *ends <= now) {
             self.remove(&digest);
         }
--- a/crates/identity/tests/guard.rs
+++ b/crates/identity/tests/guard.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use admission::interface::{Moment, Span};
+use admission::interface::{TimeDelta, Timestamp};
 use identity::grants::{Beyond, Grant, Request};
 use identity::keys::{Index, IndexError, KeyId, Listed};
 use identity::revoked::{Kind, Revoked};
@@ -12,8 +12,8 @@
 
 const START: f64 = 1_000_000.0;
 
-fn at(secs: f64) -> Moment {
-    Moment::from_secs(START + secs)
+fn at(secs: f64) -> Timestamp {
+    Timestamp::from_secs(START + secs)
 }
 
 struct Key {
@@ -47,7 +47,7 @@
     Grant {
         member: "valley-water".into(),
         desks: None,
-        products: None,
+        classes: None,
         groups: None,
         most_open: None,
         networks: None,
@@ -124,7 +124,7 @@
     );
     let later = token::sign(&claims(100.0, 60.0), &one.id, &one.secret).unwrap();
     assert!(
-        matches!(guard.verdict(at(70.0), &later), Verdict::Later { back } if back <= Span::from_secs(0.5))
+        matches!(guard.verdict(at(70.0), &later), Verdict::Later { back } if back <= TimeDelta::from_secs(0.5))
     );
     assert!(granted(&guard.verdict(at(95.1), &later)));
     let long = token::sign(&claims(95.0, 90_000.0), &one.id, &one.secret).unwrap();
@@ -437,7 +437,7 @@
         assert!(granted(&guard.verdict(at(n as f64 / 1000.0), &known)));
     }
     assert!(guard.checked - before <= 201, "{}", guard.checked - before);
-    assert_eq!(guard.remembered(), 1);
+    assert_eq!(guard.cached_verdicts(), 1);
 }
 
 #[test]
@@ -470,7 +470,7 @@
     let names = |of: &[&str]| Some(of.iter().map(|name| (*name).to_owned()).collect());
     let narrow = Grant {
         desks: names(&["counter"]),
-        products: names(&["lookup"]),
+        classes: names(&["lookup"]),
         groups: Some(vec![(3, 5), (9, 9)]),
         most_open: Some(2),
         networks: Some(vec![
@@ -483,7 +483,7 @@
     let fine = Request {
         member: Some("valley-water"),
         desk: Some("counter"),
-        product: "lookup",
+        class: "lookup",
         group: Some(4),
         from: "10.1.2.3".parse().unwrap(),
         open: 1,
@@ -521,7 +521,7 @@
         ),
         (
             Request {
-                product: "report",
+                class: "report",
                 ..fine
             },
             Err(Beyond::Product),
--- a/crates/identity/tests/lives.rs
+++ b/crates/identity/tests/lives.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use admission::interface::Moment;
+use admission::interface::Timestamp;
 use identity::keys::{Index, KeyId, KeyRing, Listed, Standing};
 use stateright::{Checker, Model, Property};
 
@@ -69,7 +69,7 @@
         .map(|listed| (listed.id.clone(), [1; 32]))
         .collect();
     let mut ring = KeyRing::default();
-    let now = Moment::from_secs(f64::from(now));
+    let now = Timestamp::from_secs(f64::from(now));
     ring.take(
         now,
         &Index {
--- a/crates/membership/src/bounds.rs
+++ b/crates/membership/src/bounds.rs
@@ -1,6 +1,6 @@
 //! Limits that keep the traffic of a large fleet flat, off unless set. See docs/notes/fleet.md.
 
-use admission::interface::Moment;
+use admission::interface::Timestamp;
 
 /// What one gateway spends on others, at most.
 #[derive(Clone, Debug, PartialEq)]
@@ -63,7 +63,7 @@
     bytes_per_s: f64,
     burst_bytes: f64,
     left: f64,
-    at: Option<Moment>,
+    at: Option<Timestamp>,
 }
 
 impl ByteBudget {
@@ -77,7 +77,7 @@
     }
 
     /// What may be spent now.
-    pub(crate) fn left(&mut self, now: Moment) -> f64 {
+    pub(crate) fn left(&mut self, now: Timestamp) -> f64 {
         let since = (now - self.at.replace(now).unwrap_or(now)).secs().max(0.0);
         self.left = (self.left + since * self.bytes_per_s).min(self.burst_bytes);
         self.left
@@ -93,5 +93,5 @@
 pub(crate) struct Confirming {
     pub(crate) failures: usize,
     /// When it is probed again; `None` while that probe runs.
-    pub(crate) due: Option<Moment>,
+    pub(crate) due: Option<Timestamp>,
 }
--- a/crates/membership/src/buckets.rs
+++ b/crates/membership/src/buckets.rs
@@ -62,8 +62,8 @@
 
     /// Which bucket of this window a mark falls in, counted from its first.
     pub(crate) fn place(&self, mark: u64) -> Option<usize> {
-        let place = (bucket_of(mark) + BUCKETS - self.first) % BUCKETS;
-        (place < self.count).then_some(place)
+        let locality = (bucket_of(mark) + BUCKETS - self.first) % BUCKETS;
+        (locality < self.count).then_some(locality)
     }
 
     /// The first bucket of the window that begins `by` buckets further on.
@@ -82,8 +82,8 @@
         .collect();
     placed.sort_unstable();
     let mut hashes = vec![Sha256::new(); window.count];
-    for (place, exact) in placed {
-        hashes[place].update(exact.to_be_bytes());
+    for (locality, exact) in placed {
+        hashes[locality].update(exact.to_be_bytes());
     }
     let cut = |hash: Sha256| {
         let hash = hash.finalize();
--- a/crates/membership/src/engines.rs
+++ b/crates/membership/src/engines.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::IpAddr;
 
-use admission::interface::{Moment, Span};
+use admission::interface::{TimeDelta, Timestamp};
 use serde::{Deserialize, Serialize};
 
 use crate::terms::Terms;
@@ -36,7 +36,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Said {
     word: EngineWord,
-    at: Moment,
+    at: Timestamp,
     host: IpAddr,
 }
 
@@ -45,20 +45,20 @@
 pub struct Doubt {
     pub engine: String,
     /// What was seen there was seen no later than this.
-    pub seen: Moment,
+    pub seen: Timestamp,
     /// It says nothing any more from here on.
-    pub until: Moment,
+    pub until: Timestamp,
 }
 
 #[derive(Clone, Debug, Default)]
 pub struct Engines {
-    own: BTreeMap<String, (EngineWord, Moment)>,
+    own: BTreeMap<String, (EngineWord, Timestamp)>,
     said: BTreeMap<String, BTreeMap<Name, Said>>,
 }
 
 impl Engines {
     /// What this gateway saw itself. True: it is new, and others may want to know soon.
-    pub fn saw(&mut self, now: Moment, engine: &str, word: EngineWord) -> bool {
+    pub fn saw(&mut self, now: Timestamp, engine: &str, word: EngineWord) -> bool {
         if engine.is_empty() || engine.len() > LONGEST_NAME {
             return false;
         }
@@ -75,11 +75,11 @@
     }
 
     /// A known gateway's word; of one gateway the latest evidence holds.
-    pub fn heard(&mut self, now: Moment, by: &Name, host: IpAddr, news: &EngineNews) {
+    pub fn heard(&mut self, now: Timestamp, by: &Name, host: IpAddr, news: &EngineNews) {
         if news.engine.is_empty() || news.engine.len() > LONGEST_NAME {
             return;
         }
-        let at = now + Span::from_secs(-f64::from(news.age_ms) / 1e3);
+        let at = now + TimeDelta::from_secs(-f64::from(news.age_ms) / 1e3);
         if !self.said.contains_key(&news.engine) && self.said.len() >= ENGINES {
             let oldest =
                 |witnesses: &BTreeMap<Name, Said>| witnesses.values().map(|said| said.at).max();
@@ -114,8 +114,8 @@
     }
 
     /// Evidence leaves once it is older than it counts.
-    pub fn fade(&mut self, now: Moment, terms: &Terms) {
-        let fresh = |at: Moment| now - at < terms.news_lasts;
+    pub fn fade(&mut self, now: Timestamp, terms: &Terms) {
+        let fresh = |at: Timestamp| now - at < terms.news_lasts;
         self.own.retain(|_, (_, at)| fresh(*at));
         self.said
             .values_mut()
@@ -137,7 +137,7 @@
         let worked = own.filter(|own| own.0 == EngineWord::Back).map(|own| own.1);
         let newer = |said: &&Said| worked.is_none_or(|worked| said.at > worked);
         let witnesses = self.said.get(engine)?.values().filter(newer);
-        let mut hosts: BTreeMap<IpAddr, Moment> = BTreeMap::new();
+        let mut hosts: BTreeMap<IpAddr, Timestamp> = BTreeMap::new();
         let mut back: BTreeSet<IpAddr> = BTreeSet::new();
         let mut back_at = None;
         for said in witnesses {
@@ -155,7 +155,7 @@
         if back.len() >= terms.voices() {
             hosts.retain(|_, at| Some(*at) > back_at);
         }
-        let mut times: Vec<Moment> = hosts.into_values().collect();
+        let mut times: Vec<Timestamp> = hosts.into_values().collect();
         times.sort();
         // With so many newer ones beside it, at least one of the witnesses at or after this time does not lie.
         let seen = *times
@@ -170,8 +170,8 @@
     }
 
     /// What goes along: own words, and what it holds itself on enough others' word, never fresher than their evidence.
-    pub fn to_tell(&self, now: Moment, terms: &Terms) -> Vec<EngineNews> {
-        let age = |at: Moment| millis(now - at);
+    pub fn to_tell(&self, now: Timestamp, terms: &Terms) -> Vec<EngineNews> {
+        let age = |at: Timestamp| millis(now - at);
         let own = self
             .own
             .iter()
@@ -195,6 +195,6 @@
 }
 
 /// Whole milliseconds, as ages go over the wire.
-fn millis(span: Span) -> u32 {
+fn millis(span: TimeDelta) -> u32 {
     (span.secs() * 1e3).clamp(0.0, f64::from(u32::MAX)) as u32
 }
--- a/crates/membership/src/gateway/bounded.rs
+++ b/crates/membership/src/gateway/bounded.rs
@@ -3,7 +3,7 @@
 
 use std::net::SocketAddr;
 
-use admission::interface::{Moment, Span};
+use admission::interface::{TimeDelta, Timestamp};
 use rand::RngExt;
 
 use super::send::RETELL;
@@ -15,7 +15,7 @@
 
 impl Gateway {
     /// A direct probe with the next period: its subject spoke itself.
-    pub(super) fn verify_now(&mut self, now: Moment, name: &Name, at: SocketAddr) {
+    pub(super) fn verify_now(&mut self, now: Timestamp, name: &Name, at: SocketAddr) {
         self.direct_probes.insert(
             name.clone(),
             Verification {
@@ -28,7 +28,7 @@
 
     /// A direct probe of one of whom too few witnesses spoke: at once, or with bounds later by chance, when enough others
     /// had time to verify it. True: it is new here.
-    pub(super) fn verify(&mut self, now: Moment, name: &Name, at: SocketAddr) -> bool {
+    pub(super) fn verify(&mut self, now: Timestamp, name: &Name, at: SocketAddr) -> bool {
         let Some(bounds) = &self.terms.bounds else {
             let verification = Verification {
                 at,
@@ -55,7 +55,7 @@
         let due = if at_once {
             now
         } else {
-            now + Span::from_secs(wait)
+            now + TimeDelta::from_secs(wait)
         };
         self.tally.verified_later += u64::from(!at_once);
         self.direct_probes.insert(
@@ -76,7 +76,7 @@
     }
 
     /// A probe came to nothing: with bounds it is repeated before the gateway is suspected.
-    pub(super) fn probe_failed(&mut self, now: Moment, name: &Name) {
+    pub(super) fn probe_failed(&mut self, now: Timestamp, name: &Name) {
         let Some(bounds) = &self.terms.bounds else {
             return self.suspect(now, name);
         };
@@ -111,14 +111,14 @@
         self.confirming.remove(name);
     }
 
-    pub(super) fn confirming_due(&self) -> Option<Moment> {
+    pub(super) fn confirming_due(&self) -> Option<Timestamp> {
         self.confirming
             .values()
             .filter_map(|confirming| confirming.due)
             .min()
     }
 
-    pub(super) fn repeat_failed_probes(&mut self, now: Moment) {
+    pub(super) fn repeat_failed_probes(&mut self, now: Timestamp) {
         let due = |confirming: &Confirming| confirming.due.is_some_and(|due| due <= now);
         let names: Vec<Name> = self
             .confirming
@@ -144,7 +144,7 @@
 
     /// With bounds, one of those suspected is probed each period, by one other as well: an answer clears it, and the question tells
     /// it.
-    pub(super) fn probe_a_suspect(&mut self, now: Moment) {
+    pub(super) fn probe_a_suspect(&mut self, now: Timestamp) {
         if self.terms.bounds.is_none() {
             return;
         }
--- a/crates/membership/src/gateway/compare.rs
+++ b/crates/membership/src/gateway/compare.rs
@@ -3,7 +3,7 @@
 
 use std::net::SocketAddr;
 
-use admission::interface::{Moment, Span};
+use admission::interface::{TimeDelta, Timestamp};
 use rand::RngExt;
 
 use super::Gateway;
@@ -51,7 +51,7 @@
 
 impl Gateway {
     /// The next exchange with one by chance.
-    pub(super) fn compare(&mut self, now: Moment) {
+    pub(super) fn compare(&mut self, now: Timestamp) {
         if !self.may_spend_exchange(now, ASK_BYTES) {
             return;
         }
@@ -85,7 +85,7 @@
         self.take_back_unused(ASK_BYTES);
     }
 
-    fn send_comparison(&mut self, now: Moment, to: SocketAddr, name: &Name) {
+    fn send_comparison(&mut self, now: Timestamp, to: SocketAddr, name: &Name) {
         let first = self
             .comparing
             .first
@@ -115,7 +115,7 @@
     /// Another gateway's digests: which of these buckets are equal here, and what is held in the others.
     pub(super) fn answer_comparison(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         to: SocketAddr,
         name: &Name,
         nonce: Nonce,
@@ -123,10 +123,10 @@
         theirs: &[BucketDigest],
     ) {
         let own = self.table.digests(window, &self.own, false);
-        let is_equal = |place: usize| own[place] == theirs[place];
+        let is_equal = |locality: usize| own[locality] == theirs[locality];
         let equal = (0..window.count)
-            .filter(|place| is_equal(*place))
-            .fold(0, |bits, place| bits | 1 << place);
+            .filter(|locality| is_equal(*locality))
+            .fold(0, |bits, locality| bits | 1 << locality);
         let (records, covered) = self.differing(window, is_equal);
         self.tally.compared_for_others += 1;
         self.send(
@@ -147,14 +147,14 @@
     /// that does not fit alone, some by chance.
     fn differing(&mut self, window: Window, is_equal: impl Fn(usize) -> bool) -> (Vec<Record>, u8) {
         let mut held: Vec<Vec<Record>> = vec![Vec::new(); window.count];
-        for (place, of) in self.table.in_window(window) {
-            if of.known && of.record.state != State::Suspect && !is_equal(place) {
-                held[place].push(of.record.clone());
+        for (locality, of) in self.table.in_window(window) {
+            if of.known && of.record.state != State::Suspect && !is_equal(locality) {
+                held[locality].push(of.record.clone());
             }
         }
         let mut room = message::LONGEST * 3 / 4;
         let mut told = Vec::new();
-        for (place, mut records) in held.into_iter().enumerate() {
+        for (locality, mut records) in held.into_iter().enumerate() {
             let size: usize = records.iter().map(message::size).sum();
             if size <= room {
                 room -= size;
@@ -168,9 +168,9 @@
                     .into_iter()
                     .take_while(|record| take_room(&mut room, record))
                     .collect();
-                return (told, place as u8 + 1);
+                return (told, locality as u8 + 1);
             }
-            return (told, place as u8);
+            return (told, locality as u8);
         }
         (told, window.count as u8)
     }
@@ -178,7 +178,7 @@
     /// The answer to a comparison of this gateway: buckets that are equal vouch for those in them that are not in the fleet yet.
     pub(super) fn compared(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         from: &Record,
         nonce: Nonce,
         equal: u32,
@@ -206,41 +206,44 @@
         }
     }
 
-    fn vouch_equal(&mut self, now: Moment, from: &Record, out: &Comparison, equal: u32) {
+    fn vouch_equal(&mut self, now: Timestamp, from: &Record, out: &Comparison, equal: u32) {
         if !self.table.get(&from.name).is_some_and(|held| held.counts()) {
             return;
         }
         // What came meanwhile may have changed a bucket: it was not compared as it is now.
         let present = self.table.digests(out.window, &self.own, true);
-        let holds = |place: usize| equal >> place & 1 == 1 && present[place] == out.digests[place];
+        let holds = |locality: usize| {
+            equal >> locality & 1 == 1 && present[locality] == out.digests[locality]
+        };
         let vouched: Vec<Record> = self
             .table
             .in_window(out.window)
             .into_iter()
-            .filter(|(place, held)| held.candidate() && holds(*place))
+            .filter(|(locality, held)| held.candidate() && holds(*locality))
             .map(|(_, held)| held.record.clone())
             .collect();
         self.count_as_witness(now, from, vouched);
     }
 
     /// Periods until the next comparison; `None`: none is needed.
-    pub(super) fn compare_wait(&mut self, now: Moment) -> Option<f64> {
+    pub(super) fn compare_wait(&mut self, now: Timestamp) -> Option<f64> {
         let seen = self.seen(now);
-        let periods = |since: Moment| (now - since).secs() / self.terms.period.secs();
+        let periods = |since: Timestamp| (now - since).secs() / self.terms.period.secs();
         let still = periods(self.view_since.1) >= STILL_PERIODS;
         (seen.candidates > CANDIDATES || seen.other > 0 && (still || seen.other > seen.same))
             .then_some(COMPARE_PERIODS)
     }
 
     /// One by chance is asked, now and then, as long as views differ.
-    pub(super) fn compare_in_turn(&mut self, now: Moment) {
+    pub(super) fn compare_in_turn(&mut self, now: Timestamp) {
         if self.next_pull > now {
             return;
         }
         let Some(wait) = self.compare_wait(now) else {
             return;
         };
-        self.next_pull = now + Span::from_secs(self.terms.period.secs() * wait * self.chance());
+        self.next_pull =
+            now + TimeDelta::from_secs(self.terms.period.secs() * wait * self.chance());
         self.compare(now);
     }
 }
--- a/crates/membership/src/gateway/event.rs
+++ b/crates/membership/src/gateway/event.rs
@@ -1,6 +1,6 @@
 //! What a gateway tells whoever runs it.
 
-use admission::interface::Span;
+use admission::interface::TimeDelta;
 
 use crate::standing::Standing;
 use crate::who::{Incarnation, Life, Name, State};
@@ -19,7 +19,7 @@
     /// Others held this gateway for gone; it said that it is there.
     Refuted(Incarnation),
     /// This loop stood still for so long.
-    StoodStill(Span),
+    StoodStill(TimeDelta),
     /// Another process has this name and answers: this one stays out for now.
     Doubled {
         other: Life,
--- a/crates/membership/src/gateway/exchange.rs
+++ b/crates/membership/src/gateway/exchange.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use admission::interface::{Moment, Span};
+use admission::interface::{TimeDelta, Timestamp};
 
 use super::Gateway;
 use crate::bounds::PAGE_BYTES;
@@ -16,7 +16,7 @@
 pub(super) const PULLS_PER_S: f64 = 4.0;
 
 impl Gateway {
-    pub(super) fn page(&mut self, now: Moment, to: SocketAddr, after: Option<&Name>) {
+    pub(super) fn page(&mut self, now: Timestamp, to: SocketAddr, after: Option<&Name>) {
         let mut page = Vec::new();
         let (mut room, mut next) = (message::LONGEST * 3 / 4, None);
         for held in self
@@ -36,7 +36,7 @@
     }
 
     /// A full exchange with one by chance: now and then, and soon where its view is another.
-    pub(super) fn pull(&mut self, now: Moment) {
+    pub(super) fn pull(&mut self, now: Timestamp) {
         if self.terms.bounds.is_some() {
             return self.compare_in_turn(now);
         }
@@ -44,7 +44,8 @@
             return;
         }
         let wait = self.pull_wait(now);
-        self.next_pull = now + Span::from_secs(self.terms.period.secs() * wait * self.chance());
+        self.next_pull =
+            now + TimeDelta::from_secs(self.terms.period.secs() * wait * self.chance());
         let all = self
             .table
             .fleet()
@@ -61,7 +62,7 @@
     }
 
     /// Periods until the next full exchange.
-    fn pull_wait(&mut self, now: Moment) -> f64 {
+    fn pull_wait(&mut self, now: Timestamp) -> f64 {
         let seen = self.seen(now);
         match (self.pull_after.is_some(), seen.other > 0) {
             (true, _) => 1.0,
@@ -71,7 +72,13 @@
     }
 
     /// The next part of a table follows at once; with bounds it waits for the next exchange.
-    pub(super) fn pull_on(&mut self, now: Moment, to: SocketAddr, from: &Name, next: Option<Name>) {
+    pub(super) fn pull_on(
+        &mut self,
+        now: Timestamp,
+        to: SocketAddr,
+        from: &Name,
+        next: Option<Name>,
+    ) {
         self.pull_after = next;
         if self.pull_after.is_some() && self.terms.bounds.is_none() && self.pulls.take(now) {
             let after = self.pull_after.clone();
@@ -80,7 +87,7 @@
     }
 
     /// Whether the budget has bytes to give a part of the table out, which are spent by it; always without bounds.
-    pub(super) fn may_give_page(&mut self, now: Moment) -> bool {
+    pub(super) fn may_give_page(&mut self, now: Timestamp) -> bool {
         self.terms.bounds.is_none() || self.may_spend_exchange(now, PAGE_BYTES)
     }
 
@@ -101,7 +108,7 @@
     }
 
     /// With bounds: whether the budget of exchanges has so many bytes, which are spent by it.
-    pub(super) fn may_spend_exchange(&mut self, now: Moment, bytes: f64) -> bool {
+    pub(super) fn may_spend_exchange(&mut self, now: Timestamp, bytes: f64) -> bool {
         let may = self.exchange_bytes.left(now) >= bytes;
         self.exchange_bytes.spend(if may { bytes } else { 0.0 });
         self.tally.bounded_exchange += u64::from(!may);
--- a/crates/membership/src/gateway/gossip.rs
+++ b/crates/membership/src/gateway/gossip.rs
@@ -1,6 +1,6 @@
 //! What is held of other gateways: on their own word, and on that of enough independent witnesses.
 
-use admission::interface::Moment;
+use admission::interface::Timestamp;
 
 use super::Event;
 use super::Gateway;
@@ -10,7 +10,7 @@
 
 impl Gateway {
     /// It answered this gateway itself: that outweighs what anybody says.
-    pub(super) fn answered_itself(&mut self, now: Moment, from: &Record) {
+    pub(super) fn answered_itself(&mut self, now: Timestamp, from: &Record) {
         self.met = true;
         let name = &from.name;
         self.confirmed_alive(name);
@@ -63,7 +63,7 @@
     }
 
     /// Its own word of itself, from its own address: believed of one that is known at that address, else looked into.
-    pub(super) fn direct_word(&mut self, now: Moment, from: &Record) {
+    pub(super) fn direct_word(&mut self, now: Timestamp, from: &Record) {
         let Some(held) = self.table.beside(&from.name) else {
             if from.state.counts() && self.table.add(now, from.clone(), false) {
                 self.verify_now(now, &from.name, from.address);
@@ -105,7 +105,7 @@
         }
     }
 
-    pub(super) fn gossip(&mut self, now: Moment, by: &Record, word: Record) {
+    pub(super) fn gossip(&mut self, now: Timestamp, by: &Record, word: Record) {
         if word.name == self.own.name {
             self.of_me(now, &word);
             return;
@@ -146,7 +146,7 @@
 
     /// With bounds: whether this is word of a failure by a gateway that came back lately. Two of them would make each gateway
     /// of the half that they did not reach suspect, all at once.
-    fn was_cut_off(&self, now: Moment, by: &Record, word: &Record) -> bool {
+    fn was_cut_off(&self, now: Timestamp, by: &Record, word: &Record) -> bool {
         let failed = matches!(word.state, State::Suspect | State::Dead);
         let returned = self.table.get(&by.name).and_then(|held| held.returned);
         failed && returned.is_some_and(|returned| (now - returned).secs() < RETURNED_S)
@@ -154,7 +154,7 @@
 
     /// With bounds: word that agrees with what is held, or that a gateway held alive rose meanwhile, needs no witnesses and
     /// no probe. What this witness said before is withdrawn by it.
-    fn says_nothing_new(&mut self, now: Moment, by: &Record, word: &Record) -> bool {
+    fn says_nothing_new(&mut self, now: Timestamp, by: &Record, word: &Record) -> bool {
         let Some(held) = self.table.get(&word.name).filter(|held| held.known) else {
             return false;
         };
@@ -188,7 +188,7 @@
     }
 
     /// What enough independent witnesses say of one is held; what fewer say is looked into.
-    pub(super) fn weigh(&mut self, now: Moment, name: &Name) {
+    pub(super) fn weigh(&mut self, now: Timestamp, name: &Name) {
         let need = self.terms.voices();
         let Some(held) = self.table.get(name) else {
             return;
@@ -245,7 +245,7 @@
     }
 
     /// One that is not in the fleet yet: enough witnesses bring it in.
-    fn weigh_candidate(&mut self, now: Moment, name: &Name) {
+    fn weigh_candidate(&mut self, now: Timestamp, name: &Name) {
         let Some(held) = self.table.get(name) else {
             return;
         };
@@ -272,7 +272,7 @@
         }
     }
 
-    pub(super) fn changed(&mut self, now: Moment, name: &Name) {
+    pub(super) fn changed(&mut self, now: Timestamp, name: &Name) {
         let Some(held) = self.table.get_mut(name) else {
             return;
         };
--- a/crates/membership/src/gateway/identity.rs
+++ b/crates/membership/src/gateway/identity.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use admission::interface::{Moment, Span};
+use admission::interface::{TimeDelta, Timestamp};
 use rand::RngExt;
 
 use super::Event;
@@ -20,7 +20,7 @@
 
 impl Gateway {
     /// What others hold of this gateway: worse than it is, or an earlier life of it.
-    pub(super) fn of_me(&mut self, now: Moment, word: &Record) {
+    pub(super) fn of_me(&mut self, now: Timestamp, word: &Record) {
         // Only this gateway raises its incarnation: a word far above it is no honest one's.
         let ahead = word.incarnation.0.saturating_sub(self.own.incarnation.0);
         let same = word.life == self.own.life;
@@ -47,7 +47,7 @@
 
     /// Another life under this name: an earlier one, above which it rises, or a second process, which would answer where
     /// it is said to be.
-    pub(super) fn other_life(&mut self, now: Moment, word: &Record) {
+    pub(super) fn other_life(&mut self, now: Timestamp, word: &Record) {
         // Step by step towards an earlier life far ahead, or one liar's word would use the range up.
         if word.incarnation >= self.own.incarnation && self.rises.take(now) {
             self.rise(
@@ -63,7 +63,7 @@
 
     /// A message under this gateway's own name. One that answers a question asked at its address lives as well: who was
     /// together with others stays, who comes later gives way for a time by chance.
-    pub(super) fn twin(&mut self, now: Moment, src: SocketAddr, from: &Record, body: &Body) {
+    pub(super) fn twin(&mut self, now: Timestamp, src: SocketAddr, from: &Record, body: &Body) {
         if from.life == self.own.life || self.out_until.is_some() {
             return;
         }
@@ -80,7 +80,7 @@
             self.twin = None;
             if !self.settled {
                 self.out_until =
-                    Some(now + Span::from_secs(GIVE_WAY_S * (0.5 + self.rng.random::<f64>())));
+                    Some(now + TimeDelta::from_secs(GIVE_WAY_S * (0.5 + self.rng.random::<f64>())));
             }
             self.event(Event::Doubled { other: from.life });
         }
--- a/crates/membership/src/gateway/lists.rs
+++ b/crates/membership/src/gateway/lists.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-use admission::interface::Moment;
+use admission::interface::Timestamp;
 use rand::RngExt;
 
 use super::Gateway;
@@ -88,7 +88,7 @@
 }
 
 impl Gateway {
-    pub(super) fn send_list(&mut self, now: Moment, to: SocketAddr, name: &Name) {
+    pub(super) fn send_list(&mut self, now: Timestamp, to: SocketAddr, name: &Name) {
         let from = self
             .comparing
             .lists
@@ -134,7 +134,7 @@
     /// Another gateway's list: which of it is held here, and what is held beside it.
     pub(super) fn answer_list(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         to: SocketAddr,
         name: &Name,
         nonce: Nonce,
@@ -166,7 +166,7 @@
     /// What is held beside a list, and of the list what has gone, as far as it fits; and the mark up to which that is all.
     fn beside_list(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         from: u64,
         end: u64,
         listed: &[u64],
@@ -196,7 +196,7 @@
     /// The answer to a list of this gateway.
     pub(super) fn listed(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         from: &Record,
         nonce: Nonce,
         held: u64,
@@ -221,7 +221,7 @@
         self.table.all().filter(|held| held.candidate()).count()
     }
 
-    fn vouch_listed(&mut self, now: Moment, from: &Record, marks: &[u64], held: u64) {
+    fn vouch_listed(&mut self, now: Timestamp, from: &Record, marks: &[u64], held: u64) {
         if !self.table.get(&from.name).is_some_and(Held::counts) {
             return;
         }
@@ -244,7 +244,7 @@
     }
 
     /// A gateway vouches for these as they are held here.
-    pub(super) fn count_as_witness(&mut self, now: Moment, by: &Record, records: Vec<Record>) {
+    pub(super) fn count_as_witness(&mut self, now: Timestamp, by: &Record, records: Vec<Record>) {
         for record in records {
             let name = record.name.clone();
             self.tally.vouched_by_digest += 1;
--- a/crates/membership/src/gateway/mod.rs
+++ b/crates/membership/src/gateway/mod.rs
@@ -19,7 +19,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
-use admission::interface::{Moment, Span};
+use admission::interface::{TimeDelta, Timestamp};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -32,7 +32,7 @@
 use crate::standing::Standings;
 use crate::table::{Held, Row, Table};
 use crate::terms::{Paced, Terms};
-use crate::who::{Incarnation, Life, Name, Place, Record, State};
+use crate::who::{Incarnation, Life, Locality, Name, Record, State};
 use compare::Comparing;
 pub use event::Event;
 use exchange::PULLS_PER_S;
@@ -45,7 +45,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Verification {
     at: SocketAddr,
-    due: Moment,
+    due: Timestamp,
     /// It spoke itself; else others spoke of it.
     spoke: bool,
 }
@@ -91,8 +91,8 @@
     /// What is told on, and how often still.
     updates: BTreeMap<Name, u32>,
     /// Views heard lately.
-    views: VecDeque<(Moment, View)>,
-    view_since: (View, Moment),
+    views: VecDeque<(Timestamp, View)>,
+    view_since: (View, Timestamp),
     answers: Paced,
     strangers: Paced,
     pages: Paced,
@@ -104,10 +104,10 @@
     news: Paced,
     /// Those still to be told of engines, and when the next is.
     sweep: Vec<Name>,
-    next_period: Moment,
-    next_call: Moment,
-    next_pull: Moment,
-    next_news: Moment,
+    next_period: Timestamp,
+    next_call: Timestamp,
+    next_pull: Timestamp,
+    next_news: Timestamp,
     /// Gateways to be looked at for oneself, and where.
     direct_probes: BTreeMap<Name, Verification>,
     /// Gateways whose failed probe is repeated before anything is said of it.
@@ -117,14 +117,14 @@
     comparing: Comparing,
     /// Attempts to meet anybody, before it did.
     rejoins: u32,
-    last_pull: Moment,
+    last_pull: Timestamp,
     /// When it last heard from one in the fleet.
-    last_heard: Option<Moment>,
+    last_heard: Option<Timestamp>,
     /// Another life under this name that was asked whether it lives.
     twin: Option<Life>,
     /// It was together with others: whoever takes its name later gives way.
     settled: bool,
-    out_until: Option<Moment>,
+    out_until: Option<Timestamp>,
     met: bool,
     carried: Vec<(Name, Life, Vec<u8>)>,
     out: Vec<Datagram>,
@@ -136,11 +136,11 @@
     /// `address`: where others reach it. `seed`: for all that goes by chance, the life among it.
     #[allow(clippy::too_many_arguments)]
     pub fn new(
-        now: Moment,
+        now: Timestamp,
         fleet: Name,
         name: Name,
         address: SocketAddr,
-        place: Place,
+        locality: Locality,
         seeds: Vec<SocketAddr>,
         ring: Ring,
         terms: Terms,
@@ -153,12 +153,12 @@
             life,
             incarnation: Incarnation(1),
             address,
-            place,
+            locality,
             state: State::Alive,
         };
         // Gateways that start together do not probe in step.
-        let chance = Span::from_secs(terms.period.secs() * rng.random::<f64>());
-        let first = now + Span::from_secs(0.01);
+        let chance = TimeDelta::from_secs(terms.period.secs() * rng.random::<f64>());
+        let first = now + TimeDelta::from_secs(0.01);
         let (gossip_bytes, exchange_bytes) = byte_budgets(&terms);
         Gateway {
             fleet,
@@ -232,7 +232,7 @@
     }
 
     /// When it last heard from another gateway of the fleet: how old what it holds is while it is cut off.
-    pub fn last_heard(&self) -> Option<Moment> {
+    pub fn last_heard(&self) -> Option<Timestamp> {
         self.last_heard
     }
 
@@ -255,13 +255,13 @@
         self.table.get(name)
     }
 
-    /// Records held in all, hearsay among them.
+    /// Records held in all, gossip among them.
     pub fn table_len(&self) -> usize {
         self.table.len()
     }
 
     /// It goes, and says so: others take it off at once and suspect nothing.
-    pub fn leave(&mut self, now: Moment) {
+    pub fn leave(&mut self, now: Timestamp) {
         self.own.state = State::Left;
         self.own.incarnation = self.own.incarnation.next();
         self.table.own_changed();
--- a/crates/membership/src/gateway/probing.rs
+++ b/crates/membership/src/gateway/probing.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use admission::interface::Moment;
+use admission::interface::Timestamp;
 use rand::seq::SliceRandom;
 
 use super::{Gateway, Verification};
@@ -14,7 +14,7 @@
 use crate::who::{Name, State};
 
 impl Gateway {
-    pub(super) fn probe(&mut self, now: Moment, name: &Name) {
+    pub(super) fn probe(&mut self, now: Timestamp, name: &Name) {
         if self.probes.asks(name) {
             return;
         }
@@ -26,7 +26,7 @@
     }
 
     /// Looks for itself at some of those of whom it heard too little to believe it, in an order by chance.
-    pub(super) fn start_direct_probes(&mut self, now: Moment) {
+    pub(super) fn start_direct_probes(&mut self, now: Timestamp) {
         let due = self
             .direct_probes
             .iter()
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Those first that spoke themselves; of hearsay a few, since others verify it as well.
+    /// Those first that spoke themselves; of gossip a few, since others verify it as well.
     fn keep_some_direct_probes(&self, names: &mut Vec<Name>, most: usize) {
         let spoke = |name: &Name| {
             self.direct_probes
@@ -81,7 +81,7 @@
     }
 
     /// Seeds that are not in the fleet, and one that had gone: how two halves find each other again.
-    pub(super) fn rejoin(&mut self, now: Moment) {
+    pub(super) fn rejoin(&mut self, now: Timestamp) {
         let known = |at: &SocketAddr| self.table.fleet().any(|held| held.record.address == *at);
         let seeds = self
             .seeds
@@ -111,7 +111,7 @@
     }
 
     /// A question's next step.
-    pub(super) fn step(&mut self, now: Moment, nonce: Nonce) {
+    pub(super) fn step(&mut self, now: Timestamp, nonce: Nonce) {
         let Some(asked) = self.probes.get_mut(nonce) else {
             return;
         };
--- a/crates/membership/src/gateway/receive.rs
+++ b/crates/membership/src/gateway/receive.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use admission::interface::Moment;
+use admission::interface::Timestamp;
 
 use super::Gateway;
 use super::send::CARRIED;
@@ -21,7 +21,12 @@
     ///
     /// # Errors
     /// It counts for nothing; this is why, and it was counted.
-    pub fn receive(&mut self, now: Moment, from: SocketAddr, bytes: &[u8]) -> Result<(), Refused> {
+    pub fn receive(
+        &mut self,
+        now: Timestamp,
+        from: SocketAddr,
+        bytes: &[u8],
+    ) -> Result<(), Refused> {
         let taken = self.take(now, from, bytes);
         let tally = &mut self.tally;
         *match taken {
@@ -43,7 +48,7 @@
 
     pub(super) fn take(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         src: SocketAddr,
         bytes: &[u8],
     ) -> Result<(), Refused> {
@@ -123,7 +128,7 @@
     /// What came along: counted from those in the fleet only.
     fn take_gossip(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         from: &Record,
         view: View,
         records: Vec<Record>,
@@ -170,7 +175,7 @@
         Ok(())
     }
 
-    pub(super) fn reply(&mut self, now: Moment, to: SocketAddr, from: &Record, body: Body) {
+    pub(super) fn reply(&mut self, now: Timestamp, to: SocketAddr, from: &Record, body: Body) {
         match body {
             Body::Ping(nonce) => {
                 // An earlier life of it that is still held: it has to rise above that to be taken for the one.
@@ -233,7 +238,7 @@
     /// An answer to what was asked, from where it was asked. True: the sender itself answered this gateway.
     pub(super) fn answered(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         src: SocketAddr,
         from: &Record,
         nonce: Nonce,
--- a/crates/membership/src/gateway/send.rs
+++ b/crates/membership/src/gateway/send.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use admission::interface::{Moment, Span};
+use admission::interface::{TimeDelta, Timestamp};
 
 use super::Datagram;
 use super::Gateway;
@@ -22,7 +22,7 @@
 
 impl Gateway {
     /// Carries words to another gateway of the fleet. False: it is not held to be there, or they are too long.
-    pub fn carry(&mut self, now: Moment, to: &Name, words: Vec<u8>) -> bool {
+    pub fn carry(&mut self, now: Timestamp, to: &Name, words: Vec<u8>) -> bool {
         let there = self
             .table
             .get(to)
@@ -44,7 +44,7 @@
 
     pub(super) fn send(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         to: SocketAddr,
         name: Option<&Name>,
         body: Body,
@@ -83,7 +83,7 @@
     }
 
     /// News of engines, up to a third of the room each; returns what is left.
-    fn add_engine_news(&self, now: Moment, message: &mut Message, mut room: usize) -> usize {
+    fn add_engine_news(&self, now: Timestamp, message: &mut Message, mut room: usize) -> usize {
         for news in self.engines.to_tell(now, &self.terms) {
             let size = message::size(&news);
             if size * 3 > room {
@@ -106,7 +106,7 @@
     }
 
     /// Updates of gossip: as many as fit, and with bounds as the budget has bytes for.
-    fn add_updates_within_budget(&mut self, now: Moment, message: &mut Message, room: usize) {
+    fn add_updates_within_budget(&mut self, now: Timestamp, message: &mut Message, room: usize) {
         if self.terms.bounds.is_none() {
             self.add_updates(message, room);
             return;
@@ -155,7 +155,7 @@
         before - room
     }
 
-    pub(super) fn ask(&mut self, now: Moment, purpose: Purpose, to: SocketAddr) {
+    pub(super) fn ask(&mut self, now: Timestamp, purpose: Purpose, to: SocketAddr) {
         let name = match &purpose {
             Purpose::Probe(name) | Purpose::DirectProbe(name) => Some(name.clone()),
             Purpose::RejoinProbe(gone) => gone.clone(),
@@ -166,9 +166,9 @@
         // one that all others left would take minutes to say so.
         let repeated =
             matches!(&purpose, Purpose::Probe(name) if self.confirming.contains_key(name));
-        let short = Span::from_secs(answer.secs() / self.probes.stretch().sqrt());
+        let short = TimeDelta::from_secs(answer.secs() / self.probes.stretch().sqrt());
         let (answer, over) = if repeated {
-            (short, Span::from_secs(short.secs() * 2.0))
+            (short, TimeDelta::from_secs(short.secs() * 2.0))
         } else {
             (answer, period)
         };
--- a/crates/membership/src/gateway/suspicion.rs
+++ b/crates/membership/src/gateway/suspicion.rs
@@ -1,6 +1,6 @@
 //! Suspicion: how it begins, how it is cleared, and when it ends in death.
 
-use admission::interface::Moment;
+use admission::interface::Timestamp;
 
 use super::Gateway;
 use crate::table::{Held, Suspicion};
@@ -10,7 +10,7 @@
 const AGREE: f64 = 3.0;
 
 impl Gateway {
-    pub(super) fn suspect(&mut self, now: Moment, name: &Name) {
+    pub(super) fn suspect(&mut self, now: Timestamp, name: &Name) {
         let Some(held) = self.table.get_mut(name) else {
             return;
         };
@@ -27,7 +27,7 @@
     }
 
     /// Others reach it.
-    pub(super) fn cleared(&mut self, now: Moment, name: &Name) {
+    pub(super) fn cleared(&mut self, now: Timestamp, name: &Name) {
         self.confirmed_alive(name);
         let Some(held) = self.table.get_mut(name) else {
             return;
@@ -41,7 +41,7 @@
 
     /// One that was held for dead is back. With bounds the suspicions that stand begin anew: a cut may have ended, and those
     /// suspected since then have had no time to say that they are there.
-    pub(super) fn returned(&mut self, now: Moment, name: &Name) {
+    pub(super) fn returned(&mut self, now: Timestamp, name: &Name) {
         self.tally.revived += 1;
         if self.terms.bounds.is_none() {
             return;
@@ -60,7 +60,7 @@
     }
 
     /// Suspicion ends in death when it was not refuted in time: sooner the more independent gateways share it.
-    pub(super) fn suspicions(&mut self, now: Moment) {
+    pub(super) fn suspicions(&mut self, now: Timestamp) {
         let size = (self.size() as f64).max(10.0);
         let least = self.terms.suspicion * self.terms.period.secs() * size.log10();
         let most = least * self.terms.patience;
--- a/crates/membership/src/gateway/turn.rs
+++ b/crates/membership/src/gateway/turn.rs
@@ -1,6 +1,6 @@
 //! Time: what is due in a turn of the loop, and once a period.
 
-use admission::interface::{Moment, Span};
+use admission::interface::{TimeDelta, Timestamp};
 use rand::RngExt;
 
 use super::Event;
@@ -14,18 +14,18 @@
 
 impl Gateway {
     /// When `turn` is due next.
-    pub fn due(&self) -> Moment {
+    pub fn due(&self) -> Timestamp {
         let period = self.next_period.min(self.next_call);
         let news = (!self.sweep.is_empty()).then_some(self.next_news);
         [self.probes.due(), news, self.confirming_due()]
             .into_iter()
             .flatten()
-            .fold(period, Moment::min)
+            .fold(period, Timestamp::min)
     }
 
-    pub fn turn(&mut self, now: Moment) {
+    pub fn turn(&mut self, now: Timestamp) {
         let late = now - self.due();
-        let too_late = Span::from_secs((self.terms.answer.secs() * 0.5).max(0.05));
+        let too_late = TimeDelta::from_secs((self.terms.answer.secs() * 0.5).max(0.05));
         if late > too_late {
             // What came meanwhile is read by now; what did not, nobody can tell.
             self.tally.stood_still += 1;
@@ -56,11 +56,11 @@
         self.repeat_failed_probes(now);
         if self.next_call <= now {
             let wait = self.terms.period.secs() * CALL * self.rejoin_backoff();
-            self.next_call = now + Span::from_secs(wait * self.chance());
+            self.next_call = now + TimeDelta::from_secs(wait * self.chance());
             self.rejoin(now);
         }
         if self.next_period <= now {
-            self.next_period = now + Span::from_secs(self.terms.period.secs() * self.chance());
+            self.next_period = now + TimeDelta::from_secs(self.terms.period.secs() * self.chance());
             self.period(now);
         }
         if !self.sweep.is_empty() && self.next_news <= now {
@@ -73,7 +73,7 @@
                 to.into_iter()
                     .for_each(|to| self.send(now, to, Some(&name), Body::News, Vec::new()));
             }
-            self.next_news = now + Span::from_secs(1.0 / self.terms.news_per_s.max(0.1));
+            self.next_news = now + TimeDelta::from_secs(1.0 / self.terms.news_per_s.max(0.1));
         }
     }
 
@@ -82,7 +82,7 @@
         0.9 + 0.2 * self.rng.random::<f64>()
     }
 
-    pub(super) fn period(&mut self, now: Moment) {
+    pub(super) fn period(&mut self, now: Timestamp) {
         self.suspicions(now);
         for name in self.table.forget(now, self.terms.keep_gone) {
             self.event(Event::Forgotten(name));
--- a/crates/membership/src/gateway/view.rs
+++ b/crates/membership/src/gateway/view.rs
@@ -1,6 +1,6 @@
 //! How this gateway's view and those it hears of go together.
 
-use admission::interface::Moment;
+use admission::interface::Timestamp;
 
 use super::Event;
 use super::Gateway;
@@ -16,7 +16,7 @@
         self.standings.standing()
     }
 
-    pub fn standing_since(&self) -> Moment {
+    pub fn standing_since(&self) -> Timestamp {
         self.standings.since()
     }
 
@@ -47,7 +47,7 @@
         )
     }
 
-    pub(super) fn seen(&mut self, now: Moment) -> Seen {
+    pub(super) fn seen(&mut self, now: Timestamp) -> Seen {
         let view = self.view();
         if view != self.view_since.0 {
             self.view_since = (view, now);
@@ -77,7 +77,7 @@
         }
     }
 
-    pub(super) fn stand(&mut self, now: Moment) {
+    pub(super) fn stand(&mut self, now: Timestamp) {
         let seen = self.seen(now);
         if self.standings.look(now, &seen, &self.terms) {
             self.tally.standings += 1;
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -28,4 +28,4 @@
 pub use standing::{Assumed, Standing};
 pub use table::Row;
 pub use terms::Terms;
-pub use who::{Incarnation, Life, Name, Place, Record, State};
+pub use who::{Incarnation, Life, Locality, Name, Record, State};
--- a/crates/membership/src/probes.rs
+++ b/crates/membership/src/probes.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-use admission::interface::{Moment, Span};
+use admission::interface::{TimeDelta, Timestamp};
 use rand::RngExt;
 use rand::seq::SliceRandom;
 use rand_pcg::Pcg64Mcg;
@@ -31,8 +31,8 @@
     pub purpose: Purpose,
     pub to: SocketAddr,
     /// When the next step is due: others are asked, or it is over.
-    pub due: Moment,
-    pub over: Moment,
+    pub due: Timestamp,
+    pub over: Timestamp,
     /// Helpers that were asked, and those of them that said they are well but had no answer either.
     pub helpers: BTreeSet<SocketAddr>,
     pub silent: usize,
@@ -89,11 +89,11 @@
 
     pub fn ask(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         purpose: Purpose,
         to: SocketAddr,
-        answer: Span,
-        over: Span,
+        answer: TimeDelta,
+        over: TimeDelta,
         rng: &mut Pcg64Mcg,
     ) -> Nonce {
         let nonce = Nonce(rng.random());
@@ -102,7 +102,7 @@
         } else {
             self.stretch()
         };
-        let after = |span: Span| now + Span::from_secs(span.secs() * stretch);
+        let after = |span: TimeDelta| now + TimeDelta::from_secs(span.secs() * stretch);
         let (due, over) = (after(answer), after(over));
         let due = if matches!(purpose, Purpose::Probe(_)) {
             due
@@ -152,11 +152,11 @@
             .count()
     }
 
-    pub fn due(&self) -> Option<Moment> {
+    pub fn due(&self) -> Option<Timestamp> {
         self.out.values().map(|asked| asked.due).min()
     }
 
-    pub fn now_due(&self, now: Moment) -> Vec<Nonce> {
+    pub fn now_due(&self, now: Timestamp) -> Vec<Nonce> {
         self.out
             .iter()
             .filter(|(_, asked)| asked.due <= now)
--- a/crates/membership/src/standing.rs
+++ b/crates/membership/src/standing.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-use admission::interface::{Moment, Span};
+use admission::interface::{TimeDelta, Timestamp};
 
 use crate::terms::Terms;
 use crate::who::Name;
@@ -65,20 +65,20 @@
     /// In the fleet, this gateway among them; of these, suspected.
     pub size: usize,
     pub suspected: Vec<Name>,
-    /// Hearsay of more that are not in it yet.
+    /// Gossip of more that are not in it yet.
     pub candidates: usize,
     /// Of the views heard lately, those that are the same and those that are not.
     pub same: usize,
     pub other: usize,
     /// Since when its own view has not changed.
-    pub still: Option<Moment>,
+    pub still: Option<Timestamp>,
     pub met: bool,
 }
 
 #[derive(Clone, Debug)]
 pub struct Standings {
     standing: Standing,
-    since: Moment,
+    since: Timestamp,
     /// Size of the fleet when it last agreed.
     settled: usize,
     /// Largest and least sizes since then.
@@ -88,7 +88,7 @@
 }
 
 impl Standings {
-    pub fn new(now: Moment) -> Self {
+    pub fn new(now: Timestamp) -> Self {
         Standings {
             standing: Standing::Alone,
             since: now,
@@ -103,15 +103,15 @@
         &self.standing
     }
 
-    pub fn since(&self) -> Moment {
+    pub fn since(&self) -> Timestamp {
         self.since
     }
 
     /// Looks anew. True: it changed.
-    pub fn look(&mut self, now: Moment, seen: &Seen, terms: &Terms) -> bool {
+    pub fn look(&mut self, now: Timestamp, seen: &Seen, terms: &Terms) -> bool {
         self.most = self.most.max(seen.size + seen.candidates);
         self.least = self.least.min(seen.size);
-        let quiet = Span::from_secs(terms.period.secs() * 3.0);
+        let quiet = TimeDelta::from_secs(terms.period.secs() * 3.0);
         let still = seen.still.is_some_and(|since| now - since >= quiet);
         // Alone with nobody left to differ from, a view agrees with itself.
         let agree = still
--- a/crates/membership/src/table.rs
+++ b/crates/membership/src/table.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{IpAddr, SocketAddr};
 
-use admission::interface::{Moment, Span};
+use admission::interface::{TimeDelta, Timestamp};
 
 use crate::buckets::{self, BucketDigest, Window, mark};
 use crate::message::{Seen, View};
@@ -12,7 +12,7 @@
 /// Voices kept about one gateway, the latest; and how long a witness counts.
 const WITNESSES: usize = 8;
 const WITNESS_S: f64 = 20.0;
-/// How long one that is hearsay alone stays.
+/// How long one that is gossip alone stays.
 const HEARSAY_S: f64 = 30.0;
 /// With bounds witnesses of a gateway that is not in the fleet yet come seldom: they count for longer, and it stays.
 const PATIENT_WITNESS_S: f64 = 60.0;
@@ -23,13 +23,13 @@
 #[derive(Clone, Debug)]
 pub struct Witness {
     pub says: Record,
-    pub at: Moment,
+    pub at: Timestamp,
     pub host: IpAddr,
 }
 
 #[derive(Clone, Copy, Debug)]
 pub struct Suspicion {
-    pub began: Moment,
+    pub began: Timestamp,
     /// It began anew since a cut may have ended; once for each suspicion, so that nobody puts deaths off for good.
     pub renewed: bool,
 }
@@ -37,14 +37,14 @@
 #[derive(Clone, Debug)]
 pub struct Held {
     pub record: Record,
-    /// It answered here, or enough say that it is there. Else it is hearsay, and no part of the fleet.
+    /// It answered here, or enough say that it is there. Else it is gossip, and no part of the fleet.
     pub known: bool,
-    pub since: Moment,
+    pub since: Timestamp,
     /// When it last answered this gateway itself.
-    pub answered: Option<Moment>,
+    pub answered: Option<Timestamp>,
     pub suspicion: Option<Suspicion>,
     /// When it was taken back after it had been held for dead.
-    pub returned: Option<Moment>,
+    pub returned: Option<Timestamp>,
     pub witnesses: BTreeMap<Name, Witness>,
     pub seen: (Life, Seen),
     pub failed_looks: u8,
@@ -55,7 +55,7 @@
 }
 
 impl Held {
-    fn new(now: Moment, record: Record, known: bool) -> Self {
+    fn new(now: Timestamp, record: Record, known: bool) -> Self {
         let (seen, life, mark_of) = ((record.life, Seen::default()), record.life, mark(&record));
         Held {
             record,
@@ -120,7 +120,7 @@
     }
 
     /// Different hosts among the witnesses that this holds for; several gateways of one host are one witness.
-    pub fn hosts(&self, now: Moment, that: impl Fn(&Record) -> bool) -> BTreeSet<IpAddr> {
+    pub fn hosts(&self, now: Timestamp, that: impl Fn(&Record) -> bool) -> BTreeSet<IpAddr> {
         let fresh =
             |witness: &&Witness| (now - witness.at).secs() < WITNESS_S && that(&witness.says);
         self.witnesses
@@ -134,8 +134,8 @@
     /// many reach, so that a single witness moves neither.
     pub fn vouched(
         &self,
-        now: Moment,
-        lasts: Span,
+        now: Timestamp,
+        lasts: TimeDelta,
         need: usize,
         that: impl Fn(&Record) -> bool,
     ) -> Option<Record> {
@@ -167,9 +167,9 @@
 pub struct Row {
     pub record: Record,
     pub known: bool,
-    pub since: Moment,
+    pub since: Timestamp,
     /// When it last answered this gateway itself.
-    pub answered: Option<Moment>,
+    pub answered: Option<Timestamp>,
 }
 
 #[derive(Clone, Debug)]
@@ -198,8 +198,8 @@
     }
 
     /// How long word of a gateway counts that is in the fleet, or is not yet.
-    pub fn witness_lasts(&self, known: bool) -> Span {
-        Span::from_secs(if known || !self.patient {
+    pub fn witness_lasts(&self, known: bool) -> TimeDelta {
+        TimeDelta::from_secs(if known || !self.patient {
             WITNESS_S
         } else {
             PATIENT_WITNESS_S
@@ -236,8 +236,8 @@
         self.held.get_mut(name)
     }
 
-    /// Adds one, if there is room: hearsay makes room for what is known, never the other way round.
-    pub fn add(&mut self, now: Moment, record: Record, known: bool) -> bool {
+    /// Adds one, if there is room: gossip makes room for what is known, never the other way round.
+    pub fn add(&mut self, now: Timestamp, record: Record, known: bool) -> bool {
         if self.held.len() >= self.most {
             let weakest = self.held.iter().filter(|(_, held)| !held.known);
             let weakest = weakest.min_by_key(|(_, held)| (held.witnesses.len(), held.since));
@@ -283,7 +283,7 @@
             .filter(|held| held.known)
     }
 
-    pub fn witness(&mut self, now: Moment, by: &Name, host: IpAddr, says: Record) {
+    pub fn witness(&mut self, now: Timestamp, by: &Name, host: IpAddr, says: Record) {
         let Some(held) = self.held.get_mut(&says.name) else {
             return;
         };
@@ -305,7 +305,7 @@
         );
     }
 
-    /// A look at one came to nothing. Hearsay of one that never answers leaves.
+    /// A look at one came to nothing. Gossip of one that never answers leaves.
     pub fn not_there(&mut self, name: &Name) {
         let Some(held) = self.held.get_mut(name) else {
             return;
@@ -316,9 +316,9 @@
         }
     }
 
-    /// What went leaves nothing behind after `keep`, hearsay neither.
+    /// What went leaves nothing behind after `keep`, gossip neither.
     /// Returns the known ones among them.
-    pub fn forget(&mut self, now: Moment, keep: Span) -> Vec<Name> {
+    pub fn forget(&mut self, now: Timestamp, keep: TimeDelta) -> Vec<Name> {
         let before = self.held.len();
         let mut forgotten = Vec::new();
         let hearsay_s = if self.patient {
@@ -405,8 +405,8 @@
     pub(crate) fn in_window(&mut self, window: Window) -> Vec<(usize, &Held)> {
         let mut placed = Vec::new();
         for held in self.held.values_mut() {
-            if let Some(place) = window.place(held.current_mark()) {
-                placed.push((place, &*held));
+            if let Some(locality) = window.place(held.current_mark()) {
+                placed.push((locality, &*held));
             }
         }
         placed
--- a/crates/membership/src/terms.rs
+++ b/crates/membership/src/terms.rs
@@ -1,18 +1,18 @@
 //! Paces and bounds, with their defaults.
 
-use admission::interface::Span;
+use admission::interface::TimeDelta;
 
 use crate::bounds::Bounds;
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Terms {
     /// One gateway is probed a period.
-    pub period: Span,
+    pub period: TimeDelta,
     /// So long a probe waits before others are asked to probe in its place.
-    pub answer: Span,
+    pub answer: TimeDelta,
     /// Asked in its place.
     pub helpers: usize,
-    /// Gateways that may lie together, or be wrong together: hearsay counts from one more.
+    /// Gateways that may lie together, or be wrong together: gossip counts from one more.
     pub liars: usize,
     /// Shortest time from suspicion to death in periods, for ten gateways; more for more, less the more say so.
     pub suspicion: f64,
@@ -21,23 +21,23 @@
     /// Gateways in the table at most, whatever others claim.
     pub most: usize,
     /// What has gone leaves nothing behind after this.
-    pub keep_gone: Span,
+    pub keep_gone: TimeDelta,
     /// Questions answered a second: of those in the fleet, and again as many of all others.
     pub answers_per_s: f64,
     /// Parts of the table given out a second.
     pub pages_per_s: f64,
     /// Messages a second that tell of engines.
     pub news_per_s: f64,
-    /// Gateways of hearsay looked at for oneself, a period.
+    /// Gateways of gossip looked at for oneself, a period.
     pub looks: usize,
     /// Fewer than this part of the last settled fleet: cut off.
     pub cut_off_below: f64,
     /// Cut off for so long, the smaller fleet is taken for the whole.
-    pub accept: Span,
+    pub accept: TimeDelta,
     /// Standings change no sooner, but to cut off.
-    pub hold: Span,
+    pub hold: TimeDelta,
     /// How long news of an engine counts.
-    pub news_lasts: Span,
+    pub news_lasts: TimeDelta,
     /// Limits on what a large fleet sends; `None`: as it was without them.
     pub bounds: Option<Bounds>,
 }
@@ -45,22 +45,22 @@
 impl Default for Terms {
     fn default() -> Self {
         Terms {
-            period: Span::from_secs(1.0),
-            answer: Span::from_secs(0.3),
+            period: TimeDelta::from_secs(1.0),
+            answer: TimeDelta::from_secs(0.3),
             helpers: 3,
             liars: 1,
             suspicion: 3.0,
             patience: 4.0,
             most: 1024,
-            keep_gone: Span::from_secs(300.0),
+            keep_gone: TimeDelta::from_secs(300.0),
             answers_per_s: 50.0,
             pages_per_s: 20.0,
             news_per_s: 100.0,
             looks: 4,
             cut_off_below: 0.5,
-            accept: Span::from_secs(120.0),
-            hold: Span::from_secs(2.0),
-            news_lasts: Span::from_secs(8.0),
+            accept: TimeDelta::from_secs(120.0),
+            hold: TimeDelta::from_secs(2.0),
+            news_lasts: TimeDelta::from_secs(8.0),
             bounds: None,
         }
     }
@@ -78,7 +78,7 @@
 pub struct Paced {
     per_s: f64,
     left: f64,
-    at: Option<admission::interface::Moment>,
+    at: Option<admission::interface::Timestamp>,
 }
 
 impl Paced {
@@ -90,7 +90,7 @@
         }
     }
 
-    pub fn take(&mut self, now: admission::interface::Moment) -> bool {
+    pub fn take(&mut self, now: admission::interface::Timestamp) -> bool {
         let gone = (now - self.at.replace(now).unwrap_or(now)).secs().max(0.0);
         self.left = (self.left + gone * self.per_s).min(self.per_s.max(1.0));
         let there = self.left >= 1.0;
--- a/crates/membership/src/who.rs
+++ b/crates/membership/src/who.rs
@@ -71,7 +71,7 @@
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Place {
+pub struct Locality {
     pub zone: Option<Name>,
     pub region: Option<Name>,
 }
@@ -112,7 +112,7 @@
     pub incarnation: Incarnation,
     /// Where it is reached, which need not be where it is bound.
     pub address: SocketAddr,
-    pub place: Place,
+    pub locality: Locality,
     pub state: State,
 }
 
--- a/crates/membership/tests/bounded.rs
+++ b/crates/membership/tests/bounded.rs
@@ -2,9 +2,9 @@
 
 use std::net::SocketAddr;
 
-use admission::interface::Moment;
+use admission::interface::Timestamp;
 use membership::letter::{self, Body, Letter, View};
-use membership::{Bounds, Gateway, Name, Place, Record, Ring, State, Terms};
+use membership::{Bounds, Gateway, Locality, Name, Record, Ring, State, Terms};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -49,16 +49,16 @@
 impl World {
     fn new(count: usize, seed: u64, terms_of: impl Fn(usize) -> Terms) -> World {
         let make = |number| {
-            let (place, seeds) = (Place::default(), vec![address(0), address(1)]);
+            let (locality, seeds) = (Locality::default(), vec![address(0), address(1)]);
             let seed = seed * 1000 + number as u64;
             let own = (name(number), address(number));
-            let now = Moment::from_secs(0.0);
+            let now = Timestamp::from_secs(0.0);
             Some(Gateway::new(
                 now,
                 fleet_name(),
                 own.0,
                 own.1,
-                place,
+                locality,
                 seeds,
                 ring(),
                 terms_of(number),
@@ -79,7 +79,7 @@
         let until = self.now + seconds;
         while self.now < until {
             self.now += STEP_S;
-            let now = Moment::from_secs(self.now);
+            let now = Timestamp::from_secs(self.now);
             for from in 0..self.all.len() {
                 let Some(sender) = &mut self.all[from] else {
                     continue;
@@ -211,7 +211,7 @@
         world.run(60.0);
         let witness = world.all[5].as_ref().unwrap().own().clone();
         let subject = world.all[6].as_ref().unwrap().own().clone();
-        let now = Moment::from_secs(world.now);
+        let now = Timestamp::from_secs(world.now);
         let before = world.sum(|gateway| gateway.tally.probes);
         for gateway in world
             .all
@@ -270,7 +270,7 @@
     assert!(world.settle(30.0).is_some());
     world.run(15.0);
     assert_eq!(world.all[0].as_ref().unwrap().standing().name(), "together");
-    let at = Moment::from_secs(world.now);
+    let at = Timestamp::from_secs(world.now);
     (1..5).for_each(|number| world.all[number] = None);
     world.run(90.0);
     let left = world.all[0].as_ref().unwrap();
@@ -298,7 +298,7 @@
         life,
         incarnation,
         address,
-        place: Place::default(),
+        locality: Locality::default(),
         state: State::Alive,
     }
 }
@@ -367,7 +367,7 @@
     let mut world = World::new(3, 11, |_| terms(Some(Bounds::default())));
     assert!(world.settle(30.0).is_some());
     let by = world.all[1].as_ref().unwrap().own().clone();
-    let now = Moment::from_secs(world.now);
+    let now = Timestamp::from_secs(world.now);
     for (at, (first, buckets)) in [(128, 4), (0, 0), (0, 33)].into_iter().enumerate() {
         let body = Body::Compare {
             nonce: letter::Nonce(1),
@@ -446,7 +446,7 @@
     };
     let receiver = world.all[0].as_mut().unwrap();
     let refused = receiver.receive(
-        Moment::from_secs(world.now),
+        Timestamp::from_secs(world.now),
         by.address,
         &letter::seal(&ring(), &message),
     );
--- a/crates/membership/tests/hostile.rs
+++ b/crates/membership/tests/hostile.rs
@@ -2,10 +2,10 @@
 
 use std::net::SocketAddr;
 
-use admission::interface::{Moment, Span};
+use admission::interface::{TimeDelta, Timestamp};
 use membership::letter::{self, Body, Letter, Nonce, View};
 use membership::{
-    Bounds, Gateway, Incarnation, Life, Name, Place, Record, Refused, Ring, State, Terms,
+    Bounds, Gateway, Incarnation, Life, Locality, Name, Record, Refused, Ring, State, Terms,
 };
 use quickcheck::{QuickCheck, TestResult};
 use rand::{RngExt, SeedableRng};
@@ -33,7 +33,7 @@
         fleet(),
         name,
         at(number),
-        Place::default(),
+        Locality::default(),
         seeds,
         ring(),
         terms,
@@ -41,8 +41,8 @@
     )
 }
 
-fn moment(secs: f64) -> Moment {
-    Moment::from_secs(1000.0 + secs)
+fn moment(secs: f64) -> Timestamp {
+    Timestamp::from_secs(1000.0 + secs)
 }
 
 fn record(number: u8) -> Record {
@@ -51,7 +51,7 @@
         life: Life(number.into()),
         incarnation: Incarnation(1),
         address: at(number),
-        place: Place::default(),
+        locality: Locality::default(),
         state: State::Alive,
     }
 }
@@ -222,7 +222,7 @@
                     life,
                     incarnation: Incarnation(incarnation),
                     address: at(rng.random_range(1..=40)),
-                    place: Place::default(),
+                    locality: Locality::default(),
                     state: states[rng.random_range(0..4)],
                 });
             }
@@ -322,7 +322,7 @@
     let answers = all[0].take_out().len();
     assert!((1..=60).contains(&answers), "{answers} answers at once");
     assert!(all[0].tally.refused_many > 4900);
-    let later = moment(now) + Span::from_secs(1.0);
+    let later = moment(now) + TimeDelta::from_secs(1.0);
     let question = letter(from, 1 << 50, Body::Ping(Nonce(1)));
     assert_eq!(
         all[0].receive(later, at(2), &letter::seal(&ring(), &question)),
--- a/crates/membership/tests/life.rs
+++ b/crates/membership/tests/life.rs
@@ -4,9 +4,9 @@
 use std::hash::{Hash, Hasher};
 use std::net::SocketAddr;
 
-use admission::interface::Moment;
+use admission::interface::Timestamp;
 use membership::letter;
-use membership::{Bounds, Gateway, Name, Place, Ring, Terms};
+use membership::{Bounds, Gateway, Locality, Name, Ring, Terms};
 use stateright::{Checker, Model, Property};
 
 const KEY: [u8; 32] = [7; 32];
@@ -59,11 +59,11 @@
     let seeds = vec![at(1), at(2)];
     let seed = number as u64 + life * 100;
     Gateway::new(
-        Moment::from_secs(now),
+        Timestamp::from_secs(now),
         fleet,
         name,
         at(number),
-        Place::default(),
+        Locality::default(),
         seeds,
         ring,
         Terms {
@@ -109,12 +109,12 @@
             self.all[0] = gateway(0, self.now, self.life, self.bounded);
         }
         for (from, to, bytes) in std::mem::take(&mut self.later) {
-            let _ = self.all[to].receive(Moment::from_secs(self.now), at(from), &bytes);
+            let _ = self.all[to].receive(Timestamp::from_secs(self.now), at(from), &bytes);
         }
         let until = self.now + lasts;
         while self.now < until {
             self.now += STEP_S;
-            let now = Moment::from_secs(self.now);
+            let now = Timestamp::from_secs(self.now);
             for from in 0..3 {
                 if from == 0 && phase == Phase::Stopped {
                     continue;
--- a/crates/operator_config/src/fleet_block.rs
+++ b/crates/operator_config/src/fleet_block.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-use admission::interface::Span;
-use membership::{Bounds, Name, Place, Terms};
+use admission::interface::TimeDelta;
+use membership::{Bounds, Locality, Name, Terms};
 use serde::Deserialize;
 
 use crate::{Fault, fault, yes};
@@ -57,7 +57,7 @@
     pub advertise: SocketAddr,
     pub seeds: Vec<SocketAddr>,
     pub keys_folder: PathBuf,
-    pub place: Place,
+    pub place: Locality,
     pub paces: Terms,
 }
 
@@ -65,9 +65,9 @@
     /// # Errors
     /// A field that cannot be used.
     pub fn terms(self) -> Result<Option<FleetTerms>, Fault> {
-        let span = |name, value, default: Span, least, most| {
+        let span = |name, value, default: TimeDelta, least, most| {
             within(name, value, default.secs() * 1e3, least, most)
-                .map(|ms| Span::from_secs(ms / 1e3))
+                .map(|ms| TimeDelta::from_secs(ms / 1e3))
         };
         let named =
             |field: &str, text: &str| Name::new(text).map_err(|why| fault(&["fleet", field], why));
@@ -139,7 +139,7 @@
             advertise,
             seeds: self.seeds,
             keys_folder: self.keys_folder,
-            place: Place {
+            place: Locality {
                 zone: place("zone", &self.zone)?,
                 region: place("region", &self.region)?,
             },
--- a/crates/operator_config/src/identity_block.rs
+++ b/crates/operator_config/src/identity_block.rs
@@ -2,7 +2,7 @@
 
 use std::path::PathBuf;
 
-use admission::interface::Span;
+use admission::interface::TimeDelta;
 use identity::Terms;
 use serde::Deserialize;
 
@@ -20,7 +20,8 @@
     grace_ms: Option<f64>,
     back_ms: Option<f64>,
     longest_token_ms: Option<f64>,
-    remembered: Option<f64>,
+    #[serde(rename = "remembered")]
+    cached_verdicts: Option<f64>,
     checks_per_s: Option<f64>,
 }
 
@@ -49,9 +50,9 @@
             };
             if usable { Ok(value) } else { Err(why()) }
         };
-        let span = |name, value, default: Span, least, most| {
+        let span = |name, value, default: TimeDelta, least, most| {
             within(name, value, default.secs() * 1e3, least, most)
-                .map(|ms| Span::from_secs(ms / 1e3))
+                .map(|ms| TimeDelta::from_secs(ms / 1e3))
         };
         let plain = Terms::default();
         let terms = Terms {
@@ -65,10 +66,10 @@
                 1000.0,
                 3.2e10,
             )?,
-            remembered: within(
+            cached_verdicts: within(
                 "remembered",
-                self.remembered,
-                plain.remembered as f64,
+                self.cached_verdicts,
+                plain.cached_verdicts as f64,
                 0.0,
                 1e6,
             )? as usize,
--- a/crates/operator_config/src/queues_block.rs
+++ b/crates/operator_config/src/queues_block.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use admission::interface::Span;
+use admission::interface::TimeDelta;
 use ipnet::IpNet;
 use scheduler::{Bound, Claim, DeskTerms, MemberTerms, Terms};
 use serde::Deserialize;
@@ -54,7 +54,7 @@
     pub fn terms(self) -> Result<Option<Terms>, Fault> {
         let span_ms = |name, value, default: f64, least, most| {
             within(&["queues", name], value, default, least, most)
-                .map(|ms| Span::from_secs(ms / 1e3))
+                .map(|ms| TimeDelta::from_secs(ms / 1e3))
         };
         let count = |name, value, default| {
             within(&["queues", name], value, default, 1.0, 1e7).map(|count| count as u32)
--- a/crates/operator_config/src/shares_block.rs
+++ b/crates/operator_config/src/shares_block.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use admission::interface::Span;
+use admission::interface::TimeDelta;
 use membership::Name;
 use quota::{Amount, Budget, Terms, TermsError, Use};
 use serde::Deserialize;
@@ -41,7 +41,7 @@
             within(&["shares", name], value, default, least, most)
         };
         let span = |name, value, default: f64| {
-            number(name, value, default, 20.0, 600_000.0).map(|ms| Span::from_secs(ms / 1e3))
+            number(name, value, default, 20.0, 600_000.0).map(|ms| TimeDelta::from_secs(ms / 1e3))
         };
         let most = number("most_gateways", Some(self.most_gateways), 1.0, 1.0, 4096.0)? as usize;
         let floor_part = number("floor_part", self.floor_part, 0.2, 0.0, 1.0)?;
@@ -59,20 +59,20 @@
             let members = members.filter(|member| member.claim.budget > 0.0);
             budgets.extend(members.map(|m| budget(Use::Member(m.name.clone()), m.claim.budget)));
         }
-        for (product, whole) in &self.relays_per_s {
+        for (class, whole) in &self.relays_per_s {
             let whole = within(
-                &["shares", "relays_per_s", product],
+                &["shares", "relays_per_s", class],
                 Some(*whole),
                 0.0,
                 1e-3,
                 1e6,
             )?;
-            budgets.push(budget(Use::Relays(product.clone()), whole));
+            budgets.push(budget(Use::Relays(class.clone()), whole));
         }
-        if let Some(trials) = self.trials_per_s {
+        if let Some(outlier_probes) = self.trials_per_s {
             budgets.push(budget(
                 Use::Trials,
-                number("trials_per_s", Some(trials), 0.0, 1e-3, 1e6)?,
+                number("trials_per_s", Some(outlier_probes), 0.0, 1e-3, 1e6)?,
             ));
         }
         if self.cold {
--- a/crates/process_harness/src/fleet.rs
+++ b/crates/process_harness/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Gateways as processes, with engines and a notice board of ours, a switch between them, and what each says.
+//! Gateways as processes, with engines and a discovery service of ours, a switch between them, and what each says.
 
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, BufReader};
--- a/crates/process_harness/src/scale/hollow.rs
+++ b/crates/process_harness/src/scale/hollow.rs
@@ -3,9 +3,9 @@
 use std::io::ErrorKind;
 use std::net::{SocketAddr, UdpSocket};
 
-use admission::interface::Moment;
+use admission::interface::Timestamp;
 use control::{Control, Times};
-use membership::{Event, Gateway, Name, Place, Ring};
+use membership::{Event, Gateway, Locality, Name, Ring};
 use operator_config::FleetTerms;
 use quota::{Shares, Who};
 use rand::{RngExt, SeedableRng};
@@ -48,7 +48,7 @@
 
 /// Both clocks now.
 pub fn times() -> Times {
-    let moment = Moment::from_secs;
+    let moment = Timestamp::from_secs;
     Times {
         now: moment(process::monotonic_s()),
         steady: moment(process::boottime_s()),
@@ -70,7 +70,7 @@
         socket.set_nonblocking(true)?;
         let seed = plan.seed ^ (member as u64) << 32 ^ life << 44;
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let place = Place {
+        let place = Locality {
             zone: Some(name(&format!("z{}", plan.layout.zone(member)))),
             region: Some(name(&format!("r{}", plan.layout.region(member)))),
         };
@@ -113,7 +113,7 @@
         self.unread = true;
     }
 
-    pub fn due(&self, times: Times) -> Moment {
+    pub fn due(&self, times: Times) -> Timestamp {
         if self.unread {
             times.now
         } else {
@@ -154,7 +154,7 @@
         Happened { events, chosen }
     }
 
-    fn read(&mut self, now: Moment, layout: &Layout, links: &Links) {
+    fn read(&mut self, now: Timestamp, layout: &Layout, links: &Links) {
         let mut bytes = [0; 2048];
         for _ in 0..READS {
             if !self.unread {
@@ -177,7 +177,7 @@
     /// What a real process sent comes from its bound address, and its losses are drawn here.
     fn take(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         from: SocketAddr,
         bytes: &[u8],
         layout: &Layout,
--- a/crates/process_harness/src/scale/worker.rs
+++ b/crates/process_harness/src/scale/worker.rs
@@ -4,7 +4,7 @@
 use std::io::{self, BufRead, Write};
 use std::path::Path;
 
-use admission::interface::Moment;
+use admission::interface::Timestamp;
 use membership::{Event, State};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -31,9 +31,9 @@
     truth: Truth,
     epoll: OwnedFd,
     hollows: BTreeMap<usize, Hollow>,
-    due: BTreeSet<(Moment, usize)>,
-    due_of: BTreeMap<usize, Moment>,
-    starts: BTreeSet<(Moment, usize)>,
+    due: BTreeSet<(Timestamp, usize)>,
+    due_of: BTreeMap<usize, Timestamp>,
+    starts: BTreeSet<(Timestamp, usize)>,
     /// Starts of each member; those of an earlier process of the same members are other ones.
     lives: BTreeMap<usize, u64>,
     generation: u64,
@@ -267,7 +267,7 @@
         match command {
             Command::Start { members, within_s } => {
                 for member in members {
-                    let at = Moment::from_secs(now_s + within_s * self.rng.random::<f64>());
+                    let at = Timestamp::from_secs(now_s + within_s * self.rng.random::<f64>());
                     self.starts.insert((at, member));
                 }
             }
--- a/crates/quota/src/core.rs
+++ b/crates/quota/src/core.rs
@@ -1,7 +1,7 @@
 //! One gateway's part in whole numbers: voter, steward if chosen, and holder of a lease. The search over its states runs
 //! on this; what is saved and spent on it stands in `ledger`.
 
-use admission::interface::{Moment, Span};
+use admission::interface::{TimeDelta, Timestamp};
 use membership::Name;
 
 use crate::amount::Amount;
@@ -54,9 +54,9 @@
     /// Beyond the floors, by budget; and as it was last told.
     needs: Vec<Amount>,
     told: Vec<Amount>,
-    asked_at: Moment,
+    asked_at: Timestamp,
     count: Count,
-    next_canvass: Moment,
+    next_canvass: Timestamp,
     tries: u32,
     left: bool,
     leased: bool,
@@ -76,10 +76,10 @@
 
 impl Core {
     /// `terms` were checked. `now`: this gateway's own steady clock, which runs on while the machine sleeps.
-    pub fn new(now: Moment, me: Who, terms: Terms, seed: u64) -> Self {
+    pub fn new(now: Timestamp, me: Who, terms: Terms, seed: u64) -> Self {
         let votes = terms.voters.contains(&me.name);
         let voter = votes.then(|| Voter::new(now, &terms));
-        let first = now + Span::from_secs(terms.renew.secs() * 0.2 * chance(seed, 0));
+        let first = now + TimeDelta::from_secs(terms.renew.secs() * 0.2 * chance(seed, 0));
         Core {
             me,
             voter,
@@ -123,7 +123,7 @@
     }
 
     /// What it may spend a second now, of its floor and its lease.
-    pub fn may_spend(&self, now: Moment, at: usize) -> Amount {
+    pub fn may_spend(&self, now: Timestamp, at: usize) -> Amount {
         self.terms.budgets[at].floor + self.holder.held(now, at)
     }
 
@@ -143,19 +143,19 @@
         self.holder.next = self.holder.next.min(self.after(self.asked_at, SOON));
     }
 
-    pub fn is_steward(&self, now: Moment) -> bool {
+    pub fn is_steward(&self, now: Timestamp) -> bool {
         self.office
             .as_ref()
             .is_some_and(|office| office.chosen(now, &self.terms).is_some())
     }
 
     /// Its books, as long as it is the steward.
-    pub fn office(&self, now: Moment) -> Option<&Office> {
+    pub fn office(&self, now: Timestamp) -> Option<&Office> {
         self.office.as_ref().filter(|_| self.is_steward(now))
     }
 
     /// Whom it takes for steward.
-    pub fn steward(&self, now: Moment) -> Option<&Name> {
+    pub fn steward(&self, now: Timestamp) -> Option<&Name> {
         if self.is_steward(now) {
             return Some(&self.me.name);
         }
@@ -167,9 +167,9 @@
     }
 
     /// When `turn` is due next.
-    pub fn due(&self) -> Moment {
+    pub fn due(&self) -> Timestamp {
         if self.left {
-            return self.holder.next + Span::from_secs(3600.0);
+            return self.holder.next + TimeDelta::from_secs(3600.0);
         }
         let lease = self
             .holder
@@ -183,7 +183,7 @@
         [lease, stand]
             .into_iter()
             .flatten()
-            .fold(self.holder.next, Moment::min)
+            .fold(self.holder.next, Timestamp::min)
     }
 
     fn event(&mut self, event: Event) {
@@ -199,12 +199,12 @@
         });
     }
 
-    fn after(&self, now: Moment, renewals: f64) -> Moment {
-        now + Span::from_secs(self.terms.renew.secs() * renewals)
+    fn after(&self, now: Timestamp, renewals: f64) -> Timestamp {
+        now + TimeDelta::from_secs(self.terms.renew.secs() * renewals)
     }
 
     /// One behind the other, or candidates would divide the votes between them.
-    fn stands_at(&self, voter: &Voter) -> Moment {
+    fn stands_at(&self, voter: &Voter) -> Timestamp {
         let rank = self
             .terms
             .voters
@@ -218,7 +218,7 @@
 
     // Time.
 
-    pub fn turn(&mut self, now: Moment) {
+    pub fn turn(&mut self, now: Timestamp) {
         if self.left {
             return;
         }
@@ -246,7 +246,7 @@
     }
 
     /// What the clock alone has ended: first of all in every call, so that one that stood still acts on nothing old.
-    fn look(&mut self, now: Moment) {
+    fn look(&mut self, now: Timestamp) {
         if self
             .office
             .as_ref()
@@ -261,7 +261,7 @@
         }
     }
 
-    fn canvass(&mut self, now: Moment) {
+    fn canvass(&mut self, now: Timestamp) {
         let (me, voters) = (self.me.clone(), self.terms.voters.clone());
         self.next_canvass = self.after(now, 1.0);
         self.tries += 1;
@@ -288,7 +288,7 @@
         }
     }
 
-    fn voted(&mut self, now: Moment, by: &Name, count: Count) {
+    fn voted(&mut self, now: Timestamp, by: &Name, count: Count) {
         let before = self.is_steward(now);
         let Some(office) = &mut self.office else {
             return;
@@ -304,7 +304,7 @@
     }
 
     /// No steward's, no candidate's any more; those who voted for it need not wait out their promise.
-    fn resign(&mut self, now: Moment) {
+    fn resign(&mut self, now: Timestamp) {
         let Some(office) = self.office.take() else {
             return;
         };
@@ -326,7 +326,7 @@
         self.next_canvass = self.after(now, wait);
     }
 
-    fn ask(&mut self, now: Moment) {
+    fn ask(&mut self, now: Timestamp) {
         self.holder.lost();
         let jitter = 0.9 + 0.2 * chance(self.seed, self.count.0 ^ 0xa5a5);
         self.holder.next = self.after(now, jitter);
@@ -350,7 +350,7 @@
         self.ask_of(now, to, false);
     }
 
-    fn ask_of(&mut self, now: Moment, to: Name, leaves: bool) {
+    fn ask_of(&mut self, now: Timestamp, to: Name, leaves: bool) {
         let holds = self.holder.lease(now).map(|lease| lease.count);
         let of = |(at, budget): (usize, &crate::terms::Budget)| Need {
             mark: budget.mark(),
@@ -363,7 +363,7 @@
         self.told.clone_from(&self.needs);
         self.asked_at = now;
         let count = self.holder.ask(now, to.clone());
-        let clock_ms = ((now - Moment::from_secs(0.0)).secs() * 1e3) as u64;
+        let clock_ms = ((now - Timestamp::from_secs(0.0)).secs() * 1e3) as u64;
         let ask = Ask {
             count,
             holds,
@@ -382,7 +382,7 @@
         }
     }
 
-    fn granting(&mut self, now: Moment, by: &Who, ask: &Ask) -> Option<Vec<Amount>> {
+    fn granting(&mut self, now: Timestamp, by: &Who, ask: &Ask) -> Option<Vec<Amount>> {
         let amounts = self.office.as_mut()?.asked(now, by, ask, &self.terms)?;
         let differ = self.office.as_ref()?.differ(now, &self.terms);
         let named = |(name, at): (Name, usize)| (name, self.terms.budgets[at].name());
@@ -401,7 +401,7 @@
 
     fn granted(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         by: &Name,
         count: Count,
         number: u64,
@@ -432,7 +432,7 @@
     }
 
     /// It goes: what is leased to it is given back, its floor is its own until it has ended, and a steward's votes are free for another.
-    pub fn leave(&mut self, now: Moment) {
+    pub fn leave(&mut self, now: Timestamp) {
         self.look(now);
         self.holder.give_back();
         if let Some(steward) = self
@@ -450,7 +450,7 @@
 
     /// # Errors
     /// It counts for nothing; this is why.
-    pub fn receive(&mut self, now: Moment, from: &Who, word: Word) -> Result<(), Refused> {
+    pub fn receive(&mut self, now: Timestamp, from: &Who, word: Word) -> Result<(), Refused> {
         if self.left {
             return Ok(());
         }
@@ -532,14 +532,14 @@
             }
             Word::Steer { steward } => {
                 let steward = steward.filter(|name| self.terms.voters.contains(name));
-                let soon = Span::from_secs(self.terms.renew.secs() * STAGGER);
+                let soon = TimeDelta::from_secs(self.terms.renew.secs() * STAGGER);
                 self.holder.steered(now, &from.name, steward, soon);
                 Ok(())
             }
         }
     }
 
-    fn asked(&mut self, now: Moment, from: &Who, ask: &Ask) -> Result<(), Refused> {
+    fn asked(&mut self, now: Timestamp, from: &Who, ask: &Ask) -> Result<(), Refused> {
         if self.is_steward(now) {
             let Some(amounts) = self.granting(now, from, ask) else {
                 return if ask.leaves {
@@ -574,7 +574,7 @@
 
     /// New budgets, voters and paces from now on; what is held goes by the budgets' names. Terms that others were given
     /// stay as long as they were given for: of lengths and drift only those hold that were told at the start.
-    pub fn change(&mut self, now: Moment, terms: Terms) {
+    pub fn change(&mut self, now: Timestamp, terms: Terms) {
         self.look(now);
         let (lease, term, drift_ppm, most) = (
             self.terms.lease,
--- a/crates/quota/src/holder.rs
+++ b/crates/quota/src/holder.rs
@@ -1,6 +1,6 @@
 //! A gateway's own lease: what it may spend beyond its floors, until when, and whom it asks for more.
 
-use admission::interface::{Moment, Span};
+use admission::interface::{TimeDelta, Timestamp};
 use membership::Name;
 
 use crate::amount::Amount;
@@ -14,23 +14,23 @@
     pub number: u64,
     pub amounts: Vec<Amount>,
     /// By this gateway's own steady clock, counted from when it asked.
-    pub until: Moment,
+    pub until: Timestamp,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Holder {
     count: Count,
     /// The question that is out: when it went, and to whom.
-    out: Option<(Moment, Name)>,
+    out: Option<(Timestamp, Name)>,
     lease: Option<Lease>,
     /// Who is thought to be steward, and whom it has asked in vain since.
     pub steward: Option<Name>,
     silent: u32,
-    pub next: Moment,
+    pub next: Timestamp,
 }
 
 impl Holder {
-    pub fn new(now: Moment) -> Self {
+    pub fn new(now: Timestamp) -> Self {
         Holder {
             count: Count::default(),
             out: None,
@@ -42,7 +42,7 @@
     }
 
     /// What it holds now: the clock is looked at first, since nothing else ends a lease of a process that stood still.
-    pub fn lease(&self, now: Moment) -> Option<&Lease> {
+    pub fn lease(&self, now: Timestamp) -> Option<&Lease> {
         self.lease.as_ref().filter(|lease| now < lease.until)
     }
 
@@ -51,13 +51,13 @@
         self.lease.as_ref()
     }
 
-    pub fn held(&self, now: Moment, at: usize) -> Amount {
+    pub fn held(&self, now: Timestamp, at: usize) -> Amount {
         self.lease(now)
             .map_or(Amount::ZERO, |lease| lease.amounts[at])
     }
 
     /// A new question goes to this one; the answer to any other counts no more.
-    pub fn ask(&mut self, now: Moment, to: Name) -> Count {
+    pub fn ask(&mut self, now: Timestamp, to: Name) -> Count {
         self.count = self.count.next();
         if self.out.is_some() {
             self.silent += 1;
@@ -75,7 +75,7 @@
         lost
     }
 
-    pub fn steered(&mut self, now: Moment, by: &Name, steward: Option<Name>, soon: Span) {
+    pub fn steered(&mut self, now: Timestamp, by: &Name, steward: Option<Name>, soon: TimeDelta) {
         if self.out.as_ref().is_none_or(|(_, to)| to != by) {
             return;
         }
@@ -90,7 +90,7 @@
     /// It answers nothing that is out, or came too late to be of use.
     pub fn granted(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         by: &Name,
         count: Count,
         number: u64,
--- a/crates/quota/src/ledger.rs
+++ b/crates/quota/src/ledger.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use admission::interface::{Moment, Span};
+use admission::interface::{TimeDelta, Timestamp};
 use membership::Name;
 
 use crate::amount::Amount;
@@ -28,7 +28,7 @@
     bucket: Bucket,
     /// Wanted a second, allowed or not, and how often, over each of these times.
     wanted: [(f64, f64); OVER_S.len()],
-    at: Moment,
+    at: Timestamp,
     spent: f64,
     leased: f64,
     refused: u64,
@@ -57,7 +57,7 @@
     pub whole: Amount,
     pub floor: Amount,
     pub leased: Amount,
-    pub until: Option<Moment>,
+    pub until: Option<Timestamp>,
     /// Wanted a second of late.
     pub wanted: f64,
     /// Since the start, in units: what was spent, and what could have been.
@@ -83,21 +83,21 @@
     core: Core,
     accounts: Vec<Account>,
     by_use: BTreeMap<String, usize>,
-    started: Moment,
+    started: Timestamp,
     /// When needs are next looked at: one that moved is told sooner than with the next renewal.
-    look_at: Moment,
+    look_at: Timestamp,
     /// Words that counted for nothing, by reason.
     pub refused: BTreeMap<Refused, u64>,
     pub sent: u64,
     pub taken: u64,
 }
 
-fn secs(at: Moment) -> f64 {
-    (at - Moment::from_secs(0.0)).secs()
+fn secs(at: Timestamp) -> f64 {
+    (at - Timestamp::from_secs(0.0)).secs()
 }
 
 impl Shares {
-    pub fn new(now: Moment, me: Who, terms: Terms, seed: u64) -> Self {
+    pub fn new(now: Timestamp, me: Who, terms: Terms, seed: u64) -> Self {
         let mut shares = Shares {
             core: Core::new(now, me, terms, seed),
             accounts: Vec::new(),
@@ -112,7 +112,7 @@
         shares
     }
 
-    fn lay_out(&mut self, now: Moment, old: Vec<(Use, Account)>) {
+    fn lay_out(&mut self, now: Timestamp, old: Vec<(Use, Account)>) {
         let terms = self.core.terms();
         let burst = terms.burst.secs();
         let account = |(at, budget): (usize, &crate::terms::Budget)| {
@@ -172,13 +172,13 @@
         self.core.take_events()
     }
 
-    pub fn due(&self) -> Moment {
+    pub fn due(&self) -> Timestamp {
         self.core.due().min(self.look_at)
     }
 
     /// Fills each bucket at what was held, up to the instant at which that changed: a lease that ended while this process
     /// stood still ended then, not now.
-    fn settle(&mut self, now: Moment) {
+    fn settle(&mut self, now: Timestamp) {
         let until = self.core.holder().last().map(|lease| lease.until);
         for at in 0..self.accounts.len() {
             let account = &mut self.accounts[at];
@@ -199,7 +199,7 @@
         }
     }
 
-    fn want(account: &mut Account, now: Moment, amount: f64) {
+    fn want(account: &mut Account, now: Timestamp, amount: f64) {
         let gone = (now - account.at).secs().max(0.0);
         account.at = account.at.max(now);
         let came = if amount > 0.0 { 1.0 } else { 0.0 };
@@ -211,7 +211,7 @@
 
     /// Spends so much of a budget, if it is there. `now` has to be read at the point of use: what is held may have ended
     /// since this turn of a loop began.
-    pub fn spend(&mut self, now: Moment, at: usize, amount: f64) -> bool {
+    pub fn spend(&mut self, now: Timestamp, at: usize, amount: f64) -> bool {
         self.settle(now);
         let account = &mut self.accounts[at];
         if !account.bucket.owes(amount) {
@@ -224,30 +224,30 @@
     }
 
     /// Whether so much could be spent now.
-    pub fn room(&mut self, now: Moment, at: usize, amount: f64) -> bool {
+    pub fn room(&mut self, now: Timestamp, at: usize, amount: f64) -> bool {
         self.settle(now);
         self.accounts[at].bucket.owes(amount)
     }
 
     /// What may be spent a second, for those who keep their own buckets by it: they tell what they spend by `spent`.
-    pub fn rate(&mut self, now: Moment, at: usize) -> f64 {
+    pub fn rate(&mut self, now: Timestamp, at: usize) -> f64 {
         self.core.may_spend(now, at).units()
     }
 
     /// Spent at a place that keeps its own bucket.
-    pub fn spent(&mut self, now: Moment, at: usize, amount: f64) {
+    pub fn spent(&mut self, now: Timestamp, at: usize, amount: f64) {
         self.settle(now);
         self.accounts[at].bucket.pay(amount);
         self.accounts[at].spent += amount;
     }
 
     /// Wanted there, whether or not it can be had.
-    pub fn wants(&mut self, now: Moment, at: usize, amount: f64) {
+    pub fn wants(&mut self, now: Timestamp, at: usize, amount: f64) {
         Self::want(&mut self.accounts[at], now, amount);
     }
 
     /// What is there for things of one unit each: at least one where one can go, for a debt, or nothing.
-    pub fn left(&mut self, now: Moment, at: usize) -> f64 {
+    pub fn left(&mut self, now: Timestamp, at: usize) -> f64 {
         self.settle(now);
         let bucket = &self.accounts[at].bucket;
         if bucket.owes(1.0) {
@@ -258,12 +258,12 @@
     }
 
     /// What it needs a second, where that is known otherwise than by what was wanted.
-    pub fn needs_at(&mut self, now: Moment, at: usize, rate: f64) {
+    pub fn needs_at(&mut self, now: Timestamp, at: usize, rate: f64) {
         let account = &mut self.accounts[at];
         (account.wanted, account.at) = ([(rate, f64::INFINITY); OVER_S.len()], now);
     }
 
-    fn needs(&mut self, now: Moment) {
+    fn needs(&mut self, now: Timestamp) {
         for at in 0..self.accounts.len() {
             let account = &mut self.accounts[at];
             Self::want(account, now, 0.0);
@@ -273,16 +273,17 @@
         }
     }
 
-    pub fn turn(&mut self, now: Moment) {
+    pub fn turn(&mut self, now: Timestamp) {
         self.settle(now);
-        self.look_at = now + Span::from_secs(self.core.terms().renew.secs() * crate::core::SOON);
+        self.look_at =
+            now + TimeDelta::from_secs(self.core.terms().renew.secs() * crate::core::SOON);
         self.needs(now);
         self.core.turn(now);
         self.settle(now);
     }
 
     /// A word from a gateway that is known, at its own address.
-    pub fn receive(&mut self, now: Moment, from: &Who, bytes: &[u8]) {
+    pub fn receive(&mut self, now: Timestamp, from: &Who, bytes: &[u8]) {
         self.settle(now);
         let counted = Word::read(bytes).and_then(|word| self.core.receive(now, from, word));
         match counted {
@@ -293,14 +294,14 @@
     }
 
     /// All that is leased goes back, and nothing is spent from here on.
-    pub fn leave(&mut self, now: Moment) {
+    pub fn leave(&mut self, now: Timestamp) {
         self.settle(now);
         self.core.leave(now);
         self.settle(now);
     }
 
     /// Budgets, whole and floors from now on: savings are cut with a part that shrinks, debts and counts stay.
-    pub fn change(&mut self, now: Moment, terms: Terms) {
+    pub fn change(&mut self, now: Timestamp, terms: Terms) {
         self.settle(now);
         let uses: Vec<Use> = self
             .core
@@ -317,7 +318,7 @@
         self.lay_out(now, old);
     }
 
-    pub fn status(&mut self, now: Moment) -> Status {
+    pub fn status(&mut self, now: Timestamp) -> Status {
         self.settle(now);
         let core = &self.core;
         let line = |(at, budget): (usize, &crate::terms::Budget)| {
@@ -349,7 +350,7 @@
         }
     }
 
-    pub fn since(&self, now: Moment) -> Span {
+    pub fn since(&self, now: Timestamp) -> TimeDelta {
         now - self.started
     }
 }
--- a/crates/quota/src/office.rs
+++ b/crates/quota/src/office.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use admission::interface::{Moment, Span};
+use admission::interface::{TimeDelta, Timestamp};
 use membership::Name;
 
 use crate::amount::Amount;
@@ -20,9 +20,9 @@
 pub struct Office {
     pub number: u64,
     /// Until when each vote can be relied on: from before it was asked for, shortened by the drift of two clocks.
-    votes: BTreeMap<Name, Moment>,
-    asked: BTreeMap<Count, (Name, Moment)>,
-    chosen: Option<Moment>,
+    votes: BTreeMap<Name, Timestamp>,
+    asked: BTreeMap<Count, (Name, Timestamp)>,
+    chosen: Option<Timestamp>,
     books: BTreeMap<Who, Entry>,
 }
 
@@ -31,13 +31,13 @@
 struct Granted {
     count: Count,
     amounts: Vec<Amount>,
-    until: Moment,
+    until: Timestamp,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Entry {
     count: Count,
-    heard: Moment,
+    heard: Timestamp,
     /// By the steward's own order of budgets.
     needs: Vec<Amount>,
     told: Vec<(Amount, Amount)>,
@@ -52,8 +52,8 @@
 /// be answered before the next one went: no way of theirs took longer than that.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 struct Clocks {
-    from: Option<(Moment, u64)>,
-    last: Option<(Count, Moment, u64)>,
+    from: Option<(Timestamp, u64)>,
+    last: Option<(Count, Timestamp, u64)>,
     off: bool,
 }
 
@@ -62,7 +62,7 @@
     /// Renewals between two questions at most, with their jitter.
     const WAYS: f64 = 1.25;
 
-    fn see(&mut self, now: Moment, ask: &Ask, terms: &Terms) {
+    fn see(&mut self, now: Timestamp, ask: &Ask, terms: &Terms) {
         let last = self.last.replace((ask.count, now, ask.clock_ms));
         let Some((_, now, theirs)) = last.filter(|(count, ..)| ask.holds == Some(*count)) else {
             return;
@@ -80,7 +80,7 @@
 
 impl Entry {
     /// The most that it may hold of a budget.
-    fn reserved(&self, now: Moment, at: usize) -> Amount {
+    fn reserved(&self, now: Timestamp, at: usize) -> Amount {
         let live = self.granted.iter().filter(|granted| now < granted.until);
         live.map(|granted| granted.amounts[at])
             .max()
@@ -100,7 +100,7 @@
     pub who: Who,
     pub need: Amount,
     pub reserved: Amount,
-    pub until: Option<Moment>,
+    pub until: Option<Timestamp>,
     /// Its file says otherwise than the steward's.
     pub differs: bool,
 }
@@ -117,7 +117,7 @@
     }
 
     /// A vote is asked for now; an answer is matched by its count.
-    pub fn asks(&mut self, now: Moment, count: Count, of: &Name) {
+    pub fn asks(&mut self, now: Timestamp, count: Count, of: &Name) {
         self.asked.insert(count, (of.clone(), now));
         let most = 4 * crate::terms::MOST_VOTERS;
         while self.asked.len() > most {
@@ -126,7 +126,7 @@
     }
 
     /// One more vote, or one renewed.
-    pub fn voted(&mut self, now: Moment, by: &Name, count: Count, terms: &Terms) {
+    pub fn voted(&mut self, now: Timestamp, by: &Name, count: Count, terms: &Terms) {
         let Some((_, sent)) = self.asked.remove(&count).filter(|(of, _)| of == by) else {
             return;
         };
@@ -139,25 +139,25 @@
     }
 
     /// Until when a majority of votes can be relied on.
-    fn until(&self, terms: &Terms) -> Option<Moment> {
-        let mut all: Vec<Moment> = self.votes.values().copied().collect();
+    fn until(&self, terms: &Terms) -> Option<Timestamp> {
+        let mut all: Vec<Timestamp> = self.votes.values().copied().collect();
         all.sort_by(|a, b| b.cmp(a));
         all.get(terms.majority() - 1).copied()
     }
 
     /// Since when it is the steward, as long as it is.
-    pub fn chosen(&self, now: Moment, terms: &Terms) -> Option<Moment> {
+    pub fn chosen(&self, now: Timestamp, terms: &Terms) -> Option<Timestamp> {
         self.chosen
             .filter(|_| self.until(terms).is_some_and(|until| now < until))
     }
 
     /// It was the steward, and is not any more: its books are worth nothing.
-    pub fn over(&self, now: Moment, terms: &Terms) -> bool {
+    pub fn over(&self, now: Timestamp, terms: &Terms) -> bool {
         self.chosen.is_some() && self.chosen(now, terms).is_none()
     }
 
     /// From here on nothing is held on an earlier steward's grant.
-    pub fn open_from(&self, terms: &Terms) -> Option<Moment> {
+    pub fn open_from(&self, terms: &Terms) -> Option<Timestamp> {
         self.chosen.map(|chosen| {
             if terms.faults.no_wait {
                 chosen
@@ -168,7 +168,7 @@
     }
 
     /// The whole of a budget in force: of those voters whose files say otherwise the least, as long as they say it.
-    pub fn whole(&self, now: Moment, at: usize, terms: &Terms) -> Amount {
+    pub fn whole(&self, now: Timestamp, at: usize, terms: &Terms) -> Amount {
         let fresh = |entry: &&Entry| now - entry.heard < terms.lease && !entry.left;
         let voters = self
             .books
@@ -182,7 +182,7 @@
     }
 
     /// Budgets over which a holder's file differs.
-    pub fn differ(&self, now: Moment, terms: &Terms) -> BTreeSet<(Name, usize)> {
+    pub fn differ(&self, now: Timestamp, terms: &Terms) -> BTreeSet<(Name, usize)> {
         let mut all = BTreeSet::new();
         for (who, entry) in self
             .books
@@ -200,7 +200,7 @@
 
     /// What is to be had of a budget: floors are no matter of the steward's, but those larger than its own file's
     /// are taken off here.
-    fn pool(&self, now: Moment, at: usize, terms: &Terms) -> Amount {
+    fn pool(&self, now: Timestamp, at: usize, terms: &Terms) -> Amount {
         let own = terms.budgets[at].floor;
         let whole = self.whole(now, at, terms);
         let fresh = self
@@ -214,13 +214,13 @@
     /// What one that asks may hold from now on; none where it is not to be answered.
     pub fn asked(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         by: &Who,
         ask: &Ask,
         terms: &Terms,
     ) -> Option<Vec<Amount>> {
         let chosen = self.chosen(now, terms)?;
-        let forget = now + Span::from_secs(-2.0 * terms.lease.secs());
+        let forget = now + TimeDelta::from_secs(-2.0 * terms.lease.secs());
         self.books.retain(|_, entry| entry.heard > forget);
         if self
             .books
@@ -234,7 +234,7 @@
         }
         let open = chosen
             + if terms.faults.no_wait {
-                Span::ZERO
+                TimeDelta::ZERO
             } else {
                 terms.lease
             };
@@ -307,7 +307,7 @@
         Some(amounts)
     }
 
-    fn others(&self, now: Moment, by: &Who, at: usize) -> Amount {
+    fn others(&self, now: Timestamp, by: &Who, at: usize) -> Amount {
         self.books
             .iter()
             .filter(|(who, _)| *who != by)
@@ -315,13 +315,13 @@
             .sum()
     }
 
-    fn grant(&self, now: Moment, by: &Who, at: usize, open: bool, terms: &Terms) -> Amount {
+    fn grant(&self, now: Timestamp, by: &Who, at: usize, open: bool, terms: &Terms) -> Amount {
         let own = &self.books[by];
         if own.clock.off {
             return Amount::ZERO;
         }
         let (pool, last) = (self.pool(now, at, terms), own.last(at));
-        let quiet = Span::from_secs(terms.renew.secs() * QUIET);
+        let quiet = TimeDelta::from_secs(terms.renew.secs() * QUIET);
         let asks = |entry: &Entry| now - entry.heard < quiet && !entry.left && !entry.clock.off;
         let asking: Vec<&Who> = self
             .books
@@ -363,7 +363,7 @@
             .map(|(who, _)| &who.name)
     }
 
-    pub fn holdings(&self, now: Moment, at: usize, terms: &Terms) -> Vec<Holding> {
+    pub fn holdings(&self, now: Timestamp, at: usize, terms: &Terms) -> Vec<Holding> {
         let own = (terms.budgets[at].whole, terms.budgets[at].floor);
         let of = |(who, entry): (&Who, &Entry)| Holding {
             who: who.clone(),
--- a/crates/quota/src/terms.rs
+++ b/crates/quota/src/terms.rs
@@ -1,6 +1,6 @@
 //! What the operator says of the budgets, checked.
 
-use admission::interface::Span;
+use admission::interface::TimeDelta;
 use membership::Name;
 use sha2::{Digest, Sha256};
 use thiserror::Error;
@@ -16,9 +16,9 @@
 pub enum Use {
     /// Predicted CPU seconds a second of a member, by its name in `queues`.
     Member(String),
-    /// Further relays a second of a product.
+    /// Further attempts a second of a query class.
     Relays(String),
-    /// Trials of benched engines a second.
+    /// Trials of ejected engines a second.
     Trials,
     /// Part of what a cold engine bears, of every one.
     Cold,
@@ -37,7 +37,7 @@
     pub fn name(&self) -> String {
         match &self.of {
             Use::Member(name) => format!("member.{name}"),
-            Use::Relays(product) => format!("relays.{product}"),
+            Use::Relays(class) => format!("relays.{class}"),
             Use::Trials => "trials".to_owned(),
             Use::Cold => "cold".to_owned(),
         }
@@ -85,15 +85,15 @@
     /// Gateways that may run at once at most, those that stand still among them: floors are cut by it.
     pub most: usize,
     /// How long what was granted may be spent without word.
-    pub lease: Span,
+    pub lease: TimeDelta,
     /// How long a vote holds.
-    pub term: Span,
+    pub term: TimeDelta,
     /// How often leases and votes are asked for anew.
-    pub renew: Span,
+    pub renew: TimeDelta,
     /// Clocks run fast or slow by this many millionths at most.
     pub drift_ppm: u32,
     /// Budgets save up over this time at most.
-    pub burst: Span,
+    pub burst: TimeDelta,
     pub faults: Faults,
 }
 
@@ -150,12 +150,12 @@
 
     /// So long its holder counts a span that whoever granted it counts in full: by the fastest clock the grantor's is
     /// over no sooner than the holder's by the slowest.
-    pub fn held_for(&self, span: Span) -> Span {
+    pub fn held_for(&self, span: TimeDelta) -> TimeDelta {
         if self.faults.no_drift {
             return span;
         }
         let drift = f64::from(self.drift_ppm) / 1e6;
-        Span::from_secs(span.secs() * (1.0 - drift) / (1.0 + drift))
+        TimeDelta::from_secs(span.secs() * (1.0 - drift) / (1.0 + drift))
     }
 
     /// What is leased of a whole: what floors leave.
--- a/crates/quota/src/voter.rs
+++ b/crates/quota/src/voter.rs
@@ -1,6 +1,6 @@
 //! A voter's promise: one steward at a time, until the promise ends by its own clock.
 
-use admission::interface::Moment;
+use admission::interface::Timestamp;
 
 use crate::terms::Terms;
 use crate::word::Who;
@@ -11,14 +11,14 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Voter {
     /// It may have promised in an earlier life, which nothing on disk tells: until then it promises nothing.
-    abstains_until: Moment,
-    promised: Option<(Who, u64, Moment)>,
+    abstains_until: Timestamp,
+    promised: Option<(Who, u64, Timestamp)>,
     /// Numbers of stewards go up, so that a gateway can tell the later one.
     highest: u64,
 }
 
 impl Voter {
-    pub fn new(now: Moment, terms: &Terms) -> Self {
+    pub fn new(now: Timestamp, terms: &Terms) -> Self {
         let abstains_until = if terms.faults.no_abstaining {
             now
         } else {
@@ -42,7 +42,7 @@
     }
 
     /// Whom it promised itself to, as long as that holds.
-    pub fn promised(&self, now: Moment) -> Option<&Who> {
+    pub fn promised(&self, now: Timestamp) -> Option<&Who> {
         self.promised
             .as_ref()
             .filter(|(_, _, until)| now < *until)
@@ -50,13 +50,13 @@
     }
 
     /// When it is free to be a candidate's, itself among them.
-    pub fn free_at(&self) -> Moment {
+    pub fn free_at(&self) -> Timestamp {
         let until = self.promised.as_ref().map(|(_, _, until)| *until);
         until.map_or(self.abstains_until, |until| until.max(self.abstains_until))
     }
 
     /// Whether it votes for this candidate, which holds until its promise ends.
-    pub fn canvassed(&mut self, now: Moment, by: &Who, number: u64, terms: &Terms) -> bool {
+    pub fn canvassed(&mut self, now: Timestamp, by: &Who, number: u64, terms: &Terms) -> bool {
         if now < self.abstains_until || number > self.highest + LEAP {
             return false;
         }
@@ -75,7 +75,7 @@
     }
 
     /// Whom it promised itself to has let go of it; one of a later number came after that, and stands.
-    pub fn released(&mut self, now: Moment, by: &Who, number: u64) {
+    pub fn released(&mut self, now: Timestamp, by: &Who, number: u64) {
         if let Some((who, of, until)) = &mut self.promised
             && who == by
             && *of <= number
--- a/crates/quota/tests/world/mod.rs
+++ b/crates/quota/tests/world/mod.rs
@@ -2,7 +2,7 @@
 //! all may spend is looked at, those that stand still among them.
 #![allow(dead_code)]
 
-use admission::interface::{Moment, Span};
+use admission::interface::{TimeDelta, Timestamp};
 use membership::{Life, Name};
 use quota::{Amount, Budget, Core, Faults, Terms, Use, Who};
 
@@ -26,11 +26,11 @@
         ],
         voters: (0..voters).map(name).collect(),
         most,
-        lease: Span::from_secs(6.0),
-        term: Span::from_secs(2.0),
-        renew: Span::from_secs(0.5),
+        lease: TimeDelta::from_secs(6.0),
+        term: TimeDelta::from_secs(2.0),
+        renew: TimeDelta::from_secs(0.5),
         drift_ppm: DRIFT_PPM as u32,
-        burst: Span::from_secs(2.0),
+        burst: TimeDelta::from_secs(2.0),
         faults,
     };
     terms.check().unwrap();
@@ -109,14 +109,14 @@
     }
 
     /// Its own steady clock.
-    pub fn clock(&self, at: usize) -> Moment {
+    pub fn clock(&self, at: usize) -> Timestamp {
         let fast = 1.0 + self.slots[at].fast_ppm as f64 / 1e6;
         let set = if self.terms.faults.wall_clock {
             self.slots[at].set_by_us as f64 / 1e6
         } else {
             0.0
         };
-        Moment::from_secs(1000.0 + 1000.0 * at as f64 + self.now() * fast + set)
+        Timestamp::from_secs(1000.0 + 1000.0 * at as f64 + self.now() * fast + set)
     }
 
     pub fn start(&mut self, at: usize) {
--- a/crates/scheduler/benches/lines.rs
+++ b/crates/scheduler/benches/lines.rs
@@ -11,8 +11,8 @@
 
 const WAITING: u64 = 100_000;
 
-fn at(secs: f64) -> Moment {
-    Moment::from_secs(1000.0 + secs)
+fn at(secs: f64) -> Timestamp {
+    Timestamp::from_secs(1000.0 + secs)
 }
 
 fn terms(teams: usize) -> Terms {
@@ -34,7 +34,7 @@
         statements: 1 << 30,
         cpu: 1e12,
     };
-    let (ageing, burst) = (Span::from_secs(600.0), Span::from_secs(2.0));
+    let (ageing, burst) = (TimeDelta::from_secs(600.0), TimeDelta::from_secs(2.0));
     Terms {
         members: (0..teams).map(member).collect(),
         ageing,
@@ -46,21 +46,21 @@
 
 fn entry(id: u64, teams: u64) -> Entry {
     let mixed = id.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 20;
-    let place = Place {
-        by: at(100.0 + (mixed % 100_000) as f64 / 1e3),
+    let position = QueuePosition {
+        deadline: at(100.0 + (mixed % 100_000) as f64 / 1e3),
         id: StatementId(id),
-        over_allowance: false,
+        over_quota: false,
     };
     Entry {
         id: StatementId(id),
         desk: DeskId((mixed % teams) as u32),
-        product: ProductId((mixed % 2) as usize),
-        place,
+        class: ClassId((mixed % 2) as usize),
+        position,
         need: Need {
             cpu: 0.01 + (mixed % 97) as f64 / 100.0,
             memory_mb: 1.0,
         },
-        full_until: at(1e6),
+        objective_until: at(1e6),
         useful_until: at(1e6),
         key: None,
     }
@@ -74,7 +74,7 @@
 }
 
 /// Teams in an ordered map, each with its statements in order; the best team is found by looking at all.
-struct Plain(BTreeMap<u32, BTreeMap<Place, Need>>);
+struct Plain(BTreeMap<u32, BTreeMap<QueuePosition, Need>>);
 
 impl Plain {
     fn filled(teams: usize) -> Plain {
@@ -87,19 +87,22 @@
         self.0
             .entry(entry.desk.0)
             .or_default()
-            .insert(entry.place, entry.need);
+            .insert(entry.position, entry.need);
     }
 
-    fn next(&self) -> Option<(u32, Place)> {
+    fn next(&self) -> Option<(u32, QueuePosition)> {
         let firsts = self
             .0
             .iter()
             .filter_map(|(team, line)| Some((*team, *line.first_key_value()?.0)));
-        firsts.min_by_key(|(_, place)| *place)
+        firsts.min_by_key(|(_, position)| *position)
     }
 
-    fn ahead(&self, team: u32, place: Place) -> f64 {
-        self.0[&team].range(..place).map(|(_, need)| need.cpu).sum()
+    fn ahead(&self, team: u32, position: QueuePosition) -> f64 {
+        self.0[&team]
+            .range(..position)
+            .map(|(_, need)| need.cpu)
+            .sum()
     }
 }
 
@@ -123,15 +126,15 @@
         group.bench_function(BenchmarkId::new("take", teams), |b| {
             b.iter(|| {
                 let offer = lines.next().expect("some wait");
-                lines.released(at(0.01), offer.place.id, 0.1);
-                lines.over(offer.place.id);
-                let (by, new) = (offer.place.by, StatementId(id + 1));
+                lines.released(at(0.01), offer.position.id, 0.1);
+                lines.over(offer.position.id);
+                let (deadline, new) = (offer.position.deadline, StatementId(id + 1));
                 id += 1;
                 let again = Entry {
-                    place: Place {
-                        by,
+                    position: QueuePosition {
+                        deadline,
                         id: new,
-                        over_allowance: false,
+                        over_quota: false,
                     },
                     ..entry(id, teams as u64)
                 };
@@ -165,16 +168,16 @@
         });
         group.bench_function(BenchmarkId::new("plain take", teams), |b| {
             b.iter(|| {
-                let (team, place) = plain.next().expect("some wait");
+                let (team, position) = plain.next().expect("some wait");
                 let line = plain.0.get_mut(&team).expect("just seen");
-                let need = line.remove(&place).expect("just seen");
+                let need = line.remove(&position).expect("just seen");
                 id += 1;
-                let by = place.by;
+                let deadline = position.deadline;
                 line.insert(
-                    Place {
-                        by,
+                    QueuePosition {
+                        deadline,
                         id: StatementId(id),
-                        over_allowance: false,
+                        over_quota: false,
                     },
                     need,
                 );
@@ -185,7 +188,7 @@
             b.iter(|| {
                 of = (of + 7919) % WAITING;
                 let entry = entry(of, teams as u64);
-                black_box(plain.ahead(entry.desk.0, entry.place))
+                black_box(plain.ahead(entry.desk.0, entry.position))
             })
         });
     }
--- a/crates/scheduler/src/budget.rs
+++ b/crates/scheduler/src/budget.rs
@@ -1,6 +1,6 @@
 //! One team's account: what it is owed, and its part of what others leave.
 
-use admission::interface::{Moment, Span};
+use admission::interface::{TimeDelta, Timestamp};
 use quota::Bucket;
 
 use crate::terms::Claim;
@@ -12,7 +12,7 @@
 pub struct Account {
     claim: Claim,
     bucket: Bucket,
-    lent: f64,
+    borrowed: f64,
     /// Paid out of the budget since the start.
     paid: f64,
 }
@@ -23,12 +23,12 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Till {
     secs: f64,
-    at: Moment,
+    at: Timestamp,
     stretch: f64,
 }
 
 impl Till {
-    pub fn new(now: Moment) -> Self {
+    pub fn new(now: Timestamp) -> Self {
         Till {
             secs: 0.0,
             at: now,
@@ -36,7 +36,7 @@
         }
     }
 
-    pub fn go_on(&mut self, now: Moment) {
+    pub fn go_on(&mut self, now: Timestamp) {
         self.secs += (now - self.at).secs().max(0.0) * self.stretch;
         self.at = now;
     }
@@ -57,18 +57,18 @@
     /// Under this weight a team would wait for ever beside others.
     const LEAST_WEIGHT: f64 = 1e-6;
 
-    pub fn new(now: Till, claim: Claim, burst: Span) -> Self {
+    pub fn new(now: Till, claim: Claim, burst: TimeDelta) -> Self {
         let bucket = Bucket::full(now.secs, claim.budget, burst.secs());
         Account {
             claim,
             bucket,
-            lent: 0.0,
+            borrowed: 0.0,
             paid: 0.0,
         }
     }
 
     /// New terms: what it has used stays used.
-    pub fn change(&mut self, now: Till, claim: Claim, burst: Span) {
+    pub fn change(&mut self, now: Till, claim: Claim, burst: TimeDelta) {
         self.bucket.fill(now.secs);
         self.bucket.rescale(claim.budget, burst.secs());
         self.claim = claim;
@@ -82,7 +82,7 @@
     }
 
     /// New terms but for the part that is leased, which is told as it changes: savings and debts stay.
-    pub fn hold(&mut self, now: Till, weight: f64, burst: Span) {
+    pub fn hold(&mut self, now: Till, weight: f64, burst: TimeDelta) {
         self.bucket.fill(now.secs);
         self.bucket.save_over(burst.secs());
         self.claim.weight = weight;
@@ -101,11 +101,11 @@
     }
 
     /// When it will be owed this; never where nothing is owed.
-    pub fn owes_at(&mut self, now: Till, cpu: f64) -> Option<Moment> {
+    pub fn owes_at(&mut self, now: Till, cpu: f64) -> Option<Timestamp> {
         self.bucket.fill(now.secs);
         // A microsecond more: the clock's grain must not leave it just short.
         let owes_in = self.bucket.owes_in(cpu)?;
-        Some(now.at + Span::from_secs(owes_in / now.stretch + 1e-6))
+        Some(now.at + TimeDelta::from_secs(owes_in / now.stretch + 1e-6))
     }
 
     /// What is saved by now; negative: to be made up for first.
@@ -114,8 +114,8 @@
         self.bucket.level()
     }
 
-    pub fn lent(&self) -> f64 {
-        self.lent
+    pub fn borrowed(&self) -> f64 {
+        self.borrowed
     }
 
     pub fn paid(&self) -> f64 {
@@ -127,8 +127,8 @@
     }
 
     /// One that comes back starts with the others: what it did not take while away is nobody's debt.
-    pub fn join(&mut self, lent: f64) {
-        self.lent = self.lent.max(lent);
+    pub fn join(&mut self, borrowed: f64) {
+        self.borrowed = self.borrowed.max(borrowed);
     }
 
     pub fn pay(&mut self, now: Till, cpu: f64, owed: bool) -> Paid {
@@ -138,7 +138,7 @@
             self.paid += cpu;
             return Paid::Budget;
         }
-        self.lent += cpu / self.claim.weight.max(Self::LEAST_WEIGHT);
+        self.borrowed += cpu / self.claim.weight.max(Self::LEAST_WEIGHT);
         Paid::Lent
     }
 
@@ -151,7 +151,8 @@
                 self.paid += more;
             }
             Paid::Lent => {
-                self.lent = (self.lent + more / self.claim.weight.max(Self::LEAST_WEIGHT)).max(0.0);
+                self.borrowed =
+                    (self.borrowed + more / self.claim.weight.max(Self::LEAST_WEIGHT)).max(0.0);
             }
         }
     }
--- a/crates/scheduler/src/hall.rs
+++ b/crates/scheduler/src/hall.rs
@@ -3,7 +3,7 @@
 //! finds no room is withdrawn at once, so that the module's own line stays short and its hold never runs here.
 
 use admission::interface::*;
-use dispatch::{Dispatch, Order, Pick, Tick, Verdict, Wants};
+use dispatch::{AttemptOrder, Decision, Dispatcher, EngineView, FollowUp, StatementRequest, Tick};
 
 use crate::lines::{DeskStatus, Entered, Entry, Lines, Offer, StatementStatus, Wait};
 use crate::order::Need;
@@ -15,12 +15,12 @@
 pub struct Tally {
     /// Statements that came to wait, of those offered.
     pub entered: u64,
-    /// Denied at entry: no room for them, or too long a wait.
+    /// Rejected at entry: no room for them, or too long a wait.
     pub turned_away: u64,
-    /// Denied while waiting, for one with the better claim.
+    /// Rejected while waiting, for one with the better claim.
     pub displaced: u64,
     pub released: u64,
-    /// Denied by the module while waiting.
+    /// Rejected by the module while waiting.
     pub denied: u64,
     /// Their clients left while they waited.
     pub left: u64,
@@ -31,16 +31,16 @@
 }
 
 pub struct Hall {
-    dispatch: Dispatch,
+    dispatch: Dispatcher,
     lines: Option<Lines>,
     /// Denials of this turn for displaced statements; emptied by the next tick.
-    owed: Vec<(StatementId, Pick)>,
+    owed: Vec<(StatementId, Decision)>,
     waits: Vec<Wait>,
     tally: Tally,
 }
 
 impl Hall {
-    pub fn new(dispatch: Dispatch, lines: Option<Lines>) -> Self {
+    pub fn new(dispatch: Dispatcher, lines: Option<Lines>) -> Self {
         Hall {
             dispatch,
             lines,
@@ -50,40 +50,46 @@
         }
     }
 
-    /// Takes a statement. With lines it is held, or denied at once; without, it is as `Dispatch::pick`.
-    pub fn pick(&mut self, now: Moment, id: StatementId, desk: DeskId, wants: &Wants) -> Pick {
+    /// Takes a statement. With lines it is held, or rejected at once; without, it is as `Dispatcher::pick`.
+    pub fn pick(
+        &mut self,
+        now: Timestamp,
+        id: StatementId,
+        desk: DeskId,
+        request: &StatementRequest,
+    ) -> Decision {
         let Some(lines) = &mut self.lines else {
-            return self.dispatch.pick(now, id, wants);
+            return self.dispatch.pick(now, id, request);
         };
-        let lent = |cpu: Span| lines.would_be_lent(now, desk, cpu.secs());
-        let entered = self.dispatch.enter(now, id, wants, lent);
-        let Some((place, forecast)) = entered else {
-            return Pick::Held;
+        let borrowed = |cpu: TimeDelta| lines.would_be_lent(now, desk, cpu.secs());
+        let entered = self.dispatch.register(now, id, request, borrowed);
+        let Some((position, forecast)) = entered else {
+            return Decision::Queued;
         };
         // Of no team's making, so that it stands by its limit alone.
-        let place = Place {
-            over_allowance: false,
-            ..place
+        let position = QueuePosition {
+            over_quota: false,
+            ..position
         };
         let need = Need {
             cpu: forecast.cpu.secs(),
             memory_mb: forecast.memory_mb,
         };
         let Forecast {
-            full_until,
+            objective_until,
             useful_until,
             ..
         } = forecast;
-        let (product, key) = (wants.product, wants.key);
+        let (class, key) = (request.class, request.key);
         let entering = lines.enter(
             now,
             &Entry {
                 id,
                 desk,
-                product,
-                place,
+                class,
+                position,
                 need,
-                full_until,
+                objective_until,
                 useful_until,
                 key,
             },
@@ -92,38 +98,41 @@
         for (victim, back) in entering.displaced {
             self.tally.displaced += 1;
             self.owed
-                .push((victim, self.dispatch.turn_away(now, victim, back)));
+                .push((victim, self.dispatch.reject(now, victim, back)));
         }
         match entering.entered {
-            Entered::Waits(_) => Pick::Held,
+            Entered::Waits(_) => Decision::Queued,
             Entered::TurnedAway { back } => {
                 self.tally.turned_away += 1;
-                self.dispatch.turn_away(now, id, back)
+                self.dispatch.reject(now, id, back)
             }
         }
     }
 
-    /// As `Dispatch::report`; who ran pays what the outcome tells.
+    /// As `Dispatcher::report`; who ran pays what the outcome tells.
     pub fn report(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         id: StatementId,
-        relay: RelayNo,
-        news: News,
-        latency: Span,
-        settled: bool,
-    ) -> Verdict {
-        let verdict = self.dispatch.report(now, id, relay, news, latency, settled);
+        attempt: AttemptNumber,
+        news: AttemptEvent,
+        latency: TimeDelta,
+        answered: bool,
+    ) -> FollowUp {
+        let verdict = self
+            .dispatch
+            .report(now, id, attempt, news, latency, answered);
         if let Some(lines) = &mut self.lines {
             let cpu = match news {
-                News::Completed { cpu, .. } => cpu.map(Span::secs),
-                News::TurnedAway | News::Unreachable | News::NeverSent | News::Withdrawn => {
-                    Some(0.0)
-                }
+                AttemptEvent::Completed { cpu, .. } => cpu.map(TimeDelta::secs),
+                AttemptEvent::Rejected
+                | AttemptEvent::Unreachable
+                | AttemptEvent::NeverSent
+                | AttemptEvent::Withdrawn => Some(0.0),
                 _ => None,
             };
             lines.came_to(now, id, cpu);
-            if !self.dispatch.holds(id) {
+            if !self.dispatch.contains(id) {
                 lines.over(id);
             }
         }
@@ -131,15 +140,22 @@
     }
 
     /// Offers what waits, as far as there is room.
-    pub fn tick(&mut self, now: Moment) -> Tick {
+    pub fn tick(&mut self, now: Timestamp) -> Tick {
         let Some(lines) = &mut self.lines else {
             return self.dispatch.tick(now);
         };
         let mut due = std::mem::take(&mut self.owed);
         self.waits.clear();
-        lines.round(now, self.dispatch.capacity(now), self.dispatch.carries());
-        for place in lines.past(now) {
-            let last = Offer { place, lent: false };
+        lines.round(
+            now,
+            self.dispatch.capacity(now),
+            self.dispatch.traffic_share(),
+        );
+        for position in lines.past(now) {
+            let last = Offer {
+                position,
+                borrowed: false,
+            };
             offer(
                 &mut self.dispatch,
                 lines,
@@ -150,21 +166,23 @@
                 &mut due,
             );
         }
-        // Statements with a relay behind them stand in the module's own line: among all, the earliest hard limit.
-        let again = self.dispatch.line();
+        // Statements with an attempt behind them stand in the module's own line: among all, the earliest deadline.
+        let again = self.dispatch.queue_positions();
         let mut again = again.into_iter().peekable();
         loop {
             let next = lines.next();
-            while let Some(place) =
-                again.next_if(|place| next.is_none_or(|next| *place < next.place))
+            while let Some(position) =
+                again.next_if(|position| next.is_none_or(|next| *position < next.position))
             {
-                let pick = self.dispatch.ask(now, place.id);
+                let pick = self.dispatch.place(now, position.id);
                 match pick {
-                    Pick::Held => continue,
-                    Pick::Relay(order) => lines.repeated(now, place.id, order.charge.secs()),
-                    Pick::Deny { .. } | Pick::Scrap => lines.over(place.id),
+                    Decision::Queued => continue,
+                    Decision::Forward(order) => {
+                        lines.repeated(now, position.id, order.charge.secs())
+                    }
+                    Decision::Reject { .. } | Decision::Fail => lines.over(position.id),
                 }
-                due.push((place.id, pick));
+                due.push((position.id, pick));
             }
             let Some(next) = next else { break };
             offer(
@@ -177,19 +195,23 @@
                 &mut due,
             );
         }
-        let (probe, list, wait) = self.dispatch.rest(now, lines.len());
+        let Wakeup {
+            wait,
+            probe,
+            discovery,
+        } = self.dispatch.end_turn(now, lines.len());
         Tick {
             due,
             probe,
-            list,
+            discovery,
             wait,
         }
     }
 
-    /// Its client left while it waits with nothing out: what to answer, should anybody still read. `Pick::Held`: it is
+    /// Its client left while it waits with nothing out: what to answer, should anybody still read. `Decision::Queued`: it is
     /// not in hand.
-    pub fn leave(&mut self, now: Moment, id: StatementId, back: Span) -> Pick {
-        let pick = self.dispatch.turn_away(now, id, back);
+    pub fn leave(&mut self, now: Timestamp, id: StatementId, back: TimeDelta) -> Decision {
+        let pick = self.dispatch.reject(now, id, back);
         if let Some(lines) = &mut self.lines {
             self.tally.left += u64::from(lines.left(now, id).is_some());
             lines.over(id);
@@ -197,41 +219,41 @@
         pick
     }
 
-    /// As `Dispatch::gone`.
-    pub fn gone(&mut self, now: Moment, id: StatementId) {
-        self.dispatch.gone(id);
+    /// As `Dispatcher::gone`.
+    pub fn gone(&mut self, now: Timestamp, id: StatementId) {
+        self.dispatch.client_left(id);
         if let Some(lines) = &mut self.lines {
             self.tally.left += u64::from(lines.left(now, id).is_some());
-            if !self.dispatch.holds(id) {
+            if !self.dispatch.contains(id) {
                 lines.over(id);
             }
         }
     }
 
-    pub fn told_list(&mut self, now: Moment, news: &ListNews) {
-        self.dispatch.told_list(now, news);
+    pub fn on_endpoint_update(&mut self, now: Timestamp, news: &EndpointUpdate) {
+        self.dispatch.on_endpoint_update(now, news);
     }
 
-    pub fn told_load(&mut self, engine: EngineId, report: &LoadReport) {
-        self.dispatch.told_load(engine, report);
+    pub fn on_load_report(&mut self, engine: EngineId, report: &LoadReport) {
+        self.dispatch.on_load_report(engine, report);
     }
 
     /// What others lost statements to.
-    pub fn told_doubts(&mut self, now: Moment, doubts: &[EngineDoubt]) {
-        self.dispatch.told_doubts(now, doubts);
+    pub fn on_outlier_gossip(&mut self, now: Timestamp, doubts: &[OutlierReport]) {
+        self.dispatch.on_outlier_gossip(now, doubts);
     }
 
     /// What this gateway may still do of what all together may.
-    pub fn told_allowed(&mut self, allowed: Allowed) {
-        self.dispatch.told_allowed(allowed);
+    pub fn on_quota(&mut self, allowed: QuotaGrant) {
+        self.dispatch.on_quota(allowed);
     }
 
     pub fn carries(&self) -> f64 {
-        self.dispatch.carries()
+        self.dispatch.traffic_share()
     }
 
     /// Members' budgets as this gateway's part of them at present, by their places in the terms.
-    pub fn lease(&mut self, now: Moment, rates: &[Option<f64>]) {
+    pub fn lease(&mut self, now: Timestamp, rates: &[Option<f64>]) {
         self.lines
             .iter_mut()
             .for_each(|lines| lines.lease(now, rates));
@@ -250,18 +272,21 @@
         self.dispatch.health()
     }
 
-    pub fn beliefs(&self) -> impl Iterator<Item = (EngineId, u32, bool)> {
-        self.dispatch.beliefs()
+    /// Each engine as the decisions see it.
+    pub fn engines(&self) -> impl Iterator<Item = EngineView> {
+        self.dispatch.engines()
     }
 
-    /// As `Dispatch::answer_by`, for what waits too.
-    pub fn answer_by(&mut self, by: Moment) {
-        self.dispatch.answer_by(by);
-        self.lines.iter_mut().for_each(|lines| lines.answer_by(by));
+    /// As `Dispatcher::drain_deadline`, for what waits too.
+    pub fn drain_deadline(&mut self, by: Timestamp) {
+        self.dispatch.drain_by(by);
+        self.lines
+            .iter_mut()
+            .for_each(|lines| lines.drain_deadline(by));
     }
 
     /// Other terms, with all that waits; nothing where there are no lines.
-    pub fn change(&mut self, now: Moment, terms: Terms) {
+    pub fn change(&mut self, now: Timestamp, terms: Terms) {
         self.lines
             .iter_mut()
             .for_each(|lines| lines.change(now, terms.clone()));
@@ -271,7 +296,7 @@
         self.tally
     }
 
-    /// The waits that ended in the last tick, by release or by the module's denial.
+    /// The waits that ended in the last tick, by release or by the module's rejection.
     pub fn waits(&self) -> &[Wait] {
         &self.waits
     }
@@ -280,22 +305,22 @@
         self.lines.as_ref().map_or(0, Lines::len)
     }
 
-    pub fn longest_passed(&self) -> Span {
+    pub fn longest_passed(&self) -> TimeDelta {
         self.lines
             .as_ref()
-            .map_or(Span::ZERO, Lines::longest_passed)
+            .map_or(TimeDelta::ZERO, Lines::longest_passed)
     }
 
-    pub fn status(&mut self, now: Moment, most: usize) -> Option<Vec<DeskStatus>> {
+    pub fn status(&mut self, now: Timestamp, most: usize) -> Option<Vec<DeskStatus>> {
         self.lines.as_mut().map(|lines| lines.status(now, most))
     }
 
-    pub fn statement(&mut self, now: Moment, id: StatementId) -> Option<StatementStatus> {
+    pub fn statement(&mut self, now: Timestamp, id: StatementId) -> Option<StatementStatus> {
         self.lines.as_mut()?.statement(now, id)
     }
 
     /// Waited so far, and the wait still before it.
-    pub fn progress(&mut self, now: Moment, id: StatementId) -> Option<(Span, Estimate)> {
+    pub fn progress(&mut self, now: Timestamp, id: StatementId) -> Option<(TimeDelta, Estimate)> {
         let lines = self.lines.as_mut()?;
         Some((lines.waited(now, id)?, lines.estimate(now, id)?))
     }
@@ -303,25 +328,25 @@
 
 /// Asks the module about one that waits, and takes it out of line unless there was no room.
 fn offer(
-    dispatch: &mut Dispatch,
+    dispatch: &mut Dispatcher,
     lines: &mut Lines,
     waits: &mut Vec<Wait>,
     tally: &mut Tally,
-    now: Moment,
+    now: Timestamp,
     offer: Offer,
-    due: &mut Vec<(StatementId, Pick)>,
+    due: &mut Vec<(StatementId, Decision)>,
 ) {
-    let id = offer.place.id;
-    let pick = dispatch.offer(now, id, offer.lent);
+    let id = offer.position.id;
+    let pick = dispatch.offer(now, id, offer.borrowed);
     match pick {
-        Pick::Held => {
+        Decision::Queued => {
             tally.refused += 1;
             let useful = dispatch
                 .forecast(now, id)
                 .map_or(now, |forecast| forecast.useful_until);
-            return lines.refused(id, offer.lent, useful);
+            return lines.refused(id, offer.borrowed, useful);
         }
-        Pick::Relay(Order { charge, .. }) => {
+        Decision::Forward(AttemptOrder { charge, .. }) => {
             tally.released += 1;
             let wait = lines.released(now, id, charge.secs());
             let well = |wait: &Wait| {
@@ -330,7 +355,7 @@
             tally.told_well += u64::from(wait.as_ref().is_some_and(well));
             waits.extend(wait);
         }
-        Pick::Deny { .. } | Pick::Scrap => {
+        Decision::Reject { .. } | Decision::Fail => {
             tally.denied += 1;
             waits.extend(lines.left(now, id));
         }
