--- a/crates/scheduler/src/lines.rs
+++ b/crates/scheduler/src/lines.rs
@@ -14,9 +14,9 @@
 const LOOK: usize = 64;
 /// CPU seconds that a core is taken to give a second until something was seen to be released.
 const LIKELY: f64 = 0.7;
-/// So many times its likely longest wait must pass before a statement's quoted time is out of reach, or it is denied at
+/// So many times its likely longest wait must pass before a statement's latency objective is out of reach, or it is rejected at
 /// entry. Less, and under pressure all wait just long enough to be late: of reports 0.33 to 0.67 came in time at the
-/// start of a due date for a hard limit, once, and twice the 90th percentile.
+/// start of a due date for a deadline, once, and twice the 90th percentile.
 const DOUBT: f64 = 2.0;
 /// Statements that one may displace: it needs their room in CPU seconds.
 const DISPLACED: usize = 16;
@@ -26,12 +26,12 @@
 pub struct Entry {
     pub id: StatementId,
     pub desk: DeskId,
-    pub product: ProductId,
-    pub place: Place,
+    pub class: ClassId,
+    pub position: QueuePosition,
     pub need: Need,
     /// After this an answer is late, and after this of no use any more, by the module's word.
-    pub full_until: Moment,
-    pub useful_until: Moment,
+    pub objective_until: Timestamp,
+    pub useful_until: Timestamp,
     pub key: Option<OrderKey>,
 }
 
@@ -40,36 +40,36 @@
     Waits(Estimate),
     /// No room, or it would wait beyond its use; about so long until it would not.
     TurnedAway {
-        back: Span,
+        back: TimeDelta,
     },
 }
 
-/// What an entry led to; the displaced are out of line and owed a denial.
+/// What an entry led to; the displaced are out of line and owed a rejection.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entering {
     pub entered: Entered,
-    pub displaced: Vec<(StatementId, Span)>,
+    pub displaced: Vec<(StatementId, TimeDelta)>,
 }
 
 /// Whom to ask the module about.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Offer {
-    pub place: Place,
+    pub position: QueuePosition,
     /// Beyond what its member is owed.
-    pub lent: bool,
+    pub borrowed: bool,
 }
 
-/// A product: among its statements room only shrinks with need.
+/// A query class: among its statements room only shrinks with need.
 type Lane = usize;
 
 #[derive(Clone, Copy, Debug)]
 struct Waiter {
     desk: u32,
     lane: Lane,
-    place: Place,
+    position: QueuePosition,
     need: Need,
-    entered: Moment,
-    useful_until: Moment,
+    entered: Timestamp,
+    useful_until: Timestamp,
     raw: f64,
     /// The estimate stood on what was seen at its desk, and so counts for the next ones.
     seen: bool,
@@ -80,11 +80,11 @@
 }
 
 impl Waiter {
-    fn wait(&self, now: Moment, id: StatementId) -> Wait {
-        let (product, desk) = (ProductId(self.lane), DeskId(self.desk));
+    fn wait(&self, now: Timestamp, id: StatementId) -> Wait {
+        let (class, desk) = (ClassId(self.lane), DeskId(self.desk));
         Wait {
             id,
-            product,
+            class,
             desk,
             told: self.told,
             real: now - self.entered,
@@ -104,13 +104,13 @@
 /// How a team shows in its parent's ranks: under its budget, by its first statement; or by what it was lent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Shown {
-    Under(Place),
+    Under(QueuePosition),
     Over(u64),
 }
 
 #[derive(Clone, Debug, Default)]
 struct Ranks {
-    under: BTreeSet<(Place, u32)>,
+    under: BTreeSet<(QueuePosition, u32)>,
     over: BTreeSet<(u64, u32)>,
 }
 
@@ -120,13 +120,13 @@
             return;
         }
         match std::mem::replace(old, new) {
-            Some(Shown::Under(place)) => drop(self.under.remove(&(place, team))),
-            Some(Shown::Over(lent)) => drop(self.over.remove(&(lent, team))),
+            Some(Shown::Under(position)) => drop(self.under.remove(&(position, team))),
+            Some(Shown::Over(borrowed)) => drop(self.over.remove(&(borrowed, team))),
             None => {}
         }
         match new {
-            Some(Shown::Under(place)) => drop(self.under.insert((place, team))),
-            Some(Shown::Over(lent)) => drop(self.over.insert((lent, team))),
+            Some(Shown::Under(position)) => drop(self.under.insert((position, team))),
+            Some(Shown::Over(borrowed)) => drop(self.over.insert((borrowed, team))),
             None => {}
         }
     }
@@ -151,7 +151,7 @@
     count: u32,
     cpu: f64,
     /// Since when its first has been passed over; set while something waits.
-    passed_since: Option<Moment>,
+    passed_since: Option<Timestamp>,
 }
 
 struct Member {
@@ -185,8 +185,8 @@
     pub rate: Option<f64>,
     /// What is saved of the budget; negative: to be made up for first.
     pub saved: f64,
-    pub longest: Span,
-    /// For one more usual statement of each product.
+    pub longest: TimeDelta,
+    /// For one more usual statement of each query class.
     pub next: Vec<Estimate>,
 }
 
@@ -195,9 +195,9 @@
 pub struct StatementStatus {
     pub member: String,
     pub desk: String,
-    /// So many of its product at its desk leave before it.
+    /// So many of its query class at its desk leave before it.
     pub ahead: u32,
-    pub waited: Span,
+    pub waited: TimeDelta,
     pub left: Estimate,
 }
 
@@ -205,31 +205,31 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Wait {
     pub id: StatementId,
-    pub product: ProductId,
+    pub class: ClassId,
     pub desk: DeskId,
     pub told: Estimate,
-    pub real: Span,
+    pub real: TimeDelta,
 }
 
 pub struct Lines {
     terms: Terms,
-    products: usize,
+    classes: usize,
     arena: Arena,
     desks: Vec<Desk>,
     members: Vec<Member>,
     root: Vec<Ranks>,
     lent_now: f64,
-    /// Emptied by release, denial and the client's leaving.
+    /// Emptied by release, rejection and the client's leaving.
     waiting: BTreeMap<StatementId, Waiter>,
     /// Ends of their use; leaves with them.
-    useful: BTreeSet<(Moment, StatementId)>,
+    useful: BTreeSet<(Timestamp, StatementId)>,
     /// Desks where something waits, the longest passed over first.
-    passed: BTreeSet<(Moment, u32)>,
+    passed: BTreeSet<(Timestamp, u32)>,
     /// Desks where something waits, by CPU seconds for each one owed.
     heavy: BTreeSet<(u64, u32)>,
     /// Teams over their budget, by when they are under it again.
-    refills: BTreeSet<(Moment, Team)>,
-    refill_at: BTreeMap<Team, Moment>,
+    refills: BTreeSet<(Timestamp, Team)>,
+    refill_at: BTreeMap<Team, Timestamp>,
     /// Statements in hand of one key, oldest first; a key leaves with its last one that waits.
     keys: BTreeMap<OrderKey, VecDeque<StatementId>>,
     parked: Vec<StatementId>,
@@ -238,7 +238,7 @@
     /// Emptied by the last outcome of each.
     charges: BTreeMap<StatementId, Charge>,
     records: Vec<Record>,
-    longest_passed: Span,
+    longest_passed: TimeDelta,
     whole: Pace,
     usual: Vec<f64>,
     count: u32,
@@ -249,7 +249,7 @@
     till: Till,
     /// Budgets are told as they change, for all gateways together: nothing here guesses its part of them.
     leased: bool,
-    now: Moment,
+    now: Timestamp,
 }
 
 /// Non-negative floats sort as their bits do.
@@ -258,13 +258,13 @@
 }
 
 impl Lines {
-    pub fn new(now: Moment, terms: Terms, products: usize, seed: u64) -> Self {
+    pub fn new(now: Timestamp, terms: Terms, classes: usize, seed: u64) -> Self {
         let mut lines = Lines {
-            products,
+            classes,
             arena: Arena::new(seed),
             desks: Vec::new(),
             members: Vec::new(),
-            root: vec![Ranks::default(); products],
+            root: vec![Ranks::default(); classes],
             lent_now: 0.0,
             waiting: BTreeMap::new(),
             useful: BTreeSet::new(),
@@ -274,12 +274,12 @@
             refill_at: BTreeMap::new(),
             keys: BTreeMap::new(),
             parked: Vec::new(),
-            frontiers: vec![[Frontier::default(), Frontier::default()]; products],
+            frontiers: vec![[Frontier::default(), Frontier::default()]; classes],
             charges: BTreeMap::new(),
-            records: vec![Record::default(); products],
-            longest_passed: Span::ZERO,
+            records: vec![Record::default(); classes],
+            longest_passed: TimeDelta::ZERO,
             whole: Pace::new(now),
-            usual: vec![0.0; products],
+            usual: vec![0.0; classes],
             count: 0,
             cpu: 0.0,
             owed: 0.0,
@@ -293,7 +293,7 @@
         lines
     }
 
-    fn at(&mut self, now: Moment) {
+    fn at(&mut self, now: Timestamp) {
         self.now = now;
         self.till.go_on(now);
     }
@@ -305,7 +305,7 @@
             .iter()
             .map(|member| member.claim.budget)
             .sum();
-        let (now, till, lanes, burst) = (self.now, self.till, self.products, self.terms.burst);
+        let (now, till, lanes, burst) = (self.now, self.till, self.classes, self.terms.burst);
         for terms in &self.terms.members {
             let member = self.members.len() as u32;
             let first = self.desks.len() as u32;
@@ -316,7 +316,7 @@
                     account: Account::new(till, desk.claim, burst),
                     roots: vec![Root::default(); lanes],
                     shown: vec![None; lanes],
-                    paces: vec![Pace::new(now); self.products],
+                    paces: vec![Pace::new(now); self.classes],
                     pace: Pace::new(now),
                     count: 0,
                     cpu: 0.0,
@@ -348,8 +348,8 @@
         self.waiting.contains_key(&id)
     }
 
-    pub fn place(&self, id: StatementId) -> Option<Place> {
-        self.waiting.get(&id).map(|waiter| waiter.place)
+    pub fn place(&self, id: StatementId) -> Option<QueuePosition> {
+        self.waiting.get(&id).map(|waiter| waiter.position)
     }
 
     /// Released statements whose outcome is not known yet.
@@ -359,7 +359,7 @@
 
     /// Time goes on: accounts fill, and a new round of asking begins. `cores`: what engines in use have, as this
     /// gateway's share; estimates follow it at once. `carries`: its part of the traffic over that share; budgets follow.
-    pub fn round(&mut self, now: Moment, cores: f64, carries: f64) {
+    pub fn round(&mut self, now: Timestamp, cores: f64, carries: f64) {
         self.till.go_on(now);
         self.till.stretch(if self.leased { 1.0 } else { carries });
         if (cores - self.cores).abs() > 1e-9 {
@@ -398,7 +398,7 @@
 
     /// Members' budgets from now on, of those that are told, with their desks' in proportion. The first time nothing is
     /// saved: what the terms say is all gateways' together.
-    pub fn lease(&mut self, now: Moment, rates: &[Option<f64>]) {
+    pub fn lease(&mut self, now: Timestamp, rates: &[Option<f64>]) {
         self.at(now);
         let first = !std::mem::replace(&mut self.leased, true);
         for (at, rate) in rates.iter().enumerate() {
@@ -438,16 +438,16 @@
     }
 
     /// Whether a statement of this cost that comes now would wait for what other members lend.
-    pub fn would_be_lent(&mut self, now: Moment, desk: DeskId, cpu: f64) -> bool {
+    pub fn would_be_lent(&mut self, now: Timestamp, desk: DeskId, cpu: f64) -> bool {
         self.at(now);
-        self.lent(desk.0.min(self.desks.len() as u32 - 1), cpu)
+        self.borrowed(desk.0.min(self.desks.len() as u32 - 1), cpu)
     }
 
-    pub fn enter(&mut self, now: Moment, entry: &Entry) -> Entering {
+    pub fn enter(&mut self, now: Timestamp, entry: &Entry) -> Entering {
         self.at(now);
-        let lane = entry.product.0;
+        let lane = entry.class.0;
         let desk = entry.desk.0.min(self.desks.len() as u32 - 1);
-        let usual = &mut self.usual[entry.product.0];
+        let usual = &mut self.usual[entry.class.0];
         *usual = if *usual > 0.0 {
             *usual + (entry.need.cpu - *usual) * 0.05
         } else {
@@ -455,23 +455,23 @@
         };
         let member = self.desks[desk as usize].member;
         self.members[member as usize].wanted += entry.need.cpu;
-        let raw = self.raw(desk, lane, entry.place, entry.need);
-        let told = self.records[entry.product.0].tell(raw);
+        let raw = self.raw(desk, lane, entry.position, entry.need);
+        let told = self.records[entry.class.0].tell(raw);
         // An answer that comes late has cost another its place. Only what was seen here denies, not what is likely; and of
         // one whose key's turn has to come first nothing is known.
-        let useful = (entry.full_until - now).secs();
+        let useful = (entry.objective_until - now).secs();
         let wait = told.p90.secs() * DOUBT;
-        let seen = self.desks[desk as usize].paces[entry.product.0]
+        let seen = self.desks[desk as usize].paces[entry.class.0]
             .known(now, self.cores)
             .is_some();
         if seen && entry.key.is_none() && wait > useful.max(0.05) {
-            let back = Span::from_secs((told.p90.secs() - useful).max(told.wait.secs() * 0.5));
+            let back = TimeDelta::from_secs((told.p90.secs() - useful).max(told.wait.secs() * 0.5));
             return Entering {
                 entered: Entered::TurnedAway { back },
                 displaced: Vec::new(),
             };
         }
-        let Some(displaced) = self.make_room(desk, entry.place, entry.need) else {
+        let Some(displaced) = self.make_room(desk, entry.position, entry.need) else {
             return Entering {
                 entered: Entered::TurnedAway { back: told.wait },
                 displaced: Vec::new(),
@@ -486,7 +486,7 @@
             Waiter {
                 desk,
                 lane,
-                place: entry.place,
+                position: entry.position,
                 need: entry.need,
                 entered: now,
                 useful_until: entry.useful_until,
@@ -517,7 +517,7 @@
     fn make_room(
         &mut self,
         desk: u32,
-        place: Place,
+        position: QueuePosition,
         need: Need,
     ) -> Option<Vec<(StatementId, Waiter)>> {
         let mut out: Vec<(StatementId, Waiter)> = Vec::new();
@@ -543,7 +543,7 @@
             let from = heaviest.unwrap_or(desk);
             let victim = self
                 .last_of(from)
-                .filter(|last| heaviest.is_some() || last.by > place.by);
+                .filter(|last| heaviest.is_some() || last.deadline > position.deadline);
             let Some(victim) = victim.filter(|_| out.len() < DISPLACED) else {
                 // Its claim is not better after all: who was to go stays.
                 out.into_iter()
@@ -556,12 +556,12 @@
         }
     }
 
-    fn last_of(&self, desk: u32) -> Option<Place> {
+    fn last_of(&self, desk: u32) -> Option<QueuePosition> {
         let roots = &self.desks[desk as usize].roots;
         roots
             .iter()
             .filter_map(|root| self.arena.last(*root))
-            .map(|(place, _)| place)
+            .map(|(position, _)| position)
             .max()
     }
 
@@ -582,37 +582,43 @@
 
     /// The next to ask the module about, and whether what it would take is lent; or nobody in this round any more.
     pub fn next(&self) -> Option<Offer> {
-        let aged = |since: &Moment| *since + self.terms.ageing <= self.now;
+        let aged = |since: &Timestamp| *since + self.terms.ageing <= self.now;
         let passed = self
             .passed
             .iter()
             .take(LOOK)
             .take_while(|(since, _)| aged(since));
-        if let Some(place) = passed
+        if let Some(position) = passed
             .into_iter()
             .find_map(|(_, desk)| self.first_at(*desk))
         {
-            return Some(Offer { place, lent: false });
+            return Some(Offer {
+                position,
+                borrowed: false,
+            });
         }
-        let mut best: Option<Place> = None;
+        let mut best: Option<QueuePosition> = None;
         for lane in 0..self.root.len() {
-            for (place, member) in self.root[lane].under.iter().take(LOOK) {
-                if best.is_some_and(|best| best <= *place) {
+            for (position, member) in self.root[lane].under.iter().take(LOOK) {
+                if best.is_some_and(|best| best <= *position) {
                     break;
                 }
                 best = [best, self.first_of(*member, lane, 0)]
                     .into_iter()
                     .flatten()
                     .min();
-                if best == Some(*place) {
+                if best == Some(*position) {
                     break;
                 }
             }
         }
         if best.is_some() {
-            return best.map(|place| Offer { place, lent: false });
+            return best.map(|position| Offer {
+                position,
+                borrowed: false,
+            });
         }
-        let mut best: Option<(u64, Place)> = None;
+        let mut best: Option<(u64, QueuePosition)> = None;
         for lane in 0..self.root.len() {
             let over = self.root[lane].over.iter().take(LOOK);
             let found = over
@@ -620,19 +626,22 @@
                 .next();
             best = [best, found].into_iter().flatten().min();
         }
-        best.map(|(_, place)| Offer { place, lent: true })
+        best.map(|(_, position)| Offer {
+            position,
+            borrowed: true,
+        })
     }
 
     /// Whether a statement of this cost takes what is lent by other members.
-    fn lent(&mut self, desk: u32, cpu: f64) -> bool {
+    fn borrowed(&mut self, desk: u32, cpu: f64) -> bool {
         let of = &mut self.desks[desk as usize];
         let holder = &mut self.members[of.member as usize].account;
         let owed = of.account.owes(self.till, cpu) || holder.owes(self.till, cpu);
         self.members.len() > 1 && !owed
     }
 
-    /// The first of a desk that may have room, over all products.
-    fn first_at(&self, desk: u32) -> Option<Place> {
+    /// The first of a desk that may have room, over all query classes.
+    fn first_at(&self, desk: u32) -> Option<QueuePosition> {
         let roots = self.desks[desk as usize].roots.iter().enumerate();
         roots
             .filter_map(|(lane, root)| self.arena.first_with_room(*root, &self.frontiers[lane][0]))
@@ -641,10 +650,10 @@
     }
 
     /// The first of a member in a lane that may have room: of its desks under budget, else of those over it.
-    fn first_of(&self, member: u32, lane: Lane, lent: usize) -> Option<Place> {
+    fn first_of(&self, member: u32, lane: Lane, borrowed: usize) -> Option<QueuePosition> {
         let (ranks, frontier) = (
             &self.members[member as usize].ranks[lane],
-            &self.frontiers[lane][lent],
+            &self.frontiers[lane][borrowed],
         );
         if frontier.closed() {
             return None;
@@ -654,9 +663,9 @@
                 .first_with_room(self.desks[desk as usize].roots[lane], frontier)
                 .map(|found| found.0)
         };
-        let mut best: Option<Place> = None;
-        for (place, desk) in ranks.under.iter().take(LOOK) {
-            if best.is_some_and(|best| best <= *place) {
+        let mut best: Option<QueuePosition> = None;
+        for (position, desk) in ranks.under.iter().take(LOOK) {
+            if best.is_some_and(|best| best <= *position) {
                 break;
             }
             best = [best, first(*desk)].into_iter().flatten().min();
@@ -671,7 +680,7 @@
     }
 
     /// The module has no room for it now. `useful_until`: its word anew.
-    pub fn refused(&mut self, id: StatementId, lent: bool, useful_until: Moment) {
+    pub fn refused(&mut self, id: StatementId, borrowed: bool, useful_until: Timestamp) {
         let Some(waiter) = self.waiting.get_mut(&id) else {
             return;
         };
@@ -694,7 +703,7 @@
             // Where there is no room for what is owed, there is none for what is lent.
             let [owed, loan] = &mut self.frontiers[lane];
             loan.refused(need);
-            if !lent {
+            if !borrowed {
                 owed.refused(need);
             }
             // A heavy head would be passed by light ones for ever: now room is saved up for it.
@@ -711,22 +720,22 @@
     }
 
     /// It goes to an engine: its wait is over, and its team pays.
-    pub fn released(&mut self, now: Moment, id: StatementId, charge: f64) -> Option<Wait> {
+    pub fn released(&mut self, now: Timestamp, id: StatementId, charge: f64) -> Option<Wait> {
         self.at(now);
         let waiter = self.take_out(id)?;
-        let product = waiter.lane;
+        let class = waiter.lane;
         let real = now - waiter.entered;
         if waiter.seen || waiter.raw == 0.0 {
-            self.records[product].was(waiter.raw, real);
+            self.records[class].was(waiter.raw, real);
         }
-        if real > Span::ZERO {
+        if real > TimeDelta::ZERO {
             let Desk { paces, pace, .. } = &mut self.desks[waiter.desk as usize];
-            for pace in [&mut paces[product], pace, &mut self.whole] {
+            for pace in [&mut paces[class], pace, &mut self.whole] {
                 pace.released(now, self.cores, waiter.need.cpu);
             }
         }
-        let waits = |(_, desk): &&(Moment, u32)| {
-            *desk != waiter.desk && !self.desks[*desk as usize].roots[product].is_empty()
+        let waits = |(_, desk): &&(Timestamp, u32)| {
+            *desk != waiter.desk && !self.desks[*desk as usize].roots[class].is_empty()
         };
         if let Some((since, _)) = self.passed.iter().take(LOOK).find(waits) {
             self.longest_passed = self.longest_passed.max(now - *since);
@@ -745,7 +754,7 @@
         let of = &mut self.desks[desk as usize];
         let member = of.member;
         let holder = &mut self.members[member as usize];
-        let lent = (holder.account.lent(), of.account.lent());
+        let borrowed = (holder.account.borrowed(), of.account.borrowed());
         let desk_owes = of.account.owes(now, cpu);
         // What is owed to a desk is owed to its member, whatever that used for its others.
         let holder_owes = desk_owes || holder.account.owes(now, cpu);
@@ -754,10 +763,10 @@
             of.account.pay(now, cpu, desk_owes),
         );
         if by.0 == Paid::Lent {
-            self.lent_now = self.lent_now.max(lent.0);
+            self.lent_now = self.lent_now.max(borrowed.0);
         }
         if by.1 == Paid::Lent {
-            holder.lent_now = holder.lent_now.max(lent.1);
+            holder.lent_now = holder.lent_now.max(borrowed.1);
         }
         self.charges.insert(
             id,
@@ -771,16 +780,16 @@
         self.show_desk(desk);
     }
 
-    /// One more relay of a statement that was released before: its team pays for that too.
-    pub fn repeated(&mut self, now: Moment, id: StatementId, cpu: f64) {
+    /// One more attempt of a statement that was released before: its team pays for that too.
+    pub fn repeated(&mut self, now: Timestamp, id: StatementId, cpu: f64) {
         self.at(now);
         if let Some(charge) = self.charges.remove(&id) {
             self.pay(id, charge.desk, cpu);
         }
     }
 
-    /// What a relay came to: `Some` CPU seconds where told, zero where it is known not to have run.
-    pub fn came_to(&mut self, now: Moment, id: StatementId, cpu: Option<f64>) {
+    /// What an attempt came to: `Some` CPU seconds where told, zero where it is known not to have run.
+    pub fn came_to(&mut self, now: Timestamp, id: StatementId, cpu: Option<f64>) {
         self.at(now);
         let (Some(charge), Some(cpu)) = (self.charges.get_mut(&id), cpu) else {
             return;
@@ -801,22 +810,22 @@
         self.charges.remove(&id);
     }
 
-    /// Denied, or its client left: out of line. `None`: it did not wait.
-    pub fn left(&mut self, now: Moment, id: StatementId) -> Option<Wait> {
+    /// Rejected, or its client left: out of line. `None`: it did not wait.
+    pub fn left(&mut self, now: Timestamp, id: StatementId) -> Option<Wait> {
         self.at(now);
         self.take_out(id).map(|waiter| waiter.wait(now, id))
     }
 
     /// Those whose use has ended: the module is to be asked about them once more.
-    pub fn past(&self, now: Moment) -> Vec<Place> {
+    pub fn past(&self, now: Timestamp) -> Vec<QueuePosition> {
         let past = self.useful.iter().take_while(|(at, _)| *at <= now);
-        past.filter_map(|(_, id)| Some(self.waiting.get(id)?.place))
+        past.filter_map(|(_, id)| Some(self.waiting.get(id)?.position))
             .collect()
     }
 
     /// The gateway ends: nothing waits up to then without being asked about once more.
-    pub fn answer_by(&mut self, by: Moment) {
-        let by = by + Span::from_secs(-0.05);
+    pub fn drain_deadline(&mut self, by: Timestamp) {
+        let by = by + TimeDelta::from_secs(-0.05);
         self.useful.clear();
         for (id, waiter) in &mut self.waiting {
             waiter.useful_until = waiter.useful_until.min(by);
@@ -824,7 +833,7 @@
         }
     }
 
-    pub fn waited(&self, now: Moment, id: StatementId) -> Option<Span> {
+    pub fn waited(&self, now: Timestamp, id: StatementId) -> Option<TimeDelta> {
         self.waiting.get(&id).map(|waiter| now - waiter.entered)
     }
 
@@ -836,7 +845,7 @@
         let Waiter {
             desk,
             lane,
-            place,
+            position,
             need,
             ..
         } = *waiter;
@@ -846,7 +855,7 @@
         if of.roots[lane].is_empty() {
             of.paces[lane].waits(now, cores, true);
         }
-        self.arena.insert(&mut of.roots[lane], place, need);
+        self.arena.insert(&mut of.roots[lane], position, need);
         let old = bits(of.cpu / owed(of));
         (of.count, of.cpu) = (of.count + 1, of.cpu + need.cpu);
         if first {
@@ -878,13 +887,13 @@
         let Waiter {
             desk,
             lane,
-            place,
+            position,
             need,
             ..
         } = *waiter;
         let (now, cores) = (self.now, self.cores);
         let of = &mut self.desks[desk as usize];
-        self.arena.remove(&mut of.roots[lane], place);
+        self.arena.remove(&mut of.roots[lane], position);
         self.heavy.remove(&(bits(of.cpu / owed(of)), desk));
         (of.count, of.cpu) = (of.count - 1, (of.cpu - need.cpu).max(0.0));
         if of.roots[lane].is_empty() {
@@ -934,21 +943,21 @@
     fn show_desk(&mut self, at: u32) {
         let now = self.till;
         let desk = &mut self.desks[at as usize];
-        let lent = bits(desk.account.lent());
+        let borrowed = bits(desk.account.borrowed());
         let member = &mut self.members[desk.member as usize];
         let alone = member.desks.len() == 1;
-        let mut refill: Option<Moment> = None;
+        let mut refill: Option<Timestamp> = None;
         for lane in 0..desk.roots.len() {
-            let shown = self.arena.first(desk.roots[lane]).map(|(place, need)| {
+            let shown = self.arena.first(desk.roots[lane]).map(|(position, need)| {
                 // Alone it has nobody to stand behind.
                 if alone || desk.account.owes(now, need.cpu) {
-                    return Shown::Under(place);
+                    return Shown::Under(position);
                 }
                 refill = [refill, desk.account.owes_at(now, need.cpu)]
                     .into_iter()
                     .flatten()
                     .min();
-                Shown::Over(lent)
+                Shown::Over(borrowed)
             });
             member.ranks[lane].change(at, &mut desk.shown[lane], shown);
         }
@@ -960,30 +969,30 @@
     fn show_member(&mut self, at: u32) {
         let (now, alone) = (self.till, self.members.len() == 1);
         let member = &mut self.members[at as usize];
-        let lent = bits(member.account.lent());
-        let mut refill: Option<Moment> = None;
+        let borrowed = bits(member.account.borrowed());
+        let mut refill: Option<Timestamp> = None;
         for lane in 0..member.ranks.len() {
             let ranks = &member.ranks[lane];
             let first = ranks
                 .first()
                 .and_then(|desk| self.arena.first(self.desks[desk as usize].roots[lane]));
             let desk_owed = member.desks.len() > 1 && !ranks.under.is_empty();
-            let shown = first.map(|(place, need)| {
+            let shown = first.map(|(position, need)| {
                 if alone || desk_owed || member.account.owes(now, need.cpu) {
-                    return Shown::Under(place);
+                    return Shown::Under(position);
                 }
                 refill = [refill, member.account.owes_at(now, need.cpu)]
                     .into_iter()
                     .flatten()
                     .min();
-                Shown::Over(lent)
+                Shown::Over(borrowed)
             });
             self.root[lane].change(at, &mut member.shown[lane], shown);
         }
         self.refill(Team::Member(at), refill);
     }
 
-    fn refill(&mut self, team: Team, at: Option<Moment>) {
+    fn refill(&mut self, team: Team, at: Option<Timestamp>) {
         let old = self.refill_at.get(&team).copied();
         if old == at {
             return;
@@ -1001,13 +1010,13 @@
     }
 
     /// Seconds until a statement at this place would leave, by the work ahead of it and how fast such work leaves.
-    fn raw(&mut self, desk: u32, lane: Lane, place: Place, need: Need) -> f64 {
-        let (now, cores, product) = (self.now, self.cores, lane);
+    fn raw(&mut self, desk: u32, lane: Lane, position: QueuePosition, need: Need) -> f64 {
+        let (now, cores, class) = (self.now, self.cores, lane);
         let of = &self.desks[desk as usize];
-        let ahead = self.arena.ahead(of.roots[lane], place).1;
+        let ahead = self.arena.ahead(of.roots[lane], position).1;
         let nothing = of.roots[lane].is_empty();
-        let lent = usize::from(self.lent(desk, need.cpu));
-        if nothing && self.frontiers[lane][lent].may_have_room(need) {
+        let borrowed = usize::from(self.borrowed(desk, need.cpu));
+        if nothing && self.frontiers[lane][borrowed].may_have_room(need) {
             return 0.0;
         }
         let of = &mut self.desks[desk as usize];
@@ -1015,38 +1024,38 @@
         let part = of.account.claim().budget / self.owed.max(1e-9);
         let all = self.whole.rate(now, cores, cores * LIKELY);
         let desk = of.pace.rate(now, cores, all * part.clamp(0.01, 1.0));
-        let rate = of.paces[product].rate(now, cores, desk);
+        let rate = of.paces[class].rate(now, cores, desk);
         ((ahead + 0.5 * need.cpu) / rate.max(1e-3)).min(3600.0)
     }
 
-    fn back(&mut self, waiter: &Waiter) -> Span {
-        let raw = self.raw(waiter.desk, waiter.lane, waiter.place, waiter.need);
+    fn back(&mut self, waiter: &Waiter) -> TimeDelta {
+        let raw = self.raw(waiter.desk, waiter.lane, waiter.position, waiter.need);
         self.records[waiter.lane].tell(raw).wait
     }
 
     /// The wait still before a statement.
-    pub fn estimate(&mut self, now: Moment, id: StatementId) -> Option<Estimate> {
+    pub fn estimate(&mut self, now: Timestamp, id: StatementId) -> Option<Estimate> {
         self.at(now);
         let waiter = *self.waiting.get(&id)?;
-        let raw = self.raw(waiter.desk, waiter.lane, waiter.place, waiter.need);
+        let raw = self.raw(waiter.desk, waiter.lane, waiter.position, waiter.need);
         Some(self.records[waiter.lane].tell(raw))
     }
 
-    pub fn statement(&mut self, now: Moment, id: StatementId) -> Option<StatementStatus> {
+    pub fn statement(&mut self, now: Timestamp, id: StatementId) -> Option<StatementStatus> {
         let left = self.estimate(now, id)?;
         let waiter = self.waiting.get(&id)?;
         let desk = &self.desks[waiter.desk as usize];
         Some(StatementStatus {
             member: self.members[desk.member as usize].name.clone(),
             desk: desk.name.clone(),
-            ahead: self.arena.ahead(desk.roots[waiter.lane], waiter.place).0,
+            ahead: self.arena.ahead(desk.roots[waiter.lane], waiter.position).0,
             waited: now - waiter.entered,
             left,
         })
     }
 
     /// Every desk where something waits, then as many of the others as `most` allows.
-    pub fn status(&mut self, now: Moment, most: usize) -> Vec<DeskStatus> {
+    pub fn status(&mut self, now: Timestamp, most: usize) -> Vec<DeskStatus> {
         self.at(now);
         let busy: Vec<u32> = self
             .heavy
@@ -1065,20 +1074,20 @@
             .collect()
     }
 
-    fn desk_status(&mut self, now: Moment, at: u32) -> DeskStatus {
-        let last = Place {
-            by: now + Span::from_secs(3e9),
+    fn desk_status(&mut self, now: Timestamp, at: u32) -> DeskStatus {
+        let last = QueuePosition {
+            deadline: now + TimeDelta::from_secs(3e9),
             id: StatementId(u64::MAX),
-            over_allowance: true,
+            over_quota: true,
         };
         let mut next = Vec::new();
-        for product in 0..self.products {
+        for class in 0..self.classes {
             let need = Need {
-                cpu: self.usual[product],
+                cpu: self.usual[class],
                 memory_mb: 0.0,
             };
-            let raw = self.raw(at, product, last, need);
-            next.push(self.records[product].tell(raw));
+            let raw = self.raw(at, class, last, need);
+            next.push(self.records[class].tell(raw));
         }
         let cores = self.cores;
         let desk = &mut self.desks[at as usize];
@@ -1097,19 +1106,19 @@
             budget: desk.account.claim().budget,
             rate: desk.pace.known(now, cores),
             saved: desk.account.saved(self.till),
-            longest: oldest.map_or(Span::ZERO, |waiter| now - waiter.entered),
+            longest: oldest.map_or(TimeDelta::ZERO, |waiter| now - waiter.entered),
             next,
         }
     }
 
-    /// The longest that the first of any desk has been passed over by a statement of the same product, so far.
-    pub fn longest_passed(&self) -> Span {
+    /// The longest that the first of any desk has been passed over by a statement of the same query class, so far.
+    pub fn longest_passed(&self) -> TimeDelta {
         self.longest_passed
     }
 
     /// Other terms, with all that waits: at the desk of the same names, else at its member's default one, else at the
     /// first member's. Accounts of teams that stay keep what they have used.
-    pub fn change(&mut self, now: Moment, terms: Terms) {
+    pub fn change(&mut self, now: Timestamp, terms: Terms) {
         self.at(now);
         let mut waiting: Vec<(StatementId, Waiter)> = Vec::with_capacity(self.waiting.len());
         let ids: Vec<StatementId> = self.waiting.keys().copied().collect();
@@ -1121,7 +1130,7 @@
         let old_members = std::mem::take(&mut self.members);
         (self.refills, self.refill_at) = (BTreeSet::new(), BTreeMap::new());
         (self.passed, self.heavy) = (BTreeSet::new(), BTreeSet::new());
-        self.root = vec![Ranks::default(); self.products];
+        self.root = vec![Ranks::default(); self.classes];
         self.terms = terms;
         self.lay_out();
         let (till, burst, leased) = (self.till, self.terms.burst, self.leased);
--- a/crates/scheduler/src/order.rs
+++ b/crates/scheduler/src/order.rs
@@ -2,7 +2,7 @@
 //! Beside insert and remove it answers, in logarithmic time, three things a plain ordered map cannot: the
 //! first that is cheaper than what was just found to have no room, the work ahead of a place, and the sum of all.
 
-use admission::interface::Place;
+use admission::interface::QueuePosition;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -65,7 +65,7 @@
 
 #[derive(Clone, Debug)]
 struct Node {
-    place: Place,
+    position: QueuePosition,
     need: Need,
     weight: u64,
     left: Option<u32>,
@@ -115,16 +115,16 @@
         (node.least, node.cpu, node.count) = (least, cpu, count);
     }
 
-    /// Splits into those before `place` and the rest.
-    fn split(&mut self, root: Option<u32>, place: Place) -> (Option<u32>, Option<u32>) {
+    /// Splits into those before `position` and the rest.
+    fn split(&mut self, root: Option<u32>, position: QueuePosition) -> (Option<u32>, Option<u32>) {
         let Some(at) = root else { return (None, None) };
-        if self.node(at).place < place {
-            let (low, high) = self.split(self.node(at).right, place);
+        if self.node(at).position < position {
+            let (low, high) = self.split(self.node(at).right, position);
             self.nodes[at as usize].right = low;
             self.sum(at);
             (Some(at), high)
         } else {
-            let (low, high) = self.split(self.node(at).left, place);
+            let (low, high) = self.split(self.node(at).left, position);
             self.nodes[at as usize].left = high;
             self.sum(at);
             (low, Some(at))
@@ -147,10 +147,10 @@
     }
 
     /// The place must not be in it yet.
-    pub fn insert(&mut self, root: &mut Root, place: Place, need: Need) {
+    pub fn insert(&mut self, root: &mut Root, position: QueuePosition, need: Need) {
         let weight = self.rng.random::<u64>();
         let node = Node {
-            place,
+            position,
             need,
             weight,
             left: None,
@@ -169,60 +169,68 @@
                 (self.nodes.len() - 1) as u32
             }
         };
-        let (low, high) = self.split(root.0, place);
+        let (low, high) = self.split(root.0, position);
         let low = self.merge(low, Some(at));
         root.0 = self.merge(low, high);
     }
 
     /// False: it was not there.
-    pub fn remove(&mut self, root: &mut Root, place: Place) -> bool {
-        let (low, rest) = self.split(root.0, place);
-        let (found, high) = self.split_first(rest, place);
+    pub fn remove(&mut self, root: &mut Root, position: QueuePosition) -> bool {
+        let (low, rest) = self.split(root.0, position);
+        let (found, high) = self.split_first(rest, position);
         root.0 = self.merge(low, high);
         found.into_iter().for_each(|at| self.free.push(at));
         found.is_some()
     }
 
     /// Takes the first off, if it is the one at this place.
-    fn split_first(&mut self, root: Option<u32>, place: Place) -> (Option<u32>, Option<u32>) {
+    fn split_first(
+        &mut self,
+        root: Option<u32>,
+        position: QueuePosition,
+    ) -> (Option<u32>, Option<u32>) {
         let Some(at) = root else { return (None, None) };
         if let Some(left) = self.node(at).left {
-            let (found, rest) = self.split_first(Some(left), place);
+            let (found, rest) = self.split_first(Some(left), position);
             self.nodes[at as usize].left = rest;
             self.sum(at);
             return (found, Some(at));
         }
-        if self.node(at).place != place {
+        if self.node(at).position != position {
             return (None, root);
         }
         (Some(at), self.node(at).right)
     }
 
-    pub fn first(&self, root: Root) -> Option<(Place, Need)> {
+    pub fn first(&self, root: Root) -> Option<(QueuePosition, Need)> {
         let mut at = root.0?;
         while let Some(left) = self.node(at).left {
             at = left;
         }
-        Some((self.node(at).place, self.node(at).need))
+        Some((self.node(at).position, self.node(at).need))
     }
 
-    pub fn last(&self, root: Root) -> Option<(Place, Need)> {
+    pub fn last(&self, root: Root) -> Option<(QueuePosition, Need)> {
         let mut at = root.0?;
         while let Some(right) = self.node(at).right {
             at = right;
         }
-        Some((self.node(at).place, self.node(at).need))
+        Some((self.node(at).position, self.node(at).need))
     }
 
     /// The first that `frontier` does not rule out. Subtrees whose least needs are ruled out are passed over whole.
-    pub fn first_with_room(&self, root: Root, frontier: &Frontier) -> Option<(Place, Need)> {
+    pub fn first_with_room(
+        &self,
+        root: Root,
+        frontier: &Frontier,
+    ) -> Option<(QueuePosition, Need)> {
         if frontier.closed() {
             return None;
         }
         self.search(root.0, frontier)
     }
 
-    fn search(&self, root: Option<u32>, frontier: &Frontier) -> Option<(Place, Need)> {
+    fn search(&self, root: Option<u32>, frontier: &Frontier) -> Option<(QueuePosition, Need)> {
         let node = self.node(root?);
         if !frontier.may_have_room(node.least) {
             return None;
@@ -231,16 +239,16 @@
             .or_else(|| {
                 frontier
                     .may_have_room(node.need)
-                    .then_some((node.place, node.need))
+                    .then_some((node.position, node.need))
             })
             .or_else(|| self.search(node.right, frontier))
     }
 
-    /// How many wait before `place`, and the CPU seconds they need.
-    pub fn ahead(&self, root: Root, place: Place) -> (u32, f64) {
+    /// How many wait before `position`, and the CPU seconds they need.
+    pub fn ahead(&self, root: Root, position: QueuePosition) -> (u32, f64) {
         let (mut at, mut count, mut cpu) = (root.0, 0, 0.0);
         while let Some(node) = at.map(|at| self.node(at)) {
-            if node.place < place {
+            if node.position < position {
                 let (below, work) = node.left.map_or((0, 0.0), |left| {
                     (self.node(left).count, self.node(left).cpu)
                 });
@@ -260,7 +268,7 @@
     }
 
     /// All places, in order.
-    pub fn places(&self, root: Root) -> Vec<Place> {
+    pub fn places(&self, root: Root) -> Vec<QueuePosition> {
         let (mut places, mut stack, mut at) = (Vec::new(), Vec::new(), root.0);
         while at.is_some() || !stack.is_empty() {
             while let Some(down) = at {
@@ -268,7 +276,7 @@
                 at = self.node(down).left;
             }
             let Some(up) = stack.pop() else { break };
-            places.push(self.node(up).place);
+            places.push(self.node(up).position);
             at = self.node(up).right;
         }
         places
--- a/crates/scheduler/src/pace.rs
+++ b/crates/scheduler/src/pace.rs
@@ -1,6 +1,6 @@
 //! How fast waiting work leaves, and how far estimates made of it were off: what a told wait is made of.
 
-use admission::interface::{Moment, Span};
+use admission::interface::{TimeDelta, Timestamp};
 
 /// CPU seconds released for each core second that something waited. By core, so that a capacity that goes or comes
 /// back shows in the same turn, long before the releases themselves would tell.
@@ -8,7 +8,7 @@
 pub struct Pace {
     released: f64,
     core_s: f64,
-    at: Moment,
+    at: Timestamp,
     waiting: bool,
 }
 
@@ -18,7 +18,7 @@
     /// Seconds of waiting that weigh as much as what is likely without them.
     const SOME_S: f64 = 0.3;
 
-    pub fn new(now: Moment) -> Self {
+    pub fn new(now: Timestamp) -> Self {
         Pace {
             released: 0.0,
             core_s: 0.0,
@@ -27,7 +27,7 @@
         }
     }
 
-    pub fn advance(&mut self, now: Moment, cores: f64) {
+    pub fn advance(&mut self, now: Timestamp, cores: f64) {
         let gone = (now - self.at).secs().max(0.0);
         if gone == 0.0 {
             return;
@@ -47,26 +47,26 @@
     }
 
     /// Something waits from now on, or nothing more.
-    pub fn waits(&mut self, now: Moment, cores: f64, waiting: bool) {
+    pub fn waits(&mut self, now: Timestamp, cores: f64, waiting: bool) {
         self.advance(now, cores);
         self.waiting = waiting;
     }
 
-    pub fn released(&mut self, now: Moment, cores: f64, cpu: f64) {
+    pub fn released(&mut self, now: Timestamp, cores: f64, cpu: f64) {
         self.advance(now, cores);
         self.released += cpu;
     }
 
     /// CPU seconds a second at this capacity. `else_rate`: what is likely while little was seen here; without it one
     /// large statement that waits for its room would read as a line that never moves.
-    pub fn rate(&mut self, now: Moment, cores: f64, else_rate: f64) -> f64 {
+    pub fn rate(&mut self, now: Timestamp, cores: f64, else_rate: f64) -> f64 {
         self.advance(now, cores);
         let (seen, some) = (self.core_s, Self::SOME_S * cores.max(1e-3));
         ((self.released + else_rate * Self::SOME_S) / (seen + some) * cores).max(0.0)
     }
 
     /// As `rate`, where enough was seen to tell.
-    pub fn known(&mut self, now: Moment, cores: f64) -> Option<f64> {
+    pub fn known(&mut self, now: Timestamp, cores: f64) -> Option<f64> {
         self.advance(now, cores);
         let known = self.core_s >= Self::SOME_S * cores.max(1e-3);
         known.then(|| self.released / self.core_s.max(1e-9) * cores)
@@ -136,12 +136,12 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Estimate {
     /// As likely longer as shorter.
-    pub wait: Span,
+    pub wait: TimeDelta,
     /// Nine of ten wait no longer.
-    pub p90: Span,
+    pub p90: TimeDelta,
 }
 
-/// How estimates of one product turned out: their error is steady enough to be taken off the next.
+/// How estimates of one query class turned out: their error is steady enough to be taken off the next.
 #[derive(Clone, Debug, Default)]
 pub struct Record {
     /// Real waits over those estimated from the work ahead.
@@ -162,8 +162,8 @@
                 .filter(|p90| *p90 > 2e-3)
                 .unwrap_or(0.0);
             return Estimate {
-                wait: Span::from_secs(raw),
-                p90: Span::from_secs(p90.max(raw)),
+                wait: TimeDelta::from_secs(raw),
+                p90: TimeDelta::from_secs(p90.max(raw)),
             };
         }
         let (half, most) = (
@@ -172,12 +172,12 @@
         );
         let wait = raw * half.clamp(0.25, 4.0);
         Estimate {
-            wait: Span::from_secs(wait),
-            p90: Span::from_secs((raw * most.min(16.0)).max(wait)),
+            wait: TimeDelta::from_secs(wait),
+            p90: TimeDelta::from_secs((raw * most.min(16.0)).max(wait)),
         }
     }
 
-    pub fn was(&mut self, raw: f64, real: Span) {
+    pub fn was(&mut self, raw: f64, real: TimeDelta) {
         if raw < Self::SOME_S {
             self.alone.saw(real.secs());
         } else {
--- a/crates/scheduler/src/terms.rs
+++ b/crates/scheduler/src/terms.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::net::IpAddr;
 
-use admission::interface::Span;
+use admission::interface::TimeDelta;
 use ipnet::{IpNet, Ipv4Net, Ipv6Net};
 use prefix_trie::PrefixMap;
 
@@ -50,9 +50,9 @@
     /// At least one; the first takes those of no known member.
     pub members: Vec<MemberTerms>,
     /// How long a desk's first statement may be passed over by those of other desks before it goes ahead of them.
-    pub ageing: Span,
+    pub ageing: TimeDelta,
     /// Budgets save up over this time at most.
-    pub burst: Span,
+    pub burst: TimeDelta,
     pub each: Bound,
     pub all: Bound,
 }
--- a/crates/scheduler/tests/hall.rs
+++ b/crates/scheduler/tests/hall.rs
@@ -4,75 +4,78 @@
 
 use admission::interface::*;
 use admission::policy::Policy;
-use dispatch::{Dispatch, Pick, Wants};
+use dispatch::{Decision, Dispatcher, StatementRequest};
 use quickcheck::{Gen, QuickCheck};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use scheduler::*;
 
-fn span(secs: f64) -> Span {
-    Span::from_secs(secs)
+fn span(secs: f64) -> TimeDelta {
+    TimeDelta::from_secs(secs)
 }
 
-fn at(secs: f64) -> Moment {
-    Moment::from_secs(1000.0 + secs)
+fn at(secs: f64) -> Timestamp {
+    Timestamp::from_secs(1000.0 + secs)
 }
 
 /// Long limits, so that in these tests the module's own hold denies nobody where no lines stand before it.
-fn product(gain: f64, late_gain: f64) -> Product {
-    Product {
+fn class(priority_weight: f64, late_priority_weight: f64) -> QueryClass {
+    QueryClass {
         effect: Effect::Idempotent,
-        gain,
-        late_gain,
-        quoted: span(190.0),
-        quoted_stretch: 2.0,
-        hard_limit: span(200.0),
+        priority_weight,
+        late_priority_weight,
+        latency_objective: span(190.0),
+        latency_objective_stretch: 2.0,
+        time_limit: span(200.0),
         threads: 1.0,
-        in_turn: false,
+        ordered_by_key: false,
         locations: None,
         machines: None,
     }
 }
 
-fn dispatch(seed: u64) -> Dispatch {
-    let fleet = Fleet {
+fn dispatch(seed: u64) -> Dispatcher {
+    let fleet = FleetConfig {
         peers: 1.0,
         cores: vec![4.0],
         memory_mb: vec![1000.0],
-        note_pace: Some(span(0.5)),
+        progress_interval: Some(span(0.5)),
         idle: None,
-        ranks_heeded: true,
+        priorities_honored: true,
     };
-    let come_back = Some(span(0.5));
-    let relaying = Relaying {
-        most: 4,
-        cancel: false,
-        come_back,
-        settle: Span::ZERO,
-        ration: None,
+    let max_retry_after = Some(span(0.5));
+    let retry_policy = RetryPolicy {
+        max_attempts: 4,
+        can_cancel: false,
+        max_retry_after,
+        order_settle: TimeDelta::ZERO,
+        retry_budget: None,
     };
-    let listing = Listing {
+    let discovery = DiscoveryMode {
         on_request: false,
-        ask_within: span(10.0),
+        request_within: span(10.0),
     };
-    let products = vec![product(1.0, 0.2), product(10.0, 0.1)];
-    let mut dispatch = Dispatch::new(Policy::new(
+    let classes = vec![class(1.0, 0.2), class(10.0, 0.1)];
+    let mut dispatch = Dispatcher::new(Policy::new(
         seed,
-        products,
-        Tenancy::default(),
+        classes,
+        TenantQuotas::default(),
         fleet,
         None,
-        relaying,
-        listing,
+        retry_policy,
+        discovery,
     ));
-    dispatch.told_list(at(0.0), &ListNews::Whole(vec![engine(Stage::Ready)]));
+    dispatch.on_endpoint_update(
+        at(0.0),
+        &EndpointUpdate::Snapshot(vec![engine(EngineStage::Ready)]),
+    );
     dispatch
 }
 
 /// One engine: the module's chance chooses among several, and is asked more often without lines.
-fn engine(stage: Stage) -> EngineFact {
+fn engine(stage: EngineStage) -> EngineInfo {
     let (location, machine, cell) = (LocationId(0), MachineId(0), CellId(0));
-    EngineFact {
+    EngineInfo {
         id: EngineId(1),
         scale: 1.0,
         location,
@@ -114,20 +117,20 @@
     Hall::new(dispatch(seed), Some(Lines::new(at(0.0), terms, 2, seed)))
 }
 
-fn wants(rng: &mut Pcg64Mcg) -> Wants {
-    Wants {
-        product: ProductId(rng.random_range(0..2)),
+fn request(rng: &mut Pcg64Mcg) -> StatementRequest {
+    StatementRequest {
+        class: ClassId(rng.random_range(0..2)),
         tenant: TenantId(0),
-        group: GroupId(rng.random_range(0..4)),
+        group: TableGroupId(rng.random_range(0..4)),
         estimate: Some(span(rng.random_range(0.01..0.8))),
         memory_mb: rng.random_range(1.0..200.0),
         key: None,
-        marked: true,
+        has_idempotency_key: true,
         budget: span(rng.random_range(150.0..200.0)),
     }
 }
 
-/// With one team, the same statements leave in the same order at the same time as with no lines at all, and relays
+/// With one team, the same statements leave in the same order at the same time as with no lines at all, and attempts
 /// that failed go back in between as they did.
 #[test]
 fn with_one_team_the_order_is_that_of_the_modules_own_line() {
@@ -140,11 +143,14 @@
         while now < 7.0 {
             now += 0.02;
             if rng.random::<f64>() < 0.3 {
-                let (id, wants) = (StatementId(next), wants(&mut rng));
+                let (id, request) = (StatementId(next), request(&mut rng));
                 next += 1;
-                assert_eq!(plain.pick(at(now), id, DeskId(0), &wants), Pick::Held);
-                // One that would wait too long is denied at entry, which is no matter of order.
-                if lined.pick(at(now), id, DeskId(0), &wants) != Pick::Held {
+                assert_eq!(
+                    plain.pick(at(now), id, DeskId(0), &request),
+                    Decision::Queued
+                );
+                // One that would wait too long is rejected at entry, which is no matter of order.
+                if lined.pick(at(now), id, DeskId(0), &request) != Decision::Queued {
                     plain.gone(at(now), id);
                 }
             }
@@ -152,24 +158,24 @@
             assert_eq!(a, b, "at {now}");
             left += a.len();
             for (id, pick) in a {
-                if let Pick::Relay(order) = pick {
-                    out.push((now + rng.random_range(0.05..1.5), id, order.relay));
+                if let Decision::Forward(order) = pick {
+                    out.push((now + rng.random_range(0.05..1.5), id, order.attempt));
                 }
             }
             let done: Vec<_> = out.extract_if(.., |(by, ..)| *by <= now).collect();
-            for (_, id, relay) in done {
+            for (_, id, attempt) in done {
                 let latency = span(rng.random_range(0.05..1.5));
                 let news = match rng.random_range(0..10) {
-                    0 => News::Error,
-                    1 => News::TurnedAway,
-                    _ => News::Completed {
+                    0 => AttemptEvent::Error,
+                    1 => AttemptEvent::Rejected,
+                    _ => AttemptEvent::Completed {
                         cpu: Some(span(latency.secs() * 0.5)),
                         memory_mb: None,
                     },
                 };
-                let settled = matches!(news, News::Completed { .. });
+                let answered = matches!(news, AttemptEvent::Completed { .. });
                 let [a, b] = [&mut plain, &mut lined]
-                    .map(|hall| hall.report(at(now), id, relay, news, latency, settled));
+                    .map(|hall| hall.report(at(now), id, attempt, news, latency, answered));
                 assert_eq!(a, b);
             }
         }
@@ -195,8 +201,11 @@
         (terms.each.statements, terms.all.statements) = (20, 30);
         let mut hall = hall(seed, terms.clone());
         // Ends by statement, and what is out.
-        let (mut ends, mut out, mut next): (BTreeMap<_, Moment>, BTreeMap<_, RelayNo>, u64) =
-            (BTreeMap::new(), BTreeMap::new(), 0);
+        let (mut ends, mut out, mut next): (
+            BTreeMap<_, Timestamp>,
+            BTreeMap<_, AttemptNumber>,
+            u64,
+        ) = (BTreeMap::new(), BTreeMap::new(), 0);
         let (mut now, mut drained, mut denied) = (0.0, false, 0);
         let end = 6.0;
         while now < end + 1.0 {
@@ -205,38 +214,39 @@
                 let id = StatementId(next);
                 next += 1;
                 let budget = rng.random_range(0.1..3.0f64);
-                let wants = Wants {
+                let request = StatementRequest {
                     budget: span(budget),
-                    ..wants(&mut rng)
+                    ..request(&mut rng)
                 };
                 ends.insert(id, at(now + budget));
                 let desk = DeskId(rng.random_range(0..3));
-                if hall.pick(at(now), id, desk, &wants) != Pick::Held {
+                if hall.pick(at(now), id, desk, &request) != Decision::Queued {
                     (denied, _) = (denied + 1, ends.remove(&id).expect("open"));
                 }
             }
             for (id, pick) in hall.tick(at(now)).due {
                 match pick {
-                    Pick::Relay(order) => {
+                    Decision::Forward(order) => {
                         assert!(!drained, "{id:?} sent to a draining engine");
-                        assert!(out.insert(id, order.relay).is_none() && ends.contains_key(&id));
+                        assert!(out.insert(id, order.attempt).is_none() && ends.contains_key(&id));
                     }
-                    Pick::Held => panic!("never due"),
-                    Pick::Deny { come_back } => {
+                    Decision::Queued => panic!("never due"),
+                    Decision::Reject { retry_after } => {
                         assert!(
-                            come_back.is_some_and(|back| back <= span(0.5) && back > Span::ZERO)
+                            retry_after
+                                .is_some_and(|back| back <= span(0.5) && back > TimeDelta::ZERO)
                         );
                         (denied, _) = (denied + 1, ends.remove(&id).expect("a second end"));
                     }
-                    Pick::Scrap => drop(ends.remove(&id).expect("a second end")),
+                    Decision::Fail => drop(ends.remove(&id).expect("a second end")),
                 }
             }
-            for (id, relay) in out.clone() {
+            for (id, attempt) in out.clone() {
                 let over = ends.get(&id).is_none_or(|end| *end <= at(now));
                 let news = if over {
-                    News::TimedOut
+                    AttemptEvent::TimedOut
                 } else {
-                    News::Completed {
+                    AttemptEvent::Completed {
                         cpu: None,
                         memory_mb: None,
                     }
@@ -244,7 +254,7 @@
                 if over || rng.random::<f64>() < 0.05 {
                     out.remove(&id);
                     ends.remove(&id);
-                    hall.report(at(now), id, relay, news, span(0.3), true);
+                    hall.report(at(now), id, attempt, news, span(0.3), true);
                 }
             }
             for (id, end) in &ends {
@@ -255,11 +265,11 @@
                 0 => {
                     drained = !drained;
                     let stage = if drained {
-                        Stage::Draining
+                        EngineStage::Draining
                     } else {
-                        Stage::Ready
+                        EngineStage::Ready
                     };
-                    hall.told_list(at(now), &ListNews::Changes(vec![engine(stage)]));
+                    hall.on_endpoint_update(at(now), &EndpointUpdate::Events(vec![engine(stage)]));
                 }
                 1 => {
                     terms.members.rotate_left(1);
@@ -273,7 +283,7 @@
                 _ => {}
             }
             if now > end - 0.5 && now < end - 0.47 {
-                hall.answer_by(at(end));
+                hall.drain_deadline(at(end));
                 ends.values_mut().for_each(|by| *by = (*by).min(at(end)));
             }
         }
--- a/crates/scheduler/tests/lines.rs
+++ b/crates/scheduler/tests/lines.rs
@@ -11,12 +11,12 @@
 use scheduler::order::{Arena, Frontier, Need, Root};
 use scheduler::*;
 
-fn at(secs: f64) -> Moment {
-    Moment::from_secs(1000.0 + secs)
+fn at(secs: f64) -> Timestamp {
+    Timestamp::from_secs(1000.0 + secs)
 }
 
-fn span(secs: f64) -> Span {
-    Span::from_secs(secs)
+fn span(secs: f64) -> TimeDelta {
+    TimeDelta::from_secs(secs)
 }
 
 fn claim(budget: f64) -> Claim {
@@ -67,17 +67,17 @@
     Entry {
         id: StatementId(id),
         desk: DeskId(desk),
-        product: ProductId(0),
-        place: Place {
-            by: at(by),
+        class: ClassId(0),
+        position: QueuePosition {
+            deadline: at(by),
             id: StatementId(id),
-            over_allowance: false,
+            over_quota: false,
         },
         need: Need {
             cpu,
             memory_mb: 1.0,
         },
-        full_until: at(by),
+        objective_until: at(by),
         useful_until: at(by),
         key: None,
     }
@@ -97,17 +97,17 @@
     lines.round(at(now), 4.0, 1.0);
     let mut out = Vec::new();
     while out.len() < count
-        && let Some(Offer { place, .. }) = lines.next()
+        && let Some(Offer { position, .. }) = lines.next()
     {
-        lines.released(at(now), place.id, lines_cpu(place));
-        out.push(place.id.0);
+        lines.released(at(now), position.id, lines_cpu(position));
+        out.push(position.id.0);
     }
     out
 }
 
 /// By these tests' ids: hundredths of a CPU second behind the thousands.
-fn lines_cpu(place: Place) -> f64 {
-    (place.id.0 % 1000) as f64 / 100.0
+fn lines_cpu(position: QueuePosition) -> f64 {
+    (position.id.0 % 1000) as f64 / 100.0
 }
 
 #[test]
@@ -145,7 +145,7 @@
 #[test]
 fn at_one_desk_the_earliest_hard_limit_leaves_first_over_all_products() {
     let mut lines = Lines::new(at(0.0), terms(&[1.0]), 2, 7);
-    for (id, by, product) in [
+    for (id, by, class) in [
         (1010, 9.0, 0),
         (2010, 3.0, 1),
         (3010, 5.0, 0),
@@ -155,7 +155,7 @@
             &mut lines,
             0.0,
             &Entry {
-                product: ProductId(product),
+                class: ClassId(class),
                 ..entry(id, 0, 0.1, by)
             },
         );
@@ -166,7 +166,7 @@
 #[test]
 fn what_has_no_room_lets_the_cheaper_and_other_products_pass_but_not_the_dearer() {
     let mut lines = Lines::new(at(0.0), terms(&[1.0]), 2, 7);
-    for (id, cpu, by, product) in [
+    for (id, cpu, by, class) in [
         (1, 2.0, 3.0, 0),
         (2, 3.0, 4.0, 0),
         (3, 1.0, 5.0, 0),
@@ -176,21 +176,21 @@
             &mut lines,
             0.0,
             &Entry {
-                product: ProductId(product),
+                class: ClassId(class),
                 ..entry(id, 0, cpu, by)
             },
         );
     }
     lines.round(at(0.1), 4.0, 1.0);
     let mut asked = Vec::new();
-    while let Some(Offer { place, .. }) = lines.next() {
-        asked.push(place.id.0);
-        lines.refused(place.id, false, at(10.0));
+    while let Some(Offer { position, .. }) = lines.next() {
+        asked.push(position.id.0);
+        lines.refused(position.id, false, at(10.0));
     }
     assert_eq!(asked, [1, 3, 4]);
     // The next round asks anew.
     lines.round(at(0.2), 4.0, 1.0);
-    assert_eq!(lines.next().unwrap().place.id.0, 1);
+    assert_eq!(lines.next().unwrap().position.id.0, 1);
 }
 
 #[test]
@@ -225,11 +225,11 @@
     waits(&mut lines, 0.2, &entry(2010, 0, 0.1, 30.0));
     waits(&mut lines, 0.2, &entry(3010, 1, 0.1, 40.0));
     lines.round(at(0.9), 4.0, 1.0);
-    assert_eq!(lines.next().unwrap().place.id.0, 3010);
+    assert_eq!(lines.next().unwrap().position.id.0, 3010);
     // An outcome that cost much less than was charged gives the rest back.
     lines.came_to(at(0.9), StatementId(1900), Some(0.1));
     lines.round(at(0.95), 4.0, 1.0);
-    assert_eq!(lines.next().unwrap().place.id.0, 2010);
+    assert_eq!(lines.next().unwrap().position.id.0, 2010);
 }
 
 #[test]
@@ -278,9 +278,9 @@
     waits(&mut lines, 0.0, &entry(3010, 0, 0.1, 20.0));
     lines.round(at(0.1), 4.0, 1.0);
     // Its turn is not there yet, which says nothing of room: the other is asked about all the same.
-    assert_eq!(lines.next().unwrap().place.id.0, 1010);
+    assert_eq!(lines.next().unwrap().position.id.0, 1010);
     lines.refused(StatementId(1010), false, at(9.0));
-    assert_eq!(lines.next().unwrap().place.id.0, 3010);
+    assert_eq!(lines.next().unwrap().position.id.0, 3010);
     assert_eq!(release(&mut lines, 0.2, 9), [1010, 2010, 3010]);
     assert!(lines.is_empty());
 }
@@ -329,12 +329,12 @@
     let mut enter = |lines: &mut Lines, now: f64, useful_until: f64| {
         id += 1;
         let entry = entry(id * 1000 + 10, 0, 0.1, 100.0 + id as f64);
-        let full_until = at(useful_until);
+        let objective_until = at(useful_until);
         lines
             .enter(
                 at(now),
                 &Entry {
-                    full_until,
+                    objective_until,
                     ..entry
                 },
             )
@@ -358,7 +358,7 @@
     let Entered::TurnedAway { back } = enter(&mut lines, 2.0, 4.0) else {
         panic!("it sits there beyond its use")
     };
-    // Twice the 90th percentile must fit into what is left until its quoted time.
+    // Twice the 90th percentile must fit into what is left until its latency objective.
     assert!((3.0..12.0).contains(&back.secs()), "{back:?}");
 }
 
@@ -482,17 +482,17 @@
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let (mut arena, mut root, mut plain) = (Arena::new(seed), Root::default(), BTreeMap::new());
         for step in 0..300u64 {
-            let place = Place {
-                by: at(rng.random_range(0..40) as f64),
+            let position = QueuePosition {
+                deadline: at(rng.random_range(0..40) as f64),
                 id: StatementId(step),
-                over_allowance: false,
+                over_quota: false,
             };
             let need = Need {
                 cpu: rng.random_range(1..20) as f64,
                 memory_mb: rng.random_range(1..20) as f64,
             };
-            arena.insert(&mut root, place, need);
-            plain.insert(place, need);
+            arena.insert(&mut root, position, need);
+            plain.insert(position, need);
             if rng.random::<f64>() < 0.45 {
                 let at = *plain.keys().nth(rng.random_range(0..plain.len())).unwrap();
                 plain.remove(&at);
@@ -511,11 +511,11 @@
                 .find(|(_, need)| frontier.may_have_room(**need));
             assert_eq!(
                 arena.first_with_room(root, &frontier),
-                first.map(|(place, need)| (*place, *need))
+                first.map(|(position, need)| (*position, *need))
             );
-            let before: Vec<_> = plain.range(..place).map(|(_, need)| need.cpu).collect();
+            let before: Vec<_> = plain.range(..position).map(|(_, need)| need.cpu).collect();
             assert_eq!(
-                arena.ahead(root, place),
+                arena.ahead(root, position),
                 (before.len() as u32, before.iter().sum())
             );
             assert_eq!(
@@ -567,13 +567,13 @@
                     rng.random_range(0..teams as u32),
                     rng.random_range(0.01..2.0),
                 );
-                let place = Place {
-                    by: at(now + 1000.0),
+                let position = QueuePosition {
+                    deadline: at(now + 1000.0),
                     id: StatementId(id),
-                    over_allowance: false,
+                    over_quota: false,
                 };
                 let entry = Entry {
-                    place,
+                    position,
                     useful_until: at(now + 900.0),
                     ..entry(id, desk, cpu, 0.0)
                 };
@@ -594,8 +594,8 @@
             }
             // Room for what costs up to this much.
             let (mut room, mut dearest) = (rng.random_range(0.0..1.0), f64::INFINITY);
-            while let Some(Offer { place, .. }) = lines.next() {
-                let (desk, cpu, _) = here[&place.id.0];
+            while let Some(Offer { position, .. }) = lines.next() {
+                let (desk, cpu, _) = here[&position.id.0];
                 let waited = |of: &u32| since.get(of).map_or(0.0, |since| now - since);
                 // A desk whose first was passed over for half a second is asked before all that waited less.
                 let hopeful = |of: &u32| {
@@ -610,14 +610,14 @@
                     "{desk} before {aged:?}"
                 );
                 if cpu > room {
-                    lines.refused(place.id, false, at(now + 900.0));
+                    lines.refused(position.id, false, at(now + 900.0));
                     dearest = dearest.min(cpu);
                     continue;
                 }
                 room -= cpu;
-                assert!(lines.released(at(now), place.id, cpu).is_some());
-                here.remove(&place.id.0);
-                out.push(place.id);
+                assert!(lines.released(at(now), position.id, cpu).is_some());
+                here.remove(&position.id.0);
+                out.push(position.id);
                 since.insert(desk, now);
                 if !here.values().any(|(of, ..)| *of == desk) {
                     since.remove(&desk);
@@ -668,7 +668,7 @@
         waits(&mut lines, 0.0, &entry(id, id as u32 % 2, 1.0, 100.0));
     }
     assert!(lines.past(at(3.0)).is_empty());
-    lines.answer_by(at(3.0));
+    lines.drain_deadline(at(3.0));
     assert!(lines.past(at(2.9)).is_empty());
     assert_eq!(lines.past(at(3.0)).len(), 4);
 }
@@ -685,7 +685,7 @@
         waits(&mut lines, 0.0, &entry(2100, 0, 1.0, 60.0));
         lines.round(at(0.75), 4.0, carries);
         assert_eq!(
-            lines.next().map(|offer| !offer.lent),
+            lines.next().map(|offer| !offer.borrowed),
             Some(owed),
             "{carries}"
         );
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -21,24 +21,24 @@
 #[derive(Debug, PartialEq)]
 pub struct Settings(BTreeMap<String, String>);
 
-/// How relays reach engines.
+/// How attempts reach engines.
 #[derive(Clone, Copy, Debug)]
 pub struct Links {
-    pub connect_timeout: Span,
-    pub idle: Span,
-    /// Relays that one connection carries at the same time.
+    pub connect_timeout: TimeDelta,
+    pub idle: TimeDelta,
+    /// Attempts that one connection carries at the same time.
     pub multiplex: usize,
 }
 
 /// The longest time that what has left a gateway is on its way to an engine. A repeat must be there while the engine
 /// still knows the first one, so windows of repeats are this much shorter for who sends.
 #[derive(Clone, Copy, Debug)]
-pub struct Way(pub Span);
+pub struct Way(pub TimeDelta);
 
 impl Way {
     /// Of a short window no more than a tenth is taken: the rest of the way it bears by being short.
-    fn within(self, window: Span) -> Span {
-        window - Span::from_secs(self.0.secs().min(window.secs() * 0.1))
+    fn within(self, window: TimeDelta) -> TimeDelta {
+        window - TimeDelta::from_secs(self.0.secs().min(window.secs() * 0.1))
     }
 }
 
@@ -84,11 +84,11 @@
         }
     }
 
-    fn span(&self, key: &str) -> Result<Option<Span>, SettingsError> {
-        Ok(self.number(key)?.map(Span::from_secs))
+    fn span(&self, key: &str) -> Result<Option<TimeDelta>, SettingsError> {
+        Ok(self.number(key)?.map(TimeDelta::from_secs))
     }
 
-    fn need_span(&self, key: &str) -> Result<Span, SettingsError> {
+    fn need_span(&self, key: &str) -> Result<TimeDelta, SettingsError> {
         self.span(key)?
             .ok_or_else(|| SettingsError::Missing(key.into()))
     }
@@ -137,16 +137,16 @@
             .map(Some)
     }
 
-    fn product(&self, at: usize, threads: f64, way: Way) -> Result<Product, SettingsError> {
+    fn class(&self, at: usize, threads: f64, way: Way) -> Result<QueryClass, SettingsError> {
         let key = |name: &str| format!("Grades.{at}.{name}");
         let effect = match self.need::<String>(&key("Effect"))?.as_str() {
             "safe" => Effect::Idempotent,
-            "unsafe" => Effect::Unrepeatable,
-            "keyed" => Effect::Deduplicated {
-                group: match self.need::<String>(&key("KeyScope"))?.as_str() {
-                    "all" => RepeatGroup::All,
-                    "zone" => RepeatGroup::Location,
-                    "cell" => RepeatGroup::Cell,
+            "unsafe" => Effect::NonIdempotent,
+            "keyed" => Effect::IdempotentByKey {
+                scope: match self.need::<String>(&key("KeyScope"))?.as_str() {
+                    "all" => DeduplicationScope::All,
+                    "zone" => DeduplicationScope::Location,
+                    "cell" => DeduplicationScope::Cell,
                     other => {
                         return Err(SettingsError::Unreadable {
                             key: key("KeyScope"),
@@ -154,7 +154,7 @@
                         });
                     }
                 },
-                remembered: way.within(self.need_span(&key("WindowS"))?),
+                window: way.within(self.need_span(&key("WindowS"))?),
             },
             other => {
                 return Err(SettingsError::Unreadable {
@@ -164,15 +164,15 @@
             }
         };
         let places = |name: &str, names: &str| self.places(&key(name), names);
-        Ok(Product {
+        Ok(QueryClass {
             effect,
-            gain: self.number(&key("Credit"))?.unwrap_or(1.0),
-            late_gain: self.number(&key("LateWorth"))?.unwrap_or(0.0),
-            quoted: self.need_span(&key("GoalTimeS"))?,
-            quoted_stretch: self.number(&key("AimStretch"))?.unwrap_or(0.0),
-            hard_limit: self.need_span(&key("GiveUpS"))?,
+            priority_weight: self.number(&key("Credit"))?.unwrap_or(1.0),
+            late_priority_weight: self.number(&key("LateWorth"))?.unwrap_or(0.0),
+            latency_objective: self.need_span(&key("GoalTimeS"))?,
+            latency_objective_stretch: self.number(&key("AimStretch"))?.unwrap_or(0.0),
+            time_limit: self.need_span(&key("GiveUpS"))?,
             threads,
-            in_turn: self.may(&key("InTurn"))?.unwrap_or(false),
+            ordered_by_key: self.may(&key("InTurn"))?.unwrap_or(false),
             locations: places("ZonesOnly", "Zones")?
                 .map(|of| of.into_iter().map(LocationId).collect()),
             machines: places("MachineTypesAllowed", "MachineTypes")?
@@ -193,77 +193,85 @@
             .collect()
     }
 
-    /// `way`: what a relay may take to its engine.
+    /// `way`: what an attempt may take to its engine.
     pub fn policy(&self, seed: u64, way: Way) -> Result<Policy, SettingsError> {
         let threads = self.numbers("Extra.Parallelism")?;
         let count: usize = self.need("Grades.count")?;
         let thread = |at: usize| threads.get(at).copied().unwrap_or(1.0).max(1.0);
-        let products = (0..count)
-            .map(|at| self.product(at, thread(at), way))
+        let classes = (0..count)
+            .map(|at| self.class(at, thread(at), way))
             .collect::<Result<Vec<_>, _>>()?;
         let tenants: usize = self.may("Tenants.count")?.unwrap_or(0);
-        let allowance = |at: usize| {
+        let quota = |at: usize| {
             Ok(self
                 .number(&format!("Tenants.{at}.AllowancePerS"))?
                 .unwrap_or(0.0))
         };
-        let tenancy = Tenancy {
-            allowances: (0..tenants)
-                .map(allowance)
+        let tenancy = TenantQuotas {
+            quotas: (0..tenants)
+                .map(quota)
                 .collect::<Result<_, SettingsError>>()?,
-            over_gain: self.number("OverShareWorth")?.unwrap_or(1.0),
+            over_quota_weight: self.number("OverShareWorth")?.unwrap_or(1.0),
         };
-        let fleet = Fleet {
+        let fleet = FleetConfig {
             peers: self.peers()?,
             cores: self.numbers("Extra.KindCores")?,
             memory_mb: self.numbers("Extra.MemoryByKindMb")?,
-            note_pace: self
+            progress_interval: self
                 .span("Extra.ProgressPaceS")?
-                .filter(|pace| *pace > Span::ZERO),
-            ranks_heeded: self.may("Extra.RanksHeeded")?.unwrap_or(false),
+                .filter(|pace| *pace > TimeDelta::ZERO),
+            priorities_honored: self.may("Extra.RanksHeeded")?.unwrap_or(false),
             idle: self
                 .span("Limits.ConnIdleS")?
-                .filter(|idle| *idle > Span::ZERO),
+                .filter(|idle| *idle > TimeDelta::ZERO),
         };
         let cold = match self.number("Rules.StartCapacity")? {
             None => None,
-            Some(share) => Some(ColdStart {
-                share,
-                warm_after: self.need_span("Rules.ColdS")?,
-                multiple: self.number("Rules.TipMultiple")?.unwrap_or(1.0),
+            Some(initial_share) => Some(SlowStart {
+                initial_share,
+                warm_up: self.need_span("Rules.ColdS")?,
+                overload_multiple: self.number("Rules.TipMultiple")?.unwrap_or(1.0),
                 window: self
                     .span("Rules.TipAfterS")?
-                    .unwrap_or(Span::from_secs(1.0)),
+                    .unwrap_or(TimeDelta::from_secs(1.0)),
             }),
         };
-        let ration = match self.span("Rules.ResendSpanS")? {
+        let retry_budget = match self.span("Rules.ResendSpanS")? {
             None => None,
-            Some(window) => Some(Ration {
-                free: self.number("Rules.ExtraFree")?.unwrap_or(0.0),
-                share: self.number("Rules.BudgetShare")?.unwrap_or(0.0),
+            Some(window) => Some(RetryBudget {
+                min_retries: self.number("Rules.ExtraFree")?.unwrap_or(0.0),
+                ratio: self.number("Rules.BudgetShare")?.unwrap_or(0.0),
                 window,
             }),
         };
-        let come_back = self.may("Limits.RetryAfter")?.unwrap_or(false);
-        let relaying = Relaying {
-            most: self.may("Limits.MaxAttempts")?.unwrap_or(1),
-            cancel: self.may("Limits.Cancel")?.unwrap_or(false),
-            come_back: self.span("Limits.MaxRetryAfterS")?.filter(|_| come_back),
-            settle: self.span("Rules.OrderSettleS")?.unwrap_or(Span::ZERO),
-            ration,
+        let tells_retry_after = self.may("Limits.RetryAfter")?.unwrap_or(false);
+        let retry_policy = RetryPolicy {
+            max_attempts: self.may("Limits.MaxAttempts")?.unwrap_or(1),
+            can_cancel: self.may("Limits.Cancel")?.unwrap_or(false),
+            max_retry_after: self
+                .span("Limits.MaxRetryAfterS")?
+                .filter(|_| tells_retry_after),
+            order_settle: self.span("Rules.OrderSettleS")?.unwrap_or(TimeDelta::ZERO),
+            retry_budget,
         };
-        let listing = Listing {
+        let discovery = DiscoveryMode {
             on_request: self.may::<String>("Discovery")?.as_deref() == Some("on_request"),
-            ask_within: self
+            request_within: self
                 .span("Rules.AskWithinS")?
-                .unwrap_or(Span::from_secs(10.0)),
+                .unwrap_or(TimeDelta::from_secs(10.0)),
         };
         Ok(Policy::new(
-            seed, products, tenancy, fleet, cold, relaying, listing,
+            seed,
+            classes,
+            tenancy,
+            fleet,
+            cold,
+            retry_policy,
+            discovery,
         ))
     }
 
-    pub fn products(&self) -> usize {
+    pub fn classes(&self) -> usize {
         self.may("Grades.count").ok().flatten().unwrap_or(0)
     }
 
@@ -274,7 +282,7 @@
             .collect()
     }
 
-    pub fn product_names(&self) -> Result<Vec<String>, SettingsError> {
+    pub fn class_names(&self) -> Result<Vec<String>, SettingsError> {
         self.names("Grades")
     }
 
@@ -302,12 +310,12 @@
         })
     }
 
-    /// The longest hard limit of any product.
-    pub fn longest_hard_limit(&self) -> Result<Span, SettingsError> {
+    /// The longest deadline of any query class.
+    pub fn longest_deadline(&self) -> Result<TimeDelta, SettingsError> {
         let limit = |at: usize| self.need_span(&format!("Grades.{at}.GiveUpS"));
-        (0..self.products())
+        (0..self.classes())
             .map(limit)
-            .try_fold(Span::ZERO, |most, limit| Ok(most.max(limit?)))
+            .try_fold(TimeDelta::ZERO, |most, limit| Ok(most.max(limit?)))
     }
 
     /// Gateways before the same engines, this one among them.
--- a/crates/settings/tests/forms.rs
+++ b/crates/settings/tests/forms.rs
@@ -1,9 +1,9 @@
 //! Both forms of the same settings read alike, and what is missing or unreadable is named.
 
-use admission::interface::Span;
+use admission::interface::TimeDelta;
 use settings::{Settings, Way};
 
-const WAY: Way = Way(Span::ZERO);
+const WAY: Way = Way(TimeDelta::ZERO);
 
 const LINES: &str = "Discovery=pushed\nExtra.Bills=true\nExtra.KindCores=8,16\nExtra.Notes=a_b__c\n\
     Extra.Parallelism=1,2\nGrades.count=2\nGrades.0.Name=point\nGrades.0.Effect=safe\nGrades.0.GoalTimeS=0.5\n\
@@ -28,9 +28,9 @@
         Settings::from_json(&serde_json::from_str(JSON).unwrap()),
     );
     assert_eq!(lines, json);
-    assert_eq!(json.product_names().unwrap(), ["point", "load"]);
+    assert_eq!(json.class_names().unwrap(), ["point", "load"]);
     assert_eq!(
-        (json.tenant_names().unwrap(), json.products()),
+        (json.tenant_names().unwrap(), json.classes()),
         (vec!["water".to_owned()], 2)
     );
     assert_eq!(
@@ -77,42 +77,42 @@
 #[test]
 fn windows_of_repeats_are_shorter_by_the_way() {
     use admission::interface::*;
-    let at = Moment::from_secs;
+    let at = Timestamp::from_secs;
     for (window, way, left) in [("5.0", 0.0, 5.0), ("5.0", 0.05, 4.95), ("0.2", 0.05, 0.18)] {
         let lines = LINES.replace(
             "Grades.1.WindowS=5.0",
             &format!("Grades.1.WindowS={window}"),
         );
         let policy = Settings::from_lines(&lines)
-            .policy(1, Way(Span::from_secs(way)))
+            .policy(1, Way(TimeDelta::from_secs(way)))
             .unwrap();
-        let relay = Relay {
+        let attempt = Attempt {
             engine: EngineId(1),
             location: LocationId(0),
             cell: CellId(0),
             sent: at(10.0),
-            charge: Span::ZERO,
+            charge: TimeDelta::ZERO,
             threads: 1.0,
             memory_mb: 0.0,
-            rank: 0,
-            trial: false,
-            state: RelayState::MayHaveRun,
+            priority: 0,
+            outlier_probe: false,
+            state: AttemptState::MayHaveRun,
         };
         let statement = Statement {
             id: StatementId(1),
-            product: ProductId(1),
+            class: ClassId(1),
             tenant: TenantId(0),
-            group: GroupId(0),
+            group: TableGroupId(0),
             estimate: None,
             memory_mb: 0.0,
             key: None,
-            marked: true,
-            lent: false,
-            taken: at(10.0),
-            hard_limit: at(19.0),
-            held_since: at(10.0),
-            place: None,
-            relays: vec![relay],
+            has_idempotency_key: true,
+            borrowed: false,
+            received: at(10.0),
+            deadline: at(19.0),
+            waiting_since: at(10.0),
+            queue_position: None,
+            attempts: vec![attempt],
         };
         assert_eq!(
             policy.repeat_until(&statement),
--- a/crates/simulator/examples/membership.rs
+++ b/crates/simulator/examples/membership.rs
@@ -2,7 +2,7 @@
 
 use std::time::Instant;
 
-use membership::{Bounds, Gateway, Name, Place, Ring, Terms};
+use membership::{Bounds, Gateway, Locality, Name, Ring, Terms};
 use simulator::mesh::{KEY, Mesh, address, name};
 
 const SEED: u64 = 61;
@@ -18,7 +18,7 @@
             ..Terms::default()
         };
         let named = |text: String| Some(Name::new(&text).expect("a name"));
-        let place = Place {
+        let locality = Locality {
             zone: named(format!("zone-{}", at % 8)),
             region: named(format!("region-{}", at % 4)),
         };
@@ -32,7 +32,7 @@
             fleet,
             name(at),
             address(at),
-            place,
+            locality,
             seeds,
             ring.clone(),
             terms,
--- a/crates/simulator/src/control/command.rs
+++ b/crates/simulator/src/control/command.rs
@@ -4,8 +4,8 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
+use ::membership::Terms;
 use clap::{Args, ValueEnum};
-use membership::Terms;
 use serde::{Deserialize, Serialize};
 
 use crate::control::coordinator::{self, Change, ChangeSpent};
--- a/crates/simulator/src/control/coordinator.rs
+++ b/crates/simulator/src/control/coordinator.rs
@@ -167,7 +167,7 @@
 }
 
 fn coordinator(mesh: &Parts) -> Option<usize> {
-    let now = admission::interface::Moment::from_secs(mesh.now);
+    let now = admission::interface::Timestamp::from_secs(mesh.now);
     mesh.lives()
         .into_iter()
         .take(quota::terms::MOST_VOTERS)
@@ -178,7 +178,7 @@
 }
 
 fn coordinator_number(mesh: &Parts, at: usize) -> Option<u64> {
-    let now = admission::interface::Moment::from_secs(mesh.now);
+    let now = admission::interface::Timestamp::from_secs(mesh.now);
     let part = &mesh.peer(at)?.peer;
     part.shares
         .core()
@@ -187,7 +187,7 @@
 }
 
 fn lease_number(mesh: &Parts, at: usize) -> Option<u64> {
-    let now = admission::interface::Moment::from_secs(mesh.now);
+    let now = admission::interface::Timestamp::from_secs(mesh.now);
     let part = &mesh.peer(at)?.peer;
     part.shares
         .core()
--- a/crates/simulator/src/control/ledger.rs
+++ b/crates/simulator/src/control/ledger.rs
@@ -4,9 +4,9 @@
 
 use std::time::Duration;
 
-use admission::interface::{Moment, Span};
+use admission::interface::{TimeDelta, Timestamp};
 use membership::letter::{self, Body, Letter, View};
-use membership::{Incarnation, Life, Name, Place, Record, Ring, State};
+use membership::{Incarnation, Life, Locality, Name, Record, Ring, State};
 use quota::core::Core;
 use quota::word::{Ask, Count, Need, Word};
 use quota::{Amount, Budget, Terms, Use, Who};
@@ -105,7 +105,7 @@
 }
 
 struct Ledger {
-    now: Moment,
+    now: Timestamp,
     core: Core,
     terms: Terms,
     askers: Vec<Asker>,
@@ -171,7 +171,7 @@
     fn new(plan: &Plan) -> Self {
         let terms = terms(plan.holders, plan.budgets);
         let mut rng = Pcg64Mcg::seed_from_u64(plan.seed);
-        let now = Moment::from_secs(0.0);
+        let now = Timestamp::from_secs(0.0);
         let core = Core::new(now, who(0), terms.clone(), plan.seed);
         let asker = |at: usize| Asker {
             who: who(at),
@@ -194,12 +194,12 @@
     /// Waits out the promise of an earlier life, is chosen, and waits out the leases of an earlier coordinator.
     fn be_chosen(&mut self) {
         let full = self.terms.term.secs() + self.terms.lease.secs() + 2.0;
-        while self.now < Moment::from_secs(full) {
+        while self.now < Timestamp::from_secs(full) {
             self.advance(self.terms.renew);
         }
     }
 
-    fn advance(&mut self, by: Span) {
+    fn advance(&mut self, by: TimeDelta) {
         self.now = self.now + by;
         if self.core.due() > self.now {
             return;
@@ -255,7 +255,7 @@
 
     /// One asks, when its turn in the renewal has come.
     fn question(&mut self, at: usize, measured: &mut Measured) {
-        self.advance(Span::from_secs(
+        self.advance(TimeDelta::from_secs(
             self.terms.renew.secs() / self.askers.len() as f64,
         ));
         let asker = &mut self.askers[at];
@@ -265,7 +265,7 @@
             count: asker.count,
             holds,
             leaves: false,
-            clock_ms: ((self.now - Moment::from_secs(0.0)).secs() * 1e3) as u64,
+            clock_ms: ((self.now - Timestamp::from_secs(0.0)).secs() * 1e3) as u64,
             needs: asked(&self.terms, asker),
         });
         let bytes = question.bytes();
@@ -349,7 +349,7 @@
 impl Frame {
     fn new() -> Self {
         let part = |text: &str| Name::new(text).expect("a name");
-        let place = Place {
+        let locality = Locality {
             zone: Some(part("zone-1")),
             region: Some(part("region-1")),
         };
@@ -358,7 +358,7 @@
             life: who(1).life,
             incarnation: Incarnation(1),
             address: address(1),
-            place,
+            locality,
             state: State::Alive,
         };
         Frame {
--- a/crates/simulator/src/control/measured.rs
+++ b/crates/simulator/src/control/measured.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use admission::interface::Moment;
+use admission::interface::Timestamp;
 use membership::Datagram;
 use rustix::time::{ClockId, clock_gettime};
 
@@ -51,7 +51,7 @@
 }
 
 impl<P: Peer> Peer for Measured<P> {
-    fn receive(&mut self, now: Moment, from: SocketAddr, bytes: &[u8]) {
+    fn receive(&mut self, now: Timestamp, from: SocketAddr, bytes: &[u8]) {
         let cost = self.cost.get_mut();
         cost.received += 1;
         cost.received_bytes += bytes.len() as u64;
@@ -60,13 +60,13 @@
         self.spent_since(began);
     }
 
-    fn turn(&mut self, now: Moment) {
+    fn turn(&mut self, now: Timestamp) {
         let began = thread_cpu();
         self.peer.turn(now);
         self.spent_since(began);
     }
 
-    fn due(&self) -> Moment {
+    fn due(&self) -> Timestamp {
         let began = thread_cpu();
         let due = self.peer.due();
         self.spent_since(began);
@@ -89,7 +89,7 @@
         self.peer.died()
     }
 
-    fn leave(&mut self, now: Moment) {
+    fn leave(&mut self, now: Timestamp) {
         self.peer.leave(now);
     }
 }
--- a/crates/simulator/src/engine.rs
+++ b/crates/simulator/src/engine.rs
@@ -14,11 +14,11 @@
     Down,
 }
 
-/// A relay that runs.
+/// An attempt that runs.
 #[derive(Clone, Copy, Debug)]
 pub struct Run {
     pub statement: u64,
-    pub relay: u16,
+    pub attempt: u16,
     pub cpu: f64,
     pub threads: f64,
     pub memory_mb: f64,
@@ -125,7 +125,7 @@
             && f64::from_bits(*mark) <= self.done + 1e-9
         {
             let (_, run) = self.runs.pop_first().expect("just seen");
-            self.marks.remove(&(run.statement, run.relay));
+            self.marks.remove(&(run.statement, run.attempt));
             (self.threads, self.memory_mb) =
                 (self.threads - run.threads, self.memory_mb - run.memory_mb);
             ended.push(run);
@@ -137,7 +137,7 @@
         ended
     }
 
-    /// Takes a relay. True: it was cold, had too much, and falls over with all it has.
+    /// Takes an attempt. True: it was cold, had too much, and falls over with all it has.
     pub fn take(&mut self, now: f64, run: Run) -> bool {
         self.advance(now);
         self.turn += 1;
@@ -145,7 +145,7 @@
         self.next += 1;
         (self.threads, self.memory_mb) =
             (self.threads + run.threads, self.memory_mb + run.memory_mb);
-        self.marks.insert((run.statement, run.relay), mark);
+        self.marks.insert((run.statement, run.attempt), mark);
         self.runs.insert(mark, run);
         let warmth = self.warmth(now);
         if warmth >= 1.0 {
@@ -158,15 +158,15 @@
         sent > self.of.tip_multiple * warmth * self.of.cores * self.of.tip_s * CHANCE
     }
 
-    pub fn runs(&self, statement: u64, relay: u16) -> Option<&Run> {
-        self.runs.get(self.marks.get(&(statement, relay))?)
+    pub fn runs(&self, statement: u64, attempt: u16) -> Option<&Run> {
+        self.runs.get(self.marks.get(&(statement, attempt))?)
     }
 
     /// The part of a run that is done.
     pub fn share(&self, run: &Run) -> f64 {
         let mark = self
             .marks
-            .get(&(run.statement, run.relay))
+            .get(&(run.statement, run.attempt))
             .map_or(0, |mark| mark.0);
         1.0 - ((f64::from_bits(mark) - self.done) / (run.cpu / run.threads)).clamp(0.0, 1.0)
     }
--- a/crates/simulator/src/figures.rs
+++ b/crates/simulator/src/figures.rs
@@ -24,7 +24,7 @@
 }
 
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Product {
+pub struct QueryClass {
     pub asked: u64,
     pub served_in_time: u64,
     pub share_in_time: f64,
@@ -50,13 +50,14 @@
     pub statements: u64,
     pub completed: u64,
     pub denied: u64,
-    /// Of the denied, those denied within 50 ms of their taking.
+    /// Of the rejected, those rejected within 50 ms of their taking.
     pub denied_at_once: u64,
     pub scrapped: u64,
     /// Lost with their gateway, which was killed.
     pub died: u64,
-    pub relays: u64,
-    /// Relays that brought no answer in their time.
+    #[serde(rename = "relays")]
+    pub attempts: u64,
+    /// Attempts that brought no answer in their time.
     pub timed_out: u64,
     /// Connections opened to engines, and the most that stood at one engine at a time.
     pub handshakes: u64,
@@ -79,7 +80,8 @@
     pub worst_member_of_fair: f64,
     pub longest_passed_over_ms: f64,
     pub members: BTreeMap<String, Member>,
-    pub products: BTreeMap<String, Product>,
+    #[serde(rename = "products")]
+    pub classes: BTreeMap<String, QueryClass>,
     pub simulated_s: f64,
 }
 
@@ -89,7 +91,7 @@
     pub at: f64,
     pub gateway: usize,
     pub desk: u32,
-    pub product: usize,
+    pub class: usize,
     pub told: f64,
     pub p90: f64,
     pub real: f64,
--- a/crates/simulator/src/front.rs
+++ b/crates/simulator/src/front.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use admission::interface::*;
-use dispatch::{Dispatch, Pick, Tick, Verdict, Wants};
+use dispatch::{Decision, Dispatcher, FollowUp, StatementRequest, Tick};
 use scheduler::{DeskId, Hall, Lines, Terms, Wait};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -37,25 +37,31 @@
 impl Front {
     pub fn new(
         policy: Policy,
-        dispatch: Dispatch,
+        dispatch: Dispatcher,
         terms: Option<&Terms>,
-        products: usize,
+        classes: usize,
         seed: u64,
     ) -> Self {
-        let now = Moment::from_secs(0.0);
+        let now = Timestamp::from_secs(0.0);
         match (policy, terms) {
             (Policy::RoundRobin, Some(terms)) => {
                 Front::Turns(Box::new(Turns::new(dispatch, terms)))
             }
             (Policy::Queues, Some(terms)) => Front::Hall(Box::new(Hall::new(
                 dispatch,
-                Some(Lines::new(now, terms.clone(), products, seed)),
+                Some(Lines::new(now, terms.clone(), classes, seed)),
             ))),
             _ => Front::Hall(Box::new(Hall::new(dispatch, None))),
         }
     }
 
-    pub fn pick(&mut self, now: Moment, id: StatementId, desk: DeskId, wants: &Wants) -> Pick {
+    pub fn pick(
+        &mut self,
+        now: Timestamp,
+        id: StatementId,
+        desk: DeskId,
+        wants: &StatementRequest,
+    ) -> Decision {
         match self {
             Front::Hall(hall) => hall.pick(now, id, desk, wants),
             Front::Turns(turns) => turns.pick(now, id, desk, wants),
@@ -64,32 +70,32 @@
 
     pub fn report(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         id: StatementId,
-        relay: RelayNo,
-        news: News,
-        latency: Span,
+        attempt: AttemptNumber,
+        news: AttemptEvent,
+        latency: TimeDelta,
         settled: bool,
-    ) -> Verdict {
+    ) -> FollowUp {
         match self {
-            Front::Hall(hall) => hall.report(now, id, relay, news, latency, settled),
+            Front::Hall(hall) => hall.report(now, id, attempt, news, latency, settled),
             Front::Turns(turns) => turns
                 .dispatch
-                .report(now, id, relay, news, latency, settled),
+                .report(now, id, attempt, news, latency, settled),
         }
     }
 
-    pub fn tick(&mut self, now: Moment) -> Tick {
+    pub fn tick(&mut self, now: Timestamp) -> Tick {
         match self {
             Front::Hall(hall) => hall.tick(now),
             Front::Turns(turns) => turns.tick(now),
         }
     }
 
-    pub fn told_list(&mut self, now: Moment, news: &ListNews) {
+    pub fn on_endpoint_update(&mut self, now: Timestamp, news: &EndpointUpdate) {
         match self {
-            Front::Hall(hall) => hall.told_list(now, news),
-            Front::Turns(turns) => turns.dispatch.told_list(now, news),
+            Front::Hall(hall) => hall.on_endpoint_update(now, news),
+            Front::Turns(turns) => turns.dispatch.on_endpoint_update(now, news),
         }
     }
 
@@ -110,15 +116,15 @@
 
 /// Members in turn, one statement each, in the order they came; no budgets, no estimates.
 pub struct Turns {
-    dispatch: Dispatch,
+    dispatch: Dispatcher,
     member_of: Vec<usize>,
     lines: Vec<VecDeque<StatementId>>,
     next: usize,
-    useful: BTreeMap<StatementId, Moment>,
+    useful: BTreeMap<StatementId, Timestamp>,
 }
 
 impl Turns {
-    fn new(dispatch: Dispatch, terms: &Terms) -> Self {
+    fn new(dispatch: Dispatcher, terms: &Terms) -> Self {
         let desks = terms
             .members
             .iter()
@@ -134,19 +140,25 @@
         }
     }
 
-    fn pick(&mut self, now: Moment, id: StatementId, desk: DeskId, wants: &Wants) -> Pick {
-        if let Some((_, forecast)) = self.dispatch.enter(now, id, wants, |_| false) {
+    fn pick(
+        &mut self,
+        now: Timestamp,
+        id: StatementId,
+        desk: DeskId,
+        wants: &StatementRequest,
+    ) -> Decision {
+        if let Some((_, forecast)) = self.dispatch.register(now, id, wants, |_| false) {
             self.lines[self.member_of[desk.0 as usize]].push_back(id);
             self.useful.insert(id, forecast.useful_until);
         }
-        Pick::Held
+        Decision::Queued
     }
 
-    fn tick(&mut self, now: Moment) -> Tick {
+    fn tick(&mut self, now: Timestamp) -> Tick {
         let mut due = Vec::new();
-        for place in self.dispatch.line() {
-            let pick = self.dispatch.ask(now, place.id);
-            if pick != Pick::Held {
+        for place in self.dispatch.queue_positions() {
+            let pick = self.dispatch.place(now, place.id);
+            if pick != Decision::Queued {
                 due.push((place.id, pick));
             }
         }
@@ -158,7 +170,7 @@
             .collect();
         for id in past {
             let pick = self.dispatch.offer(now, id, false);
-            if pick != Pick::Held {
+            if pick != Decision::Queued {
                 self.lines
                     .iter_mut()
                     .for_each(|line| line.retain(|other| *other != id));
@@ -176,7 +188,7 @@
                 continue;
             };
             let pick = self.dispatch.offer(now, id, false);
-            if pick == Pick::Held {
+            if pick == Decision::Queued {
                 none += 1;
                 continue;
             }
@@ -185,11 +197,15 @@
             self.useful.remove(&id);
             due.push((id, pick));
         }
-        let (probe, list, wait) = self.dispatch.rest(now, self.useful.len());
+        let Wakeup {
+            wait,
+            probe,
+            discovery,
+        } = self.dispatch.end_turn(now, self.useful.len());
         Tick {
             due,
             probe,
-            list,
+            discovery,
             wait,
         }
     }
--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -127,7 +127,7 @@
             m.worst_of_fair
         );
     }
-    for (name, p) in &outcome.figures.products {
+    for (name, p) in &outcome.figures.classes {
         println!(
             "  {name:<14} asked {:>7}  in time {:.4}  before p50 {:.0} p90 {:.0} ms  running p50 {:.0} p90 {:.0} ms",
             p.asked,
@@ -170,7 +170,7 @@
                 let line = |t: &simulator::figures::Told| {
                     format!(
                         "{:.6},{},{},{},{:.6},{:.6},{:.6}\n",
-                        t.at, t.gateway, t.desk, t.product, t.told, t.p90, t.real
+                        t.at, t.gateway, t.desk, t.class, t.told, t.p90, t.real
                     )
                 };
                 let head = "at_s,gateway,desk,product,told_s,p90_s,real_s\n".to_owned();
--- a/crates/simulator/src/mesh.rs
+++ b/crates/simulator/src/mesh.rs
@@ -5,8 +5,8 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
-use admission::interface::{Moment, Span};
-use membership::{Datagram, Event as Told, Gateway, Name, Place, Ring, Standing, State, Terms};
+use admission::interface::{TimeDelta, Timestamp};
+use membership::{Datagram, Event as Told, Gateway, Locality, Name, Ring, Standing, State, Terms};
 use rand::seq::SliceRandom;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -32,9 +32,9 @@
 
 /// One gateway's way of knowing the others.
 pub trait Peer {
-    fn receive(&mut self, now: Moment, from: SocketAddr, bytes: &[u8]);
-    fn turn(&mut self, now: Moment);
-    fn due(&self) -> Moment;
+    fn receive(&mut self, now: Timestamp, from: SocketAddr, bytes: &[u8]);
+    fn turn(&mut self, now: Timestamp);
+    fn due(&self) -> Timestamp;
     fn take_out(&mut self) -> Vec<Datagram>;
     /// Gateways that it holds to be there, without itself.
     fn there(&self) -> BTreeSet<usize>;
@@ -44,19 +44,19 @@
     }
     /// Whom it took for dead since the last ask.
     fn died(&mut self) -> Vec<usize>;
-    fn leave(&mut self, _now: Moment) {}
+    fn leave(&mut self, _now: Timestamp) {}
 }
 
 impl Peer for Gateway {
-    fn receive(&mut self, now: Moment, from: SocketAddr, bytes: &[u8]) {
+    fn receive(&mut self, now: Timestamp, from: SocketAddr, bytes: &[u8]) {
         let _ = Gateway::receive(self, now, from, bytes);
     }
 
-    fn turn(&mut self, now: Moment) {
+    fn turn(&mut self, now: Timestamp) {
         Gateway::turn(self, now);
     }
 
-    fn due(&self) -> Moment {
+    fn due(&self) -> Timestamp {
         Gateway::due(self)
     }
 
@@ -87,7 +87,7 @@
         self.take_events().into_iter().filter_map(dead).collect()
     }
 
-    fn leave(&mut self, now: Moment) {
+    fn leave(&mut self, now: Timestamp) {
         Gateway::leave(self, now);
     }
 }
@@ -98,16 +98,16 @@
     count: usize,
     period: f64,
     missed: f64,
-    next: Moment,
-    heard: BTreeMap<usize, Moment>,
+    next: Timestamp,
+    heard: BTreeMap<usize, Timestamp>,
     out: Vec<Datagram>,
     died: Vec<usize>,
 }
 
 impl Heartbeats {
-    pub fn new(now: Moment, at: usize, count: usize, terms: &Terms, missed: f64) -> Self {
+    pub fn new(now: Timestamp, at: usize, count: usize, terms: &Terms, missed: f64) -> Self {
         let period = terms.period.secs();
-        let next = now + Span::from_secs(period * (at as f64 * 0.618).fract());
+        let next = now + TimeDelta::from_secs(period * (at as f64 * 0.618).fract());
         Heartbeats {
             at,
             count,
@@ -122,12 +122,12 @@
 }
 
 impl Peer for Heartbeats {
-    fn receive(&mut self, now: Moment, from: SocketAddr, _: &[u8]) {
+    fn receive(&mut self, now: Timestamp, from: SocketAddr, _: &[u8]) {
         self.heard.insert(number(from), now);
     }
 
-    fn turn(&mut self, now: Moment) {
-        self.next = now + Span::from_secs(self.period);
+    fn turn(&mut self, now: Timestamp) {
+        self.next = now + TimeDelta::from_secs(self.period);
         for to in (0..self.count).filter(|to| *to != self.at) {
             // As long as a letter of ours that carries nothing.
             self.out.push(Datagram {
@@ -135,12 +135,12 @@
                 bytes: vec![0; 70],
             });
         }
-        let lost = Span::from_secs(self.period * self.missed);
+        let lost = TimeDelta::from_secs(self.period * self.missed);
         let gone = self.heard.extract_if(.., |_, at| now - *at > lost);
         self.died.extend(gone.map(|(peer, _)| peer));
     }
 
-    fn due(&self) -> Moment {
+    fn due(&self) -> Timestamp {
         self.next
     }
 
@@ -163,8 +163,8 @@
     at: usize,
     period: f64,
     answer: f64,
-    next: Moment,
-    asked: Option<(usize, Moment)>,
+    next: Timestamp,
+    asked: Option<(usize, Timestamp)>,
     /// By gateway: the number of its last word, and whether it is there.
     held: BTreeMap<usize, (u32, bool)>,
     own: u32,
@@ -175,10 +175,10 @@
 }
 
 impl Hasty {
-    pub fn new(now: Moment, at: usize, terms: &Terms, seeds: Vec<usize>, seed: u64) -> Self {
+    pub fn new(now: Timestamp, at: usize, terms: &Terms, seeds: Vec<usize>, seed: u64) -> Self {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let period = terms.period.secs();
-        let next = now + Span::from_secs(period * rng.random::<f64>());
+        let next = now + TimeDelta::from_secs(period * rng.random::<f64>());
         let (answer, held) = (terms.answer.secs(), BTreeMap::new());
         Hasty {
             at,
@@ -216,7 +216,7 @@
 }
 
 impl Peer for Hasty {
-    fn receive(&mut self, _: Moment, from: SocketAddr, bytes: &[u8]) {
+    fn receive(&mut self, _: Timestamp, from: SocketAddr, bytes: &[u8]) {
         let from = number(from);
         let word = u32::from_le_bytes(std::array::from_fn(|at| bytes[1 + at]));
         let held = self.held.entry(from).or_insert((word, true));
@@ -246,7 +246,7 @@
         }
     }
 
-    fn turn(&mut self, now: Moment) {
+    fn turn(&mut self, now: Timestamp) {
         if let Some((at, since)) = self.asked
             && (now - since).secs() >= self.answer
         {
@@ -259,7 +259,7 @@
         if now < self.next {
             return;
         }
-        self.next = now + Span::from_secs(self.period);
+        self.next = now + TimeDelta::from_secs(self.period);
         let mut all: Vec<usize> = self
             .held
             .iter()
@@ -277,11 +277,11 @@
         self.send(to, 0);
     }
 
-    fn due(&self) -> Moment {
+    fn due(&self) -> Timestamp {
         let answer = self
             .asked
-            .map(|(_, since)| since + Span::from_secs(self.answer));
-        answer.into_iter().fold(self.next, Moment::min)
+            .map(|(_, since)| since + TimeDelta::from_secs(self.answer));
+        answer.into_iter().fold(self.next, Timestamp::min)
     }
 
     fn take_out(&mut self) -> Vec<Datagram> {
@@ -360,7 +360,7 @@
 pub struct Mesh<P> {
     pub now: f64,
     slots: Vec<Slot<P>>,
-    make: Box<dyn FnMut(usize, Moment, u32) -> P>,
+    make: Box<dyn FnMut(usize, Timestamp, u32) -> P>,
     queue: BinaryHeap<Reverse<(i64, u64)>>,
     events: BTreeMap<u64, Happens>,
     next: u64,
@@ -379,7 +379,7 @@
     pub fn new(
         count: usize,
         seed: u64,
-        make: impl FnMut(usize, Moment, u32) -> P + 'static,
+        make: impl FnMut(usize, Timestamp, u32) -> P + 'static,
     ) -> Self {
         let slot = |_| Slot {
             peer: None,
@@ -414,8 +414,8 @@
         self.slots.is_empty()
     }
 
-    fn moment(&self) -> Moment {
-        Moment::from_secs(self.now)
+    fn moment(&self) -> Timestamp {
+        Timestamp::from_secs(self.now)
     }
 
     fn put(&mut self, at: f64, what: Happens) {
@@ -512,7 +512,7 @@
             return;
         }
         slot.turn += 1;
-        let due = (peer.due() - Moment::from_secs(0.0)).secs() + slot.slow;
+        let due = (peer.due() - Timestamp::from_secs(0.0)).secs() + slot.slow;
         let turn = slot.turn;
         self.put(due, Happens::Due { at, turn });
     }
@@ -677,21 +677,21 @@
     }
 
     /// `life`: how often this gateway was started before.
-    pub fn make(&self, at: usize, now: Moment, life: u32) -> Gateway {
+    pub fn make(&self, at: usize, now: Timestamp, life: u32) -> Gateway {
         let seeds = (0..3.min(self.count)).map(address).collect();
         let seed = self
             .seed
             .wrapping_mul(1_000_003)
             .wrapping_add(at as u64 * 64 + u64::from(life));
         let zone = Some(Name::new(&format!("zone-{}", at % 3)).expect("a name"));
-        let place = Place { zone, region: None };
+        let locality = Locality { zone, region: None };
         let (fleet, ring, terms) = (self.fleet.clone(), self.ring.clone(), self.terms.clone());
         Gateway::new(
             now,
             fleet,
             name(at),
             address(at),
-            place,
+            locality,
             seeds,
             ring,
             terms,
--- a/crates/simulator/src/parts.rs
+++ b/crates/simulator/src/parts.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 
-use admission::interface::{Moment, Span};
+use admission::interface::{TimeDelta, Timestamp};
 use membership::{Datagram, Life};
 use quota::{Amount, Bucket, Budget, Faults, Shares, Terms, Use, Who};
 use rand::{RngExt, SeedableRng};
@@ -51,11 +51,11 @@
         }],
         voters: (0..if most < 5 { 3 } else { 5 }).map(name).collect(),
         most,
-        lease: Span::from_secs(6.0),
-        term: Span::from_secs(2.0),
-        renew: Span::from_secs(0.5),
+        lease: TimeDelta::from_secs(6.0),
+        term: TimeDelta::from_secs(2.0),
+        renew: TimeDelta::from_secs(0.5),
         drift_ppm: 10_000,
-        burst: Span::from_secs(BURST_S),
+        burst: TimeDelta::from_secs(BURST_S),
         faults: Faults::default(),
     }
 }
@@ -69,7 +69,14 @@
 }
 
 impl Part {
-    pub fn new(now: Moment, at: usize, life: u32, terms: Terms, fast_ppm: i64, seed: u64) -> Self {
+    pub fn new(
+        now: Timestamp,
+        at: usize,
+        life: u32,
+        terms: Terms,
+        fast_ppm: i64,
+        seed: u64,
+    ) -> Self {
         let life = u64::from(life) << 16 | at as u64;
         let me = Who {
             name: name(at),
@@ -83,18 +90,18 @@
         }
     }
 
-    pub fn clock(&self, now: Moment) -> Moment {
+    pub fn clock(&self, now: Timestamp) -> Timestamp {
         clock(now, self.fast_ppm)
     }
 }
 
-fn clock(now: Moment, fast_ppm: i64) -> Moment {
-    let secs = (now - Moment::from_secs(0.0)).secs();
-    Moment::from_secs(secs * (1.0 + fast_ppm as f64 / 1e6))
+fn clock(now: Timestamp, fast_ppm: i64) -> Timestamp {
+    let secs = (now - Timestamp::from_secs(0.0)).secs();
+    Timestamp::from_secs(secs * (1.0 + fast_ppm as f64 / 1e6))
 }
 
 impl Peer for Part {
-    fn receive(&mut self, now: Moment, from: SocketAddr, bytes: &[u8]) {
+    fn receive(&mut self, now: Timestamp, from: SocketAddr, bytes: &[u8]) {
         let Some((life, words)) = bytes.split_first_chunk::<8>() else {
             return;
         };
@@ -106,15 +113,15 @@
         self.shares.receive(now, &who, words);
     }
 
-    fn turn(&mut self, now: Moment) {
+    fn turn(&mut self, now: Timestamp) {
         let now = self.clock(now);
         self.shares.turn(now);
     }
 
-    fn due(&self) -> Moment {
+    fn due(&self) -> Timestamp {
         // A little later than by its own clock, never earlier: it is then due.
-        let own = (self.shares.due() - Moment::from_secs(0.0)).secs();
-        Moment::from_secs(own / (1.0 + self.fast_ppm as f64 / 1e6) + 2e-6)
+        let own = (self.shares.due() - Timestamp::from_secs(0.0)).secs();
+        Timestamp::from_secs(own / (1.0 + self.fast_ppm as f64 / 1e6) + 2e-6)
     }
 
     fn take_out(&mut self) -> Vec<Datagram> {
@@ -140,7 +147,7 @@
         Vec::new()
     }
 
-    fn leave(&mut self, now: Moment) {
+    fn leave(&mut self, now: Timestamp) {
         let now = self.clock(now);
         self.shares.leave(now);
     }
@@ -240,7 +247,7 @@
 
     /// What one may spend a second at present.
     pub fn may(&mut self, at: usize) -> f64 {
-        let now = Moment::from_secs(self.mesh.now);
+        let now = Timestamp::from_secs(self.mesh.now);
         if self.way != Way::Leases {
             return if self.mesh.peer(at).is_some() {
                 self.rate(at)
@@ -285,7 +292,7 @@
 
     /// One piece of work at one gateway, if its part has room for it.
     fn take(&mut self, at: usize, piece: f64) -> bool {
-        let (now, rate) = (Moment::from_secs(self.mesh.now), self.rate(at));
+        let (now, rate) = (Timestamp::from_secs(self.mesh.now), self.rate(at));
         if self.way == Way::Leases {
             let Some(part) = self.mesh.peer_mut(at) else {
                 return false;
--- a/crates/simulator/src/play.rs
+++ b/crates/simulator/src/play.rs
@@ -35,7 +35,7 @@
 use crate::mesh::Mesh;
 use crate::parts::Part;
 use crate::rules::Rules;
-use crate::scenario::{Budgets, Kind, Product, Scenario, Trouble};
+use crate::scenario::{Budgets, ClassSpec, Kind, Scenario, Trouble};
 
 /// Keeps the random stream of the run apart from those of the clients.
 const RUN_SEED: u64 = 0x5eed;
@@ -82,12 +82,12 @@
 /// A kind of query, by its number.
 struct QueryClass<'a> {
     name: &'a str,
-    settings: &'a Product,
+    settings: &'a ClassSpec,
 }
 
 #[derive(Clone, Copy)]
 struct ListEntry {
-    stage: Stage,
+    stage: EngineStage,
     started_s: Option<f64>,
 }
 
@@ -105,8 +105,8 @@
     pub took_s: f64,
 }
 
-fn moment(secs: f64) -> Moment {
-    Moment::from_secs(secs)
+fn moment(secs: f64) -> Timestamp {
+    Timestamp::from_secs(secs)
 }
 
 impl<'a> Emulation<'a> {
@@ -129,7 +129,7 @@
         let gateways = new_gateways(scenario, &fronts, seed, &mut rng);
         let tenants = tenants(scenario, site_terms.as_ref());
         let classes: Vec<_> = scenario
-            .product
+            .class
             .iter()
             .map(|(name, settings)| QueryClass { name, settings })
             .collect();
@@ -155,7 +155,7 @@
                 .collect(),
             listed: vec![
                 ListEntry {
-                    stage: Stage::Ready,
+                    stage: EngineStage::Ready,
                     started_s: None
                 };
                 engines
@@ -197,7 +197,7 @@
     pub fn run(mut self) -> Outcome {
         let deadlines_s = self
             .scenario
-            .product
+            .class
             .values()
             .map(|class| class.hard_limit_ms / 1e3);
         let longest_s = deadlines_s.fold(0.0, f64::max);
@@ -237,10 +237,10 @@
                 self.report_progress(engine, statement, attempt);
             }
             Event::AttemptTimeout { statement, attempt } => {
-                self.end_attempt(statement, attempt, News::TimedOut);
+                self.end_attempt(statement, attempt, AttemptEvent::TimedOut);
             }
             Event::AttemptError { statement, attempt } => {
-                self.end_attempt(statement, attempt, News::Error);
+                self.end_attempt(statement, attempt, AttemptEvent::Error);
             }
             Event::EngineListed {
                 gateway,
--- a/crates/simulator/src/play/attempts.rs
+++ b/crates/simulator/src/play/attempts.rs
@@ -1,7 +1,7 @@
 //! Attempts at engines: sent, run, and their outcome brought back to the gateway.
 
 use admission::interface::*;
-use dispatch::{Order, Verdict};
+use dispatch::{AttemptOrder, FollowUp};
 use rand::RngExt;
 
 use super::events::Event;
@@ -16,21 +16,21 @@
 
 impl Emulation<'_> {
     /// Sends an attempt to the engine that was picked.
-    pub(super) fn send_attempt(&mut self, id: StatementId, order: Order) {
+    pub(super) fn send_attempt(&mut self, id: StatementId, order: AttemptOrder) {
         let statement = id.0 as usize;
         let engine = order.engine.0 as usize;
-        let attempt = order.relay;
+        let attempt = order.attempt;
         self.rules.sent(self.now_s, id.0, engine, self.zone(engine));
         self.connections
             .acquire(self.now_s, self.statements[statement].gateway, engine);
-        self.measurements.figures.relays += 1;
+        self.measurements.figures.attempts += 1;
         self.statements[statement].in_flight = Some(Attempt {
             engine,
             number: attempt,
             sent_s: self.now_s,
         });
         match self.engines[engine].state {
-            State::Down => self.end_attempt(statement, attempt, News::Unreachable),
+            State::Down => self.end_attempt(statement, attempt, AttemptEvent::Unreachable),
             State::Failing => {
                 self.schedule(
                     self.now_s + ERROR_AFTER_S,
@@ -47,12 +47,12 @@
     }
 
     /// Starts an attempt's run; a cold engine with too much of it falls over.
-    fn start_run(&mut self, engine: usize, statement: usize, attempt: RelayNo) {
+    fn start_run(&mut self, engine: usize, statement: usize, attempt: AttemptNumber) {
         let request = &self.requests[self.statements[statement].request];
         let class = self.classes[request.class].settings;
         let run = Run {
             statement: statement as u64,
-            relay: attempt.0,
+            attempt: attempt.0,
             cpu: request.cpu_s,
             threads: class.threads,
             memory_mb: class.memory_mb,
@@ -71,7 +71,11 @@
     pub(super) fn reset_engine(&mut self, engine: usize) {
         self.connections.close_idle_to_engine(engine);
         for run in self.engines[engine].drop_all(self.now_s) {
-            self.end_attempt(run.statement as usize, RelayNo(run.relay), News::Reset);
+            self.end_attempt(
+                run.statement as usize,
+                AttemptNumber(run.attempt),
+                AttemptEvent::Reset,
+            );
         }
     }
 
@@ -94,7 +98,7 @@
         }
     }
 
-    fn schedule_progress(&mut self, engine: usize, statement: usize, attempt: RelayNo) {
+    fn schedule_progress(&mut self, engine: usize, statement: usize, attempt: AttemptNumber) {
         let at_s = self.now_s + self.scenario.engines.note_ms / 1e3;
         self.schedule(
             at_s,
@@ -107,13 +111,18 @@
     }
 
     /// An engine tells the gateway how far an attempt is, as long as it runs.
-    pub(super) fn report_progress(&mut self, engine: usize, statement: usize, attempt: RelayNo) {
+    pub(super) fn report_progress(
+        &mut self,
+        engine: usize,
+        statement: usize,
+        attempt: AttemptNumber,
+    ) {
         self.engines[engine].advance(self.now_s);
         let Some(run) = self.engines[engine].runs(statement as u64, attempt.0) else {
             return;
         };
-        let news = News::Progress(self.engines[engine].share(run));
-        let latency = Span::from_secs(self.now_s - run.sent);
+        let news = AttemptEvent::Progress(self.engines[engine].share(run));
+        let latency = TimeDelta::from_secs(self.now_s - run.sent);
         let in_flight = self.statements[statement].in_flight;
         let followed =
             in_flight.is_some_and(|sent| sent.engine == engine && sent.number == attempt);
@@ -130,7 +139,7 @@
     fn complete_run(&mut self, run: &Run) {
         let statement = run.statement as usize;
         let in_flight = self.statements[statement].in_flight;
-        let Some(attempt) = in_flight.filter(|sent| sent.number.0 == run.relay) else {
+        let Some(attempt) = in_flight.filter(|sent| sent.number.0 == run.attempt) else {
             return;
         };
         let lost_share = self.lost_answers[attempt.engine];
@@ -142,15 +151,15 @@
             self.rules.answered(self.now_s, run.statement, false);
             self.record_answer(statement, run);
         }
-        let news = News::Completed {
-            cpu: Some(Span::from_secs(run.cpu)),
+        let news = AttemptEvent::Completed {
+            cpu: Some(TimeDelta::from_secs(run.cpu)),
             memory_mb: Some(run.memory_mb),
         };
         self.end_attempt(statement, attempt.number, news);
     }
 
     /// Reports the outcome of an attempt to its gateway, if the attempt is still in flight.
-    pub(super) fn end_attempt(&mut self, index: usize, number: RelayNo, news: News) {
+    pub(super) fn end_attempt(&mut self, index: usize, number: AttemptNumber, news: AttemptEvent) {
         let statement = &mut self.statements[index];
         let Some(attempt) = statement
             .in_flight
@@ -159,7 +168,7 @@
             return;
         };
         let (gateway, answered) = (statement.gateway, statement.answered);
-        self.measurements.figures.timed_out += u64::from(news == News::TimedOut);
+        self.measurements.figures.timed_out += u64::from(news == AttemptEvent::TimedOut);
         if ends_connection(&news) {
             self.connections.close(attempt.engine);
         } else {
@@ -168,25 +177,31 @@
         }
         self.rules.relay_over(index as u64, may_have_run(&news));
         let id = StatementId(index as u64);
-        let latency = Span::from_secs(self.now_s - attempt.sent_s);
+        let latency = TimeDelta::from_secs(self.now_s - attempt.sent_s);
         let front = &mut self.gateways[gateway].front;
         match front.report(moment(self.now_s), id, number, news, latency, answered) {
-            Verdict::Nothing | Verdict::Cancel(_) => {}
-            Verdict::Deny { come_back } => self.reject(id, come_back),
-            Verdict::Scrap => self.fail(id),
+            FollowUp::None | FollowUp::Cancel(_) => {}
+            FollowUp::Reject { retry_after } => self.reject(id, retry_after),
+            FollowUp::Fail => self.fail(id),
         }
         self.wake_gateway(gateway, self.now_s);
     }
 }
 
 /// Whether a connection is of no further use after this outcome.
-fn ends_connection(news: &News) -> bool {
-    matches!(news, News::TimedOut | News::Reset | News::Unreachable)
+fn ends_connection(news: &AttemptEvent) -> bool {
+    matches!(
+        news,
+        AttemptEvent::TimedOut | AttemptEvent::Reset | AttemptEvent::Unreachable
+    )
 }
 
-fn may_have_run(news: &News) -> bool {
+fn may_have_run(news: &AttemptEvent) -> bool {
     !matches!(
         news,
-        News::Unreachable | News::TurnedAway | News::NeverSent | News::Withdrawn
+        AttemptEvent::Unreachable
+            | AttemptEvent::Rejected
+            | AttemptEvent::NeverSent
+            | AttemptEvent::Withdrawn
     )
 }
--- a/crates/simulator/src/play/coordination.rs
+++ b/crates/simulator/src/play/coordination.rs
@@ -62,7 +62,7 @@
     /// Gateways tell each other of engines they ejected, and hear of those that others ejected.
     pub(super) fn exchange_health(&mut self) {
         let now = moment(self.now_s);
-        let mesh_now = now + Span::from_secs(MESH_HEAD_START_S);
+        let mesh_now = now + TimeDelta::from_secs(MESH_HEAD_START_S);
         let Some(mesh) = &mut self.health_mesh else {
             return;
         };
@@ -77,7 +77,7 @@
             let ejections = own_ejections(hall);
             publish_ejections(peer, mesh_now, &gateway.published_ejections, &ejections);
             gateway.published_ejections = ejections;
-            hall.told_doubts(now, &heard_doubts(peer, mesh_now));
+            hall.on_outlier_gossip(now, &heard_doubts(peer, mesh_now));
         }
         self.schedule(self.now_s + EXCHANGE_PERIOD_S, Event::ExchangeHealth);
     }
@@ -115,7 +115,7 @@
 
     fn lease_budgets(&mut self) {
         let now = moment(self.now_s);
-        let mesh_now = now + Span::from_secs(MESH_HEAD_START_S);
+        let mesh_now = now + TimeDelta::from_secs(MESH_HEAD_START_S);
         let Some(mesh) = &mut self.lease_mesh else {
             return;
         };
@@ -136,18 +136,18 @@
 }
 
 /// Engines that a gateway ejected on what it saw itself, and when each ejection ends.
-fn own_ejections(hall: &Hall) -> BTreeMap<EngineId, Moment> {
-    let own = hall.health().filter(|health| !health.on_hearsay);
-    own.filter_map(|health| Some((health.id, health.benched_until?)))
+fn own_ejections(hall: &Hall) -> BTreeMap<EngineId, Timestamp> {
+    let own = hall.health().filter(|health| !health.by_gossip);
+    own.filter_map(|health| Some((health.id, health.ejected_until?)))
         .collect()
 }
 
 /// Tells the others of new or longer ejections, and of those that are over.
 fn publish_ejections(
     peer: &mut membership::Gateway,
-    mesh_now: Moment,
-    published: &BTreeMap<EngineId, Moment>,
-    ejections: &BTreeMap<EngineId, Moment>,
+    mesh_now: Timestamp,
+    published: &BTreeMap<EngineId, Timestamp>,
+    ejections: &BTreeMap<EngineId, Timestamp>,
 ) {
     for (id, until) in ejections {
         if published.get(id).is_none_or(|told| told < until) {
@@ -160,12 +160,12 @@
 }
 
 /// Doubts about engines that a gateway heard from others, in the time of the run.
-fn heard_doubts(peer: &mut membership::Gateway, mesh_now: Moment) -> Vec<EngineDoubt> {
-    let head_start = Span::from_secs(MESH_HEAD_START_S);
-    let run_time = |mesh_time: Moment| mesh_time + (Span::ZERO - head_start);
+fn heard_doubts(peer: &mut membership::Gateway, mesh_now: Timestamp) -> Vec<OutlierReport> {
+    let head_start = TimeDelta::from_secs(MESH_HEAD_START_S);
+    let run_time = |mesh_time: Timestamp| mesh_time + (TimeDelta::ZERO - head_start);
     let heard = peer.doubted(mesh_now).into_iter().filter_map(|doubt| {
         let id = EngineId(doubt.engine.parse().ok()?);
-        Some(EngineDoubt {
+        Some(OutlierReport {
             id,
             seen: run_time(doubt.seen),
             until: run_time(doubt.until),
@@ -177,7 +177,7 @@
 /// Books a gateway's usage since the last time, and returns the rate it may spend for each tenant.
 fn leased_rates(
     part: &mut Part,
-    mesh_now: Moment,
+    mesh_now: Timestamp,
     before: &[Usage],
     usage: &[Usage],
 ) -> Vec<Option<f64>> {
--- a/crates/simulator/src/play/deployment.rs
+++ b/crates/simulator/src/play/deployment.rs
@@ -2,7 +2,7 @@
 
 use admission::interface::*;
 use admission::policy::Policy as AdmissionPolicy;
-use dispatch::Dispatch;
+use dispatch::Dispatcher;
 
 use crate::front::{Front, Policy};
 use crate::rules;
@@ -17,7 +17,7 @@
 const DRAIN_GRACE_S: f64 = 0.25;
 /// An answer may come so long after the deadline.
 const ANSWER_GRACE_S: f64 = 0.02;
-/// Part of a statement's value that is left when its tenant is over its allowance.
+/// Part of a statement's value that is left when its tenant is over its quota.
 const OVER_ALLOWANCE_VALUE: f64 = 0.05;
 /// The retry budget: so many retries, and this part of the statements accepted, within the window.
 const FREE_RETRIES: f64 = 20.0;
@@ -46,8 +46,8 @@
 impl FrontFactory<'_> {
     pub(super) fn build(&self, seed: u64, gateway: usize) -> Front {
         let seed = seed.wrapping_mul(SEED_STRIDE).wrapping_add(gateway as u64);
-        let dispatch = Dispatch::new(admission_policy(self.scenario, seed));
-        let classes = self.scenario.product.len();
+        let dispatch = Dispatcher::new(admission_policy(self.scenario, seed));
+        let classes = self.scenario.class.len();
         Front::new(
             self.policy,
             dispatch,
@@ -59,17 +59,17 @@
 }
 
 fn admission_policy(scenario: &Scenario, seed: u64) -> AdmissionPolicy {
-    let classes = scenario.product.values().map(query_class).collect();
+    let classes = scenario.class.values().map(query_class).collect();
     let engines = &scenario.engines;
-    let cold_start = ColdStart {
-        share: engines.cold_share,
-        warm_after: Span::from_secs(engines.cold_s),
-        multiple: engines.tip_multiple,
-        window: Span::from_secs(engines.tip_s),
+    let cold_start = SlowStart {
+        initial_share: engines.cold_share,
+        warm_up: TimeDelta::from_secs(engines.cold_s),
+        overload_multiple: engines.tip_multiple,
+        window: TimeDelta::from_secs(engines.tip_s),
     };
-    let listing = Listing {
+    let discovery = DiscoveryMode {
         on_request: false,
-        ask_within: Span::from_secs(LIST_REQUEST_PERIOD_S),
+        request_within: TimeDelta::from_secs(LIST_REQUEST_PERIOD_S),
     };
     AdmissionPolicy::new(
         seed,
@@ -78,73 +78,73 @@
         engine_fleet(scenario),
         Some(cold_start),
         retries(),
-        listing,
+        discovery,
     )
 }
 
-fn query_class(class: &scenario::Product) -> Product {
-    Product {
+fn query_class(class: &scenario::ClassSpec) -> QueryClass {
+    QueryClass {
         effect: if class.unrepeatable {
-            Effect::Unrepeatable
+            Effect::NonIdempotent
         } else {
             Effect::Idempotent
         },
-        gain: class.gain,
-        late_gain: class.late_gain,
-        quoted: Span::from_secs(class.quoted_ms / 1e3),
-        quoted_stretch: class.quoted_stretch,
-        hard_limit: Span::from_secs(class.hard_limit_ms / 1e3),
+        priority_weight: class.priority_weight,
+        late_priority_weight: class.late_priority_weight,
+        latency_objective: TimeDelta::from_secs(class.quoted_ms / 1e3),
+        latency_objective_stretch: class.latency_objective_stretch,
+        time_limit: TimeDelta::from_secs(class.hard_limit_ms / 1e3),
         threads: class.threads,
-        in_turn: class.keys > 0,
+        ordered_by_key: class.keys > 0,
         locations: class.zone.map(|zone| vec![LocationId(zone)]),
         machines: None,
     }
 }
 
-fn engine_fleet(scenario: &Scenario) -> Fleet {
+fn engine_fleet(scenario: &Scenario) -> FleetConfig {
     let engines = &scenario.engines;
-    Fleet {
+    FleetConfig {
         peers: scenario.gateways as f64,
         cores: vec![engines.cores],
         memory_mb: vec![engines.memory_mb],
-        note_pace: Some(Span::from_secs(engines.note_ms / 1e3)),
-        ranks_heeded: false,
+        progress_interval: Some(TimeDelta::from_secs(engines.note_ms / 1e3)),
+        priorities_honored: false,
         idle: engines
             .idle_s
             .filter(|_| !scenario.idle_untold)
-            .map(Span::from_secs),
+            .map(TimeDelta::from_secs),
     }
 }
 
-fn retries() -> Relaying {
-    let budget = Ration {
-        free: FREE_RETRIES,
-        share: RETRIES_PER_STATEMENT,
-        window: Span::from_secs(RETRY_WINDOW_S),
+fn retries() -> RetryPolicy {
+    let budget = RetryBudget {
+        min_retries: FREE_RETRIES,
+        ratio: RETRIES_PER_STATEMENT,
+        window: TimeDelta::from_secs(RETRY_WINDOW_S),
     };
-    Relaying {
-        most: MAX_ATTEMPTS,
-        cancel: false,
-        come_back: Some(Span::from_secs(LONGEST_RETRY_AFTER_S)),
-        settle: Span::from_secs(ORDERED_PAUSE_S),
-        ration: Some(budget),
+    RetryPolicy {
+        max_attempts: MAX_ATTEMPTS,
+        can_cancel: false,
+        max_retry_after: Some(TimeDelta::from_secs(LONGEST_RETRY_AFTER_S)),
+        order_settle: TimeDelta::from_secs(ORDERED_PAUSE_S),
+        retry_budget: Some(budget),
     }
 }
 
-/// Allowances in proportion to each tenant's usual traffic, where the scenario has any.
-fn tenancy(scenario: &Scenario) -> Tenancy {
+/// Quotas in proportion to each tenant's usual traffic, where the scenario has any.
+fn tenancy(scenario: &Scenario) -> TenantQuotas {
     let Some(times) = scenario.allowance_times else {
-        return Tenancy::default();
+        return TenantQuotas::default();
     };
-    let allowances = scenario.traffic.values().map(|queues| {
+    let quotas = scenario.traffic.values().map(|queues| {
         let usual_per_s: f64 = queues
             .values()
             .flat_map(|traffic| traffic.per_s.values())
             .sum();
         usual_per_s * times
     });
-    Tenancy {
-        allowances: allowances.collect(),
-        over_gain: OVER_ALLOWANCE_VALUE,
+    TenantQuotas {
+        quotas: quotas.collect(),
+        over_quota_weight: OVER_ALLOWANCE_VALUE,
     }
 }
--- a/crates/simulator/src/play/events.rs
+++ b/crates/simulator/src/play/events.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use admission::interface::{RelayNo, Stage};
+use admission::interface::{AttemptNumber, EngineStage};
 
 const MICROSECONDS_PER_SECOND: f64 = 1e6;
 
@@ -26,23 +26,23 @@
     Progress {
         engine: usize,
         statement: usize,
-        attempt: RelayNo,
+        attempt: AttemptNumber,
     },
     /// The time of an attempt is over.
     AttemptTimeout {
         statement: usize,
-        attempt: RelayNo,
+        attempt: AttemptNumber,
     },
     /// A failing engine answers an attempt with an error.
     AttemptError {
         statement: usize,
-        attempt: RelayNo,
+        attempt: AttemptNumber,
     },
     /// A gateway learns a change of the engine list.
     EngineListed {
         gateway: usize,
         engine: usize,
-        stage: Stage,
+        stage: EngineStage,
         started_s: Option<f64>,
     },
     FaultBegins(usize),
--- a/crates/simulator/src/play/faults.rs
+++ b/crates/simulator/src/play/faults.rs
@@ -1,6 +1,6 @@
 //! The faults of a scenario's script, as they begin and end.
 
-use admission::interface::Stage;
+use admission::interface::EngineStage;
 
 use super::events::Event;
 use super::{Emulation, ListEntry};
@@ -45,11 +45,11 @@
                 engine.drop_all(self.now_s);
                 engine.state = State::Well;
             }
-            (Kind::Drain, true) => self.list_engine(index, Stage::Draining),
+            (Kind::Drain, true) => self.list_engine(index, EngineStage::Draining),
             (Kind::Restart, true) => {
                 engine.state = State::Down;
                 self.reset_engine(index);
-                self.list_engine(index, Stage::Gone);
+                self.list_engine(index, EngineStage::Removed);
             }
             (Kind::Drain | Kind::Restart, false) => self.restart_engine(index),
         }
@@ -62,11 +62,11 @@
         engine.state = State::Well;
         engine.started = Some(self.now_s);
         self.reset_engine(index);
-        self.list_engine(index, Stage::Ready);
+        self.list_engine(index, EngineStage::Ready);
     }
 
     /// Changes the engine list; each gateway learns it after its delay.
-    fn list_engine(&mut self, engine: usize, stage: Stage) {
+    fn list_engine(&mut self, engine: usize, stage: EngineStage) {
         let started_s = self.engines[engine].started;
         self.listed[engine] = ListEntry { stage, started_s };
         for gateway in 0..self.gateways.len() {
--- a/crates/simulator/src/play/gateways.rs
+++ b/crates/simulator/src/play/gateways.rs
@@ -27,7 +27,7 @@
     /// By queue and query class.
     pub(super) wait_history: BTreeMap<(u32, usize), WaitHistory>,
     /// Its own ejections of engines that other gateways were told of, and when each ends.
-    pub(super) published_ejections: BTreeMap<EngineId, Moment>,
+    pub(super) published_ejections: BTreeMap<EngineId, Timestamp>,
 }
 
 impl Gateway {
@@ -77,7 +77,7 @@
         let end_s = self.now_s + SHUTDOWN_S;
         self.gateways[gateway].away = true;
         if let Some(hall) = self.gateways[gateway].front.hall() {
-            hall.answer_by(moment(end_s));
+            hall.drain_deadline(moment(end_s));
         }
         for statement in self.open_statements(gateway) {
             if let Some(attempt) = self.statements[statement].in_flight {
@@ -165,13 +165,13 @@
     /// Tells a gateway that starts of all engines that are ready.
     pub(super) fn send_full_list(&mut self, gateway: usize) {
         let listed = self.listed.iter().enumerate();
-        let ready = listed.filter(|(_, entry)| entry.stage == Stage::Ready);
+        let ready = listed.filter(|(_, entry)| entry.stage == EngineStage::Ready);
         let facts =
-            ready.map(|(engine, entry)| self.engine_fact(engine, entry.stage, entry.started_s));
-        let list = ListNews::Whole(facts.collect());
+            ready.map(|(engine, entry)| self.engine_info(engine, entry.stage, entry.started_s));
+        let list = EndpointUpdate::Snapshot(facts.collect());
         self.gateways[gateway]
             .front
-            .told_list(moment(self.now_s), &list);
+            .on_endpoint_update(moment(self.now_s), &list);
         self.wake_gateway(gateway, self.now_s);
     }
 
@@ -180,21 +180,21 @@
         &mut self,
         gateway: usize,
         engine: usize,
-        stage: Stage,
+        stage: EngineStage,
         started_s: Option<f64>,
     ) {
-        let change = ListNews::Changes(vec![self.engine_fact(engine, stage, started_s)]);
+        let change = EndpointUpdate::Events(vec![self.engine_info(engine, stage, started_s)]);
         self.measurements.figures.lists_told += 1;
         self.gateways[gateway]
             .front
-            .told_list(moment(self.now_s), &change);
+            .on_endpoint_update(moment(self.now_s), &change);
         self.rules
-            .told(self.now_s, gateway, engine, stage == Stage::Ready);
+            .told(self.now_s, gateway, engine, stage == EngineStage::Ready);
         self.wake_gateway(gateway, self.now_s);
     }
 
-    fn engine_fact(&self, engine: usize, stage: Stage, started_s: Option<f64>) -> EngineFact {
-        EngineFact {
+    fn engine_info(&self, engine: usize, stage: EngineStage, started_s: Option<f64>) -> EngineInfo {
+        EngineInfo {
             id: EngineId(engine as u32),
             scale: 1.0,
             location: LocationId(self.zone(engine)),
--- a/crates/simulator/src/play/measurements.rs
+++ b/crates/simulator/src/play/measurements.rs
@@ -88,9 +88,9 @@
         }
         let class = &self.classes[request.class];
         let settings = class.settings;
-        let stretch_s = settings.quoted_stretch * request.cpu_s / settings.threads;
+        let stretch_s = settings.latency_objective_stretch * request.cpu_s / settings.threads;
         let in_time = self.now_s - request.arrival_s <= settings.quoted_ms / 1e3 + stretch_s;
-        let late_value = settings.gain * settings.late_gain;
+        let late_value = settings.priority_weight * settings.late_priority_weight;
         let (tenant, cpu_s) = (request.tenant, request.cpu_s);
         self.measurements.span(self.now_s, tenant).1 += cpu_s;
         let figures = &mut self.measurements.figures;
@@ -100,9 +100,13 @@
             .or_default();
         counted.served_in_time += u64::from(in_time);
         counted.served_late += u64::from(!in_time);
-        counted.service += if in_time { settings.gain } else { late_value };
+        counted.service += if in_time {
+            settings.priority_weight
+        } else {
+            late_value
+        };
         counted.cpu_served += cpu_s;
-        let counted = figures.products.entry(class.name.to_owned()).or_default();
+        let counted = figures.classes.entry(class.name.to_owned()).or_default();
         counted.served_in_time += u64::from(in_time);
     }
 }
--- a/crates/simulator/src/play/report.rs
+++ b/crates/simulator/src/play/report.rs
@@ -47,12 +47,12 @@
             tenant.asked += 1;
             tenant.cpu_asked += request.cpu_s;
             figures
-                .products
+                .classes
                 .entry(class.name.to_owned())
                 .or_default()
                 .asked += 1;
-            asked_value += class.settings.gain;
-            asked_by_tenant[request.tenant] += class.settings.gain;
+            asked_value += class.settings.priority_weight;
+            asked_by_tenant[request.tenant] += class.settings.priority_weight;
         }
         for (tenant, asked) in self.tenants.iter().zip(asked_by_tenant) {
             let summed = figures.members.entry(tenant.name.clone()).or_default();
@@ -93,7 +93,7 @@
     fn summarize_classes(&mut self, figures: &mut Figures) {
         let durations = std::mem::take(&mut self.measurements.durations);
         for (class, durations) in self.classes.iter().zip(durations) {
-            let summed = figures.products.entry(class.name.to_owned()).or_default();
+            let summed = figures.classes.entry(class.name.to_owned()).or_default();
             summed.before = figures::waits(durations.before_sending_s);
             summed.running = figures::waits(durations.running_s);
             summed.share_in_time = ratio(summed.served_in_time as f64, summed.asked as f64);
--- a/crates/simulator/src/play/requests.rs
+++ b/crates/simulator/src/play/requests.rs
@@ -5,7 +5,7 @@
 use rand_pcg::Pcg64Mcg;
 use scheduler::{DeskId, Directory};
 
-use crate::scenario::{Kind, Product, Scenario, Trouble};
+use crate::scenario::{ClassSpec, Kind, Scenario, Trouble};
 
 /// Keeps the random streams of one seed apart from those of the next.
 const SEED_STRIDE: u64 = 1_000_003;
@@ -50,7 +50,7 @@
                 directory.map(|known| known.find(Some(tenant_name), Some(queue_name), None).desk);
             let queue = found.unwrap_or(DeskId(queues));
             queues += 1;
-            for (class, (class_name, settings)) in scenario.product.iter().enumerate() {
+            for (class, (class_name, settings)) in scenario.class.iter().enumerate() {
                 streams += 1;
                 let mut rng =
                     Pcg64Mcg::seed_from_u64(seed.wrapping_mul(SEED_STRIDE).wrapping_add(streams));
@@ -78,7 +78,7 @@
 /// Whether a flood raises the traffic of this tenant and query class.
 fn concerns(flood: &Trouble, tenant: &str, class: &str) -> bool {
     flood.member.as_ref().is_none_or(|name| name == tenant)
-        && flood.product.as_ref().is_none_or(|name| name == class)
+        && flood.class.as_ref().is_none_or(|name| name == class)
 }
 
 /// The requests of one query class in one queue of a tenant.
@@ -88,7 +88,7 @@
     tenant: usize,
     queue: DeskId,
     class: usize,
-    settings: &'a Product,
+    settings: &'a ClassSpec,
     usual_per_s: f64,
     floods: Vec<&'a Trouble>,
 }
--- a/crates/simulator/src/play/statements.rs
+++ b/crates/simulator/src/play/statements.rs
@@ -1,7 +1,7 @@
 //! Statements at gateways: from a client's request to an answer, a rejection or a failure.
 
 use admission::interface::*;
-use dispatch::{Pick, Wants};
+use dispatch::{Decision, StatementRequest};
 use rand::RngExt;
 use scheduler::{DeskId, Wait};
 
@@ -31,7 +31,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Attempt {
     pub(super) engine: usize,
-    pub(super) number: RelayNo,
+    pub(super) number: AttemptNumber,
     pub(super) sent_s: f64,
 }
 
@@ -50,7 +50,7 @@
         let pick = self.gateways[gateway]
             .front
             .pick(moment(self.now_s), id, request.queue, &wants);
-        if pick == Pick::Held {
+        if pick == Decision::Queued {
             self.record_plain_estimates(gateway, id, request.queue, request.class);
         }
         self.apply_pick(id, pick);
@@ -81,16 +81,16 @@
         id
     }
 
-    fn wants(&self, request: &Request) -> Wants {
-        Wants {
-            product: ProductId(request.class),
+    fn wants(&self, request: &Request) -> StatementRequest {
+        StatementRequest {
+            class: ClassId(request.class),
             tenant: TenantId(request.tenant),
-            group: GroupId(request.table_group),
-            estimate: Some(Span::from_secs(request.estimate_s)),
+            group: TableGroupId(request.table_group),
+            estimate: Some(TimeDelta::from_secs(request.estimate_s)),
             memory_mb: self.classes[request.class].settings.memory_mb,
             key: request.order_key.map(OrderKey),
-            marked: true,
-            budget: Span::from_secs(request.deadline_s - self.now_s),
+            has_idempotency_key: true,
+            budget: TimeDelta::from_secs(request.deadline_s - self.now_s),
         }
     }
 
@@ -140,13 +140,13 @@
 
     /// Notes a wait that ended beside what was estimated of it.
     fn record_wait(&mut self, gateway: usize, wait: &Wait) {
-        let (queue, class) = (wait.desk.0, wait.product.0);
+        let (queue, class) = (wait.desk.0, wait.class.0);
         let real_s = wait.real.secs();
         self.measurements.estimates.push(Told {
             at: self.now_s,
             gateway,
             desk: queue,
-            product: class,
+            class: class,
             told: wait.told.wait.secs(),
             p90: wait.told.p90.secs(),
             real: real_s,
@@ -159,17 +159,17 @@
         history.record(self.now_s, real_s);
     }
 
-    fn apply_pick(&mut self, id: StatementId, pick: Pick) {
+    fn apply_pick(&mut self, id: StatementId, pick: Decision) {
         match pick {
-            Pick::Held => {}
-            Pick::Relay(order) => self.send_attempt(id, order),
-            Pick::Deny { come_back } => self.reject(id, come_back),
-            Pick::Scrap => self.fail(id),
+            Decision::Queued => {}
+            Decision::Forward(order) => self.send_attempt(id, order),
+            Decision::Reject { retry_after } => self.reject(id, retry_after),
+            Decision::Fail => self.fail(id),
         }
     }
 
     /// Rejects a statement; its client asks again if it has tries and time left.
-    pub(super) fn reject(&mut self, id: StatementId, retry_after: Option<Span>) {
+    pub(super) fn reject(&mut self, id: StatementId, retry_after: Option<TimeDelta>) {
         self.plain_estimates.remove(&id);
         self.rules.answered(self.now_s, id.0, true);
         let statement = &mut self.statements[id.0 as usize];
@@ -178,7 +178,8 @@
         self.measurements.figures.denied += 1;
         self.measurements.figures.denied_at_once += u64::from(at_once);
         let jitter = self.rng.random_range(1.0..1.2);
-        let retry_s = self.now_s + retry_after.map_or(DEFAULT_RETRY_AFTER_S, Span::secs) * jitter;
+        let retry_s =
+            self.now_s + retry_after.map_or(DEFAULT_RETRY_AFTER_S, TimeDelta::secs) * jitter;
         let index = statement.request;
         let request = &self.requests[index];
         if request.tries_left > 0 && retry_s < request.deadline_s - LEAST_TIME_LEFT_S {
--- a/crates/simulator/src/rules.rs
+++ b/crates/simulator/src/rules.rs
@@ -6,7 +6,7 @@
 pub struct Terms {
     pub drain_grace_s: f64,
     pub answer_grace_s: f64,
-    /// Further relays: so many and this part of the statements taken, over the window; none where not stated.
+    /// Further attempts: so many and this part of the statements taken, over the window; none where not stated.
     pub ration: Option<(f64, f64, f64)>,
 }
 
@@ -19,7 +19,7 @@
     key: Option<u64>,
     zone: Option<u16>,
     out: u32,
-    relays: u32,
+    attempts: u32,
     may_have_run: bool,
     answered: bool,
 }
@@ -51,7 +51,7 @@
 
 pub struct Rules {
     terms: Terms,
-    /// Emptied by the answer and the end of the last relay.
+    /// Emptied by the answer and the end of the last attempt.
     seen: BTreeMap<u64, Seen>,
     /// By gateway and key, statements in the order they came; they leave as `seen` does.
     keys: BTreeMap<(usize, u64), VecDeque<u64>>,
@@ -107,7 +107,7 @@
         let Seen {
             gateway,
             out,
-            relays,
+            attempts,
             may_have_run,
             answered,
             unrepeatable,
@@ -115,7 +115,7 @@
             key,
             ..
         } = *seen;
-        (seen.out, seen.relays) = (out + 1, relays + 1);
+        (seen.out, seen.attempts) = (out + 1, attempts + 1);
         self.expect(!answered, "1: sent after its answer");
         self.expect(out == 0, "2: two relays out at once");
         self.expect(
@@ -133,7 +133,7 @@
             bound.is_none_or(|bound| bound == zone),
             "6: sent out of its place",
         );
-        if relays > 0 {
+        if attempts > 0 {
             self.spent[gateway].again.push_back(now);
             if let Some((free, share, window)) = self.terms.ration {
                 let Spent { taken, again } = &mut self.spent[gateway];
--- a/crates/simulator/src/scenario.rs
+++ b/crates/simulator/src/scenario.rs
@@ -19,13 +19,13 @@
 pub struct Scenario {
     pub seconds: f64,
     pub gateways: usize,
-    /// Times a client asks in all, within its hard limit, as long as it is denied.
+    /// Times a client asks in all, within its deadline, as long as it is rejected.
     #[serde(default = "one")]
     pub client_tries: u32,
-    /// List news reach each gateway this late at most.
+    /// Endpoint updates reach each gateway this late at most.
     #[serde(default = "two_seconds")]
     pub list_delay_ms: f64,
-    /// Members are allowed this many times their usual statements a second; none: no allowances.
+    /// Members are allowed this many times their usual statements a second; none: no quotas.
     pub allowance_times: Option<f64>,
     /// Gateways know each other, and share what they see of engines.
     #[serde(default)]
@@ -40,7 +40,8 @@
     #[serde(default)]
     pub idle_untold: bool,
     pub engines: Engines,
-    pub product: BTreeMap<String, Product>,
+    #[serde(rename = "product")]
+    pub class: BTreeMap<String, ClassSpec>,
     /// By member, then desk.
     pub traffic: BTreeMap<String, BTreeMap<String, Traffic>>,
     #[serde(default)]
@@ -105,7 +106,7 @@
 
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Product {
+pub struct ClassSpec {
     pub cpu_ms: f64,
     /// Of the logarithm of the CPU.
     pub cpu_spread: f64,
@@ -117,11 +118,14 @@
     pub threads: f64,
     pub quoted_ms: f64,
     #[serde(default)]
-    pub quoted_stretch: f64,
+    #[serde(rename = "quoted_stretch")]
+    pub latency_objective_stretch: f64,
     pub hard_limit_ms: f64,
-    pub gain: f64,
+    #[serde(rename = "gain")]
+    pub priority_weight: f64,
     #[serde(default)]
-    pub late_gain: f64,
+    #[serde(rename = "late_gain")]
+    pub late_priority_weight: f64,
     #[serde(default = "eight")]
     pub table_groups: u32,
     #[serde(default)]
@@ -144,7 +148,7 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Traffic {
-    /// Statements a second by product, over all gateways.
+    /// Statements a second by query class, over all gateways.
     pub per_s: BTreeMap<String, f64>,
 }
 
@@ -177,7 +181,8 @@
     pub share: f64,
     /// Of a flood: which traffic; all of it where not named.
     pub member: Option<String>,
-    pub product: Option<String>,
+    #[serde(rename = "product")]
+    pub class: Option<String>,
     /// How many times the traffic, or how many times slower.
     #[serde(default = "one_thread")]
     pub times: f64,
@@ -258,7 +263,7 @@
                 if let Some(unknown) = traffic
                     .per_s
                     .keys()
-                    .find(|name| !scenario.product.contains_key(*name))
+                    .find(|name| !scenario.class.contains_key(*name))
                 {
                     return Err(format!("traffic {member} {desk}: no product {unknown}"));
                 }
--- a/crates/simulator/tests/cases.rs
+++ b/crates/simulator/tests/cases.rs
@@ -106,7 +106,7 @@
             "seed {seed}: {}",
             hit.estimate_within_20
         );
-        // What is denied is denied early, and the flood still gets more than its budget.
+        // What is rejected is rejected early, and the flood still gets more than its budget.
         assert!(
             hit.denied_at_once as f64 >= 0.9 * hit.denied as f64,
             "{hit:?}"
@@ -181,8 +181,8 @@
             play(burst, Policy::Queues, seed),
         );
         let (before, with) = (
-            calm.products["lookup"].share_in_time,
-            hit.products["lookup"].share_in_time,
+            calm.classes["lookup"].share_in_time,
+            hit.classes["lookup"].share_in_time,
         );
         assert!(with >= before - 0.02, "seed {seed}: {before} to {with}");
     }
--- a/crates/simulator/tests/control.rs
+++ b/crates/simulator/tests/control.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use membership::Terms;
+use ::membership::Terms;
 use simulator::control::coordinator;
 use simulator::control::fit::{Line, Power, Shape};
 use simulator::control::ledger;
@@ -147,7 +147,7 @@
         "a head and a code: {first:?}"
     );
     assert!(
-        first.longest_question_bytes <= membership::gateway::LONGEST_CARRIED,
+        first.longest_question_bytes <= ::membership::gateway::LONGEST_CARRIED,
         "{first:?}"
     );
     assert_eq!(ledger::measure(&plan).0, first);
--- a/crates/simulator/tests/fleet.rs
+++ b/crates/simulator/tests/fleet.rs
@@ -2,11 +2,11 @@
 
 use std::collections::BTreeSet;
 
-use admission::interface::{Moment, Span};
+use admission::interface::{TimeDelta, Timestamp};
 use membership::letter;
 use membership::{
-    EngineNews, EngineWord, Gateway, Incarnation, Life, Name, Place, Record, Ring, Standing, State,
-    Terms,
+    EngineNews, EngineWord, Gateway, Incarnation, Life, Locality, Name, Record, Ring, Standing,
+    State, Terms,
 };
 use simulator::mesh::{self, KEY, Mesh, address, gateways, name};
 
@@ -218,7 +218,7 @@
         life: Life(number),
         incarnation: Incarnation(incarnation),
         address: address(at),
-        place: Place::default(),
+        locality: Locality::default(),
         state,
     };
     letter.records = (0..9)
@@ -262,7 +262,7 @@
                 &mesh.deaths[..mesh.deaths.len().min(5)]
             );
         }
-        let now = Moment::from_secs(mesh.now);
+        let now = Timestamp::from_secs(mesh.now);
         for at in mesh.lives() {
             let gateway = mesh.peer_mut(at).unwrap();
             assert_eq!(gateway.size(), count, "{at}");
@@ -289,11 +289,11 @@
 #[test]
 fn engines_are_doubted_on_two_independent_words_and_not_on_one() {
     let mut mesh = started(20, 9);
-    let now = Moment::from_secs(mesh.now);
+    let now = Timestamp::from_secs(mesh.now);
     mesh.peer_mut(4).unwrap().saw(now, "e-1", EngineWord::Bad);
     mesh.run(mesh.now + 3.0);
     let doubting = |mesh: &mut Mesh<Gateway>, engine: &str| {
-        let now = Moment::from_secs(mesh.now);
+        let now = Timestamp::from_secs(mesh.now);
         (0..20)
             .filter(|at| {
                 mesh.peer_mut(*at)
@@ -305,7 +305,7 @@
             .count()
     };
     assert_eq!(doubting(&mut mesh, "e-1"), 0);
-    let now = Moment::from_secs(mesh.now);
+    let now = Timestamp::from_secs(mesh.now);
     mesh.peer_mut(9).unwrap().saw(now, "e-1", EngineWord::Bad);
     mesh.run(mesh.now + 3.0);
     assert!(doubting(&mut mesh, "e-1") >= 18);
@@ -405,7 +405,7 @@
             Name::new("lab").unwrap(),
             own,
             address(at),
-            Place::default(),
+            Locality::default(),
             seeds,
             ring,
             Terms::default(),
@@ -458,7 +458,7 @@
 
 #[test]
 fn a_leave_is_no_failure_and_leaves_nothing_behind_after_its_time() {
-    let keep_gone = Span::from_secs(20.0);
+    let keep_gone = TimeDelta::from_secs(20.0);
     let mut mesh = started_by(
         20,
         16,
--- a/crates/simulator/tests/mass.rs
+++ b/crates/simulator/tests/mass.rs
@@ -20,7 +20,7 @@
         .figures
 }
 
-/// Service over the whole day, handshakes a relay, connections at one engine: none may be worse.
+/// Service over the whole day, handshakes an attempt, connections at one engine: none may be worse.
 #[test]
 fn each_day_of_the_whole_fleet_keeps_its_rules_and_its_service() {
     for (name, service, handshakes, connections) in [
@@ -38,7 +38,7 @@
             "{name}: service {}",
             figures.service
         );
-        let share = figures.handshakes as f64 / figures.relays as f64;
+        let share = figures.handshakes as f64 / figures.attempts as f64;
         assert!(share <= handshakes, "{name}: {share} handshakes a relay");
         assert!(
             figures.most_connections <= connections,
@@ -62,7 +62,7 @@
     // Connections still end when idle; only the decisions do not know.
     untold.idle_untold = true;
     let untold = play(&untold, 3);
-    let share = |of: &Figures| of.handshakes as f64 / of.relays as f64;
+    let share = |of: &Figures| of.handshakes as f64 / of.attempts as f64;
     assert!(
         share(&untold) > 5.0 * share(&told),
         "{} untold, {} told",
--- a/crates/simulator/tests/shares.rs
+++ b/crates/simulator/tests/shares.rs
@@ -25,7 +25,7 @@
 fn steward(work: &mut Work) -> usize {
     let until = work.mesh.now + 10.0;
     loop {
-        let now = admission::interface::Moment::from_secs(work.mesh.now);
+        let now = admission::interface::Timestamp::from_secs(work.mesh.now);
         let is = |part: &Part| part.shares.core().is_steward(part.clock(now));
         let first = (0..work.mesh.len()).find(|at| work.mesh.peer(*at).is_some_and(is));
         if let Some(first) = first {
--- a/crates/wirehost/src/frames.rs
+++ b/crates/wirehost/src/frames.rs
@@ -281,11 +281,11 @@
         self.put(120, gateway, &[]);
     }
 
-    pub fn tune(&mut self, gateway: u16, id: u64, memory_mb: f32, rank: u8) {
+    pub fn tune(&mut self, gateway: u16, id: u64, memory_mb: f32, priority: u8) {
         self.put(
             130,
             gateway,
-            &[&id.to_le_bytes(), &memory_mb.to_le_bytes(), &[rank]],
+            &[&id.to_le_bytes(), &memory_mb.to_le_bytes(), &[priority]],
         );
     }
 }
--- a/examples/stand_ins/src/board.rs
+++ b/examples/stand_ins/src/board.rs
@@ -1,4 +1,4 @@
-//! A notice board that answers long polls with numbered events.
+//! A discovery service that answers long polls with numbered events.
 
 use std::io::{self, BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
--- a/examples/stand_ins/src/lib.rs
+++ b/examples/stand_ins/src/lib.rs
@@ -1,4 +1,4 @@
-//! Our own stand-ins, written from the protocol's public description: an engine, a notice board and a client.
+//! Our own stand-ins, written from the protocol's public description: an engine, a discovery service and a client.
 //! Plain threads and blocking sockets; what they do wrong on purpose is set from outside.
 
 pub mod board;
--- a/examples/stand_ins/src/main.rs
+++ b/examples/stand_ins/src/main.rs
@@ -1,4 +1,4 @@
-//! `laurelhitch-stand-ins serve CONFIG` plays the notice board and all engines that a configuration knows;
+//! `laurelhitch-stand-ins serve CONFIG` plays the discovery service and all engines that a configuration knows;
 //! `laurelhitch-stand-ins ask ADDRESS STATEMENT` sends one statement through a gateway and prints its rows.
 
 use std::error::Error;
