--- a/crates/admission/src/policy.rs
+++ b/crates/admission/src/policy.rs
@@ -363,6 +363,23 @@
     at: Option<Timestamp>,
 }
 
+/// What a gateway's settings tell its policy.
+#[derive(Clone, Debug)]
+pub struct PolicyConfig {
+    /// The query classes, by [`ClassId`].
+    pub classes: Vec<QueryClass>,
+    /// What each tenant may use.
+    pub tenant_quotas: TenantQuotas,
+    /// The gateways and engines as a whole.
+    pub fleet: FleetConfig,
+    /// What engines can do after their start; none: all of it.
+    pub slow_start: Option<SlowStart>,
+    /// Attempts, and what clients are told.
+    pub retry_policy: RetryPolicy,
+    /// How the list of engines reaches this gateway.
+    pub discovery: DiscoveryMode,
+}
+
 pub struct Policy {
     rng: Pcg64Mcg,
     classes: Vec<QueryClass>,
@@ -391,15 +408,16 @@
 }
 
 impl Policy {
-    pub fn new(
-        seed: u64,
-        classes: Vec<QueryClass>,
-        tenancy: TenantQuotas,
-        fleet: FleetConfig,
-        cold: Option<SlowStart>,
-        retry_policy: RetryPolicy,
-        discovery: DiscoveryMode,
-    ) -> Self {
+    /// A policy that knows no engines yet. `seed` starts its chance: each gateway has one of its own.
+    pub fn new(config: PolicyConfig, seed: u64) -> Self {
+        let PolicyConfig {
+            classes,
+            tenant_quotas: tenancy,
+            fleet,
+            slow_start: cold,
+            retry_policy,
+            discovery,
+        } = config;
         let share = 1.0 / classes.len().max(1) as f64;
         // Retries must not feed a jam, so the module sets a retry_budget of its own beside the stated one.
         let own = RetryBudget {
--- a/crates/admission/tests/decisions.rs
+++ b/crates/admission/tests/decisions.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use admission::interface::*;
-use admission::policy::Policy;
+use admission::policy::{Policy, PolicyConfig};
 use quickcheck::{Gen, QuickCheck, TestResult};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -93,7 +93,7 @@
         priorities_honored: true,
         idle,
     };
-    let cold = SlowStart {
+    let slow_start = SlowStart {
         initial_share: 0.3,
         warm_up: span(COLD_S),
         overload_multiple: 2.0,
@@ -107,7 +107,7 @@
         order_settle: span(0.7),
         retry_budget,
     };
-    let tenancy = TenantQuotas {
+    let tenant_quotas = TenantQuotas {
         quotas: vec![400.0, 100.0],
         over_quota_weight: 0.1,
     };
@@ -115,15 +115,15 @@
         on_request: false,
         request_within: span(10.0),
     };
-    Policy::new(
-        seed,
-        classes.to_vec(),
-        tenancy,
+    let config = PolicyConfig {
+        classes: classes.to_vec(),
+        tenant_quotas,
         fleet,
-        Some(cold),
+        slow_start: Some(slow_start),
         retry_policy,
         discovery,
-    )
+    };
+    Policy::new(config, seed)
 }
 
 /// One statement in the caller's hands, with what the checks need to know of it.
--- a/crates/dispatch/tests/cold_engine.rs
+++ b/crates/dispatch/tests/cold_engine.rs
@@ -4,7 +4,7 @@
 use std::collections::VecDeque;
 
 use admission::interface::*;
-use admission::policy::Policy;
+use admission::policy::{Policy, PolicyConfig};
 use dispatch::{AttemptOrder, Decision, Dispatcher, FollowUp, StatementRequest};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -79,19 +79,19 @@
         request_within: span(10.0),
     };
     let seed = case.seed * 1000 + number as u64;
-    let tenancy = TenantQuotas {
+    let tenant_quotas = TenantQuotas {
         quotas: Vec::new(),
         over_quota_weight: 1.0,
     };
-    let mut gateway = Dispatcher::new(Policy::new(
-        seed,
-        vec![class],
-        tenancy,
+    let config = PolicyConfig {
+        classes: vec![class],
+        tenant_quotas,
         fleet,
-        Some(COLD),
+        slow_start: Some(COLD),
         retry_policy,
         discovery,
-    ));
+    };
+    let mut gateway = Dispatcher::new(Policy::new(config, seed));
     let mut engines = vec![engine(COLD_ENGINE.0, Some(Timestamp::from_secs(STARTED_S)))];
     engines.extend((1..=case.hung).map(|id| engine(id, None)));
     gateway.on_endpoint_update(
--- a/crates/dispatch/tests/random.rs
+++ b/crates/dispatch/tests/random.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use admission::interface::*;
-use admission::policy::Policy;
+use admission::policy::{Policy, PolicyConfig};
 use dispatch::{AttemptOrder, Decision, Dispatcher, FollowUp, StatementRequest};
 use quickcheck::{Gen, QuickCheck};
 use rand::{RngExt, SeedableRng};
@@ -69,15 +69,15 @@
         request_within: span(10.0),
     };
     let classes = effects().map(class).to_vec();
-    Dispatcher::new(Policy::new(
-        seed,
+    let config = PolicyConfig {
         classes,
-        TenantQuotas::default(),
+        tenant_quotas: TenantQuotas::default(),
         fleet,
-        None,
+        slow_start: None,
         retry_policy,
         discovery,
-    ))
+    };
+    Dispatcher::new(Policy::new(config, seed))
 }
 
 fn engine(id: u32, stage: EngineStage) -> EngineInfo {
--- a/crates/scheduler/tests/hall.rs
+++ b/crates/scheduler/tests/hall.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use admission::interface::*;
-use admission::policy::Policy;
+use admission::policy::{Policy, PolicyConfig};
 use dispatch::{Decision, Dispatcher, StatementRequest};
 use quickcheck::{Gen, QuickCheck};
 use rand::{RngExt, SeedableRng};
@@ -56,15 +56,15 @@
         request_within: span(10.0),
     };
     let classes = vec![class(1.0, 0.2), class(10.0, 0.1)];
-    let mut dispatch = Dispatcher::new(Policy::new(
-        seed,
+    let config = PolicyConfig {
         classes,
-        TenantQuotas::default(),
+        tenant_quotas: TenantQuotas::default(),
         fleet,
-        None,
+        slow_start: None,
         retry_policy,
         discovery,
-    ));
+    };
+    let mut dispatch = Dispatcher::new(Policy::new(config, seed));
     dispatch.on_endpoint_update(
         at(0.0),
         &EndpointUpdate::Snapshot(vec![engine(EngineStage::Ready)]),
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -5,7 +5,7 @@
 use std::str::FromStr;
 
 use admission::interface::*;
-use admission::policy::Policy;
+use admission::policy::{Policy, PolicyConfig};
 use serde_json::Value;
 use thiserror::Error;
 
@@ -207,7 +207,7 @@
                 .number(&format!("Tenants.{at}.AllowancePerS"))?
                 .unwrap_or(0.0))
         };
-        let tenancy = TenantQuotas {
+        let tenant_quotas = TenantQuotas {
             quotas: (0..tenants)
                 .map(quota)
                 .collect::<Result<_, SettingsError>>()?,
@@ -225,7 +225,7 @@
                 .span("Limits.ConnIdleS")?
                 .filter(|idle| *idle > TimeDelta::ZERO),
         };
-        let cold = match self.number("Rules.StartCapacity")? {
+        let slow_start = match self.number("Rules.StartCapacity")? {
             None => None,
             Some(initial_share) => Some(SlowStart {
                 initial_share,
@@ -260,15 +260,15 @@
                 .span("Rules.AskWithinS")?
                 .unwrap_or(TimeDelta::from_secs(10.0)),
         };
-        Ok(Policy::new(
-            seed,
+        let config = PolicyConfig {
             classes,
-            tenancy,
+            tenant_quotas,
             fleet,
-            cold,
+            slow_start,
             retry_policy,
             discovery,
-        ))
+        };
+        Ok(Policy::new(config, seed))
     }
 
     pub fn classes(&self) -> usize {
--- a/crates/simulator/src/play/deployment.rs
+++ b/crates/simulator/src/play/deployment.rs
@@ -1,7 +1,7 @@
 //! The emulated deployment: its limits, and the decisions of one gateway built from them and the scenario.
 
 use admission::interface::*;
-use admission::policy::Policy as AdmissionPolicy;
+use admission::policy::{Policy as AdmissionPolicy, PolicyConfig};
 use dispatch::Dispatcher;
 
 use crate::front::{Front, Policy};
@@ -71,15 +71,15 @@
         on_request: false,
         request_within: TimeDelta::from_secs(LIST_REQUEST_PERIOD_S),
     };
-    AdmissionPolicy::new(
-        seed,
+    let config = PolicyConfig {
         classes,
-        tenancy(scenario),
-        engine_fleet(scenario),
-        Some(cold_start),
-        retries(),
+        tenant_quotas: tenancy(scenario),
+        fleet: engine_fleet(scenario),
+        slow_start: Some(cold_start),
+        retry_policy: retries(),
         discovery,
-    )
+    };
+    AdmissionPolicy::new(config, seed)
 }
 
 fn query_class(class: &scenario::ClassSpec) -> QueryClass {
