--- a/crates/identity/tests/golden.rs
+++ b/crates/identity/tests/golden.rs
@@ -20,7 +20,9 @@
 /// Compares what is made today with what was recorded, each name, each byte and their order, and hands back what was
 /// recorded. With `GOLDEN_RECORD=1` it writes the file first.
 fn compare(file: &str, made: &[(&str, Vec<u8>)]) -> Vec<Vec<u8>> {
-    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(file);
+    let path = Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/golden")
+        .join(file);
     let line = |(name, bytes): &(&str, Vec<u8>)| {
         let hex: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
         format!("{name} {hex}\n")
@@ -30,12 +32,16 @@
         std::fs::create_dir_all(path.parent().unwrap()).unwrap();
         std::fs::write(&path, lines.concat()).unwrap();
     }
-    let recorded = std::fs::read_to_string(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()));
+    let recorded =
+        std::fs::read_to_string(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()));
     let recorded: Vec<&str> = recorded.split_inclusive('\n').collect();
     let names: BTreeSet<&str> = made.iter().map(|(name, _)| *name).collect();
     assert_eq!(names.len(), made.len(), "{file}: a name twice");
     for (made, recorded) in lines.iter().zip(&recorded) {
-        assert_eq!(made, recorded, "{file}: made today on the left, recorded on the right");
+        assert_eq!(
+            made, recorded,
+            "{file}: made today on the left, recorded on the right"
+        );
     }
     assert_eq!(lines.len(), recorded.len(), "{file}: as many lines");
     let bytes = |line: &&str| {
@@ -48,10 +54,10 @@
 
 /// The first key pair among the examples of RFC 8032, secret half then public half: known to all, of use for nothing else.
 const SECRET: [u8; 64] = [
-    0x9d, 0x61, 0xb1, 0x9d, 0xef, 0xfd, 0x5a, 0x60, 0xba, 0x84, 0x4a, 0xf4, 0x92, 0xec, 0x2c, 0xc4, 0x44,
-    0x49, 0xc5, 0x69, 0x7b, 0x32, 0x69, 0x19, 0x70, 0x3b, 0xac, 0x03, 0x1c, 0xae, 0x7f, 0x60, 0xd7, 0x5a,
-    0x98, 0x01, 0x82, 0xb1, 0x0a, 0xb7, 0xd5, 0x4b, 0xfe, 0xd3, 0xc9, 0x64, 0x07, 0x3a, 0x0e, 0xe1, 0x72,
-    0xf3, 0xda, 0xa6, 0x23, 0x25, 0xaf, 0x02, 0x1a, 0x68, 0xf7, 0x07, 0x51, 0x1a,
+    0x9d, 0x61, 0xb1, 0x9d, 0xef, 0xfd, 0x5a, 0x60, 0xba, 0x84, 0x4a, 0xf4, 0x92, 0xec, 0x2c, 0xc4,
+    0x44, 0x49, 0xc5, 0x69, 0x7b, 0x32, 0x69, 0x19, 0x70, 0x3b, 0xac, 0x03, 0x1c, 0xae, 0x7f, 0x60,
+    0xd7, 0x5a, 0x98, 0x01, 0x82, 0xb1, 0x0a, 0xb7, 0xd5, 0x4b, 0xfe, 0xd3, 0xc9, 0x64, 0x07, 0x3a,
+    0x0e, 0xe1, 0x72, 0xf3, 0xda, 0xa6, 0x23, 0x25, 0xaf, 0x02, 0x1a, 0x68, 0xf7, 0x07, 0x51, 0x1a,
 ];
 
 fn public() -> [u8; 32] {
@@ -73,21 +79,33 @@
 }
 
 fn listed_bare() -> Listed {
-    Listed { id: id("autumn_2"), announced_s: 1_000_400.0, signs_s: None, retires_s: None, withdrawn_s: None }
+    Listed {
+        id: id("autumn_2"),
+        announced_s: 1_000_400.0,
+        signs_s: None,
+        retires_s: None,
+        withdrawn_s: None,
+    }
 }
 
 fn index() -> Index {
-    Index { version: 42, keys: vec![listed_full(), listed_bare()] }
+    Index {
+        version: 42,
+        keys: vec![listed_full(), listed_bare()],
+    }
 }
 
 fn grant_full() -> Grant {
     Grant {
         member: "valley-water".into(),
         desks: Some(BTreeSet::from(["counter".into(), "back-office".into()])),
-        products: Some(BTreeSet::from(["scores".into()])),
+        classes: Some(BTreeSet::from(["scores".into()])),
         groups: Some(vec![(1, 5), (9, 9)]),
         most_open: Some(17),
-        networks: Some(vec!["10.0.0.0/8".parse().unwrap(), "2001:db8::/32".parse().unwrap()]),
+        networks: Some(vec![
+            "10.0.0.0/8".parse().unwrap(),
+            "2001:db8::/32".parse().unwrap(),
+        ]),
     }
 }
 
@@ -95,7 +113,7 @@
     Grant {
         member: "valley-water".into(),
         desks: None,
-        products: None,
+        classes: None,
         groups: None,
         most_open: None,
         networks: None,
@@ -118,7 +136,10 @@
     // As the file stores it: laid out over lines.
     let made = [
         ("index", serde_json::to_vec_pretty(&index()).unwrap()),
-        ("index_without_keys", serde_json::to_vec_pretty(&Index::default()).unwrap()),
+        (
+            "index_without_keys",
+            serde_json::to_vec_pretty(&Index::default()).unwrap(),
+        ),
     ];
     let recorded = compare("index.txt", &made);
     let read = |bytes: &[u8]| Index::parse(std::str::from_utf8(bytes).unwrap());
@@ -131,12 +152,33 @@
     let keys = [
         ("every_step", listed_full()),
         ("announced", listed_bare()),
-        ("signing", Listed { signs_s: Some(1_000_401.0), ..listed_bare() }),
-        ("retiring", Listed { signs_s: Some(1_000_401.0), retires_s: Some(1_000_402.0), ..listed_bare() }),
-        ("withdrawn_unsigned", Listed { withdrawn_s: Some(1_000_403.0), ..listed_bare() }),
+        (
+            "signing",
+            Listed {
+                signs_s: Some(1_000_401.0),
+                ..listed_bare()
+            },
+        ),
+        (
+            "retiring",
+            Listed {
+                signs_s: Some(1_000_401.0),
+                retires_s: Some(1_000_402.0),
+                ..listed_bare()
+            },
+        ),
+        (
+            "withdrawn_unsigned",
+            Listed {
+                withdrawn_s: Some(1_000_403.0),
+                ..listed_bare()
+            },
+        ),
     ];
-    let made: Vec<(&str, Vec<u8>)> =
-        keys.iter().map(|(name, key)| (*name, serde_json::to_vec(key).unwrap())).collect();
+    let made: Vec<(&str, Vec<u8>)> = keys
+        .iter()
+        .map(|(name, key)| (*name, serde_json::to_vec(key).unwrap()))
+        .collect();
     let recorded = compare("keys.txt", &made);
     for ((_, key), bytes) in keys.iter().zip(&recorded) {
         assert_eq!(&serde_json::from_slice::<Listed>(bytes).unwrap(), key);
@@ -146,19 +188,38 @@
 #[test]
 fn claims_keep_their_text_with_each_limit_and_with_none() {
     let made = [
-        ("claims_every_limit", serde_json::to_vec(&claims(grant_full())).unwrap()),
-        ("claims_no_limit", serde_json::to_vec(&claims(grant_bare())).unwrap()),
+        (
+            "claims_every_limit",
+            serde_json::to_vec(&claims(grant_full())).unwrap(),
+        ),
+        (
+            "claims_no_limit",
+            serde_json::to_vec(&claims(grant_bare())).unwrap(),
+        ),
     ];
     let recorded = compare("claims.txt", &made);
-    assert_eq!(serde_json::from_slice::<Claims>(&recorded[0]).unwrap(), claims(grant_full()));
-    assert_eq!(serde_json::from_slice::<Claims>(&recorded[1]).unwrap(), claims(grant_bare()));
+    assert_eq!(
+        serde_json::from_slice::<Claims>(&recorded[0]).unwrap(),
+        claims(grant_full())
+    );
+    assert_eq!(
+        serde_json::from_slice::<Claims>(&recorded[1]).unwrap(),
+        claims(grant_bare())
+    );
 }
 
 #[test]
 fn tokens_keep_their_text_and_recorded_ones_still_hold() {
     // Signing by one key gives one token: nothing in it is drawn.
-    let sign = |grant: Grant| token::sign(&claims(grant), &id("spring-1"), &SECRET).unwrap().into_bytes();
-    let made = [("token_every_limit", sign(grant_full())), ("token_no_limit", sign(grant_bare()))];
+    let sign = |grant: Grant| {
+        token::sign(&claims(grant), &id("spring-1"), &SECRET)
+            .unwrap()
+            .into_bytes()
+    };
+    let made = [
+        ("token_every_limit", sign(grant_full())),
+        ("token_no_limit", sign(grant_bare())),
+    ];
     let recorded = compare("tokens.txt", &made);
     for (bytes, grant) in recorded.iter().zip([grant_full(), grant_bare()]) {
         let text = std::str::from_utf8(bytes).unwrap();
--- a/crates/membership/tests/golden.rs
+++ b/crates/membership/tests/golden.rs
@@ -5,19 +5,24 @@
 //! or leaves makes gateways of two builds misread each other, which breaks a restart of one gateway after another. So
 //! names in the code may change, and these bytes may not. Words are recorded since metrics, logs and operators go by them.
 //!
-//! A deliberate change is recorded anew by `GOLDEN_RECORD=1 cargo test -p laurelhitch-fleet --test golden`, and committed
+//! A deliberate change is recorded anew by `GOLDEN_RECORD=1 cargo test -p laurelhitch-membership --test golden`, and committed
 //! with its reason; a plain run only compares. Each line of a file is a name and the bytes in hexadecimal digits.
 
 use std::collections::BTreeSet;
 use std::path::Path;
 
-use fleet::message::{Body, Message, Nonce, View, open, seal};
-use fleet::{EngineNews, EngineWord, Incarnation, Life, Name, Place, Record, Refused, Ring, Standing, State};
+use membership::message::{Body, Message, Nonce, View, open, seal};
+use membership::{
+    EngineNews, EngineWord, Incarnation, Life, Locality, Name, Record, Refused, Ring, Standing,
+    State,
+};
 
 /// Compares what is made today with what was recorded, each name, each byte and their order, and hands back what was
 /// recorded. With `GOLDEN_RECORD=1` it writes the file first.
 fn compare(file: &str, made: &[(&str, Vec<u8>)]) -> Vec<Vec<u8>> {
-    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(file);
+    let path = Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/golden")
+        .join(file);
     let line = |(name, bytes): &(&str, Vec<u8>)| {
         let hex: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
         format!("{name} {hex}\n")
@@ -27,12 +32,16 @@
         std::fs::create_dir_all(path.parent().unwrap()).unwrap();
         std::fs::write(&path, lines.concat()).unwrap();
     }
-    let recorded = std::fs::read_to_string(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()));
+    let recorded =
+        std::fs::read_to_string(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()));
     let recorded: Vec<&str> = recorded.split_inclusive('\n').collect();
     let names: BTreeSet<&str> = made.iter().map(|(name, _)| *name).collect();
     assert_eq!(names.len(), made.len(), "{file}: a name twice");
     for (made, recorded) in lines.iter().zip(&recorded) {
-        assert_eq!(made, recorded, "{file}: made today on the left, recorded on the right");
+        assert_eq!(
+            made, recorded,
+            "{file}: made today on the left, recorded on the right"
+        );
     }
     assert_eq!(lines.len(), recorded.len(), "{file}: as many lines");
     let bytes = |line: &&str| {
@@ -57,7 +66,10 @@
         life: Life(0x0102_0304_0506_0708),
         incarnation: Incarnation(3),
         address: "10.1.2.3:7400".parse().unwrap(),
-        place: Place { zone: Some(name("zone-1")), region: Some(name("region-9")) },
+        locality: Locality {
+            zone: Some(name("zone-1")),
+            region: Some(name("region-9")),
+        },
         state: State::Alive,
     }
 }
@@ -68,7 +80,10 @@
         life: Life(77),
         incarnation: Incarnation(300),
         address: "[2001:db8::1:2]:7401".parse().unwrap(),
-        place: Place { zone: None, region: Some(name("south")) },
+        locality: Locality {
+            zone: None,
+            region: Some(name("south")),
+        },
         state: State::Suspect,
     }
 }
@@ -78,10 +93,17 @@
         fleet: name("harbour"),
         from: sender(),
         counter: 1_000_001,
-        view: View { digest: 0xfedc_ba98_7654_3210, size: 513 },
+        view: View {
+            digest: 0xfedc_ba98_7654_3210,
+            size: 513,
+        },
         body,
         records: vec![other(), sender()],
-        engines: vec![EngineNews { engine: "engine-4".into(), word: EngineWord::Back, age_ms: 1500 }],
+        engines: vec![EngineNews {
+            engine: "engine-4".into(),
+            word: EngineWord::Back,
+            age_ms: 1500,
+        }],
     }
 }
 
@@ -89,19 +111,42 @@
     vec![
         Body::Ping(Nonce(101)),
         Body::Ack(Nonce(102)),
-        Body::Ask { nonce: Nonce(103), target: Box::new(other()) },
+        Body::Ask {
+            nonce: Nonce(103),
+            target: Box::new(other()),
+        },
         Body::Passed(Nonce(104)),
         Body::Silent(Nonce(105)),
-        Body::Pull { after: Some(name("gate-c")) },
+        Body::Pull {
+            after: Some(name("gate-c")),
+        },
         Body::Pull { after: None },
-        Body::Page { next: Some(name("gate-d")) },
+        Body::Page {
+            next: Some(name("gate-d")),
+        },
         Body::Page { next: None },
         Body::News,
         Body::Carried(vec![0, 1, 127, 128, 255]),
-        Body::Compare { nonce: Nonce(106), first: 96, digests: vec![[1, 2, 3, 4, 5, 6, 7, 8], [255; 8]] },
-        Body::Compared { nonce: Nonce(107), equal: 0x8000_0005, covered: 31 },
-        Body::List { nonce: Nonce(108), from: 0x1122_3344, marks: vec![[8, 7, 6, 5, 4, 3, 2, 1], [0; 8]] },
-        Body::Listed { nonce: Nonce(109), held: 0x80_0000_0000_0001, until: 0xffff_ffff_ffff_fff0 },
+        Body::Compare {
+            nonce: Nonce(106),
+            first: 96,
+            digests: vec![[1, 2, 3, 4, 5, 6, 7, 8], [255; 8]],
+        },
+        Body::Compared {
+            nonce: Nonce(107),
+            equal: 0x8000_0005,
+            covered: 31,
+        },
+        Body::List {
+            nonce: Nonce(108),
+            from: 0x1122_3344,
+            marks: vec![[8, 7, 6, 5, 4, 3, 2, 1], [0; 8]],
+        },
+        Body::Listed {
+            nonce: Nonce(109),
+            held: 0x80_0000_0000_0001,
+            until: 0xffff_ffff_ffff_fff0,
+        },
     ]
 }
 
@@ -129,8 +174,10 @@
 #[test]
 fn datagrams_of_each_kind_keep_their_bytes_and_are_read_back() {
     let messages: Vec<Message> = bodies().into_iter().map(message).collect();
-    let made: Vec<(&str, Vec<u8>)> =
-        messages.iter().map(|message| (plain_word(&message.body), seal(&ring(), message))).collect();
+    let made: Vec<(&str, Vec<u8>)> = messages
+        .iter()
+        .map(|message| (plain_word(&message.body), seal(&ring(), message)))
+        .collect();
     let recorded = compare("datagrams.txt", &made);
     for (message, bytes) in messages.iter().zip(&recorded) {
         assert_eq!(open(&ring(), &name("harbour"), bytes).as_ref(), Ok(message));
@@ -139,7 +186,11 @@
 
 #[test]
 fn a_datagram_with_neither_records_nor_news_keeps_its_bytes() {
-    let bare = Message { records: vec![], engines: vec![], ..message(Body::Ping(Nonce(u64::MAX))) };
+    let bare = Message {
+        records: vec![],
+        engines: vec![],
+        ..message(Body::Ping(Nonce(u64::MAX)))
+    };
     let recorded = compare("datagram_bare.txt", &[("ping_bare", seal(&ring(), &bare))]);
     assert_eq!(open(&ring(), &name("harbour"), &recorded[0]), Ok(bare));
 }
@@ -153,16 +204,39 @@
             "dead_zone_ipv4",
             Record {
                 state: State::Dead,
-                place: Place { zone: Some(name("north")), region: None },
+                locality: Locality {
+                    zone: Some(name("north")),
+                    region: None,
+                },
                 ..sender()
             },
         ),
         (
             "left_no_place_ipv6",
-            Record { state: State::Left, place: Place { zone: None, region: None }, ..other() },
+            Record {
+                state: State::Left,
+                locality: Locality {
+                    zone: None,
+                    region: None,
+                },
+                ..other()
+            },
+        ),
+        (
+            "alive_no_place_ipv4",
+            Record {
+                locality: Locality::default(),
+                ..sender()
+            },
+        ),
+        (
+            "alive_zone_region_ipv6",
+            Record {
+                locality: sender().locality,
+                state: State::Alive,
+                ..other()
+            },
         ),
-        ("alive_no_place_ipv4", Record { place: Place::default(), ..sender() }),
-        ("alive_zone_region_ipv6", Record { place: sender().place, state: State::Alive, ..other() }),
         (
             "alive_highest",
             Record {
@@ -173,8 +247,10 @@
             },
         ),
     ];
-    let made: Vec<(&str, Vec<u8>)> =
-        records.iter().map(|(name, record)| (*name, postcard::to_allocvec(record).unwrap())).collect();
+    let made: Vec<(&str, Vec<u8>)> = records
+        .iter()
+        .map(|(name, record)| (*name, postcard::to_allocvec(record).unwrap()))
+        .collect();
     let recorded = compare("records.txt", &made);
     for ((_, record), bytes) in records.iter().zip(&recorded) {
         assert_eq!(&postcard::from_bytes::<Record>(bytes).unwrap(), record);
@@ -184,11 +260,27 @@
 #[test]
 fn news_of_engines_of_each_kind_keep_their_bytes() {
     let news = [
-        ("bad", EngineNews { engine: "engine-1".into(), word: EngineWord::Bad, age_ms: 0 }),
-        ("back", EngineNews { engine: "e".into(), word: EngineWord::Back, age_ms: u32::MAX }),
+        (
+            "bad",
+            EngineNews {
+                engine: "engine-1".into(),
+                word: EngineWord::Bad,
+                age_ms: 0,
+            },
+        ),
+        (
+            "back",
+            EngineNews {
+                engine: "e".into(),
+                word: EngineWord::Back,
+                age_ms: u32::MAX,
+            },
+        ),
     ];
-    let made: Vec<(&str, Vec<u8>)> =
-        news.iter().map(|(name, news)| (*name, postcard::to_allocvec(news).unwrap())).collect();
+    let made: Vec<(&str, Vec<u8>)> = news
+        .iter()
+        .map(|(name, news)| (*name, postcard::to_allocvec(news).unwrap()))
+        .collect();
     let recorded = compare("engine_news.txt", &made);
     for ((_, news), bytes) in news.iter().zip(&recorded) {
         assert_eq!(&postcard::from_bytes::<EngineNews>(bytes).unwrap(), news);
@@ -236,9 +328,15 @@
         ("alone_shown", shown(Standing::Alone)),
         ("together_name", named(Standing::Together)),
         ("together_shown", shown(Standing::Together)),
-        ("unsettled_name", named(Standing::Unsettled { over: over.clone() })),
+        (
+            "unsettled_name",
+            named(Standing::Unsettled { over: over.clone() }),
+        ),
         ("unsettled_shown", shown(Standing::Unsettled { over })),
-        ("unsettled_over_none_shown", shown(Standing::Unsettled { over: vec![] })),
+        (
+            "unsettled_over_none_shown",
+            shown(Standing::Unsettled { over: vec![] }),
+        ),
         ("cut_off_name", named(Standing::CutOff { settled: 12 })),
         ("cut_off_shown", shown(Standing::CutOff { settled: 12 })),
         ("rejoining_name", named(Standing::Rejoining)),
--- a/crates/quota/tests/golden.rs
+++ b/crates/quota/tests/golden.rs
@@ -5,20 +5,22 @@
 //! or leaves makes gateways of two builds misread each other, which breaks a restart of one gateway after another. So
 //! names in the code may change, and these bytes may not. A budget's mark follows from its name, so that name stays too.
 //!
-//! A deliberate change is recorded anew by `GOLDEN_RECORD=1 cargo test -p laurelhitch-shares --test golden`, and committed
+//! A deliberate change is recorded anew by `GOLDEN_RECORD=1 cargo test -p laurelhitch-quota --test golden`, and committed
 //! with its reason; a plain run only compares. Each line of a file is a name and the bytes in hexadecimal digits.
 
 use std::collections::BTreeSet;
 use std::path::Path;
 
-use fleet::{Life, Name};
-use shares::word::{Ask, Count, Need, Word};
-use shares::{Amount, Budget, Refused, TermsError, Use, Who};
+use membership::{Life, Name};
+use quota::word::{Ask, Count, Need, Word};
+use quota::{Amount, Budget, Refused, TermsError, Use, Who};
 
 /// Compares what is made today with what was recorded, each name, each byte and their order, and hands back what was
 /// recorded. With `GOLDEN_RECORD=1` it writes the file first.
 fn compare(file: &str, made: &[(&str, Vec<u8>)]) -> Vec<Vec<u8>> {
-    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(file);
+    let path = Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/golden")
+        .join(file);
     let line = |(name, bytes): &(&str, Vec<u8>)| {
         let hex: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
         format!("{name} {hex}\n")
@@ -28,12 +30,16 @@
         std::fs::create_dir_all(path.parent().unwrap()).unwrap();
         std::fs::write(&path, lines.concat()).unwrap();
     }
-    let recorded = std::fs::read_to_string(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()));
+    let recorded =
+        std::fs::read_to_string(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()));
     let recorded: Vec<&str> = recorded.split_inclusive('\n').collect();
     let names: BTreeSet<&str> = made.iter().map(|(name, _)| *name).collect();
     assert_eq!(names.len(), made.len(), "{file}: a name twice");
     for (made, recorded) in lines.iter().zip(&recorded) {
-        assert_eq!(made, recorded, "{file}: made today on the left, recorded on the right");
+        assert_eq!(
+            made, recorded,
+            "{file}: made today on the left, recorded on the right"
+        );
     }
     assert_eq!(lines.len(), recorded.len(), "{file}: as many lines");
     let bytes = |line: &&str| {
@@ -57,15 +63,32 @@
             whole: Amount::MOST,
             floor: Amount(7),
         },
-        Need { mark: 5, need: Amount::ZERO, held: Amount(1), whole: Amount(2), floor: Amount(3) },
+        Need {
+            mark: 5,
+            need: Amount::ZERO,
+            held: Amount(1),
+            whole: Amount(2),
+            floor: Amount(3),
+        },
     ]
 }
 
 fn words() -> Vec<Word> {
     vec![
-        Word::Canvass { number: 1001, count: Count(11) },
-        Word::Vote { count: Count(12), yes: true, highest: 1002 },
-        Word::Vote { count: Count(13), yes: false, highest: u64::MAX },
+        Word::Canvass {
+            number: 1001,
+            count: Count(11),
+        },
+        Word::Vote {
+            count: Count(12),
+            yes: true,
+            highest: 1002,
+        },
+        Word::Vote {
+            count: Count(13),
+            yes: false,
+            highest: u64::MAX,
+        },
         Word::Resign { number: 1003 },
         Word::Ask(Ask {
             count: Count(14),
@@ -74,13 +97,21 @@
             clock_ms: 123_456_789,
             needs: needs(),
         }),
-        Word::Ask(Ask { count: Count(15), holds: None, leaves: true, clock_ms: 200, needs: vec![] }),
+        Word::Ask(Ask {
+            count: Count(15),
+            holds: None,
+            leaves: true,
+            clock_ms: 200,
+            needs: vec![],
+        }),
         Word::Grant {
             count: Count(16),
             number: 1004,
             amounts: vec![(0xdead_beef, Amount(999_999)), (5, Amount::ZERO)],
         },
-        Word::Steer { steward: Some(name("gate-a")) },
+        Word::Steer {
+            steward: Some(name("gate-a")),
+        },
         Word::Steer { steward: None },
     ]
 }
@@ -103,7 +134,10 @@
 #[test]
 fn words_of_each_kind_keep_their_bytes_and_are_read_back() {
     let words = words();
-    let made: Vec<(&str, Vec<u8>)> = words.iter().map(|word| (plain_word(word), word.bytes())).collect();
+    let made: Vec<(&str, Vec<u8>)> = words
+        .iter()
+        .map(|word| (plain_word(word), word.bytes()))
+        .collect();
     let recorded = compare("words.txt", &made);
     for (word, bytes) in words.iter().zip(&recorded) {
         assert_eq!(Word::read(bytes).as_ref(), Ok(word));
@@ -112,16 +146,26 @@
 
 #[test]
 fn who_holds_a_lease_keeps_its_bytes() {
-    let who = Who { name: name("gate-a"), life: Life(0x0102_0304_0506_0708) };
-    let recorded = compare("holders.txt", &[("holder", postcard::to_allocvec(&who).unwrap())]);
+    let who = Who {
+        name: name("gate-a"),
+        life: Life(0x0102_0304_0506_0708),
+    };
+    let recorded = compare(
+        "holders.txt",
+        &[("holder", postcard::to_allocvec(&who).unwrap())],
+    );
     assert_eq!(postcard::from_bytes::<Who>(&recorded[0]).unwrap(), who);
 }
 
 #[test]
 fn budgets_keep_their_names_units_and_marks() {
-    let of = |of: Use| Budget { of, whole: Amount(1_000_000), floor: Amount(10) };
+    let of = |of: Use| Budget {
+        of,
+        whole: Amount(1_000_000),
+        floor: Amount(10),
+    };
     let member = of(Use::Member("valley-water".into()));
-    let relays = of(Use::Relays("scores".into()));
+    let attempts = of(Use::Relays("scores".into()));
     let trials = of(Use::Trials);
     let cold = of(Use::Cold);
     let named = |budget: &Budget| budget.name().into_bytes();
@@ -131,9 +175,9 @@
         ("member_name", named(&member)),
         ("member_unit", unit(&member)),
         ("member_mark", mark(&member)),
-        ("relays_name", named(&relays)),
-        ("relays_unit", unit(&relays)),
-        ("relays_mark", mark(&relays)),
+        ("relays_name", named(&attempts)),
+        ("relays_unit", unit(&attempts)),
+        ("relays_mark", mark(&attempts)),
         ("trials_name", named(&trials)),
         ("trials_unit", unit(&trials)),
         ("trials_mark", mark(&trials)),
@@ -161,7 +205,10 @@
     let shown = |error: TermsError| error.to_string().into_bytes();
     let made = [
         ("budgets", shown(TermsError::Budgets)),
-        ("twice", shown(TermsError::Twice("member.valley-water".into()))),
+        (
+            "twice",
+            shown(TermsError::Twice("member.valley-water".into())),
+        ),
         ("floors", shown(TermsError::Floors("trials".into(), 20))),
         ("voters", shown(TermsError::Voters)),
         ("short", shown(TermsError::Short)),
