--- a/crates/quota/tests/golden.rs
+++ b/crates/quota/tests/golden.rs
@@ -1,9 +1,9 @@
-//! Bytes and texts of shared budgets as they were recorded: one of each word that gateways say to each other, the names,
-//! units and marks of budgets, and the words shown for refusals and for terms that contradict themselves.
+//! Bytes and texts of shared budgets as they were recorded: one of each message that gateways exchange, the names,
+//! units and keys of budgets, and the texts shown for rejections and for a configuration that contradicts itself.
 //!
 //! The layouts are positional: a field or variant has no name on the wire, only its place. One that moves, comes between
 //! or leaves makes gateways of two builds misread each other, which breaks a restart of one gateway after another. So
-//! names in the code may change, and these bytes may not. A budget's mark follows from its name, so that name stays too.
+//! names in the code may change, and these bytes may not. A budget's key follows from its name, so that name stays too.
 //!
 //! A deliberate change is recorded anew by `GOLDEN_RECORD=1 cargo test -p laurelhitch-quota --test golden`, and committed
 //! with its reason; a plain run only compares. Each line of a file is a name and the bytes in hexadecimal digits.
@@ -12,8 +12,10 @@
 use std::path::Path;
 
 use membership::{Life, Name};
-use quota::word::{Ask, Count, Need, Word};
-use quota::{Amount, Budget, Refused, TermsError, Use, Who};
+use quota::message::{BudgetDemand, GrantedAmount, LeaseGrant, LeaseRequest, Vote, VoteRequest};
+use quota::{
+    Amount, Budget, BudgetKey, BudgetKind, ConfigError, HolderId, Payload, RejectReason, RequestId,
+};
 
 /// Compares what is made today with what was recorded, each name, each byte and their order, and hands back what was
 /// recorded. With `GOLDEN_RECORD=1` it writes the file first.
@@ -54,165 +56,185 @@
     Name::new(text).unwrap()
 }
 
-fn needs() -> Vec<Need> {
+fn budget_demands() -> Vec<BudgetDemand> {
     vec![
-        Need {
-            mark: 0xdead_beef,
-            need: Amount(1_500_000),
+        BudgetDemand {
+            budget: BudgetKey(0xdead_beef),
+            demand: Amount(1_500_000),
             held: Amount(250),
-            whole: Amount::MOST,
-            floor: Amount(7),
+            capacity: Amount::MAX,
+            guaranteed: Amount(7),
         },
-        Need {
-            mark: 5,
-            need: Amount::ZERO,
+        BudgetDemand {
+            budget: BudgetKey(5),
+            demand: Amount::ZERO,
             held: Amount(1),
-            whole: Amount(2),
-            floor: Amount(3),
+            capacity: Amount(2),
+            guaranteed: Amount(3),
         },
     ]
 }
 
-fn words() -> Vec<Word> {
+fn payloads() -> Vec<Payload> {
     vec![
-        Word::Canvass {
-            number: 1001,
-            count: Count(11),
-        },
-        Word::Vote {
-            count: Count(12),
-            yes: true,
-            highest: 1002,
-        },
-        Word::Vote {
-            count: Count(13),
-            yes: false,
-            highest: u64::MAX,
-        },
-        Word::Resign { number: 1003 },
-        Word::Ask(Ask {
-            count: Count(14),
-            holds: Some(Count(10)),
-            leaves: false,
+        Payload::VoteRequest(VoteRequest {
+            term: 1001,
+            request: RequestId(11),
+        }),
+        Payload::Vote(Vote {
+            request: RequestId(12),
+            granted: true,
+            highest_term: 1002,
+        }),
+        Payload::Vote(Vote {
+            request: RequestId(13),
+            granted: false,
+            highest_term: u64::MAX,
+        }),
+        Payload::StepDown { term: 1003 },
+        Payload::LeaseRequest(LeaseRequest {
+            request: RequestId(14),
+            held_lease: Some(RequestId(10)),
+            leaving: false,
             clock_ms: 123_456_789,
-            needs: needs(),
+            budgets: budget_demands(),
         }),
-        Word::Ask(Ask {
-            count: Count(15),
-            holds: None,
-            leaves: true,
+        Payload::LeaseRequest(LeaseRequest {
+            request: RequestId(15),
+            held_lease: None,
+            leaving: true,
             clock_ms: 200,
-            needs: vec![],
+            budgets: vec![],
         }),
-        Word::Grant {
-            count: Count(16),
-            number: 1004,
-            amounts: vec![(0xdead_beef, Amount(999_999)), (5, Amount::ZERO)],
-        },
-        Word::Steer {
-            steward: Some(name("gate-a")),
+        Payload::LeaseGrant(LeaseGrant {
+            request: RequestId(16),
+            term: 1004,
+            amounts: vec![
+                GrantedAmount {
+                    budget: BudgetKey(0xdead_beef),
+                    amount: Amount(999_999),
+                },
+                GrantedAmount {
+                    budget: BudgetKey(5),
+                    amount: Amount::ZERO,
+                },
+            ],
+        }),
+        Payload::Redirect {
+            leader: Some(name("gate-a")),
         },
-        Word::Steer { steward: None },
+        Payload::Redirect { leader: None },
     ]
 }
 
 /// Without a wildcard: a variant that comes needs a line here, and one of its own above.
-fn plain_word(word: &Word) -> &'static str {
-    match word {
-        Word::Canvass { .. } => "vote_request",
-        Word::Vote { yes: true, .. } => "vote_yes",
-        Word::Vote { yes: false, .. } => "vote_no",
-        Word::Resign { .. } => "resign",
-        Word::Ask(Ask { holds: Some(_), .. }) => "lease_request_holding_two_needs",
-        Word::Ask(Ask { holds: None, .. }) => "lease_request_holding_none",
-        Word::Grant { .. } => "lease_grant",
-        Word::Steer { steward: Some(_) } => "redirect_known",
-        Word::Steer { steward: None } => "redirect_unknown",
+fn label(payload: &Payload) -> &'static str {
+    match payload {
+        Payload::VoteRequest(_) => "vote_request",
+        Payload::Vote(Vote { granted: true, .. }) => "vote_yes",
+        Payload::Vote(Vote { granted: false, .. }) => "vote_no",
+        Payload::StepDown { .. } => "resign",
+        Payload::LeaseRequest(LeaseRequest {
+            held_lease: Some(_),
+            ..
+        }) => "lease_request_holding_two_needs",
+        Payload::LeaseRequest(LeaseRequest {
+            held_lease: None, ..
+        }) => "lease_request_holding_none",
+        Payload::LeaseGrant(_) => "lease_grant",
+        Payload::Redirect { leader: Some(_) } => "redirect_known",
+        Payload::Redirect { leader: None } => "redirect_unknown",
     }
 }
 
 #[test]
-fn words_of_each_kind_keep_their_bytes_and_are_read_back() {
-    let words = words();
-    let made: Vec<(&str, Vec<u8>)> = words
+fn messages_of_each_kind_keep_their_bytes_and_are_decoded_again() {
+    let payloads = payloads();
+    let made: Vec<(&str, Vec<u8>)> = payloads
         .iter()
-        .map(|word| (plain_word(word), word.bytes()))
+        .map(|payload| (label(payload), payload.encode()))
         .collect();
     let recorded = compare("words.txt", &made);
-    for (word, bytes) in words.iter().zip(&recorded) {
-        assert_eq!(Word::read(bytes).as_ref(), Ok(word));
+    for (payload, bytes) in payloads.iter().zip(&recorded) {
+        assert_eq!(Payload::decode(bytes).as_ref(), Ok(payload));
     }
 }
 
 #[test]
-fn who_holds_a_lease_keeps_its_bytes() {
-    let who = Who {
+fn the_holder_of_a_lease_keeps_its_bytes() {
+    let holder = HolderId {
         name: name("gate-a"),
-        life: Life(0x0102_0304_0506_0708),
+        boot_id: Life(0x0102_0304_0506_0708),
     };
     let recorded = compare(
         "holders.txt",
-        &[("holder", postcard::to_allocvec(&who).unwrap())],
+        &[("holder", postcard::to_allocvec(&holder).unwrap())],
+    );
+    assert_eq!(
+        postcard::from_bytes::<HolderId>(&recorded[0]).unwrap(),
+        holder
     );
-    assert_eq!(postcard::from_bytes::<Who>(&recorded[0]).unwrap(), who);
 }
 
 #[test]
-fn budgets_keep_their_names_units_and_marks() {
-    let of = |of: Use| Budget {
-        of,
-        whole: Amount(1_000_000),
-        floor: Amount(10),
+fn budgets_keep_their_names_units_and_keys() {
+    let budget = |kind: BudgetKind| Budget {
+        kind,
+        capacity: Amount(1_000_000),
+        guaranteed: Amount(10),
     };
-    let member = of(Use::Member("valley-water".into()));
-    let attempts = of(Use::Relays("scores".into()));
-    let trials = of(Use::Trials);
-    let cold = of(Use::Cold);
-    let named = |budget: &Budget| budget.name().into_bytes();
+    let tenant = budget(BudgetKind::Tenant("valley-water".into()));
+    let retries = budget(BudgetKind::Retries("scores".into()));
+    let outlier_probes = budget(BudgetKind::OutlierProbes);
+    let slow_start = budget(BudgetKind::SlowStart);
+    let budget_name = |budget: &Budget| budget.name().into_bytes();
     let unit = |budget: &Budget| budget.unit().as_bytes().to_vec();
-    let mark = |budget: &Budget| budget.mark().to_be_bytes().to_vec();
+    let key = |budget: &Budget| budget.key().0.to_be_bytes().to_vec();
     let made = [
-        ("member_name", named(&member)),
-        ("member_unit", unit(&member)),
-        ("member_mark", mark(&member)),
-        ("relays_name", named(&attempts)),
-        ("relays_unit", unit(&attempts)),
-        ("relays_mark", mark(&attempts)),
-        ("trials_name", named(&trials)),
-        ("trials_unit", unit(&trials)),
-        ("trials_mark", mark(&trials)),
-        ("cold_name", named(&cold)),
-        ("cold_unit", unit(&cold)),
-        ("cold_mark", mark(&cold)),
+        ("member_name", budget_name(&tenant)),
+        ("member_unit", unit(&tenant)),
+        ("member_mark", key(&tenant)),
+        ("relays_name", budget_name(&retries)),
+        ("relays_unit", unit(&retries)),
+        ("relays_mark", key(&retries)),
+        ("trials_name", budget_name(&outlier_probes)),
+        ("trials_unit", unit(&outlier_probes)),
+        ("trials_mark", key(&outlier_probes)),
+        ("cold_name", budget_name(&slow_start)),
+        ("cold_unit", unit(&slow_start)),
+        ("cold_mark", key(&slow_start)),
     ];
     compare("budgets.txt", &made);
 }
 
 #[test]
-fn what_is_shown_of_refusals_keeps_its_words() {
-    let shown = |refused: Refused| refused.to_string().into_bytes();
+fn what_is_shown_of_rejections_keeps_its_words() {
+    let shown = |reason: RejectReason| reason.to_string().into_bytes();
     let made = [
-        ("form", shown(Refused::Form)),
-        ("no_voter", shown(Refused::NoVoter)),
-        ("unasked", shown(Refused::Unasked)),
-        ("old", shown(Refused::Old)),
+        ("form", shown(RejectReason::Malformed)),
+        ("no_voter", shown(RejectReason::NotAVoter)),
+        ("unasked", shown(RejectReason::Unsolicited)),
+        ("old", shown(RejectReason::Stale)),
     ];
     compare("refused.txt", &made);
 }
 
 #[test]
-fn what_is_shown_of_faulty_terms_keeps_its_words() {
-    let shown = |error: TermsError| error.to_string().into_bytes();
+fn what_is_shown_of_a_faulty_config_keeps_its_words() {
+    let shown = |error: ConfigError| error.to_string().into_bytes();
     let made = [
-        ("budgets", shown(TermsError::Budgets)),
+        ("budgets", shown(ConfigError::BudgetCount)),
         (
             "twice",
-            shown(TermsError::Twice("member.valley-water".into())),
+            shown(ConfigError::DuplicateBudget("member.valley-water".into())),
+        ),
+        (
+            "floors",
+            shown(ConfigError::GuaranteesExceedCapacity("trials".into(), 20)),
         ),
-        ("floors", shown(TermsError::Floors("trials".into(), 20))),
-        ("voters", shown(TermsError::Voters)),
-        ("short", shown(TermsError::Short)),
-        ("lease", shown(TermsError::Lease)),
+        ("voters", shown(ConfigError::Voters)),
+        ("short", shown(ConfigError::TermTooShort)),
+        ("lease", shown(ConfigError::LeaseTooShort)),
     ];
     compare("terms_errors.txt", &made);
 }
@@ -224,7 +246,7 @@
         ("none", shown(Amount::ZERO)),
         ("a_millionth", shown(Amount(1))),
         ("one_and_a_half", shown(Amount(1_500_000))),
-        ("most", shown(Amount::MOST)),
+        ("most", shown(Amount::MAX)),
     ];
     compare("amounts.txt", &made);
 }
