--- a/crates/gateway/tests/golden.rs
+++ b/crates/gateway/tests/golden.rs
@@ -1,5 +1,5 @@
 //! What travels between the gateway and others, to the byte: packets to clients, lines to and from engines, questions to the
-//! notice board and its answers, fields of the comment ahead of a statement, and the names of what is shown to operators.
+//! discovery service and its answers, fields of the comment ahead of a statement, and the names of what is shown to operators.
 //! Clients, engines, boards and operators' scripts hold to these, so no work on the code's own names may change them: what was
 //! written before such work is kept in `golden/` and compared here.
 //!
@@ -15,9 +15,9 @@
 use std::path::Path;
 use std::process::Command as Program;
 
-use ::fleet::letter::{self, Body, Letter, Nonce, View};
-use ::fleet::{Incarnation, Life, Name, Place, Record, Ring, State};
-use admission::interface::{Moment, Span, Stage};
+use ::membership::letter::{self, Body, Letter, Nonce, View};
+use ::membership::{Incarnation, Life, Locality, Name, Record, Ring, State};
+use admission::interface::{EngineStage, TimeDelta, Timestamp};
 use bytes::BytesMut;
 use gateway::board::http::{self, Answered};
 use gateway::clients::comment;
@@ -25,20 +25,25 @@
 use gateway::counters::Counters;
 use gateway::engines::lines::{self, Answer, Tags, Word};
 use gateway::status;
-use queues::{DeskStatus, Estimate, StatementStatus};
+use quota::office::Holding;
+use quota::{Amount, Line, Status, Who};
+use scheduler::{DeskStatus, Estimate, StatementStatus};
 use serde_json::json;
-use shares::office::Holding;
-use shares::{Amount, Line, Status, Who};
+use stand_ins::client::{Client, login_packet, packet, query_packet};
+use stand_ins::engine::Mood;
 use support::clients::{patient, send, text};
 use support::script::Script;
 use support::*;
-use toy::client::{Client, login_packet, packet, query_packet};
-use toy::engine::Mood;
 
 /// Compares with what is recorded, or records it.
 fn golden(file: &str, got: &[(&str, String)]) {
-    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(file);
-    let got: Vec<String> = got.iter().map(|(name, value)| format!("{name} {value}")).collect();
+    let path = Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/golden")
+        .join(file);
+    let got: Vec<String> = got
+        .iter()
+        .map(|(name, value)| format!("{name} {value}"))
+        .collect();
     if std::env::var("GOLDEN_RECORD").is_ok_and(|set| set == "1") {
         std::fs::write(&path, got.join("\n") + "\n").unwrap();
         return;
@@ -53,7 +58,10 @@
 
 fn hex(bytes: impl AsRef<[u8]>) -> String {
     let mut text = String::new();
-    bytes.as_ref().iter().for_each(|byte| write!(text, "{byte:02x}").unwrap());
+    bytes
+        .as_ref()
+        .iter()
+        .for_each(|byte| write!(text, "{byte:02x}").unwrap());
     text
 }
 
@@ -68,19 +76,43 @@
     let pages = [&b"a\tb\tc\n1\t2\t3\n"[..], b"4\t5\t6\n"];
     let long = "x".repeat(300);
     let got = [
-        ("greeting", hex(packets::greeting(0x0102_0304, false, false))),
-        ("greeting-progress", hex(packets::greeting(0x0102_0304, true, false))),
-        ("greeting-tls", hex(packets::greeting(0x0102_0304, false, true))),
-        ("greeting-progress-tls", hex(packets::greeting(0x0102_0304, true, true))),
+        (
+            "greeting",
+            hex(packets::greeting(0x0102_0304, false, false)),
+        ),
+        (
+            "greeting-progress",
+            hex(packets::greeting(0x0102_0304, true, false)),
+        ),
+        (
+            "greeting-tls",
+            hex(packets::greeting(0x0102_0304, false, true)),
+        ),
+        (
+            "greeting-progress-tls",
+            hex(packets::greeting(0x0102_0304, true, true)),
+        ),
         ("ok", hex(Packets::to(1).ok())),
         ("ok-after-last-number", hex(Packets::to(255).ok())),
         ("progress", hex(progress)),
         ("progress-number", seq.to_string()),
-        ("error", hex(Packets::to(0).error(1226, b"42000", "denied; backoff=400"))),
+        (
+            "error",
+            hex(Packets::to(0).error(1226, b"42000", "denied; backoff=400")),
+        ),
         ("ask-password", hex(Packets::to(2).ask_clear())),
-        ("value", hex(Packets::to(0).value("@@max_allowed_packet", b"65536"))),
-        ("table", hex(Packets::to(0).table(["one", "two"], &[cells(["a", "b"]), cells(["", &long])]))),
-        ("table-empty", hex(Packets::to(0).table(["one", "two"], &[]))),
+        (
+            "value",
+            hex(Packets::to(0).value("@@max_allowed_packet", b"65536")),
+        ),
+        (
+            "table",
+            hex(Packets::to(0).table(["one", "two"], &[cells(["a", "b"]), cells(["", &long])])),
+        ),
+        (
+            "table-empty",
+            hex(Packets::to(0).table(["one", "two"], &[])),
+        ),
         ("result", hex(Packets::to(0).result(pages.into_iter()))),
         ("result-empty", hex(Packets::to(0).result([].into_iter()))),
     ];
@@ -134,19 +166,48 @@
     };
     let mut inbox = BytesMut::from(&[3, 0, 0, 9, 3, b'h', b'i', 1][..]);
     let taken = packets::take(&mut inbox).unwrap().unwrap();
-    let too_large = packets::take(&mut BytesMut::from(&[1, 0, 1, 0][..])).err().unwrap();
+    let too_large = packets::take(&mut BytesMut::from(&[1, 0, 1, 0][..]))
+        .err()
+        .unwrap();
     let got = [
-        ("packet", format!("{} {} {}", taken.seq, plain(&taken.body), plain(&inbox))),
+        (
+            "packet",
+            format!("{} {} {}", taken.seq, plain(&taken.body), plain(&inbox)),
+        ),
         ("packet-too-large", too_large.to_string()),
-        ("login", judged(packets::login(&login("app", b"", "warehouse")))),
-        ("login-other-user", judged(packets::login(&login("root", b"", "warehouse")))),
-        ("login-password", judged(packets::login(&login("app", b"x", "warehouse")))),
-        ("login-other-database", judged(packets::login(&login("app", b"", "other")))),
+        (
+            "login",
+            judged(packets::login(&login("app", b"", "warehouse"))),
+        ),
+        (
+            "login-other-user",
+            judged(packets::login(&login("root", b"", "warehouse"))),
+        ),
+        (
+            "login-password",
+            judged(packets::login(&login("app", b"x", "warehouse"))),
+        ),
+        (
+            "login-other-database",
+            judged(packets::login(&login("app", b"", "other"))),
+        ),
         ("login-malformed", judged(packets::login(b"\x00"))),
-        ("login-token", judged(packets::token_login(&login("token", b"x", "warehouse")))),
-        ("login-token-other-user", judged(packets::token_login(&login("app", b"", "warehouse")))),
-        ("progress-wanted", packets::takes_progress(&progress).to_string()),
-        ("progress-not-wanted", packets::takes_progress(&login("app", b"", "warehouse")).to_string()),
+        (
+            "login-token",
+            judged(packets::token_login(&login("token", b"x", "warehouse"))),
+        ),
+        (
+            "login-token-other-user",
+            judged(packets::token_login(&login("app", b"", "warehouse"))),
+        ),
+        (
+            "progress-wanted",
+            packets::takes_progress(&progress).to_string(),
+        ),
+        (
+            "progress-not-wanted",
+            packets::takes_progress(&login("app", b"", "warehouse")).to_string(),
+        ),
         ("first-tls", hello(&tls[..32])),
         ("first-login", hello(&tls)),
         ("command-quit", command(b"\x01")),
@@ -162,12 +223,21 @@
         ("query-kill-connection", query("kill connection 17;")),
         ("query-kill-query", query("KILL QUERY 17")),
         ("query-queue", query("SHOW QUEUE")),
-        ("query-queue-for", query("SHOW QUEUE FOR '5eed00c0ffee0a17'")),
+        (
+            "query-queue-for",
+            query("SHOW QUEUE FOR '5eed00c0ffee0a17'"),
+        ),
         ("query-fleet", query("SHOW FLEET")),
         ("query-shares", query("SHOW SHARES")),
-        ("query-token", query("SET @laurelhitch_token = 'v4.public.x'")),
+        (
+            "query-token",
+            query("SET @laurelhitch_token = 'v4.public.x'"),
+        ),
         ("query-set", query("SET NAMES utf8")),
-        ("query-variable", query("SELECT @@max_allowed_packet LIMIT 1")),
+        (
+            "query-variable",
+            query("SELECT @@max_allowed_packet LIMIT 1"),
+        ),
     ];
     golden("packets_read.txt", &got);
 }
@@ -176,7 +246,11 @@
 fn error(client: &mut Client) -> String {
     let body = client.packet().unwrap();
     assert_eq!(body[0], 0xff, "{}", plain(&body));
-    format!("{} {}", u16::from_le_bytes([body[1], body[2]]), plain(&body[3..]))
+    format!(
+        "{} {}",
+        u16::from_le_bytes([body[1], body[2]]),
+        plain(&body[3..])
+    )
 }
 
 fn refused(client: &mut Client, query: &str) -> String {
@@ -196,17 +270,50 @@
     let mut got = vec![
         ("no-comment", refused(&mut client, "SELECT 1")),
         ("no-id", refused(&mut client, &good.replace("rid=", "id="))),
-        ("bad-id", refused(&mut client, &good.replace("rid=0", "rid=g"))),
-        ("no-budget", refused(&mut client, &good.replace("budget=1900,", ""))),
-        ("bad-budget", refused(&mut client, &good.replace("budget=1900", "budget=0"))),
-        ("no-method", refused(&mut client, &good.replace("method=point,", ""))),
-        ("unknown-method", refused(&mut client, &good.replace("point", "nothing"))),
-        ("unknown-account", refused(&mut client, &good.replace("water", "fire"))),
-        ("bad-estimate", refused(&mut client, &good.replace("est=12.0", "est=much"))),
-        ("bad-memory", refused(&mut client, &good.replace("mem=8", "mem=much"))),
-        ("bad-token", refused(&mut client, &good.replace("mem=8", "token=a b"))),
-        ("bad-object", refused(&mut client, &good.replace("mem=8", "obj=a b"))),
-        ("no-statement", refused(&mut client, &good.replace("SELECT 1", ""))),
+        (
+            "bad-id",
+            refused(&mut client, &good.replace("rid=0", "rid=g")),
+        ),
+        (
+            "no-budget",
+            refused(&mut client, &good.replace("budget=1900,", "")),
+        ),
+        (
+            "bad-budget",
+            refused(&mut client, &good.replace("budget=1900", "budget=0")),
+        ),
+        (
+            "no-method",
+            refused(&mut client, &good.replace("method=point,", "")),
+        ),
+        (
+            "unknown-method",
+            refused(&mut client, &good.replace("point", "nothing")),
+        ),
+        (
+            "unknown-account",
+            refused(&mut client, &good.replace("water", "fire")),
+        ),
+        (
+            "bad-estimate",
+            refused(&mut client, &good.replace("est=12.0", "est=much")),
+        ),
+        (
+            "bad-memory",
+            refused(&mut client, &good.replace("mem=8", "mem=much")),
+        ),
+        (
+            "bad-token",
+            refused(&mut client, &good.replace("mem=8", "token=a b")),
+        ),
+        (
+            "bad-object",
+            refused(&mut client, &good.replace("mem=8", "obj=a b")),
+        ),
+        (
+            "no-statement",
+            refused(&mut client, &good.replace("SELECT 1", "")),
+        ),
         ("no-fleet", refused(&mut client, "SHOW FLEET")),
         ("no-shares", refused(&mut client, "SHOW SHARES")),
         ("no-queues", refused(&mut client, "SHOW QUEUE")),
@@ -221,7 +328,10 @@
         ("login-malformed", packet(1, b"\x00")),
         ("packet-too-large", [0xff, 0xff, 0x7f, 1, 3].to_vec()),
     ] {
-        got.push((name, error(&mut Client::open(gateway.listen, &login).unwrap())));
+        got.push((
+            name,
+            error(&mut Client::open(gateway.listen, &login).unwrap()),
+        ));
     }
     // One is open, and as many as may be.
     let (mut first, open) = (gateway.client(), text(8, "SELECT 2"));
@@ -229,9 +339,12 @@
     let mut link = engine.accept();
     assert_eq!(link.asked().id, open.rid);
     got.push(("id-open", refused(&mut client, &open.query)));
-    got.push(("too-many-open", refused(&mut client, &commented(1900, "SELECT 3"))));
+    got.push((
+        "too-many-open",
+        refused(&mut client, &commented(1900, "SELECT 3")),
+    ));
     let kill = format!("KILL QUERY {}", first.connection);
-    assert_eq!(client.ask(&kill).unwrap(), toy::client::Answer::Ok);
+    assert_eq!(client.ask(&kill).unwrap(), stand_ins::client::Answer::Ok);
     got.push(("killed", error(&mut first)));
     golden("errors.txt", &got);
 }
@@ -255,12 +368,41 @@
 #[test]
 fn lines_to_engines_are_as_recorded() {
     let rid = b"5eed00c0ffee0a17";
-    let none = Tags { mark: None, key: None };
-    let both = Tags { mark: Some("00112233445566778899aabbccddeeff".into()), key: Some("a1b2".into()) };
+    let none = Tags {
+        mark: None,
+        key: None,
+    };
+    let both = Tags {
+        mark: Some("00112233445566778899aabbccddeeff".into()),
+        key: Some("a1b2".into()),
+    };
     let got = [
-        ("do", plain(lines::relay(rid, "scan", 1200, None, &none, b"SELECT '\r\n'"))),
-        ("do-ranked", plain(lines::relay(rid, "scan", 1200, Some(2), &none, b"SELECT 1"))),
-        ("do-tagged", plain(lines::relay(rid, "load", 80, Some(0), &both, b"INSERT"))),
+        (
+            "do",
+            plain(lines::attempt(
+                rid,
+                "scan",
+                1200,
+                None,
+                &none,
+                b"SELECT '\r\n'",
+            )),
+        ),
+        (
+            "do-ranked",
+            plain(lines::attempt(
+                rid,
+                "scan",
+                1200,
+                Some(2),
+                &none,
+                b"SELECT 1",
+            )),
+        ),
+        (
+            "do-tagged",
+            plain(lines::attempt(rid, "load", 80, Some(0), &both, b"INSERT")),
+        ),
         ("undo", plain(lines::undo(rid))),
         ("page", plain(lines::page(rid, 3))),
         ("forget", plain(lines::forget(rid))),
@@ -287,17 +429,28 @@
     };
     let fields = ["total", "elapsed", "rss", "remark", "datum", "index"];
     let fields = fields.map(|name| answer.field(name).map_or("-".to_owned(), plain));
-    format!("{} {word} {} '{}'", plain(&answer.id), fields.join("/"), plain(&answer.body))
+    format!(
+        "{} {word} {} '{}'",
+        plain(&answer.id),
+        fields.join("/"),
+        plain(&answer.body)
+    )
 }
 
 #[test]
 fn lines_of_engines_are_read_as_recorded() {
     let got = [
-        ("done", line(b"5eed00c0ffee0a17 DONE total=2,elapsed=81.5,rss=96 6\r\na\tb\r\n\n\r\n")),
+        (
+            "done",
+            line(b"5eed00c0ffee0a17 DONE total=2,elapsed=81.5,rss=96 6\r\na\tb\r\n\n\r\n"),
+        ),
         ("wait", line(b"5eed00c0ffee0a17 WAIT - 0\r\n\r\n")),
         ("broke", line(b"5eed00c0ffee0a17 BROKE - 0\r\n\r\n")),
         ("past", line(b"5eed00c0ffee0a17 PAST - 0\r\n\r\n")),
-        ("tell", line(b"5eed00c0ffee0a17 TELL remark=done,datum=0.5 0\r\n\r\n")),
+        (
+            "tell",
+            line(b"5eed00c0ffee0a17 TELL remark=done,datum=0.5 0\r\n\r\n"),
+        ),
         ("more", line(b"5eed00c0ffee0a17 MORE index=1 2\r\nab\r\n")),
         ("fit", line(b"5eed00c0ffee0a17 FIT q=1 0\r\n\r\n")),
         ("half", line(b"5eed00c0ffee0a17 DONE - 5\r\nab")),
@@ -339,16 +492,23 @@
     let engine = engine(1);
     // Closed at its end, each answer is followed by a question on a connection of its own.
     let answer = |mut stream: TcpStream, body: String| {
-        let head = format!("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: {}\r\n\r\n", body.len());
-        stream.write_all(format!("{head}{body}").as_bytes()).unwrap();
+        let head = format!(
+            "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: {}\r\n\r\n",
+            body.len()
+        );
+        stream
+            .write_all(format!("{head}{body}").as_bytes())
+            .unwrap();
     };
     let _gateway = Gateway::with(&[engine.address], |config| config["board"] = json!(address));
     let (known, stream) = other_question(&board, "");
     let target = json!({"uid": "e-9", "endpoint": "127.0.0.1:1", "az": "hall-1", "model": "plain-8", "pod_group": 0,
         "state": "terminating", "capacity_hint": 8.0, "boot_ms": 0});
-    let pool =
-        |number: u32| json!({"rev": number, "pool": {"rev": number, "all": false, "targets": [target]}});
-    answer(stream, json!({"rev": 3, "notices": [pool(2), pool(3)]}).to_string());
+    let pool = |number: u32| json!({"rev": number, "pool": {"rev": number, "all": false, "targets": [target]}});
+    answer(
+        stream,
+        json!({"rev": 3, "notices": [pool(2), pool(3)]}).to_string(),
+    );
     let (later, stream) = other_question(&board, &known);
     answer(stream, json!({"rev": 1, "notices": []}).to_string());
     let (anew, _stream) = other_question(&board, &later);
@@ -378,13 +538,27 @@
         write!(text, "; {} whole={}", event.number, change.whole).unwrap();
         for of in &change.targets {
             let stage = match of.stage {
-                Stage::Ready => "ready",
-                Stage::Draining => "draining",
-                Stage::Gone => "gone",
+                EngineStage::Ready => "ready",
+                EngineStage::Draining => "draining",
+                EngineStage::Removed => "gone",
             };
-            let (started, cell) = (of.started.map(|at| (at - Moment::from_secs(0.0)).secs()), of.cell);
-            write!(text, " [{} {} {} {}", of.uid, of.address, of.location, of.machine).unwrap();
-            write!(text, " {cell} {stage} {} {}]", of.scale, started.map_or(-1.0, |at| at)).unwrap();
+            let (started, cell) = (
+                of.started.map(|at| (at - Timestamp::from_secs(0.0)).secs()),
+                of.cell,
+            );
+            write!(
+                text,
+                " [{} {} {} {}",
+                of.uid, of.address, of.location, of.machine
+            )
+            .unwrap();
+            write!(
+                text,
+                " {cell} {stage} {} {}]",
+                of.scale,
+                started.map_or(-1.0, |at| at)
+            )
+            .unwrap();
         }
     }
     text
@@ -403,9 +577,18 @@
             r#"{{"rev": 5, "notices": [{{"rev": 4}}, {{"rev": 5, "pool": {{"all": {all}, "targets": [{targets}]}}}}]}}"#
         )
     };
-    let listed = [target("in_service"), target("terminating"), target("terminated")].join(",");
+    let listed = [
+        target("in_service"),
+        target("terminating"),
+        target("terminated"),
+    ]
+    .join(",");
     let sized = |body: &str| format!("200 OK\r\nContent-Length: {}", body.len());
-    let (whole, part, odd) = (body(true, &listed), body(false, ""), body(true, &target("resting")));
+    let (whole, part, odd) = (
+        body(true, &listed),
+        body(false, ""),
+        body(true, &target("resting")),
+    );
     let least = body(
         true,
         r#"{"uid": "e", "endpoint": "127.0.0.1:1", "az": "a", "model": "m", "state": "in_service"}"#,
@@ -419,8 +602,14 @@
         ("whole", board(&sized(&whole), &whole)),
         ("changes", board(&sized(&part), &part)),
         ("least-fields", board(&sized(&least), &least)),
-        ("closing", board(&format!("{}\r\nConnection: close", sized(&part)), &part)),
-        ("chunked", board("200 OK\r\nTransfer-Encoding: chunked", &chunked)),
+        (
+            "closing",
+            board(&format!("{}\r\nConnection: close", sized(&part)), &part),
+        ),
+        (
+            "chunked",
+            board("200 OK\r\nTransfer-Encoding: chunked", &chunked),
+        ),
         ("to-the-end", board("200 OK", &part)),
         ("state-unknown", board(&sized(&odd), &odd)),
         ("no-rev", less("rev")),
@@ -444,11 +633,19 @@
         Err(error) => return error.to_string(),
     };
     let number = |of: Option<f64>| of.map_or("-".to_owned(), |of| of.to_string());
-    let words = [read.product, read.tenant.unwrap_or("-"), read.desk.unwrap_or("-")].join("/");
+    let words = [
+        read.class,
+        read.tenant.unwrap_or("-"),
+        read.desk.unwrap_or("-"),
+    ]
+    .join("/");
     let tags = [read.mark.unwrap_or("-"), read.key.unwrap_or("-")].join("/");
     let (rid, statement) = (plain(read.rid), plain(read.statement));
     let (estimate, memory) = (number(read.estimate_ms), number(read.memory_mb));
-    format!("{rid} {words} {}/{estimate}/{memory} {tags} {statement}", read.budget_ms)
+    format!(
+        "{rid} {words} {}/{estimate}/{memory} {tags} {statement}",
+        read.budget_ms
+    )
 }
 
 #[test]
@@ -464,7 +661,10 @@
         ("all", commented_as(all)),
         ("least", commented_as(least)),
         ("none", commented_as("SELECT 1")),
-        ("no-statement", commented_as("/* method=scan,rid=5eed00c0ffee0a17,budget=900 */ ")),
+        (
+            "no-statement",
+            commented_as("/* method=scan,rid=5eed00c0ffee0a17,budget=900 */ "),
+        ),
         ("without-method", without("method")),
         ("without-rid", without("rid")),
         ("without-budget", without("budget")),
@@ -480,10 +680,16 @@
         ("empty-mem", empty("mem")),
         ("empty-token", empty("token")),
         ("empty-obj", empty("obj")),
-        ("twice", commented_as(&all.replace("est=12.5", "rid=5eed00c0ffee0a17"))),
+        (
+            "twice",
+            commented_as(&all.replace("est=12.5", "rid=5eed00c0ffee0a17")),
+        ),
         ("long-budget", commented_as(&all.replace("900", "3600001"))),
         ("group-from", group("SELECT a FROM ledger_17.bills")),
-        ("group-into", group("INSERT INTO ledger_4.bills SELECT a FROM staging.rows_3")),
+        (
+            "group-into",
+            group("INSERT INTO ledger_4.bills SELECT a FROM staging.rows_3"),
+        ),
         ("group-none", group("SELECT 'ledger_17.bills'")),
     ];
     golden("comment.txt", &got);
@@ -497,12 +703,15 @@
     rows.iter().map(|row| row.join("|")).collect()
 }
 
-fn at(secs: f64) -> Moment {
-    Moment::from_secs(secs)
+fn at(secs: f64) -> Timestamp {
+    Timestamp::from_secs(secs)
 }
 
 fn estimate(wait: f64, p90: f64) -> Estimate {
-    Estimate { wait: Span::from_secs(wait), p90: Span::from_secs(p90) }
+    Estimate {
+        wait: TimeDelta::from_secs(wait),
+        p90: TimeDelta::from_secs(p90),
+    }
 }
 
 #[test]
@@ -515,15 +724,20 @@
         budget: 0.5,
         rate: Some(0.75),
         saved: -2.5,
-        longest: Span::from_secs(0.4),
+        longest: TimeDelta::from_secs(0.4),
         next: vec![estimate(0.1, 0.3), estimate(0.2, 0.6)],
     };
-    let quiet = DeskStatus { rate: None, next: Vec::new(), desk: "kiosk".to_owned(), ..desk.clone() };
+    let quiet = DeskStatus {
+        rate: None,
+        next: Vec::new(),
+        desk: "kiosk".to_owned(),
+        ..desk.clone()
+    };
     let statement = StatementStatus {
         member: "water".to_owned(),
         desk: "counter".to_owned(),
         ahead: 4,
-        waited: Span::from_secs(0.25),
+        waited: TimeDelta::from_secs(0.25),
         left: estimate(0.5, 1.5),
     };
     let desks = status::desks(&[desk, quiet]);
@@ -533,19 +747,28 @@
         ("queue-columns", status::DESKS.join("|")),
         ("queue-desk", rows[0].clone()),
         ("queue-quiet-desk", rows[1].clone()),
-        ("queue-packets", hex(Packets::to(0).table(status::DESKS, &desks))),
+        (
+            "queue-packets",
+            hex(Packets::to(0).table(status::DESKS, &desks)),
+        ),
         ("statement-columns", status::STATEMENT.join("|")),
         ("statement", cells(&statement).concat()),
-        ("statement-packets", hex(Packets::to(0).table(status::STATEMENT, &statement))),
+        (
+            "statement-packets",
+            hex(Packets::to(0).table(status::STATEMENT, &statement)),
+        ),
     ];
     golden("queues.txt", &got);
 }
 
 #[test]
 fn a_fleet_is_shown_as_recorded() {
-    let place = |zone: &str, region: &str| Place { zone: Some(name(zone)), region: Some(name(region)) };
+    let place = |zone: &str, region: &str| Locality {
+        zone: Some(name(zone)),
+        region: Some(name(region)),
+    };
     let ring = || Ring::new(&[7; 32], &[]).unwrap();
-    let mut own = ::fleet::Gateway::new(
+    let mut own = ::membership::Gateway::new(
         at(10.0),
         name("golden"),
         name("g0"),
@@ -553,21 +776,29 @@
         place("room-a", "north"),
         Vec::new(),
         ring(),
-        ::fleet::Terms::default(),
+        ::membership::Terms::default(),
         5,
     );
-    let record = |of: &str, port: u16, state: State, place: Place| Record {
+    let record = |of: &str, port: u16, state: State, locality: Locality| Record {
         name: name(of),
         life: Life(0x0102_0304_0506_0708),
         incarnation: Incarnation(3),
         address: format!("127.0.0.1:{port}").parse().unwrap(),
-        place,
+        locality,
         state,
     };
     let alone = cells(&status::fleet(at(12.5), &mut own));
     for (count, of, state, place) in [
         (1, "g1", State::Alive, place("room-b", "south")),
-        (1, "g2", State::Alive, Place { zone: None, region: None }),
+        (
+            1,
+            "g2",
+            State::Alive,
+            Locality {
+                zone: None,
+                region: None,
+            },
+        ),
     ] {
         let from = record(of, 7000 + if of == "g1" { 2 } else { 3 }, state, place);
         let address = from.address;
@@ -583,7 +814,10 @@
         let _ = own.receive(at(13.0), address, &letter::seal(&ring(), &letter));
     }
     let rows = cells(&status::fleet(at(15.0), &mut own));
-    let mut got = vec![("fleet-columns", status::FLEET.join("|")), ("fleet-alone", alone.concat())];
+    let mut got = vec![
+        ("fleet-columns", status::FLEET.join("|")),
+        ("fleet-alone", alone.concat()),
+    ];
     got.extend(rows.into_iter().map(|row| ("fleet-row", row)));
     got.extend(
         [State::Alive, State::Suspect, State::Dead, State::Left]
@@ -595,7 +829,10 @@
 #[test]
 fn shares_are_shown_as_recorded() {
     let holding = |of: &str, differs: bool| Holding {
-        who: Who { name: name(of), life: Life(1) },
+        who: Who {
+            name: name(of),
+            life: Life(1),
+        },
         need: Amount(1_500_000),
         reserved: Amount(2_250_000),
         until: Some(at(12.0)),
@@ -612,9 +849,17 @@
         spent: 3.5,
         allowed: 4.75,
         refused: 2,
-        holdings: vec![holding("g0", false), holding("g1", true), holding("g2", false)],
+        holdings: vec![
+            holding("g0", false),
+            holding("g1", true),
+            holding("g2", false),
+        ],
+    };
+    let bare = Line {
+        until: None,
+        holdings: Vec::new(),
+        ..line("trials", "trials/s")
     };
-    let bare = Line { until: None, holdings: Vec::new(), ..line("trials", "trials/s") };
     let steward = Status {
         me: name("g0"),
         steward: Some(name("g1")),
@@ -622,10 +867,23 @@
         number: Some(7),
         lines: vec![line("relays.point", "relays/s"), bare.clone()],
     };
-    let none = Status { me: name("g0"), steward: None, is_steward: false, number: None, lines: vec![bare] };
+    let none = Status {
+        me: name("g0"),
+        steward: None,
+        is_steward: false,
+        number: None,
+        lines: vec![bare],
+    };
     let mut got = vec![("shares-columns", status::SHARES.join("|"))];
-    got.extend(cells(&status::shares(at(10.0), &steward)).into_iter().map(|row| ("shares-row", row)));
-    got.push(("shares-without-steward", cells(&status::shares(at(10.0), &none)).concat()));
+    got.extend(
+        cells(&status::shares(at(10.0), &steward))
+            .into_iter()
+            .map(|row| ("shares-row", row)),
+    );
+    got.push((
+        "shares-without-steward",
+        cells(&status::shares(at(10.0), &none)).concat(),
+    ));
     golden("shares.txt", &got);
 }
 
@@ -639,7 +897,9 @@
         // Behind catalogue, schema and both names of the table, each with its length ahead.
         let (packet, mut start) = (client.packet().unwrap(), 0);
         (0..4).for_each(|_| start += 1 + usize::from(packet[start]));
-        names.push(plain(&packet[start + 1..start + 1 + usize::from(packet[start])]));
+        names.push(plain(
+            &packet[start + 1..start + 1 + usize::from(packet[start])],
+        ));
     }
     let is_end = |packet: &[u8]| packet[0] == 0xfe && packet.len() < 9;
     assert!(is_end(&client.packet().unwrap()));
@@ -661,19 +921,27 @@
 /// Names of an object's fields, as printed.
 fn keys(json: &str) -> String {
     let object = json.split('}').next().unwrap();
-    let names = object.lines().filter_map(|line| line.trim().strip_prefix('"')?.split('"').next());
+    let names = object
+        .lines()
+        .filter_map(|line| line.trim().strip_prefix('"')?.split('"').next());
     names.collect::<Vec<_>>().join("|")
 }
 
 /// These fields of the first object.
 fn values(json: &str, names: &[&str]) -> String {
     let json: serde_json::Value = serde_json::from_str(json).unwrap();
-    names.iter().map(|name| format!("{name}={}", json[0][name])).collect::<Vec<_>>().join("|")
+    names
+        .iter()
+        .map(|name| format!("{name}={}", json[0][name]))
+        .collect::<Vec<_>>()
+        .join("|")
 }
 
 fn said_by(arguments: &[&str], config: &Path, operator: &Path) -> String {
     let mut program = Program::new(env!("CARGO_BIN_EXE_laurelhitch"));
-    program.env("RELAY_CONFIG", config).env("LAURELHITCH_OPERATOR", operator);
+    program
+        .env("RELAY_CONFIG", config)
+        .env("LAURELHITCH_OPERATOR", operator);
     let output = program.args(arguments).output().unwrap();
     assert!(output.status.success(), "{arguments:?}: {output:?}");
     String::from_utf8(output.stdout).unwrap()
@@ -686,11 +954,18 @@
     std::fs::write(folder.join("one.key"), "07".repeat(32)).unwrap();
     std::fs::write(folder.join("signs"), "one").unwrap();
     let (bind, engine) = (free_address().to_string(), engine(1));
-    let operator = OPERATOR.replace("FOLDER", folder.to_str().unwrap()).replace("BIND", &bind);
+    let operator = OPERATOR
+        .replace("FOLDER", folder.to_str().unwrap())
+        .replace("BIND", &bind);
     let mut gateway = Gateway::operated(&[engine.address], &operator, |_| ());
     let mut client = gateway.client();
     let some = |rows: &[Vec<String>], of: &[usize]| {
-        let row = |row: &Vec<String>| of.iter().map(|at| row[*at].clone()).collect::<Vec<_>>().join("|");
+        let row = |row: &Vec<String>| {
+            of.iter()
+                .map(|at| row[*at].clone())
+                .collect::<Vec<_>>()
+                .join("|")
+        };
         rows.iter().map(row).collect::<Vec<_>>().join("; ")
     };
     let queue = shown(&mut client, "SHOW QUEUE");
@@ -699,11 +974,21 @@
     let shares = shown(&mut client, "SHOW SHARES");
     let counts = gateway.counts();
     let counts = counts.split_once("counters: ").unwrap().1;
-    let counts: Vec<&str> = counts.split_whitespace().filter_map(|word| word.split('=').next()).collect();
+    let counts: Vec<&str> = counts
+        .split_whitespace()
+        .filter_map(|word| word.split('=').next())
+        .collect();
     let listen = gateway.listen.to_string();
     let (config, file) = (&gateway.config, gateway.config.with_extension("hcl"));
     let printed = |arguments: &[&str]| said_by(arguments, config, &file);
-    let heads = |text: String| text.lines().next().unwrap().split_whitespace().collect::<Vec<_>>().join("|");
+    let heads = |text: String| {
+        text.lines()
+            .next()
+            .unwrap()
+            .split_whitespace()
+            .collect::<Vec<_>>()
+            .join("|")
+    };
     let [queue_json, fleet_json, shares_json] =
         ["queue", "fleet", "shares"].map(|what| printed(&[what, &listen, "--json"]));
     let mut got = vec![
@@ -717,23 +1002,53 @@
         ("shares-cells", some(&shares.1, &[0, 1, 2, 3, 4])),
         ("counters", counts.join("|")),
         ("queue-keys", keys(&queue_json)),
-        ("queue-values", values(&queue_json, &["member", "desk", "waiting", "budget_cpu_s_per_s"])),
+        (
+            "queue-values",
+            values(
+                &queue_json,
+                &["member", "desk", "waiting", "budget_cpu_s_per_s"],
+            ),
+        ),
         ("fleet-keys", keys(&fleet_json)),
         (
             "fleet-values",
-            values(&fleet_json, &["name", "state", "incarnation", "known", "size", "zone", "region"]),
+            values(
+                &fleet_json,
+                &[
+                    "name",
+                    "state",
+                    "incarnation",
+                    "known",
+                    "size",
+                    "zone",
+                    "region",
+                ],
+            ),
         ),
         ("shares-keys", keys(&shares_json)),
-        ("shares-values", values(&shares_json, &["budget", "holder", "unit", "whole", "floor"])),
+        (
+            "shares-values",
+            values(
+                &shares_json,
+                &["budget", "holder", "unit", "whole", "floor"],
+            ),
+        ),
         ("queue-heads", heads(printed(&["queue", &listen]))),
         ("fleet-heads", heads(printed(&["fleet", &listen]))),
         ("shares-heads", heads(printed(&["shares", &listen]))),
     ];
     let check = printed(&["check"]);
     for line in check.lines() {
-        let line =
-            line.replace(config.to_str().unwrap(), "CONFIG").replace(file.to_str().unwrap(), "OPERATOR");
-        got.push(("check", format!("'{}'", line.replace(&bind, "BIND").replace(&listen, "LISTEN"))));
+        let line = line
+            .replace(config.to_str().unwrap(), "CONFIG")
+            .replace(file.to_str().unwrap(), "OPERATOR");
+        got.push((
+            "check",
+            format!(
+                "'{}'",
+                line.replace(&bind, "BIND").replace(&listen, "LISTEN")
+            ),
+        ));
     }
     golden("shown.txt", &got);
     std::fs::remove_dir_all(&folder).unwrap();
--- a/crates/wirehost/tests/golden.rs
+++ b/crates/wirehost/tests/golden.rs
@@ -13,8 +13,13 @@
 
 /// Compares with what is recorded, or records it.
 fn golden(file: &str, got: &[(&str, String)]) {
-    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(file);
-    let got: Vec<String> = got.iter().map(|(name, value)| format!("{name} {value}")).collect();
+    let path = Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/golden")
+        .join(file);
+    let got: Vec<String> = got
+        .iter()
+        .map(|(name, value)| format!("{name} {value}"))
+        .collect();
     if std::env::var("GOLDEN_RECORD").is_ok_and(|set| set == "1") {
         std::fs::write(&path, got.join("\n") + "\n").unwrap();
         return;
@@ -29,13 +34,18 @@
 
 fn hex(bytes: &[u8]) -> String {
     let mut text = String::new();
-    bytes.iter().for_each(|byte| write!(text, "{byte:02x}").unwrap());
+    bytes
+        .iter()
+        .for_each(|byte| write!(text, "{byte:02x}").unwrap());
     text
 }
 
 fn bytes(hex: &str) -> Vec<u8> {
     let digits: String = hex.split_whitespace().collect();
-    (0..digits.len()).step_by(2).map(|at| u8::from_str_radix(&digits[at..at + 2], 16).unwrap()).collect()
+    (0..digits.len())
+        .step_by(2)
+        .map(|at| u8::from_str_radix(&digits[at..at + 2], 16).unwrap())
+        .collect()
 }
 
 fn written(write: impl FnOnce(&mut Reply)) -> String {
@@ -49,11 +59,23 @@
     let id = 0x1112_1314_1516_1718;
     let got = [
         ("nothing", written(|_| ())),
-        ("attempt", written(|reply| reply.attempt(0x2122, id, 0x3132_3334, 0.25))),
-        ("push-back", written(|reply| reply.push_back(0x2122, id, 0.75))),
+        (
+            "attempt",
+            written(|reply| reply.attempt(0x2122, id, 0x3132_3334, 0.25)),
+        ),
+        (
+            "push-back",
+            written(|reply| reply.push_back(0x2122, id, 0.75)),
+        ),
         ("surrender", written(|reply| reply.surrender(0x2122, id))),
-        ("stop-attempt", written(|reply| reply.stop_attempt(0x2122, id, 0x4142))),
-        ("remind", written(|reply| reply.remind(0x2122, 1.5, 0x5152_5354_5556_5758))),
+        (
+            "stop-attempt",
+            written(|reply| reply.stop_attempt(0x2122, id, 0x4142)),
+        ),
+        (
+            "remind",
+            written(|reply| reply.remind(0x2122, 1.5, 0x5152_5354_5556_5758)),
+        ),
         ("test", written(|reply| reply.test(0x2122, 0x3132_3334))),
         ("remark", written(|reply| reply.remark(0x2122, "a remark"))),
         ("panic", written(|reply| reply.panic(0x2122, "a fault"))),
@@ -100,18 +122,23 @@
 
 /// Settings come to instance 3, in the batch's tail.
 fn attach() -> Vec<u8> {
-    let record = format!("0a 0300 0900000000000000 00000000 {}", u32_hex(SETTINGS.len()));
+    let record = format!(
+        "0a 0300 0900000000000000 00000000 {}",
+        u32_hex(SETTINGS.len())
+    );
     frame(&[&record], SETTINGS.as_bytes())
 }
 
 /// Two engines, of which the second drains, as list 2; then that list to instance 3 as a whole.
 fn list() -> Vec<u8> {
     let mut tail = bytes("01000000 00000041 0000 0000 01 0000 0000000000000000");
-    tail.extend(bytes("02000000 00000041 0000 0000 02 0000 0000000000000840"));
+    tail.extend(bytes(
+        "02000000 00000041 0000 0000 02 0000 0000000000000840",
+    ));
     frame(&["78 02 00000000 02000000", "14 0300 02 01"], &tail)
 }
 
-/// A statement: known estimate, 64 MB, budget 1 s, group 7, key, tenant 0, estimate 0.02 s, product 0.
+/// A statement: known estimate, 64 MB, budget 1 s, group 7, key, tenant 0, estimate 0.02 s, query class 0.
 const WORK: &str = "1e 0300 2a00000000000000 01 00008042 000000000000f03f 0000e040 0100000000000000 0000 7b14ae47e17a943f 00";
 
 fn told(host: &mut Host, frame: &[u8]) -> String {
@@ -124,9 +151,9 @@
 /// An outcome of the first attempt at the statement, at engine 1: code, latency 0.5 s, bill of 20 ms and 8 MB, one field of load.
 fn outcome(code: u8) -> Vec<u8> {
     // Only a result settles the statement.
-    let settled = u8::from(code == 10);
+    let answered = u8::from(code == 10);
     let record = format!(
-        "32 0300 2a00000000000000 0000 01000000 {code:02x} 000000000000e03f {settled:02x} 02400100 01 00000040"
+        "32 0300 2a00000000000000 0000 01000000 {code:02x} 000000000000e03f {answered:02x} 02400100 01 00000040"
     );
     frame(&[&record], &[])
 }
@@ -149,9 +176,21 @@
         ("event-work", told(&mut host, &frame(&[WORK], &[]))),
     ];
     let events: [(&str, Vec<u8>); 18] = [
-        ("event-first-rows", frame(&["28 0300 2a00000000000000 000000000000e03f 00000000 0000"], &[])),
-        ("event-progress", frame(&["6e 0300 2a00000000000000 0000 0000003f 00000000 01"], &[])),
-        ("event-strained", frame(&["6e 0300 2a00000000000000 0000 0000003f 00000000 02"], &[])),
+        (
+            "event-first-rows",
+            frame(
+                &["28 0300 2a00000000000000 000000000000e03f 00000000 0000"],
+                &[],
+            ),
+        ),
+        (
+            "event-progress",
+            frame(&["6e 0300 2a00000000000000 0000 0000003f 00000000 01"], &[]),
+        ),
+        (
+            "event-strained",
+            frame(&["6e 0300 2a00000000000000 0000 0000003f 00000000 02"], &[]),
+        ),
         ("event-completed", outcome(10)),
         ("event-error", outcome(20)),
         ("event-turned-away", outcome(30)),
@@ -163,21 +202,47 @@
         ("event-unknown-outcome", outcome(90)),
         ("event-given-up", frame(&["3c 0300 2a00000000000000"], &[])),
         ("event-reminder", frame(&["46 0300 0300000000000000"], &[])),
-        ("event-load", frame(&["50 0300 01000000 000000000000e03f 00 01 00000040"], &[])),
+        (
+            "event-load",
+            frame(&["50 0300 01000000 000000000000e03f 00 01 00000040"], &[]),
+        ),
         ("event-list-failed", frame(&["14 0300 02 03"], &[])),
         ("event-unlike-any", frame(&["5a 0300"], &[])),
         ("event-detach", frame(&["64 0300"], &[])),
     ];
-    got.extend(events.iter().map(|(name, event)| (*name, told(&mut working(), event))));
+    got.extend(
+        events
+            .iter()
+            .map(|(name, event)| (*name, told(&mut working(), event))),
+    );
     let faults = [
         ("event-unknown", frame(&["63 0300"], &[])),
         ("event-unknown-list", frame(&["14 0300 09 01"], &[])),
         ("event-unknown-list-form", frame(&["14 0300 02 04"], &[])),
-        ("event-unknown-product", frame(&[&WORK.replace("7b14ae47e17a943f 00", "7b14ae47e17a943f 63")], &[])),
-        ("event-unknown-stage", frame(&["78 02 00000000 01000000"], &[9; 23])),
-        ("event-settings-missing", frame(&["0a 0400 0900000000000000 00000000 0c000000"], b"PeersTotal=1")),
+        (
+            "event-unknown-product",
+            frame(
+                &[&WORK.replace("7b14ae47e17a943f 00", "7b14ae47e17a943f 63")],
+                &[],
+            ),
+        ),
+        (
+            "event-unknown-stage",
+            frame(&["78 02 00000000 01000000"], &[9; 23]),
+        ),
+        (
+            "event-settings-missing",
+            frame(
+                &["0a 0400 0900000000000000 00000000 0c000000"],
+                b"PeersTotal=1",
+            ),
+        ),
     ];
-    got.extend(faults.iter().map(|(name, event)| (*name, told(&mut working(), event))));
+    got.extend(
+        faults
+            .iter()
+            .map(|(name, event)| (*name, told(&mut working(), event))),
+    );
     golden("events.txt", &got);
 }
 
@@ -212,13 +277,22 @@
         ("range", format!("{}+{}", of.range(2).0, of.range(2).1)),
         ("text", batch.text(0, (2, 4)).unwrap()),
         ("entries", entries.join(" ")),
-        ("nothing-more", read_batch(&mut &[][..]).unwrap().is_none().to_string()),
+        (
+            "nothing-more",
+            read_batch(&mut &[][..]).unwrap().is_none().to_string(),
+        ),
         ("outside", batch.text(0, (2, 5)).unwrap_err().to_string()),
-        ("entries-outside", batch.entries(0, (0, 1)).err().unwrap().to_string()),
+        (
+            "entries-outside",
+            batch.entries(0, (0, 1)).err().unwrap().to_string(),
+        ),
         ("unknown", batch.unknown(4, "thing", 5).to_string()),
         ("cut-head", fault(&sent[..11])),
         ("cut-body", fault(&sent[..40])),
-        ("short-length", fault(&bytes("0c000000 0000000000000a40 08000000 01000000"))),
+        (
+            "short-length",
+            fault(&bytes("0c000000 0000000000000a40 08000000 01000000")),
+        ),
     ];
     golden("read.txt", &got);
 }
