--- a/crates/gateway/benches/list.rs
+++ b/crates/gateway/benches/list.rs
@@ -12,9 +12,9 @@
 use bytes::BytesMut;
 use dispatch::Dispatcher;
 use fit::{Line, median, spread};
-use gateway::board::http::{self, Answered};
-use gateway::board::list::Names;
-use gateway::board::{Event, Events};
+use gateway::discovery::endpoints::{DiscoveryEvent, EventBatch};
+use gateway::discovery::http::{self, InputState, PollResponse};
+use gateway::discovery::registry::EngineRegistry;
 use gateway::service::WAY;
 use serde_json::{Value, json};
 use settings::Settings;
@@ -51,21 +51,25 @@
     Dispatcher::new(settings.policy(1, WAY).expect("the example's settings"))
 }
 
-fn read(bytes: &[u8]) -> Events {
-    match http::take(&mut BytesMut::from(bytes), false) {
-        Answered::Events(events, _) => events,
+fn read(bytes: &[u8]) -> EventBatch {
+    match http::take_response(&mut BytesMut::from(bytes), InputState::Open) {
+        Ok(PollResponse::Complete { batch, .. }) => batch,
         other => panic!("{other:?}"),
     }
 }
 
 /// Microseconds of taking names, and of telling the decisions.
-fn tell(names: &mut Names, dispatch: &mut Dispatcher, events: &[Event]) -> (f64, f64) {
-    let change = events[0].list.as_ref().expect("a change of the list");
+fn tell(
+    names: &mut EngineRegistry,
+    dispatch: &mut Dispatcher,
+    events: &[DiscoveryEvent],
+) -> (f64, f64) {
+    let change = events[0].change.as_ref().expect("a change of the list");
     let begun = Instant::now();
-    let told = names.told(change);
+    let applied = names.apply(change);
     let named_us = begun.elapsed().as_secs_f64() * 1e6;
     let begun = Instant::now();
-    dispatch.on_endpoint_update(Timestamp::from_secs(1.0) + TimeDelta::ZERO, &told.news);
+    dispatch.on_endpoint_update(Timestamp::from_secs(1.0) + TimeDelta::ZERO, &applied.update);
     (named_us, begun.elapsed().as_secs_f64() * 1e6)
 }
 
@@ -85,7 +89,7 @@
     let first = read(&bytes);
     samples.parse.push(begun.elapsed().as_secs_f64() * 1e6);
     let (mut names, mut dispatch) = (
-        Names::new(settings.location_names(), settings.machine_names()),
+        EngineRegistry::new(settings.location_names(), settings.machine_names()),
         dispatch(settings),
     );
     let (named, told) = tell(&mut names, &mut dispatch, &first.events);
@@ -106,8 +110,11 @@
 fn largest_list() -> u32 {
     let fits = |engines: u32| {
         matches!(
-            http::take(&mut BytesMut::from(&whole_list(engines)[..]), false),
-            Answered::Events(..)
+            http::take_response(
+                &mut BytesMut::from(&whole_list(engines)[..]),
+                InputState::Open
+            ),
+            Ok(PollResponse::Complete { .. })
         )
     };
     let mut engines = SIZES[SIZES.len() - 1];
--- /dev/null
+++ b/crates/gateway/src/clients/commands.rs
@@ -0,0 +1,136 @@
+//! Commands of sessions that are logged in: answered here, or passed on as events.
+
+use admission::interface::Timestamp;
+use bytes::Bytes;
+
+use super::Sessions;
+use super::events::{KillOutcome, SessionEvent, SessionId, TokenPurpose};
+use super::protocol::packet::MAX_BODY_BYTES;
+use super::protocol::{Command, ErrorCode, KillScope, Query, Response};
+use super::session::{PendingResponse, Session, SessionState};
+use crate::counters::Counters;
+
+/// The one system variable with a value; all others are empty.
+const MAX_PACKET_VARIABLE: &str = "@@max_allowed_packet";
+
+impl Session {
+    fn answer_ok(&mut self) {
+        let ok = self.response().ok();
+        self.socket.put(&ok);
+    }
+
+    fn answer_unknown_command(&mut self) {
+        let error = self
+            .response()
+            .error(ErrorCode::UNKNOWN_COMMAND, "Unknown command");
+        self.socket.put(&error);
+    }
+
+    fn answer_system_variable(&mut self, name: &str) {
+        let max_packet = MAX_BODY_BYTES.to_string();
+        let value = if name.eq_ignore_ascii_case(MAX_PACKET_VARIABLE) {
+            max_packet.as_bytes()
+        } else {
+            b""
+        };
+        let table = self.response().single_value(name, value);
+        self.socket.put(&table);
+    }
+
+    /// Its statement, with the time at which it had come.
+    fn statement_event(&self, id: SessionId, now: Timestamp, text: &[u8]) -> SessionEvent {
+        SessionEvent::Statement {
+            session: id,
+            text: Bytes::copy_from_slice(text),
+            client_ip: self.client_ip,
+            received: self.queued_since.unwrap_or(now),
+        }
+    }
+}
+
+impl Sessions {
+    /// A packet of a session that is logged in.
+    pub(super) fn process_command(&mut self, now: Timestamp, id: SessionId, body: &[u8]) {
+        let Some(session) = self.sessions.get_mut(&id) else {
+            return;
+        };
+        session.commands += 1;
+        match Command::parse(body) {
+            Command::Quit => session.state = SessionState::Closing,
+            Command::Ping | Command::NoOperation => session.answer_ok(),
+            Command::Unknown => session.answer_unknown_command(),
+            Command::Query(text) => self.process_query(now, id, text),
+        }
+    }
+
+    fn process_query(&mut self, now: Timestamp, id: SessionId, text: &[u8]) {
+        let Some(session) = self.sessions.get_mut(&id) else {
+            return;
+        };
+        let event = match Query::parse(text) {
+            Query::NoOperation => return session.answer_ok(),
+            Query::SystemVariable(name) => return session.answer_system_variable(name),
+            // Without tokens nothing is to be renewed.
+            Query::SetToken(_) if self.tls.is_none() => return session.answer_ok(),
+            Query::SetToken(token) => SessionEvent::Token {
+                session: id,
+                token: token.into(),
+                purpose: TokenPurpose::Renewal,
+            },
+            Query::Kill {
+                connection_id,
+                scope,
+            } => SessionEvent::Kill {
+                requester: id,
+                target: SessionId(connection_id),
+                scope,
+            },
+            Query::ShowQueue(request_id) => SessionEvent::ShowQueue {
+                session: id,
+                text: Bytes::copy_from_slice(text),
+                request_id: request_id.map(String::from),
+            },
+            Query::ShowFleet => SessionEvent::ShowFleet {
+                session: id,
+                text: Bytes::copy_from_slice(text),
+            },
+            Query::ShowShares => SessionEvent::ShowShares {
+                session: id,
+                text: Bytes::copy_from_slice(text),
+            },
+            Query::Statement => session.statement_event(id, now, text),
+        };
+        session.pending = PendingResponse::Request;
+        self.events.push(event);
+    }
+
+    /// Ends the statement of a session that another one names, and with [`KillScope::Connection`] the session too.
+    pub fn kill(
+        &mut self,
+        now: Timestamp,
+        id: SessionId,
+        scope: KillScope,
+        counters: &mut Counters,
+    ) -> KillOutcome {
+        let Some(session) = self.sessions.get_mut(&id) else {
+            return KillOutcome::UnknownSession;
+        };
+        let statement = session.statement();
+        if scope == KillScope::Connection {
+            // Ahead of the response, which would let the next command be read.
+            session.start_closing(now);
+        }
+        if statement.is_some() {
+            self.respond(now, id, counters, |response: Response| {
+                response.error(
+                    ErrorCode::QUERY_INTERRUPTED,
+                    "Query execution was interrupted",
+                )
+            });
+        }
+        if scope == KillScope::Connection {
+            self.process(now, id, counters);
+        }
+        statement.map_or(KillOutcome::NoStatement, KillOutcome::Interrupted)
+    }
+}
--- a/crates/gateway/src/clients/comment.rs
+++ b/crates/gateway/src/clients/comment.rs
@@ -1,201 +1,163 @@
-//! The comment ahead of a statement, and the group of tables that the statement names.
+//! The comment ahead of a statement, whose fields tell what the statement is and how long its client waits.
 
 use std::str::FromStr;
 
 use thiserror::Error;
 
 /// Longer budgets are no client's: above all a slip of units.
-const LONGEST_BUDGET_MS: f64 = 3_600_000.0;
+const MAX_BUDGET_MS: f64 = 3_600_000.0;
 
-/// Marks are 32 digits and keys 16; longer ones only cost memory.
-const LONGEST_WORD: usize = 128;
+const MIN_BUDGET_MS: f64 = 1.0;
 
+/// Idempotency keys are 32 digits and order keys 16; longer ones only cost memory.
+const MAX_KEY_BYTES: usize = 128;
+
+/// Digits of a request id.
+const REQUEST_ID_BYTES: usize = 16;
+
+/// Why a statement's comment cannot be used.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum CommentError {
+    /// The text does not begin with a comment, or it does not end, or is not UTF-8.
     #[error("no comment with fields ahead of the statement")]
-    None,
+    NoComment,
+    /// A field that every statement needs.
     #[error("the comment has no {0}")]
-    Missing(&'static str),
+    MissingField(&'static str),
+    /// A field without a value of use, or that stands twice.
     #[error("the comment's {0} cannot be used")]
-    Unusable(&'static str),
+    InvalidField(&'static str),
+    /// Nothing follows the comment.
     #[error("no statement behind the comment")]
-    Empty,
+    NoStatement,
 }
 
-/// A statement with its fields; names and text as they came.
+/// A statement with the fields of its comment; names and text are as they came.
 #[derive(Debug, PartialEq)]
-pub struct Commented<'a> {
+pub struct CommentedStatement<'a> {
+    /// The name of its query class (`method`).
     pub class: &'a str,
-    pub rid: [u8; 16],
+    /// The client's own id of it, in hexadecimal digits (`rid`).
+    pub request_id: [u8; REQUEST_ID_BYTES],
+    /// How long the client waits from when it sent the statement, in milliseconds (`budget`).
     pub budget_ms: f64,
+    /// Whose it is (`acct`).
     pub tenant: Option<&'a str>,
-    pub desk: Option<&'a str>,
+    /// The sub-queue of its tenant that it waits in (`desk`).
+    pub sub_queue: Option<&'a str>,
+    /// Its CPU as the client estimates it, in milliseconds (`est`).
     pub estimate_ms: Option<f64>,
+    /// Its memory as the client estimates it, in MB (`mem`).
     pub memory_mb: Option<f64>,
-    /// By which engines know a repeat, and what it keeps its order by; both go on as they came.
-    pub mark: Option<&'a str>,
-    pub key: Option<&'a str>,
-    pub statement: &'a [u8],
+    /// By which engines recognise its repeats (`token`); goes on to them as it came.
+    pub idempotency_key: Option<&'a str>,
+    /// Statements of one such key run one at a time (`obj`); goes on to engines as it came.
+    pub order_key: Option<&'a str>,
+    /// What follows the comment.
+    pub text: &'a [u8],
 }
 
-pub fn read(text: &[u8]) -> Result<Commented<'_>, CommentError> {
-    let text = text.trim_ascii_start();
-    let inner = text.strip_prefix(b"/*").ok_or(CommentError::None)?;
+impl<'a> CommentedStatement<'a> {
+    /// Reads a query's text.
+    ///
+    /// # Errors
+    ///
+    /// There is no comment, no statement behind it, or the first field that is missing or cannot be used.
+    pub fn parse(query: &'a [u8]) -> Result<Self, CommentError> {
+        let (fields, text) = split_comment(query)?;
+        let request_id = fields.request_id()?;
+        let budget_ms = fields.budget_ms()?;
+        if text.is_empty() {
+            return Err(CommentError::NoStatement);
+        }
+        Ok(CommentedStatement {
+            class: fields.required("method")?,
+            request_id,
+            budget_ms,
+            tenant: fields.text("acct")?,
+            sub_queue: fields.text("desk")?,
+            estimate_ms: fields.number("est")?,
+            memory_mb: fields.number("mem")?,
+            idempotency_key: fields.key("token")?,
+            order_key: fields.key("obj")?,
+            text,
+        })
+    }
+}
+
+/// The comment's fields, and what follows it.
+fn split_comment(query: &[u8]) -> Result<(Fields<'_>, &[u8]), CommentError> {
+    let query = query.trim_ascii_start();
+    let inner = query.strip_prefix(b"/*").ok_or(CommentError::NoComment)?;
     let end = inner
         .windows(2)
         .position(|pair| pair == b"*/")
-        .ok_or(CommentError::None)?;
-    let fields = std::str::from_utf8(&inner[..end]).map_err(|_| CommentError::None)?;
+        .ok_or(CommentError::NoComment)?;
+    let fields = std::str::from_utf8(&inner[..end]).map_err(|_| CommentError::NoComment)?;
     let statement = inner[end + 2..].trim_ascii_start();
-    let field = |name: &'static str| {
-        let mut values = fields.split(',').filter_map(|field| {
+    Ok((Fields(fields), statement))
+}
+
+/// Fields of the form `name=value`, between commas.
+#[derive(Clone, Copy)]
+struct Fields<'a>(&'a str);
+
+impl<'a> Fields<'a> {
+    /// A field's value; none where there is no such field.
+    fn text(self, name: &'static str) -> Result<Option<&'a str>, CommentError> {
+        let mut values = self.0.split(',').filter_map(|field| {
             let (key, value) = field.split_once('=')?;
             (key.trim() == name).then(|| value.trim())
         });
         match (values.next(), values.next()) {
             (None, _) => Ok(None),
             (Some(value), None) if !value.is_empty() => Ok(Some(value)),
-            _ => Err(CommentError::Unusable(name)),
-        }
-    };
-    let number = |name| match field(name)?.map(f64::from_str) {
-        None => Ok(None),
-        Some(Ok(value)) if value.is_finite() && value >= 0.0 => Ok(Some(value)),
-        Some(_) => Err(CommentError::Unusable(name)),
-    };
-    // Neither may end a field or a line on its way on.
-    let plain = |name| match field(name)? {
-        Some(value)
-            if value.len() > LONGEST_WORD
-                || !value.bytes().all(|byte| byte.is_ascii_alphanumeric()) =>
-        {
-            Err(CommentError::Unusable(name))
+            _ => Err(CommentError::InvalidField(name)),
         }
-        value => Ok(value),
-    };
-    let rid = field("rid")?.ok_or(CommentError::Missing("rid"))?;
-    let rid = <[u8; 16]>::try_from(rid.as_bytes()).map_err(|_| CommentError::Unusable("rid"))?;
-    if !rid.iter().all(u8::is_ascii_hexdigit) {
-        return Err(CommentError::Unusable("rid"));
     }
-    let budget_ms = number("budget")?.ok_or(CommentError::Missing("budget"))?;
-    if !(1.0..=LONGEST_BUDGET_MS).contains(&budget_ms) {
-        return Err(CommentError::Unusable("budget"));
-    }
-    if statement.is_empty() {
-        return Err(CommentError::Empty);
+
+    fn required(self, name: &'static str) -> Result<&'a str, CommentError> {
+        self.text(name)?.ok_or(CommentError::MissingField(name))
     }
-    Ok(Commented {
-        class: field("method")?.ok_or(CommentError::Missing("method"))?,
-        rid,
-        budget_ms,
-        tenant: field("acct")?,
-        desk: field("desk")?,
-        estimate_ms: number("est")?,
-        memory_mb: number("mem")?,
-        mark: plain("token")?,
-        key: plain("obj")?,
-        statement,
-    })
-}
 
-/// The number behind the underscore in the name of the schema that is read or written. Names in strings and
-/// comments do not count, nor does `staging`; what follows a keyword for tables comes before other names.
-pub fn table_group(statement: &[u8]) -> Option<u32> {
-    let mut words = Words(statement).peekable();
-    let (mut first, mut after_keyword) = (None, false);
-    while let Some(word) = words.next() {
-        let Word::Name(name) = word else {
-            // A further table of the same list.
-            after_keyword &= matches!(word, Word::Other(b'('));
-            continue;
-        };
-        let tables = [&b"from"[..], b"join", b"into", b"update", b"table"];
-        if tables
-            .iter()
-            .any(|keyword| name.eq_ignore_ascii_case(keyword))
-        {
-            after_keyword = true;
-            continue;
-        }
-        if words.peek() == Some(&Word::Other(b'.')) && !name.eq_ignore_ascii_case(b"staging") {
-            match group(name) {
-                Some(group) if after_keyword => return Some(group),
-                group => first = first.or(group),
-            }
+    /// A finite number from zero on.
+    fn number(self, name: &'static str) -> Result<Option<f64>, CommentError> {
+        match self.text(name)?.map(f64::from_str) {
+            None => Ok(None),
+            Some(Ok(value)) if value.is_finite() && value >= 0.0 => Ok(Some(value)),
+            Some(_) => Err(CommentError::InvalidField(name)),
         }
-        after_keyword = false;
     }
-    first
-}
-
-fn group(schema: &[u8]) -> Option<u32> {
-    let at = schema.iter().rposition(|byte| *byte == b'_')?;
-    std::str::from_utf8(&schema[at + 1..]).ok()?.parse().ok()
-}
-
-#[derive(Debug, PartialEq)]
-enum Word<'a> {
-    Name(&'a [u8]),
-    Other(u8),
-}
-
-/// The names and signs of a statement, without strings and comments.
-struct Words<'a>(&'a [u8]);
 
-impl<'a> Words<'a> {
-    fn until(&mut self, from: usize, end: &[u8]) -> &'a [u8] {
-        let text = self.0;
-        let rest = text.get(from..).unwrap_or(&[]);
-        let at = rest.windows(end.len()).position(|window| window == end);
-        self.0 = at.map_or(&[], |at| &rest[at + end.len()..]);
-        at.map_or(rest, |at| &rest[..at])
+    /// Letters and digits only, so that it ends no field and no line on its way to an engine.
+    fn key(self, name: &'static str) -> Result<Option<&'a str>, CommentError> {
+        let Some(value) = self.text(name)? else {
+            return Ok(None);
+        };
+        let is_plain = value.bytes().all(|byte| byte.is_ascii_alphanumeric());
+        if value.len() > MAX_KEY_BYTES || !is_plain {
+            return Err(CommentError::InvalidField(name));
+        }
+        Ok(Some(value))
     }
 
-    fn string(&mut self, quote: u8) {
-        let mut at = 1;
-        while at < self.0.len() {
-            match self.0[at] {
-                b'\\' => at += 2,
-                // A doubled quote reads as two strings side by side, which is the same here.
-                byte if byte == quote => break,
-                _ => at += 1,
-            }
+    fn request_id(self) -> Result<[u8; REQUEST_ID_BYTES], CommentError> {
+        let text = self.required("rid")?;
+        let digits = <[u8; REQUEST_ID_BYTES]>::try_from(text.as_bytes())
+            .map_err(|_| CommentError::InvalidField("rid"))?;
+        if !digits.iter().all(u8::is_ascii_hexdigit) {
+            return Err(CommentError::InvalidField("rid"));
         }
-        self.0 = self.0.get(at + 1..).unwrap_or(&[]);
+        Ok(digits)
     }
-}
 
-impl<'a> Iterator for Words<'a> {
-    type Item = Word<'a>;
-
-    fn next(&mut self) -> Option<Word<'a>> {
-        loop {
-            self.0 = self.0.trim_ascii_start();
-            match *self.0 {
-                [] => return None,
-                [quote @ (b'\'' | b'"'), ..] => self.string(quote),
-                [b'/', b'*', ..] => drop(self.until(2, b"*/")),
-                [b'#', ..] | [b'-', b'-', ..] => drop(self.until(1, b"\n")),
-                [b'`', ..] => return Some(Word::Name(self.until(1, b"`"))),
-                [byte, ..] => {
-                    let named = |byte: &u8| {
-                        byte.is_ascii_alphanumeric() || b"_$".contains(byte) || *byte > 127
-                    };
-                    let end = self
-                        .0
-                        .iter()
-                        .position(|byte| !named(byte))
-                        .unwrap_or(self.0.len());
-                    if end == 0 {
-                        self.0 = &self.0[1..];
-                        return Some(Word::Other(byte));
-                    }
-                    let (name, rest) = self.0.split_at(end);
-                    self.0 = rest;
-                    return Some(Word::Name(name));
-                }
-            }
+    fn budget_ms(self) -> Result<f64, CommentError> {
+        let budget_ms = self
+            .number("budget")?
+            .ok_or(CommentError::MissingField("budget"))?;
+        if !(MIN_BUDGET_MS..=MAX_BUDGET_MS).contains(&budget_ms) {
+            return Err(CommentError::InvalidField("budget"));
         }
+        Ok(budget_ms)
     }
 }
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -10,7 +10,7 @@
 use settings::{Settings, SettingsError};
 use thiserror::Error;
 
-use crate::board::{Events, ListError};
+use crate::discovery::endpoints::{EndpointListError, EventBatch};
 
 #[derive(Debug, Error)]
 pub enum ConfigError {
@@ -23,7 +23,7 @@
     #[error("configuration: {0} is missing or cannot be used")]
     Field(&'static str),
     #[error("configuration: known: {0}")]
-    Known(#[from] ListError),
+    Known(#[from] EndpointListError),
     #[error(transparent)]
     Settings(#[from] SettingsError),
     #[error(transparent)]
@@ -125,7 +125,7 @@
     pub sockets: usize,
     pub memory_mb: f64,
     pub board: SocketAddr,
-    pub known: Events,
+    pub known: EventBatch,
     pub settings: Settings,
 }
 
@@ -171,7 +171,7 @@
             sockets: sockets.ok_or(ConfigError::Field("limits.sockets"))? as usize,
             memory_mb: memory_mb.ok_or(ConfigError::Field("limits.memory_mb"))?,
             board: address("board")?,
-            known: Events::from_json(&json["known"])?,
+            known: EventBatch::from_json(&json["known"])?,
             settings: Settings::from_json(settings),
         })
     }
--- a/crates/gateway/src/fleet/mod.rs
+++ b/crates/gateway/src/fleet/mod.rs
@@ -18,8 +18,8 @@
 use thiserror::Error;
 use tracing::{info, warn};
 
-use crate::board::list::Names;
 use crate::clock::steady;
+use crate::discovery::registry::EngineRegistry;
 use crate::socket::{Loop, Peer, Ready};
 use files::FleetKeysError;
 use parts::Parts;
@@ -203,7 +203,7 @@
         &mut self,
         now: Timestamp,
         health: impl Iterator<Item = EngineHealth>,
-        names: &Names,
+        names: &EngineRegistry,
     ) -> Vec<OutlierReport> {
         if now < self.look_at {
             return Vec::new();
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,13 +1,13 @@
 //! The gateway: MySQL clients before engines with limited memory. Network code only; what becomes of a
 //! statement is asked of `dispatch`.
 
-pub mod board;
 pub mod clients;
 pub mod clock;
 pub mod command;
 pub mod config;
 pub mod counters;
 pub mod credentials;
+pub mod discovery;
 pub mod engines;
 pub mod fleet;
 pub mod keyfiles;
--- a/crates/gateway/src/lifecycle.rs
+++ b/crates/gateway/src/lifecycle.rs
@@ -16,10 +16,10 @@
 use thiserror::Error;
 use tracing::{info, warn};
 
-use crate::board::Board;
-use crate::clients::Clients;
+use crate::clients::{ProgressReports, SessionId, SessionLimits, Sessions};
 use crate::clock::{Clock, unix};
 use crate::config::{Config, Operated};
+use crate::discovery::DiscoveryClient;
 use crate::engines::Engines;
 use crate::fleet::parts::Parts;
 use crate::fleet::{Fleet, FleetError};
@@ -158,22 +158,32 @@
             .saturating_sub(client_share + OWN_DESCRIPTORS)
             .max(1);
         let unread = (config.memory_mb * UNREAD_SHARE * f64::from(1 << 20)) as usize;
-        let clients = Clients::new(
+        let limits = SessionLimits {
+            max_sessions: client_share,
+            max_unread_bytes: unread,
+        };
+        // Only what waits in queues has progress to report.
+        let progress_reports = if operated.queues.is_some() {
+            ProgressReports::Offered
+        } else {
+            ProgressReports::Off
+        };
+        let clients = Sessions::new(&handle, limits, progress_reports, now);
+        let engines = Engines::new(&handle, config.settings.links()?, engine_share);
+        let discovery = DiscoveryClient::new(
             &handle,
-            client_share,
-            unread,
-            operated.queues.is_some(),
+            config.board,
+            config.known.last_revision,
+            config.seed,
             now,
         );
-        let engines = Engines::new(&handle, config.settings.links()?, engine_share);
-        let board = Board::new(&handle, config.board, config.known.last, config.seed, now);
         let mut service = Service::new(
             now,
             &config.settings,
             config.seed,
             clients,
             engines,
-            board,
+            discovery,
             operated.queues.as_ref(),
         )?;
         service.told(now, &std::mem::take(&mut config.known.events));
@@ -191,7 +201,7 @@
                 "callers are to be known"
             );
             service.guard(guard);
-            service.clients.secure(known.tls);
+            service.clients.require_tls(known.tls);
             let note = |event, _: &mut (), ready: &mut Ready| {
                 if let calloop::channel::Event::Msg(known) = event {
                     ready.known.push(known);
@@ -331,9 +341,13 @@
         let service = &mut self.service;
         match peer {
             Peer::Listener => self.backlog = true,
-            Peer::Client(id) => service.clients.ready(now, id, &mut service.counters),
+            Peer::Client(connection_id) => {
+                service
+                    .clients
+                    .on_ready(now, SessionId(connection_id), &mut service.counters);
+            }
             Peer::Engine(at) => service.engines.ready(now, at, &mut service.counters),
-            Peer::Board(at) => service.board.ready(now, at, &mut service.counters),
+            Peer::Discovery(poll) => service.discovery.on_ready(now, poll, &mut service.counters),
             Peer::Fleet => service.fleet().into_iter().for_each(Fleet::news),
         }
     }
@@ -346,7 +360,7 @@
             clients, counters, ..
         } = &mut self.service;
         for _ in 0..ACCEPTS {
-            self.crowded = self.backlog && !clients.room();
+            self.crowded = self.backlog && !clients.has_room();
             if !self.backlog || self.crowded {
                 return;
             }
@@ -406,12 +420,14 @@
             }
             Ok(config) => {
                 let kept = self.config.fixed_differences(&config);
-                info!(board = %config.board, known = config.known.last, ?kept, "configuration read again");
+                info!(board = %config.board, known = config.known.last_revision, ?kept, "configuration read again");
                 let Service {
-                    board, counters, ..
+                    discovery,
+                    counters,
+                    ..
                 } = &mut self.service;
                 counters.reloads += 1;
-                board.moved(now, config.board, config.known, counters);
+                discovery.reconfigure(now, config.board, config.known, counters);
             }
         }
         self.reload_operator(now);
@@ -427,7 +443,7 @@
                     .map(|guard| guard.take(unix(), &files.index, &files.public, files.revoked));
                 let refused = taken.and_then(Result::err).map(|error| error.to_string());
                 if refused.is_none() {
-                    self.service.clients.secure(tls);
+                    self.service.clients.require_tls(tls);
                 }
                 refused
             }
@@ -537,7 +553,7 @@
                 let Service {
                     clients, counters, ..
                 } = &mut self.service;
-                if self.backlog || !clients.part_all(now, counters) {
+                if self.backlog || !clients.try_shut_down_all(now, counters) {
                     self.phase
                 } else {
                     self.listener = None;
@@ -569,7 +585,7 @@
             service.clients.len(),
             service.engines.open(),
             service.benched(),
-            service.board.open()
+            service.discovery.open_polls()
         );
     }
 }
--- a/crates/gateway/src/service/attempts.rs
+++ b/crates/gateway/src/service/attempts.rs
@@ -55,7 +55,7 @@
             let pages = report.pages;
             self.counters.completed += 1;
             self.answer(now, id, |answer| {
-                answer.result(pages.iter().map(|page| &page[..]))
+                answer.result_set(pages.iter().map(|page| &page[..]))
             });
         }
         match self
--- a/crates/gateway/src/service/callers.rs
+++ b/crates/gateway/src/service/callers.rs
@@ -11,7 +11,8 @@
 use super::Service;
 use super::endings::denial;
 use super::intake::Unusable;
-use crate::clients::packets::Answer;
+use crate::clients::protocol::{ErrorCode, Response};
+use crate::clients::{SessionId, TokenPurpose};
 use crate::clock::unix;
 
 impl Service {
@@ -25,39 +26,48 @@
     }
 
     /// A token at login or later: only one that holds now replaces what stood.
-    pub(super) fn judge(&mut self, now: Timestamp, session: u32, token: &Rc<str>, login: bool) {
+    pub(super) fn judge(
+        &mut self,
+        now: Timestamp,
+        session: SessionId,
+        token: &Rc<str>,
+        purpose: TokenPurpose,
+    ) {
         let Some(guard) = &mut self.guard else { return };
         let counters = &mut self.counters;
-        let (code, state, text) = match guard.verdict(unix(), token) {
+        let (code, text) = match guard.verdict(unix(), token) {
             Judged::Granted { claims, .. }
-                if claims.grant.allows_from(self.clients.from(session)) =>
+                if claims.grant.allows_from(self.clients.client_ip(session)) =>
             {
                 counters.tokens_granted += 1;
-                return self.clients.known(now, session, token.clone(), counters);
+                return self
+                    .clients
+                    .accept_token(now, session, token.clone(), counters);
             }
             Judged::Granted { .. } => {
                 counters.tokens_refused += 1;
-                (1045, b"28000", Beyond::Network.to_string())
+                (ErrorCode::ACCESS_DENIED, Beyond::Network.to_string())
             }
             Judged::Later { back } => {
                 counters.tokens_later += 1;
-                (1226, b"42000", denial(Some(back)))
+                (ErrorCode::LIMIT_REACHED, denial(Some(back)))
             }
             Judged::Refused(why) => {
                 counters.tokens_refused += 1;
-                (1045, b"28000", why.to_string())
+                (ErrorCode::ACCESS_DENIED, why.to_string())
             }
         };
-        let answer = |answer: Answer| answer.error(code, state, &text);
-        if login {
-            self.clients.unknown(now, session, counters, answer);
-        } else {
-            self.clients.answer(now, session, counters, answer);
+        let rejection = |response: Response| response.error(code, &text);
+        match purpose {
+            TokenPurpose::Login => {
+                self.clients.reject_login(now, session, counters, rejection);
+            }
+            TokenPurpose::Renewal => self.clients.respond(now, session, counters, rejection),
         }
     }
 
     /// Whose a statement is by its session's token, which is judged anew each time.
-    pub(super) fn caller(&mut self, session: u32) -> Result<Option<Arc<Claims>>, Unusable> {
+    pub(super) fn caller(&mut self, session: SessionId) -> Result<Option<Arc<Claims>>, Unusable> {
         let Some(guard) = &mut self.guard else {
             return Ok(None);
         };
--- a/crates/gateway/src/service/endings.rs
+++ b/crates/gateway/src/service/endings.rs
@@ -6,7 +6,8 @@
 use tracing::warn;
 
 use super::Service;
-use crate::clients::packets::Answer;
+use crate::clients::Disconnection;
+use crate::clients::protocol::{ErrorCode, Response};
 
 /// Longer than any client is told to stay away: the decisions cut it to what they allow.
 const LONG: TimeDelta = TimeDelta::from_micros(3_600_000_000);
@@ -64,7 +65,7 @@
     /// or for a further attempt. It gets its answer all the same, since who only shut the sending side still reads. What
     /// has left goes on; so does, for this turn, what came together with its client's end a moment ago.
     pub(super) fn leave(&mut self, now: Timestamp) {
-        for (id, left) in self.clients.left() {
+        for Disconnection { statement: id, end } in self.clients.disconnections() {
             let Some(in_flight) = self
                 .in_flight
                 .get(&id)
@@ -72,7 +73,7 @@
             else {
                 continue;
             };
-            let just_left = left.seen == now && (now - left.came).secs() < JUST_LEFT_S;
+            let just_left = end.detected == now && (now - end.arrived).secs() < JUST_LEFT_S;
             if just_left && in_flight.taken == now {
                 continue;
             }
@@ -113,7 +114,9 @@
         retry_after: Option<TimeDelta>,
     ) {
         let text = denial(retry_after);
-        self.answer(now, id, |answer| answer.error(1226, b"42000", &text));
+        self.answer(now, id, |answer| {
+            answer.error(ErrorCode::LIMIT_REACHED, &text)
+        });
     }
 
     pub(super) fn fail(&mut self, now: Timestamp, id: StatementId) {
@@ -123,7 +126,10 @@
 
     pub(super) fn answer_failed(&mut self, now: Timestamp, id: StatementId) {
         self.answer(now, id, |answer| {
-            answer.error(1105, b"HY000", "the statement could not be completed")
+            answer.error(
+                ErrorCode::UNKNOWN_ERROR,
+                "the statement could not be completed",
+            )
         });
     }
 
@@ -131,7 +137,7 @@
         &mut self,
         now: Timestamp,
         id: StatementId,
-        answer: impl FnOnce(Answer) -> BytesMut,
+        answer: impl FnOnce(Response) -> BytesMut,
     ) {
         let Some(in_flight) = self.in_flight.get_mut(&id) else {
             return;
@@ -140,7 +146,7 @@
         self.ends.remove(&(in_flight.ends, id));
         let session = in_flight.session;
         self.clients
-            .answer(now, session, &mut self.counters, answer);
+            .respond(now, session, &mut self.counters, answer);
     }
 
     pub(super) fn forget(&mut self, id: StatementId) {
--- a/crates/gateway/src/service/intake.rs
+++ b/crates/gateway/src/service/intake.rs
@@ -11,7 +11,10 @@
 
 use super::endings::denial;
 use super::{InFlight, OVERDUE_S, Service};
-use crate::clients::{self, comment};
+use crate::clients::comment::CommentedStatement;
+use crate::clients::protocol::ErrorCode;
+use crate::clients::table_group::table_group;
+use crate::clients::{KillOutcome, SessionEvent, SessionId};
 use crate::engines::lines::{Rid, Tags};
 
 /// Network fact: an answer must be with the client before its budget ends, and the budget runs from when the
@@ -49,39 +52,48 @@
 }
 
 impl Service {
-    pub(super) fn heard(&mut self, now: Timestamp, news: clients::News) {
-        match news {
-            clients::News::Asked {
+    pub(super) fn heard(&mut self, now: Timestamp, event: SessionEvent) {
+        match event {
+            SessionEvent::Statement {
                 session,
                 text,
-                from,
-                came,
+                client_ip,
+                received,
             } => {
-                self.asked(now, session, &text, from, now - came);
+                self.asked(now, session, &text, client_ip, now - received);
             }
             // Without lines it is a query like any other that cannot be used.
-            clients::News::Queue { session, text, .. } if self.directory.is_none() => {
+            SessionEvent::ShowQueue { session, text, .. } if self.directory.is_none() => {
                 self.unknown(now, session, &text);
             }
-            clients::News::Queue { session, id, .. } => self.tell_queue(now, session, id),
-            clients::News::Fleet { session, text } => self.tell_fleet(now, session, &text),
-            clients::News::Shares { session, text } => self.tell_shares(now, session, &text),
-            clients::News::Left(id) => self.left(now, id),
-            clients::News::Token {
+            SessionEvent::ShowQueue {
+                session,
+                request_id,
+                ..
+            } => self.tell_queue(now, session, request_id),
+            SessionEvent::ShowFleet { session, text } => self.tell_fleet(now, session, &text),
+            SessionEvent::ShowShares { session, text } => self.tell_shares(now, session, &text),
+            SessionEvent::StatementAbandoned(id) => self.left(now, id),
+            SessionEvent::Token {
                 session,
                 token,
-                login,
-            } => self.judge(now, session, &token, login),
-            clients::News::Kill { by, session, whole } => {
-                let killed = self.clients.kill(now, session, whole, &mut self.counters);
-                killed
-                    .flatten()
-                    .into_iter()
-                    .for_each(|id| self.left(now, id));
+                purpose,
+            } => self.judge(now, session, &token, purpose),
+            SessionEvent::Kill {
+                requester,
+                target,
+                scope,
+            } => {
+                let outcome = self.clients.kill(now, target, scope, &mut self.counters);
+                if let KillOutcome::Interrupted(id) = outcome {
+                    self.left(now, id);
+                }
                 self.clients
-                    .answer(now, by, &mut self.counters, |answer| match killed {
-                        Some(_) => answer.ok(),
-                        None => answer.error(1094, b"HY000", "Unknown thread id"),
+                    .respond(now, requester, &mut self.counters, |answer| match outcome {
+                        KillOutcome::NoStatement | KillOutcome::Interrupted(_) => answer.ok(),
+                        KillOutcome::UnknownSession => {
+                            answer.error(ErrorCode::NO_SUCH_THREAD, "Unknown thread id")
+                        }
                     });
             }
         }
@@ -91,13 +103,13 @@
     pub(super) fn asked(
         &mut self,
         now: Timestamp,
-        session: u32,
+        session: SessionId,
         text: &Bytes,
         from: IpAddr,
         waited: TimeDelta,
     ) {
         // Reset in the very turn in which it came: nothing would tell any more that its client has left.
-        if !self.clients.stands(session) {
+        if !self.clients.contains(session) {
             self.counters.statements_taken += 1;
             self.counters.client_left += 1;
             return;
@@ -122,14 +134,18 @@
             Err(why) => {
                 self.counters.statements_unusable += 1;
                 self.clients
-                    .answer(now, session, &mut self.counters, |answer| match why {
-                        Unusable::Wrong(why) => answer.error(1064, b"42000", &why),
+                    .respond(now, session, &mut self.counters, |answer| match why {
+                        Unusable::Wrong(why) => answer.error(ErrorCode::PARSE_ERROR, &why),
                         Unusable::Beyond(why) => {
-                            answer.error(1142, b"42000", &format!("not granted: {why}"))
+                            answer.error(ErrorCode::NOT_GRANTED, &format!("not granted: {why}"))
+                        }
+                        Unusable::Unknown(why) => answer.error(ErrorCode::ACCESS_DENIED, &why),
+                        Unusable::Later(back) => {
+                            answer.error(ErrorCode::LIMIT_REACHED, &denial(Some(back)))
+                        }
+                        Unusable::Full => {
+                            answer.error(ErrorCode::TOO_MANY_OPEN, "too many statements open")
                         }
-                        Unusable::Unknown(why) => answer.error(1045, b"28000", &why),
-                        Unusable::Later(back) => answer.error(1226, b"42000", &denial(Some(back))),
-                        Unusable::Full => answer.error(1040, b"08004", "too many statements open"),
                     });
                 return;
             }
@@ -163,7 +179,7 @@
         };
         self.in_flight.insert(id, in_flight);
         self.rids.insert(rid, id);
-        self.clients.took(session, id);
+        self.clients.attach_statement(session, id);
         let pick = self.hall.pick(now, id, desk, &wants);
         self.picked(now, id, pick);
     }
@@ -175,11 +191,11 @@
         from: IpAddr,
         claims: Option<&Claims>,
     ) -> Result<(StatementRequest, Rid, Tags, Bytes, DeskId), Unusable> {
-        let mut read = comment::read(text)?;
+        let mut read = CommentedStatement::parse(text)?;
         if let Some(claims) = claims {
             let open = self.open.get(&claims.caller).copied().unwrap_or(0);
-            let group = comment::table_group(read.statement);
-            let (member, desk, class) = (read.tenant, read.desk, read.class);
+            let group = table_group(read.text);
+            let (member, desk, class) = (read.tenant, read.sub_queue, read.class);
             let beyond = claims.grant.allows(&Request {
                 member,
                 desk,
@@ -194,7 +210,7 @@
             }
             // What the comment leaves open, the caller is.
             read.tenant = Some(&claims.grant.member);
-            read.desk = claims.grant.desk(read.desk);
+            read.sub_queue = claims.grant.desk(read.sub_queue);
         }
         let named = |names: &[String], name: &str| names.iter().position(|known| known == name);
         let class = named(&self.classes, read.class).ok_or("unknown method")?;
@@ -204,7 +220,7 @@
             }
             _ => 0,
         };
-        if self.rids.contains_key(&read.rid) {
+        if self.rids.contains_key(&read.request_id) {
             return Err("rid of a statement that is still open".into());
         }
         if self.in_flight.len() >= self.most_open {
@@ -213,7 +229,7 @@
         let found = self
             .directory
             .as_ref()
-            .map(|directory| directory.find(read.tenant, read.desk, Some(from)));
+            .map(|directory| directory.find(read.tenant, read.sub_queue, Some(from)));
         self.counters.desks_unknown += u64::from(found.is_some_and(|found| !found.known));
         let desk = found.map_or(DeskId(0), |found| found.desk);
         let budget_s = read.budget_ms / 1e3;
@@ -222,24 +238,34 @@
         // Digits of the platform's own; what is none keeps its order by its letters all the same.
         let number =
             |key: &str| u64::from_str_radix(key, 16).unwrap_or_else(|_| order_key_hash(key));
-        let key = read.key.map(number).filter(|key| *key != 0).map(OrderKey);
+        let key = read
+            .order_key
+            .map(number)
+            .filter(|key| *key != 0)
+            .map(OrderKey);
         let wants = StatementRequest {
             class: ClassId(class),
             tenant: TenantId(tenant),
-            group: TableGroupId(comment::table_group(read.statement).unwrap_or(0)),
+            group: TableGroupId(table_group(read.text).unwrap_or(0)),
             estimate: read
                 .estimate_ms
                 .filter(|ms| *ms > 0.0)
                 .map(|ms| TimeDelta::from_secs(ms / 1e3)),
             memory_mb: read.memory_mb.unwrap_or(0.0),
             key,
-            has_idempotency_key: read.mark.is_some(),
+            has_idempotency_key: read.idempotency_key.is_some(),
             budget,
         };
         let tags = Tags {
-            mark: read.mark.map(Box::from),
-            key: read.key.map(Box::from),
+            mark: read.idempotency_key.map(Box::from),
+            key: read.order_key.map(Box::from),
         };
-        Ok((wants, read.rid, tags, text.slice_ref(read.statement), desk))
+        Ok((
+            wants,
+            read.request_id,
+            tags,
+            text.slice_ref(read.text),
+            desk,
+        ))
     }
 }
--- a/crates/gateway/src/service/mod.rs
+++ b/crates/gateway/src/service/mod.rs
@@ -17,10 +17,11 @@
 use settings::{Settings, SettingsError, Way};
 use tracing::{info, warn};
 
-use crate::board::list::Names;
-use crate::board::{Board, Event};
-use crate::clients::Clients;
+use crate::clients::{SessionId, Sessions};
 use crate::counters::Counters;
+use crate::discovery::DiscoveryClient;
+use crate::discovery::endpoints::DiscoveryEvent;
+use crate::discovery::registry::EngineRegistry;
 use crate::engines::Engines;
 use crate::engines::lines::{Rid, Tags};
 use crate::fleet::Fleet;
@@ -37,7 +38,7 @@
 
 /// A statement from its reading to its answer and the end of its last attempt; the text is dropped with the answer.
 struct InFlight {
-    session: u32,
+    session: SessionId,
     rid: Rid,
     /// Whose it is, where callers are known.
     caller: Option<String>,
@@ -55,9 +56,9 @@
 }
 
 pub struct Service {
-    pub clients: Clients,
+    pub clients: Sessions,
     pub engines: Engines,
-    pub board: Board,
+    pub discovery: DiscoveryClient,
     pub counters: Counters,
     hall: Hall,
     /// Where there are lines: whose desk a statement waits at.
@@ -68,7 +69,7 @@
     guard: Option<Guard>,
     /// Statements open by caller; leaves with the last of them.
     open: BTreeMap<String, u32>,
-    names: Names,
+    names: EngineRegistry,
     peers: f64,
     classes: Vec<String>,
     tenants: Vec<String>,
@@ -93,9 +94,9 @@
         now: Timestamp,
         settings: &Settings,
         seed: u64,
-        clients: Clients,
+        clients: Sessions,
         engines: Engines,
-        board: Board,
+        discovery: DiscoveryClient,
         terms: Option<&Terms>,
     ) -> Result<Self, SettingsError> {
         let (directory, classes) = (terms.map(Directory::new), settings.classes());
@@ -103,14 +104,14 @@
         Ok(Service {
             clients,
             engines,
-            board,
+            discovery,
             counters: Counters::default(),
             hall: Hall::new(Dispatcher::new(settings.policy(seed, WAY)?), lines),
             directory,
             fleet: None,
             guard: None,
             open: BTreeMap::new(),
-            names: Names::new(settings.location_names(), settings.machine_names()),
+            names: EngineRegistry::new(settings.location_names(), settings.machine_names()),
             peers: settings.peers()?,
             classes: settings.class_names()?,
             tenants: settings.tenant_names()?,
@@ -128,18 +129,22 @@
         })
     }
 
-    pub fn told(&mut self, now: Timestamp, events: &[Event]) {
-        for change in events.iter().filter_map(|event| event.list.as_ref()) {
-            let told = self.names.told(change);
-            info!(whole = change.whole, engines = change.targets.len(), "list");
-            told.addresses
-                .into_iter()
-                .for_each(|(id, address)| self.engines.listed(id, address));
-            self.hall.on_endpoint_update(now, &told.news);
-            told.closed
-                .into_iter()
-                .for_each(|id| self.engines.closed(now, id, &mut self.counters));
-            self.listed |= change.whole;
+    pub fn told(&mut self, now: Timestamp, events: &[DiscoveryEvent]) {
+        for change in events.iter().filter_map(|event| event.change.as_ref()) {
+            let applied = self.names.apply(change);
+            info!(
+                snapshot = change.is_snapshot(),
+                engines = change.endpoints().len(),
+                "endpoint list"
+            );
+            for address in applied.addresses {
+                self.engines.listed(address.engine, address.address);
+            }
+            self.hall.on_endpoint_update(now, &applied.update);
+            for engine in applied.not_ready {
+                self.engines.closed(now, engine, &mut self.counters);
+            }
+            self.listed |= change.is_snapshot();
         }
     }
 
@@ -188,14 +193,14 @@
 
     /// Nothing is owed to anyone.
     pub fn quiet(&self) -> bool {
-        self.clients.all_quiet()
+        self.clients.all_answered()
     }
 
     pub fn next_due(&self, now: Timestamp) -> Timestamp {
         let dues = [
             self.engines.next_due(now),
             self.clients.next_due(now),
-            self.board.next_due(),
+            self.discovery.next_due(),
         ];
         let end = self.ends.first().map(|end| end.0);
         let fleet = self.fleet.as_ref().map(|fleet| fleet.next_due(now));
@@ -209,18 +214,20 @@
     pub fn turn(&mut self, now: Timestamp) {
         self.engines.expire(now, &mut self.counters);
         self.engines.go_on(now, &mut self.counters);
-        self.clients.expire(now, &mut self.counters);
-        self.clients.go_on(now, &mut self.counters);
-        self.board.expire(now, &mut self.counters);
+        self.clients.on_timer(now, &mut self.counters);
+        self.clients.resume(now, &mut self.counters);
+        self.discovery.on_timer(now, &mut self.counters);
         // Idle clients may hold every descriptor: one goes for the board, without which no news of engines comes.
-        if self.board.short() && self.clients.give_up_one(now, &mut self.counters) {
-            self.board.ask_again(now, &mut self.counters);
+        if self.discovery.take_descriptor_shortage()
+            && self.clients.evict_one(now, &mut self.counters)
+        {
+            self.discovery.poll_now(now, &mut self.counters);
         }
-        let events = self.board.events();
+        let events = self.discovery.take_events();
         self.told(now, &events);
         self.reports(now);
         loop {
-            let news = self.clients.news();
+            let news = self.clients.take_events();
             if news.is_empty() {
                 break;
             }
@@ -238,7 +245,7 @@
             .into_iter()
             .for_each(|(id, pick)| self.picked(now, id, pick));
         // What could not even be sent is back in line by now, and what stood behind an answer was read.
-        let again = self.reports(now) || self.clients.has_news();
+        let again = self.reports(now) || self.clients.has_events();
         self.overdue(now);
         if self.progress <= now && self.directory.is_some() {
             self.progress = now + TimeDelta::from_secs(PROGRESS_S);
--- a/crates/gateway/src/service/shown.rs
+++ b/crates/gateway/src/service/shown.rs
@@ -6,7 +6,8 @@
 use bytes::Bytes;
 
 use super::Service;
-use crate::clients::packets::Answer;
+use crate::clients::protocol::Response;
+use crate::clients::{ProgressSubscriber, SessionId};
 use crate::engines::lines::Rid;
 use crate::fleet::Fleet;
 use crate::status;
@@ -15,28 +16,30 @@
 const STATUS_ROWS: usize = 1000;
 
 impl Service {
-    pub(super) fn tell_fleet(&mut self, now: Timestamp, session: u32, text: &Bytes) {
+    pub(super) fn tell_fleet(&mut self, now: Timestamp, session: SessionId, text: &Bytes) {
         let Some(fleet) = &mut self.fleet else {
             return self.unknown(now, session, text);
         };
         let rows = status::fleet(now, fleet.gateway());
-        let table = |answer: Answer| answer.table(status::FLEET, &rows);
-        self.clients.answer(now, session, &mut self.counters, table);
+        let table = |response: Response| response.table(status::FLEET, &rows);
+        self.clients
+            .respond(now, session, &mut self.counters, table);
     }
 
-    pub(super) fn tell_shares(&mut self, now: Timestamp, session: u32, text: &Bytes) {
+    pub(super) fn tell_shares(&mut self, now: Timestamp, session: SessionId, text: &Bytes) {
         let Some(parts) = self.fleet.as_mut().and_then(Fleet::parts) else {
             return self.unknown(now, session, text);
         };
         let (steady, status) = parts.status();
         let rows = status::shares(steady, &status);
-        let table = |answer: Answer| answer.table(status::SHARES, &rows);
-        self.clients.answer(now, session, &mut self.counters, table);
+        let table = |response: Response| response.table(status::SHARES, &rows);
+        self.clients
+            .respond(now, session, &mut self.counters, table);
     }
 
     pub(super) fn tell_progress(&mut self, now: Timestamp) {
-        for (session, id) in self.clients.progressing() {
-            let Some((waited, left)) = self.hall.progress(now, id) else {
+        for ProgressSubscriber { session, statement } in self.clients.progress_subscribers() {
+            let Some((waited, left)) = self.hall.progress(now, statement) else {
                 continue;
             };
             let whole = waited.secs() + left.wait.secs();
@@ -47,16 +50,17 @@
             };
             let text = format!("Waiting, {:.1} s more", left.wait.secs());
             self.clients
-                .tell_progress(now, session, done as u32, &text, &mut self.counters);
+                .send_progress(now, session, done as u32, &text, &mut self.counters);
         }
     }
 
-    pub(super) fn tell_queue(&mut self, now: Timestamp, session: u32, id: Option<String>) {
+    pub(super) fn tell_queue(&mut self, now: Timestamp, session: SessionId, id: Option<String>) {
         self.counters.statuses_told += 1;
         let Some(id) = id else {
             let rows = status::desks(&self.hall.status(now, STATUS_ROWS).unwrap_or_default());
-            let table = |answer: Answer| answer.table(status::DESKS, &rows);
-            self.clients.answer(now, session, &mut self.counters, table);
+            let table = |response: Response| response.table(status::DESKS, &rows);
+            self.clients
+                .respond(now, session, &mut self.counters, table);
             return;
         };
         let statement = Rid::try_from(id.as_bytes())
@@ -65,12 +69,13 @@
             .copied();
         let row = statement.and_then(|statement| self.hall.statement(now, statement));
         let rows: Vec<_> = row.iter().map(|row| status::statement(&id, row)).collect();
-        let table = |answer: Answer| answer.table(status::STATEMENT, &rows);
-        self.clients.answer(now, session, &mut self.counters, table);
+        let table = |response: Response| response.table(status::STATEMENT, &rows);
+        self.clients
+            .respond(now, session, &mut self.counters, table);
     }
 
     /// A question to what is not on is a query like any other that cannot be used.
-    pub(super) fn unknown(&mut self, now: Timestamp, session: u32, text: &Bytes) {
+    pub(super) fn unknown(&mut self, now: Timestamp, session: SessionId, text: &Bytes) {
         self.asked(now, session, text, IpAddr::from([0; 4]), TimeDelta::ZERO);
     }
 }
--- a/crates/gateway/src/socket.rs
+++ b/crates/gateway/src/socket.rs
@@ -46,7 +46,7 @@
     Listener,
     Client(u32),
     Engine(u64),
-    Board(u64),
+    Discovery(u64),
     /// Datagrams of other gateways.
     Fleet,
 }
--- a/crates/gateway/tests/codecs.rs
+++ b/crates/gateway/tests/codecs.rs
@@ -2,12 +2,15 @@
 
 use admission::interface::{EndpointUpdate, EngineStage};
 use bytes::BytesMut;
-use gateway::board::http::{self, Answered};
-use gateway::board::list::Names;
-use gateway::board::{Events, ListError};
-use gateway::clients::comment::{self, CommentError, table_group};
-use gateway::clients::packets::{self, Command, Query};
+use gateway::clients::comment::{CommentError, CommentedStatement};
+use gateway::clients::protocol::handshake::check_login;
+use gateway::clients::protocol::packet::take_packet;
+use gateway::clients::protocol::{Command, KillScope, Query};
+use gateway::clients::table_group::table_group;
 use gateway::config::Config;
+use gateway::discovery::endpoints::{EndpointListError, EventBatch};
+use gateway::discovery::http::{self, ConnectionReuse, InputState, PollResponse};
+use gateway::discovery::registry::{EngineAddress, EngineRegistry};
 use gateway::engines::lines::{self, Answer, LineError, Word};
 use quickcheck::{Gen, QuickCheck};
 
@@ -40,16 +43,16 @@
     .concat();
     at_every_split(
         &bytes,
-        |inbox| packets::take(inbox).unwrap(),
+        |inbox| take_packet(inbox).unwrap(),
         |taken| {
             let taken: Vec<_> = taken
                 .iter()
-                .map(|packet| (packet.seq, &packet.body[..]))
+                .map(|packet| (packet.sequence, &packet.body[..]))
                 .collect();
             assert_eq!(taken, [(0, &b"\x03hi"[..]), (7, b""), (1, b"\x0e")]);
         },
     );
-    assert!(packets::take(&mut BytesMut::from(&[0, 0, 16, 0][..])).is_err());
+    assert!(take_packet(&mut BytesMut::from(&[0, 0, 16, 0][..])).is_err());
 }
 
 #[test]
@@ -118,50 +121,60 @@
 fn the_comment_gives_its_fields_and_leaves_the_statement() {
     let text =
         b"/* method=scan,rid=5eed00c0ffee0a17,budget=1200,acct=water,est=640.0,mem=96,new=1 */ SELECT 1";
-    let read = comment::read(text).unwrap();
+    let read = CommentedStatement::parse(text).unwrap();
     assert_eq!(
-        (read.class, read.tenant, &read.rid),
+        (read.class, read.tenant, &read.request_id),
         ("scan", Some("water"), b"5eed00c0ffee0a17")
     );
     assert_eq!(
         (read.budget_ms, read.estimate_ms, read.memory_mb),
         (1200.0, Some(640.0), Some(96.0))
     );
-    assert_eq!(read.statement, b"SELECT 1");
+    assert_eq!(read.text, b"SELECT 1");
 }
 
 #[test]
 fn a_comment_that_cannot_be_used_says_why() {
-    let fault =
-        |fields: &str| comment::read(format!("/* {fields} */ SELECT 1").as_bytes()).unwrap_err();
+    let fault = |fields: &str| {
+        CommentedStatement::parse(format!("/* {fields} */ SELECT 1").as_bytes()).unwrap_err()
+    };
     let good = "method=scan,rid=5eed00c0ffee0a17";
-    assert_eq!(comment::read(b"SELECT 1"), Err(CommentError::None));
-    assert_eq!(comment::read(b"/* method=scan"), Err(CommentError::None));
-    assert_eq!(fault("budget=10"), CommentError::Missing("rid"));
-    assert_eq!(fault("rid=xyz,budget=10"), CommentError::Unusable("rid"));
+    assert_eq!(
+        CommentedStatement::parse(b"SELECT 1"),
+        Err(CommentError::NoComment)
+    );
+    assert_eq!(
+        CommentedStatement::parse(b"/* method=scan"),
+        Err(CommentError::NoComment)
+    );
+    assert_eq!(fault("budget=10"), CommentError::MissingField("rid"));
+    assert_eq!(
+        fault("rid=xyz,budget=10"),
+        CommentError::InvalidField("rid")
+    );
     assert_eq!(
         fault("rid=5eed00c0ffee0a17,budget=10"),
-        CommentError::Missing("method")
+        CommentError::MissingField("method")
     );
-    assert_eq!(fault(good), CommentError::Missing("budget"));
+    assert_eq!(fault(good), CommentError::MissingField("budget"));
     for budget in ["0", "-5", "NaN", "inf", "soon", "99999999999", ""] {
         assert_eq!(
             fault(&format!("{good},budget={budget}")),
-            CommentError::Unusable("budget"),
+            CommentError::InvalidField("budget"),
             "{budget}"
         );
     }
     assert_eq!(
         fault(&format!("{good},budget=9,est=much")),
-        CommentError::Unusable("est")
+        CommentError::InvalidField("est")
     );
     assert_eq!(
         fault(&format!("{good},budget=9,budget=8")),
-        CommentError::Unusable("budget")
+        CommentError::InvalidField("budget")
     );
     assert_eq!(
-        comment::read(format!("/* {good},budget=9 */ ").as_bytes()),
-        Err(CommentError::Empty)
+        CommentedStatement::parse(format!("/* {good},budget=9 */ ").as_bytes()),
+        Err(CommentError::NoStatement)
     );
 }
 
@@ -207,58 +220,58 @@
 
 #[test]
 fn what_an_ordinary_client_sends_first_is_known() {
-    assert_eq!(packets::command(b"\x0e"), Command::Ping);
-    assert_eq!(packets::command(b"\x01"), Command::Quit);
-    assert_eq!(packets::command(b"\x02warehouse"), Command::Fine);
-    assert_eq!(packets::command(b"\x02other"), Command::Unknown);
-    assert_eq!(packets::command(b""), Command::Unknown);
-    assert_eq!(packets::query(b"SET NAMES utf8mb4"), Query::Fine);
+    assert_eq!(Command::parse(b"\x0e"), Command::Ping);
+    assert_eq!(Command::parse(b"\x01"), Command::Quit);
+    assert_eq!(Command::parse(b"\x02warehouse"), Command::NoOperation);
+    assert_eq!(Command::parse(b"\x02other"), Command::Unknown);
+    assert_eq!(Command::parse(b""), Command::Unknown);
+    assert_eq!(Query::parse(b"SET NAMES utf8mb4"), Query::NoOperation);
     assert_eq!(
-        packets::query(b"select @@version_comment limit 1"),
-        Query::Variable("@@version_comment")
+        Query::parse(b"select @@version_comment limit 1"),
+        Query::SystemVariable("@@version_comment")
     );
     assert_eq!(
-        packets::query(b"KILL QUERY 12;"),
+        Query::parse(b"KILL QUERY 12;"),
         Query::Kill {
-            connection: 12,
-            whole: false
+            connection_id: 12,
+            scope: KillScope::Query
         }
     );
     assert_eq!(
-        packets::query(b"kill 12"),
+        Query::parse(b"kill 12"),
         Query::Kill {
-            connection: 12,
-            whole: true
+            connection_id: 12,
+            scope: KillScope::Connection
         }
     );
     assert_eq!(
-        packets::query(b"KILL CONNECTION 7"),
+        Query::parse(b"KILL CONNECTION 7"),
         Query::Kill {
-            connection: 7,
-            whole: true
+            connection_id: 7,
+            scope: KillScope::Connection
         }
     );
-    assert_eq!(packets::query(b"/* method=a */ SET x"), Query::Statement);
+    assert_eq!(Query::parse(b"/* method=a */ SET x"), Query::Statement);
 }
 
 #[test]
 fn logins_are_checked() {
     let login = |user: &str, password: &[u8], database: &str| {
-        packets::login(&stand_ins::client::login_packet(user, password, database)[4..])
-            .map_err(|denied| denied.0)
+        check_login(&stand_ins::client::login_packet(user, password, database)[4..])
+            .map_err(|error| error.code().number)
     };
     assert_eq!(login("app", b"", "warehouse"), Ok(()));
     assert_eq!(login("root", b"", "warehouse"), Err(1045));
     assert_eq!(login("app", b"secret", "warehouse"), Err(1045));
     assert_eq!(login("app", b"", "other"), Err(1049));
     assert_eq!(
-        packets::login(b"\x01\x02").map_err(|denied| denied.0),
+        check_login(b"\x01\x02").map_err(|error| error.code().number),
         Err(1043)
     );
     // Ordinary clients name capabilities that were not offered, and write nothing of them.
     let mut eager = stand_ins::client::login_packet("app", b"", "warehouse")[4..].to_vec();
     eager[2..4].copy_from_slice(&[0xff, 0x00]);
-    assert_eq!(packets::login(&eager), Ok(()));
+    assert_eq!(check_login(&eager), Ok(()));
 }
 
 const TOLD: &str = r#"{"rev":12,"notices":[{"rev":12,"pool":{"rev":3,"all":true,"targets":[{"uid":"e-0000002a",
@@ -275,16 +288,21 @@
     let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nConnection: close\r\n\r\n";
     let (first, second) = (left.len(), right.len());
     let chunked = format!("{head}{first:x}\r\n{left}\r\n{second:x}\r\n{right}\r\n0\r\n\r\n");
-    for (text, keep) in [(plain, true), (chunked, false)] {
-        let take = |inbox: &mut BytesMut| match http::take(inbox, false) {
-            Answered::NotYet => None,
-            other => Some(other),
-        };
+    for (text, expected_reuse) in [
+        (plain, ConnectionReuse::KeepAlive),
+        (chunked, ConnectionReuse::Close),
+    ] {
+        let take =
+            |inbox: &mut BytesMut| match http::take_response(inbox, InputState::Open).unwrap() {
+                PollResponse::Incomplete => None,
+                other => Some(other),
+            };
         at_every_split(text.as_bytes(), take, |taken| {
-            let [Answered::Events(events, kept)] = &taken[..] else {
+            let [PollResponse::Complete { batch, reuse }] = &taken[..] else {
                 panic!("{taken:?}")
             };
-            assert_eq!((events.last, events.events.len(), *kept), (12, 1, keep));
+            assert_eq!((batch.last_revision, batch.events.len()), (12, 1));
+            assert_eq!(*reuse, expected_reuse);
         });
     }
 }
@@ -300,10 +318,7 @@
         "\u{1}\u{2}\r\n\r\n",
     ] {
         assert!(
-            matches!(
-                http::take(&mut BytesMut::from(text), false),
-                Answered::Nonsense(_)
-            ),
+            http::take_response(&mut BytesMut::from(text), InputState::Open).is_err(),
             "{text}"
         );
     }
@@ -311,10 +326,10 @@
 
 #[test]
 fn events_of_the_list_become_facts_by_uid() {
-    let events = |text: &str| Events::from_json(&serde_json::from_str(text).unwrap());
-    let mut names = Names::new(vec!["west".into(), "east".into()], vec!["std".into()]);
-    let first = names.told(events(TOLD).unwrap().events[0].list.as_ref().unwrap());
-    let EndpointUpdate::Snapshot(facts) = &first.news else {
+    let events = |text: &str| EventBatch::from_json(&serde_json::from_str(text).unwrap());
+    let mut registry = EngineRegistry::new(vec!["west".into(), "east".into()], vec!["std".into()]);
+    let first = registry.apply(events(TOLD).unwrap().events[0].change.as_ref().unwrap());
+    let EndpointUpdate::Snapshot(facts) = &first.update else {
         panic!("whole")
     };
     assert_eq!(
@@ -323,12 +338,19 @@
     );
     // Another engine at the same address is another engine; the one that is not in a whole list is gone.
     let other = events(&TOLD.replace("e-0000002a", "s-11")).unwrap();
-    let second = names.told(other.events[0].list.as_ref().unwrap());
-    assert_eq!(second.addresses[0], (facts[0].id, None));
-    assert!(second.addresses[1].0 != facts[0].id && second.addresses[1].1 == first.addresses[0].1);
+    let second = registry.apply(other.events[0].change.as_ref().unwrap());
+    assert_eq!(
+        second.addresses[0],
+        EngineAddress {
+            engine: facts[0].id,
+            address: None
+        }
+    );
+    assert_ne!(second.addresses[1].engine, facts[0].id);
+    assert_eq!(second.addresses[1].address, first.addresses[0].address);
     assert_eq!(
         events(&TOLD.replace("in_service", "asleep")),
-        Err(ListError::Field("state"))
+        Err(EndpointListError::Field("state"))
     );
 }
 
@@ -352,12 +374,12 @@
 fn no_bytes_make_a_codec_panic() {
     fn holds(bytes: Vec<u8>) -> bool {
         let mut inbox = BytesMut::from(&bytes[..]);
-        while let Ok(Some(packet)) = packets::take(&mut inbox) {
-            let _ = (packets::login(&packet.body), packets::command(&packet.body));
+        while let Ok(Some(packet)) = take_packet(&mut inbox) {
+            let _ = (check_login(&packet.body), Command::parse(&packet.body));
         }
         let _ = (
-            packets::login(&bytes),
-            packets::query(&bytes),
+            check_login(&bytes),
+            Query::parse(&bytes),
             table_group(&bytes),
         );
         let commented = [
@@ -366,7 +388,7 @@
             b"*/ x",
         ]
         .concat();
-        let _ = (comment::read(&commented), Config::parse(&bytes));
+        let _ = (CommentedStatement::parse(&commented), Config::parse(&bytes));
         let mut inbox = BytesMut::from(&[b"x DONE - 3\r\n", &bytes[..]].concat()[..]);
         while let Ok(Some(_)) = Answer::take(&mut inbox) {}
         let body = [
@@ -374,7 +396,7 @@
             &bytes[..],
         ]
         .concat();
-        let _ = http::take(&mut BytesMut::from(&body[..]), true);
+        let _ = http::take_response(&mut BytesMut::from(&body[..]), InputState::Ended);
         true
     }
     let random = Gen::from_size_and_seed(300, 11);
--- a/crates/gateway/tests/connections.rs
+++ b/crates/gateway/tests/connections.rs
@@ -6,8 +6,8 @@
 
 use admission::interface::*;
 use calloop::EventLoop;
-use gateway::board::Board;
 use gateway::counters::Counters;
+use gateway::discovery::DiscoveryClient;
 use gateway::engines::lines::{Rid, Tags};
 use gateway::engines::{Engines, Outgoing, Report};
 use gateway::socket::{Peer, Ready};
@@ -208,10 +208,10 @@
     let asks: Vec<Vec<Timestamp>> = (0..20)
         .map(|seed| {
             let mut event_loop: EventLoop<'static, Ready> = EventLoop::try_new().unwrap();
-            let mut board = Board::new(&event_loop.handle(), closed, 0, seed, begun);
+            let mut board = DiscoveryClient::new(&event_loop.handle(), closed, 0, seed, begun);
             let (mut now, mut asked, mut counters) = (begun, Vec::new(), Counters::default());
             while asked.len() < 8 {
-                board.expire(now, &mut counters);
+                board.on_timer(now, &mut counters);
                 // Refused at once, in the same instant for all.
                 let mut ready = Ready::default();
                 while ready.peers.is_empty() && counters.polls_failed as usize == asked.len() {
@@ -220,10 +220,10 @@
                         .unwrap();
                 }
                 for peer in ready.peers {
-                    let Peer::Board(at) = peer else {
+                    let Peer::Discovery(at) = peer else {
                         panic!("{peer:?}")
                     };
-                    board.ready(now, at, &mut counters);
+                    board.on_ready(now, at, &mut counters);
                 }
                 now = board.next_due().unwrap();
                 asked.push(now);
@@ -248,11 +248,15 @@
 /// is sent away before it has its answer.
 #[test]
 fn the_last_look_before_all_sessions_are_shut_takes_what_has_come() {
-    use gateway::clients::{Clients, News};
+    use gateway::clients::{ProgressReports, SessionEvent, SessionLimits, Sessions};
     use stand_ins::client::{login_packet, query_packet};
     let event_loop: EventLoop<'static, Ready> = EventLoop::try_new().unwrap();
     let (now, mut counters) = (Timestamp::from_secs(1000.0), Counters::default());
-    let mut clients = Clients::new(&event_loop.handle(), 8, 1 << 20, false, now);
+    let limits = SessionLimits {
+        max_sessions: 8,
+        max_unread_bytes: 1 << 20,
+    };
+    let mut clients = Sessions::new(&event_loop.handle(), limits, ProgressReports::Off, now);
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let mut client = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     let mut send = |bytes: &[u8]| {
@@ -264,6 +268,9 @@
     clients.accept(now, near, from.ip(), &mut counters);
     send(&query_packet(&support::commented(5000, "SELECT 1")));
     // No turn in between.
-    assert!(!clients.part_all(now, &mut counters));
-    assert!(matches!(clients.news()[..], [News::Asked { .. }]));
+    assert!(!clients.try_shut_down_all(now, &mut counters));
+    assert!(matches!(
+        clients.take_events()[..],
+        [SessionEvent::Statement { .. }]
+    ));
 }
