--- a/crates/gateway/tests/golden.rs
+++ b/crates/gateway/tests/golden.rs
@@ -25,8 +25,7 @@
 use gateway::counters::Counters;
 use gateway::engines::lines::{self, Answer, Tags, Word};
 use gateway::status;
-use quota::office::Holding;
-use quota::{Amount, Line, Status, Who};
+use quota::{Amount, BudgetStatus, HolderId, Holding, Status};
 use scheduler::{DeskStatus, Estimate, StatementStatus};
 use serde_json::json;
 use stand_ins::client::{Client, login_packet, packet, query_packet};
@@ -829,50 +828,50 @@
 #[test]
 fn shares_are_shown_as_recorded() {
     let holding = |of: &str, differs: bool| Holding {
-        who: Who {
+        holder: HolderId {
             name: name(of),
-            life: Life(1),
+            boot_id: Life(1),
         },
-        need: Amount(1_500_000),
+        demand: Amount(1_500_000),
         reserved: Amount(2_250_000),
-        until: Some(at(12.0)),
-        differs,
+        expires: Some(at(12.0)),
+        config_differs: differs,
     };
-    let line = |budget: &str, unit: &'static str| Line {
+    let line = |budget: &str, unit: &'static str| BudgetStatus {
         budget: budget.to_owned(),
         unit,
-        whole: Amount(6_000_000),
-        floor: Amount(500_000),
+        capacity: Amount(6_000_000),
+        guaranteed: Amount(500_000),
         leased: Amount(1_250_000),
-        until: Some(at(11.5)),
+        lease_expires: Some(at(11.5)),
         wanted: 0.125,
         spent: 3.5,
         allowed: 4.75,
-        refused: 2,
+        rejected: 2,
         holdings: vec![
             holding("g0", false),
             holding("g1", true),
             holding("g2", false),
         ],
     };
-    let bare = Line {
-        until: None,
+    let bare = BudgetStatus {
+        lease_expires: None,
         holdings: Vec::new(),
         ..line("trials", "trials/s")
     };
     let steward = Status {
-        me: name("g0"),
-        steward: Some(name("g1")),
-        is_steward: true,
-        number: Some(7),
-        lines: vec![line("relays.point", "relays/s"), bare.clone()],
+        gateway: name("g0"),
+        leader: Some(name("g1")),
+        is_leader: true,
+        term: Some(7),
+        budgets: vec![line("relays.point", "relays/s"), bare.clone()],
     };
     let none = Status {
-        me: name("g0"),
-        steward: None,
-        is_steward: false,
-        number: None,
-        lines: vec![bare],
+        gateway: name("g0"),
+        leader: None,
+        is_leader: false,
+        term: None,
+        budgets: vec![bare],
     };
     let mut got = vec![("shares-columns", status::SHARES.join("|"))];
     got.extend(
