--- a/crates/gateway/src/command.rs
+++ b/crates/gateway/src/command.rs
@@ -234,21 +234,24 @@
     println!("{file}: queues are on; ageing {ageing} s, budgets save up over {burst} s");
     println!(
         "  bounds: {} statements, {} CPU s; a desk {}, {}",
-        terms.all.statements, terms.all.cpu, terms.each.statements, terms.each.cpu
+        terms.total_limit.statements,
+        terms.total_limit.cpu,
+        terms.sub_queue_limit.statements,
+        terms.sub_queue_limit.cpu
     );
     println!("  this gateway's part, in CPU s a second:");
-    for member in &terms.members {
+    for member in &terms.tenants {
         println!(
             "  {:<20} {:>8.3}  weight {}",
-            member.name, member.claim.budget, member.claim.weight
+            member.name, member.share.budget, member.share.weight
         );
-        for desk in &member.desks {
+        for desk in &member.sub_queues {
             let networks: Vec<String> = desk.networks.iter().map(ToString::to_string).collect();
             println!(
                 "    {:<18} {:>8.3}  weight {}  {}",
                 desk.name,
-                desk.claim.budget,
-                desk.claim.weight,
+                desk.share.budget,
+                desk.share.weight,
                 networks.join(" ")
             );
         }
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -5,7 +5,7 @@
 
 use ::membership::Name;
 use operator_config::{Callers, FleetTerms, Operator, OperatorError};
-use scheduler::Terms;
+use scheduler::Config as QueueConfig;
 use serde_json::Value;
 use settings::{Settings, SettingsError};
 use thiserror::Error;
@@ -41,7 +41,7 @@
 pub struct Operated {
     pub file: Option<PathBuf>,
     /// Budgets as this gateway's part of those of all; nothing where there are no queues.
-    pub queues: Option<Terms>,
+    pub queues: Option<QueueConfig>,
     /// Files and terms by which callers are known; nothing where they are not.
     pub callers: Option<Callers>,
     /// Budgets that are divided among all gateways; nothing where they are not.
@@ -61,7 +61,7 @@
         let known = config.settings.tenant_names()?;
         if let Some(terms) = &operator.queues {
             let unknown = terms
-                .members
+                .tenants
                 .iter()
                 .find(|member| !known.is_empty() && !known.contains(&member.name));
             if let Some(member) = unknown {
@@ -82,7 +82,7 @@
         } else {
             1.0 / config.settings.peers()?
         };
-        let queues = operator.queues.map(|terms| terms.part(part));
+        let queues = operator.queues.map(|terms| terms.scaled(part));
         let classes = config.settings.class_names()?;
         let of = operator.shares.iter().flat_map(|terms| &terms.budgets);
         let unknown = of.filter_map(|budget| match &budget.of {
@@ -113,7 +113,7 @@
 impl Operated {
     /// Members of the lines, in their order.
     pub fn member_names(&self) -> Vec<String> {
-        let members = self.queues.iter().flat_map(|terms| &terms.members);
+        let members = self.queues.iter().flat_map(|terms| &terms.tenants);
         members.map(|member| member.name.clone()).collect()
     }
 }
--- a/crates/gateway/src/lifecycle.rs
+++ b/crates/gateway/src/lifecycle.rs
@@ -501,8 +501,8 @@
         match (&self.operated.queues, &operated.queues) {
             (Some(old), Some(new)) if old != new => {
                 info!(
-                    members = new.members.len(),
-                    desks = new.desks(),
+                    members = new.tenants.len(),
+                    desks = new.sub_queue_count(),
                     "queues: new terms"
                 );
                 self.service.change(now, new);
--- a/crates/gateway/src/service/attempts.rs
+++ b/crates/gateway/src/service/attempts.rs
@@ -59,7 +59,7 @@
             });
         }
         match self
-            .hall
+            .scheduler
             .report(now, id, report.attempt, event, report.latency, completed)
         {
             FollowUp::None => {}
@@ -112,7 +112,7 @@
 
     /// The share that an attempt was to go on ended before it went: back in line, as one that never left.
     pub(super) fn unspent(&mut self, now: Timestamp, id: StatementId, attempt: AttemptNumber) {
-        match self.hall.report(
+        match self.scheduler.report(
             now,
             id,
             attempt,
--- a/crates/gateway/src/service/endings.rs
+++ b/crates/gateway/src/service/endings.rs
@@ -36,7 +36,7 @@
             let engines = self.engines.stand(id);
             warn!(rid, late, out = ?in_flight.out, engines, "a statement without an answer at its end");
             self.counters.overdue += 1;
-            self.hall.gone(now, id);
+            self.scheduler.client_left(now, id);
             self.fail(now, id);
             self.forget(id);
         }
@@ -54,7 +54,7 @@
         self.counters.client_left += 1;
         self.ends.remove(&(in_flight.ends, id));
         let out = in_flight.out.clone();
-        self.hall.gone(now, id);
+        self.scheduler.client_left(now, id);
         out.into_iter()
             .for_each(|attempt| self.engines.unwanted(now, id, attempt, &mut self.counters));
         self.forget(id);
@@ -88,7 +88,7 @@
                 continue;
             }
             self.counters.client_left += 1;
-            match self.hall.leave(now, id, LONG) {
+            match self.scheduler.reject_abandoned(now, id, LONG) {
                 Decision::Reject { retry_after } => self.answer_rejected(now, id, retry_after),
                 _ => self.answer_failed(now, id),
             }
--- a/crates/gateway/src/service/intake.rs
+++ b/crates/gateway/src/service/intake.rs
@@ -7,7 +7,7 @@
 use dispatch::StatementRequest;
 use identity::grants::{Beyond, Request};
 use identity::token::Claims;
-use scheduler::DeskId;
+use scheduler::SubQueueId;
 
 use super::endings::denial;
 use super::{InFlight, OVERDUE_S, Service};
@@ -60,7 +60,7 @@
                 self.asked(now, session, &text, from, now - came);
             }
             // Without lines it is a query like any other that cannot be used.
-            clients::News::Queue { session, text, .. } if self.directory.is_none() => {
+            clients::News::Queue { session, text, .. } if self.resolver.is_none() => {
                 self.unknown(now, session, &text);
             }
             clients::News::Queue { session, id, .. } => self.tell_queue(now, session, id),
@@ -164,7 +164,7 @@
         self.in_flight.insert(id, in_flight);
         self.rids.insert(rid, id);
         self.clients.took(session, id);
-        let pick = self.hall.pick(now, id, desk, &wants);
+        let pick = self.scheduler.pick(now, id, desk, &wants);
         self.picked(now, id, pick);
     }
 
@@ -174,7 +174,7 @@
         text: &Bytes,
         from: IpAddr,
         claims: Option<&Claims>,
-    ) -> Result<(StatementRequest, Rid, Tags, Bytes, DeskId), Unusable> {
+    ) -> Result<(StatementRequest, Rid, Tags, Bytes, SubQueueId), Unusable> {
         let mut read = comment::read(text)?;
         if let Some(claims) = claims {
             let open = self.open.get(&claims.caller).copied().unwrap_or(0);
@@ -211,11 +211,11 @@
             return Err(Unusable::Full);
         }
         let found = self
-            .directory
+            .resolver
             .as_ref()
-            .map(|directory| directory.find(read.tenant, read.desk, Some(from)));
+            .map(|resolver| resolver.resolve(read.tenant, read.desk, Some(from)));
         self.counters.desks_unknown += u64::from(found.is_some_and(|found| !found.known));
-        let desk = found.map_or(DeskId(0), |found| found.desk);
+        let desk = found.map_or(SubQueueId(0), |found| found.sub_queue);
         let budget_s = read.budget_ms / 1e3;
         let budget =
             TimeDelta::from_secs(budget_s - NETWORK_DELAY_S.min(budget_s * NETWORK_DELAY_PART));
--- a/crates/gateway/src/service/mod.rs
+++ b/crates/gateway/src/service/mod.rs
@@ -13,7 +13,7 @@
 use bytes::Bytes;
 use dispatch::Dispatcher;
 use identity::Guard;
-use scheduler::{Directory, Hall, Lines, Terms};
+use scheduler::{Config as QueueConfig, QueueResolver, Scheduler, TenantQueues};
 use settings::{Settings, SettingsError, Way};
 use tracing::{info, warn};
 
@@ -59,9 +59,9 @@
     pub engines: Engines,
     pub board: Board,
     pub counters: Counters,
-    hall: Hall,
+    scheduler: Scheduler,
     /// Where there are lines: whose desk a statement waits at.
-    directory: Option<Directory>,
+    resolver: Option<QueueResolver>,
     /// Where gateways know each other.
     fleet: Option<Fleet>,
     /// Where callers are to be known.
@@ -96,17 +96,17 @@
         clients: Clients,
         engines: Engines,
         board: Board,
-        terms: Option<&Terms>,
+        terms: Option<&QueueConfig>,
     ) -> Result<Self, SettingsError> {
-        let (directory, classes) = (terms.map(Directory::new), settings.classes());
-        let lines = terms.map(|terms| Lines::new(now, terms.clone(), classes, seed));
+        let (resolver, classes) = (terms.map(QueueResolver::new), settings.classes());
+        let queues = terms.map(|terms| TenantQueues::new(now, terms.clone(), classes, seed));
         Ok(Service {
             clients,
             engines,
             board,
             counters: Counters::default(),
-            hall: Hall::new(Dispatcher::new(settings.policy(seed, WAY)?), lines),
-            directory,
+            scheduler: Scheduler::new(Dispatcher::new(settings.policy(seed, WAY)?), queues),
+            resolver,
             fleet: None,
             guard: None,
             open: BTreeMap::new(),
@@ -135,7 +135,7 @@
             told.addresses
                 .into_iter()
                 .for_each(|(id, address)| self.engines.listed(id, address));
-            self.hall.on_endpoint_update(now, &told.news);
+            self.scheduler.on_endpoint_update(now, &told.news);
             told.closed
                 .into_iter()
                 .for_each(|id| self.engines.closed(now, id, &mut self.counters));
@@ -144,27 +144,28 @@
     }
 
     /// Other terms for what waits, in the file's own budgets as this gateway's part.
-    pub fn change(&mut self, now: Timestamp, terms: &Terms) {
-        self.directory = Some(Directory::new(terms));
-        self.hall.change(now, terms.clone());
+    pub fn change(&mut self, now: Timestamp, terms: &QueueConfig) {
+        self.resolver = Some(QueueResolver::new(terms));
+        self.scheduler.reconfigure(now, terms.clone());
     }
 
     pub fn waiting(&self) -> usize {
-        self.hall.waiting()
+        self.scheduler.waiting()
     }
 
     /// The lines keep their own count.
     pub fn count(&mut self) {
-        let (tally, counters) = (self.hall.tally(), &mut self.counters);
-        counters.queue_entered = tally.entered;
-        counters.queue_turned_away = tally.turned_away;
-        counters.queue_displaced = tally.displaced;
-        counters.queue_released = tally.released;
-        counters.queue_denied = tally.denied;
-        counters.queue_left = tally.left;
-        counters.queue_refused = tally.refused;
-        counters.queue_told_well = tally.told_well;
-        counters.queue_longest_passed_ms = (self.hall.longest_passed().secs() * 1e3) as u64;
+        let (metrics, counters) = (self.scheduler.metrics(), &mut self.counters);
+        counters.queue_entered = metrics.received;
+        counters.queue_turned_away = metrics.rejected_at_entry;
+        counters.queue_displaced = metrics.evicted;
+        counters.queue_released = metrics.released;
+        counters.queue_denied = metrics.rejected_while_waiting;
+        counters.queue_left = metrics.client_left;
+        counters.queue_refused = metrics.offers_without_capacity;
+        counters.queue_told_well = metrics.accurate_estimates;
+        counters.queue_longest_passed_ms =
+            (self.scheduler.longest_passed_over().secs() * 1e3) as u64;
     }
 
     pub fn can_decide(&self) -> bool {
@@ -182,7 +183,7 @@
             .into_iter()
             .map(|(end, id)| (end.min(last), id))
             .collect();
-        self.hall.drain_deadline(by);
+        self.scheduler.drain_by(by);
         self.engines.end_by(by);
     }
 
@@ -229,18 +230,18 @@
         self.leave(now);
         if let Some(fleet) = &mut self.fleet {
             fleet.turn(now);
-            let doubts = fleet.engines(now, self.hall.health(), &self.names);
-            self.hall.on_outlier_gossip(now, &doubts);
+            let doubts = fleet.engines(now, self.scheduler.health(), &self.names);
+            self.scheduler.on_outlier_gossip(now, &doubts);
         }
         self.divided(now);
-        let tick = self.hall.tick(now);
+        let tick = self.scheduler.tick(now);
         tick.due
             .into_iter()
             .for_each(|(id, pick)| self.picked(now, id, pick));
         // What could not even be sent is back in line by now, and what stood behind an answer was read.
         let again = self.reports(now) || self.clients.has_news();
         self.overdue(now);
-        if self.progress <= now && self.directory.is_some() {
+        if self.progress <= now && self.resolver.is_some() {
             self.progress = now + TimeDelta::from_secs(PROGRESS_S);
             self.tell_progress(now);
         }
@@ -257,24 +258,27 @@
             return;
         };
         if parts.divides_members() {
-            let flows = self
-                .hall
-                .flows()
-                .into_iter()
-                .map(|(wanted, paid)| Flow { wanted, paid });
+            let flows = self.scheduler.tenant_usage().into_iter().map(|usage| Flow {
+                wanted: usage.demanded,
+                paid: usage.spent,
+            });
             let rates = parts.members(&flows.collect::<Vec<_>>());
-            self.hall.lease(now, &rates);
+            self.scheduler.set_leased_budgets(now, &rates);
         }
-        let benched = self.hall.engines().filter(|engine| engine.ejected).count();
-        let allowed = parts.allowed(self.hall.carries(), self.peers, benched);
-        self.hall.on_quota(allowed);
+        let benched = self
+            .scheduler
+            .engines()
+            .filter(|engine| engine.ejected)
+            .count();
+        let allowed = parts.allowed(self.scheduler.traffic_share(), self.peers, benched);
+        self.scheduler.on_quota(allowed);
     }
 
     /// Statements in flight as the decisions hold them, against what is out on the sockets. A difference would have
     /// them send to the wrong engine for ever after, with nothing else to show it.
     fn compare(&mut self) {
         let held = self
-            .hall
+            .scheduler
             .engines()
             .filter(|engine| engine.in_flight > 0)
             .map(|engine| (engine.id, engine.in_flight));
@@ -292,7 +296,10 @@
 
     /// Engines left out at present.
     pub fn benched(&self) -> usize {
-        self.hall.engines().filter(|engine| engine.ejected).count()
+        self.scheduler
+            .engines()
+            .filter(|engine| engine.ejected)
+            .count()
     }
 
     /// Other gateways are to be known from now on.
--- a/crates/gateway/src/service/shown.rs
+++ b/crates/gateway/src/service/shown.rs
@@ -36,16 +36,16 @@
 
     pub(super) fn tell_progress(&mut self, now: Timestamp) {
         for (session, id) in self.clients.progressing() {
-            let Some((waited, left)) = self.hall.progress(now, id) else {
+            let Some(wait) = self.scheduler.wait_progress(now, id) else {
                 continue;
             };
-            let whole = waited.secs() + left.wait.secs();
+            let whole = wait.waited.secs() + wait.remaining.median.secs();
             let done = if whole > 0.0 {
-                waited.secs() / whole * 1e5
+                wait.waited.secs() / whole * 1e5
             } else {
                 0.0
             };
-            let text = format!("Waiting, {:.1} s more", left.wait.secs());
+            let text = format!("Waiting, {:.1} s more", wait.remaining.median.secs());
             self.clients
                 .tell_progress(now, session, done as u32, &text, &mut self.counters);
         }
@@ -54,7 +54,12 @@
     pub(super) fn tell_queue(&mut self, now: Timestamp, session: u32, id: Option<String>) {
         self.counters.statuses_told += 1;
         let Some(id) = id else {
-            let rows = status::desks(&self.hall.status(now, STATUS_ROWS).unwrap_or_default());
+            let rows = status::desks(
+                &self
+                    .scheduler
+                    .sub_queue_status(now, STATUS_ROWS)
+                    .unwrap_or_default(),
+            );
             let table = |answer: Answer| answer.table(status::DESKS, &rows);
             self.clients.answer(now, session, &mut self.counters, table);
             return;
@@ -63,7 +68,7 @@
             .ok()
             .and_then(|rid| self.rids.get(&rid))
             .copied();
-        let row = statement.and_then(|statement| self.hall.statement(now, statement));
+        let row = statement.and_then(|statement| self.scheduler.statement_status(now, statement));
         let rows: Vec<_> = row.iter().map(|row| status::statement(&id, row)).collect();
         let table = |answer: Answer| answer.table(status::STATEMENT, &rows);
         self.clients.answer(now, session, &mut self.counters, table);
--- a/crates/gateway/src/status.rs
+++ b/crates/gateway/src/status.rs
@@ -3,7 +3,7 @@
 use ::membership::{Gateway, Record};
 use ::quota::{Amount, Line, Status};
 use admission::interface::Timestamp;
-use scheduler::{DeskStatus, Estimate, StatementStatus};
+use scheduler::{StatementStatus, SubQueueStatus, WaitEstimate};
 
 /// Columns of `SHOW QUEUE`.
 pub const DESKS: [&str; 10] = [
@@ -35,27 +35,27 @@
 }
 
 /// For the query class whose next statement would wait longest.
-fn longest(of: &[Estimate]) -> Estimate {
+fn longest(of: &[WaitEstimate]) -> WaitEstimate {
     of.iter()
         .copied()
-        .max_by(|a, b| a.wait.cmp(&b.wait))
+        .max_by(|a, b| a.median.cmp(&b.median))
         .unwrap_or_default()
 }
 
-pub fn desks(of: &[DeskStatus]) -> Vec<[String; DESKS.len()]> {
-    let row = |desk: &DeskStatus| {
-        let next = longest(&desk.next);
+pub fn desks(of: &[SubQueueStatus]) -> Vec<[String; DESKS.len()]> {
+    let row = |desk: &SubQueueStatus| {
+        let next = longest(&desk.next_waits);
         [
-            desk.member.clone(),
-            desk.desk.clone(),
+            desk.tenant.clone(),
+            desk.sub_queue.clone(),
             desk.waiting.to_string(),
-            format!("{:.3}", desk.cpu),
+            format!("{:.3}", desk.waiting_cpu),
             format!("{:.3}", desk.budget),
             desk.rate
                 .map_or("-".to_owned(), |rate| format!("{rate:.3}")),
             format!("{:.3}", desk.saved),
-            ms(desk.longest.secs()),
-            ms(next.wait.secs()),
+            ms(desk.longest_wait.secs()),
+            ms(next.median.secs()),
             ms(next.p90.secs()),
         ]
     };
@@ -63,9 +63,9 @@
 }
 
 pub fn statement(rid: &str, of: &StatementStatus) -> [String; STATEMENT.len()] {
-    let (waited, left) = (of.waited.secs(), of.left);
-    let (member, desk) = (of.member.clone(), of.desk.clone());
-    let [waited, wait, p90] = [waited, left.wait.secs(), left.p90.secs()].map(ms);
+    let (waited, left) = (of.waited.secs(), of.remaining);
+    let (member, desk) = (of.tenant.clone(), of.sub_queue.clone());
+    let [waited, wait, p90] = [waited, left.median.secs(), left.p90.secs()].map(ms);
     [
         rid.to_owned(),
         member,
--- a/crates/operator_config/src/lib.rs
+++ b/crates/operator_config/src/lib.rs
@@ -88,7 +88,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Operator {
     /// Budgets of all gateways together.
-    pub queues: Option<scheduler::Terms>,
+    pub queues: Option<scheduler::Config>,
     pub identity: Option<Callers>,
     pub fleet: Option<FleetTerms>,
     /// Budgets that are divided among all; only where gateways know each other.
--- a/crates/operator_config/src/queues_block.rs
+++ b/crates/operator_config/src/queues_block.rs
@@ -4,7 +4,7 @@
 
 use admission::interface::TimeDelta;
 use ipnet::IpNet;
-use scheduler::{Bound, Claim, DeskTerms, MemberTerms, Terms};
+use scheduler::{CapacityShare, Config, QueueLimit, SubQueueConfig, TenantConfig};
 use serde::Deserialize;
 
 use crate::{Fault, fault, within, yes};
@@ -47,11 +47,11 @@
 const ONLY_DESK: &str = "all";
 
 impl Queues {
-    /// What the lines take; nothing where switched off.
+    /// The scheduler's configuration; nothing where switched off.
     ///
     /// # Errors
     /// A field that cannot be used, or contradicts another.
-    pub fn terms(self) -> Result<Option<Terms>, Fault> {
+    pub fn terms(self) -> Result<Option<Config>, Fault> {
         let span_ms = |name, value, default: f64, least, most| {
             within(&["queues", name], value, default, least, most)
                 .map(|ms| TimeDelta::from_secs(ms / 1e3))
@@ -72,15 +72,15 @@
         let members = members
             .map(|(name, member)| member.terms(name))
             .collect::<Result<Vec<_>, _>>()?;
-        let terms = Terms {
-            members,
+        let terms = Config {
+            tenants: members,
             ageing: span_ms("ageing_ms", self.ageing_ms, 1000.0, 10.0, 600_000.0)?,
             burst: span_ms("burst_ms", self.burst_ms, 2000.0, 10.0, 600_000.0)?,
-            each: Bound {
+            sub_queue_limit: QueueLimit {
                 statements: count("desk_statements", self.desk_statements, 5000.0)?,
                 cpu: cpu("desk_cpu_s", self.desk_cpu_s, 300.0)?,
             },
-            all: Bound {
+            total_limit: QueueLimit {
                 statements: count("waiting_statements", self.waiting_statements, 20_000.0)?,
                 cpu: cpu("waiting_cpu_s", self.waiting_cpu_s, 1000.0)?,
             },
@@ -90,7 +90,7 @@
 }
 
 impl Member {
-    fn terms(self, name: String) -> Result<MemberTerms, Fault> {
+    fn terms(self, name: String) -> Result<TenantConfig, Fault> {
         let at = |field| ["queues", "member", &name, field].map(String::from);
         let path = at("cpu_s_per_s");
         let path: Vec<&str> = path.iter().map(String::as_str).collect();
@@ -123,26 +123,26 @@
                     ));
                 }
             }
-            let claim = Claim {
+            let share = CapacityShare {
                 budget: owed,
                 weight,
             };
-            desks.push(DeskTerms {
+            desks.push(SubQueueConfig {
                 name: desk_name,
-                claim,
+                share,
                 networks: desk.networks,
             });
         }
-        let owed: f64 = desks.iter().map(|desk| desk.claim.budget).sum();
+        let owed: f64 = desks.iter().map(|desk| desk.share.budget).sum();
         if owed > budget * (1.0 + 1e-9) {
             let why = format!("its desks are owed {owed} together");
             return Err(fault(&["queues", "member", &name, "cpu_s_per_s"], why));
         }
         if desks.is_empty() {
-            let claim = Claim { budget, weight };
-            desks.push(DeskTerms {
+            let share = CapacityShare { budget, weight };
+            desks.push(SubQueueConfig {
                 name: ONLY_DESK.to_owned(),
-                claim,
+                share,
                 networks: Vec::new(),
             });
         }
@@ -153,10 +153,10 @@
             })?;
             desks[..=at].rotate_right(1);
         }
-        Ok(MemberTerms {
+        Ok(TenantConfig {
             name,
-            claim: Claim { budget, weight },
-            desks,
+            share: CapacityShare { budget, weight },
+            sub_queues: desks,
         })
     }
 }
--- a/crates/operator_config/src/shares_block.rs
+++ b/crates/operator_config/src/shares_block.rs
@@ -36,7 +36,7 @@
     ///
     /// # Errors
     /// A field that cannot be used, or contradicts another.
-    pub fn terms(self, queues: Option<&scheduler::Terms>) -> Result<Option<Terms>, Fault> {
+    pub fn terms(self, queues: Option<&scheduler::Config>) -> Result<Option<Terms>, Fault> {
         let number = |name, value, default, least, most| {
             within(&["shares", name], value, default, least, most)
         };
@@ -55,9 +55,9 @@
         };
         let mut budgets = Vec::new();
         if self.members {
-            let members = queues.into_iter().flat_map(|queues| &queues.members);
-            let members = members.filter(|member| member.claim.budget > 0.0);
-            budgets.extend(members.map(|m| budget(Use::Member(m.name.clone()), m.claim.budget)));
+            let members = queues.into_iter().flat_map(|queues| &queues.tenants);
+            let members = members.filter(|member| member.share.budget > 0.0);
+            budgets.extend(members.map(|m| budget(Use::Member(m.name.clone()), m.share.budget)));
         }
         for (class, whole) in &self.relays_per_s {
             let whole = within(
--- a/crates/operator_config/tests/file.rs
+++ b/crates/operator_config/tests/file.rs
@@ -38,20 +38,20 @@
         .queues
         .unwrap();
     let names: Vec<_> = terms
-        .members
+        .tenants
         .iter()
         .map(|member| &member.name[..])
         .collect();
     assert_eq!(names, ["south-power", "valley-water"]);
-    let water = &terms.members[1];
+    let water = &terms.tenants[1];
     let desks: Vec<_> = water
-        .desks
+        .sub_queues
         .iter()
-        .map(|d| (&d.name[..], d.claim.budget, d.claim.weight))
+        .map(|d| (&d.name[..], d.share.budget, d.share.weight))
         .collect();
     assert_eq!(desks, [("kiosk", 2.0, 7.0), ("counter", 4.0, 4.0)]);
     assert_eq!((terms.ageing.secs(), terms.burst.secs()), (0.5, 2.0));
-    assert_eq!(terms.members[0].desks.len(), 1);
+    assert_eq!(terms.tenants[0].sub_queues.len(), 1);
 }
 
 #[test]
--- a/crates/scheduler/benches/lines.rs
+++ b/crates/scheduler/benches/tenant_queues.rs
@@ -1,13 +1,14 @@
-//! What the lines cost by number of teams, beside a plain ordered map of teams that is scanned for the best one.
+//! What the queues cost by number of teams, beside a plain ordered map of teams that is scanned for the best one.
 
 use std::collections::BTreeMap;
 use std::hint::black_box;
 
-use admission::interface::*;
+use admission::interface::{ClassId, QueuePosition, StatementId, TimeDelta, Timestamp};
 use criterion::{BatchSize, BenchmarkId, Criterion, criterion_group, criterion_main};
-use scheduler::lines::Entry;
-use scheduler::order::Need;
-use scheduler::*;
+use scheduler::{
+    CapacityShare, Config, EnqueueRequest, QueueLimit, ResourceNeed, SubQueueConfig, SubQueueId,
+    TenantConfig, TenantQueues,
+};
 
 const WAITING: u64 = 100_000;
 
@@ -15,48 +16,48 @@
     Timestamp::from_secs(1000.0 + secs)
 }
 
-fn terms(teams: usize) -> Terms {
-    let claim = Claim {
+fn config(teams: usize) -> Config {
+    let share = CapacityShare {
         budget: 1.0,
         weight: 1.0,
     };
-    let desk = |_| DeskTerms {
+    let sub_queue = |_| SubQueueConfig {
         name: "all".into(),
-        claim,
+        share,
         networks: Vec::new(),
     };
-    let member = |at: usize| MemberTerms {
+    let tenant = |at: usize| TenantConfig {
         name: format!("m{at}"),
-        claim,
-        desks: (0..1).map(desk).collect(),
+        share,
+        sub_queues: (0..1).map(sub_queue).collect(),
     };
-    let bound = Bound {
+    let bound = QueueLimit {
         statements: 1 << 30,
         cpu: 1e12,
     };
     let (ageing, burst) = (TimeDelta::from_secs(600.0), TimeDelta::from_secs(2.0));
-    Terms {
-        members: (0..teams).map(member).collect(),
+    Config {
+        tenants: (0..teams).map(tenant).collect(),
         ageing,
         burst,
-        each: bound,
-        all: bound,
+        sub_queue_limit: bound,
+        total_limit: bound,
     }
 }
 
-fn entry(id: u64, teams: u64) -> Entry {
+fn entry(id: u64, teams: u64) -> EnqueueRequest {
     let mixed = id.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 20;
     let position = QueuePosition {
         deadline: at(100.0 + (mixed % 100_000) as f64 / 1e3),
         id: StatementId(id),
         over_quota: false,
     };
-    Entry {
+    EnqueueRequest {
         id: StatementId(id),
-        desk: DeskId((mixed % teams) as u32),
+        sub_queue: SubQueueId((mixed % teams) as u32),
         class: ClassId((mixed % 2) as usize),
         position,
-        need: Need {
+        need: ResourceNeed {
             cpu: 0.01 + (mixed % 97) as f64 / 100.0,
             memory_mb: 1.0,
         },
@@ -66,26 +67,26 @@
     }
 }
 
-fn filled(teams: usize) -> Lines {
-    let mut lines = Lines::new(at(0.0), terms(teams), 2, 1);
-    (0..WAITING).for_each(|id| drop(lines.enter(at(0.0), &entry(id, teams as u64))));
-    lines.round(at(0.01), 40.0, 1.0);
-    lines
+fn filled(teams: usize) -> TenantQueues {
+    let mut queues = TenantQueues::new(at(0.0), config(teams), 2, 1);
+    (0..WAITING).for_each(|id| drop(queues.enqueue(at(0.0), &entry(id, teams as u64))));
+    queues.begin_round(at(0.01), 40.0, 1.0);
+    queues
 }
 
 /// Teams in an ordered map, each with its statements in order; the best team is found by looking at all.
-struct Plain(BTreeMap<u32, BTreeMap<QueuePosition, Need>>);
+struct Plain(BTreeMap<u32, BTreeMap<QueuePosition, ResourceNeed>>);
 
 impl Plain {
     fn filled(teams: usize) -> Plain {
         let mut plain = Plain(BTreeMap::new());
-        (0..WAITING).for_each(|id| plain.enter(&entry(id, teams as u64)));
+        (0..WAITING).for_each(|id| plain.enqueue(&entry(id, teams as u64)));
         plain
     }
 
-    fn enter(&mut self, entry: &Entry) {
+    fn enqueue(&mut self, entry: &EnqueueRequest) {
         self.0
-            .entry(entry.desk.0)
+            .entry(entry.sub_queue.0)
             .or_default()
             .insert(entry.position, entry.need);
     }
@@ -107,30 +108,30 @@
 }
 
 fn costs(c: &mut Criterion) {
-    let mut group = c.benchmark_group("lines");
+    let mut group = c.benchmark_group("queues");
     group
         .sample_size(10)
         .warm_up_time(std::time::Duration::from_millis(300));
     group.measurement_time(std::time::Duration::from_millis(500));
     for teams in [10, 1_000, 100_000] {
-        let (mut lines, mut plain) = (filled(teams), Plain::filled(teams));
+        let (mut queues, mut plain) = (filled(teams), Plain::filled(teams));
         let mut id = WAITING;
         group.bench_function(BenchmarkId::new("offer", teams), |b| {
             b.iter(|| {
                 id += 1;
-                black_box(lines.enter(at(0.01), &entry(id, teams as u64)));
+                black_box(queues.enqueue(at(0.01), &entry(id, teams as u64)));
                 // So that as many wait all the time.
-                lines.left(at(0.01), StatementId(id))
+                queues.remove(at(0.01), StatementId(id))
             })
         });
         group.bench_function(BenchmarkId::new("take", teams), |b| {
             b.iter(|| {
-                let offer = lines.next().expect("some wait");
-                lines.released(at(0.01), offer.position.id, 0.1);
-                lines.over(offer.position.id);
+                let offer = queues.next_offer().expect("some wait");
+                queues.release(at(0.01), offer.position.id, 0.1);
+                queues.close_charge(offer.position.id);
                 let (deadline, new) = (offer.position.deadline, StatementId(id + 1));
                 id += 1;
-                let again = Entry {
+                let again = EnqueueRequest {
                     position: QueuePosition {
                         deadline,
                         id: new,
@@ -138,29 +139,29 @@
                     },
                     ..entry(id, teams as u64)
                 };
-                lines.enter(at(0.01), &Entry { id: new, ..again })
+                queues.enqueue(at(0.01), &EnqueueRequest { id: new, ..again })
             })
         });
         group.bench_function(BenchmarkId::new("estimate", teams), |b| {
             let mut of = 0;
             b.iter(|| {
                 of = (of + 7919) % WAITING;
-                black_box(lines.estimate(at(0.01), StatementId(of)))
+                black_box(queues.remaining_wait(at(0.01), StatementId(of)))
             })
         });
         group.bench_function(BenchmarkId::new("displace", teams), |b| {
             let full = || {
-                let mut terms = terms(teams);
-                terms.all.statements = 100_000;
-                let mut lines = Lines::new(at(0.0), terms, 2, 1);
-                (0..WAITING).for_each(|id| drop(lines.enter(at(0.0), &entry(id, teams as u64))));
-                lines
+                let mut config = config(teams);
+                config.total_limit.statements = 100_000;
+                let mut queues = TenantQueues::new(at(0.0), config, 2, 1);
+                (0..WAITING).for_each(|id| drop(queues.enqueue(at(0.0), &entry(id, teams as u64))));
+                queues
             };
             b.iter_batched_ref(
                 full,
-                |lines| {
+                |queues| {
                     for more in 0..100 {
-                        black_box(lines.enter(at(0.01), &entry(WAITING + more, teams as u64)));
+                        black_box(queues.enqueue(at(0.01), &entry(WAITING + more, teams as u64)));
                     }
                 },
                 BatchSize::PerIteration,
@@ -188,7 +189,7 @@
             b.iter(|| {
                 of = (of + 7919) % WAITING;
                 let entry = entry(of, teams as u64);
-                black_box(plain.ahead(entry.desk.0, entry.position))
+                black_box(plain.ahead(entry.sub_queue.0, entry.position))
             })
         });
     }
--- a/crates/scheduler/src/budget.rs
+++ b/crates/scheduler/src/credit.rs
@@ -3,14 +3,14 @@
 use admission::interface::{TimeDelta, Timestamp};
 use quota::Bucket;
 
-use crate::terms::Claim;
+use crate::config::CapacityShare;
 
 /// A bucket of predicted CPU seconds that fills at the budget, and a virtual time for what is lent beyond it.
 /// What the bucket holds pays for what is owed; one statement larger than the whole bucket goes when it is full, and
 /// leaves a debt. What is lent is no debt: it moves the virtual time only, and the team with the least is next.
 #[derive(Clone, Debug)]
-pub struct Account {
-    claim: Claim,
+pub struct CreditAccount {
+    share: CapacityShare,
     bucket: Bucket,
     borrowed: f64,
     /// Paid out of the budget since the start.
@@ -21,15 +21,15 @@
 /// another one is away: a budget of all gateways together is then due here in a larger part, and nobody is to be kept
 /// back for the want of it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Till {
+pub struct BudgetClock {
     secs: f64,
     at: Timestamp,
     stretch: f64,
 }
 
-impl Till {
+impl BudgetClock {
     pub fn new(now: Timestamp) -> Self {
-        Till {
+        BudgetClock {
             secs: 0.0,
             at: now,
             stretch: 1.0,
@@ -53,55 +53,55 @@
     Lent,
 }
 
-impl Account {
+impl CreditAccount {
     /// Under this weight a team would wait for ever beside others.
     const LEAST_WEIGHT: f64 = 1e-6;
 
-    pub fn new(now: Till, claim: Claim, burst: TimeDelta) -> Self {
-        let bucket = Bucket::full(now.secs, claim.budget, burst.secs());
-        Account {
-            claim,
+    pub fn new(now: BudgetClock, share: CapacityShare, burst: TimeDelta) -> Self {
+        let bucket = Bucket::full(now.secs, share.budget, burst.secs());
+        CreditAccount {
+            share,
             bucket,
             borrowed: 0.0,
             paid: 0.0,
         }
     }
 
-    /// New terms: what it has used stays used.
-    pub fn change(&mut self, now: Till, claim: Claim, burst: TimeDelta) {
+    /// New config: what it has used stays used.
+    pub fn change(&mut self, now: BudgetClock, share: CapacityShare, burst: TimeDelta) {
         self.bucket.fill(now.secs);
-        self.bucket.rescale(claim.budget, burst.secs());
-        self.claim = claim;
+        self.bucket.rescale(share.budget, burst.secs());
+        self.share = share;
     }
 
     /// Its part of a budget of all gateways from now on: savings are cut to what it may save, and do not grow with it; debts stay.
-    pub fn lease(&mut self, now: Till, rate: f64) {
+    pub fn lease(&mut self, now: BudgetClock, rate: f64) {
         self.bucket.fill(now.secs);
         self.bucket.cut(rate);
-        self.claim.budget = rate;
+        self.share.budget = rate;
     }
 
-    /// New terms but for the part that is leased, which is told as it changes: savings and debts stay.
-    pub fn hold(&mut self, now: Till, weight: f64, burst: TimeDelta) {
+    /// New config but for the part that is leased, which is told as it changes: savings and debts stay.
+    pub fn hold(&mut self, now: BudgetClock, weight: f64, burst: TimeDelta) {
         self.bucket.fill(now.secs);
         self.bucket.save_over(burst.secs());
-        self.claim.weight = weight;
+        self.share.weight = weight;
     }
 
     /// Nothing is saved: what is leased from now on was another's to save up to here.
-    pub fn empty(&mut self, now: Till) {
+    pub fn empty(&mut self, now: BudgetClock) {
         self.bucket = Bucket::empty(now.secs, self.bucket.rate(), self.bucket.burst());
     }
 
     /// Whether a statement of this cost is owed to it: what is saved pays for it, or nothing more can be saved. So
     /// many light ones are not kept back by the debts of a few heavy ones, and one larger than all can go.
-    pub fn owes(&mut self, now: Till, cpu: f64) -> bool {
+    pub fn owes(&mut self, now: BudgetClock, cpu: f64) -> bool {
         self.bucket.fill(now.secs);
         self.bucket.owes(cpu)
     }
 
     /// When it will be owed this; never where nothing is owed.
-    pub fn owes_at(&mut self, now: Till, cpu: f64) -> Option<Timestamp> {
+    pub fn owes_at(&mut self, now: BudgetClock, cpu: f64) -> Option<Timestamp> {
         self.bucket.fill(now.secs);
         // A microsecond more: the clock's grain must not leave it just short.
         let owes_in = self.bucket.owes_in(cpu)?;
@@ -109,7 +109,7 @@
     }
 
     /// What is saved by now; negative: to be made up for first.
-    pub fn saved(&mut self, now: Till) -> f64 {
+    pub fn saved(&mut self, now: BudgetClock) -> f64 {
         self.bucket.fill(now.secs);
         self.bucket.level()
     }
@@ -122,8 +122,8 @@
         self.paid
     }
 
-    pub fn claim(&self) -> Claim {
-        self.claim
+    pub fn share(&self) -> CapacityShare {
+        self.share
     }
 
     /// One that comes back starts with the others: what it did not take while away is nobody's debt.
@@ -131,19 +131,19 @@
         self.borrowed = self.borrowed.max(borrowed);
     }
 
-    pub fn pay(&mut self, now: Till, cpu: f64, owed: bool) -> Paid {
+    pub fn pay(&mut self, now: BudgetClock, cpu: f64, owed: bool) -> Paid {
         self.bucket.fill(now.secs);
         if owed {
             self.bucket.pay(cpu);
             self.paid += cpu;
             return Paid::Budget;
         }
-        self.borrowed += cpu / self.claim.weight.max(Self::LEAST_WEIGHT);
+        self.borrowed += cpu / self.share.weight.max(Self::LEAST_WEIGHT);
         Paid::Lent
     }
 
     /// Beyond what was paid (less, if negative), as the outcome told.
-    pub fn correct(&mut self, now: Till, paid: Paid, more: f64) {
+    pub fn correct(&mut self, now: BudgetClock, paid: Paid, more: f64) {
         self.bucket.fill(now.secs);
         match paid {
             Paid::Budget => {
@@ -152,7 +152,7 @@
             }
             Paid::Lent => {
                 self.borrowed =
-                    (self.borrowed + more / self.claim.weight.max(Self::LEAST_WEIGHT)).max(0.0);
+                    (self.borrowed + more / self.share.weight.max(Self::LEAST_WEIGHT)).max(0.0);
             }
         }
     }
--- a/crates/scheduler/src/pace.rs
+++ b/crates/scheduler/src/estimate.rs
@@ -5,21 +5,21 @@
 /// CPU seconds released for each core second that something waited. By core, so that a capacity that goes or comes
 /// back shows in the same turn, long before the releases themselves would tell.
 #[derive(Clone, Debug)]
-pub struct Pace {
+pub struct RateEstimator {
     released: f64,
     core_s: f64,
     at: Timestamp,
     waiting: bool,
 }
 
-impl Pace {
+impl RateEstimator {
     /// Older releases tell of other traffic; shorter, and single large statements would make it jump.
     const MEMORY_S: f64 = 2.0;
     /// Seconds of waiting that weigh as much as what is likely without them.
     const SOME_S: f64 = 0.3;
 
     pub fn new(now: Timestamp) -> Self {
-        Pace {
+        RateEstimator {
             released: 0.0,
             core_s: 0.0,
             at: now,
@@ -75,12 +75,12 @@
 
 /// A fading histogram of positive figures in steps of a tenth; bounded, whatever it sees.
 #[derive(Clone, Debug)]
-pub struct Spread {
+pub struct DecayingHistogram {
     counts: Vec<f64>,
     all: f64,
 }
 
-impl Spread {
+impl DecayingHistogram {
     const STEP: f64 = 1.1;
     const LOWEST: f64 = 1e-3;
     const STEPS: usize = 145;
@@ -89,7 +89,7 @@
     const ENOUGH: f64 = 12.0;
 
     pub fn new() -> Self {
-        Spread {
+        DecayingHistogram {
             counts: vec![0.0; Self::STEPS],
             all: 0.0,
         }
@@ -126,7 +126,7 @@
     }
 }
 
-impl Default for Spread {
+impl Default for DecayingHistogram {
     fn default() -> Self {
         Self::new()
     }
@@ -134,35 +134,35 @@
 
 /// A wait as it can be told.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Estimate {
+pub struct WaitEstimate {
     /// As likely longer as shorter.
-    pub wait: TimeDelta,
+    pub median: TimeDelta,
     /// Nine of ten wait no longer.
     pub p90: TimeDelta,
 }
 
 /// How estimates of one query class turned out: their error is steady enough to be taken off the next.
 #[derive(Clone, Debug, Default)]
-pub struct Record {
+pub struct WaitCalibration {
     /// Real waits over those estimated from the work ahead.
-    ratio: Spread,
+    ratio: DecayingHistogram,
     /// Real waits, in seconds, where nothing was ahead.
-    alone: Spread,
+    alone: DecayingHistogram,
 }
 
-impl Record {
+impl WaitCalibration {
     /// Under this no ratio is formed: it would tell of the clock's ticks.
     const SOME_S: f64 = 0.01;
 
-    pub fn tell(&self, raw: f64) -> Estimate {
+    pub fn tell(&self, raw: f64) -> WaitEstimate {
         if raw < Self::SOME_S {
             let p90 = self
                 .alone
                 .part(0.9)
                 .filter(|p90| *p90 > 2e-3)
                 .unwrap_or(0.0);
-            return Estimate {
-                wait: TimeDelta::from_secs(raw),
+            return WaitEstimate {
+                median: TimeDelta::from_secs(raw),
                 p90: TimeDelta::from_secs(p90.max(raw)),
             };
         }
@@ -171,8 +171,8 @@
             self.ratio.part(0.9).unwrap_or(2.0),
         );
         let wait = raw * half.clamp(0.25, 4.0);
-        Estimate {
-            wait: TimeDelta::from_secs(wait),
+        WaitEstimate {
+            median: TimeDelta::from_secs(wait),
             p90: TimeDelta::from_secs((raw * most.min(16.0)).max(wait)),
         }
     }
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -1,14 +1,25 @@
-//! Waiting work by member and desk, ahead of the decision module: who is asked about next, within which budgets, for
-//! how long at most, and how long a wait will be. Time is handed in; nothing here does I/O.
+//! Waiting statements by tenant and sub-queue, ahead of the decision module: which is offered next, within which
+//! budgets, for how long at most, and how long a wait will be. Time is handed in; nothing here does I/O.
+//!
+//! The operator's `member` block is a *tenant queue* here ([`TenantQueueId`], an index into [`Config::tenants`]). It
+//! and `admission::interface::TenantId`, an index into the settings' tenants, are matched by name alone: their numbers
+//! differ.
 
-pub mod budget;
-pub mod hall;
-pub mod lines;
-pub mod order;
-pub mod pace;
-pub mod terms;
+mod config;
+mod credit;
+mod estimate;
+mod scheduler;
+mod tenant_queues;
+mod treap;
 
-pub use hall::{Hall, Tally};
-pub use lines::{DeskStatus, Lines, StatementStatus, Wait};
-pub use pace::Estimate;
-pub use terms::{Belongs, Bound, Claim, DeskId, DeskTerms, Directory, MemberTerms, Terms};
+pub use config::{
+    CapacityShare, Config, QueueLimit, QueueResolver, Resolved, SubQueueConfig, SubQueueId,
+    TenantConfig, TenantQueueId,
+};
+pub use estimate::WaitEstimate;
+pub use scheduler::{Metrics, Scheduler, WaitProgress};
+pub use tenant_queues::{
+    EnqueueOutcome, EnqueueRequest, EnqueueResult, FinishedWait, Offer, StatementStatus,
+    SubQueueStatus, TenantQueues, TenantUsage,
+};
+pub use treap::{CapacityFrontier, ResourceNeed, TreapArena, TreapRoot};
--- a/crates/scheduler/src/hall.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -1,67 +1,79 @@
-//! The lines before the decisions, called as `dispatch` is: without lines it passes all through unchanged. A
+//! The queues before the decisions, called as `dispatch` is: without queues it passes all through unchanged. A
 //! statement is taken by the module when it comes, waits here, and is offered when its turn comes; an offer that
 //! finds no room is withdrawn at once, so that the module's own line stays short and its hold never runs here.
 
 use admission::interface::*;
 use dispatch::{AttemptOrder, Decision, Dispatcher, EngineView, FollowUp, StatementRequest, Tick};
 
-use crate::lines::{DeskStatus, Entered, Entry, Lines, Offer, StatementStatus, Wait};
-use crate::order::Need;
-use crate::pace::Estimate;
-use crate::terms::{DeskId, Terms};
+use crate::config::{Config, SubQueueId};
+use crate::estimate::WaitEstimate;
+use crate::tenant_queues::{
+    EnqueueOutcome, EnqueueRequest, FinishedWait, Offer, StatementStatus, SubQueueStatus,
+    TenantQueues, TenantUsage,
+};
+use crate::treap::ResourceNeed;
 
-/// What happened at the lines, in numbers that only grow.
+/// What happened at the queues, in numbers that only grow.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Tally {
+pub struct Metrics {
     /// Statements that came to wait, of those offered.
-    pub entered: u64,
+    pub received: u64,
     /// Rejected at entry: no room for them, or too long a wait.
-    pub turned_away: u64,
-    /// Rejected while waiting, for one with the better claim.
-    pub displaced: u64,
+    pub rejected_at_entry: u64,
+    /// Rejected while waiting, for one with the better share.
+    pub evicted: u64,
     pub released: u64,
     /// Rejected by the module while waiting.
-    pub denied: u64,
+    pub rejected_while_waiting: u64,
     /// Their clients left while they waited.
-    pub left: u64,
+    pub client_left: u64,
     /// Offers that found no room.
-    pub refused: u64,
+    pub offers_without_capacity: u64,
     /// Estimates told at entry that came within a fifth, or 20 ms, of the wait.
-    pub told_well: u64,
+    pub accurate_estimates: u64,
 }
 
-pub struct Hall {
+/// How far the wait of one statement is.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct WaitProgress {
+    /// Waited so far.
+    pub waited: TimeDelta,
+    /// The wait still ahead of it.
+    pub remaining: WaitEstimate,
+}
+
+pub struct Scheduler {
     dispatch: Dispatcher,
-    lines: Option<Lines>,
-    /// Denials of this turn for displaced statements; emptied by the next tick.
+    queues: Option<TenantQueues>,
+    /// Denials of this turn for evicted statements; emptied by the next tick.
     owed: Vec<(StatementId, Decision)>,
-    waits: Vec<Wait>,
-    tally: Tally,
+    waits: Vec<FinishedWait>,
+    metrics: Metrics,
 }
 
-impl Hall {
-    pub fn new(dispatch: Dispatcher, lines: Option<Lines>) -> Self {
-        Hall {
+impl Scheduler {
+    pub fn new(dispatch: Dispatcher, queues: Option<TenantQueues>) -> Self {
+        Scheduler {
             dispatch,
-            lines,
+            queues,
             owed: Vec::new(),
             waits: Vec::new(),
-            tally: Tally::default(),
+            metrics: Metrics::default(),
         }
     }
 
-    /// Takes a statement. With lines it is held, or rejected at once; without, it is as `Dispatcher::pick`.
+    /// Takes a statement. With queues it is held, or rejected at once; without, it is as `Dispatcher::pick`.
     pub fn pick(
         &mut self,
         now: Timestamp,
         id: StatementId,
-        desk: DeskId,
+        sub_queue: SubQueueId,
         request: &StatementRequest,
     ) -> Decision {
-        let Some(lines) = &mut self.lines else {
+        let Some(queues) = &mut self.queues else {
             return self.dispatch.pick(now, id, request);
         };
-        let borrowed = |cpu: TimeDelta| lines.would_be_lent(now, desk, cpu.secs());
+        let borrowed = |cpu: TimeDelta| queues.would_borrow(now, sub_queue, cpu.secs());
         let entered = self.dispatch.register(now, id, request, borrowed);
         let Some((position, forecast)) = entered else {
             return Decision::Queued;
@@ -71,7 +83,7 @@
             over_quota: false,
             ..position
         };
-        let need = Need {
+        let need = ResourceNeed {
             cpu: forecast.cpu.secs(),
             memory_mb: forecast.memory_mb,
         };
@@ -81,11 +93,11 @@
             ..
         } = forecast;
         let (class, key) = (request.class, request.key);
-        let entering = lines.enter(
+        let enqueued = queues.enqueue(
             now,
-            &Entry {
+            &EnqueueRequest {
                 id,
-                desk,
+                sub_queue,
                 class,
                 position,
                 need,
@@ -94,16 +106,16 @@
                 key,
             },
         );
-        self.tally.entered += 1;
-        for (victim, back) in entering.displaced {
-            self.tally.displaced += 1;
+        self.metrics.received += 1;
+        for (victim, back) in enqueued.evicted {
+            self.metrics.evicted += 1;
             self.owed
                 .push((victim, self.dispatch.reject(now, victim, back)));
         }
-        match entering.entered {
-            Entered::Waits(_) => Decision::Queued,
-            Entered::TurnedAway { back } => {
-                self.tally.turned_away += 1;
+        match enqueued.outcome {
+            EnqueueOutcome::Queued(_) => Decision::Queued,
+            EnqueueOutcome::Rejected { retry_after: back } => {
+                self.metrics.rejected_at_entry += 1;
                 self.dispatch.reject(now, id, back)
             }
         }
@@ -122,7 +134,7 @@
         let verdict = self
             .dispatch
             .report(now, id, attempt, news, latency, answered);
-        if let Some(lines) = &mut self.lines {
+        if let Some(queues) = &mut self.queues {
             let cpu = match news {
                 AttemptEvent::Completed { cpu, .. } => cpu.map(TimeDelta::secs),
                 AttemptEvent::Rejected
@@ -131,9 +143,9 @@
                 | AttemptEvent::Withdrawn => Some(0.0),
                 _ => None,
             };
-            lines.came_to(now, id, cpu);
+            queues.settle(now, id, cpu);
             if !self.dispatch.contains(id) {
-                lines.over(id);
+                queues.close_charge(id);
             }
         }
         verdict
@@ -141,26 +153,26 @@
 
     /// Offers what waits, as far as there is room.
     pub fn tick(&mut self, now: Timestamp) -> Tick {
-        let Some(lines) = &mut self.lines else {
+        let Some(queues) = &mut self.queues else {
             return self.dispatch.tick(now);
         };
         let mut due = std::mem::take(&mut self.owed);
         self.waits.clear();
-        lines.round(
+        queues.begin_round(
             now,
             self.dispatch.capacity(now),
             self.dispatch.traffic_share(),
         );
-        for position in lines.past(now) {
+        for position in queues.past_use(now) {
             let last = Offer {
                 position,
                 borrowed: false,
             };
             offer(
                 &mut self.dispatch,
-                lines,
+                queues,
                 &mut self.waits,
-                &mut self.tally,
+                &mut self.metrics,
                 now,
                 last,
                 &mut due,
@@ -170,7 +182,7 @@
         let again = self.dispatch.queue_positions();
         let mut again = again.into_iter().peekable();
         loop {
-            let next = lines.next();
+            let next = queues.next_offer();
             while let Some(position) =
                 again.next_if(|position| next.is_none_or(|next| *position < next.position))
             {
@@ -178,18 +190,18 @@
                 match pick {
                     Decision::Queued => continue,
                     Decision::Forward(order) => {
-                        lines.repeated(now, position.id, order.charge.secs())
+                        queues.charge_retry(now, position.id, order.charge.secs())
                     }
-                    Decision::Reject { .. } | Decision::Fail => lines.over(position.id),
+                    Decision::Reject { .. } | Decision::Fail => queues.close_charge(position.id),
                 }
                 due.push((position.id, pick));
             }
             let Some(next) = next else { break };
             offer(
                 &mut self.dispatch,
-                lines,
+                queues,
                 &mut self.waits,
-                &mut self.tally,
+                &mut self.metrics,
                 now,
                 next,
                 &mut due,
@@ -199,7 +211,7 @@
             wait,
             probe,
             discovery,
-        } = self.dispatch.end_turn(now, lines.len());
+        } = self.dispatch.end_turn(now, queues.len());
         Tick {
             due,
             probe,
@@ -210,22 +222,27 @@
 
     /// Its client left while it waits with nothing out: what to answer, should anybody still read. `Decision::Queued`: it is
     /// not in hand.
-    pub fn leave(&mut self, now: Timestamp, id: StatementId, back: TimeDelta) -> Decision {
-        let pick = self.dispatch.reject(now, id, back);
-        if let Some(lines) = &mut self.lines {
-            self.tally.left += u64::from(lines.left(now, id).is_some());
-            lines.over(id);
+    pub fn reject_abandoned(
+        &mut self,
+        now: Timestamp,
+        id: StatementId,
+        retry_after: TimeDelta,
+    ) -> Decision {
+        let pick = self.dispatch.reject(now, id, retry_after);
+        if let Some(queues) = &mut self.queues {
+            self.metrics.client_left += u64::from(queues.remove(now, id).is_some());
+            queues.close_charge(id);
         }
         pick
     }
 
     /// As `Dispatcher::gone`.
-    pub fn gone(&mut self, now: Timestamp, id: StatementId) {
+    pub fn client_left(&mut self, now: Timestamp, id: StatementId) {
         self.dispatch.client_left(id);
-        if let Some(lines) = &mut self.lines {
-            self.tally.left += u64::from(lines.left(now, id).is_some());
+        if let Some(queues) = &mut self.queues {
+            self.metrics.client_left += u64::from(queues.remove(now, id).is_some());
             if !self.dispatch.contains(id) {
-                lines.over(id);
+                queues.close_charge(id);
             }
         }
     }
@@ -248,22 +265,22 @@
         self.dispatch.on_quota(allowed);
     }
 
-    pub fn carries(&self) -> f64 {
+    pub fn traffic_share(&self) -> f64 {
         self.dispatch.traffic_share()
     }
 
-    /// Members' budgets as this gateway's part of them at present, by their places in the terms.
-    pub fn lease(&mut self, now: Timestamp, rates: &[Option<f64>]) {
-        self.lines
+    /// Members' budgets as this gateway's part of them at present, by their places in the config.
+    pub fn set_leased_budgets(&mut self, now: Timestamp, rates: &[Option<f64>]) {
+        self.queues
             .iter_mut()
-            .for_each(|lines| lines.lease(now, rates));
+            .for_each(|queues| queues.set_leased_budgets(now, rates));
     }
 
-    /// What members wanted and spent of their budgets since the start, in predicted CPU seconds.
-    pub fn flows(&self) -> Vec<(f64, f64)> {
-        self.lines
+    /// What tenants wanted and spent of their budgets since the start, in predicted CPU seconds.
+    pub fn tenant_usage(&self) -> Vec<TenantUsage> {
+        self.queues
             .as_ref()
-            .map(|lines| lines.flows().collect())
+            .map(|queues| queues.usage().collect())
             .unwrap_or_default()
     }
 
@@ -278,60 +295,65 @@
     }
 
     /// As `Dispatcher::drain_deadline`, for what waits too.
-    pub fn drain_deadline(&mut self, by: Timestamp) {
+    pub fn drain_by(&mut self, by: Timestamp) {
         self.dispatch.drain_by(by);
-        self.lines
+        self.queues
             .iter_mut()
-            .for_each(|lines| lines.drain_deadline(by));
+            .for_each(|queues| queues.drain_by(by));
     }
 
-    /// Other terms, with all that waits; nothing where there are no lines.
-    pub fn change(&mut self, now: Timestamp, terms: Terms) {
-        self.lines
+    /// Other config, with all that waits; nothing where there are no queues.
+    pub fn reconfigure(&mut self, now: Timestamp, config: Config) {
+        self.queues
             .iter_mut()
-            .for_each(|lines| lines.change(now, terms.clone()));
+            .for_each(|queues| queues.reconfigure(now, config.clone()));
     }
 
-    pub fn tally(&self) -> Tally {
-        self.tally
+    pub fn metrics(&self) -> Metrics {
+        self.metrics
     }
 
     /// The waits that ended in the last tick, by release or by the module's rejection.
-    pub fn waits(&self) -> &[Wait] {
+    pub fn finished_waits(&self) -> &[FinishedWait] {
         &self.waits
     }
 
     pub fn waiting(&self) -> usize {
-        self.lines.as_ref().map_or(0, Lines::len)
+        self.queues.as_ref().map_or(0, TenantQueues::len)
     }
 
-    pub fn longest_passed(&self) -> TimeDelta {
-        self.lines
+    pub fn longest_passed_over(&self) -> TimeDelta {
+        self.queues
             .as_ref()
-            .map_or(TimeDelta::ZERO, Lines::longest_passed)
+            .map_or(TimeDelta::ZERO, TenantQueues::longest_passed_over)
     }
 
-    pub fn status(&mut self, now: Timestamp, most: usize) -> Option<Vec<DeskStatus>> {
-        self.lines.as_mut().map(|lines| lines.status(now, most))
+    pub fn sub_queue_status(&mut self, now: Timestamp, most: usize) -> Option<Vec<SubQueueStatus>> {
+        self.queues
+            .as_mut()
+            .map(|queues| queues.sub_queue_status(now, most))
     }
 
-    pub fn statement(&mut self, now: Timestamp, id: StatementId) -> Option<StatementStatus> {
-        self.lines.as_mut()?.statement(now, id)
+    pub fn statement_status(&mut self, now: Timestamp, id: StatementId) -> Option<StatementStatus> {
+        self.queues.as_mut()?.statement_status(now, id)
     }
 
     /// Waited so far, and the wait still before it.
-    pub fn progress(&mut self, now: Timestamp, id: StatementId) -> Option<(TimeDelta, Estimate)> {
-        let lines = self.lines.as_mut()?;
-        Some((lines.waited(now, id)?, lines.estimate(now, id)?))
+    pub fn wait_progress(&mut self, now: Timestamp, id: StatementId) -> Option<WaitProgress> {
+        let queues = self.queues.as_mut()?;
+        Some(WaitProgress {
+            waited: queues.waited(now, id)?,
+            remaining: queues.remaining_wait(now, id)?,
+        })
     }
 }
 
 /// Asks the module about one that waits, and takes it out of line unless there was no room.
 fn offer(
     dispatch: &mut Dispatcher,
-    lines: &mut Lines,
-    waits: &mut Vec<Wait>,
-    tally: &mut Tally,
+    queues: &mut TenantQueues,
+    waits: &mut Vec<FinishedWait>,
+    metrics: &mut Metrics,
     now: Timestamp,
     offer: Offer,
     due: &mut Vec<(StatementId, Decision)>,
@@ -340,24 +362,25 @@
     let pick = dispatch.offer(now, id, offer.borrowed);
     match pick {
         Decision::Queued => {
-            tally.refused += 1;
+            metrics.offers_without_capacity += 1;
             let useful = dispatch
                 .forecast(now, id)
                 .map_or(now, |forecast| forecast.useful_until);
-            return lines.refused(id, offer.borrowed, useful);
+            return queues.no_capacity(id, offer.borrowed, useful);
         }
         Decision::Forward(AttemptOrder { charge, .. }) => {
-            tally.released += 1;
-            let wait = lines.released(now, id, charge.secs());
-            let well = |wait: &Wait| {
-                (wait.told.wait - wait.real).secs().abs() <= (0.2 * wait.real.secs()).max(0.02)
+            metrics.released += 1;
+            let wait = queues.release(now, id, charge.secs());
+            let well = |wait: &FinishedWait| {
+                (wait.estimated.median - wait.actual).secs().abs()
+                    <= (0.2 * wait.actual.secs()).max(0.02)
             };
-            tally.told_well += u64::from(wait.as_ref().is_some_and(well));
+            metrics.accurate_estimates += u64::from(wait.as_ref().is_some_and(well));
             waits.extend(wait);
         }
         Decision::Reject { .. } | Decision::Fail => {
-            tally.denied += 1;
-            waits.extend(lines.left(now, id));
+            metrics.rejected_while_waiting += 1;
+            waits.extend(queues.remove(now, id));
         }
     }
     due.push((id, pick));
--- a/crates/scheduler/src/lines.rs
+++ b/crates/scheduler/src/tenant_queues.rs
@@ -1,14 +1,14 @@
-//! Who waits, and who is asked about next. Two levels: members hold desks, statements wait at desks. Nothing here
+//! Who waits, and who is asked about next. Two levels: tenants hold sub_queues, statements wait at sub_queues. Nothing here
 //! chooses an engine or denies by itself; see docs/notes/queues.md for the order and why it is so.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use admission::interface::*;
 
-use crate::budget::{Account, Paid, Till};
-use crate::order::{Arena, Frontier, Need, Root};
-use crate::pace::{Estimate, Pace, Record};
-use crate::terms::{DeskId, MemberId, Terms};
+use crate::config::{Config, SubQueueId, TenantQueueId};
+use crate::credit::{BudgetClock, CreditAccount, Paid};
+use crate::estimate::{RateEstimator, WaitCalibration, WaitEstimate};
+use crate::treap::{CapacityFrontier, ResourceNeed, TreapArena, TreapRoot};
 
 /// How many teams are looked at behind the first when the first has only what there is no room for.
 const LOOK: usize = 64;
@@ -23,12 +23,12 @@
 
 /// A statement as it comes to wait.
 #[derive(Clone, Copy, Debug)]
-pub struct Entry {
+pub struct EnqueueRequest {
     pub id: StatementId,
-    pub desk: DeskId,
+    pub sub_queue: SubQueueId,
     pub class: ClassId,
     pub position: QueuePosition,
-    pub need: Need,
+    pub need: ResourceNeed,
     /// After this an answer is late, and after this of no use any more, by the module's word.
     pub objective_until: Timestamp,
     pub useful_until: Timestamp,
@@ -36,26 +36,26 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Entered {
-    Waits(Estimate),
+pub enum EnqueueOutcome {
+    Queued(WaitEstimate),
     /// No room, or it would wait beyond its use; about so long until it would not.
-    TurnedAway {
-        back: TimeDelta,
+    Rejected {
+        retry_after: TimeDelta,
     },
 }
 
-/// What an entry led to; the displaced are out of line and owed a rejection.
+/// What an entry led to; the evicted are out of line and owed a rejection.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Entering {
-    pub entered: Entered,
-    pub displaced: Vec<(StatementId, TimeDelta)>,
+pub struct EnqueueResult {
+    pub outcome: EnqueueOutcome,
+    pub evicted: Vec<(StatementId, TimeDelta)>,
 }
 
 /// Whom to ask the module about.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Offer {
     pub position: QueuePosition,
-    /// Beyond what its member is owed.
+    /// Beyond what its tenant is owed.
     pub borrowed: bool,
 }
 
@@ -64,30 +64,30 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Waiter {
-    desk: u32,
+    sub_queue: u32,
     lane: Lane,
     position: QueuePosition,
-    need: Need,
+    need: ResourceNeed,
     entered: Timestamp,
     useful_until: Timestamp,
     raw: f64,
-    /// The estimate stood on what was seen at its desk, and so counts for the next ones.
+    /// The estimate stood on what was seen at its sub_queue, and so counts for the next ones.
     seen: bool,
-    told: Estimate,
+    told: WaitEstimate,
     key: Option<OrderKey>,
-    /// It stands in its desk's line; else an earlier one of its key does, or it is passed by for this round.
+    /// It stands in its sub_queue's line; else an earlier one of its key does, or it is passed by for this round.
     in_line: bool,
 }
 
 impl Waiter {
-    fn wait(&self, now: Timestamp, id: StatementId) -> Wait {
-        let (class, desk) = (ClassId(self.lane), DeskId(self.desk));
-        Wait {
+    fn wait(&self, now: Timestamp, id: StatementId) -> FinishedWait {
+        let (class, sub_queue) = (ClassId(self.lane), SubQueueId(self.sub_queue));
+        FinishedWait {
             id,
             class,
-            desk,
-            told: self.told,
-            real: now - self.entered,
+            sub_queue,
+            estimated: self.told,
+            actual: now - self.entered,
         }
     }
 }
@@ -95,8 +95,8 @@
 /// What a statement that was released is charged, until its outcome.
 #[derive(Clone, Copy, Debug)]
 struct Charge {
-    desk: u32,
-    member: u32,
+    sub_queue: u32,
+    tenant: u32,
     by: (Paid, Paid),
     cpu: f64,
 }
@@ -140,83 +140,92 @@
     }
 }
 
-struct Desk {
+struct SubQueue {
     name: String,
-    member: u32,
-    account: Account,
-    roots: Vec<Root>,
+    tenant: u32,
+    account: CreditAccount,
+    roots: Vec<TreapRoot>,
     shown: Vec<Option<Shown>>,
-    paces: Vec<Pace>,
-    pace: Pace,
+    paces: Vec<RateEstimator>,
+    pace: RateEstimator,
     count: u32,
     cpu: f64,
     /// Since when its first has been passed over; set while something waits.
     passed_since: Option<Timestamp>,
 }
 
-struct Member {
+struct TenantQueue {
     name: String,
-    account: Account,
+    account: CreditAccount,
     ranks: Vec<Ranks>,
     shown: Vec<Option<Shown>>,
     lent_now: f64,
     waiting: u32,
-    desks: Vec<u32>,
+    sub_queues: Vec<u32>,
     /// Predicted CPU seconds that came for it since the start.
     wanted: f64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Team {
-    Desk(u32),
-    Member(u32),
+    SubQueue(u32),
+    TenantQueue(u32),
 }
 
-/// One desk, as a status shows it.
+/// One sub_queue, as a status shows it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct DeskStatus {
-    pub member: String,
-    pub desk: String,
+pub struct SubQueueStatus {
+    pub tenant: String,
+    pub sub_queue: String,
     pub waiting: u32,
     /// Predicted CPU seconds that wait.
-    pub cpu: f64,
+    pub waiting_cpu: f64,
     /// Predicted CPU seconds a second: owed, and released of late while something waited.
     pub budget: f64,
     pub rate: Option<f64>,
     /// What is saved of the budget; negative: to be made up for first.
     pub saved: f64,
-    pub longest: TimeDelta,
+    pub longest_wait: TimeDelta,
     /// For one more usual statement of each query class.
-    pub next: Vec<Estimate>,
+    pub next_waits: Vec<WaitEstimate>,
 }
 
 /// One waiting statement.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StatementStatus {
-    pub member: String,
-    pub desk: String,
-    /// So many of its query class at its desk leave before it.
+    pub tenant: String,
+    pub sub_queue: String,
+    /// So many of its query class at its sub_queue leave before it.
     pub ahead: u32,
     pub waited: TimeDelta,
-    pub left: Estimate,
+    pub remaining: WaitEstimate,
 }
 
 /// A wait that ended, and how it was told at its entry.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Wait {
+pub struct FinishedWait {
     pub id: StatementId,
     pub class: ClassId,
-    pub desk: DeskId,
-    pub told: Estimate,
-    pub real: TimeDelta,
+    pub sub_queue: SubQueueId,
+    pub estimated: WaitEstimate,
+    pub actual: TimeDelta,
 }
 
-pub struct Lines {
-    terms: Terms,
+/// What a tenant demanded and spent of its budget since the start, in predicted CPU seconds.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct TenantUsage {
+    /// CPU of the statements that came for it.
+    pub demanded: f64,
+    /// CPU paid out of its budget.
+    pub spent: f64,
+}
+
+pub struct TenantQueues {
+    config: Config,
     classes: usize,
-    arena: Arena,
-    desks: Vec<Desk>,
-    members: Vec<Member>,
+    arena: TreapArena,
+    sub_queues: Vec<SubQueue>,
+    tenants: Vec<TenantQueue>,
     root: Vec<Ranks>,
     lent_now: f64,
     /// Emptied by release, rejection and the client's leaving.
@@ -234,19 +243,19 @@
     keys: BTreeMap<OrderKey, VecDeque<StatementId>>,
     parked: Vec<StatementId>,
     /// By lane, of what is owed and of what is lent.
-    frontiers: Vec<[Frontier; 2]>,
+    frontiers: Vec<[CapacityFrontier; 2]>,
     /// Emptied by the last outcome of each.
     charges: BTreeMap<StatementId, Charge>,
-    records: Vec<Record>,
-    longest_passed: TimeDelta,
-    whole: Pace,
+    records: Vec<WaitCalibration>,
+    longest_passed_over: TimeDelta,
+    whole: RateEstimator,
     usual: Vec<f64>,
     count: u32,
     cpu: f64,
-    /// All members' budgets together.
+    /// All tenants' budgets together.
     owed: f64,
     cores: f64,
-    till: Till,
+    till: BudgetClock,
     /// Budgets are told as they change, for all gateways together: nothing here guesses its part of them.
     leased: bool,
     now: Timestamp,
@@ -257,13 +266,13 @@
     of.max(0.0).to_bits()
 }
 
-impl Lines {
-    pub fn new(now: Timestamp, terms: Terms, classes: usize, seed: u64) -> Self {
-        let mut lines = Lines {
+impl TenantQueues {
+    pub fn new(now: Timestamp, config: Config, classes: usize, seed: u64) -> Self {
+        let mut queues = TenantQueues {
             classes,
-            arena: Arena::new(seed),
-            desks: Vec::new(),
-            members: Vec::new(),
+            arena: TreapArena::new(seed),
+            sub_queues: Vec::new(),
+            tenants: Vec::new(),
             root: vec![Ranks::default(); classes],
             lent_now: 0.0,
             waiting: BTreeMap::new(),
@@ -274,23 +283,23 @@
             refill_at: BTreeMap::new(),
             keys: BTreeMap::new(),
             parked: Vec::new(),
-            frontiers: vec![[Frontier::default(), Frontier::default()]; classes],
+            frontiers: vec![[CapacityFrontier::default(), CapacityFrontier::default()]; classes],
             charges: BTreeMap::new(),
-            records: vec![Record::default(); classes],
-            longest_passed: TimeDelta::ZERO,
-            whole: Pace::new(now),
+            records: vec![WaitCalibration::default(); classes],
+            longest_passed_over: TimeDelta::ZERO,
+            whole: RateEstimator::new(now),
             usual: vec![0.0; classes],
             count: 0,
             cpu: 0.0,
             owed: 0.0,
             cores: 1.0,
-            till: Till::new(now),
+            till: BudgetClock::new(now),
             leased: false,
             now,
-            terms,
+            config,
         };
-        lines.lay_out();
-        lines
+        queues.lay_out();
+        queues
     }
 
     fn at(&mut self, now: Timestamp) {
@@ -300,38 +309,38 @@
 
     fn lay_out(&mut self) {
         self.owed = self
-            .terms
-            .members
+            .config
+            .tenants
             .iter()
-            .map(|member| member.claim.budget)
+            .map(|tenant| tenant.share.budget)
             .sum();
-        let (now, till, lanes, burst) = (self.now, self.till, self.classes, self.terms.burst);
-        for terms in &self.terms.members {
-            let member = self.members.len() as u32;
-            let first = self.desks.len() as u32;
-            for desk in &terms.desks {
-                self.desks.push(Desk {
-                    name: desk.name.clone(),
-                    member,
-                    account: Account::new(till, desk.claim, burst),
-                    roots: vec![Root::default(); lanes],
+        let (now, till, lanes, burst) = (self.now, self.till, self.classes, self.config.burst);
+        for config in &self.config.tenants {
+            let tenant = self.tenants.len() as u32;
+            let first = self.sub_queues.len() as u32;
+            for sub_queue in &config.sub_queues {
+                self.sub_queues.push(SubQueue {
+                    name: sub_queue.name.clone(),
+                    tenant,
+                    account: CreditAccount::new(till, sub_queue.share, burst),
+                    roots: vec![TreapRoot::default(); lanes],
                     shown: vec![None; lanes],
-                    paces: vec![Pace::new(now); self.classes],
-                    pace: Pace::new(now),
+                    paces: vec![RateEstimator::new(now); self.classes],
+                    pace: RateEstimator::new(now),
                     count: 0,
                     cpu: 0.0,
                     passed_since: None,
                 });
             }
-            self.members.push(Member {
-                name: terms.name.clone(),
-                account: Account::new(till, terms.claim, burst),
+            self.tenants.push(TenantQueue {
+                name: config.name.clone(),
+                account: CreditAccount::new(till, config.share, burst),
                 ranks: vec![Ranks::default(); lanes],
                 shown: vec![None; lanes],
                 lent_now: 0.0,
                 waiting: 0,
                 wanted: 0.0,
-                desks: (first..self.desks.len() as u32).collect(),
+                sub_queues: (first..self.sub_queues.len() as u32).collect(),
             });
         }
     }
@@ -348,25 +357,25 @@
         self.waiting.contains_key(&id)
     }
 
-    pub fn place(&self, id: StatementId) -> Option<QueuePosition> {
+    pub fn position(&self, id: StatementId) -> Option<QueuePosition> {
         self.waiting.get(&id).map(|waiter| waiter.position)
     }
 
     /// Released statements whose outcome is not known yet.
-    pub fn charged(&self) -> usize {
+    pub fn open_charges(&self) -> usize {
         self.charges.len()
     }
 
     /// Time goes on: accounts fill, and a new round of asking begins. `cores`: what engines in use have, as this
     /// gateway's share; estimates follow it at once. `carries`: its part of the traffic over that share; budgets follow.
-    pub fn round(&mut self, now: Timestamp, cores: f64, carries: f64) {
+    pub fn begin_round(&mut self, now: Timestamp, cores: f64, carries: f64) {
         self.till.go_on(now);
         self.till.stretch(if self.leased { 1.0 } else { carries });
         if (cores - self.cores).abs() > 1e-9 {
             // What passed up to now passed with the cores of before.
             let before = std::mem::replace(&mut self.cores, cores);
-            for desk in self.passed.iter().map(|(_, desk)| *desk as usize) {
-                let Desk { paces, pace, .. } = &mut self.desks[desk];
+            for sub_queue in self.passed.iter().map(|(_, sub_queue)| *sub_queue as usize) {
+                let SubQueue { paces, pace, .. } = &mut self.sub_queues[sub_queue];
                 paces
                     .iter_mut()
                     .chain([pace])
@@ -379,8 +388,8 @@
             self.refills.remove(&(at, team));
             self.refill_at.remove(&team);
             match team {
-                Team::Desk(desk) => self.show_desk(desk),
-                Team::Member(member) => self.show_member(member),
+                Team::SubQueue(sub_queue) => self.show_desk(sub_queue),
+                Team::TenantQueue(tenant) => self.show_member(tenant),
             }
         }
         let frontiers = self
@@ -388,103 +397,113 @@
             .iter_mut()
             .flatten()
             .filter(|frontier| !frontier.is_empty());
-        frontiers.for_each(|frontier| *frontier = Frontier::default());
+        frontiers.for_each(|frontier| *frontier = CapacityFrontier::default());
         for id in std::mem::take(&mut self.parked) {
             if self.waiting.get(&id).is_some_and(|waiter| !waiter.in_line) {
-                self.line_up(id);
+                self.enqueue_ready(id);
             }
         }
     }
 
-    /// Members' budgets from now on, of those that are told, with their desks' in proportion. The first time nothing is
-    /// saved: what the terms say is all gateways' together.
-    pub fn lease(&mut self, now: Timestamp, rates: &[Option<f64>]) {
+    /// Members' budgets from now on, of those that are told, with their sub_queues' in proportion. The first time nothing is
+    /// saved: what the config say is all gateways' together.
+    pub fn set_leased_budgets(&mut self, now: Timestamp, rates: &[Option<f64>]) {
         self.at(now);
         let first = !std::mem::replace(&mut self.leased, true);
         for (at, rate) in rates.iter().enumerate() {
-            let (Some(rate), Some(member)) = (*rate, self.members.get_mut(at)) else {
+            let (Some(rate), Some(tenant)) = (*rate, self.tenants.get_mut(at)) else {
                 continue;
             };
-            if !first && member.account.claim().budget == rate {
+            if !first && tenant.account.share().budget == rate {
                 continue;
             }
-            let whole = self.terms.members[at].claim.budget.max(1e-9);
-            member.account.lease(self.till, rate);
-            for (desk, terms) in member.desks.iter().zip(&self.terms.members[at].desks) {
-                let account = &mut self.desks[*desk as usize].account;
-                account.lease(self.till, rate * terms.claim.budget / whole);
+            let whole = self.config.tenants[at].share.budget.max(1e-9);
+            tenant.account.lease(self.till, rate);
+            for (sub_queue, config) in tenant
+                .sub_queues
+                .iter()
+                .zip(&self.config.tenants[at].sub_queues)
+            {
+                let account = &mut self.sub_queues[*sub_queue as usize].account;
+                account.lease(self.till, rate * config.share.budget / whole);
                 if first {
                     account.empty(self.till);
                 }
             }
             if first {
-                member.account.empty(self.till);
+                tenant.account.empty(self.till);
             }
-            let desks = member.desks.clone();
-            desks.into_iter().for_each(|desk| self.show_desk(desk));
+            let sub_queues = tenant.sub_queues.clone();
+            sub_queues
+                .into_iter()
+                .for_each(|sub_queue| self.show_desk(sub_queue));
         }
         self.owed = self
-            .members
+            .tenants
             .iter()
-            .map(|member| member.account.claim().budget)
+            .map(|tenant| tenant.account.share().budget)
             .sum();
     }
 
-    /// What each member wanted and spent of its budget since the start.
-    pub fn flows(&self) -> impl Iterator<Item = (f64, f64)> {
-        self.members
-            .iter()
-            .map(|member| (member.wanted, member.account.paid()))
+    /// What each tenant wanted and spent of its budget since the start.
+    pub fn usage(&self) -> impl Iterator<Item = TenantUsage> {
+        self.tenants.iter().map(|tenant| TenantUsage {
+            demanded: tenant.wanted,
+            spent: tenant.account.paid(),
+        })
     }
 
-    /// Whether a statement of this cost that comes now would wait for what other members lend.
-    pub fn would_be_lent(&mut self, now: Timestamp, desk: DeskId, cpu: f64) -> bool {
+    /// Whether a statement of this cost that comes now would wait for what other tenants lend.
+    pub fn would_borrow(&mut self, now: Timestamp, sub_queue: SubQueueId, cpu: f64) -> bool {
         self.at(now);
-        self.borrowed(desk.0.min(self.desks.len() as u32 - 1), cpu)
+        self.borrowed(sub_queue.0.min(self.sub_queues.len() as u32 - 1), cpu)
     }
 
-    pub fn enter(&mut self, now: Timestamp, entry: &Entry) -> Entering {
+    pub fn enqueue(&mut self, now: Timestamp, entry: &EnqueueRequest) -> EnqueueResult {
         self.at(now);
         let lane = entry.class.0;
-        let desk = entry.desk.0.min(self.desks.len() as u32 - 1);
+        let sub_queue = entry.sub_queue.0.min(self.sub_queues.len() as u32 - 1);
         let usual = &mut self.usual[entry.class.0];
         *usual = if *usual > 0.0 {
             *usual + (entry.need.cpu - *usual) * 0.05
         } else {
             entry.need.cpu
         };
-        let member = self.desks[desk as usize].member;
-        self.members[member as usize].wanted += entry.need.cpu;
-        let raw = self.raw(desk, lane, entry.position, entry.need);
+        let tenant = self.sub_queues[sub_queue as usize].tenant;
+        self.tenants[tenant as usize].wanted += entry.need.cpu;
+        let raw = self.raw(sub_queue, lane, entry.position, entry.need);
         let told = self.records[entry.class.0].tell(raw);
         // An answer that comes late has cost another its place. Only what was seen here denies, not what is likely; and of
         // one whose key's turn has to come first nothing is known.
         let useful = (entry.objective_until - now).secs();
         let wait = told.p90.secs() * DOUBT;
-        let seen = self.desks[desk as usize].paces[entry.class.0]
+        let seen = self.sub_queues[sub_queue as usize].paces[entry.class.0]
             .known(now, self.cores)
             .is_some();
         if seen && entry.key.is_none() && wait > useful.max(0.05) {
-            let back = TimeDelta::from_secs((told.p90.secs() - useful).max(told.wait.secs() * 0.5));
-            return Entering {
-                entered: Entered::TurnedAway { back },
-                displaced: Vec::new(),
+            let back =
+                TimeDelta::from_secs((told.p90.secs() - useful).max(told.median.secs() * 0.5));
+            return EnqueueResult {
+                outcome: EnqueueOutcome::Rejected { retry_after: back },
+                evicted: Vec::new(),
             };
         }
-        let Some(displaced) = self.make_room(desk, entry.position, entry.need) else {
-            return Entering {
-                entered: Entered::TurnedAway { back: told.wait },
-                displaced: Vec::new(),
+        let Some(evicted) = self.make_room(sub_queue, entry.position, entry.need) else {
+            return EnqueueResult {
+                outcome: EnqueueOutcome::Rejected {
+                    retry_after: told.median,
+                },
+                evicted: Vec::new(),
             };
         };
-        let displaced = displaced
+        let evicted = evicted
             .into_iter()
             .map(|(id, waiter)| (id, self.back(&waiter)))
             .collect();
         self.waiting.insert(
             entry.id,
             Waiter {
-                desk,
+                sub_queue,
                 lane,
                 position: entry.position,
                 need: entry.need,
@@ -504,30 +523,30 @@
             line.len() == 1
         });
         if first {
-            self.line_up(entry.id);
+            self.enqueue_ready(entry.id);
         }
-        Entering {
-            entered: Entered::Waits(told),
-            displaced,
+        EnqueueResult {
+            outcome: EnqueueOutcome::Queued(told),
+            evicted,
         }
     }
 
-    /// Room at the desk and in all, if need be in the place of those with the worse claim: at one desk those that
-    /// would leave later, among desks the last of the one with the most waiting for what it is owed.
+    /// Room at the sub_queue and in all, if need be in the place of those with the worse share: at one sub_queue those that
+    /// would leave later, among sub_queues the last of the one with the most waiting for what it is owed.
     fn make_room(
         &mut self,
-        desk: u32,
+        sub_queue: u32,
         position: QueuePosition,
-        need: Need,
+        need: ResourceNeed,
     ) -> Option<Vec<(StatementId, Waiter)>> {
         let mut out: Vec<(StatementId, Waiter)> = Vec::new();
-        let fits = |bound: crate::terms::Bound, count: u32, cpu: f64| {
+        let fits = |bound: crate::config::QueueLimit, count: u32, cpu: f64| {
             count == 0 || count < bound.statements && cpu + need.cpu <= bound.cpu
         };
         loop {
-            let of = &self.desks[desk as usize];
-            let here = fits(self.terms.each, of.count, of.cpu);
-            if here && fits(self.terms.all, self.count, self.cpu) {
+            let of = &self.sub_queues[sub_queue as usize];
+            let here = fits(self.config.sub_queue_limit, of.count, of.cpu);
+            if here && fits(self.config.total_limit, self.count, self.cpu) {
                 return Some(out);
             }
             let own = (of.cpu + need.cpu) / owed(of);
@@ -536,16 +555,16 @@
                 .last()
                 .copied()
                 .filter(|_| here)
-                .filter(|(_, other)| *other != desk);
+                .filter(|(_, other)| *other != sub_queue);
             let heaviest = heaviest
                 .filter(|(load, _)| f64::from_bits(*load) > own)
                 .map(|(_, other)| other);
-            let from = heaviest.unwrap_or(desk);
+            let from = heaviest.unwrap_or(sub_queue);
             let victim = self
                 .last_of(from)
                 .filter(|last| heaviest.is_some() || last.deadline > position.deadline);
             let Some(victim) = victim.filter(|_| out.len() < DISPLACED) else {
-                // Its claim is not better after all: who was to go stays.
+                // Its share is not better after all: who was to go stays.
                 out.into_iter()
                     .rev()
                     .for_each(|(id, waiter)| self.put_back(id, waiter));
@@ -556,8 +575,8 @@
         }
     }
 
-    fn last_of(&self, desk: u32) -> Option<QueuePosition> {
-        let roots = &self.desks[desk as usize].roots;
+    fn last_of(&self, sub_queue: u32) -> Option<QueuePosition> {
+        let roots = &self.sub_queues[sub_queue as usize].roots;
         roots
             .iter()
             .filter_map(|root| self.arena.last(*root))
@@ -577,12 +596,12 @@
         if let Some(key) = waiter.key {
             self.keys.entry(key).or_default().push_front(id);
         }
-        self.line_up(id);
+        self.enqueue_ready(id);
     }
 
     /// The next to ask the module about, and whether what it would take is lent; or nobody in this round any more.
-    pub fn next(&self) -> Option<Offer> {
-        let aged = |since: &Timestamp| *since + self.terms.ageing <= self.now;
+    pub fn next_offer(&self) -> Option<Offer> {
+        let aged = |since: &Timestamp| *since + self.config.ageing <= self.now;
         let passed = self
             .passed
             .iter()
@@ -590,7 +609,7 @@
             .take_while(|(since, _)| aged(since));
         if let Some(position) = passed
             .into_iter()
-            .find_map(|(_, desk)| self.first_at(*desk))
+            .find_map(|(_, sub_queue)| self.first_at(*sub_queue))
         {
             return Some(Offer {
                 position,
@@ -599,11 +618,11 @@
         }
         let mut best: Option<QueuePosition> = None;
         for lane in 0..self.root.len() {
-            for (position, member) in self.root[lane].under.iter().take(LOOK) {
+            for (position, tenant) in self.root[lane].under.iter().take(LOOK) {
                 if best.is_some_and(|best| best <= *position) {
                     break;
                 }
-                best = [best, self.first_of(*member, lane, 0)]
+                best = [best, self.first_of(*tenant, lane, 0)]
                     .into_iter()
                     .flatten()
                     .min();
@@ -622,7 +641,7 @@
         for lane in 0..self.root.len() {
             let over = self.root[lane].over.iter().take(LOOK);
             let found = over
-                .filter_map(|(paid, member)| Some((*paid, self.first_of(*member, lane, 1)?)))
+                .filter_map(|(paid, tenant)| Some((*paid, self.first_of(*tenant, lane, 1)?)))
                 .next();
             best = [best, found].into_iter().flatten().min();
         }
@@ -632,61 +651,64 @@
         })
     }
 
-    /// Whether a statement of this cost takes what is lent by other members.
-    fn borrowed(&mut self, desk: u32, cpu: f64) -> bool {
-        let of = &mut self.desks[desk as usize];
-        let holder = &mut self.members[of.member as usize].account;
+    /// Whether a statement of this cost takes what is lent by other tenants.
+    fn borrowed(&mut self, sub_queue: u32, cpu: f64) -> bool {
+        let of = &mut self.sub_queues[sub_queue as usize];
+        let holder = &mut self.tenants[of.tenant as usize].account;
         let owed = of.account.owes(self.till, cpu) || holder.owes(self.till, cpu);
-        self.members.len() > 1 && !owed
+        self.tenants.len() > 1 && !owed
     }
 
-    /// The first of a desk that may have room, over all query classes.
-    fn first_at(&self, desk: u32) -> Option<QueuePosition> {
-        let roots = self.desks[desk as usize].roots.iter().enumerate();
+    /// The first of a sub_queue that may have room, over all query classes.
+    fn first_at(&self, sub_queue: u32) -> Option<QueuePosition> {
+        let roots = self.sub_queues[sub_queue as usize].roots.iter().enumerate();
         roots
-            .filter_map(|(lane, root)| self.arena.first_with_room(*root, &self.frontiers[lane][0]))
+            .filter_map(|(lane, root)| {
+                self.arena
+                    .first_with_capacity(*root, &self.frontiers[lane][0])
+            })
             .map(|f| f.0)
             .min()
     }
 
-    /// The first of a member in a lane that may have room: of its desks under budget, else of those over it.
-    fn first_of(&self, member: u32, lane: Lane, borrowed: usize) -> Option<QueuePosition> {
+    /// The first of a tenant in a lane that may have room: of its sub_queues under budget, else of those over it.
+    fn first_of(&self, tenant: u32, lane: Lane, borrowed: usize) -> Option<QueuePosition> {
         let (ranks, frontier) = (
-            &self.members[member as usize].ranks[lane],
+            &self.tenants[tenant as usize].ranks[lane],
             &self.frontiers[lane][borrowed],
         );
         if frontier.closed() {
             return None;
         }
-        let first = |desk: u32| {
+        let first = |sub_queue: u32| {
             self.arena
-                .first_with_room(self.desks[desk as usize].roots[lane], frontier)
+                .first_with_capacity(self.sub_queues[sub_queue as usize].roots[lane], frontier)
                 .map(|found| found.0)
         };
         let mut best: Option<QueuePosition> = None;
-        for (position, desk) in ranks.under.iter().take(LOOK) {
+        for (position, sub_queue) in ranks.under.iter().take(LOOK) {
             if best.is_some_and(|best| best <= *position) {
                 break;
             }
-            best = [best, first(*desk)].into_iter().flatten().min();
+            best = [best, first(*sub_queue)].into_iter().flatten().min();
         }
         best.or_else(|| {
             ranks
                 .over
                 .iter()
                 .take(LOOK)
-                .find_map(|(_, desk)| first(*desk))
+                .find_map(|(_, sub_queue)| first(*sub_queue))
         })
     }
 
     /// The module has no room for it now. `useful_until`: its word anew.
-    pub fn refused(&mut self, id: StatementId, borrowed: bool, useful_until: Timestamp) {
+    pub fn no_capacity(&mut self, id: StatementId, borrowed: bool, useful_until: Timestamp) {
         let Some(waiter) = self.waiting.get_mut(&id) else {
             return;
         };
         let old = std::mem::replace(&mut waiter.useful_until, useful_until);
         let Waiter {
-            desk,
+            sub_queue,
             lane,
             need,
             key,
@@ -702,13 +724,14 @@
         if key.is_none() {
             // Where there is no room for what is owed, there is none for what is lent.
             let [owed, loan] = &mut self.frontiers[lane];
-            loan.refused(need);
+            loan.record(need);
             if !borrowed {
-                owed.refused(need);
+                owed.record(need);
             }
             // A heavy head would be passed by light ones for ever: now room is saved up for it.
-            let since = self.desks[desk as usize].passed_since;
-            if since.is_some_and(|since| since + self.terms.ageing + self.terms.ageing <= self.now)
+            let since = self.sub_queues[sub_queue as usize].passed_since;
+            if since
+                .is_some_and(|since| since + self.config.ageing + self.config.ageing <= self.now)
             {
                 loan.close();
                 owed.close();
@@ -720,7 +743,12 @@
     }
 
     /// It goes to an engine: its wait is over, and its team pays.
-    pub fn released(&mut self, now: Timestamp, id: StatementId, charge: f64) -> Option<Wait> {
+    pub fn release(
+        &mut self,
+        now: Timestamp,
+        id: StatementId,
+        charge: f64,
+    ) -> Option<FinishedWait> {
         self.at(now);
         let waiter = self.take_out(id)?;
         let class = waiter.lane;
@@ -729,34 +757,35 @@
             self.records[class].was(waiter.raw, real);
         }
         if real > TimeDelta::ZERO {
-            let Desk { paces, pace, .. } = &mut self.desks[waiter.desk as usize];
+            let SubQueue { paces, pace, .. } = &mut self.sub_queues[waiter.sub_queue as usize];
             for pace in [&mut paces[class], pace, &mut self.whole] {
                 pace.released(now, self.cores, waiter.need.cpu);
             }
         }
-        let waits = |(_, desk): &&(Timestamp, u32)| {
-            *desk != waiter.desk && !self.desks[*desk as usize].roots[class].is_empty()
+        let waits = |(_, sub_queue): &&(Timestamp, u32)| {
+            *sub_queue != waiter.sub_queue
+                && !self.sub_queues[*sub_queue as usize].roots[class].is_empty()
         };
         if let Some((since, _)) = self.passed.iter().take(LOOK).find(waits) {
-            self.longest_passed = self.longest_passed.max(now - *since);
+            self.longest_passed_over = self.longest_passed_over.max(now - *since);
         }
-        if let Some(passed) = self.desks[waiter.desk as usize].passed_since {
-            self.passed.remove(&(passed, waiter.desk));
-            self.passed.insert((now, waiter.desk));
-            self.desks[waiter.desk as usize].passed_since = Some(now);
+        if let Some(passed) = self.sub_queues[waiter.sub_queue as usize].passed_since {
+            self.passed.remove(&(passed, waiter.sub_queue));
+            self.passed.insert((now, waiter.sub_queue));
+            self.sub_queues[waiter.sub_queue as usize].passed_since = Some(now);
         }
-        self.pay(id, waiter.desk, charge);
+        self.pay(id, waiter.sub_queue, charge);
         Some(waiter.wait(now, id))
     }
 
-    fn pay(&mut self, id: StatementId, desk: u32, cpu: f64) {
+    fn pay(&mut self, id: StatementId, sub_queue: u32, cpu: f64) {
         let now = self.till;
-        let of = &mut self.desks[desk as usize];
-        let member = of.member;
-        let holder = &mut self.members[member as usize];
+        let of = &mut self.sub_queues[sub_queue as usize];
+        let tenant = of.tenant;
+        let holder = &mut self.tenants[tenant as usize];
         let borrowed = (holder.account.borrowed(), of.account.borrowed());
         let desk_owes = of.account.owes(now, cpu);
-        // What is owed to a desk is owed to its member, whatever that used for its others.
+        // What is owed to a sub_queue is owed to its tenant, whatever that used for its others.
         let holder_owes = desk_owes || holder.account.owes(now, cpu);
         let by = (
             holder.account.pay(now, cpu, holder_owes),
@@ -771,60 +800,60 @@
         self.charges.insert(
             id,
             Charge {
-                desk,
-                member,
+                sub_queue,
+                tenant,
                 by,
                 cpu,
             },
         );
-        self.show_desk(desk);
+        self.show_desk(sub_queue);
     }
 
     /// One more attempt of a statement that was released before: its team pays for that too.
-    pub fn repeated(&mut self, now: Timestamp, id: StatementId, cpu: f64) {
+    pub fn charge_retry(&mut self, now: Timestamp, id: StatementId, cpu: f64) {
         self.at(now);
         if let Some(charge) = self.charges.remove(&id) {
-            self.pay(id, charge.desk, cpu);
+            self.pay(id, charge.sub_queue, cpu);
         }
     }
 
     /// What an attempt came to: `Some` CPU seconds where told, zero where it is known not to have run.
-    pub fn came_to(&mut self, now: Timestamp, id: StatementId, cpu: Option<f64>) {
+    pub fn settle(&mut self, now: Timestamp, id: StatementId, cpu: Option<f64>) {
         self.at(now);
         let (Some(charge), Some(cpu)) = (self.charges.get_mut(&id), cpu) else {
             return;
         };
         let more = cpu - std::mem::replace(&mut charge.cpu, cpu);
         let charge = *charge;
-        self.members[charge.member as usize]
+        self.tenants[charge.tenant as usize]
             .account
             .correct(self.till, charge.by.0, more);
-        self.desks[charge.desk as usize]
+        self.sub_queues[charge.sub_queue as usize]
             .account
             .correct(self.till, charge.by.1, more);
-        self.show_desk(charge.desk);
+        self.show_desk(charge.sub_queue);
     }
 
     /// Nothing more comes of it.
-    pub fn over(&mut self, id: StatementId) {
+    pub fn close_charge(&mut self, id: StatementId) {
         self.charges.remove(&id);
     }
 
     /// Rejected, or its client left: out of line. `None`: it did not wait.
-    pub fn left(&mut self, now: Timestamp, id: StatementId) -> Option<Wait> {
+    pub fn remove(&mut self, now: Timestamp, id: StatementId) -> Option<FinishedWait> {
         self.at(now);
         self.take_out(id).map(|waiter| waiter.wait(now, id))
     }
 
     /// Those whose use has ended: the module is to be asked about them once more.
-    pub fn past(&self, now: Timestamp) -> Vec<QueuePosition> {
+    pub fn past_use(&self, now: Timestamp) -> Vec<QueuePosition> {
         let past = self.useful.iter().take_while(|(at, _)| *at <= now);
         past.filter_map(|(_, id)| Some(self.waiting.get(id)?.position))
             .collect()
     }
 
     /// The gateway ends: nothing waits up to then without being asked about once more.
-    pub fn drain_deadline(&mut self, by: Timestamp) {
+    pub fn drain_by(&mut self, by: Timestamp) {
         let by = by + TimeDelta::from_secs(-0.05);
         self.useful.clear();
         for (id, waiter) in &mut self.waiting {
@@ -837,20 +866,20 @@
         self.waiting.get(&id).map(|waiter| now - waiter.entered)
     }
 
-    fn line_up(&mut self, id: StatementId) {
+    fn enqueue_ready(&mut self, id: StatementId) {
         let Some(waiter) = self.waiting.get_mut(&id) else {
             return;
         };
         waiter.in_line = true;
         let Waiter {
-            desk,
+            sub_queue,
             lane,
             position,
             need,
             ..
         } = *waiter;
         let (now, cores) = (self.now, self.cores);
-        let of = &mut self.desks[desk as usize];
+        let of = &mut self.sub_queues[sub_queue as usize];
         let first = of.count == 0;
         if of.roots[lane].is_empty() {
             of.paces[lane].waits(now, cores, true);
@@ -861,22 +890,22 @@
         if first {
             of.pace.waits(now, cores, true);
             of.passed_since = Some(now);
-            self.passed.insert((now, desk));
-            let member = &mut self.members[of.member as usize];
-            of.account.join(member.lent_now);
-            if member.waiting == 0 {
-                member.account.join(self.lent_now);
+            self.passed.insert((now, sub_queue));
+            let tenant = &mut self.tenants[of.tenant as usize];
+            of.account.join(tenant.lent_now);
+            if tenant.waiting == 0 {
+                tenant.account.join(self.lent_now);
             }
-            member.waiting += 1;
+            tenant.waiting += 1;
         } else {
-            self.heavy.remove(&(old, desk));
+            self.heavy.remove(&(old, sub_queue));
         }
-        self.heavy.insert((bits(of.cpu / owed(of)), desk));
+        self.heavy.insert((bits(of.cpu / owed(of)), sub_queue));
         if self.count == 0 {
             self.whole.waits(now, cores, true);
         }
         (self.count, self.cpu) = (self.count + 1, self.cpu + need.cpu);
-        self.show_desk(desk);
+        self.show_desk(sub_queue);
     }
 
     fn out_of_line(&mut self, id: StatementId) {
@@ -885,16 +914,16 @@
         };
         waiter.in_line = false;
         let Waiter {
-            desk,
+            sub_queue,
             lane,
             position,
             need,
             ..
         } = *waiter;
         let (now, cores) = (self.now, self.cores);
-        let of = &mut self.desks[desk as usize];
+        let of = &mut self.sub_queues[sub_queue as usize];
         self.arena.remove(&mut of.roots[lane], position);
-        self.heavy.remove(&(bits(of.cpu / owed(of)), desk));
+        self.heavy.remove(&(bits(of.cpu / owed(of)), sub_queue));
         (of.count, of.cpu) = (of.count - 1, (of.cpu - need.cpu).max(0.0));
         if of.roots[lane].is_empty() {
             of.paces[lane].waits(now, cores, false);
@@ -904,18 +933,18 @@
             of.cpu = 0.0;
             of.pace.waits(now, cores, false);
             if let Some(since) = of.passed_since.take() {
-                self.passed.remove(&(since, desk));
+                self.passed.remove(&(since, sub_queue));
             }
-            self.members[of.member as usize].waiting -= 1;
+            self.tenants[of.tenant as usize].waiting -= 1;
         } else {
-            self.heavy.insert((bits(of.cpu / owed(of)), desk));
+            self.heavy.insert((bits(of.cpu / owed(of)), sub_queue));
         }
         (self.count, self.cpu) = (self.count - 1, (self.cpu - need.cpu).max(0.0));
         if self.count == 0 {
             self.cpu = 0.0;
             self.whole.waits(now, cores, false);
         }
-        self.show_desk(desk);
+        self.show_desk(sub_queue);
     }
 
     fn take_out(&mut self, id: StatementId) -> Option<Waiter> {
@@ -930,7 +959,7 @@
                 None => drop(self.keys.remove(&key)),
                 Some(first) if self.waiting.get(&first).is_some_and(|next| !next.in_line) => {
                     if !self.parked.contains(&first) {
-                        self.line_up(first);
+                        self.enqueue_ready(first);
                     }
                 }
                 Some(_) => {}
@@ -939,57 +968,61 @@
         Some(waiter)
     }
 
-    /// Puts a desk where it now belongs among its member's, lane by lane, and the member among all.
+    /// Puts a sub_queue where it now belongs among its tenant's, lane by lane, and the tenant among all.
     fn show_desk(&mut self, at: u32) {
         let now = self.till;
-        let desk = &mut self.desks[at as usize];
-        let borrowed = bits(desk.account.borrowed());
-        let member = &mut self.members[desk.member as usize];
-        let alone = member.desks.len() == 1;
+        let sub_queue = &mut self.sub_queues[at as usize];
+        let borrowed = bits(sub_queue.account.borrowed());
+        let tenant = &mut self.tenants[sub_queue.tenant as usize];
+        let alone = tenant.sub_queues.len() == 1;
         let mut refill: Option<Timestamp> = None;
-        for lane in 0..desk.roots.len() {
-            let shown = self.arena.first(desk.roots[lane]).map(|(position, need)| {
-                // Alone it has nobody to stand behind.
-                if alone || desk.account.owes(now, need.cpu) {
-                    return Shown::Under(position);
-                }
-                refill = [refill, desk.account.owes_at(now, need.cpu)]
-                    .into_iter()
-                    .flatten()
-                    .min();
-                Shown::Over(borrowed)
-            });
-            member.ranks[lane].change(at, &mut desk.shown[lane], shown);
+        for lane in 0..sub_queue.roots.len() {
+            let shown = self
+                .arena
+                .first(sub_queue.roots[lane])
+                .map(|(position, need)| {
+                    // Alone it has nobody to stand behind.
+                    if alone || sub_queue.account.owes(now, need.cpu) {
+                        return Shown::Under(position);
+                    }
+                    refill = [refill, sub_queue.account.owes_at(now, need.cpu)]
+                        .into_iter()
+                        .flatten()
+                        .min();
+                    Shown::Over(borrowed)
+                });
+            tenant.ranks[lane].change(at, &mut sub_queue.shown[lane], shown);
         }
-        let of = desk.member;
-        self.refill(Team::Desk(at), refill);
+        let of = sub_queue.tenant;
+        self.refill(Team::SubQueue(at), refill);
         self.show_member(of);
     }
 
     fn show_member(&mut self, at: u32) {
-        let (now, alone) = (self.till, self.members.len() == 1);
-        let member = &mut self.members[at as usize];
-        let borrowed = bits(member.account.borrowed());
+        let (now, alone) = (self.till, self.tenants.len() == 1);
+        let tenant = &mut self.tenants[at as usize];
+        let borrowed = bits(tenant.account.borrowed());
         let mut refill: Option<Timestamp> = None;
-        for lane in 0..member.ranks.len() {
-            let ranks = &member.ranks[lane];
-            let first = ranks
-                .first()
-                .and_then(|desk| self.arena.first(self.desks[desk as usize].roots[lane]));
-            let desk_owed = member.desks.len() > 1 && !ranks.under.is_empty();
+        for lane in 0..tenant.ranks.len() {
+            let ranks = &tenant.ranks[lane];
+            let first = ranks.first().and_then(|sub_queue| {
+                self.arena
+                    .first(self.sub_queues[sub_queue as usize].roots[lane])
+            });
+            let desk_owed = tenant.sub_queues.len() > 1 && !ranks.under.is_empty();
             let shown = first.map(|(position, need)| {
-                if alone || desk_owed || member.account.owes(now, need.cpu) {
+                if alone || desk_owed || tenant.account.owes(now, need.cpu) {
                     return Shown::Under(position);
                 }
-                refill = [refill, member.account.owes_at(now, need.cpu)]
+                refill = [refill, tenant.account.owes_at(now, need.cpu)]
                     .into_iter()
                     .flatten()
                     .min();
                 Shown::Over(borrowed)
             });
-            self.root[lane].change(at, &mut member.shown[lane], shown);
+            self.root[lane].change(at, &mut tenant.shown[lane], shown);
         }
-        self.refill(Team::Member(at), refill);
+        self.refill(Team::TenantQueue(at), refill);
     }
 
     fn refill(&mut self, team: Team, at: Option<Timestamp>) {
@@ -1010,71 +1043,80 @@
     }
 
     /// Seconds until a statement at this place would leave, by the work ahead of it and how fast such work leaves.
-    fn raw(&mut self, desk: u32, lane: Lane, position: QueuePosition, need: Need) -> f64 {
+    fn raw(
+        &mut self,
+        sub_queue: u32,
+        lane: Lane,
+        position: QueuePosition,
+        need: ResourceNeed,
+    ) -> f64 {
         let (now, cores, class) = (self.now, self.cores, lane);
-        let of = &self.desks[desk as usize];
+        let of = &self.sub_queues[sub_queue as usize];
         let ahead = self.arena.ahead(of.roots[lane], position).1;
         let nothing = of.roots[lane].is_empty();
-        let borrowed = usize::from(self.borrowed(desk, need.cpu));
-        if nothing && self.frontiers[lane][borrowed].may_have_room(need) {
+        let borrowed = usize::from(self.borrowed(sub_queue, need.cpu));
+        if nothing && self.frontiers[lane][borrowed].may_have_capacity(need) {
             return 0.0;
         }
-        let of = &mut self.desks[desk as usize];
-        // At a desk where nothing waited of late, its part of what all get is the best word there is.
-        let part = of.account.claim().budget / self.owed.max(1e-9);
+        let of = &mut self.sub_queues[sub_queue as usize];
+        // At a sub_queue where nothing waited of late, its part of what all get is the best word there is.
+        let part = of.account.share().budget / self.owed.max(1e-9);
         let all = self.whole.rate(now, cores, cores * LIKELY);
-        let desk = of.pace.rate(now, cores, all * part.clamp(0.01, 1.0));
-        let rate = of.paces[class].rate(now, cores, desk);
+        let sub_queue = of.pace.rate(now, cores, all * part.clamp(0.01, 1.0));
+        let rate = of.paces[class].rate(now, cores, sub_queue);
         ((ahead + 0.5 * need.cpu) / rate.max(1e-3)).min(3600.0)
     }
 
     fn back(&mut self, waiter: &Waiter) -> TimeDelta {
-        let raw = self.raw(waiter.desk, waiter.lane, waiter.position, waiter.need);
-        self.records[waiter.lane].tell(raw).wait
+        let raw = self.raw(waiter.sub_queue, waiter.lane, waiter.position, waiter.need);
+        self.records[waiter.lane].tell(raw).median
     }
 
     /// The wait still before a statement.
-    pub fn estimate(&mut self, now: Timestamp, id: StatementId) -> Option<Estimate> {
+    pub fn remaining_wait(&mut self, now: Timestamp, id: StatementId) -> Option<WaitEstimate> {
         self.at(now);
         let waiter = *self.waiting.get(&id)?;
-        let raw = self.raw(waiter.desk, waiter.lane, waiter.position, waiter.need);
+        let raw = self.raw(waiter.sub_queue, waiter.lane, waiter.position, waiter.need);
         Some(self.records[waiter.lane].tell(raw))
     }
 
-    pub fn statement(&mut self, now: Timestamp, id: StatementId) -> Option<StatementStatus> {
-        let left = self.estimate(now, id)?;
+    pub fn statement_status(&mut self, now: Timestamp, id: StatementId) -> Option<StatementStatus> {
+        let left = self.remaining_wait(now, id)?;
         let waiter = self.waiting.get(&id)?;
-        let desk = &self.desks[waiter.desk as usize];
+        let sub_queue = &self.sub_queues[waiter.sub_queue as usize];
         Some(StatementStatus {
-            member: self.members[desk.member as usize].name.clone(),
-            desk: desk.name.clone(),
-            ahead: self.arena.ahead(desk.roots[waiter.lane], waiter.position).0,
+            tenant: self.tenants[sub_queue.tenant as usize].name.clone(),
+            sub_queue: sub_queue.name.clone(),
+            ahead: self
+                .arena
+                .ahead(sub_queue.roots[waiter.lane], waiter.position)
+                .0,
             waited: now - waiter.entered,
-            left,
+            remaining: left,
         })
     }
 
-    /// Every desk where something waits, then as many of the others as `most` allows.
-    pub fn status(&mut self, now: Timestamp, most: usize) -> Vec<DeskStatus> {
+    /// Every sub_queue where something waits, then as many of the others as `most` allows.
+    pub fn sub_queue_status(&mut self, now: Timestamp, most: usize) -> Vec<SubQueueStatus> {
         self.at(now);
         let busy: Vec<u32> = self
             .heavy
             .iter()
             .rev()
-            .map(|(_, desk)| *desk)
+            .map(|(_, sub_queue)| *sub_queue)
             .take(most)
             .collect();
-        let idle =
-            (0..self.desks.len() as u32).filter(|desk| self.desks[*desk as usize].count == 0);
+        let idle = (0..self.sub_queues.len() as u32)
+            .filter(|sub_queue| self.sub_queues[*sub_queue as usize].count == 0);
         let mut shown: Vec<u32> = idle.take(most - busy.len()).chain(busy).collect();
         shown.sort_unstable();
         shown
             .into_iter()
-            .map(|desk| self.desk_status(now, desk))
+            .map(|sub_queue| self.one_sub_queue_status(now, sub_queue))
             .collect()
     }
 
-    fn desk_status(&mut self, now: Timestamp, at: u32) -> DeskStatus {
+    fn one_sub_queue_status(&mut self, now: Timestamp, at: u32) -> SubQueueStatus {
         let last = QueuePosition {
             deadline: now + TimeDelta::from_secs(3e9),
             id: StatementId(u64::MAX),
@@ -1082,7 +1124,7 @@
         };
         let mut next = Vec::new();
         for class in 0..self.classes {
-            let need = Need {
+            let need = ResourceNeed {
                 cpu: self.usual[class],
                 memory_mb: 0.0,
             };
@@ -1090,35 +1132,35 @@
             next.push(self.records[class].tell(raw));
         }
         let cores = self.cores;
-        let desk = &mut self.desks[at as usize];
-        let oldest = desk
+        let sub_queue = &mut self.sub_queues[at as usize];
+        let oldest = sub_queue
             .roots
             .iter()
             .filter_map(|root| self.arena.first(*root))
             .map(|first| first.0.id)
             .min();
         let oldest = oldest.and_then(|id| self.waiting.get(&id));
-        DeskStatus {
-            member: self.members[desk.member as usize].name.clone(),
-            desk: desk.name.clone(),
-            waiting: desk.count,
-            cpu: desk.cpu,
-            budget: desk.account.claim().budget,
-            rate: desk.pace.known(now, cores),
-            saved: desk.account.saved(self.till),
-            longest: oldest.map_or(TimeDelta::ZERO, |waiter| now - waiter.entered),
-            next,
+        SubQueueStatus {
+            tenant: self.tenants[sub_queue.tenant as usize].name.clone(),
+            sub_queue: sub_queue.name.clone(),
+            waiting: sub_queue.count,
+            waiting_cpu: sub_queue.cpu,
+            budget: sub_queue.account.share().budget,
+            rate: sub_queue.pace.known(now, cores),
+            saved: sub_queue.account.saved(self.till),
+            longest_wait: oldest.map_or(TimeDelta::ZERO, |waiter| now - waiter.entered),
+            next_waits: next,
         }
     }
 
-    /// The longest that the first of any desk has been passed over by a statement of the same query class, so far.
-    pub fn longest_passed(&self) -> TimeDelta {
-        self.longest_passed
+    /// The longest that the first of any sub_queue has been passed over by a statement of the same query class, so far.
+    pub fn longest_passed_over(&self) -> TimeDelta {
+        self.longest_passed_over
     }
 
-    /// Other terms, with all that waits: at the desk of the same names, else at its member's default one, else at the
-    /// first member's. Accounts of teams that stay keep what they have used.
-    pub fn change(&mut self, now: Timestamp, terms: Terms) {
+    /// Other config, with all that waits: at the sub_queue of the same names, else at its tenant's default one, else at the
+    /// first tenant's. Accounts of teams that stay keep what they have used.
+    pub fn reconfigure(&mut self, now: Timestamp, config: Config) {
         self.at(now);
         let mut waiting: Vec<(StatementId, Waiter)> = Vec::with_capacity(self.waiting.len());
         let ids: Vec<StatementId> = self.waiting.keys().copied().collect();
@@ -1126,86 +1168,87 @@
         for id in ids {
             waiting.extend(self.take_out(id).map(|waiter| (id, waiter)));
         }
-        let old_desks = std::mem::take(&mut self.desks);
-        let old_members = std::mem::take(&mut self.members);
+        let old_desks = std::mem::take(&mut self.sub_queues);
+        let old_members = std::mem::take(&mut self.tenants);
         (self.refills, self.refill_at) = (BTreeSet::new(), BTreeMap::new());
         (self.passed, self.heavy) = (BTreeSet::new(), BTreeSet::new());
         self.root = vec![Ranks::default(); self.classes];
-        self.terms = terms;
+        self.config = config;
         self.lay_out();
-        let (till, burst, leased) = (self.till, self.terms.burst, self.leased);
+        let (till, burst, leased) = (self.till, self.config.burst, self.leased);
         if leased {
-            // What the terms say is all gateways' together.
-            self.members
+            // What the config say is all gateways' together.
+            self.tenants
                 .iter_mut()
-                .for_each(|member| member.account.lease(till, 0.0));
-            self.desks
+                .for_each(|tenant| tenant.account.lease(till, 0.0));
+            self.sub_queues
                 .iter_mut()
-                .for_each(|desk| desk.account.lease(till, 0.0));
+                .for_each(|sub_queue| sub_queue.account.lease(till, 0.0));
         }
-        let keep = |account: &mut Account, claim: crate::terms::Claim| {
+        let keep = |account: &mut CreditAccount, share: crate::config::CapacityShare| {
             if leased {
-                account.hold(till, claim.weight, burst)
+                account.hold(till, share.weight, burst)
             } else {
-                account.change(till, claim, burst)
+                account.change(till, share, burst)
             }
         };
         let by_name: BTreeMap<&str, u32> = self
-            .members
+            .tenants
             .iter()
             .enumerate()
-            .map(|(at, member)| (member.name.as_str(), at as u32))
+            .map(|(at, tenant)| (tenant.name.as_str(), at as u32))
             .collect();
         let member_now: Vec<Option<u32>> = old_members
             .iter()
             .map(|old| by_name.get(old.name.as_str()).copied())
             .collect();
-        let same = |name: &str, desk: &u32| self.desks[*desk as usize].name == name;
+        let same = |name: &str, sub_queue: &u32| self.sub_queues[*sub_queue as usize].name == name;
         let desk_now: Vec<(u32, bool)> = old_desks
             .iter()
             .map(|old| {
-                let member = &self.members[member_now[old.member as usize].unwrap_or(0) as usize];
-                let kept = member
-                    .desks
+                let tenant = &self.tenants[member_now[old.tenant as usize].unwrap_or(0) as usize];
+                let kept = tenant
+                    .sub_queues
                     .iter()
                     .copied()
-                    .find(|desk| same(&old.name, desk));
-                let kept = kept.filter(|_| member_now[old.member as usize].is_some());
-                (kept.unwrap_or(member.desks[0]), kept.is_some())
+                    .find(|sub_queue| same(&old.name, sub_queue));
+                let kept = kept.filter(|_| member_now[old.tenant as usize].is_some());
+                (kept.unwrap_or(tenant.sub_queues[0]), kept.is_some())
             })
             .collect();
         for (old, now_at) in old_members.iter().zip(&member_now) {
-            let Some(member) = now_at.map(|at| &mut self.members[at as usize]) else {
+            let Some(tenant) = now_at.map(|at| &mut self.tenants[at as usize]) else {
                 continue;
             };
-            let claim = member.account.claim();
-            member.account = old.account.clone();
-            member.wanted = old.wanted;
-            keep(&mut member.account, claim);
-            member.lent_now = old.lent_now;
+            let share = tenant.account.share();
+            tenant.account = old.account.clone();
+            tenant.wanted = old.wanted;
+            keep(&mut tenant.account, share);
+            tenant.lent_now = old.lent_now;
         }
         for (old, (at, _)) in old_desks
             .into_iter()
             .zip(&desk_now)
             .filter(|(_, (_, kept))| *kept)
         {
-            let desk = &mut self.desks[*at as usize];
-            let claim = desk.account.claim();
-            (desk.account, desk.paces, desk.pace) = (old.account, old.paces, old.pace);
-            keep(&mut desk.account, claim);
+            let sub_queue = &mut self.sub_queues[*at as usize];
+            let share = sub_queue.account.share();
+            (sub_queue.account, sub_queue.paces, sub_queue.pace) =
+                (old.account, old.paces, old.pace);
+            keep(&mut sub_queue.account, share);
         }
         for charge in self.charges.values_mut() {
-            charge.desk = desk_now[charge.desk as usize].0;
-            charge.member = self.desks[charge.desk as usize].member;
+            charge.sub_queue = desk_now[charge.sub_queue as usize].0;
+            charge.tenant = self.sub_queues[charge.sub_queue as usize].tenant;
         }
         self.keys = keys;
         for (id, waiter) in waiting {
-            let desk = desk_now[waiter.desk as usize].0;
+            let sub_queue = desk_now[waiter.sub_queue as usize].0;
             self.useful.insert((waiter.useful_until, id));
             self.waiting.insert(
                 id,
                 Waiter {
-                    desk,
+                    sub_queue,
                     in_line: false,
                     ..waiter
                 },
@@ -1214,23 +1257,23 @@
                 .key
                 .is_none_or(|key| self.keys[&key].front() == Some(&id));
             if first {
-                self.line_up(id);
+                self.enqueue_ready(id);
             }
         }
     }
 
-    pub fn terms(&self) -> &Terms {
-        &self.terms
+    pub fn config(&self) -> &Config {
+        &self.config
     }
 
-    pub fn member_of(&self, desk: DeskId) -> Option<MemberId> {
-        self.desks
-            .get(desk.0 as usize)
-            .map(|desk| MemberId(desk.member))
+    pub fn member_of(&self, sub_queue: SubQueueId) -> Option<TenantQueueId> {
+        self.sub_queues
+            .get(sub_queue.0 as usize)
+            .map(|sub_queue| TenantQueueId(sub_queue.tenant))
     }
 }
 
-/// What a desk's waiting work is weighed by: nothing owed is not nothing, or one such desk would always weigh most.
-fn owed(desk: &Desk) -> f64 {
-    desk.account.claim().budget.max(0.01)
+/// What a sub_queue's waiting work is weighed by: nothing owed is not nothing, or one such sub_queue would always weigh most.
+fn owed(sub_queue: &SubQueue) -> f64 {
+    sub_queue.account.share().budget.max(0.01)
 }
--- a/crates/scheduler/src/order.rs
+++ b/crates/scheduler/src/treap.rs
@@ -8,7 +8,7 @@
 
 /// What of a statement bears on whether there is room for it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Need {
+pub struct ResourceNeed {
     /// Predicted CPU seconds.
     pub cpu: f64,
     pub memory_mb: f64,
@@ -17,16 +17,16 @@
 /// What had no room a moment ago. For one lane room only shrinks with the need, so all that need as much or more of
 /// both have none either, until something changes.
 #[derive(Clone, Debug, Default)]
-pub struct Frontier {
-    least: Vec<Need>,
+pub struct CapacityFrontier {
+    least: Vec<ResourceNeed>,
     asked: usize,
 }
 
-impl Frontier {
+impl CapacityFrontier {
     /// How many are asked in vain before a lane is left alone until the next round.
     const MOST: usize = 64;
 
-    pub fn refused(&mut self, need: Need) {
+    pub fn record(&mut self, need: ResourceNeed) {
         self.asked += 1;
         self.least
             .retain(|known| known.cpu < need.cpu || known.memory_mb < need.memory_mb);
@@ -46,7 +46,7 @@
         self.asked == 0
     }
 
-    pub fn may_have_room(&self, need: Need) -> bool {
+    pub fn may_have_capacity(&self, need: ResourceNeed) -> bool {
         self.least
             .iter()
             .all(|known| need.cpu < known.cpu || need.memory_mb < known.memory_mb)
@@ -55,9 +55,9 @@
 
 /// One treap of the arena.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Root(Option<u32>);
+pub struct TreapRoot(Option<u32>);
 
-impl Root {
+impl TreapRoot {
     pub fn is_empty(self) -> bool {
         self.0.is_none()
     }
@@ -66,27 +66,27 @@
 #[derive(Clone, Debug)]
 struct Node {
     position: QueuePosition,
-    need: Need,
+    need: ResourceNeed,
     weight: u64,
     left: Option<u32>,
     right: Option<u32>,
     /// Of the whole subtree.
-    least: Need,
+    least: ResourceNeed,
     cpu: f64,
     count: u32,
 }
 
 /// Freed nodes are used again, so it holds as many as waited at once at most.
-pub struct Arena {
+pub struct TreapArena {
     nodes: Vec<Node>,
     free: Vec<u32>,
     rng: Pcg64Mcg,
 }
 
-impl Arena {
+impl TreapArena {
     /// `seed`: of the shape of the trees only; no order depends on it.
     pub fn new(seed: u64) -> Self {
-        Arena {
+        TreapArena {
             nodes: Vec::new(),
             free: Vec::new(),
             rng: Pcg64Mcg::seed_from_u64(seed),
@@ -147,7 +147,7 @@
     }
 
     /// The place must not be in it yet.
-    pub fn insert(&mut self, root: &mut Root, position: QueuePosition, need: Need) {
+    pub fn insert(&mut self, root: &mut TreapRoot, position: QueuePosition, need: ResourceNeed) {
         let weight = self.rng.random::<u64>();
         let node = Node {
             position,
@@ -175,7 +175,7 @@
     }
 
     /// False: it was not there.
-    pub fn remove(&mut self, root: &mut Root, position: QueuePosition) -> bool {
+    pub fn remove(&mut self, root: &mut TreapRoot, position: QueuePosition) -> bool {
         let (low, rest) = self.split(root.0, position);
         let (found, high) = self.split_first(rest, position);
         root.0 = self.merge(low, high);
@@ -202,7 +202,7 @@
         (Some(at), self.node(at).right)
     }
 
-    pub fn first(&self, root: Root) -> Option<(QueuePosition, Need)> {
+    pub fn first(&self, root: TreapRoot) -> Option<(QueuePosition, ResourceNeed)> {
         let mut at = root.0?;
         while let Some(left) = self.node(at).left {
             at = left;
@@ -210,7 +210,7 @@
         Some((self.node(at).position, self.node(at).need))
     }
 
-    pub fn last(&self, root: Root) -> Option<(QueuePosition, Need)> {
+    pub fn last(&self, root: TreapRoot) -> Option<(QueuePosition, ResourceNeed)> {
         let mut at = root.0?;
         while let Some(right) = self.node(at).right {
             at = right;
@@ -219,33 +219,37 @@
     }
 
     /// The first that `frontier` does not rule out. Subtrees whose least needs are ruled out are passed over whole.
-    pub fn first_with_room(
+    pub fn first_with_capacity(
         &self,
-        root: Root,
-        frontier: &Frontier,
-    ) -> Option<(QueuePosition, Need)> {
+        root: TreapRoot,
+        frontier: &CapacityFrontier,
+    ) -> Option<(QueuePosition, ResourceNeed)> {
         if frontier.closed() {
             return None;
         }
         self.search(root.0, frontier)
     }
 
-    fn search(&self, root: Option<u32>, frontier: &Frontier) -> Option<(QueuePosition, Need)> {
+    fn search(
+        &self,
+        root: Option<u32>,
+        frontier: &CapacityFrontier,
+    ) -> Option<(QueuePosition, ResourceNeed)> {
         let node = self.node(root?);
-        if !frontier.may_have_room(node.least) {
+        if !frontier.may_have_capacity(node.least) {
             return None;
         }
         self.search(node.left, frontier)
             .or_else(|| {
                 frontier
-                    .may_have_room(node.need)
+                    .may_have_capacity(node.need)
                     .then_some((node.position, node.need))
             })
             .or_else(|| self.search(node.right, frontier))
     }
 
     /// How many wait before `position`, and the CPU seconds they need.
-    pub fn ahead(&self, root: Root, position: QueuePosition) -> (u32, f64) {
+    pub fn ahead(&self, root: TreapRoot, position: QueuePosition) -> (u32, f64) {
         let (mut at, mut count, mut cpu) = (root.0, 0, 0.0);
         while let Some(node) = at.map(|at| self.node(at)) {
             if node.position < position {
@@ -262,13 +266,13 @@
     }
 
     /// How many there are, and the CPU seconds they need.
-    pub fn all(&self, root: Root) -> (u32, f64) {
+    pub fn all(&self, root: TreapRoot) -> (u32, f64) {
         root.0
             .map_or((0, 0.0), |at| (self.node(at).count, self.node(at).cpu))
     }
 
     /// All places, in order.
-    pub fn places(&self, root: Root) -> Vec<QueuePosition> {
+    pub fn positions(&self, root: TreapRoot) -> Vec<QueuePosition> {
         let (mut places, mut stack, mut at) = (Vec::new(), Vec::new(), root.0);
         while at.is_some() || !stack.is_empty() {
             while let Some(down) = at {
--- a/crates/scheduler/tests/hall.rs
+++ b/crates/scheduler/tests/scheduler.rs
@@ -1,4 +1,4 @@
-//! The lines before the real module: the order with one team, and who is answered when.
+//! The queues before the real module: the order with one team, and who is answered when.
 
 use std::collections::BTreeMap;
 
@@ -8,7 +8,10 @@
 use quickcheck::{Gen, QuickCheck};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use scheduler::*;
+use scheduler::{
+    CapacityShare, Config, QueueLimit, Scheduler, SubQueueConfig, SubQueueId, TenantConfig,
+    TenantQueues,
+};
 
 fn span(secs: f64) -> TimeDelta {
     TimeDelta::from_secs(secs)
@@ -18,7 +21,7 @@
     Timestamp::from_secs(1000.0 + secs)
 }
 
-/// Long limits, so that in these tests the module's own hold denies nobody where no lines stand before it.
+/// Long limits, so that in these tests the module's own hold denies nobody where no queues stand before it.
 fn class(priority_weight: f64, late_priority_weight: f64) -> QueryClass {
     QueryClass {
         effect: Effect::Idempotent,
@@ -72,7 +75,7 @@
     dispatch
 }
 
-/// One engine: the module's chance chooses among several, and is asked more often without lines.
+/// One engine: the module's chance chooses among several, and is asked more often without queues.
 fn engine(stage: EngineStage) -> EngineInfo {
     let (location, machine, cell) = (LocationId(0), MachineId(0), CellId(0));
     EngineInfo {
@@ -86,35 +89,38 @@
     }
 }
 
-fn one_team() -> Terms {
-    let claim = Claim {
+fn one_team() -> Config {
+    let share = CapacityShare {
         budget: 1.0,
         weight: 1.0,
     };
-    let desk = DeskTerms {
+    let sub_queue = SubQueueConfig {
         name: "all".into(),
-        claim,
+        share,
         networks: Vec::new(),
     };
-    let bound = Bound {
+    let bound = QueueLimit {
         statements: 100_000,
         cpu: 1e9,
     };
-    Terms {
-        members: vec![MemberTerms {
+    Config {
+        tenants: vec![TenantConfig {
             name: "m".into(),
-            claim,
-            desks: vec![desk],
+            share,
+            sub_queues: vec![sub_queue],
         }],
         ageing: span(0.5),
         burst: span(2.0),
-        each: bound,
-        all: bound,
+        sub_queue_limit: bound,
+        total_limit: bound,
     }
 }
 
-fn hall(seed: u64, terms: Terms) -> Hall {
-    Hall::new(dispatch(seed), Some(Lines::new(at(0.0), terms, 2, seed)))
+fn scheduler(seed: u64, config: Config) -> Scheduler {
+    Scheduler::new(
+        dispatch(seed),
+        Some(TenantQueues::new(at(0.0), config, 2, seed)),
+    )
 }
 
 fn request(rng: &mut Pcg64Mcg) -> StatementRequest {
@@ -130,14 +136,14 @@
     }
 }
 
-/// With one team, the same statements leave in the same order at the same time as with no lines at all, and attempts
+/// With one team, the same statements leave in the same order at the same time as with no queues at all, and attempts
 /// that failed go back in between as they did.
 #[test]
 fn with_one_team_the_order_is_that_of_the_modules_own_line() {
     fn same(seed: u64) -> bool {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let mut plain = Hall::new(dispatch(seed), None);
-        let mut lined = hall(seed, one_team());
+        let mut plain = Scheduler::new(dispatch(seed), None);
+        let mut lined = scheduler(seed, one_team());
         let (mut now, mut next, mut out, mut left) = (0.0, 0, Vec::new(), 0);
         // 7 s: under the hold of 10 s, after which the plain line denies.
         while now < 7.0 {
@@ -146,15 +152,15 @@
                 let (id, request) = (StatementId(next), request(&mut rng));
                 next += 1;
                 assert_eq!(
-                    plain.pick(at(now), id, DeskId(0), &request),
+                    plain.pick(at(now), id, SubQueueId(0), &request),
                     Decision::Queued
                 );
                 // One that would wait too long is rejected at entry, which is no matter of order.
-                if lined.pick(at(now), id, DeskId(0), &request) != Decision::Queued {
-                    plain.gone(at(now), id);
+                if lined.pick(at(now), id, SubQueueId(0), &request) != Decision::Queued {
+                    plain.client_left(at(now), id);
                 }
             }
-            let [a, b] = [&mut plain, &mut lined].map(|hall| hall.tick(at(now)).due);
+            let [a, b] = [&mut plain, &mut lined].map(|scheduler| scheduler.tick(at(now)).due);
             assert_eq!(a, b, "at {now}");
             left += a.len();
             for (id, pick) in a {
@@ -174,8 +180,9 @@
                     },
                 };
                 let answered = matches!(news, AttemptEvent::Completed { .. });
-                let [a, b] = [&mut plain, &mut lined]
-                    .map(|hall| hall.report(at(now), id, attempt, news, latency, answered));
+                let [a, b] = [&mut plain, &mut lined].map(|scheduler| {
+                    scheduler.report(at(now), id, attempt, news, latency, answered)
+                });
                 assert_eq!(a, b);
             }
         }
@@ -193,13 +200,16 @@
 fn every_statement_has_one_end_through_drains_reloads_and_the_programs_own_end() {
     fn day(seed: u64) -> bool {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let mut terms = one_team();
-        terms.members.push(MemberTerms {
+        let mut config = one_team();
+        config.tenants.push(TenantConfig {
             name: "n".into(),
-            ..terms.members[0].clone()
+            ..config.tenants[0].clone()
         });
-        (terms.each.statements, terms.all.statements) = (20, 30);
-        let mut hall = hall(seed, terms.clone());
+        (
+            config.sub_queue_limit.statements,
+            config.total_limit.statements,
+        ) = (20, 30);
+        let mut scheduler = scheduler(seed, config.clone());
         // Ends by statement, and what is out.
         let (mut ends, mut out, mut next): (
             BTreeMap<_, Timestamp>,
@@ -219,12 +229,12 @@
                     ..request(&mut rng)
                 };
                 ends.insert(id, at(now + budget));
-                let desk = DeskId(rng.random_range(0..3));
-                if hall.pick(at(now), id, desk, &request) != Decision::Queued {
+                let sub_queue = SubQueueId(rng.random_range(0..3));
+                if scheduler.pick(at(now), id, sub_queue, &request) != Decision::Queued {
                     (denied, _) = (denied + 1, ends.remove(&id).expect("open"));
                 }
             }
-            for (id, pick) in hall.tick(at(now)).due {
+            for (id, pick) in scheduler.tick(at(now)).due {
                 match pick {
                     Decision::Forward(order) => {
                         assert!(!drained, "{id:?} sent to a draining engine");
@@ -254,7 +264,7 @@
                 if over || rng.random::<f64>() < 0.05 {
                     out.remove(&id);
                     ends.remove(&id);
-                    hall.report(at(now), id, attempt, news, span(0.3), true);
+                    scheduler.report(at(now), id, attempt, news, span(0.3), true);
                 }
             }
             for (id, end) in &ends {
@@ -269,31 +279,36 @@
                     } else {
                         EngineStage::Ready
                     };
-                    hall.on_endpoint_update(at(now), &EndpointUpdate::Events(vec![engine(stage)]));
+                    scheduler
+                        .on_endpoint_update(at(now), &EndpointUpdate::Events(vec![engine(stage)]));
                 }
                 1 => {
-                    terms.members.rotate_left(1);
-                    hall.change(at(now), terms.clone());
+                    config.tenants.rotate_left(1);
+                    scheduler.reconfigure(at(now), config.clone());
                 }
                 2..10 if !ends.is_empty() => {
                     let id = *ends.keys().nth(rng.random_range(0..ends.len())).unwrap();
                     ends.remove(&id);
-                    hall.gone(at(now), id);
+                    scheduler.client_left(at(now), id);
                 }
                 _ => {}
             }
             if now > end - 0.5 && now < end - 0.47 {
-                hall.drain_deadline(at(end));
+                scheduler.drain_by(at(end));
                 ends.values_mut().for_each(|by| *by = (*by).min(at(end)));
             }
         }
-        let tally = hall.tally();
+        let metrics = scheduler.metrics();
         assert_eq!(
-            tally.entered,
-            tally.turned_away + tally.displaced + tally.released + tally.denied + tally.left
+            metrics.received,
+            metrics.rejected_at_entry
+                + metrics.evicted
+                + metrics.released
+                + metrics.rejected_while_waiting
+                + metrics.client_left
         );
-        assert!(tally.displaced + tally.turned_away > 0 && denied > 0);
-        hall.waiting() == 0 && ends.is_empty()
+        assert!(metrics.evicted + metrics.rejected_at_entry > 0 && denied > 0);
+        scheduler.waiting() == 0 && ends.is_empty()
     }
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(100, 4))
--- a/crates/simulator/src/front.rs
+++ b/crates/simulator/src/front.rs
@@ -5,7 +5,7 @@
 
 use admission::interface::*;
 use dispatch::{Decision, Dispatcher, FollowUp, StatementRequest, Tick};
-use scheduler::{DeskId, Hall, Lines, Terms, Wait};
+use scheduler::{Config, FinishedWait, Scheduler, SubQueueId, TenantQueues};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Policy {
@@ -30,7 +30,7 @@
 }
 
 pub enum Front {
-    Hall(Box<Hall>),
+    Scheduler(Box<Scheduler>),
     Turns(Box<Turns>),
 }
 
@@ -38,7 +38,7 @@
     pub fn new(
         policy: Policy,
         dispatch: Dispatcher,
-        terms: Option<&Terms>,
+        terms: Option<&Config>,
         classes: usize,
         seed: u64,
     ) -> Self {
@@ -47,11 +47,11 @@
             (Policy::RoundRobin, Some(terms)) => {
                 Front::Turns(Box::new(Turns::new(dispatch, terms)))
             }
-            (Policy::Queues, Some(terms)) => Front::Hall(Box::new(Hall::new(
+            (Policy::Queues, Some(terms)) => Front::Scheduler(Box::new(Scheduler::new(
                 dispatch,
-                Some(Lines::new(now, terms.clone(), classes, seed)),
+                Some(TenantQueues::new(now, terms.clone(), classes, seed)),
             ))),
-            _ => Front::Hall(Box::new(Hall::new(dispatch, None))),
+            _ => Front::Scheduler(Box::new(Scheduler::new(dispatch, None))),
         }
     }
 
@@ -59,11 +59,11 @@
         &mut self,
         now: Timestamp,
         id: StatementId,
-        desk: DeskId,
+        desk: SubQueueId,
         wants: &StatementRequest,
     ) -> Decision {
         match self {
-            Front::Hall(hall) => hall.pick(now, id, desk, wants),
+            Front::Scheduler(scheduler) => scheduler.pick(now, id, desk, wants),
             Front::Turns(turns) => turns.pick(now, id, desk, wants),
         }
     }
@@ -78,7 +78,9 @@
         settled: bool,
     ) -> FollowUp {
         match self {
-            Front::Hall(hall) => hall.report(now, id, attempt, news, latency, settled),
+            Front::Scheduler(scheduler) => {
+                scheduler.report(now, id, attempt, news, latency, settled)
+            }
             Front::Turns(turns) => turns
                 .dispatch
                 .report(now, id, attempt, news, latency, settled),
@@ -87,28 +89,28 @@
 
     pub fn tick(&mut self, now: Timestamp) -> Tick {
         match self {
-            Front::Hall(hall) => hall.tick(now),
+            Front::Scheduler(scheduler) => scheduler.tick(now),
             Front::Turns(turns) => turns.tick(now),
         }
     }
 
     pub fn on_endpoint_update(&mut self, now: Timestamp, news: &EndpointUpdate) {
         match self {
-            Front::Hall(hall) => hall.on_endpoint_update(now, news),
+            Front::Scheduler(scheduler) => scheduler.on_endpoint_update(now, news),
             Front::Turns(turns) => turns.dispatch.on_endpoint_update(now, news),
         }
     }
 
-    pub fn hall(&mut self) -> Option<&mut Hall> {
+    pub fn scheduler(&mut self) -> Option<&mut Scheduler> {
         match self {
-            Front::Hall(hall) => Some(hall),
+            Front::Scheduler(scheduler) => Some(scheduler),
             Front::Turns(_) => None,
         }
     }
 
-    pub fn waits(&self) -> &[Wait] {
+    pub fn waits(&self) -> &[FinishedWait] {
         match self {
-            Front::Hall(hall) => hall.waits(),
+            Front::Scheduler(scheduler) => scheduler.finished_waits(),
             Front::Turns(_) => &[],
         }
     }
@@ -124,13 +126,13 @@
 }
 
 impl Turns {
-    fn new(dispatch: Dispatcher, terms: &Terms) -> Self {
+    fn new(dispatch: Dispatcher, terms: &Config) -> Self {
         let desks = terms
-            .members
+            .tenants
             .iter()
             .enumerate()
-            .flat_map(|(at, m)| m.desks.iter().map(move |_| at));
-        let lines = vec![VecDeque::new(); terms.members.len()];
+            .flat_map(|(at, m)| m.sub_queues.iter().map(move |_| at));
+        let lines = vec![VecDeque::new(); terms.tenants.len()];
         Turns {
             dispatch,
             member_of: desks.collect(),
@@ -144,7 +146,7 @@
         &mut self,
         now: Timestamp,
         id: StatementId,
-        desk: DeskId,
+        desk: SubQueueId,
         wants: &StatementRequest,
     ) -> Decision {
         if let Some((_, forecast)) = self.dispatch.register(now, id, wants, |_| false) {
--- a/crates/simulator/src/parts.rs
+++ b/crates/simulator/src/parts.rs
@@ -154,9 +154,9 @@
 }
 
 /// Budgets of these members, for so many gateways.
-pub fn members(of: &[scheduler::MemberTerms], most: usize) -> Terms {
-    let budget = |member: &scheduler::MemberTerms| {
-        let whole = Amount::of(member.claim.budget);
+pub fn members(of: &[scheduler::TenantConfig], most: usize) -> Terms {
+    let budget = |member: &scheduler::TenantConfig| {
+        let whole = Amount::of(member.share.budget);
         let floor = Amount((whole.0 as f64 * 0.2 / most as f64) as u64);
         Budget {
             of: Use::Member(member.name.clone()),
--- a/crates/simulator/src/play.rs
+++ b/crates/simulator/src/play.rs
@@ -19,7 +19,7 @@
 use admission::interface::*;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use scheduler::Directory;
+use scheduler::QueueResolver;
 
 use self::connections::Connections;
 use self::coordination::Usage;
@@ -116,8 +116,8 @@
     /// The scenario's queues, traffic or script cannot be used.
     pub fn new(scenario: &'a Scenario, policy: Policy, seed: u64) -> Result<Self, String> {
         let site_terms = scenario.terms()?;
-        let directory = site_terms.as_ref().map(Directory::new);
-        let requests = requests::draw(scenario, directory.as_ref(), seed)?;
+        let resolver = site_terms.as_ref().map(QueueResolver::new);
+        let requests = requests::draw(scenario, resolver.as_ref(), seed)?;
         let mut rng = Pcg64Mcg::seed_from_u64(seed ^ RUN_SEED);
         let queue_terms = gateway_terms(scenario, site_terms.as_ref());
         let lease_mesh = coordination::lease_mesh(scenario, site_terms.as_ref(), seed);
@@ -270,13 +270,13 @@
 /// The queues of one gateway: the file's budgets are of all gateways together.
 fn gateway_terms(
     scenario: &Scenario,
-    site_terms: Option<&scheduler::Terms>,
-) -> Option<scheduler::Terms> {
+    site_terms: Option<&scheduler::Config>,
+) -> Option<scheduler::Config> {
     let share = match scenario.budgets {
         Budgets::Guess => 1.0 / scenario.gateways as f64,
         Budgets::Even | Budgets::Leases => 1.0,
     };
-    site_terms.map(|terms| terms.part(share))
+    site_terms.map(|terms| terms.scaled(share))
 }
 
 fn new_gateways(
@@ -294,11 +294,11 @@
 }
 
 /// The scenario's tenants, with what its queues guarantee them.
-fn tenants(scenario: &Scenario, site_terms: Option<&scheduler::Terms>) -> Vec<Tenant> {
+fn tenants(scenario: &Scenario, site_terms: Option<&scheduler::Config>) -> Vec<Tenant> {
     let tenant = |name: &String| {
         let settings =
-            site_terms.and_then(|terms| terms.members.iter().find(|of| of.name == *name));
-        let (budget, weight) = settings.map_or((0.0, 1.0), |of| (of.claim.budget, of.claim.weight));
+            site_terms.and_then(|terms| terms.tenants.iter().find(|of| of.name == *name));
+        let (budget, weight) = settings.map_or((0.0, 1.0), |of| (of.share.budget, of.share.weight));
         Tenant {
             name: name.clone(),
             budget,
--- a/crates/simulator/src/play/coordination.rs
+++ b/crates/simulator/src/play/coordination.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use admission::interface::*;
-use scheduler::Hall;
+use scheduler::Scheduler;
 
 use super::events::Event;
 use super::{Emulation, moment};
@@ -34,11 +34,11 @@
 /// The mesh in which gateways lease tenants' budgets, where the scenario divides them so.
 pub(super) fn lease_mesh(
     scenario: &Scenario,
-    queue_terms: Option<&scheduler::Terms>,
+    queue_terms: Option<&scheduler::Config>,
     seed: u64,
 ) -> Option<Mesh<Part>> {
     let queue_terms = queue_terms.filter(|_| scenario.budgets == Budgets::Leases)?;
-    let lease_terms = parts::members(&queue_terms.members, scenario.gateways);
+    let lease_terms = parts::members(&queue_terms.tenants, scenario.gateways);
     Some(parts::parts(scenario.gateways, seed, lease_terms))
 }
 
@@ -71,13 +71,13 @@
             let Some(peer) = mesh.peer_mut(index) else {
                 continue;
             };
-            let Some(hall) = gateway.front.hall() else {
+            let Some(scheduler) = gateway.front.scheduler() else {
                 continue;
             };
-            let ejections = own_ejections(hall);
+            let ejections = own_ejections(scheduler);
             publish_ejections(peer, mesh_now, &gateway.published_ejections, &ejections);
             gateway.published_ejections = ejections;
-            hall.on_outlier_gossip(now, &heard_doubts(peer, mesh_now));
+            scheduler.on_outlier_gossip(now, &heard_doubts(peer, mesh_now));
         }
         self.schedule(self.now_s + EXCHANGE_PERIOD_S, Event::ExchangeHealth);
     }
@@ -102,13 +102,13 @@
         };
         let share = 1.0 / self.gateways.len() as f64;
         let rates: Vec<_> = terms
-            .members
+            .tenants
             .iter()
-            .map(|tenant| Some(tenant.claim.budget * share))
+            .map(|tenant| Some(tenant.share.budget * share))
             .collect();
         for gateway in &mut self.gateways {
-            if let Some(hall) = gateway.front.hall() {
-                hall.lease(now, &rates);
+            if let Some(scheduler) = gateway.front.scheduler() {
+                scheduler.set_leased_budgets(now, &rates);
             }
         }
     }
@@ -121,23 +121,27 @@
         };
         mesh.run(self.now_s + MESH_HEAD_START_S);
         for (index, gateway) in self.gateways.iter_mut().enumerate() {
-            let Some(hall) = gateway.front.hall() else {
+            let Some(scheduler) = gateway.front.scheduler() else {
                 continue;
             };
             let Some(part) = mesh.peer_mut(index) else {
                 continue;
             };
-            let usage = hall.flows();
+            let usage: Vec<(f64, f64)> = scheduler
+                .tenant_usage()
+                .into_iter()
+                .map(|tenant| (tenant.demanded, tenant.spent))
+                .collect();
             let rates = leased_rates(part, mesh_now, &self.usage[index], &usage);
             self.usage[index] = usage;
-            hall.lease(now, &rates);
+            scheduler.set_leased_budgets(now, &rates);
         }
     }
 }
 
 /// Engines that a gateway ejected on what it saw itself, and when each ejection ends.
-fn own_ejections(hall: &Hall) -> BTreeMap<EngineId, Timestamp> {
-    let own = hall.health().filter(|health| !health.by_gossip);
+fn own_ejections(scheduler: &Scheduler) -> BTreeMap<EngineId, Timestamp> {
+    let own = scheduler.health().filter(|health| !health.by_gossip);
     own.filter_map(|health| Some((health.id, health.ejected_until?)))
         .collect()
 }
--- a/crates/simulator/src/play/deployment.rs
+++ b/crates/simulator/src/play/deployment.rs
@@ -40,7 +40,7 @@
     pub(super) scenario: &'a Scenario,
     pub(super) policy: Policy,
     /// As one gateway is configured.
-    pub(super) queue_terms: Option<scheduler::Terms>,
+    pub(super) queue_terms: Option<scheduler::Config>,
 }
 
 impl FrontFactory<'_> {
--- a/crates/simulator/src/play/gateways.rs
+++ b/crates/simulator/src/play/gateways.rs
@@ -76,8 +76,8 @@
     pub(super) fn stop_gateway(&mut self, gateway: usize) {
         let end_s = self.now_s + SHUTDOWN_S;
         self.gateways[gateway].away = true;
-        if let Some(hall) = self.gateways[gateway].front.hall() {
-            hall.drain_deadline(moment(end_s));
+        if let Some(scheduler) = self.gateways[gateway].front.scheduler() {
+            scheduler.drain_by(moment(end_s));
         }
         for statement in self.open_statements(gateway) {
             if let Some(attempt) = self.statements[statement].in_flight {
--- a/crates/simulator/src/play/requests.rs
+++ b/crates/simulator/src/play/requests.rs
@@ -3,7 +3,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_distr::{Distribution, Exp, StandardNormal};
 use rand_pcg::Pcg64Mcg;
-use scheduler::{DeskId, Directory};
+use scheduler::{QueueResolver, SubQueueId};
 
 use crate::scenario::{ClassSpec, Kind, Scenario, Trouble};
 
@@ -19,7 +19,7 @@
 pub(super) struct Request {
     pub(super) arrival_s: f64,
     pub(super) tenant: usize,
-    pub(super) queue: DeskId,
+    pub(super) queue: SubQueueId,
     pub(super) class: usize,
     /// The gateway that its client is connected to.
     pub(super) gateway: usize,
@@ -35,7 +35,7 @@
 /// All requests of a run, in the order of their arrival.
 pub(super) fn draw(
     scenario: &Scenario,
-    directory: Option<&Directory>,
+    resolver: Option<&QueueResolver>,
     seed: u64,
 ) -> Result<Vec<Request>, String> {
     let mut floods = scenario.troubles()?;
@@ -46,9 +46,12 @@
     let mut streams = 0;
     for (tenant, (tenant_name, traffic_by_queue)) in scenario.traffic.iter().enumerate() {
         for (queue_name, traffic) in traffic_by_queue {
-            let found =
-                directory.map(|known| known.find(Some(tenant_name), Some(queue_name), None).desk);
-            let queue = found.unwrap_or(DeskId(queues));
+            let found = resolver.map(|known| {
+                known
+                    .resolve(Some(tenant_name), Some(queue_name), None)
+                    .sub_queue
+            });
+            let queue = found.unwrap_or(SubQueueId(queues));
             queues += 1;
             for (class, (class_name, settings)) in scenario.class.iter().enumerate() {
                 streams += 1;
@@ -86,7 +89,7 @@
     scenario: &'a Scenario,
     gateways: &'a GatewayPreference,
     tenant: usize,
-    queue: DeskId,
+    queue: SubQueueId,
     class: usize,
     settings: &'a ClassSpec,
     usual_per_s: f64,
--- a/crates/simulator/src/play/statements.rs
+++ b/crates/simulator/src/play/statements.rs
@@ -3,7 +3,7 @@
 use admission::interface::*;
 use dispatch::{Decision, StatementRequest};
 use rand::RngExt;
-use scheduler::{DeskId, Wait};
+use scheduler::{FinishedWait, SubQueueId};
 
 use super::events::Event;
 use super::requests::Request;
@@ -99,14 +99,14 @@
         &mut self,
         gateway: usize,
         id: StatementId,
-        queue: DeskId,
+        queue: SubQueueId,
         class: usize,
     ) {
         let gateway = &mut self.gateways[gateway];
-        let Some(hall) = gateway.front.hall() else {
+        let Some(scheduler) = gateway.front.scheduler() else {
             return;
         };
-        let Some(status) = hall.statement(moment(self.now_s), id) else {
+        let Some(status) = scheduler.statement_status(moment(self.now_s), id) else {
             return;
         };
         let history = gateway
@@ -128,9 +128,9 @@
         for wait in &waits {
             self.record_wait(gateway, wait);
         }
-        if let Some(hall) = self.gateways[gateway].front.hall() {
+        if let Some(scheduler) = self.gateways[gateway].front.scheduler() {
             self.measurements
-                .record_passed(hall.longest_passed().secs());
+                .record_passed(scheduler.longest_passed_over().secs());
         }
         for (id, pick) in tick.due {
             self.apply_pick(id, pick);
@@ -139,16 +139,16 @@
     }
 
     /// Notes a wait that ended beside what was estimated of it.
-    fn record_wait(&mut self, gateway: usize, wait: &Wait) {
-        let (queue, class) = (wait.desk.0, wait.class.0);
-        let real_s = wait.real.secs();
+    fn record_wait(&mut self, gateway: usize, wait: &FinishedWait) {
+        let (queue, class) = (wait.sub_queue.0, wait.class.0);
+        let real_s = wait.actual.secs();
         self.measurements.estimates.push(Told {
             at: self.now_s,
             gateway,
             desk: queue,
             class: class,
-            told: wait.told.wait.secs(),
-            p90: wait.told.p90.secs(),
+            told: wait.estimated.median.secs(),
+            p90: wait.estimated.p90.secs(),
             real: real_s,
             plain: self.plain_estimates.remove(&wait.id).unwrap_or_default(),
         });
--- a/crates/simulator/src/scenario.rs
+++ b/crates/simulator/src/scenario.rs
@@ -339,7 +339,7 @@
         Ok(all)
     }
 
-    pub fn terms(&self) -> Result<Option<scheduler::Terms>, String> {
+    pub fn terms(&self) -> Result<Option<scheduler::Config>, String> {
         let Some(block) = self.queues.clone() else {
             return Ok(None);
         };
