--- a/crates/simulator/src/parts.rs
+++ b/crates/simulator/src/parts.rs
@@ -160,9 +160,9 @@
 }
 
 /// Budgets of these members, for so many gateways.
-pub fn members(of: &[scheduler::MemberTerms], most: usize) -> Config {
-    let budget = |member: &scheduler::MemberTerms| {
-        let capacity = Amount::from_units(member.claim.budget);
+pub fn members(of: &[scheduler::TenantConfig], most: usize) -> Config {
+    let budget = |member: &scheduler::TenantConfig| {
+        let capacity = Amount::from_units(member.share.budget);
         let guaranteed = Amount((capacity.0 as f64 * 0.2 / most as f64) as u64);
         Budget {
             kind: BudgetKind::Tenant(member.name.clone()),
