--- a/crates/admission/src/interface.rs
+++ b/crates/admission/src/interface.rs
@@ -482,6 +482,17 @@
     pub by_gossip: bool,
 }
 
+/// An engine as the decisions see it, for those who look at a gateway.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct EngineView {
+    /// The engine.
+    pub id: EngineId,
+    /// Attempts in flight there.
+    pub in_flight: u32,
+    /// No statement goes there until a probe succeeds.
+    pub ejected: bool,
+}
+
 /// Enough other gateways lost statements to this engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct OutlierReport {
--- /dev/null
+++ b/crates/admission/src/policy/statistics.rs
@@ -0,0 +1,7 @@
+//! Order statistics that several decisions share.
+
+/// The upper median; none of nothing.
+pub(super) fn median(mut values: Vec<f64>) -> Option<f64> {
+    values.sort_by(f64::total_cmp);
+    values.get(values.len() / 2).copied()
+}
--- a/crates/dispatch/src/decision.rs
+++ b/crates/dispatch/src/decision.rs
@@ -95,14 +95,3 @@
     /// The next tick is due after this time, if nothing happens before.
     pub wait: TimeDelta,
 }
-
-/// An engine as the decisions see it, for those who look at a gateway.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct EngineView {
-    /// The engine.
-    pub id: EngineId,
-    /// Attempts in flight there.
-    pub in_flight: u32,
-    /// No statement goes there until a probe succeeds.
-    pub ejected: bool,
-}
--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -4,12 +4,12 @@
 
 use admission::interface::{
     Attempt, AttemptEvent, AttemptNumber, AttemptReport, AttemptState, EndpointUpdate,
-    EngineHealth, EngineId, Forecast, LoadReport, NextStep, OutlierReport, Placement,
+    EngineHealth, EngineId, EngineView, Forecast, LoadReport, NextStep, OutlierReport, Placement,
     QueuePosition, QuotaGrant, Statement, StatementId, TimeDelta, Timestamp, Wakeup,
 };
 use admission::policy::Policy;
 
-use crate::decision::{AttemptOrder, Decision, EngineView, FollowUp, StatementRequest, Tick};
+use crate::decision::{AttemptOrder, Decision, FollowUp, StatementRequest, Tick};
 
 /// A statement between its receipt and the end of its last attempt.
 struct OpenStatement {
@@ -309,12 +309,7 @@
 
     /// Each engine as the decisions see it.
     pub fn engines(&self) -> impl Iterator<Item = EngineView> {
-        let view = |(id, in_flight, ejected)| EngineView {
-            id,
-            in_flight,
-            ejected,
-        };
-        self.policy.engines().map(view)
+        self.policy.engines()
     }
 
     /// The gateway ends: what is open is to be answered by then.
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -8,5 +8,6 @@
 mod decision;
 mod dispatcher;
 
-pub use decision::{AttemptOrder, Decision, EngineView, FollowUp, StatementRequest, Tick};
+pub use admission::interface::EngineView;
+pub use decision::{AttemptOrder, Decision, FollowUp, StatementRequest, Tick};
 pub use dispatcher::Dispatcher;
