--- a/crates/gateway/src/credentials.rs
+++ b/crates/gateway/src/credentials.rs
@@ -8,10 +8,11 @@
 
 use admission::interface::Timestamp;
 use clap::{Args, Subcommand};
-use identity::grants::Grant;
-use identity::keys::{Index, KeyId, Listed};
 use identity::token::{self, Claims};
-use identity::{Guard, Terms, Verdict};
+use identity::{
+    Authentication, Grant, KeyEntry, KeyId, KeyIndex, RevocationList, TableGroupRange,
+    TokenVerifier, VerifierConfig,
+};
 use ipnet::IpNet;
 
 use crate::keyfiles::{self, FilesError};
@@ -80,7 +81,7 @@
     #[arg(long)]
     class: Vec<String>,
     #[arg(long, value_parser = range)]
-    groups: Vec<(u32, u32)>,
+    groups: Vec<TableGroupRange>,
     #[arg(long)]
     network: Vec<IpNet>,
     /// Most statements open at a time.
@@ -90,10 +91,13 @@
     minutes: f64,
 }
 
-fn range(text: &str) -> Result<(u32, u32), String> {
+fn range(text: &str) -> Result<TableGroupRange, String> {
     let (from, to) = text.split_once('-').unwrap_or((text, text));
     let number = |text: &str| text.parse::<u32>().map_err(|e| e.to_string());
-    Ok((number(from)?, number(to)?))
+    Ok(TableGroupRange {
+        first: number(from)?,
+        last: number(to)?,
+    })
 }
 
 fn now_s() -> f64 {
@@ -108,17 +112,17 @@
 }
 
 /// Changes the index and writes it, one version on; it must stand up to its own checks first.
-fn change(folder: &Path, of: impl FnOnce(&mut Index) -> Result<(), Box<dyn Error>>) -> Done {
+fn change(folder: &Path, of: impl FnOnce(&mut KeyIndex) -> Result<(), Box<dyn Error>>) -> Done {
     let mut index = keyfiles::index(folder)?;
     of(&mut index)?;
     index.version += 1;
     let text = serde_json::to_string(&index)?;
-    let index = Index::parse(&text)?;
+    let index = KeyIndex::parse(&text)?;
     keyfiles::write_index(folder, &index)?;
     Ok(())
 }
 
-fn listed<'a>(index: &'a mut Index, id: &KeyId) -> Result<&'a mut Listed, Box<dyn Error>> {
+fn listed<'a>(index: &'a mut KeyIndex, id: &KeyId) -> Result<&'a mut KeyEntry, Box<dyn Error>> {
     let found = index.keys.iter_mut().find(|listed| listed.id == *id);
     found.ok_or_else(|| format!("{} is not in the index", id.as_str()).into())
 }
@@ -137,9 +141,13 @@
                     return Err(FilesError::There(path.clone()).into());
                 }
             }
-            let (secret, public) = token::fresh()?;
-            keyfiles::replace(&secret_path, keyfiles::hex(&secret[..]).as_bytes(), true)?;
-            keyfiles::replace(&public_path, keyfiles::hex(&public).as_bytes(), false)?;
+            let pair = token::generate_key_pair()?;
+            keyfiles::replace(
+                &secret_path,
+                keyfiles::hex(&pair.secret[..]).as_bytes(),
+                true,
+            )?;
+            keyfiles::replace(&public_path, keyfiles::hex(&pair.public).as_bytes(), false)?;
             println!("{}", public_path.display());
             Ok(())
         }
@@ -148,7 +156,7 @@
             println!("version {}", index.version);
             let now = Timestamp::from_secs(now_s());
             for listed in &index.keys {
-                println!("{:<32}  {:?}", listed.id.as_str(), listed.standing(now));
+                println!("{:<32}  {:?}", listed.id.as_str(), listed.state(now));
             }
             Ok(())
         }
@@ -170,12 +178,12 @@
                     return Err(format!("{} is announced already", id.as_str()).into());
                 }
                 let now = now_s();
-                let signs_s = Some(now + signs_in_s.max(0.0));
-                index.keys.push(Listed {
+                let signing_s = Some(now + signs_in_s.max(0.0));
+                index.keys.push(KeyEntry {
                     id,
                     announced_s: now,
-                    signs_s,
-                    retires_s: None,
+                    signing_s,
+                    retired_s: None,
                     withdrawn_s: None,
                 });
                 Ok(())
@@ -189,7 +197,7 @@
             let id = id(name)?;
             change(&folder, |index| {
                 let of = listed(index, &id)?;
-                of.retires_s = Some((now_s() + in_s).max(of.signs_s.unwrap_or(0.0)));
+                of.retired_s = Some((now_s() + in_s).max(of.signing_s.unwrap_or(0.0)));
                 Ok(())
             })
         }
@@ -202,8 +210,8 @@
             change(&folder, |index| {
                 let (of, at) = (listed(index, &id)?, now_s() + in_s);
                 // Steps that were still to come will not be.
-                of.signs_s = of.signs_s.filter(|signs| *signs <= at);
-                of.retires_s = of.retires_s.filter(|retires| *retires <= at);
+                of.signing_s = of.signing_s.filter(|signs| *signs <= at);
+                of.retired_s = of.retired_s.filter(|retires| *retires <= at);
                 of.withdrawn_s = Some(at);
                 Ok(())
             })
@@ -219,15 +227,15 @@
             let set =
                 |of: Vec<String>| (!of.is_empty()).then(|| of.into_iter().collect::<BTreeSet<_>>());
             let grant = Grant {
-                member: issue.member,
-                desks: set(issue.desk),
+                tenant: issue.member,
+                sub_queues: set(issue.desk),
                 classes: set(issue.class),
-                groups: (!issue.groups.is_empty()).then_some(issue.groups),
-                most_open: issue.most_open,
+                table_groups: (!issue.groups.is_empty()).then_some(issue.groups),
+                max_open_statements: issue.most_open,
                 networks: (!issue.network.is_empty()).then_some(issue.network),
             };
             let now = now_s();
-            let name = token::fresh()?.1;
+            let name = token::generate_key_pair()?.public;
             let claims = Claims {
                 caller: issue.caller,
                 id: keyfiles::hex(&name[..8]).trim().to_owned(),
@@ -239,29 +247,33 @@
             let token = token::sign(&claims, &id, &secret)?;
             let public = keyfiles::read(&issue.folder)?.public.get(&id).copied();
             let public = public.ok_or_else(|| format!("{} is not announced", id.as_str()))?;
-            token::open(&token, &public)?;
+            token::verify(&token, &public)?;
             println!("{token}");
             Ok(())
         }
         Token::Show { token } => {
-            let claims = token::claims_unchecked(&token)?;
-            println!("key {}, unchecked", token::key_of(&token)?.as_str());
+            let claims = token::unverified_claims(&token)?;
+            println!(
+                "key {}, unchecked",
+                token::unverified_key_id(&token)?.as_str()
+            );
             println!("{}", serde_json::to_string_pretty(&claims)?);
             Ok(())
         }
         Token::Verify { folder, token } => {
             let (files, now) = (keyfiles::read(&folder)?, Timestamp::from_secs(now_s()));
-            let mut guard = Guard::new(now, Terms::default());
-            guard.take(now, &files.index, &files.public, files.revoked)?;
-            match guard.verdict(now, &token) {
-                Verdict::Granted { claims, .. } => {
-                    println!("granted to {} of {}", claims.caller, claims.grant.member);
+            let mut verifier = TokenVerifier::new(now, VerifierConfig::default());
+            verifier.update(now, &files.index, &files.public, files.revoked)?;
+            match verifier.verify(now, &token) {
+                Authentication::Accepted { claims, .. } => {
+                    println!("granted to {} of {}", claims.caller, claims.grant.tenant);
                     Ok(())
                 }
-                Verdict::Later { back } => {
-                    Err(format!("not yet; come back in {} ms", back.secs() * 1e3).into())
+                Authentication::RetryLater { retry_after } => {
+                    let text = format!("not yet; come back in {} ms", retry_after.secs() * 1e3);
+                    Err(text.into())
                 }
-                Verdict::Refused(why) => Err(why.to_string().into()),
+                Authentication::Rejected(reason) => Err(reason.to_string().into()),
             }
         }
         Token::Revoke {
@@ -282,8 +294,8 @@
                 name.into_iter()
                     .for_each(|name| text.push_str(&format!("{kind} {name}\n")));
             }
-            if let Err(line) = identity::revoked::Revoked::parse(&text) {
-                return Err(FilesError::Revoked(path, line).into());
+            if let Err(error) = RevocationList::parse(&text) {
+                return Err(FilesError::Revoked(path, error.line).into());
             }
             keyfiles::replace(&path, text.as_bytes(), false)?;
             // Gateways look at the index: it tells them that something is new.
--- a/crates/gateway/src/keyfiles.rs
+++ b/crates/gateway/src/keyfiles.rs
@@ -7,8 +7,7 @@
 use std::os::unix::fs::OpenOptionsExt;
 use std::path::{Path, PathBuf};
 
-use identity::keys::{Index, IndexError, KeyId};
-use identity::revoked::Revoked;
+use identity::{KeyId, KeyIndex, KeyIndexError, RevocationList};
 use thiserror::Error;
 use zeroize::Zeroizing;
 
@@ -17,7 +16,7 @@
     #[error("{0}: {1}")]
     Unreadable(PathBuf, io::Error),
     #[error("{0}: {1}")]
-    Index(PathBuf, IndexError),
+    Index(PathBuf, KeyIndexError),
     #[error("{0}: no key of so many hexadecimal digits")]
     Key(PathBuf),
     #[error("{0}:{1}: neither caller NAME nor token ID, or too many lines")]
@@ -28,9 +27,9 @@
 
 /// All that the folder holds for those who check tokens.
 pub struct Files {
-    pub index: Index,
+    pub index: KeyIndex,
     pub public: BTreeMap<KeyId, [u8; 32]>,
-    pub revoked: Revoked,
+    pub revoked: RevocationList,
 }
 
 pub fn public_path(folder: &Path, id: &KeyId) -> PathBuf {
@@ -64,12 +63,12 @@
 
 /// # Errors
 /// There is an index that cannot be used; none at all is an empty one.
-pub fn index(folder: &Path) -> Result<Index, FilesError> {
+pub fn index(folder: &Path) -> Result<KeyIndex, FilesError> {
     let path = folder.join("index.json");
     if !path.exists() {
-        return Ok(Index::default());
+        return Ok(KeyIndex::default());
     }
-    Index::parse(&text(&path)?).map_err(|e| FilesError::Index(path, e))
+    KeyIndex::parse(&text(&path)?).map_err(|e| FilesError::Index(path, e))
 }
 
 pub fn secret(folder: &Path, id: &KeyId) -> Result<Zeroizing<[u8; 64]>, FilesError> {
@@ -80,7 +79,8 @@
 /// Any file that the index needs is missing or cannot be used.
 pub fn read(folder: &Path) -> Result<Files, FilesError> {
     let index_path = folder.join("index.json");
-    let index = Index::parse(&text(&index_path)?).map_err(|e| FilesError::Index(index_path, e))?;
+    let index =
+        KeyIndex::parse(&text(&index_path)?).map_err(|e| FilesError::Index(index_path, e))?;
     let mut public = BTreeMap::new();
     for listed in &index.keys {
         public.insert(listed.id.clone(), *unhex(&public_path(folder, &listed.id))?);
@@ -91,7 +91,8 @@
     } else {
         Zeroizing::default()
     };
-    let revoked = Revoked::parse(&revoked).map_err(|line| FilesError::Revoked(path, line))?;
+    let revoked =
+        RevocationList::parse(&revoked).map_err(|error| FilesError::Revoked(path, error.line))?;
     Ok(Files {
         index,
         public,
@@ -122,7 +123,7 @@
 
 /// # Errors
 /// It cannot be written.
-pub fn write_index(folder: &Path, index: &Index) -> Result<(), FilesError> {
+pub fn write_index(folder: &Path, index: &KeyIndex) -> Result<(), FilesError> {
     let text = serde_json::to_string_pretty(index).expect("plain values");
     replace(&folder.join("index.json"), (text + "\n").as_bytes(), false)
 }
--- a/crates/gateway/src/lifecycle.rs
+++ b/crates/gateway/src/lifecycle.rs
@@ -10,8 +10,7 @@
 use calloop::signals::{Signal, Signals};
 use calloop::timer::{TimeoutAction, Timer};
 use calloop::{EventLoop, Interest, Mode, PostAction, RegistrationToken};
-use identity::Guard;
-use identity::keys::IndexError;
+use identity::{KeyIndexError, TokenVerifier};
 use settings::SettingsError;
 use thiserror::Error;
 use tracing::{info, warn};
@@ -83,7 +82,7 @@
     #[error(transparent)]
     Known(#[from] WatchError),
     #[error(transparent)]
-    Keys(#[from] IndexError),
+    Keys(#[from] KeyIndexError),
     #[error(transparent)]
     Fleet(#[from] FleetError),
 }
@@ -179,8 +178,8 @@
         service.told(now, &std::mem::take(&mut config.known.events));
         if let Some(callers) = &operated.callers {
             let known = keywatch::read(callers)?;
-            let mut guard = Guard::new(unix(), callers.terms);
-            guard.take(
+            let mut verifier = TokenVerifier::new(unix(), callers.terms);
+            verifier.update(
                 unix(),
                 &known.files.index,
                 &known.files.public,
@@ -190,7 +189,7 @@
                 keys = known.files.index.keys.len(),
                 "callers are to be known"
             );
-            service.guard(guard);
+            service.set_token_verifier(verifier);
             service.clients.secure(known.tls);
             let note = |event, _: &mut (), ready: &mut Ready| {
                 if let calloop::channel::Event::Msg(known) = event {
@@ -422,9 +421,10 @@
         let refused = match known {
             Err(error) => Some(error.to_string()),
             Ok(Known { files, tls }) => {
-                let guard = self.service.guarded();
-                let taken = guard
-                    .map(|guard| guard.take(unix(), &files.index, &files.public, files.revoked));
+                let verifier = self.service.token_verifier();
+                let taken = verifier.map(|verifier| {
+                    verifier.update(unix(), &files.index, &files.public, files.revoked)
+                });
                 let refused = taken.and_then(Result::err).map(|error| error.to_string());
                 if refused.is_none() {
                     self.service.clients.secure(tls);
--- a/crates/gateway/src/service/callers.rs
+++ b/crates/gateway/src/service/callers.rs
@@ -4,9 +4,7 @@
 use std::sync::Arc;
 
 use admission::interface::Timestamp;
-use identity::grants::Beyond;
-use identity::token::Claims;
-use identity::{Guard, Verdict as Judged};
+use identity::{Authentication, AuthorizationError, Claims, TokenVerifier};
 
 use super::Service;
 use super::endings::denial;
@@ -16,34 +14,36 @@
 
 impl Service {
     /// Callers are to be known from now on, by this.
-    pub fn guard(&mut self, guard: Guard) {
-        self.guard = Some(guard);
+    pub fn set_token_verifier(&mut self, verifier: TokenVerifier) {
+        self.token_verifier = Some(verifier);
     }
 
-    pub fn guarded(&mut self) -> Option<&mut Guard> {
-        self.guard.as_mut()
+    pub fn token_verifier(&mut self) -> Option<&mut TokenVerifier> {
+        self.token_verifier.as_mut()
     }
 
     /// A token at login or later: only one that holds now replaces what stood.
     pub(super) fn judge(&mut self, now: Timestamp, session: u32, token: &Rc<str>, login: bool) {
-        let Some(guard) = &mut self.guard else { return };
+        let Some(verifier) = &mut self.token_verifier else {
+            return;
+        };
         let counters = &mut self.counters;
-        let (code, state, text) = match guard.verdict(unix(), token) {
-            Judged::Granted { claims, .. }
-                if claims.grant.allows_from(self.clients.from(session)) =>
+        let (code, state, text) = match verifier.verify(unix(), token) {
+            Authentication::Accepted { claims, .. }
+                if claims.grant.allows_address(self.clients.from(session)) =>
             {
                 counters.tokens_granted += 1;
                 return self.clients.known(now, session, token.clone(), counters);
             }
-            Judged::Granted { .. } => {
+            Authentication::Accepted { .. } => {
                 counters.tokens_refused += 1;
-                (1045, b"28000", Beyond::Network.to_string())
+                (1045, b"28000", AuthorizationError::Network.to_string())
             }
-            Judged::Later { back } => {
+            Authentication::RetryLater { retry_after } => {
                 counters.tokens_later += 1;
-                (1226, b"42000", denial(Some(back)))
+                (1226, b"42000", denial(Some(retry_after)))
             }
-            Judged::Refused(why) => {
+            Authentication::Rejected(why) => {
                 counters.tokens_refused += 1;
                 (1045, b"28000", why.to_string())
             }
@@ -58,19 +58,19 @@
 
     /// Whose a statement is by its session's token, which is judged anew each time.
     pub(super) fn caller(&mut self, session: u32) -> Result<Option<Arc<Claims>>, Unusable> {
-        let Some(guard) = &mut self.guard else {
+        let Some(verifier) = &mut self.token_verifier else {
             return Ok(None);
         };
         let Some(token) = self.clients.token(session) else {
             return Err(Unusable::Unknown("no token".into()));
         };
-        match guard.verdict(unix(), &token) {
-            Judged::Granted { claims, .. } => Ok(Some(claims)),
-            Judged::Later { back } => {
+        match verifier.verify(unix(), &token) {
+            Authentication::Accepted { claims, .. } => Ok(Some(claims)),
+            Authentication::RetryLater { retry_after } => {
                 self.counters.tokens_later += 1;
-                Err(Unusable::Later(back))
+                Err(Unusable::Later(retry_after))
             }
-            Judged::Refused(why) => {
+            Authentication::Rejected(why) => {
                 self.counters.tokens_refused += 1;
                 Err(Unusable::Unknown(why.to_string()))
             }
--- a/crates/gateway/src/service/intake.rs
+++ b/crates/gateway/src/service/intake.rs
@@ -5,8 +5,7 @@
 use admission::interface::*;
 use bytes::Bytes;
 use dispatch::StatementRequest;
-use identity::grants::{Beyond, Request};
-use identity::token::Claims;
+use identity::{AuthorizationError, AuthorizationRequest, Claims};
 use scheduler::DeskId;
 
 use super::endings::denial;
@@ -35,7 +34,7 @@
     /// As many are open as the settings allow.
     Full,
     /// The caller may not run it, which is no rejection.
-    Beyond(Beyond),
+    Beyond(AuthorizationError),
     /// The session's token holds no more.
     Unknown(String),
     /// Its key is still arriving here.
@@ -178,23 +177,21 @@
         let mut read = comment::read(text)?;
         if let Some(claims) = claims {
             let open = self.open.get(&claims.caller).copied().unwrap_or(0);
-            let group = comment::table_group(read.statement);
-            let (member, desk, class) = (read.tenant, read.desk, read.class);
-            let beyond = claims.grant.allows(&Request {
-                member,
-                desk,
-                class,
-                group,
-                from,
-                open,
-            });
-            if let Err(beyond) = beyond {
+            let request = AuthorizationRequest {
+                tenant: read.tenant,
+                sub_queue: read.desk,
+                class: read.class,
+                table_group: comment::table_group(read.statement),
+                client_address: from,
+                open_statements: open,
+            };
+            if let Err(error) = claims.grant.authorize(&request) {
                 self.counters.beyond_grant += 1;
-                return Err(Unusable::Beyond(beyond));
+                return Err(Unusable::Beyond(error));
             }
             // What the comment leaves open, the caller is.
-            read.tenant = Some(&claims.grant.member);
-            read.desk = claims.grant.desk(read.desk);
+            read.tenant = Some(&claims.grant.tenant);
+            read.desk = claims.grant.sub_queue(read.desk);
         }
         let named = |names: &[String], name: &str| names.iter().position(|known| known == name);
         let class = named(&self.classes, read.class).ok_or("unknown method")?;
--- a/crates/gateway/src/service/mod.rs
+++ b/crates/gateway/src/service/mod.rs
@@ -12,7 +12,7 @@
 use admission::interface::*;
 use bytes::Bytes;
 use dispatch::Dispatcher;
-use identity::Guard;
+use identity::TokenVerifier;
 use scheduler::{Directory, Hall, Lines, Terms};
 use settings::{Settings, SettingsError, Way};
 use tracing::{info, warn};
@@ -65,7 +65,7 @@
     /// Where gateways know each other.
     fleet: Option<Fleet>,
     /// Where callers are to be known.
-    guard: Option<Guard>,
+    token_verifier: Option<TokenVerifier>,
     /// Statements open by caller; leaves with the last of them.
     open: BTreeMap<String, u32>,
     names: Names,
@@ -108,7 +108,7 @@
             hall: Hall::new(Dispatcher::new(settings.policy(seed, WAY)?), lines),
             directory,
             fleet: None,
-            guard: None,
+            token_verifier: None,
             open: BTreeMap::new(),
             names: Names::new(settings.location_names(), settings.machine_names()),
             peers: settings.peers()?,
--- a/crates/identity/src/token.rs
+++ b/crates/identity/src/token.rs
@@ -1,5 +1,7 @@
-//! Tokens: PASETO v4.public (Ed25519), with the key's name in the footer. One algorithm by version, so that nothing in a
-//! token chooses how it is checked.
+//! Tokens: PASETO v4.public (Ed25519), with the key's id in the footer. The version fixes the one algorithm, so that
+//! nothing in a token chooses how it is checked.
+
+use std::ops::Range;
 
 use admission::interface::{TimeDelta, Timestamp};
 use pasetors::Public;
@@ -10,141 +12,188 @@
 use thiserror::Error;
 use zeroize::Zeroizing;
 
-use crate::grants::Grant;
-use crate::keys::KeyId;
+use crate::grant::Grant;
+use crate::key_index::KeyId;
+use crate::key_ring::PublicKey;
+
+/// Longest token in bytes; a longer one is rejected unread.
+pub const MAX_TOKEN_LEN: usize = 4096;
+/// Longest name of a caller, in bytes.
+const MAX_CALLER_LEN: usize = 128;
+/// Longest id of a token, in bytes.
+const MAX_TOKEN_ID_LEN: usize = 64;
+/// PASETO's implicit assertion: a token made for another service with the same key does not verify here.
+const IMPLICIT_ASSERTION: &[u8] = b"laurelhitch statements";
 
-/// Longer ones are refused unread.
-pub const LONGEST: usize = 4096;
-/// Ties tokens to this program: one made for another service with the same key is none here.
-const PURPOSE: &[u8] = b"laurelhitch statements";
+/// An Ed25519 secret key with its public half.
+pub type SecretKey = [u8; 64];
 
-/// What a token says; any further claim is critical, and refused.
+/// What a token says. Every claim is critical: a token with any further one is rejected. Times are Unix seconds.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Claims {
+    /// The name of the caller.
     pub caller: String,
     /// Names this one token, for revocation.
     pub id: String,
+    /// When it was signed.
     pub issued_s: f64,
+    /// It is valid from then on.
     pub not_before_s: f64,
+    /// It is valid until then.
     pub expires_s: f64,
+    /// What the caller may run.
     pub grant: Grant,
 }
 
 #[derive(Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 struct Footer {
-    kid: KeyId,
+    #[serde(rename = "kid")]
+    key_id: KeyId,
+}
+
+/// A new key: its secret half is wiped from memory when dropped.
+pub struct KeyPair {
+    /// Signs tokens.
+    pub secret: Zeroizing<SecretKey>,
+    /// Verifies them.
+    pub public: PublicKey,
 }
 
+/// Why a text is not a token that can be used.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq, PartialOrd, Ord)]
 pub enum TokenError {
+    /// It is longer than [`MAX_TOKEN_LEN`].
     #[error("too long")]
-    Long,
+    TooLong,
+    /// It is not a PASETO v4.public token with a key id.
     #[error("no token of this form")]
-    Form,
+    Malformed,
+    /// Its signature does not verify, or a key cannot be used.
     #[error("its signature does not hold")]
-    Signature,
+    InvalidSignature,
+    /// Its claims are unknown, out of bounds or contradict each other.
     #[error("its claims cannot be used")]
-    Claims,
+    InvalidClaims,
 }
 
-/// The name of the key that a token claims, unchecked.
+/// The id of the key that a token names, without checking its signature.
 ///
 /// # Errors
-/// It is too long, or no token.
-pub fn key_of(token: &str) -> Result<KeyId, TokenError> {
-    let untrusted = untrusted(token)?;
+/// It is too long, or not a token.
+pub fn unverified_key_id(token: &str) -> Result<KeyId, TokenError> {
+    let untrusted = parse(token)?;
     let footer: Footer =
-        serde_json::from_slice(untrusted.untrusted_footer()).map_err(|_| TokenError::Form)?;
-    Ok(footer.kid)
+        serde_json::from_slice(untrusted.untrusted_footer()).map_err(|_| TokenError::Malformed)?;
+    Ok(footer.key_id)
 }
 
-fn untrusted(token: &str) -> Result<UntrustedToken<Public, V4>, TokenError> {
-    if token.len() > LONGEST {
-        return Err(TokenError::Long);
+fn parse(token: &str) -> Result<UntrustedToken<Public, V4>, TokenError> {
+    if token.len() > MAX_TOKEN_LEN {
+        return Err(TokenError::TooLong);
     }
-    UntrustedToken::<Public, V4>::try_from(token).map_err(|_| TokenError::Form)
+    UntrustedToken::<Public, V4>::try_from(token).map_err(|_| TokenError::Malformed)
 }
 
-/// What a token says of itself; anybody can say anything.
+/// What a token says, without checking its signature: anybody could have written it.
 ///
 /// # Errors
-/// It is no token, or its claims are none.
-pub fn claims_unchecked(token: &str) -> Result<Claims, TokenError> {
-    serde_json::from_slice(untrusted(token)?.untrusted_payload()).map_err(|_| TokenError::Claims)
+/// It is not a token, or its claims cannot be read.
+pub fn unverified_claims(token: &str) -> Result<Claims, TokenError> {
+    let untrusted = parse(token)?;
+    serde_json::from_slice(untrusted.untrusted_payload()).map_err(|_| TokenError::InvalidClaims)
 }
 
-/// When a token was issued, by its own unchecked word: only for whether to ask again is it used.
-pub fn issued_unchecked(token: &str) -> Option<Timestamp> {
-    let claims = claims_unchecked(token).ok()?;
-    claims
-        .issued_s
-        .is_finite()
-        .then(|| Timestamp::from_secs(claims.issued_s))
+/// When a token says that it was issued, without checking its signature. It only decides between rejecting its bearer
+/// and asking for a retry; none: it does not say.
+#[must_use]
+pub fn unverified_issue_time(token: &str) -> Option<Timestamp> {
+    let issued_s = unverified_claims(token).ok()?.issued_s;
+    issued_s.is_finite().then(|| Timestamp::from_secs(issued_s))
 }
 
+/// Checks a token's signature and the form of its claims, and returns them. Whether it is valid now is not checked.
+///
 /// # Errors
-/// The signature does not hold under this key, or the claims cannot be used.
-pub fn open(token: &str, public: &[u8; 32]) -> Result<Claims, TokenError> {
-    let untrusted = untrusted(token)?;
-    let key = AsymmetricPublicKey::<V4>::from(public).map_err(|_| TokenError::Signature)?;
+/// The signature does not verify under this key, or the claims cannot be used.
+pub fn verify(token: &str, public: &PublicKey) -> Result<Claims, TokenError> {
+    let untrusted = parse(token)?;
+    let key = AsymmetricPublicKey::<V4>::from(public).map_err(|_| TokenError::InvalidSignature)?;
     let footer = untrusted.untrusted_footer().to_vec();
-    let trusted = PublicToken::verify(&key, &untrusted, Some(&footer), Some(PURPOSE));
-    let trusted = trusted.map_err(|_| TokenError::Signature)?;
-    let claims: Claims = serde_json::from_str(trusted.payload()).map_err(|_| TokenError::Claims)?;
-    let times = [claims.issued_s, claims.not_before_s, claims.expires_s];
-    let sound = times.iter().all(|at| at.is_finite() && *at >= 0.0)
-        && claims.not_before_s < claims.expires_s;
-    let named = (1..=128).contains(&claims.caller.len()) && (1..=64).contains(&claims.id.len());
-    if sound && named && claims.grant.usable() {
+    let trusted = PublicToken::verify(&key, &untrusted, Some(&footer), Some(IMPLICIT_ASSERTION))
+        .map_err(|_| TokenError::InvalidSignature)?;
+    let claims: Claims =
+        serde_json::from_str(trusted.payload()).map_err(|_| TokenError::InvalidClaims)?;
+    if claims.are_valid() {
         Ok(claims)
     } else {
-        Err(TokenError::Claims)
+        Err(TokenError::InvalidClaims)
     }
 }
 
+/// Signs claims as a token that names its key.
+///
 /// # Errors
-/// The claims cannot be written, or the key is none.
-pub fn sign(claims: &Claims, id: &KeyId, secret: &[u8; 64]) -> Result<String, TokenError> {
-    let message = serde_json::to_vec(claims).map_err(|_| TokenError::Claims)?;
-    let footer = serde_json::to_vec(&Footer { kid: id.clone() }).map_err(|_| TokenError::Claims)?;
-    let key = AsymmetricSecretKey::<V4>::from(secret).map_err(|_| TokenError::Signature)?;
-    let token = PublicToken::sign(&key, &message, Some(&footer), Some(PURPOSE));
-    let token = token.map_err(|_| TokenError::Signature)?;
-    if token.len() > LONGEST {
-        Err(TokenError::Long)
-    } else {
-        Ok(token)
+/// The claims cannot be written or make it too long, or the key cannot be used.
+pub fn sign(claims: &Claims, key_id: &KeyId, secret: &SecretKey) -> Result<String, TokenError> {
+    let message = serde_json::to_vec(claims).map_err(|_| TokenError::InvalidClaims)?;
+    let footer = Footer {
+        key_id: key_id.clone(),
+    };
+    let footer = serde_json::to_vec(&footer).map_err(|_| TokenError::InvalidClaims)?;
+    let key = AsymmetricSecretKey::<V4>::from(secret).map_err(|_| TokenError::InvalidSignature)?;
+    let token = PublicToken::sign(&key, &message, Some(&footer), Some(IMPLICIT_ASSERTION))
+        .map_err(|_| TokenError::InvalidSignature)?;
+    if token.len() > MAX_TOKEN_LEN {
+        return Err(TokenError::TooLong);
     }
+    Ok(token)
 }
 
-/// A fresh pair: the secret half and the public one.
+/// Makes a new key pair.
 ///
 /// # Errors
 /// The machine gives no randomness.
-pub fn fresh() -> Result<(Zeroizing<[u8; 64]>, [u8; 32]), TokenError> {
-    let pair = AsymmetricKeyPair::<V4>::generate().map_err(|_| TokenError::Signature)?;
-    let secret = pair
+pub fn generate_key_pair() -> Result<KeyPair, TokenError> {
+    let pair = AsymmetricKeyPair::<V4>::generate().map_err(|_| TokenError::InvalidSignature)?;
+    let secret: SecretKey = pair
         .secret
         .as_bytes()
         .try_into()
-        .map_err(|_| TokenError::Signature)?;
-    let public = pair
+        .map_err(|_| TokenError::InvalidSignature)?;
+    let public: PublicKey = pair
         .public
         .as_bytes()
         .try_into()
-        .map_err(|_| TokenError::Signature)?;
-    Ok((Zeroizing::new(secret), public))
+        .map_err(|_| TokenError::InvalidSignature)?;
+    Ok(KeyPair {
+        secret: Zeroizing::new(secret),
+        public,
+    })
 }
 
 impl Claims {
-    /// From when and until when it holds, with this much given for clocks that differ.
-    pub fn holds(&self, skew: TimeDelta) -> (Timestamp, Timestamp) {
-        let back = TimeDelta::ZERO - skew;
-        (
-            Timestamp::from_secs(self.not_before_s) + back,
-            Timestamp::from_secs(self.expires_s) + skew,
-        )
+    /// When the token is valid, widened at both ends by the skew of clocks.
+    #[must_use]
+    pub fn validity(&self, skew: TimeDelta) -> Range<Timestamp> {
+        let start = Timestamp::from_secs(self.not_before_s) + (TimeDelta::ZERO - skew);
+        let end = Timestamp::from_secs(self.expires_s) + skew;
+        start..end
+    }
+
+    /// The time for which it is valid.
+    #[must_use]
+    pub fn lifetime_s(&self) -> f64 {
+        self.expires_s - self.not_before_s
+    }
+
+    fn are_valid(&self) -> bool {
+        let times = [self.issued_s, self.not_before_s, self.expires_s];
+        let are_times = times.iter().all(|secs| secs.is_finite() && *secs >= 0.0);
+        let is_valid_at_some_time = self.not_before_s < self.expires_s;
+        let has_names = (1..=MAX_CALLER_LEN).contains(&self.caller.len())
+            && (1..=MAX_TOKEN_ID_LEN).contains(&self.id.len());
+        are_times && is_valid_at_some_time && has_names && self.grant.is_valid()
     }
 }
--- a/crates/identity/tests/golden.rs
+++ b/crates/identity/tests/golden.rs
@@ -12,10 +12,10 @@
 use std::collections::BTreeSet;
 use std::path::Path;
 
-use identity::grants::{Beyond, Grant};
-use identity::guard::Why;
-use identity::keys::{Index, IndexError, KeyId, Listed};
 use identity::token::{self, Claims, TokenError};
+use identity::{
+    AuthorizationError, Grant, KeyEntry, KeyId, KeyIndex, KeyIndexError, TokenRejection,
+};
 
 /// Compares what is made today with what was recorded, each name, each byte and their order, and hands back what was
 /// recorded. With `GOLDEN_RECORD=1` it writes the file first.
@@ -68,40 +68,40 @@
     KeyId::try_from(text.to_owned()).unwrap()
 }
 
-fn listed_full() -> Listed {
-    Listed {
+fn full_entry() -> KeyEntry {
+    KeyEntry {
         id: id("spring-1"),
         announced_s: 1_000_000.0,
-        signs_s: Some(1_000_100.5),
-        retires_s: Some(1_000_200.0),
+        signing_s: Some(1_000_100.5),
+        retired_s: Some(1_000_200.0),
         withdrawn_s: Some(1_000_300.25),
     }
 }
 
-fn listed_bare() -> Listed {
-    Listed {
+fn bare_entry() -> KeyEntry {
+    KeyEntry {
         id: id("autumn_2"),
         announced_s: 1_000_400.0,
-        signs_s: None,
-        retires_s: None,
+        signing_s: None,
+        retired_s: None,
         withdrawn_s: None,
     }
 }
 
-fn index() -> Index {
-    Index {
+fn index() -> KeyIndex {
+    KeyIndex {
         version: 42,
-        keys: vec![listed_full(), listed_bare()],
+        keys: vec![full_entry(), bare_entry()],
     }
 }
 
 fn grant_full() -> Grant {
     Grant {
-        member: "valley-water".into(),
-        desks: Some(BTreeSet::from(["counter".into(), "back-office".into()])),
+        tenant: "valley-water".into(),
+        sub_queues: Some(BTreeSet::from(["counter".into(), "back-office".into()])),
         classes: Some(BTreeSet::from(["scores".into()])),
-        groups: Some(vec![(1, 5), (9, 9)]),
-        most_open: Some(17),
+        table_groups: Some(vec![(1, 5).into(), (9, 9).into()]),
+        max_open_statements: Some(17),
         networks: Some(vec![
             "10.0.0.0/8".parse().unwrap(),
             "2001:db8::/32".parse().unwrap(),
@@ -111,11 +111,11 @@
 
 fn grant_bare() -> Grant {
     Grant {
-        member: "valley-water".into(),
-        desks: None,
+        tenant: "valley-water".into(),
+        sub_queues: None,
         classes: None,
-        groups: None,
-        most_open: None,
+        table_groups: None,
+        max_open_statements: None,
         networks: None,
     }
 }
@@ -138,40 +138,40 @@
         ("index", serde_json::to_vec_pretty(&index()).unwrap()),
         (
             "index_without_keys",
-            serde_json::to_vec_pretty(&Index::default()).unwrap(),
+            serde_json::to_vec_pretty(&KeyIndex::default()).unwrap(),
         ),
     ];
     let recorded = compare("index.txt", &made);
-    let read = |bytes: &[u8]| Index::parse(std::str::from_utf8(bytes).unwrap());
+    let read = |bytes: &[u8]| KeyIndex::parse(std::str::from_utf8(bytes).unwrap());
     assert_eq!(read(&recorded[0]), Ok(index()));
-    assert_eq!(read(&recorded[1]), Ok(Index::default()));
+    assert_eq!(read(&recorded[1]), Ok(KeyIndex::default()));
 }
 
 #[test]
 fn what_the_index_says_of_a_key_keeps_its_text_with_each_step_and_with_none() {
     let keys = [
-        ("every_step", listed_full()),
-        ("announced", listed_bare()),
+        ("every_step", full_entry()),
+        ("announced", bare_entry()),
         (
             "signing",
-            Listed {
-                signs_s: Some(1_000_401.0),
-                ..listed_bare()
+            KeyEntry {
+                signing_s: Some(1_000_401.0),
+                ..bare_entry()
             },
         ),
         (
             "retiring",
-            Listed {
-                signs_s: Some(1_000_401.0),
-                retires_s: Some(1_000_402.0),
-                ..listed_bare()
+            KeyEntry {
+                signing_s: Some(1_000_401.0),
+                retired_s: Some(1_000_402.0),
+                ..bare_entry()
             },
         ),
         (
             "withdrawn_unsigned",
-            Listed {
+            KeyEntry {
                 withdrawn_s: Some(1_000_403.0),
-                ..listed_bare()
+                ..bare_entry()
             },
         ),
     ];
@@ -181,7 +181,7 @@
         .collect();
     let recorded = compare("keys.txt", &made);
     for ((_, key), bytes) in keys.iter().zip(&recorded) {
-        assert_eq!(&serde_json::from_slice::<Listed>(bytes).unwrap(), key);
+        assert_eq!(&serde_json::from_slice::<KeyEntry>(bytes).unwrap(), key);
     }
 }
 
@@ -223,58 +223,88 @@
     let recorded = compare("tokens.txt", &made);
     for (bytes, grant) in recorded.iter().zip([grant_full(), grant_bare()]) {
         let text = std::str::from_utf8(bytes).unwrap();
-        assert_eq!(token::key_of(text), Ok(id("spring-1")));
-        assert_eq!(token::claims_unchecked(text), Ok(claims(grant.clone())));
-        assert_eq!(token::open(text, &public()), Ok(claims(grant)));
+        assert_eq!(token::unverified_key_id(text), Ok(id("spring-1")));
+        assert_eq!(token::unverified_claims(text), Ok(claims(grant.clone())));
+        assert_eq!(token::verify(text, &public()), Ok(claims(grant)));
     }
 }
 
 #[test]
 fn what_is_shown_of_refused_tokens_keeps_its_words() {
-    let shown = |why: Why| why.to_string().into_bytes();
+    let shown = |rejection: TokenRejection| rejection.to_string().into_bytes();
     let made = [
-        ("token_long", shown(Why::Token(TokenError::Long))),
-        ("token_form", shown(Why::Token(TokenError::Form))),
-        ("token_signature", shown(Why::Token(TokenError::Signature))),
-        ("token_claims", shown(Why::Token(TokenError::Claims))),
-        ("unknown_key", shown(Why::UnknownKey)),
-        ("withdrawn", shown(Why::Withdrawn)),
-        ("announced", shown(Why::Announced)),
-        ("not_signing", shown(Why::NotSigning)),
-        ("expired", shown(Why::Expired)),
-        ("long", shown(Why::Long)),
-        ("revoked", shown(Why::Revoked)),
-        ("caller", shown(Why::Caller)),
+        (
+            "token_long",
+            shown(TokenRejection::Invalid(TokenError::TooLong)),
+        ),
+        (
+            "token_form",
+            shown(TokenRejection::Invalid(TokenError::Malformed)),
+        ),
+        (
+            "token_signature",
+            shown(TokenRejection::Invalid(TokenError::InvalidSignature)),
+        ),
+        (
+            "token_claims",
+            shown(TokenRejection::Invalid(TokenError::InvalidClaims)),
+        ),
+        ("unknown_key", shown(TokenRejection::UnknownKey)),
+        ("withdrawn", shown(TokenRejection::KeyWithdrawn)),
+        ("announced", shown(TokenRejection::KeyNotSigningYet)),
+        ("not_signing", shown(TokenRejection::KeyNotSigningAtIssue)),
+        ("expired", shown(TokenRejection::Expired)),
+        ("long", shown(TokenRejection::LifetimeTooLong)),
+        ("revoked", shown(TokenRejection::TokenRevoked)),
+        ("caller", shown(TokenRejection::CallerRevoked)),
     ];
     compare("refused.txt", &made);
 }
 
 #[test]
 fn what_is_shown_of_statements_beyond_a_grant_keeps_its_words() {
-    let shown = |beyond: Beyond| beyond.to_string().into_bytes();
+    let shown = |error: AuthorizationError| error.to_string().into_bytes();
     let made = [
-        ("member", shown(Beyond::Member)),
-        ("desk", shown(Beyond::Desk)),
-        ("product", shown(Beyond::Product)),
-        ("group", shown(Beyond::Group)),
-        ("open", shown(Beyond::Open)),
-        ("network", shown(Beyond::Network)),
+        ("member", shown(AuthorizationError::Tenant)),
+        ("desk", shown(AuthorizationError::SubQueue)),
+        ("product", shown(AuthorizationError::QueryClass)),
+        ("group", shown(AuthorizationError::TableGroup)),
+        ("open", shown(AuthorizationError::OpenStatements)),
+        ("network", shown(AuthorizationError::Network)),
     ];
     compare("beyond.txt", &made);
 }
 
 #[test]
 fn what_is_shown_of_a_faulty_index_keeps_its_words() {
-    let shown = |error: IndexError| error.to_string().into_bytes();
+    let shown = |error: KeyIndexError| error.to_string().into_bytes();
     let made = [
-        ("name", shown(IndexError::Name)),
-        ("form", shown(IndexError::Form("reason".into()))),
-        ("twice", shown(IndexError::Twice("spring-1".into()))),
-        ("order", shown(IndexError::Order("spring-1".into()))),
-        ("missing", shown(IndexError::Missing("spring-1".into()))),
-        ("back", shown(IndexError::Back("spring-1".into()))),
-        ("older", shown(IndexError::Older(3, 4))),
-        ("many", shown(IndexError::Many(1000))),
+        ("name", shown(KeyIndexError::InvalidKeyId)),
+        ("form", shown(KeyIndexError::Malformed("reason".into()))),
+        (
+            "twice",
+            shown(KeyIndexError::DuplicateKey("spring-1".into())),
+        ),
+        (
+            "order",
+            shown(KeyIndexError::TimesOutOfOrder("spring-1".into())),
+        ),
+        (
+            "missing",
+            shown(KeyIndexError::MissingPublicKey("spring-1".into())),
+        ),
+        (
+            "back",
+            shown(KeyIndexError::WithdrawnKeyReused("spring-1".into())),
+        ),
+        (
+            "older",
+            shown(KeyIndexError::OutdatedVersion {
+                offered: 3,
+                current: 4,
+            }),
+        ),
+        ("many", shown(KeyIndexError::TooManyKeys(1000))),
     ];
     compare("index_errors.txt", &made);
 }
--- a/crates/operator_config/src/identity_block.rs
+++ b/crates/operator_config/src/identity_block.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 
 use admission::interface::TimeDelta;
-use identity::Terms;
+use identity::VerifierConfig;
 use serde::Deserialize;
 
 use crate::{Fault, fault, yes};
@@ -32,7 +32,7 @@
     /// PEM: the chain, and its private key.
     pub certificate: PathBuf,
     pub private_key: PathBuf,
-    pub terms: Terms,
+    pub terms: VerifierConfig,
 }
 
 impl Identity {
@@ -54,29 +54,35 @@
             within(name, value, default.secs() * 1e3, least, most)
                 .map(|ms| TimeDelta::from_secs(ms / 1e3))
         };
-        let plain = Terms::default();
-        let terms = Terms {
-            skew: span("skew_ms", self.skew_ms, plain.skew, 0.0, 600_000.0)?,
-            grace: span("grace_ms", self.grace_ms, plain.grace, 0.0, 600_000.0)?,
-            back: span("back_ms", self.back_ms, plain.back, 1.0, 60_000.0)?,
-            longest: span(
+        let plain = VerifierConfig::default();
+        let terms = VerifierConfig {
+            clock_skew: span("skew_ms", self.skew_ms, plain.clock_skew, 0.0, 600_000.0)?,
+            key_arrival_grace: span(
+                "grace_ms",
+                self.grace_ms,
+                plain.key_arrival_grace,
+                0.0,
+                600_000.0,
+            )?,
+            retry_after: span("back_ms", self.back_ms, plain.retry_after, 1.0, 60_000.0)?,
+            max_token_lifetime: span(
                 "longest_token_ms",
                 self.longest_token_ms,
-                plain.longest,
+                plain.max_token_lifetime,
                 1000.0,
                 3.2e10,
             )?,
-            cached_verdicts: within(
+            max_cached_tokens: within(
                 "remembered",
                 self.cached_verdicts,
-                plain.cached_verdicts as f64,
+                plain.max_cached_tokens as f64,
                 0.0,
                 1e6,
             )? as usize,
-            checks_per_s: within(
+            signature_checks_per_s: within(
                 "checks_per_s",
                 self.checks_per_s,
-                plain.checks_per_s,
+                plain.signature_checks_per_s,
                 1.0,
                 1e6,
             )?,
--- a/crates/operator_config/tests/file.rs
+++ b/crates/operator_config/tests/file.rs
@@ -154,7 +154,10 @@
         .identity
         .unwrap();
     assert_eq!(
-        (callers.terms.grace.secs(), callers.terms.skew.secs()),
+        (
+            callers.terms.key_arrival_grace.secs(),
+            callers.terms.clock_skew.secs()
+        ),
         (2.0, 5.0)
     );
     for (change, to, want) in [
