--- a/crates/gateway/src/credentials.rs
+++ b/crates/gateway/src/credentials.rs
@@ -78,7 +78,7 @@
     /// Desks, query classes, table groups (`3-5` or `7`) and networks that it is limited to; without one, all.
     #[arg(long)]
     desk: Vec<String>,
-    #[arg(long)]
+    #[arg(long = "product", value_name = "PRODUCT")]
     class: Vec<String>,
     #[arg(long, value_parser = range)]
     groups: Vec<TableGroupRange>,
