--- a/crates/gateway/src/service/mod.rs
+++ b/crates/gateway/src/service/mod.rs
@@ -12,7 +12,7 @@
 use admission::interface::*;
 use bytes::Bytes;
 use dispatch::Dispatcher;
-use identity::Guard;
+use identity::TokenVerifier;
 use scheduler::{Config as QueueConfig, QueueResolver, Scheduler, TenantQueues};
 use settings::{Settings, SettingsError, Way};
 use tracing::{info, warn};
@@ -66,7 +66,7 @@
     /// Where gateways know each other.
     fleet: Option<Fleet>,
     /// Where callers are to be known.
-    guard: Option<Guard>,
+    token_verifier: Option<TokenVerifier>,
     /// Statements open by caller; leaves with the last of them.
     open: BTreeMap<String, u32>,
     names: EngineRegistry,
@@ -109,7 +109,7 @@
             scheduler: Scheduler::new(Dispatcher::new(settings.policy(seed, WAY)?), queues),
             resolver,
             fleet: None,
-            guard: None,
+            token_verifier: None,
             open: BTreeMap::new(),
             names: EngineRegistry::new(settings.location_names(), settings.machine_names()),
             peers: settings.peers()?,
