--- a/crates/gateway/src/board/mod.rs
+++ b/crates/gateway/src/board/mod.rs
@@ -16,7 +16,7 @@
 pub use list::{Event, Events, ListError};
 
 use crate::counters::Counters;
-use crate::socket::{Loop, Peer, Socket, is_shortage};
+use crate::socket::{EventLoopHandle, EventSource, Socket, is_resource_exhaustion};
 
 /// Network facts, against the 7 s after which an event counts as told however slow the board is. How long
 /// the board may linger; how much later than that a poll is late and another goes out beside it; when a poll
@@ -38,7 +38,7 @@
 }
 
 pub struct Board {
-    handle: Loop,
+    handle: EventLoopHandle,
     address: SocketAddr,
     next: u64,
     /// Four at most.
@@ -54,7 +54,13 @@
 }
 
 impl Board {
-    pub fn new(handle: &Loop, address: SocketAddr, last: u64, seed: u64, now: Timestamp) -> Self {
+    pub fn new(
+        handle: &EventLoopHandle,
+        address: SocketAddr,
+        last: u64,
+        seed: u64,
+        now: Timestamp,
+    ) -> Self {
         Board {
             handle: handle.clone(),
             address,
@@ -141,7 +147,7 @@
         }
         let at = self.next;
         self.next += 1;
-        match Socket::connect(self.address, &self.handle, Peer::Board(at)) {
+        match Socket::connect(self.address, &self.handle, EventSource::Discovery(at)) {
             Ok(socket) => {
                 let mut poll = Poll {
                     socket,
@@ -154,7 +160,7 @@
                 self.polls.insert(at, poll);
             }
             Err(error) => {
-                self.short = is_shortage(&error);
+                self.short = is_resource_exhaustion(&error);
                 self.failed(now, &error.to_string(), counters);
             }
         }
@@ -168,7 +174,7 @@
             "GET /board/poll?watch={}&linger={linger} HTTP/1.1\r\nHost: {}\r\n\r\n",
             self.last, self.address
         );
-        poll.socket.put(question.as_bytes());
+        poll.socket.enqueue(question.as_bytes());
     }
 
     /// Growing waits, but far below the time after which events count as told.
@@ -187,7 +193,7 @@
             return;
         };
         if poll.connecting {
-            match poll.socket.connected() {
+            match poll.socket.is_connected() {
                 Ok(true) => poll.connecting = false,
                 Ok(false) => return,
                 Err(error) => {
@@ -196,13 +202,13 @@
                 }
             }
         }
-        poll.socket.news();
+        poll.socket.mark_readable();
         let read = poll
             .socket
             .flush()
-            .and_then(|()| poll.socket.fill(http::LARGEST));
-        let ended = poll.socket.ended;
-        match http::take(&mut poll.socket.inbox, ended) {
+            .and_then(|()| poll.socket.read_up_to(http::LARGEST));
+        let ended = poll.socket.peer_finished;
+        match http::take(&mut poll.socket.read_buffer, ended) {
             Answered::Events(events, keep) => {
                 let watch = poll.watch;
                 let early = (now - poll.asked).secs() < LINGER_S * 0.5;
@@ -229,7 +235,7 @@
                 }
                 poll.map(|poll| self.polls.insert(at, poll));
             }
-            Answered::NotYet if read.is_ok() && !poll.socket.ended => {}
+            Answered::NotYet if read.is_ok() && !poll.socket.peer_finished => {}
             Answered::NotYet => {
                 self.polls.remove(&at);
                 self.failed(now, "closed before its answer", counters);
--- a/crates/gateway/src/clients/mod.rs
+++ b/crates/gateway/src/clients/mod.rs
@@ -15,7 +15,7 @@
 use tracing::debug;
 
 use crate::counters::Counters;
-use crate::socket::{Loop, Peer, Socket};
+use crate::socket::{EventLoopHandle, EventSource, Socket};
 use packets::{Answer, Command, Query};
 
 /// Network facts. A client logs in and sends its first command at once, and is owed a word or a close within 3 s
@@ -141,18 +141,18 @@
 impl Session {
     /// What has come waits: for the answer before it, for its client to read, or for good.
     fn held(&self) -> bool {
-        self.asked || self.phase == Phase::Closing || self.socket.unwritten() > UNREAD
+        self.asked || self.phase == Phase::Closing || self.socket.unwritten_bytes() > UNREAD
     }
 
     /// A whole packet has come, or one that can't be used.
     fn whole(&self) -> bool {
-        packets::waiting(&self.socket.inbox)
+        packets::waiting(&self.socket.read_buffer)
     }
 
     /// May be closed for another, the least first: one that has had its last word, one that never asked, one at rest;
     /// of these the one that has stood still for longest.
     fn spare(&self) -> Option<(Rest, Timestamp)> {
-        let owed = self.phase == Phase::Open && (self.asked || self.socket.unwritten() > 0);
+        let owed = self.phase == Phase::Open && (self.asked || self.socket.unwritten_bytes() > 0);
         let rest = match self.phase {
             Phase::Closing => Rest::Over,
             Phase::Open if self.commands > 0 => Rest::Idle,
@@ -164,7 +164,7 @@
     /// A packet that is not read to its end; what follows has no meaning.
     fn turn_away(&mut self, now: Timestamp, why: &str) {
         self.socket
-            .put(&Answer::to(self.seq).error(1153, b"08S01", why));
+            .enqueue(&Answer::to(self.seq).error(1153, b"08S01", why));
         (self.phase, self.moved) = (Phase::Closing, now);
     }
 
@@ -174,7 +174,7 @@
         match self.phase {
             Phase::Closing => past(self.moved, LINGER_S),
             _ if self.commands == 0 && past(self.opened, FIRST_S) => true,
-            _ if self.socket.unwritten() > 0 => past(self.moved, STUCK_S),
+            _ if self.socket.unwritten_bytes() > 0 => past(self.moved, STUCK_S),
             _ if self.asked => false,
             _ => self.begun.is_some_and(|since| past(since, WHOLE_S)) || past(self.moved, IDLE_S),
         }
@@ -182,7 +182,7 @@
 }
 
 pub struct Clients {
-    handle: Loop,
+    handle: EventLoopHandle,
     share: usize,
     /// Callers are to be known: TLS and a token, by this.
     tls: Option<Arc<ServerConfig>>,
@@ -204,7 +204,13 @@
 }
 
 impl Clients {
-    pub fn new(handle: &Loop, share: usize, bound: usize, progress: bool, now: Timestamp) -> Self {
+    pub fn new(
+        handle: &EventLoopHandle,
+        share: usize,
+        bound: usize,
+        progress: bool,
+        now: Timestamp,
+    ) -> Self {
         let progressing = BTreeSet::new();
         let (sessions, again, left, news) = (
             BTreeMap::new(),
@@ -285,7 +291,7 @@
             self.sessions
                 .get_mut(&id)
                 .into_iter()
-                .for_each(|session| session.socket.finish());
+                .for_each(|session| session.socket.finish_writing());
             self.end(id, counters);
         }
         true
@@ -297,7 +303,7 @@
         let Some(session) = self.sessions.get_mut(&id) else {
             return true;
         };
-        session.socket.news();
+        session.socket.mark_readable();
         if session.phase == Phase::Closing || self.read(id).is_err() {
             return true;
         }
@@ -349,7 +355,7 @@
     pub fn all_quiet(&self) -> bool {
         self.sessions
             .values()
-            .all(|s| !s.asked && s.socket.unwritten() == 0)
+            .all(|s| !s.asked && s.socket.unwritten_bytes() == 0)
     }
 
     pub fn has_news(&self) -> bool {
@@ -371,11 +377,11 @@
         // Zero is what an unset connection id reads as.
         self.next = self.next.checked_add(1).unwrap_or(1);
         let id = self.next;
-        let socket = match Socket::new(stream, &self.handle, Peer::Client(id)) {
+        let socket = match Socket::new(stream, &self.handle, EventSource::Client(id)) {
             Ok(socket) => socket,
             Err(error) => return debug!(%error, "client not taken"),
         };
-        let heard = socket.heard(now);
+        let heard = socket.last_received(now);
         counters.sessions_opened += 1;
         let mut session = Session {
             socket,
@@ -397,7 +403,7 @@
         };
         session
             .socket
-            .put(&packets::greeting(id, self.progress, self.tls.is_some()));
+            .enqueue(&packets::greeting(id, self.progress, self.tls.is_some()));
         self.sessions.insert(id, session);
         self.ready(now, id, counters);
     }
@@ -406,7 +412,7 @@
         let Some(session) = self.sessions.get_mut(&id) else {
             return;
         };
-        session.socket.news();
+        session.socket.mark_readable();
         self.work(now, id, counters);
     }
 
@@ -422,12 +428,12 @@
         let Some(session) = self.sessions.get_mut(&id) else {
             return Ok(());
         };
-        let before = session.socket.inbox.len();
+        let before = session.socket.read_buffer.len();
         let read = session
             .socket
             .flush()
-            .and_then(|()| session.socket.fill(ROOM));
-        self.unread += session.socket.inbox.len() - before;
+            .and_then(|()| session.socket.read_up_to(ROOM));
+        self.unread += session.socket.read_buffer.len() - before;
         read
     }
 
@@ -440,9 +446,9 @@
             return;
         };
         // Where there is no room to read up to it, the end has to be asked for.
-        let full = session.asked && session.socket.inbox.len() >= ROOM;
-        let left = session.socket.ended
-            || match full.then(|| session.socket.hung_up()).transpose() {
+        let full = session.asked && session.socket.read_buffer.len() >= ROOM;
+        let left = session.socket.peer_finished
+            || match full.then(|| session.socket.peer_hung_up()).transpose() {
                 Ok(left) => left.unwrap_or(false),
                 Err(_) => return self.end(id, counters),
             };
@@ -452,7 +458,7 @@
             let came = if taken_now {
                 session.heard
             } else {
-                session.socket.heard(now)
+                session.socket.last_received(now)
             };
             session.left.get_or_insert(Left { seen: now, came });
             self.left.insert(id);
@@ -464,10 +470,10 @@
             if session.held() {
                 break;
             }
-            let before = session.socket.inbox.len();
-            let packet = packets::take(&mut session.socket.inbox);
-            self.unread -= before - session.socket.inbox.len();
-            let crowded = self.unread > self.bound && session.socket.inbox.len() > SMALL;
+            let before = session.socket.read_buffer.len();
+            let packet = packets::take(&mut session.socket.read_buffer);
+            self.unread -= before - session.socket.read_buffer.len();
+            let crowded = self.unread > self.bound && session.socket.read_buffer.len() > SMALL;
             match packet {
                 Ok(None) if crowded => session.turn_away(now, "too many large packets at once"),
                 Ok(Some(packet)) => {
@@ -483,18 +489,18 @@
         };
         if session.phase == Phase::Closing {
             // Read on for a while all the same: closing with unread input would reset our last word away.
-            self.unread -= session.socket.inbox.len();
-            session.socket.inbox.clear();
+            self.unread -= session.socket.read_buffer.len();
+            session.socket.read_buffer.clear();
         }
         let behind = session.asked && session.whole();
         session.behind = session
             .behind
             .filter(|_| session.whole())
             .or(behind.then_some(now));
-        let begun = !session.held() && !session.socket.inbox.is_empty();
+        let begun = !session.held() && !session.socket.read_buffer.is_empty();
         session.begun = session.begun.filter(|_| begun).or(begun.then_some(now));
         // What is held goes on with its answer, or when its client has read.
-        let more = session.socket.more() && session.socket.inbox.len() < ROOM;
+        let more = session.socket.may_have_more() && session.socket.read_buffer.len() < ROOM;
         if session.phase == Phase::Closing && more || !session.held() && (more || session.whole()) {
             self.again.insert(id);
         }
@@ -509,15 +515,15 @@
         if session.socket.flush().is_err() {
             return self.end(id, counters);
         }
-        if session.socket.written != session.written {
-            (session.written, session.moved) = (session.socket.written, now);
+        if session.socket.bytes_written != session.written {
+            (session.written, session.moved) = (session.socket.bytes_written, now);
         }
-        let said = !session.asked && session.socket.unwritten() == 0;
-        if said && session.socket.ended {
+        let said = !session.asked && session.socket.unwritten_bytes() == 0;
+        if said && session.socket.peer_finished {
             return self.end(id, counters);
         }
         if said && session.phase == Phase::Closing {
-            session.socket.finish();
+            session.socket.finish_writing();
         }
     }
 
@@ -536,9 +542,9 @@
                 (Phase::Login, packets::Hello::Tls) => {
                     session.phase = Phase::Secured;
                     // The rest of this packet's turn reads on within TLS.
-                    let before = session.socket.inbox.len();
+                    let before = session.socket.read_buffer.len();
                     let ended = session.socket.start_tls(tls.clone()).is_err();
-                    self.unread = self.unread + session.socket.inbox.len() - before;
+                    self.unread = self.unread + session.socket.read_buffer.len() - before;
                     counters.tls_failed += u64::from(ended);
                     session.phase = if ended { Phase::Closing } else { session.phase };
                     return;
@@ -564,14 +570,14 @@
             match known {
                 Ok(bytes) => {
                     session.phase = Phase::Password;
-                    session.socket.put(&bytes);
+                    session.socket.enqueue(&bytes);
                 }
                 Err((code, state, text)) => {
                     counters.logins_denied += 1;
                     session.phase = Phase::Closing;
                     session
                         .socket
-                        .put(&Answer::to(session.seq).error(code, state, text));
+                        .enqueue(&Answer::to(session.seq).error(code, state, text));
                 }
             }
             return;
@@ -584,12 +590,12 @@
                         self.progressing.insert(id);
                     }
                     session.phase = Phase::Open;
-                    session.socket.put(&answer.ok());
+                    session.socket.enqueue(&answer.ok());
                 }
                 Err((code, state, text)) => {
                     counters.logins_denied += 1;
                     session.phase = Phase::Closing;
-                    session.socket.put(&answer.error(code, state, text));
+                    session.socket.enqueue(&answer.error(code, state, text));
                 }
             }
             return;
@@ -597,14 +603,14 @@
         session.commands += 1;
         match packets::command(body) {
             Command::Quit => session.phase = Phase::Closing,
-            Command::Ping | Command::Fine => session.socket.put(&answer.ok()),
+            Command::Ping | Command::Fine => session.socket.enqueue(&answer.ok()),
             Command::Unknown => {
                 session
                     .socket
-                    .put(&answer.error(1047, b"08S01", "Unknown command"))
+                    .enqueue(&answer.error(1047, b"08S01", "Unknown command"))
             }
             Command::Query(text) => match packets::query(text) {
-                Query::Fine => session.socket.put(&answer.ok()),
+                Query::Fine => session.socket.enqueue(&answer.ok()),
                 Query::Renew(token) if self.tls.is_some() => {
                     session.asked = true;
                     self.news.push(News::Token {
@@ -613,12 +619,12 @@
                         login: false,
                     });
                 }
-                Query::Renew(_) => session.socket.put(&answer.ok()),
+                Query::Renew(_) => session.socket.enqueue(&answer.ok()),
                 Query::Variable(name) => {
                     let largest = packets::LARGEST.to_string();
                     let known = name.eq_ignore_ascii_case("@@max_allowed_packet");
                     let value = if known { largest.as_bytes() } else { b"" };
-                    session.socket.put(&answer.value(name, value));
+                    session.socket.enqueue(&answer.value(name, value));
                 }
                 Query::Kill { connection, whole } => {
                     session.asked = true;
@@ -735,12 +741,12 @@
         let Some(session) = self.sessions.get_mut(&id) else {
             return;
         };
-        if !session.asked || session.socket.unwritten() > 0 {
+        if !session.asked || session.socket.unwritten_bytes() > 0 {
             return;
         }
         let (seq, packet) = Answer::to(session.seq).progress((1, 2), done, text);
         session.seq = seq;
-        session.socket.put(&packet);
+        session.socket.enqueue(&packet);
         counters.progress_told += 1;
         self.settle(now, id, counters);
     }
@@ -756,7 +762,7 @@
         let Some(session) = self.sessions.get_mut(&id).filter(|session| session.asked) else {
             return false;
         };
-        session.socket.put(&answer(Answer::to(session.seq)));
+        session.socket.enqueue(&answer(Answer::to(session.seq)));
         (session.asked, session.statement, session.moved) = (false, None, now);
         self.work(now, id, counters);
         true
@@ -803,7 +809,7 @@
         counters.sessions_closed += 1;
         self.progressing.remove(&id);
         self.left.remove(&id);
-        self.unread -= session.socket.inbox.len();
+        self.unread -= session.socket.read_buffer.len();
         self.news.extend(session.statement.map(News::Left));
     }
 
@@ -826,8 +832,9 @@
             .iter()
             .filter(|(_, session)| session.over(now));
         // Who does not read would not read our last word either.
-        let stuck =
-            |session: &Session| session.phase == Phase::Closing || session.socket.unwritten() > 0;
+        let stuck = |session: &Session| {
+            session.phase == Phase::Closing || session.socket.unwritten_bytes() > 0
+        };
         let over: Vec<(u32, bool)> = over.map(|(id, session)| (*id, stuck(session))).collect();
         for (id, stuck) in over {
             if stuck {
--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -24,19 +24,19 @@
     }
 
     /// A clock of this machine that nobody sets, and that runs on while the machine sleeps: what was leased ends by it.
-    pub fn steady(&self) -> Timestamp {
-        steady()
+    pub fn boottime_now(&self) -> Timestamp {
+        boottime_now()
     }
 
     /// The same point on the monotonic clock; the past counts as now.
-    pub fn instant(&self, moment: Timestamp) -> Instant {
+    pub fn to_instant(&self, moment: Timestamp) -> Instant {
         let left = (moment - self.now()).secs().max(0.0);
         Instant::now() + Duration::from_secs_f64(left)
     }
 }
 
 /// The Unix time as the machine tells it now, for what other machines dated: it may step, and is no measure of spans.
-pub fn unix() -> Timestamp {
+pub fn unix_now() -> Timestamp {
     Timestamp::from_secs(since_epoch().as_secs_f64())
 }
 
@@ -46,8 +46,8 @@
         .unwrap_or_default()
 }
 
-/// See [`Clock::steady`].
-pub fn steady() -> Timestamp {
+/// See [`Clock::boottime_now`].
+pub fn boottime_now() -> Timestamp {
     let now = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
     Timestamp::from_secs(now.tv_sec as f64 + now.tv_nsec as f64 / 1e9)
 }
--- a/crates/gateway/src/engines/mod.rs
+++ b/crates/gateway/src/engines/mod.rs
@@ -1,7 +1,7 @@
 //! Connections to engines and the attempts on them. An engine is known by its id, never by its address: a new
 //! one may listen where another did.
 
-pub mod lines;
+pub mod protocol;
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -13,8 +13,8 @@
 use tracing::debug;
 
 use crate::counters::Counters;
-use crate::socket::{Loop, Peer, Socket, is_shortage};
-use lines::{Answer, Rid, Tags, Word};
+use crate::socket::{EventLoopHandle, EventSource, Socket, is_resource_exhaustion};
+use protocol::{AttemptRequest, RequestId, Response, ResponseKind, StatementKeys};
 
 /// Network fact: a result holds 48,000 bytes at most, and what stands between its values. What is past this,
 /// or in more pages, is no result, and must not fill our memory.
@@ -31,25 +31,25 @@
 const IDLE_PART: f64 = 0.8;
 
 /// An attempt to be written.
-pub struct Outgoing<'a> {
+pub struct OutgoingAttempt<'a> {
     pub statement: StatementId,
     pub attempt: AttemptNumber,
     pub engine: EngineId,
-    pub rid: Rid,
+    pub request_id: RequestId,
     pub class: &'a str,
-    pub tags: &'a Tags,
+    pub keys: &'a StatementKeys,
     pub text: &'a [u8],
-    pub due: Timestamp,
+    pub deadline: Timestamp,
     pub priority: Option<u8>,
     /// A repeat that has not left whole by then stays here.
-    pub leave_by: Option<Timestamp>,
+    pub send_by: Option<Timestamp>,
     /// Connections that earlier attempts of the statement went on: what still comes there is not this one's.
-    pub avoid: &'a [u64],
+    pub avoid: &'a [ConnectionId],
 }
 
 /// What became of an attempt; with a completed one its pages in order.
 #[derive(Debug)]
-pub struct Report {
+pub struct AttemptUpdate {
     pub statement: StatementId,
     pub attempt: AttemptNumber,
     pub event: AttemptEvent,
@@ -89,7 +89,7 @@
     /// Until when it may take to come up; none once it is up.
     connecting: Option<Timestamp>,
     /// Bounded by the settings' multiplex.
-    attempts: HashMap<Rid, SentAttempt>,
+    attempts: HashMap<RequestId, SentAttempt>,
     /// Since when an answer has been begun and not ended.
     begun: Option<Timestamp>,
     quiet_since: Timestamp,
@@ -100,33 +100,37 @@
     end: Timestamp,
 }
 
-pub struct Engines {
-    handle: Loop,
+/// A connection to an engine, by a number that is given once.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct ConnectionId(pub u64);
+
+pub struct EngineTransport {
+    handle: EventLoopHandle,
     links: Links,
     /// Descriptors that connections may take.
     share: usize,
     next: u64,
     /// Listed engines; leaves when the list says that it is gone.
     addresses: BTreeMap<EngineId, SocketAddr>,
-    connections: BTreeMap<u64, Connection>,
+    connections: BTreeMap<ConnectionId, Connection>,
     /// The connections of each engine; leaves with the last of them.
-    of: BTreeMap<EngineId, BTreeSet<u64>>,
+    of: BTreeMap<EngineId, BTreeSet<ConnectionId>>,
     /// When each connection is not up in time, stalls or is idle for too long; as many as connections.
-    ends: BTreeSet<(Timestamp, u64)>,
+    ends: BTreeSet<(Timestamp, ConnectionId)>,
     /// Connections with more to read than their part of a turn; emptied by the next.
-    again: BTreeSet<u64>,
+    again: BTreeSet<ConnectionId>,
     /// Where each attempt is; leaves with the attempt.
-    places: HashMap<(StatementId, AttemptNumber), (u64, Rid)>,
+    places: HashMap<(StatementId, AttemptNumber), (ConnectionId, RequestId)>,
     /// When attempts time out; as many as attempts.
     dues: BTreeSet<(Timestamp, StatementId, AttemptNumber)>,
     /// When repeats must have left; emptied as it passes.
     leaves: BTreeSet<(Timestamp, StatementId, AttemptNumber)>,
-    reports: Vec<Report>,
+    reports: Vec<AttemptUpdate>,
 }
 
-impl Engines {
-    pub fn new(handle: &Loop, links: Links, share: usize) -> Self {
-        Engines {
+impl EngineTransport {
+    pub fn new(handle: &EventLoopHandle, links: Links, share: usize) -> Self {
+        EngineTransport {
             handle: handle.clone(),
             links,
             share,
@@ -143,13 +147,13 @@
         }
     }
 
-    pub fn listed(&mut self, engine: EngineId, address: Option<SocketAddr>) {
+    pub fn set_address(&mut self, engine: EngineId, address: Option<SocketAddr>) {
         match address {
             Some(address) => drop(self.addresses.insert(engine, address)),
             None => drop(self.addresses.remove(&engine)),
         }
         // Idle ones to where it is no longer go at once, the others with their last attempt.
-        let of: Vec<u64> = self
+        let of: Vec<ConnectionId> = self
             .of
             .get(&engine)
             .into_iter()
@@ -161,8 +165,8 @@
 
     /// The list says that an engine drains or is gone: what has not begun to leave for it must not begin any more. A
     /// connection that comes up late would carry it past the grace.
-    pub fn closed(&mut self, now: Timestamp, engine: EngineId, counters: &mut Counters) {
-        let of: Vec<u64> = self
+    pub fn drain_engine(&mut self, now: Timestamp, engine: EngineId, counters: &mut Counters) {
+        let of: Vec<ConnectionId> = self
             .of
             .get(&engine)
             .into_iter()
@@ -173,54 +177,68 @@
             let Some(connection) = self.connections.get(&at) else {
                 continue;
             };
-            let written = connection.socket.written;
+            let written = connection.socket.bytes_written;
             let unbegun = connection
                 .attempts
                 .iter()
                 .filter(|(_, attempt)| attempt.starts_at >= written);
-            let mut unbegun: Vec<(u64, Rid)> = unbegun
+            let mut unbegun: Vec<(u64, RequestId)> = unbegun
                 .map(|(rid, attempt)| (attempt.starts_at, *rid))
                 .collect();
             unbegun.sort_unstable();
             for (_, rid) in unbegun {
-                self.withdraw(now, at, &rid, AttemptEvent::Withdrawn, counters);
+                self.retract(now, at, &rid, AttemptEvent::Withdrawn, counters);
             }
         }
     }
 
-    pub fn open(&self) -> usize {
+    pub fn connection_count(&self) -> usize {
         self.connections.len()
     }
 
-    pub fn reports(&mut self) -> Vec<Report> {
+    pub fn take_updates(&mut self) -> Vec<AttemptUpdate> {
         std::mem::take(&mut self.reports)
     }
 
     /// The connection it went on; none if it was reported as never sent.
-    pub fn send(&mut self, now: Timestamp, o: &Outgoing, counters: &mut Counters) -> Option<u64> {
+    pub fn send(
+        &mut self,
+        now: Timestamp,
+        o: &OutgoingAttempt,
+        counters: &mut Counters,
+    ) -> Option<ConnectionId> {
         counters.relays_sent += 1;
         let at = self.connection(now, o, counters)?;
-        let max_ms = ((o.due - now).secs() * 1e3).max(1.0) as u64;
+        let max_ms = ((o.deadline - now).secs() * 1e3).max(1.0) as u64;
         let connection = self.connections.get_mut(&at).expect("just chosen");
-        let starts_at = connection.socket.put;
-        connection.socket.put(&lines::attempt(
-            &o.rid, o.class, max_ms, o.priority, o.tags, o.text,
-        ));
+        let starts_at = connection.socket.bytes_enqueued;
+        connection.socket.enqueue(
+            &AttemptRequest {
+                request_id: o.request_id,
+                class: o.class,
+                timeout_ms: max_ms,
+                priority: o.priority,
+                keys: o.keys,
+                text: o.text,
+            }
+            .encode(),
+        );
         let attempt = SentAttempt {
             statement: o.statement,
             attempt: o.attempt,
             sent: now,
-            due: o.due,
+            due: o.deadline,
             starts_at,
-            ends_at: connection.socket.put,
+            ends_at: connection.socket.bytes_enqueued,
             coming: None,
             unwanted: false,
         };
-        connection.attempts.insert(o.rid, attempt);
-        self.places.insert((o.statement, o.attempt), (at, o.rid));
-        self.dues.insert((o.due, o.statement, o.attempt));
+        connection.attempts.insert(o.request_id, attempt);
+        self.places
+            .insert((o.statement, o.attempt), (at, o.request_id));
+        self.dues.insert((o.deadline, o.statement, o.attempt));
         self.leaves
-            .extend(o.leave_by.map(|by| (by, o.statement, o.attempt)));
+            .extend(o.send_by.map(|by| (by, o.statement, o.attempt)));
         self.settle(at);
         self.flush(now, at, counters);
         Some(at)
@@ -229,15 +247,20 @@
     /// An idle connection, the last used, so that the others may end; else a new one; with descriptors short the
     /// one with the fewest attempts. A connection that is spoilt or reset costs all attempts on it, so each has its
     /// own as far as descriptors go. None: the attempt was reported as never sent.
-    fn connection(&mut self, now: Timestamp, o: &Outgoing, counters: &mut Counters) -> Option<u64> {
+    fn connection(
+        &mut self,
+        now: Timestamp,
+        o: &OutgoingAttempt,
+        counters: &mut Counters,
+    ) -> Option<ConnectionId> {
         let (most, address) = (self.links.multiplex, self.addresses.get(&o.engine).copied());
         loop {
-            let fits = |(at, c): &(u64, &Connection)| {
+            let fits = |(at, c): &(ConnectionId, &Connection)| {
                 address.is_none_or(|address| address == c.address)
                     && !c.spent
                     && c.attempts.len() < most
                     && !o.avoid.contains(at)
-                    && !c.attempts.contains_key(&o.rid)
+                    && !c.attempts.contains_key(&o.request_id)
             };
             let of = self
                 .of
@@ -265,13 +288,13 @@
             self.connections
                 .get_mut(&at)
                 .into_iter()
-                .for_each(|connection| connection.socket.news());
+                .for_each(|connection| connection.socket.mark_readable());
             self.read(now, at, counters);
             if self.connections.contains_key(&at) {
                 return Some(at);
             }
         }
-        let never = |event| Report {
+        let never = |event| AttemptUpdate {
             statement: o.statement,
             attempt: o.attempt,
             event,
@@ -283,8 +306,13 @@
             self.reports.push(never(AttemptEvent::NeverSent));
             return None;
         }
-        let at = self.next;
-        let opened = address.map(|to| (to, Socket::connect(to, &self.handle, Peer::Engine(at))));
+        let at = ConnectionId(self.next);
+        let opened = address.map(|to| {
+            (
+                to,
+                Socket::connect(to, &self.handle, EventSource::Engine(at)),
+            )
+        });
         let (address, socket) = match opened {
             Some((address, Ok(socket))) => (address, socket),
             other => {
@@ -292,7 +320,7 @@
                 debug!(engine = o.engine.0, ?error, "no connection could be begun");
                 // Our own shortage must not be laid at the engine's door.
                 let (event, count) = match error {
-                    Some(error) if is_shortage(&error) => {
+                    Some(error) if is_resource_exhaustion(&error) => {
                         (AttemptEvent::NeverSent, &mut counters.relays_unsent)
                     }
                     _ => (AttemptEvent::Unreachable, &mut counters.relays_unreachable),
@@ -331,7 +359,7 @@
         oldest.and_then(|at| self.drop_connection(at)).is_some()
     }
 
-    fn drop_connection(&mut self, at: u64) -> Option<Connection> {
+    fn drop_connection(&mut self, at: ConnectionId) -> Option<Connection> {
         let connection = self.connections.remove(&at)?;
         self.ends.remove(&(connection.end, at));
         if let Some(of) = self.of.get_mut(&connection.engine) {
@@ -343,7 +371,7 @@
 
     /// What a change means for a connection: one that is of no use goes once it is empty, of the others the time
     /// stands at which they are looked at next.
-    fn settle(&mut self, at: u64) {
+    fn settle(&mut self, at: ConnectionId) {
         let (rest, idle) = (
             TimeDelta::from_secs(REST_S),
             TimeDelta::from_secs(self.links.idle.secs() * IDLE_PART),
@@ -391,7 +419,7 @@
     }
 
     /// Its client sends no more: what has not left whole stays here. Nothing is said of what has.
-    pub fn stay(
+    pub fn withdraw(
         &mut self,
         now: Timestamp,
         id: StatementId,
@@ -401,18 +429,18 @@
         let Some((at, rid)) = self.places.get(&(id, no)).copied() else {
             return false;
         };
-        self.withdraw(now, at, &rid, AttemptEvent::Withdrawn, counters)
+        self.retract(now, at, &rid, AttemptEvent::Withdrawn, counters)
     }
 
     /// No client waits for it any more: what is still to come of its result is not asked for.
-    pub fn unwanted(
+    pub fn abandon(
         &mut self,
         now: Timestamp,
         id: StatementId,
         no: AttemptNumber,
         counters: &mut Counters,
     ) {
-        if self.stay(now, id, no, counters) {
+        if self.withdraw(now, id, no, counters) {
             return;
         }
         let Some((at, rid)) = self.places.get(&(id, no)).copied() else {
@@ -429,7 +457,7 @@
     }
 
     /// Attempts out to each engine, as they stand on the sockets.
-    pub fn out(&self) -> BTreeMap<EngineId, u32> {
+    pub fn attempts_in_flight(&self) -> BTreeMap<EngineId, u32> {
         let mut out = BTreeMap::new();
         self.connections
             .values()
@@ -439,7 +467,7 @@
     }
 
     /// The gateway ends: what is out is to have ended by then.
-    pub fn end_by(&mut self, by: Timestamp) {
+    pub fn cap_deadlines(&mut self, by: Timestamp) {
         for connection in self.connections.values_mut() {
             connection
                 .attempts
@@ -453,13 +481,13 @@
     }
 
     /// Where a statement's attempts stand, for a line in the log.
-    pub fn stand(&self, id: StatementId) -> String {
+    pub fn describe_attempts(&self, id: StatementId) -> String {
         let places: Vec<_> = self.places.iter().filter(|(key, _)| key.0 == id).collect();
         let dues: Vec<_> = self.dues.iter().filter(|due| due.1 == id).collect();
         format!("{places:?} due {dues:?}")
     }
 
-    pub fn next_due(&self, now: Timestamp) -> Option<Timestamp> {
+    pub fn next_timeout(&self, now: Timestamp) -> Option<Timestamp> {
         let attempt = self.dues.first().map(|due| due.0);
         let again = (!self.again.is_empty()).then_some(now);
         let leave = self.leaves.first().map(|leave| leave.0);
@@ -473,7 +501,7 @@
             .min()
     }
 
-    pub fn expire(&mut self, now: Timestamp, counters: &mut Counters) {
+    pub fn expire_timeouts(&mut self, now: Timestamp, counters: &mut Counters) {
         while let Some((due, id, no)) = self.dues.first().copied().filter(|due| due.0 <= now) {
             counters.relays_timed_out += 1;
             self.give_up(now, id, no, AttemptEvent::TimedOut, counters);
@@ -482,7 +510,7 @@
         }
         while let Some((_, id, no)) = self.leaves.first().copied().filter(|leave| leave.0 <= now) {
             self.leaves.pop_first();
-            self.stay(now, id, no, counters);
+            self.withdraw(now, id, no, counters);
         }
         while let Some((_, at)) = self.ends.first().copied().filter(|end| end.0 <= now) {
             let connection = &self.connections[&at];
@@ -499,7 +527,7 @@
     }
 
     /// Reads on where a turn's part was not enough.
-    pub fn go_on(&mut self, now: Timestamp, counters: &mut Counters) {
+    pub fn resume_reads(&mut self, now: Timestamp, counters: &mut Counters) {
         std::mem::take(&mut self.again)
             .into_iter()
             .for_each(|at| self.read(now, at, counters));
@@ -528,8 +556,8 @@
         } else {
             AttemptEvent::NeverSent
         };
-        if attempt.ends_at > connection.socket.written
-            && self.withdraw(now, at, &rid, kept, counters)
+        if attempt.ends_at > connection.socket.bytes_written
+            && self.retract(now, at, &rid, kept, counters)
         {
             return;
         }
@@ -540,9 +568,9 @@
             return;
         };
         if attempt.coming.is_some() {
-            connection.socket.put(&lines::forget(&rid));
+            connection.socket.enqueue(&protocol::encode_release(&rid));
         } else {
-            connection.socket.put(&lines::undo(&rid));
+            connection.socket.enqueue(&protocol::encode_cancel(&rid));
         }
         connection.spent = true;
         let latency = now - attempt.sent;
@@ -553,11 +581,11 @@
 
     /// Takes an attempt back that has not left this machine whole. It has its answer, or is about to: a connection that comes
     /// up later, or takes bytes again, must not carry it on after that. True: it is off the books, and never ran.
-    fn withdraw(
+    fn retract(
         &mut self,
         now: Timestamp,
-        at: u64,
-        rid: &Rid,
+        at: ConnectionId,
+        rid: &RequestId,
         event: AttemptEvent,
         counters: &mut Counters,
     ) -> bool {
@@ -568,11 +596,11 @@
             return false;
         };
         let (from, to, latency) = (attempt.starts_at, attempt.ends_at, now - attempt.sent);
-        if to <= connection.socket.written {
+        if to <= connection.socket.bytes_written {
             return false;
         }
         let alone = connection.attempts.len() == 1;
-        if connection.socket.take_back(from, to) {
+        if connection.socket.retract(from, to) {
             let later = connection
                 .attempts
                 .values_mut()
@@ -602,8 +630,8 @@
     fn over(
         &mut self,
         now: Timestamp,
-        at: u64,
-        rid: &Rid,
+        at: ConnectionId,
+        rid: &RequestId,
         event: AttemptEvent,
         latency: TimeDelta,
         pages: Vec<Bytes>,
@@ -620,7 +648,7 @@
         let (statement, relay_no) = (attempt.statement, attempt.attempt);
         self.places.remove(&(statement, relay_no));
         self.dues.remove(&(attempt.due, statement, relay_no));
-        self.reports.push(Report {
+        self.reports.push(AttemptUpdate {
             statement,
             attempt: relay_no,
             event,
@@ -629,7 +657,7 @@
         });
     }
 
-    fn flush(&mut self, now: Timestamp, at: u64, counters: &mut Counters) {
+    fn flush(&mut self, now: Timestamp, at: ConnectionId, counters: &mut Counters) {
         let Some(connection) = self.connections.get_mut(&at) else {
             return;
         };
@@ -641,7 +669,7 @@
     }
 
     /// A connection is lost. What had not left this machine whole never ran; the rest may have.
-    fn end(&mut self, now: Timestamp, at: u64, why: &str, counters: &mut Counters) {
+    fn end(&mut self, now: Timestamp, at: ConnectionId, why: &str, counters: &mut Counters) {
         let Some(connection) = self.connections.get(&at) else {
             return;
         };
@@ -651,8 +679,8 @@
             why,
             "connection lost"
         );
-        let written = connection.socket.written;
-        let mut ends: Vec<(StatementId, Rid, AttemptEvent, TimeDelta)> = connection
+        let written = connection.socket.bytes_written;
+        let mut ends: Vec<(StatementId, RequestId, AttemptEvent, TimeDelta)> = connection
             .attempts
             .iter()
             .map(|(rid, attempt)| {
@@ -677,35 +705,35 @@
         self.drop_connection(at);
     }
 
-    pub fn ready(&mut self, now: Timestamp, at: u64, counters: &mut Counters) {
+    pub fn on_socket_event(&mut self, now: Timestamp, at: ConnectionId, counters: &mut Counters) {
         let Some(connection) = self.connections.get_mut(&at) else {
             return;
         };
         if connection.connecting.is_some() {
-            match connection.socket.connected() {
+            match connection.socket.is_connected() {
                 Ok(false) => return,
                 Ok(true) => connection.connecting = None,
                 Err(error) => return self.end(now, at, &error.to_string(), counters),
             }
         }
-        connection.socket.news();
+        connection.socket.mark_readable();
         self.flush(now, at, counters);
         self.read(now, at, counters);
     }
 
     /// Reads a bounded part. Bytes that can't be used end the connection at once, whatever else it says.
-    fn read(&mut self, now: Timestamp, at: u64, counters: &mut Counters) {
+    fn read(&mut self, now: Timestamp, at: ConnectionId, counters: &mut Counters) {
         for _ in 0..READS {
             let Some(connection) = self.connections.get_mut(&at) else {
                 return;
             };
-            let read = connection.socket.fill(lines::BOUND);
+            let read = connection.socket.read_up_to(protocol::MAX_RESPONSE_BYTES);
             // What came before an end still counts.
             loop {
                 let Some(connection) = self.connections.get_mut(&at) else {
                     return;
                 };
-                match Answer::take(&mut connection.socket.inbox) {
+                match Response::decode(&mut connection.socket.read_buffer) {
                     Ok(Some(answer)) => {
                         connection.begun = None;
                         self.answered(now, at, answer, counters);
@@ -722,12 +750,12 @@
             };
             match read {
                 Err(error) => return self.end(now, at, &error.to_string(), counters),
-                Ok(()) if connection.socket.ended => {
+                Ok(()) if connection.socket.peer_finished => {
                     return self.end(now, at, "closed by the engine", counters);
                 }
                 Ok(()) => {}
             }
-            let partial = !connection.socket.inbox.is_empty();
+            let partial = !connection.socket.read_buffer.is_empty();
             if partial && connection.attempts.is_empty() {
                 // Nobody asked for it, and what is put on this connection next would stand behind it.
                 counters.answers_spoilt += 1;
@@ -737,7 +765,7 @@
                 .begun
                 .filter(|_| partial)
                 .or(partial.then_some(now));
-            if !connection.socket.more() {
+            if !connection.socket.may_have_more() {
                 return self.settle(at);
             }
         }
@@ -745,22 +773,28 @@
         self.settle(at);
     }
 
-    fn answered(&mut self, now: Timestamp, at: u64, answer: Answer, counters: &mut Counters) {
+    fn answered(
+        &mut self,
+        now: Timestamp,
+        at: ConnectionId,
+        answer: Response,
+        counters: &mut Counters,
+    ) {
         let Some(connection) = self.connections.get_mut(&at) else {
             return;
         };
-        let rid = Rid::try_from(&answer.id[..]).ok();
+        let rid = RequestId::try_from(&answer.request_id[..]).ok();
         let Some((rid, attempt)) =
             rid.and_then(|rid| Some((rid, connection.attempts.get_mut(&rid)?)))
         else {
             // Late, twice or unasked: no further attempt of that id is ever on this connection.
-            counters.answers_late += u64::from(answer.word != Word::Fit);
+            counters.answers_late += u64::from(answer.kind != ResponseKind::Pong);
             return;
         };
         let latency = now - attempt.sent;
-        let end = match answer.word {
-            Word::Fit => return,
-            Word::Tell => {
+        let end = match answer.kind {
+            ResponseKind::Pong => return,
+            ResponseKind::Status => {
                 counters.notes += 1;
                 let event = match (answer.field("remark"), answer.number::<f64>("datum")) {
                     (Some(b"done"), Some(done)) if done.is_finite() => AttemptEvent::Progress(done),
@@ -768,7 +802,7 @@
                     _ => return,
                 };
                 let (statement, attempt) = (attempt.statement, attempt.attempt);
-                self.reports.push(Report {
+                self.reports.push(AttemptUpdate {
                     statement,
                     attempt,
                     event,
@@ -777,14 +811,14 @@
                 });
                 return;
             }
-            Word::Wait => (AttemptEvent::Rejected, &mut counters.relays_full),
-            Word::Past => (AttemptEvent::NeverSent, &mut counters.relays_past),
-            Word::Broke => (AttemptEvent::Error, &mut counters.relays_error),
-            Word::Done if attempt.coming.is_some() => {
+            ResponseKind::Rejected => (AttemptEvent::Rejected, &mut counters.relays_full),
+            ResponseKind::Expired => (AttemptEvent::NeverSent, &mut counters.relays_past),
+            ResponseKind::Failed => (AttemptEvent::Error, &mut counters.relays_error),
+            ResponseKind::Completed if attempt.coming.is_some() => {
                 counters.answers_late += 1;
                 return;
             }
-            Word::Done => {
+            ResponseKind::Completed => {
                 let total = answer.number::<usize>("total").unwrap_or(1).max(1);
                 if total > PAGES {
                     counters.answers_spoilt += 1;
@@ -792,8 +826,10 @@
                 }
                 let mut coming = Coming {
                     latency,
-                    cpu: told(&answer, "elapsed").map(|ms| TimeDelta::from_secs(ms / 1e3)),
-                    memory_mb: told(&answer, "rss"),
+                    cpu: answer
+                        .quantity("elapsed")
+                        .map(|ms| TimeDelta::from_secs(ms / 1e3)),
+                    memory_mb: answer.quantity("rss"),
                     size: answer.body.len(),
                     pages: vec![None; total],
                     moved: now,
@@ -801,12 +837,16 @@
                 coming.pages[0] = Some(answer.body);
                 attempt.coming = Some(coming);
                 if !attempt.unwanted {
-                    (1..total).for_each(|number| connection.socket.put(&lines::page(&rid, number)));
+                    (1..total).for_each(|number| {
+                        connection
+                            .socket
+                            .enqueue(&protocol::encode_page_request(&rid, number))
+                    });
                     self.flush(now, at, counters);
                 }
                 return self.complete(now, at, &rid, counters);
             }
-            Word::More => {
+            ResponseKind::Page => {
                 counters.pages += 1;
                 let number = answer.number::<usize>("index").unwrap_or(0);
                 let coming = attempt.coming.as_mut();
@@ -826,7 +866,13 @@
     }
 
     /// Ends an attempt whose pages are all there, or not wanted. What is no text of whole rows ends the connection.
-    fn complete(&mut self, now: Timestamp, at: u64, rid: &Rid, counters: &mut Counters) {
+    fn complete(
+        &mut self,
+        now: Timestamp,
+        at: ConnectionId,
+        rid: &RequestId,
+        counters: &mut Counters,
+    ) {
         let Some(connection) = self.connections.get_mut(&at) else {
             return;
         };
@@ -860,19 +906,13 @@
         let latency = coming.latency;
         counters.relays_done += 1;
         if missing {
-            connection.socket.put(&lines::forget(rid));
+            connection.socket.enqueue(&protocol::encode_release(rid));
         }
         self.over(now, at, rid, event, latency, pages);
         self.flush(now, at, counters);
     }
 }
 
-fn told(answer: &Answer, name: &str) -> Option<f64> {
-    answer
-        .number::<f64>(name)
-        .filter(|value| value.is_finite() && *value > 0.0)
-}
-
 fn is_rows(page: &[u8]) -> bool {
     let lines = page
         .strip_suffix(b"\n")
--- a/crates/gateway/src/fleet/mod.rs
+++ b/crates/gateway/src/fleet/mod.rs
@@ -19,8 +19,8 @@
 use tracing::{info, warn};
 
 use crate::board::list::Names;
-use crate::clock::steady;
-use crate::socket::{Loop, Peer, Ready};
+use crate::clock::boottime_now;
+use crate::socket::{EventLoopHandle, EventSource, LoopEvents};
 use files::FleetKeysError;
 use parts::Parts;
 
@@ -44,7 +44,7 @@
     /// Membership, and budgets where these are divided among all.
     control: Control<Parts>,
     socket: Rc<UdpSocket>,
-    handle: Loop,
+    handle: EventLoopHandle,
     token: Option<RegistrationToken>,
     /// The machine may hold datagrams that no edge will announce again.
     unread: bool,
@@ -62,7 +62,7 @@
     /// The address cannot be bound, or a key cannot be used.
     pub fn start(
         now: Timestamp,
-        handle: &Loop,
+        handle: &EventLoopHandle,
         terms: &FleetTerms,
         name: &Name,
         seed: u64,
@@ -72,8 +72,8 @@
         socket.set_nonblocking(true).map_err(unable)?;
         let socket = Rc::new(socket);
         let source = Generic::new(socket.clone(), Interest::READ, Mode::Edge);
-        let note = |_, _: &mut _, ready: &mut Ready| {
-            ready.peers.push(Peer::Fleet);
+        let note = |_, _: &mut _, ready: &mut LoopEvents| {
+            ready.sources.push(EventSource::PeerGateways);
             Ok(PostAction::Continue)
         };
         let token = handle
@@ -144,7 +144,7 @@
         self.control
             .due(Times {
                 now,
-                steady: steady(),
+                steady: boottime_now(),
             })
             .min(self.look_at)
     }
@@ -172,7 +172,7 @@
         self.control.turn(
             Times {
                 now,
-                steady: steady(),
+                steady: boottime_now(),
             },
             !self.unread,
         );
@@ -243,7 +243,7 @@
     pub fn leave(&mut self, now: Timestamp) {
         self.control.leave(Times {
             now,
-            steady: steady(),
+            steady: boottime_now(),
         });
         self.flush();
     }
--- a/crates/gateway/src/fleet/parts.rs
+++ b/crates/gateway/src/fleet/parts.rs
@@ -52,7 +52,7 @@
         members: &[String],
         seed: u64,
     ) -> Self {
-        let now = clock.steady();
+        let now = clock.boottime_now();
         let shares = Shares::new(now, Who { name, life }, terms, seed);
         let mut parts = Parts {
             shares,
@@ -100,7 +100,7 @@
             .filter(|(_, same)| !same)
             .map(|(name, _)| name)
             .collect();
-        let steady = self.clock.steady();
+        let steady = self.clock.boottime_now();
         self.shares.change(steady, terms);
         let flow = |name: &String| {
             let was = self.names.iter().position(|was| was == name);
@@ -114,7 +114,7 @@
 
     /// What the decisions may do until they are told anew. `carries`: this gateway's traffic, in shares of one.
     pub fn allowed(&mut self, carries: f64, peers: f64, benched: usize) -> QuotaGrant {
-        let steady = self.clock.steady();
+        let steady = self.clock.boottime_now();
         let left = |shares: &mut Shares, at: usize| shares.left(steady, at);
         let retries = self
             .attempts
@@ -140,7 +140,7 @@
     /// An attempt that is to go: further ones and trials are paid for here, by the clock as it is now. False: what the
     /// decisions were told is over by now.
     pub fn spend(&mut self, class: usize, again: bool, outlier_probe: bool) -> bool {
-        let steady = self.clock.steady();
+        let steady = self.clock.boottime_now();
         let attempt = self
             .attempts
             .get(class)
@@ -163,7 +163,7 @@
 
     /// An attempt failed: one more is wanted, whether or not it can be had.
     pub fn wants_relay(&mut self, class: usize) {
-        let steady = self.clock.steady();
+        let steady = self.clock.boottime_now();
         if let Some(at) = self.attempts.get(class).copied().flatten() {
             self.shares.wants(steady, at, 1.0);
         }
@@ -172,7 +172,7 @@
     /// Takes in what the lines spent and wanted since the last look, and gives each member's rate; none where its budget
     /// is not divided here.
     pub fn members(&mut self, flows: &[Flow]) -> Vec<Option<f64>> {
-        let steady = self.clock.steady();
+        let steady = self.clock.boottime_now();
         let mut rates = Vec::with_capacity(self.members.len());
         for (member, at) in self.members.clone().into_iter().enumerate() {
             let Some(at) = at else {
@@ -193,7 +193,7 @@
     }
 
     pub fn status(&mut self) -> (Timestamp, ::quota::Status) {
-        let steady = self.clock.steady();
+        let steady = self.clock.boottime_now();
         (steady, self.shares.status(steady))
     }
 
--- a/crates/gateway/src/lifecycle.rs
+++ b/crates/gateway/src/lifecycle.rs
@@ -18,14 +18,14 @@
 
 use crate::board::Board;
 use crate::clients::Clients;
-use crate::clock::{Clock, unix};
+use crate::clock::{Clock, unix_now};
 use crate::config::{Config, Operated};
-use crate::engines::Engines;
+use crate::engines::EngineTransport;
 use crate::fleet::parts::Parts;
 use crate::fleet::{Fleet, FleetError};
 use crate::keywatch::{self, Known, WatchError};
 use crate::service::Service;
-use crate::socket::{Peer, Ready};
+use crate::socket::{EventSource, LoopEvents};
 
 /// Network facts of a planned restart. After SIGTERM statements go on coming for 0.7 s; the kill comes no sooner
 /// than the longest deadline, but 3 s at most, after that.
@@ -90,7 +90,7 @@
 
 pub struct Lifecycle {
     phase: Phase,
-    event_loop: EventLoop<'static, Ready>,
+    event_loop: EventLoop<'static, LoopEvents>,
     /// From `Ready` on.
     listener: Option<TcpListener>,
     /// The backlog may hold more than we had room for; no further edge tells of it.
@@ -146,9 +146,9 @@
     ) -> Result<Self, StartError> {
         let clock = Clock::start();
         let now = clock.now();
-        let event_loop: EventLoop<'static, Ready> = EventLoop::try_new()?;
+        let event_loop: EventLoop<'static, LoopEvents> = EventLoop::try_new()?;
         let handle = event_loop.handle();
-        let note = |event: calloop::signals::Event, _: &mut (), ready: &mut Ready| {
+        let note = |event: calloop::signals::Event, _: &mut (), ready: &mut LoopEvents| {
             ready.signals.push(event.signal())
         };
         handle.insert_source(signals, note).map_err(|e| e.error)?;
@@ -165,7 +165,7 @@
             operated.queues.is_some(),
             now,
         );
-        let engines = Engines::new(&handle, config.settings.links()?, engine_share);
+        let engines = EngineTransport::new(&handle, config.settings.links()?, engine_share);
         let board = Board::new(&handle, config.board, config.known.last, config.seed, now);
         let mut service = Service::new(
             now,
@@ -179,9 +179,9 @@
         service.told(now, &std::mem::take(&mut config.known.events));
         if let Some(callers) = &operated.callers {
             let known = keywatch::read(callers)?;
-            let mut guard = Guard::new(unix(), callers.terms);
+            let mut guard = Guard::new(unix_now(), callers.terms);
             guard.take(
-                unix(),
+                unix_now(),
                 &known.files.index,
                 &known.files.public,
                 known.files.revoked,
@@ -192,9 +192,9 @@
             );
             service.guard(guard);
             service.clients.secure(known.tls);
-            let note = |event, _: &mut (), ready: &mut Ready| {
+            let note = |event, _: &mut (), ready: &mut LoopEvents| {
                 if let calloop::channel::Event::Msg(known) = event {
-                    ready.known.push(known);
+                    ready.key_changes.push(known);
                 }
             };
             handle
@@ -249,8 +249,8 @@
         listener.set_nonblocking(true).map_err(unable)?;
         let descriptor = listener.as_fd().try_clone_to_owned().map_err(unable)?;
         let source = Generic::new(descriptor, Interest::READ, Mode::Edge);
-        let note = |_, _: &mut _, ready: &mut Ready| {
-            ready.peers.push(Peer::Listener);
+        let note = |_, _: &mut _, ready: &mut LoopEvents| {
+            ready.sources.push(EventSource::Listener);
             Ok(PostAction::Continue)
         };
         self.event_loop
@@ -262,12 +262,12 @@
     }
 
     pub fn run(mut self) -> Result<(), StartError> {
-        let (mut ready, mut busy) = (Ready::default(), 0.0);
+        let (mut ready, mut busy) = (LoopEvents::default(), 0.0);
         while self.phase != Phase::Exit {
             let due = self.due();
             self.arm(due)?;
             self.event_loop.dispatch(None, &mut ready)?;
-            if std::mem::take(&mut ready.due) {
+            if std::mem::take(&mut ready.timer_fired) {
                 self.timer = None;
             }
             let now = self.clock.now();
@@ -277,10 +277,10 @@
             std::mem::take(&mut ready.signals)
                 .into_iter()
                 .for_each(|signal| self.signal(now, signal));
-            std::mem::take(&mut ready.known)
+            std::mem::take(&mut ready.key_changes)
                 .into_iter()
                 .for_each(|known| self.known(known));
-            for peer in std::mem::take(&mut ready.peers) {
+            for peer in std::mem::take(&mut ready.sources) {
                 self.ready(now, peer);
             }
             self.accept(now);
@@ -299,11 +299,11 @@
             None if self.timer.is_some() => return Ok(()),
             stale => stale.into_iter().for_each(|timer| handle.remove(timer.1)),
         }
-        let fired = |_, _: &mut (), ready: &mut Ready| {
-            ready.due = true;
+        let fired = |_, _: &mut (), ready: &mut LoopEvents| {
+            ready.timer_fired = true;
             TimeoutAction::Drop
         };
-        let timer = Timer::from_deadline(self.clock.instant(due));
+        let timer = Timer::from_deadline(self.clock.to_instant(due));
         self.timer = Some((
             due,
             handle.insert_source(timer, fired).map_err(|e| e.error)?,
@@ -327,14 +327,18 @@
         }
     }
 
-    fn ready(&mut self, now: Timestamp, peer: Peer) {
+    fn ready(&mut self, now: Timestamp, peer: EventSource) {
         let service = &mut self.service;
         match peer {
-            Peer::Listener => self.backlog = true,
-            Peer::Client(id) => service.clients.ready(now, id, &mut service.counters),
-            Peer::Engine(at) => service.engines.ready(now, at, &mut service.counters),
-            Peer::Board(at) => service.board.ready(now, at, &mut service.counters),
-            Peer::Fleet => service.fleet().into_iter().for_each(Fleet::news),
+            EventSource::Listener => self.backlog = true,
+            EventSource::Client(id) => service.clients.ready(now, id, &mut service.counters),
+            EventSource::Engine(at) => {
+                service
+                    .engines
+                    .on_socket_event(now, at, &mut service.counters)
+            }
+            EventSource::Discovery(at) => service.board.ready(now, at, &mut service.counters),
+            EventSource::PeerGateways => service.fleet().into_iter().for_each(Fleet::news),
         }
     }
 
@@ -423,8 +427,9 @@
             Err(error) => Some(error.to_string()),
             Ok(Known { files, tls }) => {
                 let guard = self.service.guarded();
-                let taken = guard
-                    .map(|guard| guard.take(unix(), &files.index, &files.public, files.revoked));
+                let taken = guard.map(|guard| {
+                    guard.take(unix_now(), &files.index, &files.public, files.revoked)
+                });
                 let refused = taken.and_then(Result::err).map(|error| error.to_string());
                 if refused.is_none() {
                     self.service.clients.secure(tls);
@@ -567,7 +572,7 @@
             service.counters.open(),
             service.waiting(),
             service.clients.len(),
-            service.engines.open(),
+            service.engines.connection_count(),
             service.benched(),
             service.board.open()
         );
--- a/crates/gateway/src/service/attempts.rs
+++ b/crates/gateway/src/service/attempts.rs
@@ -4,14 +4,14 @@
 use dispatch::{AttemptOrder, Decision, FollowUp};
 
 use super::Service;
-use crate::engines::{Outgoing, Report};
+use crate::engines::{AttemptUpdate, OutgoingAttempt};
 use crate::fleet::Fleet;
 
 impl Service {
     pub(super) fn reports(&mut self, now: Timestamp) -> bool {
         let mut any = false;
         loop {
-            let reports = self.engines.reports();
+            let reports = self.engines.take_updates();
             if reports.is_empty() {
                 return any;
             }
@@ -22,7 +22,7 @@
         }
     }
 
-    pub(super) fn report(&mut self, now: Timestamp, report: Report) {
+    pub(super) fn report(&mut self, now: Timestamp, report: AttemptUpdate) {
         let id = report.statement;
         let Some(in_flight) = self.in_flight.get_mut(&id) else {
             return;
@@ -91,23 +91,23 @@
             return self.unspent(now, id, order.attempt);
         }
         in_flight.out.push(order.attempt);
-        let outgoing = Outgoing {
+        let outgoing = OutgoingAttempt {
             statement: id,
             attempt: order.attempt,
             engine: order.engine,
-            rid: in_flight.rid,
+            request_id: in_flight.rid,
             class: &self.classes[in_flight.class],
-            tags: &in_flight.tags,
+            keys: &in_flight.tags,
             text: &in_flight.text,
-            due: self
+            deadline: self
                 .drain_deadline
                 .map_or(order.due, |by| by.min(order.due)),
             priority: order.priority,
-            leave_by: order.leave_by,
-            avoid: &in_flight.went_on,
+            send_by: order.leave_by,
+            avoid: &in_flight.used_connections,
         };
-        let went_on = self.engines.send(now, &outgoing, &mut self.counters);
-        in_flight.went_on.extend(went_on);
+        let connection = self.engines.send(now, &outgoing, &mut self.counters);
+        in_flight.used_connections.extend(connection);
     }
 
     /// The share that an attempt was to go on ended before it went: back in line, as one that never left.
--- a/crates/gateway/src/service/callers.rs
+++ b/crates/gateway/src/service/callers.rs
@@ -12,7 +12,7 @@
 use super::endings::denial;
 use super::intake::Unusable;
 use crate::clients::packets::Answer;
-use crate::clock::unix;
+use crate::clock::unix_now;
 
 impl Service {
     /// Callers are to be known from now on, by this.
@@ -28,7 +28,7 @@
     pub(super) fn judge(&mut self, now: Timestamp, session: u32, token: &Rc<str>, login: bool) {
         let Some(guard) = &mut self.guard else { return };
         let counters = &mut self.counters;
-        let (code, state, text) = match guard.verdict(unix(), token) {
+        let (code, state, text) = match guard.verdict(unix_now(), token) {
             Judged::Granted { claims, .. }
                 if claims.grant.allows_from(self.clients.from(session)) =>
             {
@@ -64,7 +64,7 @@
         let Some(token) = self.clients.token(session) else {
             return Err(Unusable::Unknown("no token".into()));
         };
-        match guard.verdict(unix(), &token) {
+        match guard.verdict(unix_now(), &token) {
             Judged::Granted { claims, .. } => Ok(Some(claims)),
             Judged::Later { back } => {
                 self.counters.tokens_later += 1;
--- a/crates/gateway/src/service/endings.rs
+++ b/crates/gateway/src/service/endings.rs
@@ -33,7 +33,7 @@
                 String::from_utf8_lossy(&in_flight.rid).into_owned(),
                 (now - ends).secs(),
             );
-            let engines = self.engines.stand(id);
+            let engines = self.engines.describe_attempts(id);
             warn!(rid, late, out = ?in_flight.out, engines, "a statement without an answer at its end");
             self.counters.overdue += 1;
             self.hall.gone(now, id);
@@ -56,7 +56,7 @@
         let out = in_flight.out.clone();
         self.hall.gone(now, id);
         out.into_iter()
-            .for_each(|attempt| self.engines.unwanted(now, id, attempt, &mut self.counters));
+            .for_each(|attempt| self.engines.abandon(now, id, attempt, &mut self.counters));
         self.forget(id);
     }
 
@@ -77,7 +77,7 @@
                 continue;
             }
             for attempt in in_flight.out.clone() {
-                self.engines.stay(now, id, attempt, &mut self.counters);
+                self.engines.withdraw(now, id, attempt, &mut self.counters);
             }
             self.reports(now);
             if self
--- a/crates/gateway/src/service/intake.rs
+++ b/crates/gateway/src/service/intake.rs
@@ -12,7 +12,7 @@
 use super::endings::denial;
 use super::{InFlight, OVERDUE_S, Service};
 use crate::clients::{self, comment};
-use crate::engines::lines::{Rid, Tags};
+use crate::engines::protocol::{RequestId, StatementKeys};
 
 /// Network fact: an answer must be with the client before its budget ends, and the budget runs from when the
 /// client sent. So much is kept for the two ways and for a machine that stands still a moment, and of short
@@ -143,7 +143,7 @@
             .drain_deadline
             .map_or(ends, |by| ends.min(by + TimeDelta::from_secs(OVERDUE_S)));
         self.ends.insert((ends, id));
-        let (out, went_on) = (Vec::new(), Vec::new());
+        let (out, used_connections) = (Vec::new(), Vec::new());
         if let Some(caller) = &caller {
             *self.open.entry(caller.clone()).or_default() += 1;
         }
@@ -159,7 +159,7 @@
             taken,
             ends,
             out,
-            went_on,
+            used_connections,
         };
         self.in_flight.insert(id, in_flight);
         self.rids.insert(rid, id);
@@ -174,7 +174,7 @@
         text: &Bytes,
         from: IpAddr,
         claims: Option<&Claims>,
-    ) -> Result<(StatementRequest, Rid, Tags, Bytes, DeskId), Unusable> {
+    ) -> Result<(StatementRequest, RequestId, StatementKeys, Bytes, DeskId), Unusable> {
         let mut read = comment::read(text)?;
         if let Some(claims) = claims {
             let open = self.open.get(&claims.caller).copied().unwrap_or(0);
@@ -236,9 +236,9 @@
             has_idempotency_key: read.mark.is_some(),
             budget,
         };
-        let tags = Tags {
-            mark: read.mark.map(Box::from),
-            key: read.key.map(Box::from),
+        let tags = StatementKeys {
+            idempotency_key: read.mark.map(Box::from),
+            ordering_key: read.key.map(Box::from),
         };
         Ok((wants, read.rid, tags, text.slice_ref(read.statement), desk))
     }
--- a/crates/gateway/src/service/mod.rs
+++ b/crates/gateway/src/service/mod.rs
@@ -21,8 +21,8 @@
 use crate::board::{Board, Event};
 use crate::clients::Clients;
 use crate::counters::Counters;
-use crate::engines::Engines;
-use crate::engines::lines::{Rid, Tags};
+use crate::engines::protocol::{RequestId, StatementKeys};
+use crate::engines::{ConnectionId, EngineTransport};
 use crate::fleet::Fleet;
 use crate::fleet::parts::Flow;
 
@@ -38,11 +38,11 @@
 /// A statement from its reading to its answer and the end of its last attempt; the text is dropped with the answer.
 struct InFlight {
     session: u32,
-    rid: Rid,
+    rid: RequestId,
     /// Whose it is, where callers are known.
     caller: Option<String>,
     class: usize,
-    tags: Tags,
+    tags: StatementKeys,
     text: Bytes,
     answered: bool,
     taken: Timestamp,
@@ -51,12 +51,12 @@
     /// One, where a statement may not have two out at the same time.
     out: Vec<AttemptNumber>,
     /// The connections that its attempts went on, as many as attempts.
-    went_on: Vec<u64>,
+    used_connections: Vec<ConnectionId>,
 }
 
 pub struct Service {
     pub clients: Clients,
-    pub engines: Engines,
+    pub engines: EngineTransport,
     pub board: Board,
     pub counters: Counters,
     hall: Hall,
@@ -77,7 +77,7 @@
     next: u64,
     in_flight: BTreeMap<StatementId, InFlight>,
     /// Their ids as clients gave them: of two with one id an engine's answer could be for either.
-    rids: BTreeMap<Rid, StatementId>,
+    rids: BTreeMap<RequestId, StatementId>,
     /// Ends of all statements not answered yet; leaves with the answer or the client.
     ends: BTreeSet<(Timestamp, StatementId)>,
     wake: Timestamp,
@@ -94,7 +94,7 @@
         settings: &Settings,
         seed: u64,
         clients: Clients,
-        engines: Engines,
+        engines: EngineTransport,
         board: Board,
         terms: Option<&Terms>,
     ) -> Result<Self, SettingsError> {
@@ -134,11 +134,11 @@
             info!(whole = change.whole, engines = change.targets.len(), "list");
             told.addresses
                 .into_iter()
-                .for_each(|(id, address)| self.engines.listed(id, address));
+                .for_each(|(id, address)| self.engines.set_address(id, address));
             self.hall.on_endpoint_update(now, &told.news);
             told.closed
                 .into_iter()
-                .for_each(|id| self.engines.closed(now, id, &mut self.counters));
+                .for_each(|id| self.engines.drain_engine(now, id, &mut self.counters));
             self.listed |= change.whole;
         }
     }
@@ -183,7 +183,7 @@
             .map(|(end, id)| (end.min(last), id))
             .collect();
         self.hall.drain_deadline(by);
-        self.engines.end_by(by);
+        self.engines.cap_deadlines(by);
     }
 
     /// Nothing is owed to anyone.
@@ -193,7 +193,7 @@
 
     pub fn next_due(&self, now: Timestamp) -> Timestamp {
         let dues = [
-            self.engines.next_due(now),
+            self.engines.next_timeout(now),
             self.clients.next_due(now),
             self.board.next_due(),
         ];
@@ -207,8 +207,8 @@
 
     /// Works off what all peers brought, then asks once for all that waits.
     pub fn turn(&mut self, now: Timestamp) {
-        self.engines.expire(now, &mut self.counters);
-        self.engines.go_on(now, &mut self.counters);
+        self.engines.expire_timeouts(now, &mut self.counters);
+        self.engines.resume_reads(now, &mut self.counters);
         self.clients.expire(now, &mut self.counters);
         self.clients.go_on(now, &mut self.counters);
         self.board.expire(now, &mut self.counters);
@@ -278,7 +278,10 @@
             .engines()
             .filter(|engine| engine.in_flight > 0)
             .map(|engine| (engine.id, engine.in_flight));
-        let (held, out) = (held.collect::<BTreeMap<_, _>>(), self.engines.out());
+        let (held, out) = (
+            held.collect::<BTreeMap<_, _>>(),
+            self.engines.attempts_in_flight(),
+        );
         self.counters.books_checked += 1;
         if held != out {
             self.counters.books_differ += 1;
--- a/crates/gateway/src/service/shown.rs
+++ b/crates/gateway/src/service/shown.rs
@@ -7,7 +7,7 @@
 
 use super::Service;
 use crate::clients::packets::Answer;
-use crate::engines::lines::Rid;
+use crate::engines::protocol::RequestId;
 use crate::fleet::Fleet;
 use crate::status;
 
@@ -59,7 +59,7 @@
             self.clients.answer(now, session, &mut self.counters, table);
             return;
         };
-        let statement = Rid::try_from(id.as_bytes())
+        let statement = RequestId::try_from(id.as_bytes())
             .ok()
             .and_then(|rid| self.rids.get(&rid))
             .copied();
--- a/crates/gateway/src/socket.rs
+++ b/crates/gateway/src/socket.rs
@@ -7,6 +7,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
+use crate::engines::ConnectionId;
 use crate::keywatch::{Known, WatchError};
 use admission::interface::{TimeDelta, Timestamp};
 use bytes::{Buf, BufMut, BytesMut};
@@ -28,7 +29,7 @@
 );
 
 /// This machine or program is out of descriptors or buffers; the peer has no part in it.
-pub fn is_shortage(error: &io::Error) -> bool {
+pub fn is_resource_exhaustion(error: &io::Error) -> bool {
     use rustix::io::Errno;
     let short = [
         Errno::MFILE,
@@ -42,42 +43,42 @@
 
 /// Whom a readiness is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Peer {
+pub enum EventSource {
     Listener,
     Client(u32),
-    Engine(u64),
-    Board(u64),
+    Engine(ConnectionId),
+    Discovery(u64),
     /// Datagrams of other gateways.
-    Fleet,
+    PeerGateways,
 }
 
 /// What one sleep of the loop brought: sources only note it, it is worked off in turn afterwards.
 #[derive(Default)]
-pub struct Ready {
-    pub peers: Vec<Peer>,
+pub struct LoopEvents {
+    pub sources: Vec<EventSource>,
     pub signals: Vec<calloop::signals::Signal>,
     /// The timer has fired, and is gone.
-    pub due: bool,
+    pub timer_fired: bool,
     /// Key files that changed, or why they cannot be used.
-    pub known: Vec<Result<Known, WatchError>>,
+    pub key_changes: Vec<Result<Known, WatchError>>,
 }
 
-pub type Loop = LoopHandle<'static, Ready>;
+pub type EventLoopHandle = LoopHandle<'static, LoopEvents>;
 
-/// Read at most so much at a time; what a peer may leave unread in `inbox` is each user's bound.
+/// Read at most so much at a time; what a peer may leave unread in `read_buffer` is each user's bound.
 const CHUNK: usize = 16 << 10;
 
 pub struct Socket {
     stream: Rc<TcpStream>,
     token: Option<RegistrationToken>,
-    handle: Loop,
-    pub inbox: BytesMut,
+    handle: EventLoopHandle,
+    pub read_buffer: BytesMut,
     out: BytesMut,
     /// Bytes accepted by the machine so far, of all ever put.
-    pub written: u64,
-    pub put: u64,
+    pub bytes_written: u64,
+    pub bytes_enqueued: u64,
     /// The peer has ended its direction.
-    pub ended: bool,
+    pub peer_finished: bool,
     /// We have ended ours.
     finished: bool,
     /// The machine may still hold bytes that no edge will announce again.
@@ -87,15 +88,15 @@
 }
 
 impl Socket {
-    pub fn new(stream: TcpStream, handle: &Loop, peer: Peer) -> io::Result<Self> {
+    pub fn new(stream: TcpStream, handle: &EventLoopHandle, peer: EventSource) -> io::Result<Self> {
         stream.set_nonblocking(true)?;
         // Answers and attempts are small and whole: waiting to fill a segment only delays them.
         stream.set_nodelay(true)?;
         let stream = Rc::new(stream);
         let source = Generic::new(stream.clone(), Interest::BOTH, Mode::Edge);
         let token = handle
-            .insert_source(source, move |_, _, ready: &mut Ready| {
-                ready.peers.push(peer);
+            .insert_source(source, move |_, _, events: &mut LoopEvents| {
+                events.sources.push(peer);
                 Ok(PostAction::Continue)
             })
             .map_err(|e| io::Error::other(e.error))?;
@@ -103,11 +104,11 @@
             stream,
             token: Some(token),
             handle: handle.clone(),
-            inbox: BytesMut::new(),
+            read_buffer: BytesMut::new(),
             out: BytesMut::new(),
-            written: 0,
-            put: 0,
-            ended: false,
+            bytes_written: 0,
+            bytes_enqueued: 0,
+            peer_finished: false,
             finished: false,
             unread: true,
             tls: None,
@@ -115,7 +116,11 @@
     }
 
     /// Starts to connect; `connected` tells how it went.
-    pub fn connect(to: SocketAddr, handle: &Loop, peer: Peer) -> io::Result<Self> {
+    pub fn connect(
+        to: SocketAddr,
+        handle: &EventLoopHandle,
+        peer: EventSource,
+    ) -> io::Result<Self> {
         let family = if to.is_ipv4() {
             AddressFamily::INET
         } else {
@@ -132,7 +137,7 @@
     }
 
     /// Whether the connection is up; an error if it failed.
-    pub fn connected(&self) -> io::Result<bool> {
+    pub fn is_connected(&self) -> io::Result<bool> {
         sockopt::socket_error(&*self.stream)??;
         match self.stream.peer_addr() {
             Ok(_) => Ok(true),
@@ -142,7 +147,7 @@
     }
 
     /// An edge told that there is something to read, or the peer's end.
-    pub fn news(&mut self) {
+    pub fn mark_readable(&mut self) {
         self.unread = true;
     }
 
@@ -152,7 +157,7 @@
         // What may wait to be written is bounded by who puts it.
         tls.set_buffer_limit(None);
         self.tls = Some(Box::new(tls));
-        let come = self.inbox.split();
+        let come = self.read_buffer.split();
         self.decrypt(&come)
     }
 
@@ -163,7 +168,7 @@
     /// Takes bytes of the peer's: as they are, or what they say through TLS. A record of no use ends the connection.
     fn decrypt(&mut self, mut come: &[u8]) -> io::Result<()> {
         let Some(tls) = &mut self.tls else {
-            self.inbox.extend_from_slice(come);
+            self.read_buffer.extend_from_slice(come);
             return Ok(());
         };
         while !come.is_empty() {
@@ -178,22 +183,22 @@
                     return Err(io::Error::new(ErrorKind::InvalidData, error));
                 }
             };
-            let before = self.inbox.len();
-            self.inbox
+            let before = self.read_buffer.len();
+            self.read_buffer
                 .resize(before + state.plaintext_bytes_to_read(), 0);
-            tls.reader().read_exact(&mut self.inbox[before..])?;
-            self.ended |= state.peer_has_closed();
+            tls.reader().read_exact(&mut self.read_buffer[before..])?;
+            self.peer_finished |= state.peer_has_closed();
         }
         Ok(())
     }
 
-    /// Reads what is there, up to `bound` in the inbox: a peer that sends without end gets no more of a turn.
-    /// An inbox has the size of what waits in it, not of what could.
-    pub fn fill(&mut self, bound: usize) -> io::Result<()> {
+    /// Reads what is there, up to `bound` in the read_buffer: a peer that sends without end gets no more of a turn.
+    /// An read_buffer has the size of what waits in it, not of what could.
+    pub fn read_up_to(&mut self, bound: usize) -> io::Result<()> {
         let mut chunk = [0; CHUNK];
-        while self.unread && !self.ended && self.inbox.len() < bound {
+        while self.unread && !self.peer_finished && self.read_buffer.len() < bound {
             match (&*self.stream).read(&mut chunk) {
-                Ok(0) => self.ended = true,
+                Ok(0) => self.peer_finished = true,
                 Ok(n) => self.decrypt(&chunk[..n])?,
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(error) if error.kind() == ErrorKind::WouldBlock => self.unread = false,
@@ -204,13 +209,13 @@
     }
 
     /// More may be there than there was room for.
-    pub fn more(&self) -> bool {
-        self.unread && !self.ended
+    pub fn may_have_more(&self) -> bool {
+        self.unread && !self.peer_finished
     }
 
     /// Whether the peer's end stands behind bytes for which there is no room. Asked for where `fill` may not read on:
     /// an end that is only found by reading would stay unseen for as long as the bytes before it wait.
-    pub fn hung_up(&self) -> io::Result<bool> {
+    pub fn peer_hung_up(&self) -> io::Result<bool> {
         let mut of = [PollFd::new(&*self.stream, PollFlags::RDHUP)];
         let now = Timespec {
             tv_sec: 0,
@@ -229,14 +234,14 @@
 
     /// When the peer's last segment came to this machine, whether or not it was read since: its end, if it has ended. What
     /// it acknowledges counts too. Now where the machine cannot tell.
-    pub fn heard(&self, now: Timestamp) -> Timestamp {
+    pub fn last_received(&self, now: Timestamp) -> Timestamp {
         let silent_ms =
             getsockopt(&*self.stream, TcpInfo).map_or(0, |info| info.tcpi_last_ack_recv);
         now + TimeDelta::from_micros(-i64::from(silent_ms) * 1000)
     }
 
-    pub fn put(&mut self, bytes: &[u8]) {
-        self.put += bytes.len() as u64;
+    pub fn enqueue(&mut self, bytes: &[u8]) {
+        self.bytes_enqueued += bytes.len() as u64;
         match &mut self.tls {
             // Into its buffer, which has no limit: this cannot fail.
             Some(tls) => drop(tls.writer().write_all(bytes)),
@@ -253,7 +258,7 @@
             match (&*self.stream).write(&self.out) {
                 Ok(0) => return Err(ErrorKind::WriteZero.into()),
                 Ok(n) => {
-                    self.written += n as u64;
+                    self.bytes_written += n as u64;
                     self.out.advance(n);
                 }
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
@@ -270,25 +275,29 @@
 
     /// Takes bytes back that were put and of which nothing has left; what was put behind them moves up. True: they are
     /// gone, and were never written. Bytes within TLS cannot be taken back.
-    pub fn take_back(&mut self, from: u64, to: u64) -> bool {
-        if self.tls.is_some() || from < self.written || to > self.put || from >= to {
+    pub fn retract(&mut self, from: u64, to: u64) -> bool {
+        if self.tls.is_some() || from < self.bytes_written || to > self.bytes_enqueued || from >= to
+        {
             return false;
         }
-        let (from, to) = ((from - self.written) as usize, (to - self.written) as usize);
+        let (from, to) = (
+            (from - self.bytes_written) as usize,
+            (to - self.bytes_written) as usize,
+        );
         let behind = self.out.split_off(to);
         self.out.truncate(from);
         self.out.unsplit(behind);
-        self.put -= (to - from) as u64;
+        self.bytes_enqueued -= (to - from) as u64;
         true
     }
 
-    pub fn unwritten(&self) -> usize {
+    pub fn unwritten_bytes(&self) -> usize {
         self.out.len() + usize::from(self.tls.as_ref().is_some_and(|tls| tls.wants_write()))
     }
 
     /// No more is written: the peer reads to the end and then finds it. Once only: the machine tells of each shutdown as of
     /// something new at the connection, so that one at every look would bring the next look at once.
-    pub fn finish(&mut self) {
+    pub fn finish_writing(&mut self) {
         if std::mem::replace(&mut self.finished, true) {
             return;
         }
--- a/crates/gateway/tests/codecs.rs
+++ b/crates/gateway/tests/codecs.rs
@@ -8,7 +8,9 @@
 use gateway::clients::comment::{self, CommentError, table_group};
 use gateway::clients::packets::{self, Command, Query};
 use gateway::config::Config;
-use gateway::engines::lines::{self, Answer, LineError, Word};
+use gateway::engines::protocol::{
+    self, AttemptRequest, DecodeError, Response, ResponseKind, StatementKeys,
+};
 use quickcheck::{Gen, QuickCheck};
 
 /// Feeds the bytes in two parts, at every place, and hands what came to the check.
@@ -58,15 +60,22 @@
         x TELL remark=done,datum=0.5 0\r\n\r\nx WAIT - 0\r\n\r\n";
     at_every_split(
         bytes,
-        |inbox| Answer::take(inbox).unwrap(),
+        |inbox| Response::decode(inbox).unwrap(),
         |taken| {
-            let words: Vec<Word> = taken.iter().map(|answer| answer.word).collect();
-            assert_eq!(words, [Word::Done, Word::Tell, Word::Wait]);
+            let words: Vec<ResponseKind> = taken.iter().map(|answer| answer.kind).collect();
+            assert_eq!(
+                words,
+                [
+                    ResponseKind::Completed,
+                    ResponseKind::Status,
+                    ResponseKind::Rejected
+                ]
+            );
             let [done, note, wait] = &taken[..] else {
                 panic!("three")
             };
             assert_eq!(
-                (&done.id[..], &done.body[..]),
+                (&done.request_id[..], &done.body[..]),
                 (&b"5eed00c0ffee0a17"[..], &b"a\tb\r\n\n"[..])
             );
             assert_eq!(
@@ -78,38 +87,41 @@
                 (note.field("remark"), note.number("datum")),
                 (Some(&b"done"[..]), Some(0.5))
             );
-            assert_eq!((wait.field("total"), &wait.id[..]), (None, &b"x"[..]));
+            assert_eq!(
+                (wait.field("total"), &wait.request_id[..]),
+                (None, &b"x"[..])
+            );
         },
     );
 }
 
 #[test]
 fn lines_that_are_none_are_named() {
-    let fault = |bytes: &[u8]| Answer::take(&mut BytesMut::from(bytes)).unwrap_err();
-    assert_eq!(fault(b"x GONE - 0\r\n"), LineError::Unknown);
-    assert_eq!(fault(b"x DONE 0\r\n"), LineError::Words);
-    assert_eq!(fault(b"x DONE - many\r\n"), LineError::Length);
-    assert_eq!(fault(b"x DONE - 99999999\r\n"), LineError::Length);
-    assert_eq!(fault(b"x DONE - 2\r\nabcd"), LineError::Ending);
-    assert_eq!(fault(&[b'x'; 2000]), LineError::Long);
+    let fault = |bytes: &[u8]| Response::decode(&mut BytesMut::from(bytes)).unwrap_err();
+    assert_eq!(fault(b"x GONE - 0\r\n"), DecodeError::UnknownKind);
+    assert_eq!(fault(b"x DONE 0\r\n"), DecodeError::MalformedLine);
+    assert_eq!(fault(b"x DONE - many\r\n"), DecodeError::InvalidLength);
+    assert_eq!(fault(b"x DONE - 99999999\r\n"), DecodeError::InvalidLength);
+    assert_eq!(fault(b"x DONE - 2\r\nabcd"), DecodeError::MissingTerminator);
+    assert_eq!(fault(&[b'x'; 2000]), DecodeError::LineTooLong);
 }
 
 #[test]
 fn a_relay_carries_the_statement_as_it_came() {
-    let line = lines::attempt(
-        b"5eed00c0ffee0a17",
-        "scan",
-        1200,
-        Some(2),
-        &lines::Tags::default(),
-        b"SELECT '\r\n'",
-    );
+    let attempt = AttemptRequest {
+        request_id: *b"5eed00c0ffee0a17",
+        class: "scan",
+        timeout_ms: 1200,
+        priority: Some(2),
+        keys: &StatementKeys::default(),
+        text: b"SELECT '\r\n'",
+    };
     assert_eq!(
-        line,
+        attempt.encode(),
         b"do 5eed00c0ffee0a17 profile=scan,max=1200,band=2 11\r\nSELECT '\r\n'\r\n"
     );
     assert_eq!(
-        lines::page(b"5eed00c0ffee0a17", 3),
+        protocol::encode_page_request(b"5eed00c0ffee0a17", 3),
         b"page 5eed00c0ffee0a17 3\r\n"
     );
 }
@@ -368,7 +380,7 @@
         .concat();
         let _ = (comment::read(&commented), Config::parse(&bytes));
         let mut inbox = BytesMut::from(&[b"x DONE - 3\r\n", &bytes[..]].concat()[..]);
-        while let Ok(Some(_)) = Answer::take(&mut inbox) {}
+        while let Ok(Some(_)) = Response::decode(&mut inbox) {}
         let body = [
             b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
             &bytes[..],
--- a/crates/gateway/tests/connections.rs
+++ b/crates/gateway/tests/connections.rs
@@ -8,16 +8,16 @@
 use calloop::EventLoop;
 use gateway::board::Board;
 use gateway::counters::Counters;
-use gateway::engines::lines::{Rid, Tags};
-use gateway::engines::{Engines, Outgoing, Report};
-use gateway::socket::{Peer, Ready};
+use gateway::engines::protocol::{RequestId, StatementKeys};
+use gateway::engines::{AttemptUpdate, ConnectionId, EngineTransport, OutgoingAttempt};
+use gateway::socket::{EventSource, LoopEvents};
 use settings::Links;
 
 use support::script::{Link, Script, completed, delivered};
 
 struct Turns {
-    event_loop: EventLoop<'static, Ready>,
-    engines: Engines,
+    event_loop: EventLoop<'static, LoopEvents>,
+    engines: EngineTransport,
     counters: Counters,
     now: f64,
     next: u64,
@@ -34,8 +34,8 @@
             idle: span(100.0),
             multiplex: 10,
         };
-        let mut engines = Engines::new(&event_loop.handle(), links, connections);
-        engines.listed(ENGINE, Some(engine));
+        let mut engines = EngineTransport::new(&event_loop.handle(), links, connections);
+        engines.set_address(ENGINE, Some(engine));
         Turns {
             event_loop,
             engines,
@@ -49,25 +49,25 @@
         Timestamp::from_secs(self.now)
     }
 
-    fn rid(number: u64) -> Rid {
+    fn rid(number: u64) -> RequestId {
         format!("{number:016x}").into_bytes().try_into().unwrap()
     }
 
     /// One statement, without any turn before or after it.
-    fn send(&mut self, leave_by: Option<Timestamp>) -> (u64, Option<u64>) {
+    fn send(&mut self, send_by: Option<Timestamp>) -> (u64, Option<ConnectionId>) {
         self.next += 1;
-        let (number, due) = (self.next, Timestamp::from_secs(self.now + 60.0));
-        let outgoing = Outgoing {
+        let (number, deadline) = (self.next, Timestamp::from_secs(self.now + 60.0));
+        let outgoing = OutgoingAttempt {
             statement: StatementId(number),
             attempt: AttemptNumber(0),
             engine: ENGINE,
-            rid: Self::rid(number),
+            request_id: Self::rid(number),
             class: "point",
-            tags: &Tags::default(),
+            keys: &StatementKeys::default(),
             text: b"SELECT 1",
-            due,
+            deadline,
             priority: None,
-            leave_by,
+            send_by,
             avoid: &[],
         };
         (
@@ -77,37 +77,39 @@
     }
 
     /// Turns until an outcome is there.
-    fn outcome(&mut self) -> Report {
-        let mut ready = Ready::default();
+    fn outcome(&mut self) -> AttemptUpdate {
+        let mut ready = LoopEvents::default();
         loop {
             self.event_loop
                 .dispatch(std::time::Duration::from_secs(10), &mut ready)
                 .unwrap();
-            for peer in std::mem::take(&mut ready.peers) {
-                let Peer::Engine(at) = peer else {
+            for peer in std::mem::take(&mut ready.sources) {
+                let EventSource::Engine(at) = peer else {
                     panic!("{peer:?}")
                 };
-                self.engines.ready(self.at(), at, &mut self.counters);
+                self.engines
+                    .on_socket_event(self.at(), at, &mut self.counters);
             }
-            if let Some(report) = self.engines.reports().pop() {
+            if let Some(report) = self.engines.take_updates().pop() {
                 return report;
             }
         }
     }
 
-    fn complete_one(&mut self, script: &Script) -> (Link, Option<u64>) {
+    fn complete_one(&mut self, script: &Script) -> (Link, Option<ConnectionId>) {
         let (_, at) = self.send(None);
         // Its connection comes up in the first turn, and takes the statement then.
         let mut link = script.accept();
-        let mut ready = Ready::default();
+        let mut ready = LoopEvents::default();
         self.event_loop
             .dispatch(std::time::Duration::from_secs(10), &mut ready)
             .unwrap();
-        for peer in std::mem::take(&mut ready.peers) {
-            let Peer::Engine(at) = peer else {
+        for peer in std::mem::take(&mut ready.sources) {
+            let EventSource::Engine(at) = peer else {
                 panic!("{peer:?}")
             };
-            self.engines.ready(self.at(), at, &mut self.counters);
+            self.engines
+                .on_socket_event(self.at(), at, &mut self.counters);
         }
         let asked = link.asked();
         link.say(&completed(&asked));
@@ -164,18 +166,18 @@
     let (_, claimed) = turns.send(None);
     assert_eq!(claimed, first);
     // The only connection is claimed: a statement for another engine has no room, and never ran.
-    turns.engines.listed(EngineId(2), Some(other.address));
-    let outgoing = Outgoing {
+    turns.engines.set_address(EngineId(2), Some(other.address));
+    let outgoing = OutgoingAttempt {
         statement: StatementId(100),
         attempt: AttemptNumber(0),
         engine: EngineId(2),
-        rid: Turns::rid(100),
+        request_id: Turns::rid(100),
         class: "point",
-        tags: &Tags::default(),
+        keys: &StatementKeys::default(),
         text: b"SELECT 1",
-        due: Timestamp::from_secs(turns.now + 60.0),
+        deadline: Timestamp::from_secs(turns.now + 60.0),
         priority: None,
-        leave_by: None,
+        send_by: None,
         avoid: &[],
     };
     assert_eq!(
@@ -184,7 +186,7 @@
             .send(turns.at(), &outgoing, &mut turns.counters),
         None
     );
-    let refused = turns.engines.reports().pop().unwrap();
+    let refused = turns.engines.take_updates().pop().unwrap();
     assert_eq!(
         (refused.statement, refused.event),
         (StatementId(100), AttemptEvent::NeverSent)
@@ -207,20 +209,20 @@
     let begun = Timestamp::from_secs(1000.0);
     let asks: Vec<Vec<Timestamp>> = (0..20)
         .map(|seed| {
-            let mut event_loop: EventLoop<'static, Ready> = EventLoop::try_new().unwrap();
+            let mut event_loop: EventLoop<'static, LoopEvents> = EventLoop::try_new().unwrap();
             let mut board = Board::new(&event_loop.handle(), closed, 0, seed, begun);
             let (mut now, mut asked, mut counters) = (begun, Vec::new(), Counters::default());
             while asked.len() < 8 {
                 board.expire(now, &mut counters);
                 // Refused at once, in the same instant for all.
-                let mut ready = Ready::default();
-                while ready.peers.is_empty() && counters.polls_failed as usize == asked.len() {
+                let mut ready = LoopEvents::default();
+                while ready.sources.is_empty() && counters.polls_failed as usize == asked.len() {
                     event_loop
                         .dispatch(std::time::Duration::from_secs(10), &mut ready)
                         .unwrap();
                 }
-                for peer in ready.peers {
-                    let Peer::Board(at) = peer else {
+                for peer in ready.sources {
+                    let EventSource::Discovery(at) = peer else {
                         panic!("{peer:?}")
                     };
                     board.ready(now, at, &mut counters);
@@ -250,7 +252,7 @@
 fn the_last_look_before_all_sessions_are_shut_takes_what_has_come() {
     use gateway::clients::{Clients, News};
     use stand_ins::client::{login_packet, query_packet};
-    let event_loop: EventLoop<'static, Ready> = EventLoop::try_new().unwrap();
+    let event_loop: EventLoop<'static, LoopEvents> = EventLoop::try_new().unwrap();
     let (now, mut counters) = (Timestamp::from_secs(1000.0), Counters::default());
     let mut clients = Clients::new(&event_loop.handle(), 8, 1 << 20, false, now);
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
--- a/crates/gateway/tests/sockets.rs
+++ b/crates/gateway/tests/sockets.rs
@@ -5,21 +5,27 @@
 
 use admission::interface::TimeDelta;
 use calloop::EventLoop;
+use gateway::engines::ConnectionId;
 use gateway::lifecycle::drained;
-use gateway::socket::{Peer, Ready, Socket};
+use gateway::socket::{EventSource, LoopEvents, Socket};
 
 #[test]
 fn what_has_not_left_is_taken_back_whole_or_not_at_all() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let near = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     let (mut far, _) = listener.accept().unwrap();
-    let event_loop: EventLoop<'_, Ready> = EventLoop::try_new().unwrap();
-    let mut socket = Socket::new(near, &event_loop.handle(), Peer::Engine(0)).unwrap();
-    socket.put(b"first ");
+    let event_loop: EventLoop<'_, LoopEvents> = EventLoop::try_new().unwrap();
+    let mut socket = Socket::new(
+        near,
+        &event_loop.handle(),
+        EventSource::Engine(ConnectionId(0)),
+    )
+    .unwrap();
+    socket.enqueue(b"first ");
     socket.flush().unwrap();
-    socket.put(b"second ");
-    socket.put(b"third ");
-    socket.put(b"fourth");
+    socket.enqueue(b"second ");
+    socket.enqueue(b"third ");
+    socket.enqueue(b"fourth");
     for (from, to, back) in [
         // Written, in part or whole; empty; beyond what was put.
         (0, 6, false),
@@ -28,10 +34,10 @@
         (19, 40, false),
         (13, 19, true),
     ] {
-        assert_eq!(socket.take_back(from, to), back, "{from} to {to}");
+        assert_eq!(socket.retract(from, to), back, "{from} to {to}");
     }
-    assert_eq!(socket.put, 19);
-    socket.put(b"!");
+    assert_eq!(socket.bytes_enqueued, 19);
+    socket.enqueue(b"!");
     socket.flush().unwrap();
     drop(socket);
     let mut got = String::new();
