--- a/crates/gateway/src/service/intake.rs
+++ b/crates/gateway/src/service/intake.rs
@@ -5,9 +5,8 @@
 use admission::interface::*;
 use bytes::Bytes;
 use dispatch::StatementRequest;
-use identity::grants::{Beyond, Request};
-use identity::token::Claims;
-use scheduler::DeskId;
+use identity::{AuthorizationError, AuthorizationRequest, Claims};
+use scheduler::SubQueueId;
 
 use super::endings::denial;
 use super::{InFlight, OVERDUE_S, Service};
@@ -38,7 +37,7 @@
     /// As many are open as the settings allow.
     Full,
     /// The caller may not run it, which is no rejection.
-    Beyond(Beyond),
+    Beyond(AuthorizationError),
     /// The session's token holds no more.
     Unknown(String),
     /// Its key is still arriving here.
@@ -63,7 +62,7 @@
                 self.asked(now, session, &text, client_ip, now - received);
             }
             // Without lines it is a query like any other that cannot be used.
-            SessionEvent::ShowQueue { session, text, .. } if self.directory.is_none() => {
+            SessionEvent::ShowQueue { session, text, .. } if self.resolver.is_none() => {
                 self.unknown(now, session, &text);
             }
             SessionEvent::ShowQueue {
@@ -180,7 +179,7 @@
         self.in_flight.insert(id, in_flight);
         self.rids.insert(rid, id);
         self.clients.attach_statement(session, id);
-        let pick = self.hall.pick(now, id, desk, &wants);
+        let pick = self.scheduler.pick(now, id, desk, &wants);
         self.picked(now, id, pick);
     }
 
@@ -190,27 +189,34 @@
         text: &Bytes,
         from: IpAddr,
         claims: Option<&Claims>,
-    ) -> Result<(StatementRequest, RequestId, StatementKeys, Bytes, DeskId), Unusable> {
+    ) -> Result<
+        (
+            StatementRequest,
+            RequestId,
+            StatementKeys,
+            Bytes,
+            SubQueueId,
+        ),
+        Unusable,
+    > {
         let mut read = CommentedStatement::parse(text)?;
         if let Some(claims) = claims {
             let open = self.open.get(&claims.caller).copied().unwrap_or(0);
-            let group = table_group(read.text);
-            let (member, desk, class) = (read.tenant, read.sub_queue, read.class);
-            let beyond = claims.grant.allows(&Request {
-                member,
-                desk,
-                class,
-                group,
-                from,
-                open,
-            });
-            if let Err(beyond) = beyond {
+            let request = AuthorizationRequest {
+                tenant: read.tenant,
+                sub_queue: read.sub_queue,
+                class: read.class,
+                table_group: table_group(read.text),
+                client_address: from,
+                open_statements: open,
+            };
+            if let Err(error) = claims.grant.authorize(&request) {
                 self.counters.beyond_grant += 1;
-                return Err(Unusable::Beyond(beyond));
+                return Err(Unusable::Beyond(error));
             }
             // What the comment leaves open, the caller is.
-            read.tenant = Some(&claims.grant.member);
-            read.sub_queue = claims.grant.desk(read.sub_queue);
+            read.tenant = Some(&claims.grant.tenant);
+            read.sub_queue = claims.grant.sub_queue(read.sub_queue);
         }
         let named = |names: &[String], name: &str| names.iter().position(|known| known == name);
         let class = named(&self.classes, read.class).ok_or("unknown method")?;
@@ -227,11 +233,11 @@
             return Err(Unusable::Full);
         }
         let found = self
-            .directory
+            .resolver
             .as_ref()
-            .map(|directory| directory.find(read.tenant, read.sub_queue, Some(from)));
+            .map(|resolver| resolver.resolve(read.tenant, read.sub_queue, Some(from)));
         self.counters.desks_unknown += u64::from(found.is_some_and(|found| !found.known));
-        let desk = found.map_or(DeskId(0), |found| found.desk);
+        let desk = found.map_or(SubQueueId(0), |found| found.sub_queue);
         let budget_s = read.budget_ms / 1e3;
         let budget =
             TimeDelta::from_secs(budget_s - NETWORK_DELAY_S.min(budget_s * NETWORK_DELAY_PART));
