--- a/crates/gateway/src/discovery/mod.rs
+++ b/crates/gateway/src/discovery/mod.rs
@@ -21,7 +21,7 @@
 use poll::{Poll, PollError, Received};
 
 use crate::counters::Counters;
-use crate::socket::{Loop, is_shortage};
+use crate::socket::{EventLoopHandle, is_resource_exhaustion};
 
 /// Polls that run at once, late ones among them.
 const MAX_POLLS: usize = 4;
@@ -31,7 +31,7 @@
 
 /// The polls of one gateway, and the events that they brought.
 pub struct DiscoveryClient {
-    handle: Loop,
+    handle: EventLoopHandle,
     address: SocketAddr,
     next_poll_id: u64,
     /// [`MAX_POLLS`] at most.
@@ -52,7 +52,7 @@
     /// in its pauses.
     #[must_use]
     pub fn new(
-        handle: &Loop,
+        handle: &EventLoopHandle,
         address: SocketAddr,
         last_revision: u64,
         seed: u64,
@@ -154,7 +154,7 @@
                 self.polls.insert(poll_id, poll);
             }
             Err(error) => {
-                self.descriptor_shortage = is_shortage(&error);
+                self.descriptor_shortage = is_resource_exhaustion(&error);
                 self.on_failure(now, &error.to_string(), counters);
             }
         }
--- a/crates/gateway/src/discovery/poll.rs
+++ b/crates/gateway/src/discovery/poll.rs
@@ -8,7 +8,7 @@
 
 use super::endpoints::EventBatch;
 use super::http::{self, ConnectionReuse, InputState, PollResponse, ResponseError};
-use crate::socket::{Loop, Peer, Socket};
+use crate::socket::{EventLoopHandle, EventSource, Socket};
 
 /// How long the service may hold a poll open.
 pub(super) const LINGER_S: f64 = 1.0;
@@ -55,12 +55,12 @@
     /// Starts to connect; the request goes out as soon as the connection is up.
     pub(super) fn connect(
         address: SocketAddr,
-        handle: &Loop,
+        handle: &EventLoopHandle,
         poll_id: u64,
         now: Timestamp,
     ) -> io::Result<Self> {
         Ok(Poll {
-            socket: Socket::connect(address, handle, Peer::Discovery(poll_id))?,
+            socket: Socket::connect(address, handle, EventSource::Discovery(poll_id))?,
             sent: now,
             since_revision: 0,
             is_connected: false,
@@ -75,7 +75,7 @@
         self.is_late = false;
         let linger_ms = (LINGER_S * MILLIS_PER_SECOND) as u64;
         let request = http::poll_request(since_revision, linger_ms, host);
-        self.socket.put(request.as_bytes());
+        self.socket.enqueue(request.as_bytes());
     }
 
     /// Writes what the machine takes. A failure shows when the connection is read.
@@ -89,22 +89,22 @@
     ///
     /// The connection failed or ended, or the response cannot be used: the poll is over.
     pub(super) fn receive(&mut self) -> Result<Option<Received>, PollError> {
-        if !self.is_connected && !self.socket.connected()? {
+        if !self.is_connected && !self.socket.is_connected()? {
             return Ok(None);
         }
         self.is_connected = true;
-        self.socket.news();
+        self.socket.mark_readable();
         let transfer = self
             .socket
             .flush()
-            .and_then(|()| self.socket.fill(http::MAX_RESPONSE_BYTES));
-        let input = if self.socket.ended {
+            .and_then(|()| self.socket.read_up_to(http::MAX_RESPONSE_BYTES));
+        let input = if self.socket.peer_finished {
             InputState::Ended
         } else {
             InputState::Open
         };
         let is_usable = transfer.is_ok() && input == InputState::Open;
-        match http::take_response(&mut self.socket.inbox, input)? {
+        match http::take_response(&mut self.socket.read_buffer, input)? {
             PollResponse::Complete { batch, reuse } => {
                 let reuse = if is_usable {
                     reuse
--- a/crates/gateway/src/fleet/parts.rs
+++ b/crates/gateway/src/fleet/parts.rs
@@ -52,7 +52,7 @@
         members: &[String],
         seed: u64,
     ) -> Self {
-        let now = clock.steady();
+        let now = clock.boottime_now();
         let id = HolderId {
             name,
             boot_id: life,
@@ -105,7 +105,7 @@
             .filter(|(_, same)| !same)
             .map(|(name, _)| name)
             .collect();
-        let steady = self.clock.steady();
+        let steady = self.clock.boottime_now();
         self.quotas.reconfigure(steady, config);
         let flow = |name: &String| {
             let was = self.names.iter().position(|was| was == name);
@@ -119,7 +119,7 @@
 
     /// What the decisions may do until they are told anew. `carries`: this gateway's traffic, in shares of one.
     pub fn allowed(&mut self, carries: f64, peers: f64, benched: usize) -> QuotaGrant {
-        let steady = self.clock.steady();
+        let steady = self.clock.boottime_now();
         let left = |quotas: &mut FleetQuotas, at: usize| quotas.available_units(steady, at);
         let retries = self
             .attempts
@@ -146,7 +146,7 @@
     /// An attempt that is to go: further ones and trials are paid for here, by the clock as it is now. False: what the
     /// decisions were told is over by now.
     pub fn spend(&mut self, class: usize, again: bool, outlier_probe: bool) -> bool {
-        let steady = self.clock.steady();
+        let steady = self.clock.boottime_now();
         let attempt = self
             .attempts
             .get(class)
@@ -171,7 +171,7 @@
 
     /// An attempt failed: one more is wanted, whether or not it can be had.
     pub fn wants_relay(&mut self, class: usize) {
-        let steady = self.clock.steady();
+        let steady = self.clock.boottime_now();
         if let Some(at) = self.attempts.get(class).copied().flatten() {
             self.quotas.record_demand(steady, at, 1.0);
         }
@@ -180,7 +180,7 @@
     /// Takes in what the lines spent and wanted since the last look, and gives each member's rate; none where its budget
     /// is not divided here.
     pub fn members(&mut self, flows: &[Flow]) -> Vec<Option<f64>> {
-        let steady = self.clock.steady();
+        let steady = self.clock.boottime_now();
         let mut rates = Vec::with_capacity(self.members.len());
         for (member, at) in self.members.clone().into_iter().enumerate() {
             let Some(at) = at else {
@@ -203,7 +203,7 @@
     }
 
     pub fn status(&mut self) -> (Timestamp, ::quota::Status) {
-        let steady = self.clock.steady();
+        let steady = self.clock.boottime_now();
         (steady, self.quotas.status(steady))
     }
 
--- a/crates/gateway/src/service/mod.rs
+++ b/crates/gateway/src/service/mod.rs
@@ -22,8 +22,8 @@
 use crate::discovery::DiscoveryClient;
 use crate::discovery::endpoints::DiscoveryEvent;
 use crate::discovery::registry::EngineRegistry;
-use crate::engines::Engines;
-use crate::engines::lines::{Rid, Tags};
+use crate::engines::protocol::{RequestId, StatementKeys};
+use crate::engines::{ConnectionId, EngineTransport};
 use crate::fleet::Fleet;
 use crate::fleet::parts::Flow;
 
@@ -39,11 +39,11 @@
 /// A statement from its reading to its answer and the end of its last attempt; the text is dropped with the answer.
 struct InFlight {
     session: SessionId,
-    rid: Rid,
+    rid: RequestId,
     /// Whose it is, where callers are known.
     caller: Option<String>,
     class: usize,
-    tags: Tags,
+    tags: StatementKeys,
     text: Bytes,
     answered: bool,
     taken: Timestamp,
@@ -52,12 +52,12 @@
     /// One, where a statement may not have two out at the same time.
     out: Vec<AttemptNumber>,
     /// The connections that its attempts went on, as many as attempts.
-    went_on: Vec<u64>,
+    used_connections: Vec<ConnectionId>,
 }
 
 pub struct Service {
     pub clients: Sessions,
-    pub engines: Engines,
+    pub engines: EngineTransport,
     pub discovery: DiscoveryClient,
     pub counters: Counters,
     scheduler: Scheduler,
@@ -78,7 +78,7 @@
     next: u64,
     in_flight: BTreeMap<StatementId, InFlight>,
     /// Their ids as clients gave them: of two with one id an engine's answer could be for either.
-    rids: BTreeMap<Rid, StatementId>,
+    rids: BTreeMap<RequestId, StatementId>,
     /// Ends of all statements not answered yet; leaves with the answer or the client.
     ends: BTreeSet<(Timestamp, StatementId)>,
     wake: Timestamp,
@@ -95,7 +95,7 @@
         settings: &Settings,
         seed: u64,
         clients: Sessions,
-        engines: Engines,
+        engines: EngineTransport,
         discovery: DiscoveryClient,
         terms: Option<&QueueConfig>,
     ) -> Result<Self, SettingsError> {
@@ -138,11 +138,11 @@
                 "endpoint list"
             );
             for address in applied.addresses {
-                self.engines.listed(address.engine, address.address);
+                self.engines.set_address(address.engine, address.address);
             }
             self.scheduler.on_endpoint_update(now, &applied.update);
             for engine in applied.not_ready {
-                self.engines.closed(now, engine, &mut self.counters);
+                self.engines.drain_engine(now, engine, &mut self.counters);
             }
             self.listed |= change.is_snapshot();
         }
@@ -189,7 +189,7 @@
             .map(|(end, id)| (end.min(last), id))
             .collect();
         self.scheduler.drain_by(by);
-        self.engines.end_by(by);
+        self.engines.cap_deadlines(by);
     }
 
     /// Nothing is owed to anyone.
@@ -199,7 +199,7 @@
 
     pub fn next_due(&self, now: Timestamp) -> Timestamp {
         let dues = [
-            self.engines.next_due(now),
+            self.engines.next_timeout(now),
             self.clients.next_due(now),
             self.discovery.next_due(),
         ];
@@ -213,8 +213,8 @@
 
     /// Works off what all peers brought, then asks once for all that waits.
     pub fn turn(&mut self, now: Timestamp) {
-        self.engines.expire(now, &mut self.counters);
-        self.engines.go_on(now, &mut self.counters);
+        self.engines.expire_timeouts(now, &mut self.counters);
+        self.engines.resume_reads(now, &mut self.counters);
         self.clients.on_timer(now, &mut self.counters);
         self.clients.resume(now, &mut self.counters);
         self.discovery.on_timer(now, &mut self.counters);
@@ -289,7 +289,10 @@
             .engines()
             .filter(|engine| engine.in_flight > 0)
             .map(|engine| (engine.id, engine.in_flight));
-        let (held, out) = (held.collect::<BTreeMap<_, _>>(), self.engines.out());
+        let (held, out) = (
+            held.collect::<BTreeMap<_, _>>(),
+            self.engines.attempts_in_flight(),
+        );
         self.counters.books_checked += 1;
         if held != out {
             self.counters.books_differ += 1;
