--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,31 +1,47 @@
-//! Which gateways there are, who has failed, and what holds while they disagree or are cut off. Pure: datagrams and
-//! time in, datagrams, events and the next due time out; chance from a given seed. Nothing here does I/O.
+//! Which gateways there are, who has failed, and what may be assumed while they disagree or are partitioned. The protocol is
+//! SWIM with Lifeguard's local health awareness, and gossip that tolerates Byzantine nodes. Pure: datagrams and time in;
+//! datagrams, events and the time of the next step out. Chance comes from a given seed. Nothing here does I/O.
 //!
-//! One word alone moves nothing: what a gateway hears of a third one counts once as many independent gateways say it as
-//! could lie, and one more, or once it has looked for itself. See docs/notes/fleet.md.
+//! Gossip of one node alone moves nothing: what a node hears of a third one counts once as many independent witnesses say
+//! it as may be Byzantine, and one more, or once the node has probed for itself. See docs/notes/fleet.md.
+//!
+//! [`Node`] composes the parts: each other module has one part of its state, and each module of [`node`] one flow of the
+//! protocol.
 
-mod bounds;
-pub mod buckets;
-pub mod engines;
-pub mod gateway;
+mod anti_entropy;
+mod config;
+pub mod dissemination;
+mod engine_broadcast;
+pub mod engine_gossip;
 pub mod keys;
+mod local_health;
+pub mod member;
+pub mod member_entry;
+pub mod member_table;
 pub mod message;
 pub mod metrics;
-pub mod probes;
-pub mod standing;
-pub mod table;
-pub mod terms;
-pub mod who;
+pub mod name_conflict;
+pub mod node;
+mod outstanding_probes;
+pub mod probe_retries;
+mod probe_round;
+pub mod rate_limiter;
+pub mod replay_window;
+mod request_limits;
+pub mod table_digest;
+mod traffic_limits;
+mod verifications;
+pub mod view_state;
+mod view_tracker;
 
-pub use bounds::Bounds;
-pub use engines::{EngineNews, EngineWord};
-pub use gateway::{Datagram, Event, Gateway, Tally};
-pub use keys::{KeyError, Ring};
-/// The module of messages, by the name it had before.
-pub use message as letter;
-pub use message::Refused;
+pub use config::Config;
+pub use engine_gossip::{EngineOutlier, EngineReport, EngineStatus};
+pub use keys::{KeyError, KeyRing};
+pub use member::{BootId, Incarnation, InvalidName, Locality, MemberState, Name, Record};
+pub use member_entry::MemberEntry;
+pub use member_table::MemberSummary;
+pub use message::RejectReason;
 pub use metrics::Metrics;
-pub use standing::{Assumed, Standing};
-pub use table::Row;
-pub use terms::Terms;
-pub use who::{Incarnation, Life, Locality, Name, Record, State};
+pub use node::{Datagram, Event, MAX_PAYLOAD_BYTES, Node, NodeSetup, ReceivedPayload};
+pub use traffic_limits::TrafficLimits;
+pub use view_state::{FleetAssumptions, ViewState};
--- a/crates/membership/src/metrics.rs
+++ b/crates/membership/src/metrics.rs
@@ -1,15 +1,19 @@
 //! Counts since the start, by the names under which the program prints them.
 
+use crate::message::RejectReason;
+
 macro_rules! metrics {
-    ($($name:ident: $what:literal),* $(,)?) => {
+    ($($name:ident: $doc:literal),* $(,)?) => {
         /// Counts since the start.
         #[derive(Clone, Debug, Default, PartialEq, Eq)]
         pub struct Metrics {
-            $(#[doc = $what] pub $name: u64,)*
+            $(#[doc = $doc] pub $name: u64,)*
         }
 
         impl Metrics {
-            pub fn each(&self) -> [(&'static str, u64); [$($what),*].len()] {
+            /// Each counter's name and value, in the order in which they are printed.
+            #[must_use]
+            pub fn named_counts(&self) -> [(&'static str, u64); [$($doc),*].len()] {
                 [$((stringify!($name), self.$name)),*]
             }
         }
@@ -17,39 +21,60 @@
 }
 
 metrics! {
-    sent: "datagrams given out",
-    sent_bytes: "bytes of these",
-    taken: "datagrams that counted",
-    refused_size: "too long or too short",
-    refused_version: "of another version",
-    refused_key: "by a key not accepted",
-    refused_code: "whose code does not hold",
-    refused_form: "that cannot be read",
-    refused_foreign: "of another fleet",
-    refused_repeated: "that came before",
-    refused_address: "from another address than they say",
-    refused_unasked: "answers to nothing asked",
-    refused_many: "questions beyond the pace at which they are answered",
-    refused_own_name: "under this gateway's own name",
-    beyond: "records beyond belief: incarnations at the end of their range or far ahead",
-    unvouched: "records that too few say, and that were looked into",
-    probes: "gateways probed",
-    probes_failed: "without an answer, by others neither",
-    suspected: "gateways suspected",
-    died: "gateways taken for dead",
-    revived: "of these, that came back without a restart: false deaths",
-    refuted: "times this gateway said that it is there",
-    stood_still: "times this loop was late by more than half an answer's time",
-    standings: "changes of standing",
-    confirmed: "failed probes that were repeated before anything was said, with bounds",
-    verified_later: "updates from too few witnesses that were left to others to verify first, with bounds",
-    verified_by_others: "of these, that enough witnesses settled meanwhile",
-    bounded_probes: "direct probes put off, since a period had its number",
-    bounded_gossip: "messages that carried less gossip than there was and fitted",
-    bounded_exchange: "parts of tables not asked for or not given, for want of budget",
-    compared: "comparisons of some buckets of the table with another's, with bounds",
-    compared_for_others: "comparisons that others asked for",
-    listed: "lists of some of the table sent to others, with bounds, where tables differ by much",
-    listed_for_others: "lists of others that were answered",
-    vouched_by_digest: "gateways that an equal bucket of another's table, or its mark in a list, vouched for",
+    sent: "Datagrams sent.",
+    sent_bytes: "Bytes of datagrams sent.",
+    accepted: "Datagrams accepted.",
+    rejected_length: "Datagrams rejected: too long or too short.",
+    rejected_version: "Datagrams rejected: of another version.",
+    rejected_unknown_key: "Datagrams rejected: signed by a key that is not accepted.",
+    rejected_authentication_tag: "Datagrams rejected: the authentication tag does not match.",
+    rejected_malformed: "Datagrams rejected: without a valid message.",
+    rejected_other_fleet: "Datagrams rejected: of another fleet.",
+    rejected_replayed: "Datagrams rejected: they came before.",
+    rejected_source_address: "Datagrams rejected: from another address than they advertise.",
+    rejected_unsolicited: "Datagrams rejected: answers to no request.",
+    rejected_rate_limited: "Datagrams rejected: requests beyond the rate at which they are answered.",
+    rejected_own_name: "Datagrams rejected: under this node's own name.",
+    implausible_incarnations: "Records ignored: incarnations at the end of their range or far ahead.",
+    unvouched: "Records that too few witnesses vouch for, which are verified by a probe.",
+    probes: "Probes of members.",
+    probes_failed: "Of these, without an answer, directly or by a relay.",
+    suspected: "Members suspected.",
+    declared_dead: "Members declared dead.",
+    false_deaths: "Of these, those that came back without a restart.",
+    refutations: "Refutations by this node.",
+    loop_stalls: "Times this node's loop was late by more than half a probe's time-out.",
+    view_state_changes: "Changes of the view state.",
+    probes_repeated: "Failed probes repeated before suspicion, with traffic limits.",
+    verifications_deferred: "Updates from too few witnesses that others verify first, with traffic limits.",
+    verifications_unneeded: "Of these, those that enough witnesses settled meanwhile.",
+    limited_probes: "Direct probes put off, since a period had its number, with traffic limits.",
+    limited_gossip: "Messages that carried less gossip than there was and fitted, with traffic limits.",
+    limited_exchange: "Exchanges not begun or not answered for want of budget, with traffic limits.",
+    digest_requests_sent: "Comparisons of table digests begun, with traffic limits.",
+    digest_requests_answered: "Comparisons of table digests that others began.",
+    fingerprint_requests_sent: "Lists of fingerprints sent, with traffic limits, where tables differ by much.",
+    fingerprint_requests_answered: "Lists of fingerprints of others that were answered.",
+    vouched_by_digest: "Members that an equal digest, or a fingerprint held elsewhere, vouched for.",
+}
+
+impl Metrics {
+    /// Counts what became of a received datagram.
+    pub(crate) fn count_received(&mut self, result: Result<(), RejectReason>) {
+        let counter = match result {
+            Ok(()) => &mut self.accepted,
+            Err(RejectReason::Length) => &mut self.rejected_length,
+            Err(RejectReason::Version) => &mut self.rejected_version,
+            Err(RejectReason::UnknownKey) => &mut self.rejected_unknown_key,
+            Err(RejectReason::AuthenticationTag) => &mut self.rejected_authentication_tag,
+            Err(RejectReason::Malformed) => &mut self.rejected_malformed,
+            Err(RejectReason::OtherFleet) => &mut self.rejected_other_fleet,
+            Err(RejectReason::Replayed) => &mut self.rejected_replayed,
+            Err(RejectReason::SourceAddress) => &mut self.rejected_source_address,
+            Err(RejectReason::Unsolicited) => &mut self.rejected_unsolicited,
+            Err(RejectReason::RateLimited) => &mut self.rejected_rate_limited,
+            Err(RejectReason::OwnName) => &mut self.rejected_own_name,
+        };
+        *counter += 1;
+    }
 }
--- /dev/null
+++ b/crates/membership/src/probe_round.rs
@@ -0,0 +1,71 @@
+//! The order in which members are probed, and random samples of records.
+
+use rand::RngExt;
+use rand::seq::SliceRandom;
+use rand_pcg::Pcg64Mcg;
+
+use crate::member::{Name, Record};
+
+/// SWIM's round-robin probing: the rest of a round in random order, so that each member is probed once a round.
+#[derive(Clone, Debug, Default)]
+pub struct ProbeRound {
+    remaining: Vec<Name>,
+}
+
+impl ProbeRound {
+    /// The next one in turn that is still in the fleet; a new round begins where one ends. `None`: the fleet is empty.
+    pub fn next(
+        &mut self,
+        fleet: impl Fn() -> Vec<Name>,
+        is_in_fleet: impl Fn(&Name) -> bool,
+        rng: &mut Pcg64Mcg,
+    ) -> Option<Name> {
+        if let Some(name) = self.pop(&is_in_fleet) {
+            return Some(name);
+        }
+        self.begin(fleet(), rng);
+        if let Some(name) = self.pop(&is_in_fleet) {
+            return Some(name);
+        }
+        self.begin(fleet(), rng);
+        None
+    }
+
+    fn pop(&mut self, is_in_fleet: impl Fn(&Name) -> bool) -> Option<Name> {
+        while let Some(name) = self.remaining.pop() {
+            if is_in_fleet(&name) {
+                return Some(name);
+            }
+        }
+        None
+    }
+
+    fn begin(&mut self, mut fleet: Vec<Name>, rng: &mut Pcg64Mcg) {
+        fleet.shuffle(rng);
+        self.remaining = fleet;
+    }
+}
+
+/// A random sample of so many records, or all where there are fewer.
+pub fn sample<'a>(
+    records: impl Iterator<Item = &'a Record>,
+    count: usize,
+    rng: &mut Pcg64Mcg,
+) -> Vec<&'a Record> {
+    let mut records: Vec<&Record> = records.collect();
+    let count = count.min(records.len());
+    for index in 0..count {
+        let other = rng.random_range(index..records.len());
+        records.swap(index, other);
+    }
+    records.truncate(count);
+    records
+}
+
+/// One record by chance.
+pub fn sample_one<'a>(
+    records: impl Iterator<Item = &'a Record>,
+    rng: &mut Pcg64Mcg,
+) -> Option<&'a Record> {
+    sample(records, 1, rng).first().copied()
+}
--- a/crates/membership/tests/life.rs
+++ b/crates/membership/tests/node_lifetime.rs
@@ -5,8 +5,8 @@
 use std::net::SocketAddr;
 
 use admission::interface::Timestamp;
-use membership::letter;
-use membership::{Bounds, Gateway, Locality, Name, Ring, Terms};
+use membership::message;
+use membership::{Config, KeyRing, Locality, Name, Node, TrafficLimits};
 use stateright::{Checker, Model, Property};
 
 const KEY: [u8; 32] = [7; 32];
@@ -53,12 +53,12 @@
     SocketAddr::from(([10, 0, 0, number as u8], 7946))
 }
 
-fn gateway(number: usize, now: f64, life: u64, bounded: bool) -> Gateway {
-    let (fleet, ring) = (Name::new("test").unwrap(), Ring::new(&KEY, &[]).unwrap());
+fn gateway(number: usize, now: f64, life: u64, bounded: bool) -> Node {
+    let (fleet, ring) = (Name::new("test").unwrap(), KeyRing::new(&KEY, &[]).unwrap());
     let name = Name::new(&format!("g{number}")).unwrap();
     let seeds = vec![at(1), at(2)];
     let seed = number as u64 + life * 100;
-    Gateway::new(
+    Node::new(
         Timestamp::from_secs(now),
         fleet,
         name,
@@ -66,9 +66,9 @@
         Locality::default(),
         seeds,
         ring,
-        Terms {
-            bounds: bounded.then(Bounds::default),
-            ..Terms::default()
+        Config {
+            bounds: bounded.then(TrafficLimits::default),
+            ..Config::default()
         },
         seed,
     )
@@ -77,7 +77,7 @@
 #[derive(Clone, Debug)]
 struct World {
     now: f64,
-    all: Vec<Gateway>,
+    all: Vec<Node>,
     /// To come once more, later.
     later: Vec<(usize, usize, Vec<u8>)>,
     life: u64,
@@ -122,7 +122,7 @@
                 if self.all[from].due() <= now {
                     self.all[from].turn(now);
                 }
-                for datagram in self.all[from].take_out() {
+                for datagram in self.all[from].take_datagrams() {
                     let Some(to) = (0..3).find(|to| at(*to) == datagram.to) else {
                         continue;
                     };
@@ -151,18 +151,18 @@
         self.all.iter().all(|holder| {
             self.all
                 .iter()
-                .filter(|held| held.own().name != holder.own().name)
+                .filter(|held| held.local_record().name != holder.local_record().name)
                 .all(|held| {
-                    let seen = holder.held(&held.own().name);
-                    seen.is_some_and(|seen| seen.counts() && seen.record.life == held.own().life)
+                    let seen = holder.member(&held.local_record().name);
+                    seen.is_some_and(|seen| seen.is_in_fleet() && seen.record.boot_id == held.local_record().life)
                 })
         })
     }
 }
 
 fn refuted(bytes: &[u8]) -> bool {
-    let ring = Ring::new(&KEY, &[]).unwrap();
-    let letter = letter::open(&ring, &Name::new("test").unwrap(), bytes).unwrap();
+    let ring = KeyRing::new(&KEY, &[]).unwrap();
+    let letter = message::open(&ring, &Name::new("test").unwrap(), bytes).unwrap();
     letter.from.incarnation.0 > 1
 }
 
@@ -237,7 +237,7 @@
                     let name = Name::new("g0").unwrap();
                     state.world.all[1..]
                         .iter()
-                        .any(|by| by.held(&name).is_some_and(|held| !held.counts()))
+                        .any(|by| by.member(&name).is_some_and(|held| !held.is_in_fleet()))
                 },
             ),
             Property::<Self>::always(
@@ -247,7 +247,7 @@
                         .world
                         .all
                         .iter()
-                        .all(|gateway| gateway.own().incarnation.0 < 200)
+                        .all(|gateway| gateway.local_record().incarnation.0 < 200)
                 },
             ),
         ]
--- a/crates/membership/tests/letters.rs
+++ b/crates/membership/tests/replay_window.rs
@@ -1,6 +1,6 @@
 //! Which letters of a sender were seen before.
 
-use membership::letter::Seen;
+use membership::message::Seen;
 
 #[test]
 fn each_counter_counts_once_within_the_window() {
--- a/crates/membership/tests/bounded.rs
+++ b/crates/membership/tests/traffic_limits.rs
@@ -3,16 +3,16 @@
 use std::net::SocketAddr;
 
 use admission::interface::Timestamp;
-use membership::letter::{self, Body, Letter, View};
-use membership::{Bounds, Gateway, Locality, Name, Record, Ring, State, Terms};
+use membership::message::{self, Body, Message, View};
+use membership::{Config, KeyRing, Locality, MemberState, Name, Node, Record, TrafficLimits};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
 const KEY: [u8; 32] = [7; 32];
 const STEP_S: f64 = 0.02;
 
-fn ring() -> Ring {
-    Ring::new(&KEY, &[]).unwrap()
+fn ring() -> KeyRing {
+    KeyRing::new(&KEY, &[]).unwrap()
 }
 
 fn fleet_name() -> Name {
@@ -27,10 +27,10 @@
     SocketAddr::from(([10, 0, 0, number as u8], 7946))
 }
 
-fn terms(bounds: Option<Bounds>) -> Terms {
-    Terms {
+fn terms(bounds: Option<TrafficLimits>) -> Config {
+    Config {
         bounds,
-        ..Terms::default()
+        ..Config::default()
     }
 }
 
@@ -41,19 +41,19 @@
 struct World {
     now: f64,
     lost: f64,
-    all: Vec<Option<Gateway>>,
+    all: Vec<Option<Node>>,
     rng: Pcg64Mcg,
     meddler: Option<Meddler>,
 }
 
 impl World {
-    fn new(count: usize, seed: u64, terms_of: impl Fn(usize) -> Terms) -> World {
+    fn new(count: usize, seed: u64, terms_of: impl Fn(usize) -> Config) -> World {
         let make = |number| {
             let (locality, seeds) = (Locality::default(), vec![address(0), address(1)]);
             let seed = seed * 1000 + number as u64;
             let own = (name(number), address(number));
             let now = Timestamp::from_secs(0.0);
-            Some(Gateway::new(
+            Some(Node::new(
                 now,
                 fleet_name(),
                 own.0,
@@ -87,7 +87,7 @@
                 if sender.due() <= now {
                     sender.turn(now);
                 }
-                for mut datagram in sender.take_out() {
+                for mut datagram in sender.take_datagrams() {
                     let to = (0..self.all.len()).find(|to| address(*to) == datagram.to);
                     if let Some((meddler, to)) = self.meddler.as_mut().zip(to) {
                         meddler(from, to, &mut datagram.bytes);
@@ -102,13 +102,13 @@
         }
     }
 
-    fn living(&self) -> impl Iterator<Item = &Gateway> {
+    fn living(&self) -> impl Iterator<Item = &Node> {
         self.all.iter().flatten()
     }
 
     fn agreed(&self) -> bool {
         let living = self.living().count();
-        self.living().all(|gateway| gateway.size() == living)
+        self.living().all(|gateway| gateway.fleet_size() == living)
     }
 
     /// Seconds until all agree.
@@ -123,7 +123,7 @@
         None
     }
 
-    fn sum(&self, of: impl Fn(&Gateway) -> u64) -> u64 {
+    fn sum(&self, of: impl Fn(&Node) -> u64) -> u64 {
         self.living().map(of).sum()
     }
 }
@@ -132,22 +132,22 @@
 fn a_third_lost_raises_few_suspicions_only_where_failed_probes_are_repeated() {
     /// Suspicions and deaths of 24 gateways in a minute.
     fn troubles(seed: u64, confirmations: usize) -> (u64, u64) {
-        let bounds = Bounds {
+        let bounds = TrafficLimits {
             confirmations,
-            ..Bounds::default()
+            ..TrafficLimits::default()
         };
         let mut world = World::new(24, seed, |_| terms(Some(bounds.clone())));
         assert!(world.settle(30.0).is_some());
-        let before = world.sum(|gateway| gateway.tally.suspected);
+        let before = world.sum(|gateway| gateway.metrics.suspected);
         world.lost = 1.0 / 3.0;
         world.run(60.0);
         (
-            world.sum(|gateway| gateway.tally.suspected) - before,
-            world.sum(|gateway| gateway.tally.died),
+            world.sum(|gateway| gateway.metrics.suspected) - before,
+            world.sum(|gateway| gateway.metrics.declared_dead),
         )
     }
     for seed in 1..=5 {
-        let (repeated, died) = troubles(seed, Bounds::default().confirmations);
+        let (repeated, died) = troubles(seed, TrafficLimits::default().confirmations);
         assert!(
             repeated <= 24,
             "seed {seed}: {repeated} suspicions of 24 gateways in a minute"
@@ -164,19 +164,19 @@
 #[test]
 fn three_and_sixty_start_lose_one_and_settle_by_the_same_code() {
     for count in [3, 60] {
-        let mut world = World::new(count, 2, |_| terms(Some(Bounds::default())));
+        let mut world = World::new(count, 2, |_| terms(Some(TrafficLimits::default())));
         assert!(world.settle(60.0).is_some(), "{count} start");
         world.run(15.0);
         world.all[count - 1] = None;
         assert!(world.settle(60.0).is_some(), "{count}, one dead");
-        assert_eq!(world.sum(|gateway| gateway.tally.revived), 0, "{count}");
+        assert_eq!(world.sum(|gateway| gateway.metrics.false_deaths), 0, "{count}");
     }
 }
 
 #[test]
 fn gateways_with_bounds_and_without_understand_each_other() {
     let mut world = World::new(40, 3, |number| {
-        terms((number % 2 == 0).then(Bounds::default))
+        terms((number % 2 == 0).then(TrafficLimits::default))
     });
     assert!(world.settle(60.0).is_some(), "start");
     world.run(15.0);
@@ -191,36 +191,36 @@
 /// A message of one gateway, made by hand, with a record beside it.
 fn told(by: &Record, counter: u64, of: Record) -> Vec<u8> {
     let (fleet, from, view) = (fleet_name(), by.clone(), View::default());
-    let message = Letter {
+    let message = Message {
         fleet,
         from,
         counter,
         view,
-        body: Body::News,
+        body: Body::Gossip,
         records: vec![of],
-        engines: vec![],
+        engine_reports: vec![],
     };
-    letter::seal(&ring(), &message)
+    message::seal(&ring(), &message)
 }
 
 #[test]
 fn of_all_that_hear_one_witness_only_some_probe_at_once() {
-    let probing = |bounds: Option<Bounds>| {
+    let probing = |bounds: Option<TrafficLimits>| {
         let mut world = World::new(40, 4, |_| terms(bounds.clone()));
         assert!(world.settle(60.0).is_some());
         world.run(60.0);
-        let witness = world.all[5].as_ref().unwrap().own().clone();
-        let subject = world.all[6].as_ref().unwrap().own().clone();
+        let witness = world.all[5].as_ref().unwrap().local_record().clone();
+        let subject = world.all[6].as_ref().unwrap().local_record().clone();
         let now = Timestamp::from_secs(world.now);
-        let before = world.sum(|gateway| gateway.tally.probes);
+        let before = world.sum(|gateway| gateway.metrics.probes);
         for gateway in world
             .all
             .iter_mut()
             .flatten()
-            .filter(|gateway| gateway.own().name != witness.name)
+            .filter(|gateway| gateway.local_record().name != witness.name)
         {
             let suspect = Record {
-                state: State::Suspect,
+                state: MemberState::Suspect,
                 ..subject.clone()
             };
             gateway
@@ -228,67 +228,67 @@
                 .unwrap();
         }
         world.run(2.0);
-        world.sum(|gateway| gateway.tally.probes) - before
+        world.sum(|gateway| gateway.metrics.probes) - before
     };
     // 40 gateways probe some 80 in two seconds; each that verifies adds one.
-    let (few, all) = (probing(Some(Bounds::default())), probing(None));
+    let (few, all) = (probing(Some(TrafficLimits::default())), probing(None));
     assert!(few + 15 < all, "{few} probes with bounds, {all} without");
 }
 
 #[test]
 fn gossip_and_table_pages_keep_to_their_bytes() {
-    let bytes = |bounds: Option<Bounds>| {
+    let bytes = |bounds: Option<TrafficLimits>| {
         let mut world = World::new(60, 5, |_| terms(bounds.clone()));
         assert!(world.settle(60.0).is_some());
         world.run(60.0);
-        let before = world.sum(|gateway| gateway.tally.sent_bytes);
+        let before = world.sum(|gateway| gateway.metrics.sent_bytes);
         world.run(60.0);
-        (world.sum(|gateway| gateway.tally.sent_bytes) - before) as f64 / 60.0 / 60.0
+        (world.sum(|gateway| gateway.metrics.sent_bytes) - before) as f64 / 60.0 / 60.0
     };
-    let (bounded, plain) = (bytes(Some(Bounds::default())), bytes(None));
+    let (bounded, plain) = (bytes(Some(TrafficLimits::default())), bytes(None));
     // Equal views exchange no tables.
     assert!(
         bounded < 600.0 && bounded < plain * 0.8,
         "{bounded} bytes a second at rest, {plain} without"
     );
     let mut world = World::new(60, 6, |_| {
-        terms(Some(Bounds {
+        terms(Some(TrafficLimits {
             gossip_bytes_per_s: 200.0,
-            ..Bounds::default()
+            ..TrafficLimits::default()
         }))
     });
     assert!(
         world.settle(200.0).is_some(),
         "a narrow budget delays, no more"
     );
-    assert!(world.sum(|gateway| gateway.tally.bounded_gossip) > 0);
+    assert!(world.sum(|gateway| gateway.metrics.limited_gossip) > 0);
 }
 
 #[test]
 fn who_is_cut_off_keeps_its_table_and_knows_how_old_it_is() {
-    let mut world = World::new(5, 7, |_| terms(Some(Bounds::default())));
+    let mut world = World::new(5, 7, |_| terms(Some(TrafficLimits::default())));
     assert!(world.settle(30.0).is_some());
     world.run(15.0);
-    assert_eq!(world.all[0].as_ref().unwrap().standing().name(), "together");
+    assert_eq!(world.all[0].as_ref().unwrap().view_state().name(), "together");
     let at = Timestamp::from_secs(world.now);
     (1..5).for_each(|number| world.all[number] = None);
     world.run(90.0);
     let left = world.all[0].as_ref().unwrap();
     let heard = left.last_heard().expect("it heard of others");
     assert!((heard - at).secs().abs() < 3.0);
-    assert_eq!((left.table_len(), left.standing().name()), (4, "cut off"));
+    assert_eq!((left.table_len(), left.view_state().name()), (4, "cut off"));
 }
 
 #[test]
 fn a_bucket_that_is_equal_in_another_table_vouches_for_its_candidates() {
-    let mut world = World::new(60, 8, |_| terms(Some(Bounds::default())));
+    let mut world = World::new(60, 8, |_| terms(Some(TrafficLimits::default())));
     assert!(world.settle(90.0).is_some());
-    assert!(world.sum(|gateway| gateway.tally.vouched_by_digest) > 0);
+    assert!(world.sum(|gateway| gateway.metrics.vouched_by_digest) > 0);
 }
 
 /// One that never was there, told by a single host.
 fn invented() -> Record {
-    let (life, incarnation) = (membership::Life(7), membership::Incarnation(1));
+    let (life, incarnation) = (membership::BootId(7), membership::Incarnation(1));
     let (name, address) = (
         Name::new("g999").unwrap(),
         SocketAddr::from(([10, 0, 0, 200], 7946)),
@@ -299,30 +299,30 @@
         incarnation,
         address,
         locality: Locality::default(),
-        state: State::Alive,
+        state: MemberState::Alive,
     }
 }
 
 #[test]
 fn one_host_that_lies_in_comparisons_brings_nobody_in_and_takes_nobody_off() {
     const LIAR: usize = 9;
-    let mut world = World::new(10, 9, |_| terms(Some(Bounds::default())));
+    let mut world = World::new(10, 9, |_| terms(Some(TrafficLimits::default())));
     assert!(world.settle(60.0).is_some());
     world.run(10.0);
     world.meddler = Some(Box::new(|from, _, bytes| {
         if from != LIAR {
             return;
         }
-        let mut message = letter::open(&ring(), &fleet_name(), bytes).unwrap();
+        let mut message = message::open(&ring(), &fleet_name(), bytes).unwrap();
         // Its table agrees with every other, the one it invented among it, and its view with none, so that it is compared.
-        if let Body::Compared { equal, .. } = &mut message.body {
+        if let Body::DigestResponse { equal, .. } = &mut message.body {
             *equal = u32::MAX;
         }
         message.view = View { digest: 1, size: 3 };
         message.records = vec![invented()];
-        *bytes = letter::seal(&ring(), &message);
+        *bytes = message::seal(&ring(), &message);
     }));
-    let compared = |world: &World| world.sum(|gateway| gateway.tally.compared);
+    let compared = |world: &World| world.sum(|gateway| gateway.metrics.digest_requests_sent);
     let before = compared(&world);
     world.run(120.0);
     assert!(
@@ -331,27 +331,30 @@
     );
     for gateway in world
         .living()
-        .filter(|gateway| gateway.own().name != name(LIAR))
+        .filter(|gateway| gateway.local_record().name != name(LIAR))
     {
-        let held = gateway.held(&invented().name);
+        let held = gateway.member(&invented().name);
         assert!(
-            held.is_none_or(|held| !held.known),
+            held.is_none_or(|held| !held.confirmed),
             "{} believes one host",
-            gateway.own().name
+            gateway.local_record().name
         );
-        assert_eq!(gateway.size(), 10, "{}", gateway.own().name);
+        assert_eq!(gateway.fleet_size(), 10, "{}", gateway.local_record().name);
     }
 }
 
 #[test]
 fn gateways_that_know_no_comparison_still_give_their_tables() {
-    let mut world = World::new(40, 10, |_| terms(Some(Bounds::default())));
+    let mut world = World::new(40, 10, |_| terms(Some(TrafficLimits::default())));
     // Every other one is of an older version: it refuses what it cannot read, and so asks nothing of the kind.
     world.meddler = Some(Box::new(|from, to, bytes| {
-        let message = letter::open(&ring(), &fleet_name(), bytes).unwrap();
+        let message = message::open(&ring(), &fleet_name(), bytes).unwrap();
         let compares = matches!(
             message.body,
-            Body::Compare { .. } | Body::Compared { .. } | Body::List { .. } | Body::Listed { .. }
+            Body::DigestRequest { .. }
+                | Body::DigestResponse { .. }
+                | Body::FingerprintRequest { .. }
+                | Body::FingerprintResponse { .. }
         );
         if compares && (from % 2 == 0 || to % 2 == 0) {
             bytes.clear();
@@ -364,35 +367,35 @@
 
 #[test]
 fn comparisons_that_name_no_buckets_of_a_table_are_refused() {
-    let mut world = World::new(3, 11, |_| terms(Some(Bounds::default())));
+    let mut world = World::new(3, 11, |_| terms(Some(TrafficLimits::default())));
     assert!(world.settle(30.0).is_some());
-    let by = world.all[1].as_ref().unwrap().own().clone();
+    let by = world.all[1].as_ref().unwrap().local_record().clone();
     let now = Timestamp::from_secs(world.now);
     for (at, (first, buckets)) in [(128, 4), (0, 0), (0, 33)].into_iter().enumerate() {
-        let body = Body::Compare {
-            nonce: letter::Nonce(1),
+        let body = Body::DigestRequest {
+            nonce: message::Nonce(1),
             first,
             digests: vec![[0; 8]; buckets],
         };
         let (fleet, from, view) = (fleet_name(), by.clone(), View::default());
         let counter = (1 << 40) + at as u64;
-        let message = Letter {
+        let message = Message {
             fleet,
             from,
             counter,
             view,
             body,
             records: vec![],
-            engines: vec![],
+            engine_reports: vec![],
         };
         let receiver = world.all[0].as_mut().unwrap();
-        let refused = receiver.receive(now, by.address, &letter::seal(&ring(), &message));
+        let refused = receiver.receive(now, by.address, &message::seal(&ring(), &message));
         assert_eq!(
             refused,
-            Err(membership::Refused::Form),
+            Err(membership::RejectReason::Malformed),
             "{first}, {buckets}"
         );
-        assert_eq!(receiver.tally.refused_form, at as u64 + 1);
+        assert_eq!(receiver.metrics.rejected_malformed, at as u64 + 1);
     }
     world.run(5.0);
     assert!(world.agreed(), "nothing else is lost by it");
@@ -401,56 +404,56 @@
 #[test]
 fn lists_that_name_too_many_are_refused_and_a_liar_s_answer_to_one_brings_nobody_in() {
     const LIAR: usize = 9;
-    let mut world = World::new(10, 12, |_| terms(Some(Bounds::default())));
+    let mut world = World::new(10, 12, |_| terms(Some(TrafficLimits::default())));
     world.meddler = Some(Box::new(|from, _, bytes| {
         if from != LIAR {
             return;
         }
-        let mut message = letter::open(&ring(), &fleet_name(), bytes).unwrap();
-        if let Body::Listed { held, .. } = &mut message.body {
+        let mut message = message::open(&ring(), &fleet_name(), bytes).unwrap();
+        if let Body::FingerprintResponse { held, .. } = &mut message.body {
             *held = u64::MAX;
         }
         message.records.push(invented());
-        *bytes = letter::seal(&ring(), &message);
+        *bytes = message::seal(&ring(), &message);
     }));
     assert!(world.settle(60.0).is_some(), "start");
     world.run(60.0);
-    assert!(world.sum(|gateway| gateway.tally.listed) > 0);
+    assert!(world.sum(|gateway| gateway.metrics.fingerprint_requests_sent) > 0);
     for gateway in world
         .living()
-        .filter(|gateway| gateway.own().name != name(LIAR))
+        .filter(|gateway| gateway.local_record().name != name(LIAR))
     {
         assert!(
             gateway
-                .held(&invented().name)
-                .is_none_or(|held| !held.known),
+                .member(&invented().name)
+                .is_none_or(|held| !held.confirmed),
             "{}",
-            gateway.own().name
+            gateway.local_record().name
         );
     }
-    let by = world.all[1].as_ref().unwrap().own().clone();
+    let by = world.all[1].as_ref().unwrap().local_record().clone();
     let (fleet, from, view) = (fleet_name(), by.clone(), View::default());
-    let body = Body::List {
-        nonce: letter::Nonce(1),
+    let body = Body::FingerprintRequest {
+        nonce: message::Nonce(1),
         from: 0,
         marks: vec![[0; 8]; 57],
     };
-    let message = Letter {
+    let message = Message {
         fleet,
         from,
         counter: 1 << 40,
         view,
         body,
         records: vec![],
-        engines: vec![],
+        engine_reports: vec![],
     };
     let receiver = world.all[0].as_mut().unwrap();
     let refused = receiver.receive(
         Timestamp::from_secs(world.now),
         by.address,
-        &letter::seal(&ring(), &message),
+        &message::seal(&ring(), &message),
     );
-    assert_eq!(refused, Err(membership::Refused::Form));
+    assert_eq!(refused, Err(membership::RejectReason::Malformed));
 }
 
 /// The fleet that tells one of its gateways that a living one is dead, by four hosts, while the two don't reach each other;
@@ -465,12 +468,12 @@
     const SUBJECT: usize = 20;
 
     fn new(seed: u64) -> FalseDeath {
-        let mut world = World::new(70, seed, |_| terms(Some(Bounds::default())));
+        let mut world = World::new(70, seed, |_| terms(Some(TrafficLimits::default())));
         assert!(world.settle(90.0).is_some(), "start");
         world.run(30.0);
         (35..70).for_each(|number| world.all[number] = None);
         assert!(world.settle(120.0).is_some(), "35 dead");
-        let subject = world.all[Self::SUBJECT].as_ref().unwrap().own().clone();
+        let subject = world.all[Self::SUBJECT].as_ref().unwrap().local_record().clone();
         FalseDeath { world, subject }
     }
 
@@ -485,8 +488,8 @@
             if to != Self::WRONG {
                 return;
             }
-            let mut message = letter::open(&ring(), &fleet_name(), bytes).unwrap();
-            if matches!(message.body, Body::Passed(_)) && !vouched {
+            let mut message = message::open(&ring(), &fleet_name(), bytes).unwrap();
+            if matches!(message.body, Body::IndirectAck(_)) && !vouched {
                 return bytes.clear();
             }
             message.records.retain(|record| record.name != subject.name);
@@ -494,19 +497,19 @@
                 message.records.insert(
                     0,
                     Record {
-                        state: State::Dead,
+                        state: MemberState::Dead,
                         ..subject.clone()
                     },
                 );
             }
-            *bytes = letter::seal(&ring(), &message);
+            *bytes = message::seal(&ring(), &message);
         }));
     }
 
     /// The subject answers again, and says nothing of itself.
     fn end(&mut self) {
         self.world.meddler = Some(Box::new(|from, to, bytes| {
-            let message = letter::open(&ring(), &fleet_name(), bytes).unwrap();
+            let message = message::open(&ring(), &fleet_name(), bytes).unwrap();
             if (from, to) == (Self::SUBJECT, Self::WRONG) && !matches!(message.body, Body::Ack(_)) {
                 bytes.clear();
             }
@@ -515,7 +518,7 @@
 
     fn holds_dead(&self) -> bool {
         let wrong = self.world.all[Self::WRONG].as_ref().unwrap();
-        wrong.held(&name(Self::SUBJECT)).unwrap().record.state == State::Dead
+        wrong.member(&name(Self::SUBJECT)).unwrap().record.state == MemberState::Dead
     }
 
     /// Whether it holds the subject for dead at some time in these seconds.
