--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 
 use admission::interface::Timestamp;
-use membership::{Datagram, Gateway, Refused};
+use membership::{Datagram, Node, RejectReason};
 use quota::Who;
 
 pub use leases::Leases;
@@ -26,7 +26,7 @@
 /// Membership, and leases where budgets are divided among all gateways. `L` is what holds the leases: `quota::Shares`
 /// itself, or the caller's own type around it.
 pub struct Control<L> {
-    membership: Gateway,
+    membership: Node,
     leases: Option<L>,
     /// Lease messages for gateways that membership does not hold to be there.
     pub undelivered: u64,
@@ -34,7 +34,7 @@
 
 impl<L: Leases> Control<L> {
     /// Without leases until [`Control::set_leases`].
-    pub fn new(membership: Gateway) -> Self {
+    pub fn new(membership: Node) -> Self {
         Control {
             membership,
             leases: None,
@@ -47,11 +47,11 @@
         self.leases = Some(leases);
     }
 
-    pub fn membership(&self) -> &Gateway {
+    pub fn membership(&self) -> &Node {
         &self.membership
     }
 
-    pub fn membership_mut(&mut self) -> &mut Gateway {
+    pub fn membership_mut(&mut self) -> &mut Node {
         &mut self.membership
     }
 
@@ -72,7 +72,7 @@
         now: Timestamp,
         from: SocketAddr,
         bytes: &[u8],
-    ) -> Result<(), Refused> {
+    ) -> Result<(), RejectReason> {
         self.membership.receive(now, from, bytes)
     }
 
@@ -94,14 +94,18 @@
     }
 
     fn exchange_leases(&mut self, times: Times) {
-        let received = self.membership.take_carried();
+        let received = self.membership.take_payloads();
         let Some(leases) = &mut self.leases else {
             return;
         };
-        for (name, life, message) in received {
+        for received in received {
+            let sender = Who {
+                name: received.from,
+                life: received.boot_id,
+            };
             leases
                 .shares_mut()
-                .receive(times.steady, &Who { name, life }, &message);
+                .receive(times.steady, &sender, &received.payload);
         }
         if leases.shares().due() <= times.steady {
             leases.shares_mut().turn(times.steady);
@@ -114,7 +118,9 @@
             return;
         };
         for letter in leases.shares_mut().take_out() {
-            let delivered = self.membership.carry(now, &letter.to, letter.word.bytes());
+            let delivered = self
+                .membership
+                .send_payload(now, &letter.to, letter.word.bytes());
             self.undelivered += u64::from(!delivered);
         }
     }
@@ -130,6 +136,6 @@
 
     /// Datagrams to be sent.
     pub fn take_out(&mut self) -> Vec<Datagram> {
-        self.membership.take_out()
+        self.membership.take_datagrams()
     }
 }
--- a/crates/gateway/src/command.rs
+++ b/crates/gateway/src/command.rs
@@ -188,17 +188,17 @@
         println!(
             "  seeds {}; {} keys accepted",
             seeds.join(", "),
-            keys.accepted().count()
+            keys.accepted_keys().count()
         );
         let paces = &terms.paces;
         println!(
             "  probes each {} s, answers within {} s, {} helpers; hearsay counts from {} gateways on",
-            paces.period.secs(),
-            paces.answer.secs(),
-            paces.helpers,
-            paces.voices()
+            paces.probe_period.secs(),
+            paces.probe_timeout.secs(),
+            paces.indirect_probes,
+            paces.required_witnesses()
         );
-        if let Some(bounds) = &paces.bounds {
+        if let Some(bounds) = &paces.traffic_limits {
             println!(
                 "  bounded: {} confirmations, {} verifiers, {} direct probes a period, {} bytes a second of gossip and {} of tables",
                 bounds.confirmations,
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -33,7 +33,7 @@
     #[error("{0}: shares.relays_per_s.{1}: the configuration knows no such product")]
     QueryClass(String, String),
     #[error("{0}: fleet.name: the configuration's name cannot be taken: {1}")]
-    Name(String, ::membership::who::NoName),
+    Name(String, ::membership::InvalidName),
 }
 
 /// The operator's file beside the configuration: what of it is in force at this gateway.
--- a/crates/gateway/src/fleet/files.rs
+++ b/crates/gateway/src/fleet/files.rs
@@ -5,7 +5,7 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-use ::membership::{KeyError, Ring};
+use ::membership::{KeyError, KeyRing};
 use thiserror::Error;
 use zeroize::Zeroizing;
 
@@ -62,7 +62,7 @@
 
 /// # Errors
 /// The folder or a key in it cannot be used, or `signs` names none of them.
-pub fn read(folder: &Path) -> Result<Ring, FleetKeysError> {
+pub fn read(folder: &Path) -> Result<KeyRing, FleetKeysError> {
     let (names, signs) = list(folder)?;
     let signs = signs.filter(|signs| names.contains(signs));
     let signs = signs.ok_or_else(|| FleetKeysError::Signs(folder.join("signs")))?;
@@ -72,7 +72,8 @@
         .filter(|name| **name != signs)
         .map(|name| key(name).map(|key| *key));
     let others = Zeroizing::new(others.collect::<Result<Vec<_>, _>>()?);
-    Ring::new(&*key(&signs)?, &others).map_err(|error| FleetKeysError::Keys(folder.into(), error))
+    KeyRing::new(&*key(&signs)?, &others)
+        .map_err(|error| FleetKeysError::Keys(folder.into(), error))
 }
 
 /// Makes a key that is accepted wherever the folder is read; the first one signs.
--- a/crates/gateway/src/fleet/mod.rs
+++ b/crates/gateway/src/fleet/mod.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 
 use ::control::{Control, Times};
-use ::membership::{EngineWord, Event, Gateway, Name, State};
+use ::membership::{EngineStatus, Event, MemberState, Name, Node, NodeSetup};
 use admission::interface::*;
 use calloop::generic::Generic;
 use calloop::{Interest, Mode, PostAction, RegistrationToken};
@@ -80,18 +80,20 @@
             .insert_source(source, note)
             .map_err(|e| unable(io::Error::other(e.error)))?;
         let ring = files::read(&terms.keys_folder)?;
-        let gateway = Gateway::new(
+        let gateway = Node::new(
             now,
-            terms.fleet.clone(),
-            name.clone(),
-            terms.advertise,
-            terms.place.clone(),
-            terms.seeds.clone(),
-            ring,
-            terms.paces.clone(),
-            // The configuration's seed may be one text for many starts: a life must not be.
+            NodeSetup {
+fleet: terms.fleet.clone(),
+name: name.clone(),
+address: terms.advertise,
+locality: terms.place.clone(),
+seeds: terms.seeds.clone(),
+key_ring: ring,
+config: terms.paces.clone(),
+rng_seed: // The configuration's seed may be one text for many starts: a life must not be.
             seed ^ u64::from(std::process::id()) << 32
                 ^ (now - Timestamp::from_secs(0.0)).secs().to_bits(),
+},
         );
         info!(%name, bind = %terms.bind, advertise = %terms.advertise, "fleet");
         Ok(Fleet {
@@ -117,7 +119,7 @@
         let ring = files::read(&terms.keys_folder)?;
         self.control
             .membership_mut()
-            .change(terms.seeds.clone(), ring, terms.paces.clone());
+            .reconfigure(terms.seeds.clone(), ring, terms.paces.clone());
         let old = std::mem::replace(&mut self.terms, terms.clone());
         let same = [
             ("fleet", old.fleet == terms.fleet),
@@ -216,18 +218,24 @@
             if self.told.get(id).is_none_or(|told| told < until)
                 && let Some(uid) = names.uid(*id)
             {
-                self.control.membership_mut().saw(now, uid, EngineWord::Bad);
+                self.control
+                    .membership_mut()
+                    .report_engine(now, uid, EngineStatus::Failing);
             }
         }
         for id in self.told.keys().filter(|id| !benched.contains_key(id)) {
             names.uid(*id).into_iter().for_each(|uid| {
                 self.control
                     .membership_mut()
-                    .saw(now, uid, EngineWord::Back)
+                    .report_engine(now, uid, EngineStatus::Recovered)
             });
         }
         self.told = benched;
-        let doubts = self.control.membership_mut().doubted(now).into_iter();
+        let doubts = self
+            .control
+            .membership_mut()
+            .engine_outliers(now)
+            .into_iter();
         doubts
             .filter_map(|doubt| {
                 Some(OutlierReport {
@@ -248,13 +256,13 @@
         self.flush();
     }
 
-    pub fn gateway(&mut self) -> &mut Gateway {
+    pub fn gateway(&mut self) -> &mut Node {
         self.control.membership_mut()
     }
 
     /// As the other counters are printed.
     pub fn counters(&mut self, now: Timestamp) -> String {
-        let each = self.control.membership().tally.each();
+        let each = self.control.membership().metrics.named_counts();
         let mut text: String = each
             .iter()
             .map(|(name, count)| format!("fleet_{name}={count} "))
@@ -263,7 +271,7 @@
             "fleet_unlogged={} fleet_unsent={} fleet_size={} ",
             self.unlogged,
             self.unsent,
-            self.control.membership().size()
+            self.control.membership().fleet_size()
         );
         text += &self
             .control
@@ -279,7 +287,7 @@
             self.control.membership().table_len(),
             self.control
                 .membership()
-                .standing()
+                .view_state()
                 .name()
                 .replace(' ', "_")
         );
@@ -299,21 +307,21 @@
             }
             self.lines.1 -= 1.0;
             match event {
-                Event::Changed {
+                Event::MemberChanged {
                     name,
                     state,
                     incarnation,
                 } => {
-                    let bad = matches!(state, State::Suspect | State::Dead);
+                    let bad = matches!(state, MemberState::Suspect | MemberState::Dead);
                     if bad {
                         warn!(gateway = %name, %state, incarnation = incarnation.0, "fleet: another gateway");
                     } else {
                         info!(gateway = %name, %state, incarnation = incarnation.0, "fleet: another gateway");
                     }
                 }
-                Event::Forgotten(name) => info!(gateway = %name, "fleet: forgotten"),
-                Event::Standing(standing) => {
-                    info!(standing = standing.name(), why = %standing, size = self.control.membership().size(), "fleet: standing");
+                Event::MemberForgotten(name) => info!(gateway = %name, "fleet: forgotten"),
+                Event::ViewStateChanged(standing) => {
+                    info!(standing = standing.name(), why = %standing, size = self.control.membership().fleet_size(), "fleet: standing");
                 }
                 Event::Refuted(incarnation) => {
                     warn!(
@@ -321,11 +329,11 @@
                         "fleet: others held this gateway for gone"
                     );
                 }
-                Event::StoodStill(span) => {
+                Event::LoopStalled(span) => {
                     warn!(seconds = span.secs(), "fleet: this loop stood still")
                 }
-                Event::Doubled { .. } => {
-                    warn!(name = %self.control.membership().own().name, "fleet: another process has this name; this one stays out for now");
+                Event::NameConflict { .. } => {
+                    warn!(name = %self.control.membership().local_record().name, "fleet: another process has this name; this one stays out for now");
                 }
             }
         }
--- a/crates/gateway/src/fleet/parts.rs
+++ b/crates/gateway/src/fleet/parts.rs
@@ -2,7 +2,7 @@
 //! values, and spending counted where it happens.
 
 use ::control::Leases;
-use ::membership::{Life, Name};
+use ::membership::{BootId, Name};
 use ::quota::{Event, Refused, Shares, Terms, Use, Who};
 use admission::interface::*;
 use tracing::{info, warn};
@@ -46,7 +46,7 @@
     pub fn new(
         clock: Clock,
         name: Name,
-        life: Life,
+        life: BootId,
         terms: Terms,
         classes: &[String],
         members: &[String],
--- a/crates/gateway/src/lifecycle.rs
+++ b/crates/gateway/src/lifecycle.rs
@@ -205,12 +205,15 @@
             let mut fleet = Fleet::start(now, &handle, terms, name, config.seed)?;
             if let Some(terms) = &operated.shares {
                 let classes = config.settings.class_names()?;
-                let (own, members) = (fleet.gateway().own().clone(), operated.member_names());
+                let (own, members) = (
+                    fleet.gateway().local_record().clone(),
+                    operated.member_names(),
+                );
                 let terms = terms.clone();
                 let parts = Parts::new(
                     clock,
                     own.name,
-                    own.life,
+                    own.boot_id,
                     terms,
                     &classes,
                     &members,
--- a/crates/gateway/src/status.rs
+++ b/crates/gateway/src/status.rs
@@ -1,6 +1,6 @@
 //! What waits, as rows: the same for the status query and for the command line that asks it.
 
-use ::membership::{Gateway, Record};
+use ::membership::{Node, Record};
 use ::quota::{Amount, Line, Status};
 use admission::interface::Timestamp;
 use scheduler::{DeskStatus, Estimate, StatementStatus};
@@ -96,26 +96,26 @@
     "heard_s",
 ];
 
-pub fn fleet(now: Timestamp, of: &mut Gateway) -> Vec<[String; FLEET.len()]> {
+pub fn fleet(now: Timestamp, of: &mut Node) -> Vec<[String; FLEET.len()]> {
     let view = of.view();
-    let (digest, size) = (format!("{:016x}", view.digest), of.size().to_string());
-    let (own, since, heard) = (of.own(), of.standing_since(), of.last_heard());
+    let (digest, size) = (format!("{:016x}", view.digest), of.fleet_size().to_string());
+    let (own, since, heard) = (of.local_record(), of.view_state_since(), of.last_heard());
     let own = fleet_row(
         now,
         own,
         true,
         since,
         heard,
-        [of.standing().to_string(), digest, size],
+        [of.view_state().to_string(), digest, size],
     );
     let none = || [String::new(), String::new(), String::new()];
-    let others = of.rows().map(|held| {
+    let others = of.members().map(|held| {
         fleet_row(
             now,
             &held.record,
-            held.known,
-            held.since,
-            held.answered,
+            held.confirmed,
+            held.changed,
+            held.last_ack,
             none(),
         )
     });
@@ -148,7 +148,7 @@
         place(&record.locality.zone),
         place(&record.locality.region),
         ago(since),
-        format!("{:016x}", record.life.0),
+        format!("{:016x}", record.boot_id.0),
         heard.map_or("-".to_owned(), ago),
     ]
 }
--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -5,9 +5,9 @@
 use std::process::Command;
 use std::time::{Duration, Instant};
 
-use ::membership::letter::{self, Body, Letter, View};
+use ::membership::message::{self, Body, Message, View};
 use ::membership::{
-    EngineNews, EngineWord, Incarnation, Life, Locality, Name, Record, Ring, State,
+    BootId, EngineReport, EngineStatus, Incarnation, KeyRing, Locality, MemberState, Name, Record,
 };
 use process_harness::fleet::{Fleet, Wanted, name};
 use rustix::process::Signal;
@@ -131,9 +131,9 @@
     serve(&fleet);
     only_died(&fleet, &[3]);
     fleet.print_counters(3);
-    assert!(fleet.counter(3, "fleet_stood_still").unwrap() > 0);
-    assert_eq!(fleet.counter(3, "fleet_died"), Some(0));
-    assert!(fleet.counter(3, "fleet_refuted").unwrap() > 0);
+    assert!(fleet.counter(3, "fleet_loop_stalls").unwrap() > 0);
+    assert_eq!(fleet.counter(3, "fleet_declared_dead"), Some(0));
+    assert!(fleet.counter(3, "fleet_refutations").unwrap() > 0);
 }
 
 /// One that holds the key, at an address of its own; it answers nothing.
@@ -151,11 +151,11 @@
             .unwrap();
         let own = Record {
             name: Name::new("liar").unwrap(),
-            life: Life(1),
+            boot_id: BootId(1),
             incarnation: Incarnation(1),
             address,
             locality: Locality::default(),
-            state: State::Alive,
+            state: MemberState::Alive,
         };
         Liar {
             socket,
@@ -164,25 +164,34 @@
         }
     }
 
-    fn send(&mut self, to: SocketAddr, body: Body, records: Vec<Record>, engines: Vec<EngineNews>) {
+    fn send(
+        &mut self,
+        to: SocketAddr,
+        body: Body,
+        records: Vec<Record>,
+        engines: Vec<EngineReport>,
+    ) {
         self.counter += 1;
         let fleet = Name::new("rig").unwrap();
-        let letter = Letter {
+        let letter = Message {
             fleet,
             from: self.own.clone(),
             counter: self.counter,
             view: View::default(),
             body,
             records,
-            engines,
+            engine_reports: engines,
         };
-        let bytes = letter::seal(&Ring::new(&[1; 32], &[]).unwrap(), &letter);
+        let bytes = message::seal(&KeyRing::new(&[1; 32], &[]).unwrap(), &letter);
         self.socket.send_to(&bytes, to).unwrap();
     }
 
     /// Answers every question for so long, so that it is known, and lies in each answer.
     fn lie(&mut self, fleet: &Fleet, lasts: Duration) -> u64 {
-        let (ring, rig) = (Ring::new(&[1; 32], &[]).unwrap(), Name::new("rig").unwrap());
+        let (ring, rig) = (
+            KeyRing::new(&[1; 32], &[]).unwrap(),
+            Name::new("rig").unwrap(),
+        );
         let (until, mut said, mut bytes) = (Instant::now() + lasts, 0, [0; 2048]);
         let mut next = Instant::now();
         while Instant::now() < until {
@@ -192,30 +201,30 @@
                     said += 1;
                     let victims = (0..fleet.all.len()).map(|of| Record {
                         name: Name::new(&name(of)).unwrap(),
-                        life: Life(said),
+                        boot_id: BootId(said),
                         incarnation: Incarnation(u32::MAX - (of as u32 % 2)),
                         address: fleet.all[of].advertised,
                         locality: Locality::default(),
-                        state: State::Dead,
+                        state: MemberState::Dead,
                     });
                     let ghost = Record {
                         name: Name::new(&format!("ghost-{said}")).unwrap(),
                         ..self.own.clone()
                     };
                     let records = victims.chain([ghost]).collect();
-                    let bad = |at: usize| EngineNews {
+                    let bad = |at: usize| EngineReport {
                         engine: format!("e-{at}"),
-                        word: EngineWord::Bad,
+                        status: EngineStatus::Failing,
                         age_ms: 0,
                     };
                     let engines = (0..fleet.engines.len()).map(bad).collect();
-                    self.send(fleet.all[at].bound, Body::News, records, engines);
+                    self.send(fleet.all[at].bound, Body::Gossip, records, engines);
                 }
             }
             let Ok((size, from)) = self.socket.recv_from(&mut bytes) else {
                 continue;
             };
-            if let Ok(letter) = letter::open(&ring, &rig, &bytes[..size])
+            if let Ok(letter) = message::open(&ring, &rig, &bytes[..size])
                 && let Body::Ping(nonce) = letter.body
             {
                 self.send(from, Body::Ack(nonce), vec![], vec![]);
@@ -337,7 +346,9 @@
             })
             .sum()
     };
-    assert!(refused("fleet_refused_repeated") > 0 && refused("fleet_refused_code") > 0);
+    assert!(
+        refused("fleet_rejected_replayed") > 0 && refused("fleet_rejected_authentication_tag") > 0
+    );
 }
 
 #[test]
@@ -358,7 +369,7 @@
     for at in 0..4 {
         fleet.print_counters(at);
         assert_eq!(fleet.counter(at, "reloads_failed"), Some(0));
-        assert_eq!(fleet.counter(at, "fleet_refused_key"), Some(0));
+        assert_eq!(fleet.counter(at, "fleet_rejected_unknown_key"), Some(0));
     }
 }
 
@@ -394,7 +405,7 @@
     fleet.settled(SOON, &fleet.everyone()).unwrap();
     only_died(&fleet, &[]);
     fleet.print_counters(1);
-    let refused = fleet.counter(1, "fleet_refused_key").unwrap();
+    let refused = fleet.counter(1, "fleet_rejected_unknown_key").unwrap();
     assert!(sent > 1000 && refused > 500, "{refused} of {sent}");
     assert_eq!(fleet.counter(1, "overdue"), Some(0));
 }
--- a/crates/membership/tests/golden.rs
+++ b/crates/membership/tests/golden.rs
@@ -13,8 +13,8 @@
 
 use membership::message::{Body, Message, Nonce, View, open, seal};
 use membership::{
-    EngineNews, EngineWord, Incarnation, Life, Locality, Name, Record, Refused, Ring, Standing,
-    State,
+    BootId, EngineReport, EngineStatus, Incarnation, KeyRing, Locality, MemberState, Name, Record,
+    RejectReason, ViewState,
 };
 
 /// Compares what is made today with what was recorded, each name, each byte and their order, and hands back what was
@@ -56,35 +56,35 @@
     Name::new(text).unwrap()
 }
 
-fn ring() -> Ring {
-    Ring::new(&[0x11; 32], &[[0x22; 32], [0x33; 32]]).unwrap()
+fn ring() -> KeyRing {
+    KeyRing::new(&[0x11; 32], &[[0x22; 32], [0x33; 32]]).unwrap()
 }
 
 fn sender() -> Record {
     Record {
         name: name("gate-a"),
-        life: Life(0x0102_0304_0506_0708),
+        boot_id: BootId(0x0102_0304_0506_0708),
         incarnation: Incarnation(3),
         address: "10.1.2.3:7400".parse().unwrap(),
         locality: Locality {
             zone: Some(name("zone-1")),
             region: Some(name("region-9")),
         },
-        state: State::Alive,
+        state: MemberState::Alive,
     }
 }
 
 fn other() -> Record {
     Record {
         name: name("gate_b.2"),
-        life: Life(77),
+        boot_id: BootId(77),
         incarnation: Incarnation(300),
         address: "[2001:db8::1:2]:7401".parse().unwrap(),
         locality: Locality {
             zone: None,
             region: Some(name("south")),
         },
-        state: State::Suspect,
+        state: MemberState::Suspect,
     }
 }
 
@@ -99,9 +99,9 @@
         },
         body,
         records: vec![other(), sender()],
-        engines: vec![EngineNews {
+        engine_reports: vec![EngineReport {
             engine: "engine-4".into(),
-            word: EngineWord::Back,
+            status: EngineStatus::Recovered,
             age_ms: 1500,
         }],
     }
@@ -111,38 +111,38 @@
     vec![
         Body::Ping(Nonce(101)),
         Body::Ack(Nonce(102)),
-        Body::Ask {
+        Body::IndirectPing {
             nonce: Nonce(103),
             target: Box::new(other()),
         },
-        Body::Passed(Nonce(104)),
-        Body::Silent(Nonce(105)),
-        Body::Pull {
+        Body::IndirectAck(Nonce(104)),
+        Body::IndirectNack(Nonce(105)),
+        Body::PageRequest {
             after: Some(name("gate-c")),
         },
-        Body::Pull { after: None },
+        Body::PageRequest { after: None },
         Body::Page {
             next: Some(name("gate-d")),
         },
         Body::Page { next: None },
-        Body::News,
-        Body::Carried(vec![0, 1, 127, 128, 255]),
-        Body::Compare {
+        Body::Gossip,
+        Body::Payload(vec![0, 1, 127, 128, 255]),
+        Body::DigestRequest {
             nonce: Nonce(106),
-            first: 96,
+            first_bucket: 96,
             digests: vec![[1, 2, 3, 4, 5, 6, 7, 8], [255; 8]],
         },
-        Body::Compared {
+        Body::DigestResponse {
             nonce: Nonce(107),
             equal: 0x8000_0005,
             covered: 31,
         },
-        Body::List {
+        Body::FingerprintRequest {
             nonce: Nonce(108),
             from: 0x1122_3344,
-            marks: vec![[8, 7, 6, 5, 4, 3, 2, 1], [0; 8]],
+            fingerprints: vec![[8, 7, 6, 5, 4, 3, 2, 1], [0; 8]],
         },
-        Body::Listed {
+        Body::FingerprintResponse {
             nonce: Nonce(109),
             held: 0x80_0000_0000_0001,
             until: 0xffff_ffff_ffff_fff0,
@@ -155,19 +155,19 @@
     match body {
         Body::Ping(_) => "ping",
         Body::Ack(_) => "ack",
-        Body::Ask { .. } => "indirect_ping",
-        Body::Passed(_) => "indirect_ack",
-        Body::Silent(_) => "indirect_nack",
-        Body::Pull { after: Some(_) } => "table_request_after",
-        Body::Pull { after: None } => "table_request_start",
+        Body::IndirectPing { .. } => "indirect_ping",
+        Body::IndirectAck(_) => "indirect_ack",
+        Body::IndirectNack(_) => "indirect_nack",
+        Body::PageRequest { after: Some(_) } => "table_request_after",
+        Body::PageRequest { after: None } => "table_request_start",
         Body::Page { next: Some(_) } => "table_page_more",
         Body::Page { next: None } => "table_page_last",
-        Body::News => "piggyback_only",
-        Body::Carried(_) => "payload",
-        Body::Compare { .. } => "digest_compare",
-        Body::Compared { .. } => "digest_compared",
-        Body::List { .. } => "list_marks",
-        Body::Listed { .. } => "list_marks_answer",
+        Body::Gossip => "piggyback_only",
+        Body::Payload(_) => "payload",
+        Body::DigestRequest { .. } => "digest_compare",
+        Body::DigestResponse { .. } => "digest_compared",
+        Body::FingerprintRequest { .. } => "list_marks",
+        Body::FingerprintResponse { .. } => "list_marks_answer",
     }
 }
 
@@ -188,7 +188,7 @@
 fn a_datagram_with_neither_records_nor_news_keeps_its_bytes() {
     let bare = Message {
         records: vec![],
-        engines: vec![],
+        engine_reports: vec![],
         ..message(Body::Ping(Nonce(u64::MAX)))
     };
     let recorded = compare("datagram_bare.txt", &[("ping_bare", seal(&ring(), &bare))]);
@@ -203,7 +203,7 @@
         (
             "dead_zone_ipv4",
             Record {
-                state: State::Dead,
+                state: MemberState::Dead,
                 locality: Locality {
                     zone: Some(name("north")),
                     region: None,
@@ -214,7 +214,7 @@
         (
             "left_no_place_ipv6",
             Record {
-                state: State::Left,
+                state: MemberState::Left,
                 locality: Locality {
                     zone: None,
                     region: None,
@@ -233,14 +233,14 @@
             "alive_zone_region_ipv6",
             Record {
                 locality: sender().locality,
-                state: State::Alive,
+                state: MemberState::Alive,
                 ..other()
             },
         ),
         (
             "alive_highest",
             Record {
-                life: Life(u64::MAX),
+                boot_id: BootId(u64::MAX),
                 incarnation: Incarnation::LAST,
                 address: "255.255.255.255:65535".parse().unwrap(),
                 ..sender()
@@ -262,17 +262,17 @@
     let news = [
         (
             "bad",
-            EngineNews {
+            EngineReport {
                 engine: "engine-1".into(),
-                word: EngineWord::Bad,
+                status: EngineStatus::Failing,
                 age_ms: 0,
             },
         ),
         (
             "back",
-            EngineNews {
+            EngineReport {
                 engine: "e".into(),
-                word: EngineWord::Back,
+                status: EngineStatus::Recovered,
                 age_ms: u32::MAX,
             },
         ),
@@ -283,37 +283,37 @@
         .collect();
     let recorded = compare("engine_news.txt", &made);
     for ((_, news), bytes) in news.iter().zip(&recorded) {
-        assert_eq!(&postcard::from_bytes::<EngineNews>(bytes).unwrap(), news);
+        assert_eq!(&postcard::from_bytes::<EngineReport>(bytes).unwrap(), news);
     }
 }
 
 #[test]
 fn what_is_shown_of_refusals_keeps_its_words() {
-    let shown = |refused: Refused| refused.to_string().into_bytes();
+    let shown = |refused: RejectReason| refused.to_string().into_bytes();
     let made = [
-        ("size", shown(Refused::Size)),
-        ("version", shown(Refused::Version)),
-        ("key", shown(Refused::Key)),
-        ("code", shown(Refused::Code)),
-        ("form", shown(Refused::Form)),
-        ("foreign", shown(Refused::Foreign)),
-        ("repeated", shown(Refused::Repeated)),
-        ("address", shown(Refused::Address)),
-        ("unasked", shown(Refused::Unasked)),
-        ("many", shown(Refused::Many)),
-        ("own_name", shown(Refused::OwnName)),
+        ("size", shown(RejectReason::Length)),
+        ("version", shown(RejectReason::Version)),
+        ("key", shown(RejectReason::UnknownKey)),
+        ("code", shown(RejectReason::AuthenticationTag)),
+        ("form", shown(RejectReason::Malformed)),
+        ("foreign", shown(RejectReason::OtherFleet)),
+        ("repeated", shown(RejectReason::Replayed)),
+        ("address", shown(RejectReason::SourceAddress)),
+        ("unasked", shown(RejectReason::Unsolicited)),
+        ("many", shown(RejectReason::RateLimited)),
+        ("own_name", shown(RejectReason::OwnName)),
     ];
     compare("refused.txt", &made);
 }
 
 #[test]
 fn what_is_shown_of_states_keeps_its_words() {
-    let shown = |state: State| state.to_string().into_bytes();
+    let shown = |state: MemberState| state.to_string().into_bytes();
     let made = [
-        ("alive", shown(State::Alive)),
-        ("suspect", shown(State::Suspect)),
-        ("dead", shown(State::Dead)),
-        ("left", shown(State::Left)),
+        ("alive", shown(MemberState::Alive)),
+        ("suspect", shown(MemberState::Suspect)),
+        ("dead", shown(MemberState::Dead)),
+        ("left", shown(MemberState::Left)),
     ];
     compare("states.txt", &made);
 }
@@ -321,26 +321,37 @@
 #[test]
 fn what_is_shown_of_standings_keeps_its_words() {
     let over = vec![name("gate-a"), name("gate-b")];
-    let shown = |standing: Standing| standing.to_string().into_bytes();
-    let named = |standing: Standing| standing.name().as_bytes().to_vec();
+    let shown = |standing: ViewState| standing.to_string().into_bytes();
+    let named = |standing: ViewState| standing.name().as_bytes().to_vec();
     let made = [
-        ("alone_name", named(Standing::Alone)),
-        ("alone_shown", shown(Standing::Alone)),
-        ("together_name", named(Standing::Together)),
-        ("together_shown", shown(Standing::Together)),
+        ("alone_name", named(ViewState::Isolated)),
+        ("alone_shown", shown(ViewState::Isolated)),
+        ("together_name", named(ViewState::Converged)),
+        ("together_shown", shown(ViewState::Converged)),
         (
             "unsettled_name",
-            named(Standing::Unsettled { over: over.clone() }),
+            named(ViewState::Converging {
+                suspects: over.clone(),
+            }),
+        ),
+        (
+            "unsettled_shown",
+            shown(ViewState::Converging { suspects: over }),
         ),
-        ("unsettled_shown", shown(Standing::Unsettled { over })),
         (
             "unsettled_over_none_shown",
-            shown(Standing::Unsettled { over: vec![] }),
+            shown(ViewState::Converging { suspects: vec![] }),
+        ),
+        (
+            "cut_off_name",
+            named(ViewState::Partitioned { converged_size: 12 }),
+        ),
+        (
+            "cut_off_shown",
+            shown(ViewState::Partitioned { converged_size: 12 }),
         ),
-        ("cut_off_name", named(Standing::CutOff { settled: 12 })),
-        ("cut_off_shown", shown(Standing::CutOff { settled: 12 })),
-        ("rejoining_name", named(Standing::Rejoining)),
-        ("rejoining_shown", shown(Standing::Rejoining)),
+        ("rejoining_name", named(ViewState::Rejoining)),
+        ("rejoining_shown", shown(ViewState::Rejoining)),
     ];
     compare("standings.txt", &made);
 }
--- a/crates/membership/tests/hostile.rs
+++ b/crates/membership/tests/hostile.rs
@@ -5,8 +5,8 @@
 use admission::interface::{TimeDelta, Timestamp};
 use membership::message::{self, Body, Message, Nonce, View};
 use membership::{
-    BootId, Config, Incarnation, KeyRing, Locality, MemberState, Name, Node, Record, RejectReason,
-    TrafficLimits,
+    BootId, Config, Incarnation, KeyRing, Locality, MemberState, Name, Node, NodeSetup, Record,
+    RejectReason, TrafficLimits,
 };
 use quickcheck::{QuickCheck, TestResult};
 use rand::{RngExt, SeedableRng};
@@ -26,19 +26,21 @@
     SocketAddr::from(([10, 0, 0, number], 7946))
 }
 
-fn gateway(number: u8, terms: Config) -> Node {
+fn gateway(number: u8, config: Config) -> Node {
     let name = Name::new(&format!("g{number}")).unwrap();
     let seeds = vec![at(1)];
     Node::new(
         moment(0.0),
-        fleet(),
-        name,
-        at(number),
-        Locality::default(),
-        seeds,
-        ring(),
-        terms,
-        number.into(),
+        NodeSetup {
+            fleet: fleet(),
+            name,
+            address: at(number),
+            locality: Locality::default(),
+            seeds,
+            key_ring: ring(),
+            config: config,
+            rng_seed: number.into(),
+        },
     )
 }
 
@@ -77,7 +79,9 @@
             all[from].turn(moment(*now));
             let source = all[from].local_record().address;
             for datagram in all[from].take_datagrams() {
-                let to = all.iter_mut().find(|to| to.local_record().address == datagram.to);
+                let to = all
+                    .iter_mut()
+                    .find(|to| to.local_record().address == datagram.to);
                 if let Some(to) = to {
                     let _ = to.receive(moment(*now), source, &datagram.bytes);
                 }
@@ -143,13 +147,13 @@
         Err(RejectReason::Replayed)
     );
     let refused: u64 = own
-        .tally
-        .each()
+        .metrics
+        .named_counts()
         .iter()
-        .filter(|(name, _)| name.starts_with("refused"))
+        .filter(|(name, _)| name.starts_with("rejected"))
         .map(|(_, count)| count)
         .sum();
-    assert_eq!((refused, own.metrics.taken), (12, 1));
+    assert_eq!((refused, own.metrics.accepted), (12, 1));
 }
 
 #[test]
@@ -188,16 +192,16 @@
 
 fn liars_day_with(seed: u64, bounds: Option<TrafficLimits>) -> TestResult {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
-    let terms = Config {
-        most: 40,
-        bounds,
+    let config = Config {
+        max_members: 40,
+        traffic_limits: bounds,
         ..Config::default()
     };
     let mut all: Vec<Node> = (1..=4)
-        .map(|number| gateway(number, terms.clone()))
+        .map(|number| gateway(number, config.clone()))
         .collect();
     // The liar is a gateway too: known, and heard.
-    all.push(gateway(5, terms));
+    all.push(gateway(5, config));
     let mut now = 0.0;
     talk(&mut all, &mut now, 12.0);
     if all.iter().any(|gateway| gateway.fleet_size() != 5) {
@@ -215,7 +219,7 @@
                     .find(|gateway| gateway.local_record().address == at(number));
                 let life = known
                     .filter(|_| rng.random::<bool>())
-                    .map_or(BootId(rng.random()), |of| of.local_record().life);
+                    .map_or(BootId(rng.random()), |of| of.local_record().boot_id);
                 let states = [
                     MemberState::Alive,
                     MemberState::Suspect,
@@ -225,7 +229,7 @@
                 let incarnation = [1, 2, 3, 9_000, 1 << 30, u32::MAX][rng.random_range(0..6)];
                 lie.records.push(Record {
                     name: Name::new(&format!("g{number}")).unwrap(),
-                    life,
+                    boot_id: life,
                     incarnation: Incarnation(incarnation),
                     address: at(rng.random_range(1..=40)),
                     locality: Locality::default(),
@@ -244,8 +248,11 @@
                 let Some(held) = there(number) else {
                     return TestResult::error(format!("g{number} was lost"));
                 };
-                let life = all[usize::from(number) - 1].local_record().life;
-                if !held.is_in_fleet() || held.record.boot_id != life || held.record.address != at(number) {
+                let life = all[usize::from(number) - 1].local_record().boot_id;
+                if !held.is_in_fleet()
+                    || held.record.boot_id != life
+                    || held.record.address != at(number)
+                {
                     return TestResult::error(format!("{own} holds {:?}", held.record));
                 }
             }
--- a/crates/membership/tests/node_lifetime.rs
+++ b/crates/membership/tests/node_lifetime.rs
@@ -6,7 +6,7 @@
 
 use admission::interface::Timestamp;
 use membership::message;
-use membership::{Config, KeyRing, Locality, Name, Node, TrafficLimits};
+use membership::{Config, KeyRing, Locality, Name, Node, NodeSetup, TrafficLimits};
 use stateright::{Checker, Model, Property};
 
 const KEY: [u8; 32] = [7; 32];
@@ -60,17 +60,19 @@
     let seed = number as u64 + life * 100;
     Node::new(
         Timestamp::from_secs(now),
-        fleet,
-        name,
-        at(number),
-        Locality::default(),
-        seeds,
-        ring,
-        Config {
-            bounds: bounded.then(TrafficLimits::default),
-            ..Config::default()
+        NodeSetup {
+            fleet,
+            name,
+            address: at(number),
+            locality: Locality::default(),
+            seeds,
+            key_ring: ring,
+            config: Config {
+                traffic_limits: bounded.then(TrafficLimits::default),
+                ..Config::default()
+            },
+            rng_seed: seed,
         },
-        seed,
     )
 }
 
@@ -154,7 +156,9 @@
                 .filter(|held| held.local_record().name != holder.local_record().name)
                 .all(|held| {
                     let seen = holder.member(&held.local_record().name);
-                    seen.is_some_and(|seen| seen.is_in_fleet() && seen.record.boot_id == held.local_record().life)
+                    seen.is_some_and(|seen| {
+                        seen.is_in_fleet() && seen.record.boot_id == held.local_record().boot_id
+                    })
                 })
         })
     }
--- a/crates/membership/tests/replay_window.rs
+++ b/crates/membership/tests/replay_window.rs
@@ -1,11 +1,11 @@
-//! Which letters of a sender were seen before.
+//! Which letters counters of a sender were seen before.
 
-use membership::message::Seen;
+use membership::replay_window::ReplayWindow;
 
 #[test]
 fn each_counter_counts_once_within_the_window() {
-    let mut seen = Seen::default();
-    for (counter, first) in [
+    let mut window = ReplayWindow::default();
+    for (counter, is_new) in [
         (1, true),
         (1, false),
         (5, true),
@@ -18,6 +18,6 @@
         (5, false),
         (200, false),
     ] {
-        assert_eq!(seen.first(counter), first, "{counter}");
+        assert_eq!(window.accept(counter), is_new, "{counter}");
     }
 }
--- a/crates/membership/tests/traffic_limits.rs
+++ b/crates/membership/tests/traffic_limits.rs
@@ -4,7 +4,9 @@
 
 use admission::interface::Timestamp;
 use membership::message::{self, Body, Message, View};
-use membership::{Config, KeyRing, Locality, MemberState, Name, Node, Record, TrafficLimits};
+use membership::{
+    Config, KeyRing, Locality, MemberState, Name, Node, NodeSetup, Record, TrafficLimits,
+};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -27,9 +29,9 @@
     SocketAddr::from(([10, 0, 0, number as u8], 7946))
 }
 
-fn terms(bounds: Option<TrafficLimits>) -> Config {
+fn config(bounds: Option<TrafficLimits>) -> Config {
     Config {
-        bounds,
+        traffic_limits: bounds,
         ..Config::default()
     }
 }
@@ -47,7 +49,7 @@
 }
 
 impl World {
-    fn new(count: usize, seed: u64, terms_of: impl Fn(usize) -> Config) -> World {
+    fn new(count: usize, seed: u64, config_of: impl Fn(usize) -> Config) -> World {
         let make = |number| {
             let (locality, seeds) = (Locality::default(), vec![address(0), address(1)]);
             let seed = seed * 1000 + number as u64;
@@ -55,14 +57,16 @@
             let now = Timestamp::from_secs(0.0);
             Some(Node::new(
                 now,
-                fleet_name(),
-                own.0,
-                own.1,
-                locality,
-                seeds,
-                ring(),
-                terms_of(number),
-                seed,
+                NodeSetup {
+                    fleet: fleet_name(),
+                    name: own.0,
+                    address: own.1,
+                    locality,
+                    seeds,
+                    key_ring: ring(),
+                    config: config_of(number),
+                    rng_seed: seed,
+                },
             ))
         };
         let all = (0..count).map(make).collect();
@@ -136,7 +140,7 @@
             confirmations,
             ..TrafficLimits::default()
         };
-        let mut world = World::new(24, seed, |_| terms(Some(bounds.clone())));
+        let mut world = World::new(24, seed, |_| config(Some(bounds.clone())));
         assert!(world.settle(30.0).is_some());
         let before = world.sum(|gateway| gateway.metrics.suspected);
         world.lost = 1.0 / 3.0;
@@ -164,19 +168,23 @@
 #[test]
 fn three_and_sixty_start_lose_one_and_settle_by_the_same_code() {
     for count in [3, 60] {
-        let mut world = World::new(count, 2, |_| terms(Some(TrafficLimits::default())));
+        let mut world = World::new(count, 2, |_| config(Some(TrafficLimits::default())));
         assert!(world.settle(60.0).is_some(), "{count} start");
         world.run(15.0);
         world.all[count - 1] = None;
         assert!(world.settle(60.0).is_some(), "{count}, one dead");
-        assert_eq!(world.sum(|gateway| gateway.metrics.false_deaths), 0, "{count}");
+        assert_eq!(
+            world.sum(|gateway| gateway.metrics.false_deaths),
+            0,
+            "{count}"
+        );
     }
 }
 
 #[test]
 fn gateways_with_bounds_and_without_understand_each_other() {
     let mut world = World::new(40, 3, |number| {
-        terms((number % 2 == 0).then(TrafficLimits::default))
+        config((number % 2 == 0).then(TrafficLimits::default))
     });
     assert!(world.settle(60.0).is_some(), "start");
     world.run(15.0);
@@ -206,7 +214,7 @@
 #[test]
 fn of_all_that_hear_one_witness_only_some_probe_at_once() {
     let probing = |bounds: Option<TrafficLimits>| {
-        let mut world = World::new(40, 4, |_| terms(bounds.clone()));
+        let mut world = World::new(40, 4, |_| config(bounds.clone()));
         assert!(world.settle(60.0).is_some());
         world.run(60.0);
         let witness = world.all[5].as_ref().unwrap().local_record().clone();
@@ -238,7 +246,7 @@
 #[test]
 fn gossip_and_table_pages_keep_to_their_bytes() {
     let bytes = |bounds: Option<TrafficLimits>| {
-        let mut world = World::new(60, 5, |_| terms(bounds.clone()));
+        let mut world = World::new(60, 5, |_| config(bounds.clone()));
         assert!(world.settle(60.0).is_some());
         world.run(60.0);
         let before = world.sum(|gateway| gateway.metrics.sent_bytes);
@@ -252,7 +260,7 @@
         "{bounded} bytes a second at rest, {plain} without"
     );
     let mut world = World::new(60, 6, |_| {
-        terms(Some(TrafficLimits {
+        config(Some(TrafficLimits {
             gossip_bytes_per_s: 200.0,
             ..TrafficLimits::default()
         }))
@@ -266,10 +274,13 @@
 
 #[test]
 fn who_is_cut_off_keeps_its_table_and_knows_how_old_it_is() {
-    let mut world = World::new(5, 7, |_| terms(Some(TrafficLimits::default())));
+    let mut world = World::new(5, 7, |_| config(Some(TrafficLimits::default())));
     assert!(world.settle(30.0).is_some());
     world.run(15.0);
-    assert_eq!(world.all[0].as_ref().unwrap().view_state().name(), "together");
+    assert_eq!(
+        world.all[0].as_ref().unwrap().view_state().name(),
+        "together"
+    );
     let at = Timestamp::from_secs(world.now);
     (1..5).for_each(|number| world.all[number] = None);
     world.run(90.0);
@@ -281,7 +292,7 @@
 
 #[test]
 fn a_bucket_that_is_equal_in_another_table_vouches_for_its_candidates() {
-    let mut world = World::new(60, 8, |_| terms(Some(TrafficLimits::default())));
+    let mut world = World::new(60, 8, |_| config(Some(TrafficLimits::default())));
     assert!(world.settle(90.0).is_some());
     assert!(world.sum(|gateway| gateway.metrics.vouched_by_digest) > 0);
 }
@@ -295,7 +306,7 @@
     );
     Record {
         name,
-        life,
+        boot_id: life,
         incarnation,
         address,
         locality: Locality::default(),
@@ -306,7 +317,7 @@
 #[test]
 fn one_host_that_lies_in_comparisons_brings_nobody_in_and_takes_nobody_off() {
     const LIAR: usize = 9;
-    let mut world = World::new(10, 9, |_| terms(Some(TrafficLimits::default())));
+    let mut world = World::new(10, 9, |_| config(Some(TrafficLimits::default())));
     assert!(world.settle(60.0).is_some());
     world.run(10.0);
     world.meddler = Some(Box::new(|from, _, bytes| {
@@ -345,7 +356,7 @@
 
 #[test]
 fn gateways_that_know_no_comparison_still_give_their_tables() {
-    let mut world = World::new(40, 10, |_| terms(Some(TrafficLimits::default())));
+    let mut world = World::new(40, 10, |_| config(Some(TrafficLimits::default())));
     // Every other one is of an older version: it refuses what it cannot read, and so asks nothing of the kind.
     world.meddler = Some(Box::new(|from, to, bytes| {
         let message = message::open(&ring(), &fleet_name(), bytes).unwrap();
@@ -367,14 +378,14 @@
 
 #[test]
 fn comparisons_that_name_no_buckets_of_a_table_are_refused() {
-    let mut world = World::new(3, 11, |_| terms(Some(TrafficLimits::default())));
+    let mut world = World::new(3, 11, |_| config(Some(TrafficLimits::default())));
     assert!(world.settle(30.0).is_some());
     let by = world.all[1].as_ref().unwrap().local_record().clone();
     let now = Timestamp::from_secs(world.now);
     for (at, (first, buckets)) in [(128, 4), (0, 0), (0, 33)].into_iter().enumerate() {
         let body = Body::DigestRequest {
             nonce: message::Nonce(1),
-            first,
+            first_bucket: first,
             digests: vec![[0; 8]; buckets],
         };
         let (fleet, from, view) = (fleet_name(), by.clone(), View::default());
@@ -404,7 +415,7 @@
 #[test]
 fn lists_that_name_too_many_are_refused_and_a_liar_s_answer_to_one_brings_nobody_in() {
     const LIAR: usize = 9;
-    let mut world = World::new(10, 12, |_| terms(Some(TrafficLimits::default())));
+    let mut world = World::new(10, 12, |_| config(Some(TrafficLimits::default())));
     world.meddler = Some(Box::new(|from, _, bytes| {
         if from != LIAR {
             return;
@@ -436,7 +447,7 @@
     let body = Body::FingerprintRequest {
         nonce: message::Nonce(1),
         from: 0,
-        marks: vec![[0; 8]; 57],
+        fingerprints: vec![[0; 8]; 57],
     };
     let message = Message {
         fleet,
@@ -468,12 +479,16 @@
     const SUBJECT: usize = 20;
 
     fn new(seed: u64) -> FalseDeath {
-        let mut world = World::new(70, seed, |_| terms(Some(TrafficLimits::default())));
+        let mut world = World::new(70, seed, |_| config(Some(TrafficLimits::default())));
         assert!(world.settle(90.0).is_some(), "start");
         world.run(30.0);
         (35..70).for_each(|number| world.all[number] = None);
         assert!(world.settle(120.0).is_some(), "35 dead");
-        let subject = world.all[Self::SUBJECT].as_ref().unwrap().local_record().clone();
+        let subject = world.all[Self::SUBJECT]
+            .as_ref()
+            .unwrap()
+            .local_record()
+            .clone();
         FalseDeath { world, subject }
     }
 
--- a/crates/operator_config/src/fleet_block.rs
+++ b/crates/operator_config/src/fleet_block.rs
@@ -4,7 +4,7 @@
 use std::path::PathBuf;
 
 use admission::interface::TimeDelta;
-use membership::{Bounds, Locality, Name, Terms};
+use membership::{Config, Locality, Name, TrafficLimits};
 use serde::Deserialize;
 
 use crate::{Fault, fault, yes};
@@ -58,7 +58,7 @@
     pub seeds: Vec<SocketAddr>,
     pub keys_folder: PathBuf,
     pub place: Locality,
-    pub paces: Terms,
+    pub paces: Config,
 }
 
 impl Fleet {
@@ -74,9 +74,21 @@
         let place = |field: &str, text: &Option<String>| {
             text.as_ref().map(|text| named(field, text)).transpose()
         };
-        let plain = Terms::default();
-        let period = span("period_ms", self.period_ms, plain.period, 50.0, 60_000.0)?;
-        let answer = span("answer_ms", self.answer_ms, plain.answer, 5.0, 30_000.0)?;
+        let plain = Config::default();
+        let period = span(
+            "period_ms",
+            self.period_ms,
+            plain.probe_period,
+            50.0,
+            60_000.0,
+        )?;
+        let answer = span(
+            "answer_ms",
+            self.answer_ms,
+            plain.probe_timeout,
+            5.0,
+            30_000.0,
+        )?;
         if answer.secs() * 2.0 > period.secs() {
             let why = "others need as long again to ask in its place: at most half of period_ms";
             return Err(fault(&["fleet", "answer_ms"], why));
@@ -86,50 +98,75 @@
             let why = format!("{advertise} is no address at which others reach this gateway");
             return Err(fault(&["fleet", "advertise"], why));
         }
-        let paces = Terms {
-            period,
-            answer,
-            helpers: within("helpers", self.helpers, plain.helpers as f64, 0.0, 16.0)? as usize,
-            liars: within("liars", self.liars, plain.liars as f64, 0.0, 7.0)? as usize,
-            suspicion: within(
+        let paces = Config {
+            probe_period: period,
+            probe_timeout: answer,
+            indirect_probes: within(
+                "helpers",
+                self.helpers,
+                plain.indirect_probes as f64,
+                0.0,
+                16.0,
+            )? as usize,
+            max_byzantine: within("liars", self.liars, plain.max_byzantine as f64, 0.0, 7.0)?
+                as usize,
+            suspicion_multiplier: within(
                 "suspicion_periods",
                 self.suspicion_periods,
-                plain.suspicion,
+                plain.suspicion_multiplier,
                 1.0,
                 100.0,
             )?,
-            patience: within("patience", self.patience, plain.patience, 1.0, 20.0)?,
-            most: within(
+            max_suspicion_factor: within(
+                "patience",
+                self.patience,
+                plain.max_suspicion_factor,
+                1.0,
+                20.0,
+            )?,
+            max_members: within(
                 "most_gateways",
                 self.most_gateways,
-                plain.most as f64,
+                plain.max_members as f64,
                 2.0,
                 8192.0,
             )? as usize,
-            keep_gone: span(
+            dead_retention: span(
                 "keep_gone_ms",
                 self.keep_gone_ms,
-                plain.keep_gone,
+                plain.dead_retention,
                 1000.0,
                 8.64e7,
             )?,
-            cut_off_below: within(
+            partition_threshold: within(
                 "cut_off_below",
                 self.cut_off_below,
-                plain.cut_off_below,
+                plain.partition_threshold,
                 0.0,
                 1.0,
             )?,
-            accept: span("accept_ms", self.accept_ms, plain.accept, 1000.0, 8.64e7)?,
-            hold: span("hold_ms", self.hold_ms, plain.hold, 0.0, 600_000.0)?,
-            news_lasts: span(
+            partition_acceptance: span(
+                "accept_ms",
+                self.accept_ms,
+                plain.partition_acceptance,
+                1000.0,
+                8.64e7,
+            )?,
+            min_view_state_duration: span(
+                "hold_ms",
+                self.hold_ms,
+                plain.min_view_state_duration,
+                0.0,
+                600_000.0,
+            )?,
+            engine_report_lifetime: span(
                 "news_lasts_ms",
                 self.news_lasts_ms,
-                plain.news_lasts,
+                plain.engine_report_lifetime,
                 100.0,
                 600_000.0,
             )?,
-            bounds: self.bounds()?,
+            traffic_limits: self.bounds()?,
             ..plain
         };
         let terms = FleetTerms {
@@ -148,7 +185,7 @@
         Ok(self.enabled.then_some(terms))
     }
 
-    fn bounds(&self) -> Result<Option<Bounds>, Fault> {
+    fn bounds(&self) -> Result<Option<TrafficLimits>, Fault> {
         let given = [
             ("confirmations", self.confirmations),
             ("verifiers", self.verifiers),
@@ -163,11 +200,11 @@
             return first.map_or(Ok(None), needs);
         }
         let [confirmations, verifiers, direct_probes, gossip, exchange] = given;
-        let plain = Bounds::default();
+        let plain = TrafficLimits::default();
         let count = |(name, value), default: usize, least, most| {
             within(name, value, default as f64, least, most).map(|value| value as usize)
         };
-        Ok(Some(Bounds {
+        Ok(Some(TrafficLimits {
             confirmations: count(confirmations, plain.confirmations, 0.0, 20.0)?,
             verifiers: count(verifiers, plain.verifiers, 1.0, 64.0)?,
             direct_probes: count(direct_probes, plain.direct_probes, 1.0, 256.0)?,
--- a/crates/operator_config/tests/file.rs
+++ b/crates/operator_config/tests/file.rs
@@ -211,13 +211,13 @@
             .fleet
             .unwrap()
             .paces
-            .bounds
+            .traffic_limits
     };
     assert_eq!(bounds(""), None);
     assert_eq!(bounds("  bounded = false\n"), None);
     assert_eq!(
         bounds("  bounded = true\n"),
-        Some(membership::Bounds::default())
+        Some(membership::TrafficLimits::default())
     );
     let set =
         bounds("  bounded = true\n  confirmations = 3\n  gossip_bytes_per_s = 900\n").unwrap();
--- a/crates/process_harness/src/scale/hollow.rs
+++ b/crates/process_harness/src/scale/hollow.rs
@@ -5,7 +5,7 @@
 
 use admission::interface::Timestamp;
 use control::{Control, Times};
-use membership::{Event, Gateway, Locality, Name, Ring};
+use membership::{Event, KeyRing, Locality, Name, Node, NodeSetup};
 use operator_config::FleetTerms;
 use quota::{Shares, Who};
 use rand::{RngExt, SeedableRng};
@@ -75,20 +75,22 @@
             region: Some(name(&format!("r{}", plan.layout.region(member)))),
         };
         let times = times();
-        let membership = Gateway::new(
+        let membership = Node::new(
             times.now,
-            plan.fleet.fleet.clone(),
-            name(&plan.layout.name(member)),
-            address,
-            place,
-            plan.fleet.seeds.clone(),
-            Ring::new(&KEY, &[]).expect("one key"),
-            plan.fleet.paces.clone(),
-            rng.random(),
+            NodeSetup {
+                fleet: plan.fleet.fleet.clone(),
+                name: name(&plan.layout.name(member)),
+                address,
+                locality: place,
+                seeds: plan.fleet.seeds.clone(),
+                key_ring: KeyRing::new(&KEY, &[]).expect("one key"),
+                config: plan.fleet.paces.clone(),
+                rng_seed: rng.random(),
+            },
         );
         let own = Who {
-            name: membership.own().name.clone(),
-            life: membership.own().life,
+            name: membership.local_record().name.clone(),
+            life: membership.local_record().boot_id,
         };
         let mut control = Control::new(membership);
         if let Some(terms) = &plan.shares {
@@ -123,11 +125,11 @@
 
     pub fn view(&mut self) -> (u64, usize) {
         let digest = self.control.membership_mut().view().digest;
-        (digest, self.control.membership().size())
+        (digest, self.control.membership().fleet_size())
     }
 
     pub fn stalls(&self) -> u64 {
-        self.control.membership().tally.stood_still
+        self.control.membership().metrics.loop_stalls
     }
 
     pub fn undelivered(&self) -> u64 {
--- a/crates/process_harness/src/scale/worker.rs
+++ b/crates/process_harness/src/scale/worker.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 
 use admission::interface::Timestamp;
-use membership::{Event, State};
+use membership::{Event, MemberState};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use rustix::event::{Timespec, epoll};
@@ -229,19 +229,19 @@
             answer(&Answer::Chosen { member: by, at_s })?;
         }
         for event in happened.events {
-            let Event::Changed { name, state, .. } = event else {
+            let Event::MemberChanged { name, state, .. } = event else {
                 continue;
             };
             let Some(member) = self.plan.layout.member_named(name.as_str()) else {
                 continue;
             };
-            if state.counts() {
+            if state.is_present() {
                 continue;
             }
             if !self.truth.lives(member) && self.detected.insert(member) {
                 answer(&Answer::Detected { member, at_s })?;
             }
-            let wrong = state == State::Dead && self.truth.false_death(at_s, by, member);
+            let wrong = state == MemberState::Dead && self.truth.false_death(at_s, by, member);
             self.false_deaths += u64::from(wrong);
         }
         Ok(())
--- a/crates/quota/src/word.rs
+++ b/crates/quota/src/word.rs
@@ -1,6 +1,6 @@
 //! What gateways say to each other of budgets: carried, signed and kept from repeating by `crates/membership`.
 
-use membership::{Life, Name};
+use membership::{BootId, Name};
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
@@ -11,7 +11,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Who {
     pub name: Name,
-    pub life: Life,
+    pub life: BootId,
 }
 
 /// Counts a gateway's own questions; an answer names the one that it answers.
--- a/crates/quota/tests/golden.rs
+++ b/crates/quota/tests/golden.rs
@@ -11,7 +11,7 @@
 use std::collections::BTreeSet;
 use std::path::Path;
 
-use membership::{Life, Name};
+use membership::{BootId, Name};
 use quota::word::{Ask, Count, Need, Word};
 use quota::{Amount, Budget, Refused, TermsError, Use, Who};
 
@@ -148,7 +148,7 @@
 fn who_holds_a_lease_keeps_its_bytes() {
     let who = Who {
         name: name("gate-a"),
-        life: Life(0x0102_0304_0506_0708),
+        life: BootId(0x0102_0304_0506_0708),
     };
     let recorded = compare(
         "holders.txt",
--- a/crates/quota/tests/world/mod.rs
+++ b/crates/quota/tests/world/mod.rs
@@ -3,7 +3,7 @@
 #![allow(dead_code)]
 
 use admission::interface::{TimeDelta, Timestamp};
-use membership::{Life, Name};
+use membership::{BootId, Name};
 use quota::{Amount, Budget, Core, Faults, Terms, Use, Who};
 
 /// Far beyond what clocks do, so that what drift undoes is undone within a search.
@@ -125,7 +125,7 @@
         slot.life += 1;
         let me = Who {
             name: name(at),
-            life: Life(slot.life * 100 + at as u64),
+            life: BootId(slot.life * 100 + at as u64),
         };
         slot.core = Some(Core::new(
             now,
--- a/crates/simulator/examples/membership.rs
+++ b/crates/simulator/examples/membership.rs
@@ -2,20 +2,20 @@
 
 use std::time::Instant;
 
-use membership::{Bounds, Gateway, Locality, Name, Ring, Terms};
+use membership::{Config, KeyRing, Locality, Name, Node, NodeSetup, TrafficLimits};
 use simulator::mesh::{KEY, Mesh, address, name};
 
 const SEED: u64 = 61;
 
-fn fleet_of(count: usize, mode: &str) -> Mesh<Gateway> {
+fn fleet_of(count: usize, mode: &str) -> Mesh<Node> {
     let mode = mode.to_owned();
-    let ring = Ring::new(&KEY, &[]).expect("one key");
+    let ring = KeyRing::new(&KEY, &[]).expect("one key");
     Mesh::new(count, SEED, move |at, now, life| {
         let bounded = mode == "bounded" || mode == "mixed" && at % 2 == 0;
-        let terms = Terms {
-            most: 4096,
-            bounds: bounded.then(Bounds::default),
-            ..Terms::default()
+        let terms = Config {
+            max_members: 4096,
+            traffic_limits: bounded.then(TrafficLimits::default),
+            ..Config::default()
         };
         let named = |text: String| Some(Name::new(&text).expect("a name"));
         let locality = Locality {
@@ -27,22 +27,24 @@
             Name::new("lab").expect("a name"),
             SEED * 1_000_003 + at as u64 * 64 + u64::from(life),
         );
-        Gateway::new(
+        Node::new(
             now,
-            fleet,
-            name(at),
-            address(at),
-            locality,
-            seeds,
-            ring.clone(),
-            terms,
-            seed,
+            NodeSetup {
+                fleet,
+                name: name(at),
+                address: address(at),
+                locality,
+                seeds,
+                key_ring: ring.clone(),
+                config: terms,
+                rng_seed: seed,
+            },
         )
     })
 }
 
 /// Sent by one gateway a second over some time: datagrams and bytes, the mean and the most.
-fn traffic(mesh: &mut Mesh<Gateway>, what: &str, seconds: f64) {
+fn traffic(mesh: &mut Mesh<Node>, what: &str, seconds: f64) {
     let (before, from) = (mesh.sent.clone(), mesh.now);
     mesh.run(from + seconds);
     let spent: Vec<(u64, u64)> = mesh
@@ -65,7 +67,7 @@
     );
 }
 
-fn settle(mesh: &mut Mesh<Gateway>, what: &str, within: f64) {
+fn settle(mesh: &mut Mesh<Node>, what: &str, within: f64) {
     let (from, before) = (mesh.now, mesh.sent.clone());
     let settled = mesh.settle(within);
     let seconds = (mesh.now - from).max(0.1);
@@ -75,7 +77,7 @@
     let sizes: Vec<usize> = mesh
         .lives()
         .iter()
-        .map(|at| mesh.peer(*at).map_or(0, Gateway::size))
+        .map(|at| mesh.peer(*at).map_or(0, Node::fleet_size))
         .collect();
     let (least, largest) = (
         sizes.iter().min().unwrap_or(&0),
@@ -108,20 +110,23 @@
                         .into_iter()
                         .filter_map(|at| mesh.peer(at))
                         .collect();
-                    let mean = |of: &dyn Fn(&Gateway) -> u64| {
+                    let mean = |of: &dyn Fn(&Node) -> u64| {
                         peers.iter().map(|peer| of(peer)).sum::<u64>() as f64 / peers.len() as f64
                     };
                     println!(
                         "  {:.0} s: size {:.1}, candidates {:.1}, verified later {:.0}, put off {:.0}, compared {:.1}, listed {:.1}, vouched {:.1}, sent {:.0}",
                         mesh.now,
-                        mean(&|peer| peer.size() as u64),
-                        mean(&|peer| peer.rows().filter(|row| !row.known).count() as u64),
-                        mean(&|peer| peer.tally.verified_later),
-                        mean(&|peer| peer.tally.bounded_probes),
-                        mean(&|peer| peer.tally.compared),
-                        mean(&|peer| peer.tally.listed),
-                        mean(&|peer| peer.tally.vouched_by_digest),
-                        mean(&|peer| peer.tally.sent_bytes)
+                        mean(&|peer| peer.fleet_size() as u64),
+                        mean(
+                            &|peer| peer.members().filter(|member| !member.confirmed).count()
+                                as u64
+                        ),
+                        mean(&|peer| peer.metrics.verifications_deferred),
+                        mean(&|peer| peer.metrics.limited_probes),
+                        mean(&|peer| peer.metrics.digest_requests_sent),
+                        mean(&|peer| peer.metrics.fingerprint_requests_sent),
+                        mean(&|peer| peer.metrics.vouched_by_digest),
+                        mean(&|peer| peer.metrics.sent_bytes)
                     );
                 }
             }
@@ -178,16 +183,16 @@
                         .into_iter()
                         .filter_map(|at| mesh.peer(at))
                         .collect();
-                    let mean = |of: &dyn Fn(&Gateway) -> u64| {
+                    let mean = |of: &dyn Fn(&Node) -> u64| {
                         peers.iter().map(|peer| of(peer)).sum::<u64>() as f64 / peers.len() as f64
                     };
                     println!(
                         "    in the mean suspected {:.1}, died {:.1}, size {:.1}, probes failed {:.1}, put off {:.1}",
-                        mean(&|peer| peer.tally.suspected),
-                        mean(&|peer| peer.tally.died),
-                        mean(&|peer| peer.size() as u64),
-                        mean(&|peer| peer.tally.probes_failed),
-                        mean(&|peer| peer.tally.bounded_probes)
+                        mean(&|peer| peer.metrics.suspected),
+                        mean(&|peer| peer.metrics.declared_dead),
+                        mean(&|peer| peer.fleet_size() as u64),
+                        mean(&|peer| peer.metrics.probes_failed),
+                        mean(&|peer| peer.metrics.limited_probes)
                     );
                 }
                 mesh.heal();
@@ -222,7 +227,7 @@
     for (counter, value) in mesh
         .peer(count / 2)
         .into_iter()
-        .flat_map(|peer| peer.tally.each())
+        .flat_map(|peer| peer.metrics.named_counts())
     {
         print!("{counter}={value} ");
     }
--- a/crates/simulator/src/control/command.rs
+++ b/crates/simulator/src/control/command.rs
@@ -4,7 +4,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use ::membership::Terms;
+use ::membership::Config;
 use clap::{Args, ValueEnum};
 use serde::{Deserialize, Serialize};
 
@@ -204,12 +204,17 @@
     }
 
     fn plan(&self, gateways: usize) -> Plan {
-        let terms = Terms::default();
-        let most = self.most_gateways.unwrap_or(terms.most.max(gateways + 1));
+        let terms = Config::default();
+        let most = self
+            .most_gateways
+            .unwrap_or(terms.max_members.max(gateways + 1));
         Plan {
             gateways,
             seed: self.seed,
-            terms: Terms { most, ..terms },
+            terms: Config {
+                max_members: most,
+                ..terms
+            },
             settle_s: self.settle,
             drain_s: self.drain,
             measure_s: self.seconds,
--- a/crates/simulator/src/control/ledger.rs
+++ b/crates/simulator/src/control/ledger.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use admission::interface::{TimeDelta, Timestamp};
-use membership::letter::{self, Body, Letter, View};
-use membership::{Incarnation, Life, Locality, Name, Record, Ring, State};
+use membership::message::{self, Body, Message, View};
+use membership::{BootId, Incarnation, KeyRing, Locality, MemberState, Name, Record};
 use quota::core::Core;
 use quota::word::{Ask, Count, Need, Word};
 use quota::{Amount, Budget, Terms, Use, Who};
@@ -301,7 +301,7 @@
 fn who(at: usize) -> Who {
     Who {
         name: name(at),
-        life: Life(0x9e37_79b9_7f4a_7c15 ^ at as u64),
+        life: BootId(0x9e37_79b9_7f4a_7c15 ^ at as u64),
     }
 }
 
@@ -341,7 +341,7 @@
 
 /// The fleet's datagram around a message, in a fleet at rest: no gossip goes along.
 struct Frame {
-    ring: Ring,
+    ring: KeyRing,
     fleet: Name,
     from: Record,
 }
@@ -355,21 +355,21 @@
         };
         let from = Record {
             name: name(1),
-            life: who(1).life,
+            boot_id: who(1).life,
             incarnation: Incarnation(1),
             address: address(1),
             locality,
-            state: State::Alive,
+            state: MemberState::Alive,
         };
         Frame {
-            ring: Ring::new(&KEY, &[]).expect("one key"),
+            ring: KeyRing::new(&KEY, &[]).expect("one key"),
             fleet: part("lab"),
             from,
         }
     }
 
     fn sealed(&self, message: Vec<u8>) -> Vec<u8> {
-        let letter = Letter {
+        let letter = Message {
             fleet: self.fleet.clone(),
             from: self.from.clone(),
             counter: 1 << 20,
@@ -377,11 +377,11 @@
                 digest: u64::MAX,
                 size: 4096,
             },
-            body: Body::Carried(message),
+            body: Body::Payload(message),
             records: Vec::new(),
-            engines: Vec::new(),
+            engine_reports: Vec::new(),
         };
-        letter::seal(&self.ring, &letter)
+        message::seal(&self.ring, &letter)
     }
 
     fn size(&self, message: Vec<u8>) -> usize {
@@ -393,7 +393,7 @@
         let began = thread_cpu();
         for _ in 0..FRAMES {
             let sealed = self.sealed(message.clone());
-            std::hint::black_box(letter::open(&self.ring, &self.fleet, &sealed).is_ok());
+            std::hint::black_box(message::open(&self.ring, &self.fleet, &sealed).is_ok());
         }
         thread_cpu().saturating_sub(began) / FRAMES
     }
--- a/crates/simulator/src/control/membership.rs
+++ b/crates/simulator/src/control/membership.rs
@@ -4,8 +4,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use membership::letter::{self, Body};
-use membership::{Gateway, Name, Ring, Terms};
+use membership::message::{self, Body};
+use membership::{Config, KeyRing, Name, Node};
 use serde::{Deserialize, Serialize};
 
 use crate::control::limits::{Ended, Limits, Watch, resident_bytes};
@@ -22,7 +22,7 @@
 pub struct Plan {
     pub gateways: usize,
     pub seed: u64,
-    pub terms: Terms,
+    pub terms: Config,
     /// How long a start, and an agreement on a death, may take.
     pub settle_s: f64,
     /// From the end of the start to the measurement at rest, for gossip to run out.
@@ -166,7 +166,7 @@
 }
 
 struct Play {
-    mesh: Mesh<Measured<Gateway>>,
+    mesh: Mesh<Measured<Node>>,
     kinds: Rc<RefCell<Kinds>>,
     limits: Limits,
 }
@@ -297,7 +297,7 @@
                 continue;
             };
             let own = peer.cost();
-            each[at] = (own.received, peer.peer.tally.refused_many);
+            each[at] = (own.received, peer.peer.metrics.rejected_rate_limited);
             cost.cpu += own.cpu;
             cost.received += own.received;
             cost.received_bytes += own.received_bytes;
@@ -330,7 +330,7 @@
         let whole = |at: &&usize| {
             self.mesh
                 .peer(**at)
-                .is_some_and(|peer| peer.peer.size() == lives.len())
+                .is_some_and(|peer| peer.peer.fleet_size() == lives.len())
         };
         lives.iter().filter(whole).count()
     }
@@ -346,24 +346,26 @@
 }
 
 fn counter_of_kinds(kinds: Rc<RefCell<Kinds>>) -> Hearer {
-    let ring = Ring::new(&KEY, &[]).expect("one key");
+    let ring = KeyRing::new(&KEY, &[]).expect("one key");
     let fleet = Name::new("lab").expect("a name");
     Box::new(move |_, _, bytes| {
-        let Ok(letter) = letter::open(&ring, &fleet, bytes) else {
+        let Ok(message) = message::open(&ring, &fleet, bytes) else {
             return;
         };
         let mut kinds = kinds.borrow_mut();
-        *match letter.body {
+        *match message.body {
             Body::Ping(_) => &mut kinds.pings,
             Body::Ack(_) => &mut kinds.acknowledgements,
-            Body::Ask { .. } => &mut kinds.indirect_requests,
-            Body::Passed(_) => &mut kinds.indirect_answered,
-            Body::Silent(_) => &mut kinds.indirect_failed,
-            Body::Pull { .. } | Body::Compare { .. } | Body::List { .. } => {
-                &mut kinds.page_requests
+            Body::IndirectPing { .. } => &mut kinds.indirect_requests,
+            Body::IndirectAck(_) => &mut kinds.indirect_answered,
+            Body::IndirectNack(_) => &mut kinds.indirect_failed,
+            Body::PageRequest { .. }
+            | Body::DigestRequest { .. }
+            | Body::FingerprintRequest { .. } => &mut kinds.page_requests,
+            Body::Page { .. } | Body::DigestResponse { .. } | Body::FingerprintResponse { .. } => {
+                &mut kinds.pages
             }
-            Body::Page { .. } | Body::Compared { .. } | Body::Listed { .. } => &mut kinds.pages,
-            Body::News | Body::Carried(_) => &mut kinds.other,
+            Body::Gossip | Body::Payload(_) => &mut kinds.other,
         } += 1;
     })
 }
@@ -384,16 +386,16 @@
 }
 
 impl Counters {
-    fn add(&mut self, gateway: &Gateway) {
-        let tally = &gateway.tally;
-        self.probes += tally.probes;
-        self.probes_failed += tally.probes_failed;
-        self.suspected += tally.suspected;
-        self.refuted += tally.refuted;
-        self.died += tally.died;
-        self.revived += tally.revived;
-        self.unvouched += tally.unvouched;
-        self.refused_many += tally.refused_many;
+    fn add(&mut self, gateway: &Node) {
+        let metrics = &gateway.metrics;
+        self.probes += metrics.probes;
+        self.probes_failed += metrics.probes_failed;
+        self.suspected += metrics.suspected;
+        self.refuted += metrics.refutations;
+        self.died += metrics.declared_dead;
+        self.revived += metrics.false_deaths;
+        self.unvouched += metrics.unvouched;
+        self.refused_many += metrics.rejected_rate_limited;
     }
 
     fn since(&self, before: &Counters) -> Counters {
--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -231,7 +231,7 @@
             );
             for count in gateways.split(',') {
                 let count: usize = count.trim().parse()?;
-                let terms = membership::Terms::default;
+                let terms = membership::Config::default;
                 let wanted = |name: &str| way.as_deref().is_none_or(|way| way == name);
                 let mut all = Vec::new();
                 if wanted("fleet") {
--- a/crates/simulator/src/mesh.rs
+++ b/crates/simulator/src/mesh.rs
@@ -6,7 +6,10 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
 use admission::interface::{TimeDelta, Timestamp};
-use membership::{Datagram, Event as Told, Gateway, Locality, Name, Ring, Standing, State, Terms};
+use membership::{
+    Config, Datagram, Event as Told, KeyRing, Locality, MemberState, Name, Node, NodeSetup,
+    ViewState,
+};
 use rand::seq::SliceRandom;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -47,39 +50,39 @@
     fn leave(&mut self, _now: Timestamp) {}
 }
 
-impl Peer for Gateway {
+impl Peer for Node {
     fn receive(&mut self, now: Timestamp, from: SocketAddr, bytes: &[u8]) {
-        let _ = Gateway::receive(self, now, from, bytes);
+        let _ = Node::receive(self, now, from, bytes);
     }
 
     fn turn(&mut self, now: Timestamp) {
-        Gateway::turn(self, now);
+        Node::turn(self, now);
     }
 
     fn due(&self) -> Timestamp {
-        Gateway::due(self)
+        Node::due(self)
     }
 
     fn take_out(&mut self) -> Vec<Datagram> {
-        Gateway::take_out(self)
+        Node::take_datagrams(self)
     }
 
     fn there(&self) -> BTreeSet<usize> {
         let there = self
-            .rows()
-            .filter(|row| row.known && row.record.state.counts());
+            .members()
+            .filter(|member| member.confirmed && member.record.state.is_present());
         there.map(|row| number(row.record.address)).collect()
     }
 
     fn count(&self) -> usize {
-        self.size() - 1
+        self.fleet_size() - 1
     }
 
     fn died(&mut self) -> Vec<usize> {
         let dead = |event: Told| match event {
-            Told::Changed {
+            Told::MemberChanged {
                 name,
-                state: State::Dead,
+                state: MemberState::Dead,
                 ..
             } => name.as_str()[1..].parse().ok(),
             _ => None,
@@ -88,7 +91,7 @@
     }
 
     fn leave(&mut self, now: Timestamp) {
-        Gateway::leave(self, now);
+        Node::leave(self, now);
     }
 }
 
@@ -105,8 +108,8 @@
 }
 
 impl Heartbeats {
-    pub fn new(now: Timestamp, at: usize, count: usize, terms: &Terms, missed: f64) -> Self {
-        let period = terms.period.secs();
+    pub fn new(now: Timestamp, at: usize, count: usize, terms: &Config, missed: f64) -> Self {
+        let period = terms.probe_period.secs();
         let next = now + TimeDelta::from_secs(period * (at as f64 * 0.618).fract());
         Heartbeats {
             at,
@@ -175,11 +178,11 @@
 }
 
 impl Hasty {
-    pub fn new(now: Timestamp, at: usize, terms: &Terms, seeds: Vec<usize>, seed: u64) -> Self {
+    pub fn new(now: Timestamp, at: usize, terms: &Config, seeds: Vec<usize>, seed: u64) -> Self {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let period = terms.period.secs();
+        let period = terms.probe_period.secs();
         let next = now + TimeDelta::from_secs(period * rng.random::<f64>());
-        let (answer, held) = (terms.answer.secs(), BTreeMap::new());
+        let (answer, held) = (terms.probe_timeout.secs(), BTreeMap::new());
         Hasty {
             at,
             period,
@@ -658,14 +661,14 @@
 pub struct GatewayFactory {
     count: usize,
     seed: u64,
-    terms: Terms,
-    ring: Ring,
+    terms: Config,
+    ring: KeyRing,
     fleet: Name,
 }
 
 impl GatewayFactory {
-    pub fn new(count: usize, seed: u64, terms: Terms) -> Self {
-        let ring = Ring::new(&KEY, &[]).expect("one key");
+    pub fn new(count: usize, seed: u64, terms: Config) -> Self {
+        let ring = KeyRing::new(&KEY, &[]).expect("one key");
         let fleet = Name::new("lab").expect("a name");
         GatewayFactory {
             count,
@@ -677,7 +680,7 @@
     }
 
     /// `life`: how often this gateway was started before.
-    pub fn make(&self, at: usize, now: Timestamp, life: u32) -> Gateway {
+    pub fn make(&self, at: usize, now: Timestamp, life: u32) -> Node {
         let seeds = (0..3.min(self.count)).map(address).collect();
         let seed = self
             .seed
@@ -686,35 +689,37 @@
         let zone = Some(Name::new(&format!("zone-{}", at % 3)).expect("a name"));
         let locality = Locality { zone, region: None };
         let (fleet, ring, terms) = (self.fleet.clone(), self.ring.clone(), self.terms.clone());
-        Gateway::new(
+        Node::new(
             now,
-            fleet,
-            name(at),
-            address(at),
-            locality,
-            seeds,
-            ring,
-            terms,
-            seed,
+            NodeSetup {
+                fleet,
+                name: name(at),
+                address: address(at),
+                locality,
+                seeds,
+                key_ring: ring,
+                config: terms,
+                rng_seed: seed,
+            },
         )
     }
 }
 
 /// Gateways of the real code.
-pub fn gateways(count: usize, seed: u64, terms: Terms) -> Mesh<Gateway> {
+pub fn gateways(count: usize, seed: u64, terms: Config) -> Mesh<Node> {
     let factory = GatewayFactory::new(count, seed, terms);
     Mesh::new(count, seed, move |at, now, life| {
         factory.make(at, now, life)
     })
 }
 
-pub fn heartbeats(count: usize, seed: u64, terms: Terms) -> Mesh<Heartbeats> {
+pub fn heartbeats(count: usize, seed: u64, terms: Config) -> Mesh<Heartbeats> {
     Mesh::new(count, seed, move |at, now, _| {
         Heartbeats::new(now, at, count, &terms, 5.0)
     })
 }
 
-pub fn hasty(count: usize, seed: u64, terms: Terms) -> Mesh<Hasty> {
+pub fn hasty(count: usize, seed: u64, terms: Config) -> Mesh<Hasty> {
     Mesh::new(count, seed, move |at, now, life| {
         Hasty::new(
             now,
@@ -727,13 +732,13 @@
 }
 
 /// All that live say that they are together.
-pub fn together(mesh: &Mesh<Gateway>) -> bool {
+pub fn together(mesh: &Mesh<Node>) -> bool {
     mesh.lives().iter().all(|at| is_together(mesh, *at))
 }
 
-pub fn is_together(mesh: &Mesh<Gateway>, at: usize) -> bool {
+pub fn is_together(mesh: &Mesh<Node>, at: usize) -> bool {
     mesh.peer(at)
-        .is_some_and(|peer| *peer.standing() == Standing::Together)
+        .is_some_and(|peer| *peer.view_state() == ViewState::Converged)
 }
 
 /// One way's figures on one trouble.
--- a/crates/simulator/src/parts.rs
+++ b/crates/simulator/src/parts.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 
 use admission::interface::{TimeDelta, Timestamp};
-use membership::{Datagram, Life};
+use membership::{BootId, Datagram};
 use quota::{Amount, Bucket, Budget, Faults, Shares, Terms, Use, Who};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -80,7 +80,7 @@
         let life = u64::from(life) << 16 | at as u64;
         let me = Who {
             name: name(at),
-            life: Life(life),
+            life: BootId(life),
         };
         let local = clock(now, fast_ppm);
         Part {
@@ -107,7 +107,7 @@
         };
         let who = Who {
             name: name(number(from)),
-            life: Life(u64::from_le_bytes(*life)),
+            life: BootId(u64::from_le_bytes(*life)),
         };
         let now = self.clock(now);
         self.shares.receive(now, &who, words);
--- a/crates/simulator/src/play.rs
+++ b/crates/simulator/src/play.rs
@@ -61,7 +61,7 @@
     connections: Connections,
     /// By engine: the part of its answers that is lost.
     lost_answers: Vec<f64>,
-    health_mesh: Option<Mesh<membership::Gateway>>,
+    health_mesh: Option<Mesh<membership::Node>>,
     lease_mesh: Option<Mesh<Part>>,
     /// By gateway and tenant: what its queues had used when budgets were last divided.
     usage: Vec<Vec<Usage>>,
--- a/crates/simulator/src/play/coordination.rs
+++ b/crates/simulator/src/play/coordination.rs
@@ -20,14 +20,14 @@
 pub(super) type Usage = (f64, f64);
 
 /// The mesh in which gateways exchange engine health, where the scenario has one.
-pub(super) fn health_mesh(scenario: &Scenario, seed: u64) -> Option<Mesh<membership::Gateway>> {
+pub(super) fn health_mesh(scenario: &Scenario, seed: u64) -> Option<Mesh<membership::Node>> {
     if !scenario.fleet {
         return None;
     }
     Some(mesh::gateways(
         scenario.gateways,
         seed,
-        membership::Terms::default(),
+        membership::Config::default(),
     ))
 }
 
@@ -144,33 +144,44 @@
 
 /// Tells the others of new or longer ejections, and of those that are over.
 fn publish_ejections(
-    peer: &mut membership::Gateway,
+    peer: &mut membership::Node,
     mesh_now: Timestamp,
     published: &BTreeMap<EngineId, Timestamp>,
     ejections: &BTreeMap<EngineId, Timestamp>,
 ) {
     for (id, until) in ejections {
         if published.get(id).is_none_or(|told| told < until) {
-            peer.saw(mesh_now, &id.0.to_string(), membership::EngineWord::Bad);
+            peer.report_engine(
+                mesh_now,
+                &id.0.to_string(),
+                membership::EngineStatus::Failing,
+            );
         }
     }
     for id in published.keys().filter(|id| !ejections.contains_key(id)) {
-        peer.saw(mesh_now, &id.0.to_string(), membership::EngineWord::Back);
+        peer.report_engine(
+            mesh_now,
+            &id.0.to_string(),
+            membership::EngineStatus::Recovered,
+        );
     }
 }
 
 /// Doubts about engines that a gateway heard from others, in the time of the run.
-fn heard_doubts(peer: &mut membership::Gateway, mesh_now: Timestamp) -> Vec<OutlierReport> {
+fn heard_doubts(peer: &mut membership::Node, mesh_now: Timestamp) -> Vec<OutlierReport> {
     let head_start = TimeDelta::from_secs(MESH_HEAD_START_S);
     let run_time = |mesh_time: Timestamp| mesh_time + (TimeDelta::ZERO - head_start);
-    let heard = peer.doubted(mesh_now).into_iter().filter_map(|doubt| {
-        let id = EngineId(doubt.engine.parse().ok()?);
-        Some(OutlierReport {
-            id,
-            seen: run_time(doubt.seen),
-            until: run_time(doubt.until),
-        })
-    });
+    let heard = peer
+        .engine_outliers(mesh_now)
+        .into_iter()
+        .filter_map(|doubt| {
+            let id = EngineId(doubt.engine.parse().ok()?);
+            Some(OutlierReport {
+                id,
+                seen: run_time(doubt.seen),
+                until: run_time(doubt.until),
+            })
+        });
     heard.collect()
 }
 
--- a/crates/simulator/tests/control.rs
+++ b/crates/simulator/tests/control.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use ::membership::Terms;
+use ::membership::Config;
 use simulator::control::coordinator;
 use simulator::control::fit::{Line, Power, Shape};
 use simulator::control::ledger;
@@ -18,7 +18,7 @@
     Plan {
         gateways,
         seed,
-        terms: Terms::default(),
+        terms: Config::default(),
         settle_s: 60.0,
         drain_s: 5.0,
         measure_s: 10.0,
@@ -113,9 +113,9 @@
 
 #[test]
 fn a_table_below_the_size_never_settles() {
-    let terms = Terms {
-        most: 10,
-        ..Terms::default()
+    let terms = Config {
+        max_members: 10,
+        ..Config::default()
     };
     let rows = counted(&Plan {
         terms,
@@ -147,7 +147,7 @@
         "a head and a code: {first:?}"
     );
     assert!(
-        first.longest_question_bytes <= ::membership::gateway::LONGEST_CARRIED,
+        first.longest_question_bytes <= ::membership::MAX_PAYLOAD_BYTES,
         "{first:?}"
     );
     assert_eq!(ledger::measure(&plan).0, first);
--- a/crates/simulator/tests/fleet.rs
+++ b/crates/simulator/tests/fleet.rs
@@ -3,18 +3,18 @@
 use std::collections::BTreeSet;
 
 use admission::interface::{TimeDelta, Timestamp};
-use membership::letter;
+use membership::message;
 use membership::{
-    EngineNews, EngineWord, Gateway, Incarnation, Life, Locality, Name, Record, Ring, Standing,
-    State, Terms,
+    BootId, Config, EngineReport, EngineStatus, Incarnation, KeyRing, Locality, MemberState, Name,
+    Node, NodeSetup, Record, ViewState,
 };
 use simulator::mesh::{self, KEY, Mesh, address, gateways, name};
 
-fn started(count: usize, seed: u64) -> Mesh<Gateway> {
-    started_by(count, seed, Terms::default())
+fn started(count: usize, seed: u64) -> Mesh<Node> {
+    started_by(count, seed, Config::default())
 }
 
-fn started_by(count: usize, seed: u64, terms: Terms) -> Mesh<Gateway> {
+fn started_by(count: usize, seed: u64, terms: Config) -> Mesh<Node> {
     let mut mesh = gateways(count, seed, terms);
     mesh.start_all();
     let joined = mesh.settle(120.0);
@@ -25,14 +25,14 @@
     mesh
 }
 
-fn standings(mesh: &Mesh<Gateway>) -> BTreeSet<String> {
+fn standings(mesh: &Mesh<Node>) -> BTreeSet<String> {
     mesh.lives()
         .iter()
-        .filter_map(|at| Some(mesh.peer(*at)?.standing().to_string()))
+        .filter_map(|at| Some(mesh.peer(*at)?.view_state().to_string()))
         .collect()
 }
 
-fn deaths(mesh: &Mesh<Gateway>) -> Vec<mesh::Death> {
+fn deaths(mesh: &Mesh<Node>) -> Vec<mesh::Death> {
     mesh.deaths
         .iter()
         .copied()
@@ -56,7 +56,7 @@
             mesh.lives()
                 .iter()
                 .filter(|at| !mesh::is_together(&mesh, **at))
-                .map(|at| (at, mesh.peer(*at).unwrap().about()))
+                .map(|at| (at, mesh.peer(*at).unwrap().view_summary()))
                 .take(3)
                 .collect::<Vec<_>>()
         );
@@ -65,7 +65,7 @@
 
 #[test]
 fn three_hundred_join_within_a_second() {
-    let mut mesh = gateways(300, 2, Terms::default());
+    let mut mesh = gateways(300, 2, Config::default());
     mesh.start(0);
     for at in 1..300 {
         mesh.run(at as f64 / 300.0);
@@ -93,18 +93,18 @@
         for at in mesh.lives() {
             let own = (0..count).filter(|other| side(*other) == side(at)).count();
             let gateway = mesh.peer(at).unwrap();
-            assert_eq!(gateway.size(), own, "{at} of {count}");
-            let assumed = gateway.assumed();
+            assert_eq!(gateway.fleet_size(), own, "{at} of {count}");
+            let assumed = gateway.assumptions();
             if own * 2 < count {
-                assert_eq!(gateway.standing().name(), "cut off", "{at} of {count}");
+                assert_eq!(gateway.view_state().name(), "cut off", "{at} of {count}");
                 assert!(
-                    assumed.at_most == count
-                        && assumed.at_least == own
-                        && !assumed.engine_news
-                        && !assumed.may_agree
+                    assumed.max_size == count
+                        && assumed.min_size == own
+                        && !assumed.engine_reports_count
+                        && !assumed.may_vote
                 );
             } else {
-                assert_eq!(gateway.standing().name(), "together", "{at} of {count}");
+                assert_eq!(gateway.view_state().name(), "together", "{at} of {count}");
             }
         }
         assert_eq!(deaths(&mesh), [], "{count}");
@@ -141,7 +141,7 @@
     assert!(
         mesh.lives()
             .iter()
-            .all(|at| mesh.peer(*at).unwrap().size() <= 5)
+            .all(|at| mesh.peer(*at).unwrap().fleet_size() <= 5)
     );
     mesh.heal();
     assert!(mesh.settle(90.0).is_some(), "{:?}", standings(&mesh));
@@ -160,7 +160,7 @@
     assert!(
         mesh.lives()
             .iter()
-            .all(|at| *at == 1 || mesh.peer(*at).unwrap().size() == 19)
+            .all(|at| *at == 1 || mesh.peer(*at).unwrap().fleet_size() == 19)
     );
     mesh.heal();
     assert!(mesh.settle(60.0).is_some(), "{:?}", standings(&mesh));
@@ -184,7 +184,7 @@
     mesh.wake(7);
     assert!(mesh.settle(30.0).is_some(), "{:?}", standings(&mesh));
     let suspected =
-        |mesh: &Mesh<Gateway>| [3, 7].map(|at| mesh.peer(at).unwrap().tally.probes_failed);
+        |mesh: &Mesh<Node>| [3, 7].map(|at| mesh.peer(at).unwrap().metrics.probes_failed);
     let before = suspected(&mesh);
     mesh.slow(3, 0.3);
     mesh.run(mesh.now + 60.0);
@@ -197,7 +197,7 @@
         .collect();
     assert!(others.is_empty(), "{others:?}");
     for at in [3, 7] {
-        assert!(mesh.peer(at).unwrap().tally.stood_still > 0);
+        assert!(mesh.peer(at).unwrap().metrics.loop_stalls > 0);
     }
     assert_eq!(
         suspected(&mesh),
@@ -206,42 +206,42 @@
     );
 }
 
-/// Each letter of the liar's own, under its key and counter, with lies beside what it says.
+/// Each message of the liar's own, under its key and counter, with lies beside what it says.
 fn forged(bytes: &mut Vec<u8>, count: usize) {
-    let (ring, lab) = (Ring::new(&KEY, &[]).unwrap(), Name::new("lab").unwrap());
-    let Ok(mut letter) = letter::open(&ring, &lab, bytes) else {
+    let (ring, lab) = (KeyRing::new(&KEY, &[]).unwrap(), Name::new("lab").unwrap());
+    let Ok(mut message) = message::open(&ring, &lab, bytes) else {
         return;
     };
-    let number = letter.counter;
+    let number = message.counter;
     let record = |name: Name, at, state, incarnation| Record {
         name,
-        life: Life(number),
+        boot_id: BootId(number),
         incarnation: Incarnation(incarnation),
         address: address(at),
         locality: Locality::default(),
         state,
     };
-    letter.records = (0..9)
+    message.records = (0..9)
         .map(|at| {
             let of = (number as usize * 9 + at) % count;
             let ghost = Name::new(&format!("ghost-{number}-{at}")).unwrap();
             match at % 5 {
-                0 => record(name(of), of, State::Dead, 2),
-                1 => record(name(of), of, State::Dead, u32::MAX),
-                2 => record(ghost, 1000 + number as usize % 1000, State::Alive, 1),
-                3 => record(name(of), of, State::Left, 9),
+                0 => record(name(of), of, MemberState::Dead, 2),
+                1 => record(name(of), of, MemberState::Dead, u32::MAX),
+                2 => record(ghost, 1000 + number as usize % 1000, MemberState::Alive, 1),
+                3 => record(name(of), of, MemberState::Left, 9),
                 // At the liar's own address, under another's name.
-                _ => record(name(of), 5, State::Alive, 5000),
+                _ => record(name(of), 5, MemberState::Alive, 5000),
             }
         })
         .collect();
-    let bad = |at| EngineNews {
+    let bad = |at| EngineReport {
         engine: format!("e-{at}"),
-        word: EngineWord::Bad,
+        status: EngineStatus::Failing,
         age_ms: 0,
     };
-    letter.engines = (0..12).map(bad).collect();
-    *bytes = letter::seal(&ring, &letter);
+    message.engine_reports = (0..12).map(bad).collect();
+    *bytes = message::seal(&ring, &message);
 }
 
 #[test]
@@ -265,13 +265,17 @@
         let now = Timestamp::from_secs(mesh.now);
         for at in mesh.lives() {
             let gateway = mesh.peer_mut(at).unwrap();
-            assert_eq!(gateway.size(), count, "{at}");
+            assert_eq!(gateway.fleet_size(), count, "{at}");
             assert!(gateway.table_len() <= 1024);
-            assert_eq!(gateway.doubted(now), [], "{at} doubts engines on one word");
+            assert_eq!(
+                gateway.engine_outliers(now),
+                [],
+                "{at} doubts engines on one word"
+            );
             assert!(
-                gateway.own().incarnation < Incarnation(10_000),
+                gateway.local_record().incarnation < Incarnation(10_000),
                 "{:?}",
-                gateway.own()
+                gateway.local_record()
             );
         }
         mesh.liar = None;
@@ -290,15 +294,17 @@
 fn engines_are_doubted_on_two_independent_words_and_not_on_one() {
     let mut mesh = started(20, 9);
     let now = Timestamp::from_secs(mesh.now);
-    mesh.peer_mut(4).unwrap().saw(now, "e-1", EngineWord::Bad);
+    mesh.peer_mut(4)
+        .unwrap()
+        .report_engine(now, "e-1", EngineStatus::Failing);
     mesh.run(mesh.now + 3.0);
-    let doubting = |mesh: &mut Mesh<Gateway>, engine: &str| {
+    let doubting = |mesh: &mut Mesh<Node>, engine: &str| {
         let now = Timestamp::from_secs(mesh.now);
         (0..20)
             .filter(|at| {
                 mesh.peer_mut(*at)
                     .unwrap()
-                    .doubted(now)
+                    .engine_outliers(now)
                     .iter()
                     .any(|doubt| doubt.engine == engine)
             })
@@ -306,7 +312,9 @@
     };
     assert_eq!(doubting(&mut mesh, "e-1"), 0);
     let now = Timestamp::from_secs(mesh.now);
-    mesh.peer_mut(9).unwrap().saw(now, "e-1", EngineWord::Bad);
+    mesh.peer_mut(9)
+        .unwrap()
+        .report_engine(now, "e-1", EngineStatus::Failing);
     mesh.run(mesh.now + 3.0);
     assert!(doubting(&mut mesh, "e-1") >= 18);
     // It leaves with its evidence.
@@ -334,18 +342,18 @@
 
 #[test]
 fn seeds_that_name_nobody_alive_leave_a_gateway_alone_until_one_comes() {
-    let mut mesh = gateways(5, 11, Terms::default());
+    let mut mesh = gateways(5, 11, Config::default());
     mesh.start(3);
     mesh.start(4);
     mesh.run(20.0);
     assert!(
         [3, 4]
             .iter()
-            .all(|at| *mesh.peer(*at).unwrap().standing() == Standing::Alone)
+            .all(|at| *mesh.peer(*at).unwrap().view_state() == ViewState::Isolated)
     );
     mesh.start(1);
     assert!(mesh.settle(30.0).is_some());
-    assert_eq!(mesh.peer(3).unwrap().size(), 3);
+    assert_eq!(mesh.peer(3).unwrap().fleet_size(), 3);
 }
 
 #[test]
@@ -367,7 +375,7 @@
         let repeated: u64 = mesh
             .lives()
             .iter()
-            .map(|at| mesh.peer(*at).unwrap().tally.refused_repeated)
+            .map(|at| mesh.peer(*at).unwrap().metrics.rejected_replayed)
             .sum();
         assert!(repeated > 0);
     }
@@ -380,11 +388,11 @@
     for (signs, other) in [(old, Some(new)), (new, Some(old)), (new, None)] {
         for at in 0..20 {
             let others: Vec<[u8; 32]> = other.into_iter().collect();
-            let ring = Ring::new(&signs, &others).unwrap();
-            mesh.peer_mut(at).unwrap().change(
+            let ring = KeyRing::new(&signs, &others).unwrap();
+            mesh.peer_mut(at).unwrap().reconfigure(
                 (0..3).map(address).collect(),
                 ring,
-                Terms::default(),
+                Config::default(),
             );
             mesh.run(mesh.now + 3.0);
         }
@@ -395,21 +403,23 @@
 
 #[test]
 fn two_processes_with_one_name_end_with_one_in_the_fleet() {
-    let mut mesh: Mesh<Gateway> = Mesh::new(6, 14, |at, now, life| {
-        let ring = Ring::new(&KEY, &[]).unwrap();
+    let mut mesh: Mesh<Node> = Mesh::new(6, 14, |at, now, life| {
+        let ring = KeyRing::new(&KEY, &[]).unwrap();
         // The last has the name of the one before it, at another address.
         let own = name(at.min(4));
         let seeds = (0..3).map(address).collect();
-        Gateway::new(
+        Node::new(
             now,
-            Name::new("lab").unwrap(),
-            own,
-            address(at),
-            Locality::default(),
-            seeds,
-            ring,
-            Terms::default(),
-            at as u64 * 100 + u64::from(life),
+            NodeSetup {
+                fleet: Name::new("lab").unwrap(),
+                name: own,
+                address: address(at),
+                locality: Locality::default(),
+                seeds,
+                key_ring: ring,
+                config: Config::default(),
+                rng_seed: at as u64 * 100 + u64::from(life),
+            },
         )
     });
     mesh.start_all();
@@ -418,14 +428,14 @@
         .map(|at| {
             mesh.peer(at)
                 .unwrap()
-                .held(&name(4))
+                .member(&name(4))
                 .unwrap()
                 .record
                 .address
         })
         .collect();
     assert_eq!(held.len(), 1, "all hold the same one: {held:?}");
-    let incarnations = [4, 5].map(|at| mesh.peer(at).unwrap().own().incarnation);
+    let incarnations = [4, 5].map(|at| mesh.peer(at).unwrap().local_record().incarnation);
     assert!(
         incarnations.iter().all(|of| *of < Incarnation(100)),
         "{incarnations:?}"
@@ -458,13 +468,13 @@
 
 #[test]
 fn a_leave_is_no_failure_and_leaves_nothing_behind_after_its_time() {
-    let keep_gone = TimeDelta::from_secs(20.0);
+    let dead_retention = TimeDelta::from_secs(20.0);
     let mut mesh = started_by(
         20,
         16,
-        Terms {
-            keep_gone,
-            ..Terms::default()
+        Config {
+            dead_retention,
+            ..Config::default()
         },
     );
     mesh.leave(8);
@@ -473,12 +483,12 @@
         mesh.deaths.is_empty()
             && (0..20)
                 .filter(|at| *at != 8)
-                .all(|at| mesh.peer(at).unwrap().tally.suspected == 0)
+                .all(|at| mesh.peer(at).unwrap().metrics.suspected == 0)
     );
     mesh.run(mesh.now + 40.0);
     assert!(
         mesh.lives()
             .iter()
-            .all(|at| mesh.peer(*at).unwrap().held(&name(8)).is_none())
+            .all(|at| mesh.peer(*at).unwrap().member(&name(8)).is_none())
     );
 }
--- a/crates/simulator/tests/fleet_bounded.rs
+++ b/crates/simulator/tests/fleet_bounded.rs
@@ -1,6 +1,6 @@
 //! Membership with limits on what it sends, in simulated time: what it takes while much happens at once.
 
-use membership::{Bounds, Gateway, Terms};
+use membership::{Config, Node, TrafficLimits};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use simulator::mesh::{self, Mesh, gateways};
@@ -9,25 +9,25 @@
 /// leases.
 const MOST_SENT_BYTES_PER_S: f64 = 2_600.0;
 
-fn bounded() -> Terms {
-    Terms {
-        bounds: Some(Bounds::default()),
-        ..Terms::default()
+fn bounded() -> Config {
+    Config {
+        traffic_limits: Some(TrafficLimits::default()),
+        ..Config::default()
     }
 }
 
-fn sent_bytes(mesh: &Mesh<Gateway>) -> u64 {
+fn sent_bytes(mesh: &Mesh<Node>) -> u64 {
     mesh.sent.iter().map(|sent| sent.1).sum()
 }
 
 /// Bytes that one gateway sends a second in the mean while this is done.
-fn sent_bytes_per_s(mesh: &mut Mesh<Gateway>, what: impl FnOnce(&mut Mesh<Gateway>)) -> f64 {
+fn sent_bytes_per_s(mesh: &mut Mesh<Node>, what: impl FnOnce(&mut Mesh<Node>)) -> f64 {
     let (before, from) = (sent_bytes(mesh), mesh.now);
     what(mesh);
     (sent_bytes(mesh) - before) as f64 / (mesh.now - from).max(1.0) / mesh.len() as f64
 }
 
-fn started(count: usize, seed: u64) -> Mesh<Gateway> {
+fn started(count: usize, seed: u64) -> Mesh<Node> {
     let mut mesh = gateways(count, seed, bounded());
     mesh.start_all();
     let sent = sent_bytes_per_s(&mut mesh, |mesh| {
@@ -98,7 +98,7 @@
 }
 
 /// What may happen next, by chance.
-fn trouble(mesh: &mut Mesh<Gateway>, rng: &mut Pcg64Mcg) {
+fn trouble(mesh: &mut Mesh<Node>, rng: &mut Pcg64Mcg) {
     let at = rng.random_range(0..mesh.len());
     match rng.random_range(0..6) {
         0 if mesh.lives().len() > mesh.len() / 2 => mesh.kill(at),
