--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -131,9 +131,9 @@
     serve(&fleet);
     only_died(&fleet, &[3]);
     fleet.print_counters(3);
-    assert!(fleet.counter(3, "fleet_loop_stalls").unwrap() > 0);
-    assert_eq!(fleet.counter(3, "fleet_declared_dead"), Some(0));
-    assert!(fleet.counter(3, "fleet_refutations").unwrap() > 0);
+    assert!(fleet.counter(3, "fleet_stood_still").unwrap() > 0);
+    assert_eq!(fleet.counter(3, "fleet_died"), Some(0));
+    assert!(fleet.counter(3, "fleet_refuted").unwrap() > 0);
 }
 
 /// One that holds the key, at an address of its own; it answers nothing.
@@ -346,9 +346,7 @@
             })
             .sum()
     };
-    assert!(
-        refused("fleet_rejected_replayed") > 0 && refused("fleet_rejected_authentication_tag") > 0
-    );
+    assert!(refused("fleet_refused_repeated") > 0 && refused("fleet_refused_code") > 0);
 }
 
 #[test]
@@ -369,7 +367,7 @@
     for at in 0..4 {
         fleet.print_counters(at);
         assert_eq!(fleet.counter(at, "reloads_failed"), Some(0));
-        assert_eq!(fleet.counter(at, "fleet_rejected_unknown_key"), Some(0));
+        assert_eq!(fleet.counter(at, "fleet_refused_key"), Some(0));
     }
 }
 
@@ -405,7 +403,7 @@
     fleet.settled(SOON, &fleet.everyone()).unwrap();
     only_died(&fleet, &[]);
     fleet.print_counters(1);
-    let refused = fleet.counter(1, "fleet_rejected_unknown_key").unwrap();
+    let refused = fleet.counter(1, "fleet_refused_key").unwrap();
     assert!(sent > 1000 && refused > 500, "{refused} of {sent}");
     assert_eq!(fleet.counter(1, "overdue"), Some(0));
 }
--- a/crates/gateway/tests/golden.rs
+++ b/crates/gateway/tests/golden.rs
@@ -15,8 +15,10 @@
 use std::path::Path;
 use std::process::Command as Program;
 
-use ::membership::letter::{self, Body, Letter, Nonce, View};
-use ::membership::{Incarnation, Life, Locality, Name, Record, Ring, State};
+use ::membership::message::{self, Body, Message, Nonce, View};
+use ::membership::{
+    BootId, Config, Incarnation, KeyRing, Locality, MemberState, Name, Node, NodeSetup, Record,
+};
 use admission::interface::{EngineStage, TimeDelta, Timestamp};
 use bytes::BytesMut;
 use gateway::board::http::{self, Answered};
@@ -767,21 +769,23 @@
         zone: Some(name(zone)),
         region: Some(name(region)),
     };
-    let ring = || Ring::new(&[7; 32], &[]).unwrap();
-    let mut own = ::membership::Gateway::new(
+    let ring = || KeyRing::new(&[7; 32], &[]).unwrap();
+    let mut own = Node::new(
         at(10.0),
-        name("golden"),
-        name("g0"),
-        "127.0.0.1:7001".parse().unwrap(),
-        place("room-a", "north"),
-        Vec::new(),
-        ring(),
-        ::membership::Terms::default(),
-        5,
+        NodeSetup {
+            fleet: name("golden"),
+            name: name("g0"),
+            address: "127.0.0.1:7001".parse().unwrap(),
+            locality: place("room-a", "north"),
+            seeds: Vec::new(),
+            key_ring: ring(),
+            config: Config::default(),
+            rng_seed: 5,
+        },
     );
-    let record = |of: &str, port: u16, state: State, locality: Locality| Record {
+    let record = |of: &str, port: u16, state: MemberState, locality: Locality| Record {
         name: name(of),
-        life: Life(0x0102_0304_0506_0708),
+        boot_id: BootId(0x0102_0304_0506_0708),
         incarnation: Incarnation(3),
         address: format!("127.0.0.1:{port}").parse().unwrap(),
         locality,
@@ -789,11 +793,11 @@
     };
     let alone = cells(&status::fleet(at(12.5), &mut own));
     for (count, of, state, place) in [
-        (1, "g1", State::Alive, place("room-b", "south")),
+        (1, "g1", MemberState::Alive, place("room-b", "south")),
         (
             1,
             "g2",
-            State::Alive,
+            MemberState::Alive,
             Locality {
                 zone: None,
                 region: None,
@@ -802,16 +806,16 @@
     ] {
         let from = record(of, 7000 + if of == "g1" { 2 } else { 3 }, state, place);
         let address = from.address;
-        let letter = Letter {
+        let message = Message {
             fleet: name("golden"),
             from,
             counter: count,
             view: View { digest: 1, size: 2 },
             body: Body::Ping(Nonce(9)),
             records: Vec::new(),
-            engines: Vec::new(),
+            engine_reports: Vec::new(),
         };
-        let _ = own.receive(at(13.0), address, &letter::seal(&ring(), &letter));
+        let _ = own.receive(at(13.0), address, &message::seal(&ring(), &message));
     }
     let rows = cells(&status::fleet(at(15.0), &mut own));
     let mut got = vec![
@@ -820,8 +824,13 @@
     ];
     got.extend(rows.into_iter().map(|row| ("fleet-row", row)));
     got.extend(
-        [State::Alive, State::Suspect, State::Dead, State::Left]
-            .map(|state| ("fleet-state", state.to_string())),
+        [
+            MemberState::Alive,
+            MemberState::Suspect,
+            MemberState::Dead,
+            MemberState::Left,
+        ]
+        .map(|state| ("fleet-state", state.to_string())),
     );
     golden("fleet.txt", &got);
 }
@@ -831,7 +840,7 @@
     let holding = |of: &str, differs: bool| Holding {
         who: Who {
             name: name(of),
-            life: Life(1),
+            life: BootId(1),
         },
         need: Amount(1_500_000),
         reserved: Amount(2_250_000),
--- a/crates/membership/tests/hostile.rs
+++ b/crates/membership/tests/byzantine.rs
@@ -1,4 +1,4 @@
-//! What must not harm: any bytes, any letters of one who holds the key.
+//! What must not harm: any bytes, and any messages of a Byzantine node, which holds the key.
 
 use std::net::SocketAddr;
 
@@ -14,7 +14,7 @@
 
 const KEY: [u8; 32] = [7; 32];
 
-fn ring() -> KeyRing {
+fn key_ring() -> KeyRing {
     KeyRing::new(&KEY, &[]).unwrap()
 }
 
@@ -26,25 +26,25 @@
     SocketAddr::from(([10, 0, 0, number], 7946))
 }
 
-fn gateway(number: u8, config: Config) -> Node {
+fn node(number: u8, config: Config) -> Node {
     let name = Name::new(&format!("g{number}")).unwrap();
     let seeds = vec![at(1)];
     Node::new(
-        moment(0.0),
+        at_time(0.0),
         NodeSetup {
             fleet: fleet(),
             name,
             address: at(number),
             locality: Locality::default(),
             seeds,
-            key_ring: ring(),
+            key_ring: key_ring(),
             config: config,
             rng_seed: number.into(),
         },
     )
 }
 
-fn moment(secs: f64) -> Timestamp {
+fn at_time(secs: f64) -> Timestamp {
     Timestamp::from_secs(1000.0 + secs)
 }
 
@@ -59,7 +59,7 @@
     }
 }
 
-fn letter(from: Record, counter: u64, body: Body) -> Message {
+fn message_of(from: Record, counter: u64, body: Body) -> Message {
     Message {
         fleet: fleet(),
         from,
@@ -71,19 +71,19 @@
     }
 }
 
-/// By turns one another's letters, until a time.
+/// Hands the nodes' messages to each other, until a time.
 fn talk(all: &mut [Node], now: &mut f64, until: f64) {
     while *now < until {
         *now += 0.01;
         for from in 0..all.len() {
-            all[from].turn(moment(*now));
+            all[from].turn(at_time(*now));
             let source = all[from].local_record().address;
             for datagram in all[from].take_datagrams() {
                 let to = all
                     .iter_mut()
                     .find(|to| to.local_record().address == datagram.to);
                 if let Some(to) = to {
-                    let _ = to.receive(moment(*now), source, &datagram.bytes);
+                    let _ = to.receive(at_time(*now), source, &datagram.bytes);
                 }
             }
         }
@@ -91,12 +91,12 @@
 }
 
 #[test]
-fn what_is_not_ours_is_refused_by_its_reason() {
-    let mut own = gateway(1, Config::default());
-    let good = message::seal(&ring(), &letter(record(2), 1, Body::Gossip));
+fn foreign_datagrams_are_rejected_by_their_reason() {
+    let mut own = node(1, Config::default());
+    let good = message::seal(&key_ring(), &message_of(record(2), 1, Body::Gossip));
     let foreign = Message {
         fleet: Name::new("other").unwrap(),
-        ..letter(record(2), 2, Body::Gossip)
+        ..message_of(record(2), 2, Body::Gossip)
     };
     let own_name = Record {
         address: at(9),
@@ -116,52 +116,55 @@
         (change(1, 1), RejectReason::UnknownKey),
         (change(8, 1), RejectReason::AuthenticationTag),
         (change(40, 1), RejectReason::AuthenticationTag),
-        (message::seal(&ring(), &foreign), RejectReason::OtherFleet),
         (
-            message::seal(&ring(), &letter(record(3), 1, Body::Gossip)),
+            message::seal(&key_ring(), &foreign),
+            RejectReason::OtherFleet,
+        ),
+        (
+            message::seal(&key_ring(), &message_of(record(3), 1, Body::Gossip)),
             RejectReason::SourceAddress,
         ),
         (
-            message::seal(&ring(), &letter(record(2), 9, Body::Ack(Nonce(5)))),
+            message::seal(&key_ring(), &message_of(record(2), 9, Body::Ack(Nonce(5)))),
             RejectReason::Unsolicited,
         ),
     ];
-    for (bytes, refused) in cases {
+    for (bytes, rejected) in cases {
         assert_eq!(
-            own.receive(moment(1.0), at(2), &bytes),
-            Err(refused),
-            "{refused}"
+            own.receive(at_time(1.0), at(2), &bytes),
+            Err(rejected),
+            "{rejected}"
         );
     }
     assert_eq!(
         own.receive(
-            moment(1.0),
+            at_time(1.0),
             at(9),
-            &message::seal(&ring(), &letter(own_name, 1, Body::Gossip))
+            &message::seal(&key_ring(), &message_of(own_name, 1, Body::Gossip))
         ),
         Err(RejectReason::OwnName)
     );
-    assert_eq!(own.receive(moment(1.0), at(2), &good), Ok(()));
+    assert_eq!(own.receive(at_time(1.0), at(2), &good), Ok(()));
     assert_eq!(
-        own.receive(moment(1.0), at(2), &good),
+        own.receive(at_time(1.0), at(2), &good),
         Err(RejectReason::Replayed)
     );
-    let refused: u64 = own
+    let rejected: u64 = own
         .metrics
         .named_counts()
         .iter()
-        .filter(|(name, _)| name.starts_with("rejected"))
+        .filter(|(name, _)| name.starts_with("refused"))
         .map(|(_, count)| count)
         .sum();
-    assert_eq!((refused, own.metrics.accepted), (12, 1));
+    assert_eq!((rejected, own.metrics.accepted), (12, 1));
 }
 
 #[test]
-fn any_bytes_leave_it_as_it_was() {
+fn any_bytes_leave_a_node_as_it_was() {
     fn holds(bytes: Vec<u8>) -> TestResult {
-        let mut own = gateway(1, Config::default());
-        let refused = own.receive(moment(1.0), at(2), &bytes).is_err();
-        TestResult::from_bool(refused && own.take_datagrams().is_empty() && own.table_len() == 0)
+        let mut own = node(1, Config::default());
+        let rejected = own.receive(at_time(1.0), at(2), &bytes).is_err();
+        TestResult::from_bool(rejected && own.take_datagrams().is_empty() && own.table_len() == 0)
     }
     QuickCheck::new()
         .tests(2000)
@@ -169,15 +172,15 @@
 }
 
 #[test]
-fn any_change_of_a_letter_under_way_is_found() {
-    let good = message::seal(&ring(), &letter(record(2), 1, Body::Ping(Nonce(3))));
+fn any_change_of_a_message_under_way_is_found() {
+    let good = message::seal(&key_ring(), &message_of(record(2), 1, Body::Ping(Nonce(3))));
     for byte in 0..good.len() {
         for bit in 0..8 {
             let mut bytes = good.clone();
             bytes[byte] ^= 1 << bit;
             assert!(
-                gateway(1, Config::default())
-                    .receive(moment(1.0), at(2), &bytes)
+                node(1, Config::default())
+                    .receive(at_time(1.0), at(2), &bytes)
                     .is_err(),
                 "{byte} {bit}"
             );
@@ -186,37 +189,35 @@
 }
 
 /// One that holds the key says anything: four honest ones stay together, bounded, and hold each other.
-fn liars_day(seed: u64) -> TestResult {
-    liars_day_with(seed, None)
+fn byzantine_rounds(seed: u64) -> TestResult {
+    byzantine_rounds_with(seed, None)
 }
 
-fn liars_day_with(seed: u64, bounds: Option<TrafficLimits>) -> TestResult {
+fn byzantine_rounds_with(seed: u64, limits: Option<TrafficLimits>) -> TestResult {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let config = Config {
         max_members: 40,
-        traffic_limits: bounds,
+        traffic_limits: limits,
         ..Config::default()
     };
-    let mut all: Vec<Node> = (1..=4)
-        .map(|number| gateway(number, config.clone()))
-        .collect();
-    // The liar is a gateway too: known, and heard.
-    all.push(gateway(5, config));
+    let mut all: Vec<Node> = (1..=4).map(|number| node(number, config.clone())).collect();
+    // The Byzantine node is a member too: known, and heard.
+    all.push(node(5, config));
     let mut now = 0.0;
     talk(&mut all, &mut now, 12.0);
-    if all.iter().any(|gateway| gateway.fleet_size() != 5) {
+    if all.iter().any(|node| node.fleet_size() != 5) {
         return TestResult::failed();
     }
     let mut counter = 1 << 40;
     for _ in 0..40 {
         for honest in 0..4 {
-            let mut lie = letter(all[4].local_record().clone(), counter, Body::Gossip);
+            let mut lie = message_of(all[4].local_record().clone(), counter, Body::Gossip);
             counter += 1;
             for _ in 0..rng.random_range(0..8) {
                 let number = rng.random_range(1..=8u8);
                 let known = all
                     .iter()
-                    .find(|gateway| gateway.local_record().address == at(number));
+                    .find(|node| node.local_record().address == at(number));
                 let life = known
                     .filter(|_| rng.random::<bool>())
                     .map_or(BootId(rng.random()), |of| of.local_record().boot_id);
@@ -236,8 +237,8 @@
                     state: states[rng.random_range(0..4)],
                 });
             }
-            let bytes = message::seal(&ring(), &lie);
-            let _ = all[honest].receive(moment(now), at(5), &bytes);
+            let bytes = message::seal(&key_ring(), &lie);
+            let _ = all[honest].receive(at_time(now), at(5), &bytes);
         }
         let until = now + 0.5;
         talk(&mut all, &mut now, until);
@@ -269,38 +270,38 @@
 }
 
 #[test]
-fn one_liar_among_five_takes_nobody_off_whatever_it_says() {
+fn one_byzantine_node_among_five_takes_nobody_off_whatever_it_says() {
     QuickCheck::new()
         .tests(30)
-        .quickcheck(liars_day as fn(u64) -> TestResult);
+        .quickcheck(byzantine_rounds as fn(u64) -> TestResult);
 }
 
 #[test]
-fn one_liar_among_five_takes_nobody_off_with_bounds_either() {
-    let holds = |seed| liars_day_with(seed, Some(TrafficLimits::default()));
+fn one_byzantine_node_among_five_takes_nobody_off_with_traffic_limits_either() {
+    let holds = |seed| byzantine_rounds_with(seed, Some(TrafficLimits::default()));
     QuickCheck::new()
         .tests(30)
         .quickcheck(holds as fn(u64) -> TestResult);
 }
 
 #[test]
-fn the_same_lies_by_two_of_two_needed_take_effect() {
-    // What liars_day would miss if nothing ever counted: two that agree are believed, until it is refuted.
+fn the_same_lies_by_two_of_two_witnesses_needed_take_effect() {
+    // What byzantine_rounds would miss if nothing ever counted: two that agree are believed, until it is refuted.
     let mut all: Vec<Node> = (1..=5)
-        .map(|number| gateway(number, Config::default()))
+        .map(|number| node(number, Config::default()))
         .collect();
     let mut now = 0.0;
     talk(&mut all, &mut now, 12.0);
     let victim = all[3].local_record().clone();
-    for liar in [1, 2] {
-        let mut lie = letter(all[liar].local_record().clone(), 1 << 40, Body::Gossip);
+    for byzantine in [1, 2] {
+        let mut lie = message_of(all[byzantine].local_record().clone(), 1 << 40, Body::Gossip);
         lie.records.push(Record {
             state: MemberState::Suspect,
             ..victim.clone()
         });
-        let from = all[liar].local_record().address;
+        let from = all[byzantine].local_record().address;
         all[0]
-            .receive(moment(now), from, &message::seal(&ring(), &lie))
+            .receive(at_time(now), from, &message::seal(&key_ring(), &lie))
             .unwrap();
     }
     assert_eq!(
@@ -317,45 +318,45 @@
 }
 
 #[test]
-fn a_flood_of_questions_is_answered_at_a_pace() {
+fn a_flood_of_pings_is_answered_at_a_bounded_rate() {
     let mut all: Vec<Node> = (1..=2)
-        .map(|number| gateway(number, Config::default()))
+        .map(|number| node(number, Config::default()))
         .collect();
     let mut now = 0.0;
     talk(&mut all, &mut now, 8.0);
     let from = all[1].local_record().clone();
     for counter in 0..5000u64 {
-        let question = letter(
+        let ping = message_of(
             from.clone(),
             (1 << 40) + counter,
             Body::Ping(Nonce(counter)),
         );
-        let _ = all[0].receive(moment(now), at(2), &message::seal(&ring(), &question));
+        let _ = all[0].receive(at_time(now), at(2), &message::seal(&key_ring(), &ping));
     }
     let answers = all[0].take_datagrams().len();
     assert!((1..=60).contains(&answers), "{answers} answers at once");
     assert!(all[0].metrics.rejected_rate_limited > 4900);
-    let later = moment(now) + TimeDelta::from_secs(1.0);
-    let question = letter(from, 1 << 50, Body::Ping(Nonce(1)));
+    let later = at_time(now) + TimeDelta::from_secs(1.0);
+    let ping = message_of(from, 1 << 50, Body::Ping(Nonce(1)));
     assert_eq!(
-        all[0].receive(later, at(2), &message::seal(&ring(), &question)),
+        all[0].receive(later, at(2), &message::seal(&key_ring(), &ping)),
         Ok(())
     );
 }
 
 #[test]
-fn one_whose_table_never_ends_is_asked_at_a_pace() {
+fn a_node_whose_table_never_ends_is_asked_at_a_bounded_rate() {
     let mut all: Vec<Node> = (1..=2)
-        .map(|number| gateway(number, Config::default()))
+        .map(|number| node(number, Config::default()))
         .collect();
     let mut now = 0.0;
     talk(&mut all, &mut now, 8.0);
     let from = all[1].local_record().clone();
     for counter in 0..1000u64 {
         let next = Some(Name::new("a").unwrap());
-        let page = letter(from.clone(), (1 << 40) + counter, Body::Page { next });
+        let page = message_of(from.clone(), (1 << 40) + counter, Body::Page { next });
         all[0]
-            .receive(moment(now), at(2), &message::seal(&ring(), &page))
+            .receive(at_time(now), at(2), &message::seal(&key_ring(), &page))
             .unwrap();
     }
     let asked = all[0].take_datagrams().len();
--- a/crates/membership/tests/node_lifetime.rs
+++ b/crates/membership/tests/node_lifetime.rs
@@ -1,4 +1,4 @@
-//! One gateway's life as two others see it, over the very code: whatever is lost, repeated, stopped or restarted in every
+//! One node as two others see it, over the very code: whatever is lost, repeated, stopped or restarted in every
 //! order, once the network is well again nobody who lives and refutes stays dead.
 
 use std::hash::{Hash, Hasher};
@@ -13,12 +13,12 @@
 const STEP_S: f64 = 0.05;
 /// Longer than it takes three to hold a silent one for dead.
 const PHASE_S: f64 = 9.0;
-/// The same with bounds, where a failed probe is repeated first.
-const BOUNDED_PHASE_S: f64 = 16.0;
+/// The same with traffic limits, where a failed probe is repeated first.
+const LIMITED_PHASE_S: f64 = 16.0;
 /// Two calls to those that had gone, and time to tell.
 const WELL_S: f64 = 25.0;
 
-/// What goes on for a while; the first gateway is the one whose life is looked at.
+/// What goes on for a while; the first node is the one that is looked at.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Phase {
     Well,
@@ -53,7 +53,7 @@
     SocketAddr::from(([10, 0, 0, number as u8], 7946))
 }
 
-fn gateway(number: usize, now: f64, life: u64, bounded: bool) -> Node {
+fn node(number: usize, now: f64, life: u64, is_limited: bool) -> Node {
     let (fleet, ring) = (Name::new("test").unwrap(), KeyRing::new(&KEY, &[]).unwrap());
     let name = Name::new(&format!("g{number}")).unwrap();
     let seeds = vec![at(1), at(2)];
@@ -68,7 +68,7 @@
             seeds,
             key_ring: ring,
             config: Config {
-                traffic_limits: bounded.then(TrafficLimits::default),
+                traffic_limits: is_limited.then(TrafficLimits::default),
                 ..Config::default()
             },
             rng_seed: seed,
@@ -85,13 +85,13 @@
     life: u64,
     /// The seeded fault: what the first says once it has refuted is lost.
     refutes: bool,
-    bounded: bool,
+    is_limited: bool,
 }
 
 impl World {
-    fn new(refutes: bool, bounded: bool) -> World {
+    fn new(refutes: bool, is_limited: bool) -> World {
         let all = (0..3)
-            .map(|number| gateway(number, 0.0, 0, bounded))
+            .map(|number| node(number, 0.0, 0, is_limited))
             .collect();
         let mut world = World {
             now: 0.0,
@@ -99,7 +99,7 @@
             later: Vec::new(),
             life: 0,
             refutes,
-            bounded,
+            is_limited,
         };
         world.run(Phase::Well, 15.0);
         world
@@ -108,7 +108,7 @@
     fn run(&mut self, phase: Phase, lasts: f64) {
         if phase == Phase::Restarted {
             self.life += 1;
-            self.all[0] = gateway(0, self.now, self.life, self.bounded);
+            self.all[0] = node(0, self.now, self.life, self.is_limited);
         }
         for (from, to, bytes) in std::mem::take(&mut self.later) {
             let _ = self.all[to].receive(Timestamp::from_secs(self.now), at(from), &bytes);
@@ -166,8 +166,8 @@
 
 fn refuted(bytes: &[u8]) -> bool {
     let ring = KeyRing::new(&KEY, &[]).unwrap();
-    let letter = message::open(&ring, &Name::new("test").unwrap(), bytes).unwrap();
-    letter.from.incarnation.0 > 1
+    let message = message::open(&ring, &Name::new("test").unwrap(), bytes).unwrap();
+    message.from.incarnation.0 > 1
 }
 
 /// Told apart by what went on: nothing else goes into it.
@@ -193,7 +193,7 @@
 
 struct Lives {
     refutes: bool,
-    bounded: bool,
+    is_limited: bool,
     phases: usize,
 }
 
@@ -204,7 +204,7 @@
     fn init_states(&self) -> Vec<State> {
         vec![State {
             phases: Vec::new(),
-            world: World::new(self.refutes, self.bounded),
+            world: World::new(self.refutes, self.is_limited),
         }]
     }
 
@@ -219,8 +219,8 @@
         state.phases.push(phase);
         state.world.run(
             phase,
-            if self.bounded {
-                BOUNDED_PHASE_S
+            if self.is_limited {
+                LIMITED_PHASE_S
             } else {
                 PHASE_S
             },
@@ -251,7 +251,7 @@
                         .world
                         .all
                         .iter()
-                        .all(|gateway| gateway.local_record().incarnation.0 < 200)
+                        .all(|node| node.local_record().incarnation.0 < 200)
                 },
             ),
         ]
@@ -262,10 +262,10 @@
     search_with(refutes, phases, false)
 }
 
-fn search_with(refutes: bool, phases: usize, bounded: bool) -> (usize, bool) {
+fn search_with(refutes: bool, phases: usize, is_limited: bool) -> (usize, bool) {
     let checker = Lives {
         refutes,
-        bounded,
+        is_limited,
         phases,
     }
     .checker()
@@ -287,7 +287,7 @@
 }
 
 #[test]
-fn in_every_order_of_three_troubles_nobody_stays_dead_with_bounds_either() {
+fn in_every_order_of_three_troubles_nobody_stays_dead_with_traffic_limits_either() {
     assert_eq!(search_with(true, 3, true), (1 + 8 + 64 + 512, false));
 }
 
--- /dev/null
+++ b/crates/membership/tests/probe_retries.rs
@@ -0,0 +1,49 @@
+//! Failed probes that are repeated before suspicion.
+
+use admission::interface::Timestamp;
+use membership::Name;
+use membership::probe_retries::{FailureOutcome, ProbeRetries};
+
+fn name(number: usize) -> Name {
+    Name::new(&format!("g{number}")).unwrap()
+}
+
+fn now() -> Timestamp {
+    Timestamp::from_secs(1.0)
+}
+
+#[test]
+fn a_member_is_suspected_after_as_many_repeats_as_are_configured() {
+    let mut retries = ProbeRetries::default();
+    for _ in 0..3 {
+        let outcome = retries.probe_failed(now(), &name(1), 3);
+        assert_eq!(outcome, FailureOutcome::Retry);
+        assert_eq!(retries.due(now()), [name(1)]);
+        retries.started(&name(1));
+        assert_eq!(retries.next_due(), None, "that probe runs");
+    }
+    let outcome = retries.probe_failed(now(), &name(1), 3);
+    assert_eq!(outcome, FailureOutcome::Suspect);
+    assert!(!retries.contains(&name(1)));
+}
+
+#[test]
+fn an_answer_in_between_begins_the_count_anew() {
+    let mut retries = ProbeRetries::default();
+    let _ = retries.probe_failed(now(), &name(1), 3);
+    let _ = retries.probe_failed(now(), &name(1), 3);
+    assert_eq!(retries.failures(&name(1)), Some(2));
+    retries.clear(&name(1));
+    let _ = retries.probe_failed(now(), &name(1), 3);
+    assert_eq!(retries.failures(&name(1)), Some(1));
+}
+
+#[test]
+fn of_many_that_fail_at_once_two_are_repeated_here() {
+    let mut retries = ProbeRetries::default();
+    for number in 0..5 {
+        let outcome = retries.probe_failed(now(), &name(number), 3);
+        assert_eq!(outcome, FailureOutcome::Retry);
+    }
+    assert_eq!(retries.due(now()), [name(0), name(1)]);
+}
--- a/crates/membership/tests/replay_window.rs
+++ b/crates/membership/tests/replay_window.rs
@@ -1,4 +1,4 @@
-//! Which letters counters of a sender were seen before.
+//! Which message counters of a sender were seen before.
 
 use membership::replay_window::ReplayWindow;
 
--- a/crates/membership/tests/traffic_limits.rs
+++ b/crates/membership/tests/traffic_limits.rs
@@ -1,4 +1,4 @@
-//! With bounds: what is repeated before it is said, and what nobody but a few verifies.
+//! With traffic limits: probes that are repeated before suspicion, updates that only a few verify, and tables that are compared.
 
 use std::net::SocketAddr;
 
@@ -13,7 +13,7 @@
 const KEY: [u8; 32] = [7; 32];
 const STEP_S: f64 = 0.02;
 
-fn ring() -> KeyRing {
+fn key_ring() -> KeyRing {
     KeyRing::new(&KEY, &[]).unwrap()
 }
 
@@ -29,9 +29,9 @@
     SocketAddr::from(([10, 0, 0, number as u8], 7946))
 }
 
-fn config(bounds: Option<TrafficLimits>) -> Config {
+fn config(limits: Option<TrafficLimits>) -> Config {
     Config {
-        traffic_limits: bounds,
+        traffic_limits: limits,
         ..Config::default()
     }
 }
@@ -63,7 +63,7 @@
                     address: own.1,
                     locality,
                     seeds,
-                    key_ring: ring(),
+                    key_ring: key_ring(),
                     config: config_of(number),
                     rng_seed: seed,
                 },
@@ -112,7 +112,7 @@
 
     fn agreed(&self) -> bool {
         let living = self.living().count();
-        self.living().all(|gateway| gateway.fleet_size() == living)
+        self.living().all(|node| node.fleet_size() == living)
     }
 
     /// Seconds until all agree.
@@ -136,18 +136,18 @@
 fn a_third_lost_raises_few_suspicions_only_where_failed_probes_are_repeated() {
     /// Suspicions and deaths of 24 gateways in a minute.
     fn troubles(seed: u64, confirmations: usize) -> (u64, u64) {
-        let bounds = TrafficLimits {
+        let limits = TrafficLimits {
             confirmations,
             ..TrafficLimits::default()
         };
-        let mut world = World::new(24, seed, |_| config(Some(bounds.clone())));
+        let mut world = World::new(24, seed, |_| config(Some(limits.clone())));
         assert!(world.settle(30.0).is_some());
-        let before = world.sum(|gateway| gateway.metrics.suspected);
+        let before = world.sum(|node| node.metrics.suspected);
         world.lost = 1.0 / 3.0;
         world.run(60.0);
         (
-            world.sum(|gateway| gateway.metrics.suspected) - before,
-            world.sum(|gateway| gateway.metrics.declared_dead),
+            world.sum(|node| node.metrics.suspected) - before,
+            world.sum(|node| node.metrics.declared_dead),
         )
     }
     for seed in 1..=5 {
@@ -173,16 +173,12 @@
         world.run(15.0);
         world.all[count - 1] = None;
         assert!(world.settle(60.0).is_some(), "{count}, one dead");
-        assert_eq!(
-            world.sum(|gateway| gateway.metrics.false_deaths),
-            0,
-            "{count}"
-        );
+        assert_eq!(world.sum(|node| node.metrics.false_deaths), 0, "{count}");
     }
 }
 
 #[test]
-fn gateways_with_bounds_and_without_understand_each_other() {
+fn nodes_with_traffic_limits_and_without_understand_each_other() {
     let mut world = World::new(40, 3, |number| {
         config((number % 2 == 0).then(TrafficLimits::default))
     });
@@ -208,50 +204,49 @@
         records: vec![of],
         engine_reports: vec![],
     };
-    message::seal(&ring(), &message)
+    message::seal(&key_ring(), &message)
 }
 
 #[test]
 fn of_all_that_hear_one_witness_only_some_probe_at_once() {
-    let probing = |bounds: Option<TrafficLimits>| {
-        let mut world = World::new(40, 4, |_| config(bounds.clone()));
+    let probing = |limits: Option<TrafficLimits>| {
+        let mut world = World::new(40, 4, |_| config(limits.clone()));
         assert!(world.settle(60.0).is_some());
         world.run(60.0);
         let witness = world.all[5].as_ref().unwrap().local_record().clone();
         let subject = world.all[6].as_ref().unwrap().local_record().clone();
         let now = Timestamp::from_secs(world.now);
-        let before = world.sum(|gateway| gateway.metrics.probes);
-        for gateway in world
+        let before = world.sum(|node| node.metrics.probes);
+        for node in world
             .all
             .iter_mut()
             .flatten()
-            .filter(|gateway| gateway.local_record().name != witness.name)
+            .filter(|node| node.local_record().name != witness.name)
         {
             let suspect = Record {
                 state: MemberState::Suspect,
                 ..subject.clone()
             };
-            gateway
-                .receive(now, witness.address, &told(&witness, 1 << 40, suspect))
+            node.receive(now, witness.address, &told(&witness, 1 << 40, suspect))
                 .unwrap();
         }
         world.run(2.0);
-        world.sum(|gateway| gateway.metrics.probes) - before
+        world.sum(|node| node.metrics.probes) - before
     };
     // 40 gateways probe some 80 in two seconds; each that verifies adds one.
     let (few, all) = (probing(Some(TrafficLimits::default())), probing(None));
-    assert!(few + 15 < all, "{few} probes with bounds, {all} without");
+    assert!(few + 15 < all, "{few} probes with limits, {all} without");
 }
 
 #[test]
 fn gossip_and_table_pages_keep_to_their_bytes() {
-    let bytes = |bounds: Option<TrafficLimits>| {
-        let mut world = World::new(60, 5, |_| config(bounds.clone()));
+    let bytes = |limits: Option<TrafficLimits>| {
+        let mut world = World::new(60, 5, |_| config(limits.clone()));
         assert!(world.settle(60.0).is_some());
         world.run(60.0);
-        let before = world.sum(|gateway| gateway.metrics.sent_bytes);
+        let before = world.sum(|node| node.metrics.sent_bytes);
         world.run(60.0);
-        (world.sum(|gateway| gateway.metrics.sent_bytes) - before) as f64 / 60.0 / 60.0
+        (world.sum(|node| node.metrics.sent_bytes) - before) as f64 / 60.0 / 60.0
     };
     let (bounded, plain) = (bytes(Some(TrafficLimits::default())), bytes(None));
     // Equal views exchange no tables.
@@ -269,11 +264,11 @@
         world.settle(200.0).is_some(),
         "a narrow budget delays, no more"
     );
-    assert!(world.sum(|gateway| gateway.metrics.limited_gossip) > 0);
+    assert!(world.sum(|node| node.metrics.limited_gossip) > 0);
 }
 
 #[test]
-fn who_is_cut_off_keeps_its_table_and_knows_how_old_it_is() {
+fn a_partitioned_node_keeps_its_table_and_knows_how_old_it_is() {
     let mut world = World::new(5, 7, |_| config(Some(TrafficLimits::default())));
     assert!(world.settle(30.0).is_some());
     world.run(15.0);
@@ -294,7 +289,7 @@
 fn a_bucket_that_is_equal_in_another_table_vouches_for_its_candidates() {
     let mut world = World::new(60, 8, |_| config(Some(TrafficLimits::default())));
     assert!(world.settle(90.0).is_some());
-    assert!(world.sum(|gateway| gateway.metrics.vouched_by_digest) > 0);
+    assert!(world.sum(|node| node.metrics.vouched_by_digest) > 0);
 }
 
 /// One that never was there, told by a single host.
@@ -315,51 +310,51 @@
 }
 
 #[test]
-fn one_host_that_lies_in_comparisons_brings_nobody_in_and_takes_nobody_off() {
-    const LIAR: usize = 9;
+fn a_byzantine_host_in_comparisons_brings_nobody_in_and_takes_nobody_off() {
+    const BYZANTINE: usize = 9;
     let mut world = World::new(10, 9, |_| config(Some(TrafficLimits::default())));
     assert!(world.settle(60.0).is_some());
     world.run(10.0);
     world.meddler = Some(Box::new(|from, _, bytes| {
-        if from != LIAR {
+        if from != BYZANTINE {
             return;
         }
-        let mut message = message::open(&ring(), &fleet_name(), bytes).unwrap();
+        let mut message = message::open(&key_ring(), &fleet_name(), bytes).unwrap();
         // Its table agrees with every other, the one it invented among it, and its view with none, so that it is compared.
         if let Body::DigestResponse { equal, .. } = &mut message.body {
             *equal = u32::MAX;
         }
         message.view = View { digest: 1, size: 3 };
         message.records = vec![invented()];
-        *bytes = message::seal(&ring(), &message);
+        *bytes = message::seal(&key_ring(), &message);
     }));
-    let compared = |world: &World| world.sum(|gateway| gateway.metrics.digest_requests_sent);
+    let compared = |world: &World| world.sum(|node| node.metrics.digest_requests_sent);
     let before = compared(&world);
     world.run(120.0);
     assert!(
         compared(&world) > before,
-        "nothing was compared with the liar"
+        "nothing was compared with the Byzantine node"
     );
-    for gateway in world
+    for node in world
         .living()
-        .filter(|gateway| gateway.local_record().name != name(LIAR))
+        .filter(|node| node.local_record().name != name(BYZANTINE))
     {
-        let held = gateway.member(&invented().name);
+        let held = node.member(&invented().name);
         assert!(
             held.is_none_or(|held| !held.confirmed),
             "{} believes one host",
-            gateway.local_record().name
+            node.local_record().name
         );
-        assert_eq!(gateway.fleet_size(), 10, "{}", gateway.local_record().name);
+        assert_eq!(node.fleet_size(), 10, "{}", node.local_record().name);
     }
 }
 
 #[test]
-fn gateways_that_know_no_comparison_still_give_their_tables() {
+fn nodes_that_know_no_comparison_still_give_their_tables() {
     let mut world = World::new(40, 10, |_| config(Some(TrafficLimits::default())));
     // Every other one is of an older version: it refuses what it cannot read, and so asks nothing of the kind.
     world.meddler = Some(Box::new(|from, to, bytes| {
-        let message = message::open(&ring(), &fleet_name(), bytes).unwrap();
+        let message = message::open(&key_ring(), &fleet_name(), bytes).unwrap();
         let compares = matches!(
             message.body,
             Body::DigestRequest { .. }
@@ -377,7 +372,7 @@
 }
 
 #[test]
-fn comparisons_that_name_no_buckets_of_a_table_are_refused() {
+fn digest_requests_that_name_no_buckets_of_a_table_are_rejected() {
     let mut world = World::new(3, 11, |_| config(Some(TrafficLimits::default())));
     assert!(world.settle(30.0).is_some());
     let by = world.all[1].as_ref().unwrap().local_record().clone();
@@ -400,9 +395,9 @@
             engine_reports: vec![],
         };
         let receiver = world.all[0].as_mut().unwrap();
-        let refused = receiver.receive(now, by.address, &message::seal(&ring(), &message));
+        let rejected = receiver.receive(now, by.address, &message::seal(&key_ring(), &message));
         assert_eq!(
-            refused,
+            rejected,
             Err(membership::RejectReason::Malformed),
             "{first}, {buckets}"
         );
@@ -413,33 +408,32 @@
 }
 
 #[test]
-fn lists_that_name_too_many_are_refused_and_a_liar_s_answer_to_one_brings_nobody_in() {
-    const LIAR: usize = 9;
+fn fingerprint_requests_that_name_too_many_are_rejected_and_a_byzantine_answer_brings_nobody_in() {
+    const BYZANTINE: usize = 9;
     let mut world = World::new(10, 12, |_| config(Some(TrafficLimits::default())));
     world.meddler = Some(Box::new(|from, _, bytes| {
-        if from != LIAR {
+        if from != BYZANTINE {
             return;
         }
-        let mut message = message::open(&ring(), &fleet_name(), bytes).unwrap();
+        let mut message = message::open(&key_ring(), &fleet_name(), bytes).unwrap();
         if let Body::FingerprintResponse { held, .. } = &mut message.body {
             *held = u64::MAX;
         }
         message.records.push(invented());
-        *bytes = message::seal(&ring(), &message);
+        *bytes = message::seal(&key_ring(), &message);
     }));
     assert!(world.settle(60.0).is_some(), "start");
     world.run(60.0);
-    assert!(world.sum(|gateway| gateway.metrics.fingerprint_requests_sent) > 0);
-    for gateway in world
+    assert!(world.sum(|node| node.metrics.fingerprint_requests_sent) > 0);
+    for node in world
         .living()
-        .filter(|gateway| gateway.local_record().name != name(LIAR))
+        .filter(|node| node.local_record().name != name(BYZANTINE))
     {
         assert!(
-            gateway
-                .member(&invented().name)
+            node.member(&invented().name)
                 .is_none_or(|held| !held.confirmed),
             "{}",
-            gateway.local_record().name
+            node.local_record().name
         );
     }
     let by = world.all[1].as_ref().unwrap().local_record().clone();
@@ -459,12 +453,12 @@
         engine_reports: vec![],
     };
     let receiver = world.all[0].as_mut().unwrap();
-    let refused = receiver.receive(
+    let rejected = receiver.receive(
         Timestamp::from_secs(world.now),
         by.address,
-        &message::seal(&ring(), &message),
+        &message::seal(&key_ring(), &message),
     );
-    assert_eq!(refused, Err(membership::RejectReason::Malformed));
+    assert_eq!(rejected, Err(membership::RejectReason::Malformed));
 }
 
 /// The fleet that tells one of its gateways that a living one is dead, by four hosts, while the two don't reach each other;
@@ -503,7 +497,7 @@
             if to != Self::WRONG {
                 return;
             }
-            let mut message = message::open(&ring(), &fleet_name(), bytes).unwrap();
+            let mut message = message::open(&key_ring(), &fleet_name(), bytes).unwrap();
             if matches!(message.body, Body::IndirectAck(_)) && !vouched {
                 return bytes.clear();
             }
@@ -517,14 +511,14 @@
                     },
                 );
             }
-            *bytes = message::seal(&ring(), &message);
+            *bytes = message::seal(&key_ring(), &message);
         }));
     }
 
     /// The subject answers again, and says nothing of itself.
     fn end(&mut self) {
         self.world.meddler = Some(Box::new(|from, to, bytes| {
-            let message = message::open(&ring(), &fleet_name(), bytes).unwrap();
+            let message = message::open(&key_ring(), &fleet_name(), bytes).unwrap();
             if (from, to) == (Self::SUBJECT, Self::WRONG) && !matches!(message.body, Body::Ack(_)) {
                 bytes.clear();
             }
@@ -546,7 +540,7 @@
 }
 
 #[test]
-fn a_false_death_that_one_gateway_alone_holds_is_mended_by_comparing_tables() {
+fn a_false_death_that_one_node_alone_holds_is_mended_by_comparing_tables() {
     for seed in 13..17 {
         let mut case = FalseDeath::new(seed);
         case.tell(false);
@@ -564,7 +558,7 @@
 }
 
 #[test]
-fn a_suspect_whom_another_reaches_is_not_held_for_dead() {
+fn a_suspect_whom_another_reaches_is_not_declared_dead() {
     for seed in 13..17 {
         let mut case = FalseDeath::new(seed);
         case.tell(true);
