--- a/crates/gateway/tests/golden.rs
+++ b/crates/gateway/tests/golden.rs
@@ -29,7 +29,7 @@
 use gateway::status;
 use quota::office::Holding;
 use quota::{Amount, Line, Status, Who};
-use scheduler::{DeskStatus, Estimate, StatementStatus};
+use scheduler::{StatementStatus, SubQueueStatus, WaitEstimate};
 use serde_json::json;
 use stand_ins::client::{Client, login_packet, packet, query_packet};
 use stand_ins::engine::Mood;
@@ -709,38 +709,38 @@
     Timestamp::from_secs(secs)
 }
 
-fn estimate(wait: f64, p90: f64) -> Estimate {
-    Estimate {
-        wait: TimeDelta::from_secs(wait),
+fn estimate(wait: f64, p90: f64) -> WaitEstimate {
+    WaitEstimate {
+        median: TimeDelta::from_secs(wait),
         p90: TimeDelta::from_secs(p90),
     }
 }
 
 #[test]
 fn queues_are_shown_as_recorded() {
-    let desk = DeskStatus {
-        member: "water".to_owned(),
-        desk: "counter".to_owned(),
+    let desk = SubQueueStatus {
+        tenant: "water".to_owned(),
+        sub_queue: "counter".to_owned(),
         waiting: 3,
-        cpu: 1.25,
+        waiting_cpu: 1.25,
         budget: 0.5,
         rate: Some(0.75),
         saved: -2.5,
-        longest: TimeDelta::from_secs(0.4),
-        next: vec![estimate(0.1, 0.3), estimate(0.2, 0.6)],
+        longest_wait: TimeDelta::from_secs(0.4),
+        next_waits: vec![estimate(0.1, 0.3), estimate(0.2, 0.6)],
     };
-    let quiet = DeskStatus {
+    let quiet = SubQueueStatus {
         rate: None,
-        next: Vec::new(),
-        desk: "kiosk".to_owned(),
+        next_waits: Vec::new(),
+        sub_queue: "kiosk".to_owned(),
         ..desk.clone()
     };
     let statement = StatementStatus {
-        member: "water".to_owned(),
-        desk: "counter".to_owned(),
+        tenant: "water".to_owned(),
+        sub_queue: "counter".to_owned(),
         ahead: 4,
         waited: TimeDelta::from_secs(0.25),
-        left: estimate(0.5, 1.5),
+        remaining: estimate(0.5, 1.5),
     };
     let desks = status::desks(&[desk, quiet]);
     let statement = [status::statement("5eed00c0ffee0a17", &statement)];
