--- a/crates/quota/tests/world/mod.rs
+++ b/crates/quota/tests/world/mod.rs
@@ -3,7 +3,7 @@
 #![allow(dead_code)] // Each test file uses a part of it.
 
 use admission::interface::{TimeDelta, Timestamp};
-use membership::{Life, Name};
+use membership::{BootId, Name};
 use quota::{Amount, Budget, BudgetKind, Config, FaultInjection, HolderId, Participant, Payload};
 
 /// Far beyond what clocks do, so that a search finds what drift breaks.
@@ -133,7 +133,7 @@
         gateway.starts += 1;
         let id = HolderId {
             name: name(index),
-            boot_id: Life(gateway.starts * 100 + index as u64),
+            boot_id: BootId(gateway.starts * 100 + index as u64),
         };
         let seed = index as u64 * 7919 + gateway.starts;
         gateway.participant = Some(Participant::new(now, id, self.config.clone(), seed));
--- a/crates/simulator/src/control/ledger.rs
+++ b/crates/simulator/src/control/ledger.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use admission::interface::{TimeDelta, Timestamp};
-use membership::letter::{self, Body, Letter, View};
-use membership::{Incarnation, Life, Locality, Name, Record, Ring, State};
+use membership::message::{self, Body, Message, View};
+use membership::{BootId, Incarnation, KeyRing, Locality, MemberState, Name, Record};
 use quota::message::{BudgetDemand, LeaseRequest, Vote, VoteRequest};
 use quota::{Amount, Budget, BudgetKind, Config, HolderId, Participant, Payload, RequestId};
 use rand::{RngExt, SeedableRng};
@@ -311,7 +311,7 @@
 fn who(at: usize) -> HolderId {
     HolderId {
         name: name(at),
-        boot_id: Life(0x9e37_79b9_7f4a_7c15 ^ at as u64),
+        boot_id: BootId(0x9e37_79b9_7f4a_7c15 ^ at as u64),
     }
 }
 
@@ -352,7 +352,7 @@
 
 /// The fleet's datagram around a message, in a fleet at rest: no gossip goes along.
 struct Frame {
-    ring: Ring,
+    ring: KeyRing,
     fleet: Name,
     from: Record,
 }
@@ -366,21 +366,21 @@
         };
         let from = Record {
             name: name(1),
-            life: who(1).boot_id,
+            boot_id: who(1).boot_id,
             incarnation: Incarnation(1),
             address: address(1),
             locality,
-            state: State::Alive,
+            state: MemberState::Alive,
         };
         Frame {
-            ring: Ring::new(&KEY, &[]).expect("one key"),
+            ring: KeyRing::new(&KEY, &[]).expect("one key"),
             fleet: part("lab"),
             from,
         }
     }
 
     fn sealed(&self, message: Vec<u8>) -> Vec<u8> {
-        let letter = Letter {
+        let letter = Message {
             fleet: self.fleet.clone(),
             from: self.from.clone(),
             counter: 1 << 20,
@@ -388,11 +388,11 @@
                 digest: u64::MAX,
                 size: 4096,
             },
-            body: Body::Carried(message),
+            body: Body::Payload(message),
             records: Vec::new(),
-            engines: Vec::new(),
+            engine_reports: Vec::new(),
         };
-        letter::seal(&self.ring, &letter)
+        message::seal(&self.ring, &letter)
     }
 
     fn size(&self, message: Vec<u8>) -> usize {
@@ -404,7 +404,7 @@
         let began = thread_cpu();
         for _ in 0..FRAMES {
             let sealed = self.sealed(message.clone());
-            std::hint::black_box(letter::open(&self.ring, &self.fleet, &sealed).is_ok());
+            std::hint::black_box(message::open(&self.ring, &self.fleet, &sealed).is_ok());
         }
         thread_cpu().saturating_sub(began) / FRAMES
     }
--- a/crates/simulator/src/parts.rs
+++ b/crates/simulator/src/parts.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 
 use admission::interface::{TimeDelta, Timestamp};
-use membership::{Datagram, Life};
+use membership::{BootId, Datagram};
 use quota::{
     Amount, Budget, BudgetKind, Config, FaultInjection, FleetQuotas, HolderId, TokenBucket,
 };
@@ -82,7 +82,7 @@
         let life = u64::from(life) << 16 | at as u64;
         let id = HolderId {
             name: name(at),
-            boot_id: Life(life),
+            boot_id: BootId(life),
         };
         let local = clock(now, fast_ppm);
         Part {
@@ -109,7 +109,7 @@
         };
         let who = HolderId {
             name: name(number(from)),
-            boot_id: Life(u64::from_le_bytes(*life)),
+            boot_id: BootId(u64::from_le_bytes(*life)),
         };
         let now = self.clock(now);
         self.quotas.receive(now, &who, words);
