--- a/crates/gateway/tests/codecs.rs
+++ b/crates/gateway/tests/codecs.rs
@@ -3,7 +3,7 @@
 use admission::interface::{EndpointUpdate, EngineStage};
 use bytes::BytesMut;
 use gateway::clients::comment::{CommentError, CommentedStatement};
-use gateway::clients::protocol::handshake::check_login;
+use gateway::clients::protocol::handshake::{FirstPacket, check_login, first_packet};
 use gateway::clients::protocol::packet::take_packet;
 use gateway::clients::protocol::{Command, KillScope, Query};
 use gateway::clients::table_group::table_group;
@@ -254,6 +254,39 @@
     assert_eq!(Query::parse(b"/* method=a */ SET x"), Query::Statement);
 }
 
+#[test]
+fn queries_for_the_gateway_itself_are_told_from_statements() {
+    let cases = [
+        ("SHOW FLEET", Query::ShowFleet),
+        ("show shares ;", Query::ShowShares),
+        ("show shares all", Query::Statement),
+        ("SHOW QUEUE", Query::ShowQueue(None)),
+        ("show queue for 'a1'", Query::ShowQueue(Some("a1"))),
+        ("show queue for a1", Query::Statement),
+        ("show queue of 'a1'", Query::Statement),
+        ("SET @laurelhitch_token = 'abc'", Query::SetToken("abc")),
+        ("set @laurelhitch_token = abc", Query::Statement),
+        ("set @laurelhitch_token := 'abc'", Query::NoOperation),
+        ("kill query x", Query::Statement),
+        ("kill", Query::Statement),
+        ("select @@x limit", Query::Statement),
+        ("select 1", Query::Statement),
+    ];
+    for (text, query) in cases {
+        assert_eq!(Query::parse(text.as_bytes()), query, "{text}");
+    }
+}
+
+#[test]
+fn a_request_for_tls_is_told_from_a_login() {
+    let mut login = stand_ins::client::login_packet("app", b"", "warehouse")[4..].to_vec();
+    assert_eq!(first_packet(&login), FirstPacket::Login);
+    // The flag alone does not make it one: only a packet that ends ahead of the user's name is.
+    login[1] |= 0x08;
+    assert_eq!(first_packet(&login), FirstPacket::Login);
+    assert_eq!(first_packet(&login[..32]), FirstPacket::TlsRequest);
+}
+
 #[test]
 fn logins_are_checked() {
     let login = |user: &str, password: &[u8], database: &str| {
@@ -274,17 +307,17 @@
     assert_eq!(check_login(&eager), Ok(()));
 }
 
-const TOLD: &str = r#"{"rev":12,"notices":[{"rev":12,"pool":{"rev":3,"all":true,"targets":[{"uid":"e-0000002a",
+const SNAPSHOT_ANSWER: &str = r#"{"rev":12,"notices":[{"rev":12,"pool":{"rev":3,"all":true,"targets":[{"uid":"e-0000002a",
     "endpoint":"10.3.0.4:7200","az":"east","model":"std","pod_group":1,"state":"in_service","capacity_hint":6,
     "boot_ms":0}]}}]}"#;
 
 #[test]
-fn the_boards_answers_come_whole_from_any_split() {
+fn poll_responses_come_whole_from_any_split() {
     let plain = format!(
-        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{TOLD}",
-        TOLD.len()
+        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{SNAPSHOT_ANSWER}",
+        SNAPSHOT_ANSWER.len()
     );
-    let (left, right) = TOLD.split_at(40);
+    let (left, right) = SNAPSHOT_ANSWER.split_at(40);
     let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nConnection: close\r\n\r\n";
     let (first, second) = (left.len(), right.len());
     let chunked = format!("{head}{first:x}\r\n{left}\r\n{second:x}\r\n{right}\r\n0\r\n\r\n");
@@ -308,7 +341,20 @@
 }
 
 #[test]
-fn nonsense_from_the_board_is_told_from_an_answer() {
+fn a_poll_response_without_a_length_ends_with_its_connection() {
+    let text = format!("HTTP/1.1 200 OK\r\n\r\n{SNAPSHOT_ANSWER}");
+    let mut inbox = BytesMut::from(&text[..]);
+    assert_eq!(
+        http::take_response(&mut inbox, InputState::Open).unwrap(),
+        PollResponse::Incomplete
+    );
+    let response = http::take_response(&mut inbox, InputState::Ended).unwrap();
+    assert!(matches!(response, PollResponse::Complete { batch, .. } if batch.last_revision == 12));
+    assert!(inbox.is_empty());
+}
+
+#[test]
+fn poll_responses_that_cannot_be_used_are_errors() {
     for text in [
         "HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n",
         "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}",
@@ -325,10 +371,15 @@
 }
 
 #[test]
-fn events_of_the_list_become_facts_by_uid() {
+fn endpoint_events_become_engine_updates_by_uid() {
     let events = |text: &str| EventBatch::from_json(&serde_json::from_str(text).unwrap());
     let mut registry = EngineRegistry::new(vec!["west".into(), "east".into()], vec!["std".into()]);
-    let first = registry.apply(events(TOLD).unwrap().events[0].change.as_ref().unwrap());
+    let first = registry.apply(
+        events(SNAPSHOT_ANSWER).unwrap().events[0]
+            .change
+            .as_ref()
+            .unwrap(),
+    );
     let EndpointUpdate::Snapshot(facts) = &first.update else {
         panic!("whole")
     };
@@ -337,7 +388,7 @@
         (1, 0, EngineStage::Ready)
     );
     // Another engine at the same address is another engine; the one that is not in a whole list is gone.
-    let other = events(&TOLD.replace("e-0000002a", "s-11")).unwrap();
+    let other = events(&SNAPSHOT_ANSWER.replace("e-0000002a", "s-11")).unwrap();
     let second = registry.apply(other.events[0].change.as_ref().unwrap());
     assert_eq!(
         second.addresses[0],
@@ -349,7 +400,7 @@
     assert_ne!(second.addresses[1].engine, facts[0].id);
     assert_eq!(second.addresses[1].address, first.addresses[0].address);
     assert_eq!(
-        events(&TOLD.replace("in_service", "asleep")),
+        events(&SNAPSHOT_ANSWER.replace("in_service", "asleep")),
         Err(EndpointListError::Field("state"))
     );
 }
--- a/crates/gateway/tests/connections.rs
+++ b/crates/gateway/tests/connections.rs
@@ -197,21 +197,21 @@
     ));
 }
 
-/// Gateways that lose their board in one instant do not ask again in step.
+/// Gateways that lose the discovery service in one instant do not poll it again in step.
 #[test]
-fn a_lost_board_is_asked_again_at_an_instant_of_each_gateways_own() {
+fn a_lost_discovery_service_is_polled_again_at_an_instant_of_each_gateways_own() {
     let closed = std::net::TcpListener::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
         .unwrap();
     let begun = Timestamp::from_secs(1000.0);
-    let asks: Vec<Vec<Timestamp>> = (0..20)
+    let poll_times: Vec<Vec<Timestamp>> = (0..20)
         .map(|seed| {
             let mut event_loop: EventLoop<'static, Ready> = EventLoop::try_new().unwrap();
-            let mut board = DiscoveryClient::new(&event_loop.handle(), closed, 0, seed, begun);
+            let mut discovery = DiscoveryClient::new(&event_loop.handle(), closed, 0, seed, begun);
             let (mut now, mut asked, mut counters) = (begun, Vec::new(), Counters::default());
             while asked.len() < 8 {
-                board.on_timer(now, &mut counters);
+                discovery.on_timer(now, &mut counters);
                 // Refused at once, in the same instant for all.
                 let mut ready = Ready::default();
                 while ready.peers.is_empty() && counters.polls_failed as usize == asked.len() {
@@ -220,25 +220,25 @@
                         .unwrap();
                 }
                 for peer in ready.peers {
-                    let Peer::Discovery(at) = peer else {
+                    let Peer::Discovery(poll_id) = peer else {
                         panic!("{peer:?}")
                     };
-                    board.on_ready(now, at, &mut counters);
+                    discovery.on_ready(now, poll_id, &mut counters);
                 }
-                now = board.next_due().unwrap();
+                now = discovery.next_due().unwrap();
                 asked.push(now);
             }
             asked
         })
         .collect();
     for round in 0..8 {
-        let mut at: Vec<Timestamp> = asks.iter().map(|of| of[round]).collect();
+        let mut at: Vec<Timestamp> = poll_times.iter().map(|of| of[round]).collect();
         at.sort_unstable();
         at.dedup();
         assert_eq!(at.len(), 20, "round {round}");
     }
     // Bounded all the same: never over a second between two, and no more than a few at once.
-    for of in &asks {
+    for of in &poll_times {
         assert!(of.windows(2).all(|pair| (pair[1] - pair[0]).secs() <= 1.0));
         assert!((of[7] - begun).secs() > 1.0, "{of:?}");
     }
@@ -247,7 +247,7 @@
 /// A statement that came whole after this turn's events were taken, just as the gateway would end: it is taken, and nobody
 /// is sent away before it has its answer.
 #[test]
-fn the_last_look_before_all_sessions_are_shut_takes_what_has_come() {
+fn the_last_look_before_all_sessions_are_shut_down_takes_what_has_come() {
     use gateway::clients::{ProgressReports, SessionEvent, SessionLimits, Sessions};
     use stand_ins::client::{login_packet, query_packet};
     let event_loop: EventLoop<'static, Ready> = EventLoop::try_new().unwrap();
