--- a/crates/gateway/tests/golden.rs
+++ b/crates/gateway/tests/golden.rs
@@ -19,10 +19,17 @@
 use ::membership::{Incarnation, Life, Locality, Name, Record, Ring, State};
 use admission::interface::{EngineStage, TimeDelta, Timestamp};
 use bytes::BytesMut;
-use gateway::board::http::{self, Answered};
-use gateway::clients::comment;
-use gateway::clients::packets::{self, Answer as Packets, Command, Hello, Query};
+use gateway::clients::comment::CommentedStatement;
+use gateway::clients::protocol::handshake::{
+    self, FirstPacket, LoginError, OfferedOptions, accepts_progress_reports, check_login,
+    check_token_login, first_packet,
+};
+use gateway::clients::protocol::packet::take_packet;
+use gateway::clients::protocol::response::ProgressReport;
+use gateway::clients::protocol::{Command, ErrorCode, KillScope, Query, Response};
+use gateway::clients::table_group::table_group;
 use gateway::counters::Counters;
+use gateway::discovery::http::{self, ConnectionReuse, InputState, PollResponse};
 use gateway::engines::lines::{self, Answer, Tags, Word};
 use gateway::status;
 use quota::office::Holding;
@@ -72,49 +79,55 @@
 #[test]
 fn packets_to_clients_are_as_recorded() {
     let cells = |cells: [&str; 2]| cells.map(str::to_owned);
-    let (seq, progress) = Packets::to(0).progress((1, 2), 40_000, "Waiting, 1.5 s more");
+    let progress = Response::to(0).progress(&ProgressReport {
+        stage: 1,
+        stages: 2,
+        done: 40_000,
+        text: "Waiting, 1.5 s more",
+    });
+    let greeting = |progress_reports: bool, tls: bool| {
+        let options = OfferedOptions {
+            progress_reports,
+            tls,
+        };
+        hex(handshake::greeting(0x0102_0304, options))
+    };
     let pages = [&b"a\tb\tc\n1\t2\t3\n"[..], b"4\t5\t6\n"];
     let long = "x".repeat(300);
     let got = [
+        ("greeting", greeting(false, false)),
+        ("greeting-progress", greeting(true, false)),
+        ("greeting-tls", greeting(false, true)),
+        ("greeting-progress-tls", greeting(true, true)),
+        ("ok", hex(Response::to(1).ok())),
+        ("ok-after-last-number", hex(Response::to(255).ok())),
+        ("progress", hex(&progress.bytes)),
+        ("progress-number", progress.sequence.to_string()),
         (
-            "greeting",
-            hex(packets::greeting(0x0102_0304, false, false)),
-        ),
-        (
-            "greeting-progress",
-            hex(packets::greeting(0x0102_0304, true, false)),
-        ),
-        (
-            "greeting-tls",
-            hex(packets::greeting(0x0102_0304, false, true)),
+            "error",
+            hex(Response::to(0).error(ErrorCode::LIMIT_REACHED, "denied; backoff=400")),
         ),
         (
-            "greeting-progress-tls",
-            hex(packets::greeting(0x0102_0304, true, true)),
+            "ask-password",
+            hex(Response::to(2).request_clear_password()),
         ),
-        ("ok", hex(Packets::to(1).ok())),
-        ("ok-after-last-number", hex(Packets::to(255).ok())),
-        ("progress", hex(progress)),
-        ("progress-number", seq.to_string()),
-        (
-            "error",
-            hex(Packets::to(0).error(1226, b"42000", "denied; backoff=400")),
-        ),
-        ("ask-password", hex(Packets::to(2).ask_clear())),
         (
             "value",
-            hex(Packets::to(0).value("@@max_allowed_packet", b"65536")),
+            hex(Response::to(0).single_value("@@max_allowed_packet", b"65536")),
         ),
         (
             "table",
-            hex(Packets::to(0).table(["one", "two"], &[cells(["a", "b"]), cells(["", &long])])),
+            hex(Response::to(0).table(["one", "two"], &[cells(["a", "b"]), cells(["", &long])])),
         ),
         (
             "table-empty",
-            hex(Packets::to(0).table(["one", "two"], &[])),
+            hex(Response::to(0).table(["one", "two"], &[])),
+        ),
+        ("result", hex(Response::to(0).result_set(pages.into_iter()))),
+        (
+            "result-empty",
+            hex(Response::to(0).result_set([].into_iter())),
         ),
-        ("result", hex(Packets::to(0).result(pages.into_iter()))),
-        ("result-empty", hex(Packets::to(0).result([].into_iter()))),
     ];
     golden("packets.txt", &got);
 }
@@ -123,33 +136,42 @@
     login_packet(user, password, database)[4..].to_vec()
 }
 
-fn judged(of: Result<(), packets::Denied>) -> String {
+fn judged(of: Result<(), LoginError>) -> String {
     match of {
         Ok(()) => "in".to_owned(),
-        Err((code, state, why)) => format!("{code} {} {why}", plain(state)),
+        Err(why) => {
+            let code = why.code();
+            format!("{} {} {why}", code.number, plain(code.sql_state))
+        }
     }
 }
 
 fn command(body: &[u8]) -> String {
-    match packets::command(body) {
+    match Command::parse(body) {
         Command::Quit => "quit".to_owned(),
         Command::Ping => "ping".to_owned(),
-        Command::Fine => "fine".to_owned(),
+        Command::NoOperation => "fine".to_owned(),
         Command::Query(text) => format!("query {}", plain(text)),
         Command::Unknown => "unknown".to_owned(),
     }
 }
 
 fn query(text: &str) -> String {
-    match packets::query(text.as_bytes()) {
+    match Query::parse(text.as_bytes()) {
         Query::Statement => "statement".to_owned(),
-        Query::Renew(token) => format!("token {token}"),
-        Query::Kill { connection, whole } => format!("kill {connection} whole={whole}"),
-        Query::Queue(id) => format!("queue {}", id.unwrap_or("-")),
-        Query::Fleet => "fleet".to_owned(),
-        Query::Shares => "shares".to_owned(),
-        Query::Fine => "fine".to_owned(),
-        Query::Variable(name) => format!("variable {name}"),
+        Query::SetToken(token) => format!("token {token}"),
+        Query::Kill {
+            connection_id,
+            scope,
+        } => {
+            let whole = scope == KillScope::Connection;
+            format!("kill {connection_id} whole={whole}")
+        }
+        Query::ShowQueue(id) => format!("queue {}", id.unwrap_or("-")),
+        Query::ShowFleet => "fleet".to_owned(),
+        Query::ShowShares => "shares".to_owned(),
+        Query::NoOperation => "fine".to_owned(),
+        Query::SystemVariable(name) => format!("variable {name}"),
     }
 }
 
@@ -160,53 +182,58 @@
     progress[28] = 1;
     let mut tls = login("token", b"", "warehouse");
     tls[1] |= 8;
-    let hello = |body: &[u8]| match packets::hello(body) {
-        Hello::Tls => "tls".to_owned(),
-        Hello::Login => "login".to_owned(),
+    let hello = |body: &[u8]| match first_packet(body) {
+        FirstPacket::TlsRequest => "tls".to_owned(),
+        FirstPacket::Login => "login".to_owned(),
     };
     let mut inbox = BytesMut::from(&[3, 0, 0, 9, 3, b'h', b'i', 1][..]);
-    let taken = packets::take(&mut inbox).unwrap().unwrap();
-    let too_large = packets::take(&mut BytesMut::from(&[1, 0, 1, 0][..]))
+    let taken = take_packet(&mut inbox).unwrap().unwrap();
+    let too_large = take_packet(&mut BytesMut::from(&[1, 0, 1, 0][..]))
         .err()
         .unwrap();
     let got = [
         (
             "packet",
-            format!("{} {} {}", taken.seq, plain(&taken.body), plain(&inbox)),
+            format!(
+                "{} {} {}",
+                taken.sequence,
+                plain(&taken.body),
+                plain(&inbox)
+            ),
         ),
         ("packet-too-large", too_large.to_string()),
         (
             "login",
-            judged(packets::login(&login("app", b"", "warehouse"))),
+            judged(check_login(&login("app", b"", "warehouse"))),
         ),
         (
             "login-other-user",
-            judged(packets::login(&login("root", b"", "warehouse"))),
+            judged(check_login(&login("root", b"", "warehouse"))),
         ),
         (
             "login-password",
-            judged(packets::login(&login("app", b"x", "warehouse"))),
+            judged(check_login(&login("app", b"x", "warehouse"))),
         ),
         (
             "login-other-database",
-            judged(packets::login(&login("app", b"", "other"))),
+            judged(check_login(&login("app", b"", "other"))),
         ),
-        ("login-malformed", judged(packets::login(b"\x00"))),
+        ("login-malformed", judged(check_login(b"\x00"))),
         (
             "login-token",
-            judged(packets::token_login(&login("token", b"x", "warehouse"))),
+            judged(check_token_login(&login("token", b"x", "warehouse"))),
         ),
         (
             "login-token-other-user",
-            judged(packets::token_login(&login("app", b"", "warehouse"))),
+            judged(check_token_login(&login("app", b"", "warehouse"))),
         ),
         (
             "progress-wanted",
-            packets::takes_progress(&progress).to_string(),
+            accepts_progress_reports(&progress).to_string(),
         ),
         (
             "progress-not-wanted",
-            packets::takes_progress(&login("app", b"", "warehouse")).to_string(),
+            accepts_progress_reports(&login("app", b"", "warehouse")).to_string(),
         ),
         ("first-tls", hello(&tls[..32])),
         ("first-login", hello(&tls)),
@@ -517,26 +544,29 @@
         ("from-known", asked(&known)),
         ("after-news", asked(&later)),
         ("from-the-start", asked(&anew)),
-        ("longest-answer", http::LARGEST.to_string()),
+        ("longest-answer", http::MAX_RESPONSE_BYTES.to_string()),
     ];
     golden("board.txt", &got);
 }
 
 fn board(head: &str, body: &str) -> String {
     let bytes = format!("HTTP/1.1 {head}\r\n\r\n{body}");
-    let (events, keep) = match http::take(&mut BytesMut::from(bytes.as_bytes()), true) {
-        Answered::NotYet => return "not all there".to_owned(),
-        Answered::Nonsense(why) => return format!("nonsense: {why}"),
-        Answered::Events(events, keep) => (events, keep),
+    let mut inbox = BytesMut::from(bytes.as_bytes());
+    let (batch, reuse) = match http::take_response(&mut inbox, InputState::Ended) {
+        Ok(PollResponse::Incomplete) => return "not all there".to_owned(),
+        Err(why) => return format!("nonsense: {why}"),
+        Ok(PollResponse::Complete { batch, reuse }) => (batch, reuse),
     };
-    let mut text = format!("keep={keep} last={}", events.last);
-    for event in &events.events {
-        let Some(change) = &event.list else {
-            write!(text, "; {} other", event.number).unwrap();
+    let keep = reuse == ConnectionReuse::KeepAlive;
+    let mut text = format!("keep={keep} last={}", batch.last_revision);
+    for event in &batch.events {
+        let Some(change) = &event.change else {
+            write!(text, "; {} other", event.revision).unwrap();
             continue;
         };
-        write!(text, "; {} whole={}", event.number, change.whole).unwrap();
-        for of in &change.targets {
+        let whole = change.is_snapshot();
+        write!(text, "; {} whole={whole}", event.revision).unwrap();
+        for of in change.endpoints() {
             let stage = match of.stage {
                 EngineStage::Ready => "ready",
                 EngineStage::Draining => "draining",
@@ -628,7 +658,7 @@
 }
 
 fn commented_as(text: &str) -> String {
-    let read = match comment::read(text.as_bytes()) {
+    let read = match CommentedStatement::parse(text.as_bytes()) {
         Ok(read) => read,
         Err(error) => return error.to_string(),
     };
@@ -636,11 +666,15 @@
     let words = [
         read.class,
         read.tenant.unwrap_or("-"),
-        read.desk.unwrap_or("-"),
+        read.sub_queue.unwrap_or("-"),
+    ]
+    .join("/");
+    let tags = [
+        read.idempotency_key.unwrap_or("-"),
+        read.order_key.unwrap_or("-"),
     ]
     .join("/");
-    let tags = [read.mark.unwrap_or("-"), read.key.unwrap_or("-")].join("/");
-    let (rid, statement) = (plain(read.rid), plain(read.statement));
+    let (rid, statement) = (plain(read.request_id), plain(read.text));
     let (estimate, memory) = (number(read.estimate_ms), number(read.memory_mb));
     format!(
         "{rid} {words} {}/{estimate}/{memory} {tags} {statement}",
@@ -655,7 +689,7 @@
     let without = |field: &str| commented_as(&all.replace(&format!("{field}="), "other="));
     let empty = |field: &str| commented_as(&least.replace(" */", &format!(",{field}= */")));
     let group = |statement: &str| {
-        comment::table_group(statement.as_bytes()).map_or("-".to_owned(), |of| of.to_string())
+        table_group(statement.as_bytes()).map_or("-".to_owned(), |of| of.to_string())
     };
     let got = [
         ("all", commented_as(all)),
@@ -749,13 +783,13 @@
         ("queue-quiet-desk", rows[1].clone()),
         (
             "queue-packets",
-            hex(Packets::to(0).table(status::DESKS, &desks)),
+            hex(Response::to(0).table(status::DESKS, &desks)),
         ),
         ("statement-columns", status::STATEMENT.join("|")),
         ("statement", cells(&statement).concat()),
         (
             "statement-packets",
-            hex(Packets::to(0).table(status::STATEMENT, &statement)),
+            hex(Response::to(0).table(status::STATEMENT, &statement)),
         ),
     ];
     golden("queues.txt", &got);
