--- a/crates/gateway/src/clients/commands.rs
+++ b/crates/gateway/src/clients/commands.rs
@@ -16,14 +16,14 @@
 impl Session {
     fn answer_ok(&mut self) {
         let ok = self.response().ok();
-        self.socket.put(&ok);
+        self.socket.enqueue(&ok);
     }
 
     fn answer_unknown_command(&mut self) {
         let error = self
             .response()
             .error(ErrorCode::UNKNOWN_COMMAND, "Unknown command");
-        self.socket.put(&error);
+        self.socket.enqueue(&error);
     }
 
     fn answer_system_variable(&mut self, name: &str) {
@@ -34,7 +34,7 @@
             b""
         };
         let table = self.response().single_value(name, value);
-        self.socket.put(&table);
+        self.socket.enqueue(&table);
     }
 
     /// Its statement, with the time at which it had come.
--- a/crates/gateway/src/clients/mod.rs
+++ b/crates/gateway/src/clients/mod.rs
@@ -34,7 +34,7 @@
 use session::{PendingResponse, Session};
 
 use crate::counters::Counters;
-use crate::socket::{Loop, Peer, Socket};
+use crate::socket::{EventLoopHandle, EventSource, Socket};
 
 /// The id that an unset connection id reads as.
 const UNSET_CONNECTION_ID: u32 = 0;
@@ -70,7 +70,7 @@
 
 /// The sessions of one gateway.
 pub struct Sessions {
-    handle: Loop,
+    handle: EventLoopHandle,
     limits: SessionLimits,
     /// Callers have to be known: by TLS with this configuration, and a token within it.
     tls: Option<Arc<ServerConfig>>,
@@ -95,7 +95,7 @@
     /// A table without sessions.
     #[must_use]
     pub fn new(
-        handle: &Loop,
+        handle: &EventLoopHandle,
         limits: SessionLimits,
         progress_reports: ProgressReports,
         now: Timestamp,
@@ -131,7 +131,7 @@
             .checked_add(1)
             .unwrap_or(UNSET_CONNECTION_ID + 1);
         let connection_id = self.last_connection_id;
-        let socket = match Socket::new(stream, &self.handle, Peer::Client(connection_id)) {
+        let socket = match Socket::new(stream, &self.handle, EventSource::Client(connection_id)) {
             Ok(socket) => socket,
             Err(error) => return debug!(%error, "client connection not accepted"),
         };
@@ -142,7 +142,7 @@
             tls: self.tls.is_some(),
         };
         let greeting = handshake::greeting(connection_id, options);
-        session.socket.put(&greeting);
+        session.socket.enqueue(&greeting);
         let id = SessionId(connection_id);
         self.sessions.insert(id, session);
         self.on_ready(now, id, counters);
@@ -156,7 +156,7 @@
         counters.sessions_closed += 1;
         self.progress_subscribers.remove(&id);
         self.disconnected.remove(&id);
-        self.unread_bytes -= session.socket.inbox.len();
+        self.unread_bytes -= session.socket.read_buffer.len();
         if let Some(statement) = session.statement() {
             self.events
                 .push(SessionEvent::StatementAbandoned(statement));
@@ -236,7 +236,7 @@
             return;
         }
         let packets = response(session.response());
-        session.socket.put(&packets);
+        session.socket.enqueue(&packets);
         session.pending = PendingResponse::None;
         session.last_activity = now;
         self.process(now, id, counters);
@@ -284,7 +284,7 @@
         let Some(session) = self.sessions.get_mut(&id) else {
             return;
         };
-        if !session.is_pending() || session.socket.unwritten() > 0 {
+        if !session.is_pending() || session.socket.unwritten_bytes() > 0 {
             return;
         }
         let packet = session.response().progress(&ProgressReport {
@@ -294,7 +294,7 @@
             text,
         });
         session.sequence = packet.sequence;
-        session.socket.put(&packet.bytes);
+        session.socket.enqueue(&packet.bytes);
         counters.progress_told += 1;
         self.write(now, id, counters);
     }
--- a/crates/gateway/src/clients/session.rs
+++ b/crates/gateway/src/clients/session.rs
@@ -79,7 +79,7 @@
 
 impl Session {
     pub(super) fn new(socket: Socket, client_ip: IpAddr, now: Timestamp) -> Self {
-        let heard_before_accept = socket.heard(now);
+        let heard_before_accept = socket.last_received(now);
         Session {
             socket,
             client_ip,
@@ -118,18 +118,18 @@
 
     /// No packet is read now: a response is pending, its client does not read what was written, or it is closing.
     pub(super) fn is_blocked(&self) -> bool {
-        let reads_too_little = self.socket.unwritten() > MAX_UNWRITTEN_BYTES;
+        let reads_too_little = self.socket.unwritten_bytes() > MAX_UNWRITTEN_BYTES;
         self.is_pending() || self.state == SessionState::Closing || reads_too_little
     }
 
     /// A whole packet has come, or one that cannot be used.
     pub(super) fn has_packet(&self) -> bool {
-        packet::has_packet(&self.socket.inbox)
+        packet::has_packet(&self.socket.read_buffer)
     }
 
     /// All its responses are given and written.
     pub(super) fn is_answered(&self) -> bool {
-        !self.is_pending() && self.socket.unwritten() == 0
+        !self.is_pending() && self.socket.unwritten_bytes() == 0
     }
 
     /// In which class it may be closed to make room; none while its client is owed something.
@@ -154,7 +154,7 @@
     /// Answers a packet that is not read to its end, so that what follows has no meaning.
     pub(super) fn reject_packet(&mut self, now: Timestamp, why: &str) {
         let error = self.response().error(ErrorCode::PACKET_TOO_LARGE, why);
-        self.socket.put(&error);
+        self.socket.enqueue(&error);
         self.start_closing(now);
     }
 
@@ -168,7 +168,7 @@
         let arrived = if accepted_now {
             self.heard_before_accept
         } else {
-            self.socket.heard(now)
+            self.socket.last_received(now)
         };
         self.client_end = Some(ClientEnd {
             detected: now,
@@ -183,7 +183,7 @@
             Some(since) => Some(since),
             None => self.is_pending().then_some(now),
         };
-        let is_incomplete = !self.is_blocked() && !self.socket.inbox.is_empty();
+        let is_incomplete = !self.is_blocked() && !self.socket.read_buffer.is_empty();
         self.packet_begun = match self.packet_begun {
             _ if !is_incomplete => None,
             Some(since) => Some(since),
@@ -193,8 +193,8 @@
 
     /// Keeps when its client last took bytes.
     pub(super) fn note_written(&mut self, now: Timestamp) {
-        if self.socket.written != self.written_bytes {
-            self.written_bytes = self.socket.written;
+        if self.socket.bytes_written != self.written_bytes {
+            self.written_bytes = self.socket.bytes_written;
             self.last_activity = now;
         }
     }
--- a/crates/gateway/src/service/callers.rs
+++ b/crates/gateway/src/service/callers.rs
@@ -11,7 +11,7 @@
 use super::intake::Unusable;
 use crate::clients::protocol::{ErrorCode, Response};
 use crate::clients::{SessionId, TokenPurpose};
-use crate::clock::unix;
+use crate::clock::unix_now;
 
 impl Service {
     /// Callers are to be known from now on, by this.
@@ -35,7 +35,7 @@
             return;
         };
         let counters = &mut self.counters;
-        let (code, text) = match verifier.verify(unix(), token) {
+        let (code, text) = match verifier.verify(unix_now(), token) {
             Authentication::Accepted { claims, .. }
                 if claims.grant.allows_address(self.clients.client_ip(session)) =>
             {
@@ -77,7 +77,7 @@
         let Some(token) = self.clients.token(session) else {
             return Err(Unusable::Unknown("no token".into()));
         };
-        match verifier.verify(unix(), &token) {
+        match verifier.verify(unix_now(), &token) {
             Authentication::Accepted { claims, .. } => Ok(Some(claims)),
             Authentication::RetryLater { retry_after } => {
                 self.counters.tokens_later += 1;
--- a/crates/gateway/src/service/intake.rs
+++ b/crates/gateway/src/service/intake.rs
@@ -14,7 +14,7 @@
 use crate::clients::protocol::ErrorCode;
 use crate::clients::table_group::table_group;
 use crate::clients::{KillOutcome, SessionEvent, SessionId};
-use crate::engines::lines::{Rid, Tags};
+use crate::engines::protocol::{RequestId, StatementKeys};
 
 /// Network fact: an answer must be with the client before its budget ends, and the budget runs from when the
 /// client sent. So much is kept for the two ways and for a machine that stands still a moment, and of short
@@ -158,7 +158,7 @@
             .drain_deadline
             .map_or(ends, |by| ends.min(by + TimeDelta::from_secs(OVERDUE_S)));
         self.ends.insert((ends, id));
-        let (out, went_on) = (Vec::new(), Vec::new());
+        let (out, used_connections) = (Vec::new(), Vec::new());
         if let Some(caller) = &caller {
             *self.open.entry(caller.clone()).or_default() += 1;
         }
@@ -174,7 +174,7 @@
             taken,
             ends,
             out,
-            went_on,
+            used_connections,
         };
         self.in_flight.insert(id, in_flight);
         self.rids.insert(rid, id);
@@ -189,7 +189,16 @@
         text: &Bytes,
         from: IpAddr,
         claims: Option<&Claims>,
-    ) -> Result<(StatementRequest, Rid, Tags, Bytes, SubQueueId), Unusable> {
+    ) -> Result<
+        (
+            StatementRequest,
+            RequestId,
+            StatementKeys,
+            Bytes,
+            SubQueueId,
+        ),
+        Unusable,
+    > {
         let mut read = CommentedStatement::parse(text)?;
         if let Some(claims) = claims {
             let open = self.open.get(&claims.caller).copied().unwrap_or(0);
@@ -253,9 +262,9 @@
             has_idempotency_key: read.idempotency_key.is_some(),
             budget,
         };
-        let tags = Tags {
-            mark: read.idempotency_key.map(Box::from),
-            key: read.order_key.map(Box::from),
+        let tags = StatementKeys {
+            idempotency_key: read.idempotency_key.map(Box::from),
+            ordering_key: read.order_key.map(Box::from),
         };
         Ok((
             wants,
