--- a/crates/membership/tests/life.rs
+++ b/crates/membership/tests/node_lifetime.rs
@@ -1,24 +1,24 @@
-//! One gateway's life as two others see it, over the very code: whatever is lost, repeated, stopped or restarted in every
+//! One node as two others see it, over the very code: whatever is lost, repeated, stopped or restarted in every
 //! order, once the network is well again nobody who lives and refutes stays dead.
 
 use std::hash::{Hash, Hasher};
 use std::net::SocketAddr;
 
 use admission::interface::Timestamp;
-use membership::letter;
-use membership::{Bounds, Gateway, Locality, Name, Ring, Terms};
+use membership::message;
+use membership::{Config, KeyRing, Locality, Name, Node, NodeSetup, TrafficLimits};
 use stateright::{Checker, Model, Property};
 
 const KEY: [u8; 32] = [7; 32];
 const STEP_S: f64 = 0.05;
 /// Longer than it takes three to hold a silent one for dead.
 const PHASE_S: f64 = 9.0;
-/// The same with bounds, where a failed probe is repeated first.
-const BOUNDED_PHASE_S: f64 = 16.0;
+/// The same with traffic limits, where a failed probe is repeated first.
+const LIMITED_PHASE_S: f64 = 16.0;
 /// Two calls to those that had gone, and time to tell.
 const WELL_S: f64 = 25.0;
 
-/// What goes on for a while; the first gateway is the one whose life is looked at.
+/// What goes on for a while; the first node is the one that is looked at.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Phase {
     Well,
@@ -53,43 +53,45 @@
     SocketAddr::from(([10, 0, 0, number as u8], 7946))
 }
 
-fn gateway(number: usize, now: f64, life: u64, bounded: bool) -> Gateway {
-    let (fleet, ring) = (Name::new("test").unwrap(), Ring::new(&KEY, &[]).unwrap());
+fn node(number: usize, now: f64, life: u64, is_limited: bool) -> Node {
+    let (fleet, ring) = (Name::new("test").unwrap(), KeyRing::new(&KEY, &[]).unwrap());
     let name = Name::new(&format!("g{number}")).unwrap();
     let seeds = vec![at(1), at(2)];
     let seed = number as u64 + life * 100;
-    Gateway::new(
+    Node::new(
         Timestamp::from_secs(now),
-        fleet,
-        name,
-        at(number),
-        Locality::default(),
-        seeds,
-        ring,
-        Terms {
-            bounds: bounded.then(Bounds::default),
-            ..Terms::default()
+        NodeSetup {
+            fleet,
+            name,
+            address: at(number),
+            locality: Locality::default(),
+            seeds,
+            key_ring: ring,
+            config: Config {
+                traffic_limits: is_limited.then(TrafficLimits::default),
+                ..Config::default()
+            },
+            rng_seed: seed,
         },
-        seed,
     )
 }
 
 #[derive(Clone, Debug)]
 struct World {
     now: f64,
-    all: Vec<Gateway>,
+    all: Vec<Node>,
     /// To come once more, later.
     later: Vec<(usize, usize, Vec<u8>)>,
     life: u64,
     /// The seeded fault: what the first says once it has refuted is lost.
     refutes: bool,
-    bounded: bool,
+    is_limited: bool,
 }
 
 impl World {
-    fn new(refutes: bool, bounded: bool) -> World {
+    fn new(refutes: bool, is_limited: bool) -> World {
         let all = (0..3)
-            .map(|number| gateway(number, 0.0, 0, bounded))
+            .map(|number| node(number, 0.0, 0, is_limited))
             .collect();
         let mut world = World {
             now: 0.0,
@@ -97,7 +99,7 @@
             later: Vec::new(),
             life: 0,
             refutes,
-            bounded,
+            is_limited,
         };
         world.run(Phase::Well, 15.0);
         world
@@ -106,7 +108,7 @@
     fn run(&mut self, phase: Phase, lasts: f64) {
         if phase == Phase::Restarted {
             self.life += 1;
-            self.all[0] = gateway(0, self.now, self.life, self.bounded);
+            self.all[0] = node(0, self.now, self.life, self.is_limited);
         }
         for (from, to, bytes) in std::mem::take(&mut self.later) {
             let _ = self.all[to].receive(Timestamp::from_secs(self.now), at(from), &bytes);
@@ -122,7 +124,7 @@
                 if self.all[from].due() <= now {
                     self.all[from].turn(now);
                 }
-                for datagram in self.all[from].take_out() {
+                for datagram in self.all[from].take_datagrams() {
                     let Some(to) = (0..3).find(|to| at(*to) == datagram.to) else {
                         continue;
                     };
@@ -151,19 +153,21 @@
         self.all.iter().all(|holder| {
             self.all
                 .iter()
-                .filter(|held| held.own().name != holder.own().name)
+                .filter(|held| held.local_record().name != holder.local_record().name)
                 .all(|held| {
-                    let seen = holder.held(&held.own().name);
-                    seen.is_some_and(|seen| seen.counts() && seen.record.life == held.own().life)
+                    let seen = holder.member(&held.local_record().name);
+                    seen.is_some_and(|seen| {
+                        seen.is_in_fleet() && seen.record.boot_id == held.local_record().boot_id
+                    })
                 })
         })
     }
 }
 
 fn refuted(bytes: &[u8]) -> bool {
-    let ring = Ring::new(&KEY, &[]).unwrap();
-    let letter = letter::open(&ring, &Name::new("test").unwrap(), bytes).unwrap();
-    letter.from.incarnation.0 > 1
+    let ring = KeyRing::new(&KEY, &[]).unwrap();
+    let message = message::open(&ring, &Name::new("test").unwrap(), bytes).unwrap();
+    message.from.incarnation.0 > 1
 }
 
 /// Told apart by what went on: nothing else goes into it.
@@ -189,7 +193,7 @@
 
 struct Lives {
     refutes: bool,
-    bounded: bool,
+    is_limited: bool,
     phases: usize,
 }
 
@@ -200,7 +204,7 @@
     fn init_states(&self) -> Vec<State> {
         vec![State {
             phases: Vec::new(),
-            world: World::new(self.refutes, self.bounded),
+            world: World::new(self.refutes, self.is_limited),
         }]
     }
 
@@ -215,8 +219,8 @@
         state.phases.push(phase);
         state.world.run(
             phase,
-            if self.bounded {
-                BOUNDED_PHASE_S
+            if self.is_limited {
+                LIMITED_PHASE_S
             } else {
                 PHASE_S
             },
@@ -237,7 +241,7 @@
                     let name = Name::new("g0").unwrap();
                     state.world.all[1..]
                         .iter()
-                        .any(|by| by.held(&name).is_some_and(|held| !held.counts()))
+                        .any(|by| by.member(&name).is_some_and(|held| !held.is_in_fleet()))
                 },
             ),
             Property::<Self>::always(
@@ -247,7 +251,7 @@
                         .world
                         .all
                         .iter()
-                        .all(|gateway| gateway.own().incarnation.0 < 200)
+                        .all(|node| node.local_record().incarnation.0 < 200)
                 },
             ),
         ]
@@ -258,10 +262,10 @@
     search_with(refutes, phases, false)
 }
 
-fn search_with(refutes: bool, phases: usize, bounded: bool) -> (usize, bool) {
+fn search_with(refutes: bool, phases: usize, is_limited: bool) -> (usize, bool) {
     let checker = Lives {
         refutes,
-        bounded,
+        is_limited,
         phases,
     }
     .checker()
@@ -283,7 +287,7 @@
 }
 
 #[test]
-fn in_every_order_of_three_troubles_nobody_stays_dead_with_bounds_either() {
+fn in_every_order_of_three_troubles_nobody_stays_dead_with_traffic_limits_either() {
     assert_eq!(search_with(true, 3, true), (1 + 8 + 64 + 512, false));
 }
 
--- a/crates/quota/src/message.rs
+++ b/crates/quota/src/message.rs
@@ -2,7 +2,7 @@
 //!
 //! The encoding is positional: the order of variants and fields and the types of fields are the wire format.
 
-use membership::{Life, Name};
+use membership::{BootId, Name};
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
@@ -15,7 +15,7 @@
     /// The gateway's name.
     pub name: Name,
     /// Which start of the gateway it is.
-    pub boot_id: Life,
+    pub boot_id: BootId,
 }
 
 /// Numbers a gateway's own requests in ascending order; an answer carries the number of its request.
--- a/crates/quota/tests/golden.rs
+++ b/crates/quota/tests/golden.rs
@@ -11,7 +11,7 @@
 use std::collections::BTreeSet;
 use std::path::Path;
 
-use membership::{Life, Name};
+use membership::{BootId, Name};
 use quota::message::{BudgetDemand, GrantedAmount, LeaseGrant, LeaseRequest, Vote, VoteRequest};
 use quota::{
     Amount, Budget, BudgetKey, BudgetKind, ConfigError, HolderId, Payload, RejectReason, RequestId,
@@ -164,7 +164,7 @@
 fn the_holder_of_a_lease_keeps_its_bytes() {
     let holder = HolderId {
         name: name("gate-a"),
-        boot_id: Life(0x0102_0304_0506_0708),
+        boot_id: BootId(0x0102_0304_0506_0708),
     };
     let recorded = compare(
         "holders.txt",
