--- a/crates/membership/tests/byzantine.rs
+++ b/crates/membership/tests/byzantine.rs
@@ -38,7 +38,7 @@
             locality: Locality::default(),
             seeds,
             key_ring: key_ring(),
-            config: config,
+            config,
             rng_seed: number.into(),
         },
     )
