--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -10,7 +10,7 @@
 
 use admission::interface::Timestamp;
 use membership::{Datagram, Node, RejectReason};
-use quota::Who;
+use quota::HolderId;
 
 pub use leases::Leases;
 
@@ -23,7 +23,7 @@
     pub steady: Timestamp,
 }
 
-/// Membership, and leases where budgets are divided among all gateways. `L` is what holds the leases: `quota::Shares`
+/// Membership, and leases where budgets are divided among all gateways. `L` is what holds the leases: `quota::FleetQuotas`
 /// itself, or the caller's own type around it.
 pub struct Control<L> {
     membership: Node,
@@ -99,16 +99,15 @@
             return;
         };
         for received in received {
-            let sender = Who {
+            let sender = HolderId {
                 name: received.from,
-                life: received.boot_id,
+                boot_id: received.boot_id,
             };
-            leases
-                .shares_mut()
-                .receive(times.steady, &sender, &received.payload);
+            let quotas = leases.quotas_mut();
+            quotas.receive(times.steady, &sender, &received.payload);
         }
-        if leases.shares().due() <= times.steady {
-            leases.shares_mut().turn(times.steady);
+        if leases.quotas().next_wakeup() <= times.steady {
+            leases.quotas_mut().tick(times.steady);
         }
         self.send_leases(times.now);
     }
@@ -117,10 +116,10 @@
         let Some(leases) = &mut self.leases else {
             return;
         };
-        for letter in leases.shares_mut().take_out() {
-            let delivered = self
-                .membership
-                .send_payload(now, &letter.to, letter.word.bytes());
+        for message in leases.quotas_mut().take_outgoing() {
+            let delivered =
+                self.membership
+                    .send_payload(now, &message.to, message.payload.encode());
             self.undelivered += u64::from(!delivered);
         }
     }
@@ -128,7 +127,7 @@
     /// This gateway ends: its lease is given back, and others are told that it goes.
     pub fn leave(&mut self, times: Times) {
         if let Some(leases) = &mut self.leases {
-            leases.shares_mut().leave(times.steady);
+            leases.quotas_mut().leave(times.steady);
         }
         self.send_leases(times.now);
         self.membership.leave(times.now);
--- a/crates/gateway/src/clients/login.rs
+++ b/crates/gateway/src/clients/login.rs
@@ -20,7 +20,7 @@
         counters.logins_denied += 1;
         self.state = SessionState::Closing;
         let response = self.response().error(error.code(), &error.to_string());
-        self.socket.put(&response);
+        self.socket.enqueue(&response);
     }
 }
 
@@ -81,7 +81,7 @@
                     Ok(()) => {
                         session.state = SessionState::AwaitingToken;
                         let request = session.response().request_clear_password();
-                        session.socket.put(&request);
+                        session.socket.enqueue(&request);
                     }
                     Err(error) => session.reject_login(error, counters),
                 };
@@ -105,7 +105,7 @@
         }
         session.state = SessionState::Ready;
         let ok = session.response().ok();
-        session.socket.put(&ok);
+        session.socket.enqueue(&ok);
     }
 
     /// From here on the session is within TLS; what stands behind the request in this turn is read on within it.
@@ -113,9 +113,9 @@
         let Some(session) = self.sessions.get_mut(&id) else {
             return;
         };
-        let bytes_before = session.socket.inbox.len();
+        let bytes_before = session.socket.read_buffer.len();
         let start = session.socket.start_tls(tls);
-        let bytes_after = session.socket.inbox.len();
+        let bytes_after = session.socket.read_buffer.len();
         self.unread_bytes = self.unread_bytes + bytes_after - bytes_before;
         session.state = match start {
             Ok(()) => SessionState::AwaitingTlsLogin,
--- a/crates/gateway/src/service/shown.rs
+++ b/crates/gateway/src/service/shown.rs
@@ -8,7 +8,7 @@
 use super::Service;
 use crate::clients::protocol::Response;
 use crate::clients::{ProgressSubscriber, SessionId};
-use crate::engines::lines::Rid;
+use crate::engines::protocol::RequestId;
 use crate::fleet::Fleet;
 use crate::status;
 
@@ -68,7 +68,7 @@
                 .respond(now, session, &mut self.counters, table);
             return;
         };
-        let statement = Rid::try_from(id.as_bytes())
+        let statement = RequestId::try_from(id.as_bytes())
             .ok()
             .and_then(|rid| self.rids.get(&rid))
             .copied();
--- a/crates/gateway/tests/golden.rs
+++ b/crates/gateway/tests/golden.rs
@@ -21,14 +21,23 @@
 };
 use admission::interface::{EngineStage, TimeDelta, Timestamp};
 use bytes::BytesMut;
-use gateway::board::http::{self, Answered};
-use gateway::clients::comment;
-use gateway::clients::packets::{self, Answer as Packets, Command, Hello, Query};
+use gateway::clients::comment::CommentedStatement;
+use gateway::clients::protocol::handshake::{
+    self, FirstPacket, LoginError, OfferedOptions, accepts_progress_reports, check_login,
+    check_token_login, first_packet,
+};
+use gateway::clients::protocol::packet::take_packet;
+use gateway::clients::protocol::response::ProgressReport;
+use gateway::clients::protocol::{Command, ErrorCode, KillScope, Query, Response};
+use gateway::clients::table_group::table_group;
 use gateway::counters::Counters;
-use gateway::engines::lines::{self, Answer, Tags, Word};
+use gateway::discovery::http::{self, ConnectionReuse, InputState, PollResponse};
+use gateway::engines::protocol::{
+    self, AttemptRequest, MAX_BODY_BYTES, MAX_RESPONSE_BYTES, RequestId, ResponseKind,
+    StatementKeys,
+};
 use gateway::status;
-use quota::office::Holding;
-use quota::{Amount, Line, Status, Who};
+use quota::{Amount, BudgetStatus, HolderId, Holding, Status};
 use scheduler::{StatementStatus, SubQueueStatus, WaitEstimate};
 use serde_json::json;
 use stand_ins::client::{Client, login_packet, packet, query_packet};
@@ -74,49 +83,55 @@
 #[test]
 fn packets_to_clients_are_as_recorded() {
     let cells = |cells: [&str; 2]| cells.map(str::to_owned);
-    let (seq, progress) = Packets::to(0).progress((1, 2), 40_000, "Waiting, 1.5 s more");
+    let progress = Response::to(0).progress(&ProgressReport {
+        stage: 1,
+        stages: 2,
+        done: 40_000,
+        text: "Waiting, 1.5 s more",
+    });
+    let greeting = |progress_reports: bool, tls: bool| {
+        let options = OfferedOptions {
+            progress_reports,
+            tls,
+        };
+        hex(handshake::greeting(0x0102_0304, options))
+    };
     let pages = [&b"a\tb\tc\n1\t2\t3\n"[..], b"4\t5\t6\n"];
     let long = "x".repeat(300);
     let got = [
+        ("greeting", greeting(false, false)),
+        ("greeting-progress", greeting(true, false)),
+        ("greeting-tls", greeting(false, true)),
+        ("greeting-progress-tls", greeting(true, true)),
+        ("ok", hex(Response::to(1).ok())),
+        ("ok-after-last-number", hex(Response::to(255).ok())),
+        ("progress", hex(&progress.bytes)),
+        ("progress-number", progress.sequence.to_string()),
         (
-            "greeting",
-            hex(packets::greeting(0x0102_0304, false, false)),
-        ),
-        (
-            "greeting-progress",
-            hex(packets::greeting(0x0102_0304, true, false)),
-        ),
-        (
-            "greeting-tls",
-            hex(packets::greeting(0x0102_0304, false, true)),
-        ),
-        (
-            "greeting-progress-tls",
-            hex(packets::greeting(0x0102_0304, true, true)),
+            "error",
+            hex(Response::to(0).error(ErrorCode::LIMIT_REACHED, "denied; backoff=400")),
         ),
-        ("ok", hex(Packets::to(1).ok())),
-        ("ok-after-last-number", hex(Packets::to(255).ok())),
-        ("progress", hex(progress)),
-        ("progress-number", seq.to_string()),
         (
-            "error",
-            hex(Packets::to(0).error(1226, b"42000", "denied; backoff=400")),
+            "ask-password",
+            hex(Response::to(2).request_clear_password()),
         ),
-        ("ask-password", hex(Packets::to(2).ask_clear())),
         (
             "value",
-            hex(Packets::to(0).value("@@max_allowed_packet", b"65536")),
+            hex(Response::to(0).single_value("@@max_allowed_packet", b"65536")),
         ),
         (
             "table",
-            hex(Packets::to(0).table(["one", "two"], &[cells(["a", "b"]), cells(["", &long])])),
+            hex(Response::to(0).table(["one", "two"], &[cells(["a", "b"]), cells(["", &long])])),
         ),
         (
             "table-empty",
-            hex(Packets::to(0).table(["one", "two"], &[])),
+            hex(Response::to(0).table(["one", "two"], &[])),
+        ),
+        ("result", hex(Response::to(0).result_set(pages.into_iter()))),
+        (
+            "result-empty",
+            hex(Response::to(0).result_set([].into_iter())),
         ),
-        ("result", hex(Packets::to(0).result(pages.into_iter()))),
-        ("result-empty", hex(Packets::to(0).result([].into_iter()))),
     ];
     golden("packets.txt", &got);
 }
@@ -125,33 +140,42 @@
     login_packet(user, password, database)[4..].to_vec()
 }
 
-fn judged(of: Result<(), packets::Denied>) -> String {
+fn judged(of: Result<(), LoginError>) -> String {
     match of {
         Ok(()) => "in".to_owned(),
-        Err((code, state, why)) => format!("{code} {} {why}", plain(state)),
+        Err(why) => {
+            let code = why.code();
+            format!("{} {} {why}", code.number, plain(code.sql_state))
+        }
     }
 }
 
 fn command(body: &[u8]) -> String {
-    match packets::command(body) {
+    match Command::parse(body) {
         Command::Quit => "quit".to_owned(),
         Command::Ping => "ping".to_owned(),
-        Command::Fine => "fine".to_owned(),
+        Command::NoOperation => "fine".to_owned(),
         Command::Query(text) => format!("query {}", plain(text)),
         Command::Unknown => "unknown".to_owned(),
     }
 }
 
 fn query(text: &str) -> String {
-    match packets::query(text.as_bytes()) {
+    match Query::parse(text.as_bytes()) {
         Query::Statement => "statement".to_owned(),
-        Query::Renew(token) => format!("token {token}"),
-        Query::Kill { connection, whole } => format!("kill {connection} whole={whole}"),
-        Query::Queue(id) => format!("queue {}", id.unwrap_or("-")),
-        Query::Fleet => "fleet".to_owned(),
-        Query::Shares => "shares".to_owned(),
-        Query::Fine => "fine".to_owned(),
-        Query::Variable(name) => format!("variable {name}"),
+        Query::SetToken(token) => format!("token {token}"),
+        Query::Kill {
+            connection_id,
+            scope,
+        } => {
+            let whole = scope == KillScope::Connection;
+            format!("kill {connection_id} whole={whole}")
+        }
+        Query::ShowQueue(id) => format!("queue {}", id.unwrap_or("-")),
+        Query::ShowFleet => "fleet".to_owned(),
+        Query::ShowShares => "shares".to_owned(),
+        Query::NoOperation => "fine".to_owned(),
+        Query::SystemVariable(name) => format!("variable {name}"),
     }
 }
 
@@ -162,53 +186,58 @@
     progress[28] = 1;
     let mut tls = login("token", b"", "warehouse");
     tls[1] |= 8;
-    let hello = |body: &[u8]| match packets::hello(body) {
-        Hello::Tls => "tls".to_owned(),
-        Hello::Login => "login".to_owned(),
+    let hello = |body: &[u8]| match first_packet(body) {
+        FirstPacket::TlsRequest => "tls".to_owned(),
+        FirstPacket::Login => "login".to_owned(),
     };
     let mut inbox = BytesMut::from(&[3, 0, 0, 9, 3, b'h', b'i', 1][..]);
-    let taken = packets::take(&mut inbox).unwrap().unwrap();
-    let too_large = packets::take(&mut BytesMut::from(&[1, 0, 1, 0][..]))
+    let taken = take_packet(&mut inbox).unwrap().unwrap();
+    let too_large = take_packet(&mut BytesMut::from(&[1, 0, 1, 0][..]))
         .err()
         .unwrap();
     let got = [
         (
             "packet",
-            format!("{} {} {}", taken.seq, plain(&taken.body), plain(&inbox)),
+            format!(
+                "{} {} {}",
+                taken.sequence,
+                plain(&taken.body),
+                plain(&inbox)
+            ),
         ),
         ("packet-too-large", too_large.to_string()),
         (
             "login",
-            judged(packets::login(&login("app", b"", "warehouse"))),
+            judged(check_login(&login("app", b"", "warehouse"))),
         ),
         (
             "login-other-user",
-            judged(packets::login(&login("root", b"", "warehouse"))),
+            judged(check_login(&login("root", b"", "warehouse"))),
         ),
         (
             "login-password",
-            judged(packets::login(&login("app", b"x", "warehouse"))),
+            judged(check_login(&login("app", b"x", "warehouse"))),
         ),
         (
             "login-other-database",
-            judged(packets::login(&login("app", b"", "other"))),
+            judged(check_login(&login("app", b"", "other"))),
         ),
-        ("login-malformed", judged(packets::login(b"\x00"))),
+        ("login-malformed", judged(check_login(b"\x00"))),
         (
             "login-token",
-            judged(packets::token_login(&login("token", b"x", "warehouse"))),
+            judged(check_token_login(&login("token", b"x", "warehouse"))),
         ),
         (
             "login-token-other-user",
-            judged(packets::token_login(&login("app", b"", "warehouse"))),
+            judged(check_token_login(&login("app", b"", "warehouse"))),
         ),
         (
             "progress-wanted",
-            packets::takes_progress(&progress).to_string(),
+            accepts_progress_reports(&progress).to_string(),
         ),
         (
             "progress-not-wanted",
-            packets::takes_progress(&login("app", b"", "warehouse")).to_string(),
+            accepts_progress_reports(&login("app", b"", "warehouse")).to_string(),
         ),
         ("first-tls", hello(&tls[..32])),
         ("first-login", hello(&tls)),
@@ -369,71 +398,87 @@
 
 #[test]
 fn lines_to_engines_are_as_recorded() {
-    let rid = b"5eed00c0ffee0a17";
-    let none = Tags {
-        mark: None,
-        key: None,
+    let request_id: RequestId = *b"5eed00c0ffee0a17";
+    let none = StatementKeys {
+        idempotency_key: None,
+        ordering_key: None,
     };
-    let both = Tags {
-        mark: Some("00112233445566778899aabbccddeeff".into()),
-        key: Some("a1b2".into()),
+    let both = StatementKeys {
+        idempotency_key: Some("00112233445566778899aabbccddeeff".into()),
+        ordering_key: Some("a1b2".into()),
     };
     let got = [
         (
             "do",
-            plain(lines::attempt(
-                rid,
-                "scan",
-                1200,
-                None,
-                &none,
-                b"SELECT '\r\n'",
-            )),
+            plain(
+                AttemptRequest {
+                    request_id,
+                    class: "scan",
+                    timeout_ms: 1200,
+                    priority: None,
+                    keys: &none,
+                    text: b"SELECT '\r\n'",
+                }
+                .encode(),
+            ),
         ),
         (
             "do-ranked",
-            plain(lines::attempt(
-                rid,
-                "scan",
-                1200,
-                Some(2),
-                &none,
-                b"SELECT 1",
-            )),
+            plain(
+                AttemptRequest {
+                    request_id,
+                    class: "scan",
+                    timeout_ms: 1200,
+                    priority: Some(2),
+                    keys: &none,
+                    text: b"SELECT 1",
+                }
+                .encode(),
+            ),
         ),
         (
             "do-tagged",
-            plain(lines::attempt(rid, "load", 80, Some(0), &both, b"INSERT")),
+            plain(
+                AttemptRequest {
+                    request_id,
+                    class: "load",
+                    timeout_ms: 80,
+                    priority: Some(0),
+                    keys: &both,
+                    text: b"INSERT",
+                }
+                .encode(),
+            ),
         ),
-        ("undo", plain(lines::undo(rid))),
-        ("page", plain(lines::page(rid, 3))),
-        ("forget", plain(lines::forget(rid))),
-        ("longest-body", lines::BODY.to_string()),
-        ("inbox-bound", lines::BOUND.to_string()),
+        ("undo", plain(protocol::encode_cancel(&request_id))),
+        ("page", plain(protocol::encode_page_request(&request_id, 3))),
+        ("forget", plain(protocol::encode_release(&request_id))),
+        ("longest-body", MAX_BODY_BYTES.to_string()),
+        ("inbox-bound", MAX_RESPONSE_BYTES.to_string()),
     ];
     golden("lines.txt", &got);
 }
 
 fn line(bytes: &[u8]) -> String {
-    let answer = match Answer::take(&mut BytesMut::from(bytes)) {
+    let answer = match protocol::Response::decode(&mut BytesMut::from(bytes)) {
         Ok(Some(answer)) => answer,
         Ok(None) => return "not all there".to_owned(),
         Err(error) => return error.to_string(),
     };
-    let word = match answer.word {
-        Word::Done => "done",
-        Word::Wait => "wait",
-        Word::Broke => "broke",
-        Word::Past => "past",
-        Word::Tell => "tell",
-        Word::More => "more",
-        Word::Fit => "fit",
+    let word = match answer.kind {
+        ResponseKind::Completed => "done",
+        ResponseKind::Rejected => "wait",
+        ResponseKind::Failed => "broke",
+        ResponseKind::Expired => "past",
+        ResponseKind::Status => "tell",
+        ResponseKind::Page => "more",
+        ResponseKind::Pong => "fit",
     };
     let fields = ["total", "elapsed", "rss", "remark", "datum", "index"];
     let fields = fields.map(|name| answer.field(name).map_or("-".to_owned(), plain));
     format!(
         "{} {word} {} '{}'",
-        plain(&answer.id),
+        plain(&answer.request_id),
         fields.join("/"),
         plain(&answer.body)
     )
@@ -519,26 +564,29 @@
         ("from-known", asked(&known)),
         ("after-news", asked(&later)),
         ("from-the-start", asked(&anew)),
-        ("longest-answer", http::LARGEST.to_string()),
+        ("longest-answer", http::MAX_RESPONSE_BYTES.to_string()),
     ];
     golden("board.txt", &got);
 }
 
 fn board(head: &str, body: &str) -> String {
     let bytes = format!("HTTP/1.1 {head}\r\n\r\n{body}");
-    let (events, keep) = match http::take(&mut BytesMut::from(bytes.as_bytes()), true) {
-        Answered::NotYet => return "not all there".to_owned(),
-        Answered::Nonsense(why) => return format!("nonsense: {why}"),
-        Answered::Events(events, keep) => (events, keep),
+    let mut inbox = BytesMut::from(bytes.as_bytes());
+    let (batch, reuse) = match http::take_response(&mut inbox, InputState::Ended) {
+        Ok(PollResponse::Incomplete) => return "not all there".to_owned(),
+        Err(why) => return format!("nonsense: {why}"),
+        Ok(PollResponse::Complete { batch, reuse }) => (batch, reuse),
     };
-    let mut text = format!("keep={keep} last={}", events.last);
-    for event in &events.events {
-        let Some(change) = &event.list else {
-            write!(text, "; {} other", event.number).unwrap();
+    let keep = reuse == ConnectionReuse::KeepAlive;
+    let mut text = format!("keep={keep} last={}", batch.last_revision);
+    for event in &batch.events {
+        let Some(change) = &event.change else {
+            write!(text, "; {} other", event.revision).unwrap();
             continue;
         };
-        write!(text, "; {} whole={}", event.number, change.whole).unwrap();
-        for of in &change.targets {
+        let whole = change.is_snapshot();
+        write!(text, "; {} whole={whole}", event.revision).unwrap();
+        for of in change.endpoints() {
             let stage = match of.stage {
                 EngineStage::Ready => "ready",
                 EngineStage::Draining => "draining",
@@ -630,7 +678,7 @@
 }
 
 fn commented_as(text: &str) -> String {
-    let read = match comment::read(text.as_bytes()) {
+    let read = match CommentedStatement::parse(text.as_bytes()) {
         Ok(read) => read,
         Err(error) => return error.to_string(),
     };
@@ -638,11 +686,15 @@
     let words = [
         read.class,
         read.tenant.unwrap_or("-"),
-        read.desk.unwrap_or("-"),
+        read.sub_queue.unwrap_or("-"),
+    ]
+    .join("/");
+    let tags = [
+        read.idempotency_key.unwrap_or("-"),
+        read.order_key.unwrap_or("-"),
     ]
     .join("/");
-    let tags = [read.mark.unwrap_or("-"), read.key.unwrap_or("-")].join("/");
-    let (rid, statement) = (plain(read.rid), plain(read.statement));
+    let (rid, statement) = (plain(read.request_id), plain(read.text));
     let (estimate, memory) = (number(read.estimate_ms), number(read.memory_mb));
     format!(
         "{rid} {words} {}/{estimate}/{memory} {tags} {statement}",
@@ -657,7 +709,7 @@
     let without = |field: &str| commented_as(&all.replace(&format!("{field}="), "other="));
     let empty = |field: &str| commented_as(&least.replace(" */", &format!(",{field}= */")));
     let group = |statement: &str| {
-        comment::table_group(statement.as_bytes()).map_or("-".to_owned(), |of| of.to_string())
+        table_group(statement.as_bytes()).map_or("-".to_owned(), |of| of.to_string())
     };
     let got = [
         ("all", commented_as(all)),
@@ -751,13 +803,13 @@
         ("queue-quiet-desk", rows[1].clone()),
         (
             "queue-packets",
-            hex(Packets::to(0).table(status::DESKS, &desks)),
+            hex(Response::to(0).table(status::DESKS, &desks)),
         ),
         ("statement-columns", status::STATEMENT.join("|")),
         ("statement", cells(&statement).concat()),
         (
             "statement-packets",
-            hex(Packets::to(0).table(status::STATEMENT, &statement)),
+            hex(Response::to(0).table(status::STATEMENT, &statement)),
         ),
     ];
     golden("queues.txt", &got);
@@ -838,50 +890,50 @@
 #[test]
 fn shares_are_shown_as_recorded() {
     let holding = |of: &str, differs: bool| Holding {
-        who: Who {
+        holder: HolderId {
             name: name(of),
-            life: BootId(1),
+            boot_id: BootId(1),
         },
-        need: Amount(1_500_000),
+        demand: Amount(1_500_000),
         reserved: Amount(2_250_000),
-        until: Some(at(12.0)),
-        differs,
+        expires: Some(at(12.0)),
+        config_differs: differs,
     };
-    let line = |budget: &str, unit: &'static str| Line {
+    let line = |budget: &str, unit: &'static str| BudgetStatus {
         budget: budget.to_owned(),
         unit,
-        whole: Amount(6_000_000),
-        floor: Amount(500_000),
+        capacity: Amount(6_000_000),
+        guaranteed: Amount(500_000),
         leased: Amount(1_250_000),
-        until: Some(at(11.5)),
+        lease_expires: Some(at(11.5)),
         wanted: 0.125,
         spent: 3.5,
         allowed: 4.75,
-        refused: 2,
+        rejected: 2,
         holdings: vec![
             holding("g0", false),
             holding("g1", true),
             holding("g2", false),
         ],
     };
-    let bare = Line {
-        until: None,
+    let bare = BudgetStatus {
+        lease_expires: None,
         holdings: Vec::new(),
         ..line("trials", "trials/s")
     };
     let steward = Status {
-        me: name("g0"),
-        steward: Some(name("g1")),
-        is_steward: true,
-        number: Some(7),
-        lines: vec![line("relays.point", "relays/s"), bare.clone()],
+        gateway: name("g0"),
+        leader: Some(name("g1")),
+        is_leader: true,
+        term: Some(7),
+        budgets: vec![line("relays.point", "relays/s"), bare.clone()],
     };
     let none = Status {
-        me: name("g0"),
-        steward: None,
-        is_steward: false,
-        number: None,
-        lines: vec![bare],
+        gateway: name("g0"),
+        leader: None,
+        is_leader: false,
+        term: None,
+        budgets: vec![bare],
     };
     let mut got = vec![("shares-columns", status::SHARES.join("|"))];
     got.extend(
