--- a/crates/quota/src/lease_ledger.rs
+++ b/crates/quota/src/lease_ledger/mod.rs
@@ -1,19 +1,19 @@
 //! The leader's ledger: what each holder may hold at most, and how much is left to lease to others.
 
+mod entry;
+
 use std::collections::{BTreeMap, BTreeSet};
 
 use admission::interface::{TimeDelta, Timestamp};
 use membership::Name;
 
 use crate::amount::Amount;
-use crate::clock_drift::ClockComparison;
 use crate::config::{Budget, Config};
 use crate::max_min::max_min_fair;
 use crate::message::{BudgetDemand, HolderId, LeaseRequest, RequestId};
 
-/// A holder that sent no request for so many renewal intervals has no demand. What it holds stays reserved until its lease
-/// expires.
-const IDLE_AFTER_RENEWALS: f64 = 2.5;
+use entry::{IssuedLease, LedgerEntry, StatedBudget};
+
 /// From one grant to the next, a holder's part falls to this fraction at most, so that a demand that comes and goes moves
 /// the parts of others slowly.
 const MAX_FALL_DIVISOR: u64 = 2;
@@ -22,62 +22,12 @@
 /// The most holders, as a multiple of the gateways that may run: a restarted gateway is another holder.
 const HOLDERS_PER_GATEWAY: usize = 2;
 
-/// A lease as the leader counts it.
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct IssuedLease {
-    request: RequestId,
-    amounts: Vec<Amount>,
-    /// By the leader's clock: the holder's lease is over by then at the latest.
-    expires: Timestamp,
-}
-
-/// What a holder's file says of a budget.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct StatedBudget {
-    capacity: Amount,
-    guaranteed: Amount,
-}
-
-/// What the leader knows of one holder. Vectors are by the leader's own order of budgets.
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct LedgerEntry {
-    last_request: RequestId,
-    last_heard: Timestamp,
-    demands: Vec<Amount>,
-    stated: Vec<StatedBudget>,
-    /// Leases that the holder may spend by: the one that it says it has, and the one on its way to it.
-    leases: Vec<IssuedLease>,
-    clock: ClockComparison,
-    /// It returned its lease. The entry stays so that an earlier request of it that comes late is recognised.
-    left: bool,
-}
-
-impl LedgerEntry {
-    /// The most that the holder may hold of a budget.
-    fn reserved(&self, now: Timestamp, budget: usize) -> Amount {
-        let in_force = self.leases.iter().filter(|lease| now < lease.expires);
-        in_force
-            .map(|lease| lease.amounts[budget])
-            .max()
-            .unwrap_or(Amount::ZERO)
-    }
-
-    fn last_granted(&self, budget: usize) -> Amount {
-        self.leases
-            .last()
-            .map_or(Amount::ZERO, |lease| lease.amounts[budget])
-    }
-
-    /// What it stated of its budgets counts.
-    fn is_current(&self, now: Timestamp, config: &Config) -> bool {
-        now - self.last_heard < config.lease_duration && !self.left
-    }
-
-    /// Its demand counts.
-    fn is_active(&self, now: Timestamp, config: &Config) -> bool {
-        let asked_lately = now - self.last_heard < config.renewals(IDLE_AFTER_RENEWALS);
-        asked_lately && !self.left && !self.clock.exceeds_bound()
-    }
+/// Whether the ledger has every lease that is in force.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Coverage {
+    Complete,
+    /// Leases of an earlier leader may be in force beside those in the ledger.
+    Partial,
 }
 
 /// What a holder has of one budget, as the leader knows it.
@@ -134,12 +84,16 @@
         if request.leaving {
             return None;
         }
-        let is_complete = now >= complete_from;
-        if is_new && !is_complete {
+        let coverage = if now >= complete_from {
+            Coverage::Complete
+        } else {
+            Coverage::Partial
+        };
+        if is_new && coverage == Coverage::Partial {
             self.adopt_lease(now, holder, request, &reported, config);
         }
         let amounts: Vec<Amount> = (0..config.budgets.len())
-            .map(|budget| self.amount_to_grant(now, holder, budget, is_complete, config))
+            .map(|budget| self.amount_to_grant(now, holder, budget, coverage, config))
             .collect();
         self.issue(now, holder, request.request, amounts.clone(), config);
         Some(amounts)
@@ -170,37 +124,8 @@
         let entry = self
             .entries
             .entry(holder.clone())
-            .or_insert_with(|| LedgerEntry {
-                last_request: request.request,
-                last_heard: now,
-                demands: Vec::new(),
-                stated: Vec::new(),
-                leases: Vec::new(),
-                clock: ClockComparison::default(),
-                left: false,
-            });
-        entry.last_request = request.request;
-        entry.last_heard = now;
-        entry.left = request.leaving;
-        entry.clock.observe(now, request, config);
-        entry.demands = reported
-            .iter()
-            .map(|budget| budget.demand.min(Amount::MAX))
-            .collect();
-        entry.stated = reported
-            .iter()
-            .map(|budget| StatedBudget {
-                capacity: budget.capacity.min(Amount::MAX),
-                guaranteed: budget.guaranteed,
-            })
-            .collect();
-        // The holder accepts no grant any more but one for this request: all but the lease that it has are void.
-        entry
-            .leases
-            .retain(|lease| now < lease.expires && Some(lease.request) == request.held_lease);
-        if request.leaving {
-            entry.leases.clear();
-        }
+            .or_insert_with(|| LedgerEntry::new(now, request.request));
+        entry.record_request(now, request, reported, config);
     }
 
     /// Takes over the lease that a holder says it has of an earlier leader, within what can be leased.
@@ -282,7 +207,7 @@
         now: Timestamp,
         holder: &HolderId,
         budget: usize,
-        is_complete: bool,
+        coverage: Coverage,
         config: &Config,
     ) -> Amount {
         let entry = &self.entries[holder];
@@ -292,10 +217,9 @@
         let leasable = self.leasable(now, budget, config);
         let reserved_by_others = self.reserved_by_others(now, holder, budget);
         let available = leasable.saturating_sub(reserved_by_others);
-        let upper_bound = if is_complete {
-            available
-        } else {
-            available.min(entry.reserved(now, budget))
+        let upper_bound = match coverage {
+            Coverage::Complete => available,
+            Coverage::Partial => available.min(entry.reserved(now, budget)),
         };
         let last_granted = entry.last_granted(budget);
         // Where the capacity shrank, parts fall at once.
