--- a/crates/dispatch/benches/support/simulation.rs
+++ b/crates/dispatch/benches/support/simulation.rs
@@ -12,7 +12,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use serde_json::{Value, json};
-use settings::{Settings, Way};
+use settings::{NetworkDelay, Settings};
 
 /// The users' size.
 pub(crate) const TARGET_GATEWAYS: f64 = 1_900.0;
@@ -61,7 +61,7 @@
 pub(crate) fn dispatch(gateways: u32, engines: u32, seed: u64) -> Dispatcher {
     let settings = Settings::from_json(&settings(gateways));
     let policy = settings
-        .policy(seed, Way(NETWORK_DELAY))
+        .policy(seed, NetworkDelay(NETWORK_DELAY))
         .expect("the example's settings");
     let mut dispatch = Dispatcher::new(policy);
     dispatch.on_endpoint_update(Timestamp::from_secs(0.0), &engine_list(engines));
@@ -204,8 +204,8 @@
 
 impl Simulation {
     pub(crate) fn new(plan: Plan) -> Self {
-        let links = Settings::from_json(&settings(plan.gateways))
-            .links()
+        let connections = Settings::from_json(&settings(plan.gateways))
+            .connections()
             .expect("the example's settings");
         let gateways = (plan.first..plan.first + plan.run).map(|number| {
             let seed = plan
@@ -231,7 +231,7 @@
             events: BTreeMap::new(),
             next_event: 0,
             gateways,
-            pool_idle_s: links.idle.secs() * POOL_IDLE_PART,
+            pool_idle_s: connections.idle_timeout.secs() * POOL_IDLE_PART,
             work: Work::default(),
             totals: Totals::default(),
         };
--- a/crates/gateway/src/engines/mod.rs
+++ b/crates/gateway/src/engines/mod.rs
@@ -9,7 +9,7 @@
 
 use admission::interface::*;
 use bytes::Bytes;
-use settings::Links;
+use settings::ConnectionSettings;
 use tracing::debug;
 
 use crate::counters::Counters;
@@ -102,7 +102,7 @@
 
 pub struct Engines {
     handle: Loop,
-    links: Links,
+    links: ConnectionSettings,
     /// Descriptors that connections may take.
     share: usize,
     next: u64,
@@ -125,7 +125,7 @@
 }
 
 impl Engines {
-    pub fn new(handle: &Loop, links: Links, share: usize) -> Self {
+    pub fn new(handle: &Loop, links: ConnectionSettings, share: usize) -> Self {
         Engines {
             handle: handle.clone(),
             links,
@@ -346,7 +346,7 @@
     fn settle(&mut self, at: u64) {
         let (rest, idle) = (
             TimeDelta::from_secs(REST_S),
-            TimeDelta::from_secs(self.links.idle.secs() * IDLE_PART),
+            TimeDelta::from_secs(self.links.idle_timeout.secs() * IDLE_PART),
         );
         let Some(connection) = self.connections.get_mut(&at) else {
             return;
--- a/crates/gateway/src/lifecycle.rs
+++ b/crates/gateway/src/lifecycle.rs
@@ -168,7 +168,7 @@
             ProgressReports::Off
         };
         let clients = Sessions::new(&handle, limits, progress_reports, now);
-        let engines = Engines::new(&handle, config.settings.links()?, engine_share);
+        let engines = Engines::new(&handle, config.settings.connections()?, engine_share);
         let discovery = DiscoveryClient::new(
             &handle,
             config.board,
@@ -243,7 +243,7 @@
             clock,
             timer: None,
             service,
-            longest: config.settings.longest_deadline()?,
+            longest: config.settings.longest_time_limit()?,
             source,
             config,
             operated,
--- a/crates/gateway/src/service/mod.rs
+++ b/crates/gateway/src/service/mod.rs
@@ -14,7 +14,7 @@
 use dispatch::Dispatcher;
 use identity::TokenVerifier;
 use scheduler::{Config as QueueConfig, QueueResolver, Scheduler, TenantQueues};
-use settings::{Settings, SettingsError, Way};
+use settings::{NetworkDelay, Settings, SettingsError};
 use tracing::{info, warn};
 
 use crate::clients::{SessionId, Sessions};
@@ -28,7 +28,7 @@
 use crate::fleet::parts::Flow;
 
 /// Network fact: the longest time that what has left is on its way to an engine.
-pub const WAY: Way = Way(TimeDelta::from_micros(50_000));
+pub const WAY: NetworkDelay = NetworkDelay(TimeDelta::from_micros(50_000));
 /// How long after its deadline a statement may still be without the decisions' answer, within its budget.
 const OVERDUE_S: f64 = 0.004;
 /// How often those that wait are told of their progress, where their client takes it.
@@ -99,7 +99,7 @@
         discovery: DiscoveryClient,
         terms: Option<&QueueConfig>,
     ) -> Result<Self, SettingsError> {
-        let (resolver, classes) = (terms.map(QueueResolver::new), settings.classes());
+        let (resolver, classes) = (terms.map(QueueResolver::new), settings.class_count());
         let queues = terms.map(|terms| TenantQueues::new(now, terms.clone(), classes, seed));
         Ok(Service {
             clients,
@@ -115,8 +115,8 @@
             peers: settings.peers()?,
             classes: settings.class_names()?,
             tenants: settings.tenant_names()?,
-            bills: settings.bills()?,
-            most_open: settings.most_open()?,
+            bills: settings.engines_report_usage()?,
+            most_open: settings.max_open_statements()?,
             next: 0,
             in_flight: BTreeMap::new(),
             rids: BTreeMap::new(),
--- a/crates/gateway/tests/connections.rs
+++ b/crates/gateway/tests/connections.rs
@@ -11,7 +11,7 @@
 use gateway::engines::lines::{Rid, Tags};
 use gateway::engines::{Engines, Outgoing, Report};
 use gateway::socket::{Peer, Ready};
-use settings::Links;
+use settings::ConnectionSettings;
 
 use support::script::{Link, Script, completed, delivered};
 
@@ -29,9 +29,9 @@
     fn new(engine: SocketAddr, connections: usize) -> Turns {
         let event_loop = EventLoop::try_new().unwrap();
         let span = TimeDelta::from_secs;
-        let links = Links {
+        let links = ConnectionSettings {
             connect_timeout: span(5.0),
-            idle: span(100.0),
+            idle_timeout: span(100.0),
             multiplex: 10,
         };
         let mut engines = Engines::new(&event_loop.handle(), links, connections);
--- a/crates/gateway/tests/endings.rs
+++ b/crates/gateway/tests/endings.rs
@@ -972,7 +972,7 @@
 fn two_configurations_in_one_process_share_nothing() {
     use admission::interface::*;
     use dispatch::{Decision, Dispatcher, FollowUp, StatementRequest};
-    use settings::{Settings, Way};
+    use settings::{NetworkDelay, Settings};
     let at = Timestamp::from_secs;
     let config: Value =
         serde_json::from_str(include_str!("../../../examples/config.json")).unwrap();
@@ -980,7 +980,7 @@
         let mut settings = config["settings"].clone();
         settings["Grades"][0]["Effect"] = json!(effect);
         let policy = Settings::from_json(&settings)
-            .policy(7, Way(TimeDelta::ZERO))
+            .policy(7, NetworkDelay(TimeDelta::ZERO))
             .unwrap();
         let mut dispatch = Dispatcher::new(policy);
         let engine = EngineInfo {
--- a/crates/settings/tests/forms.rs
+++ b/crates/settings/tests/forms.rs
@@ -1,9 +1,12 @@
 //! Both forms of the same settings read alike, and what is missing or unreadable is named.
 
-use admission::interface::TimeDelta;
-use settings::{Settings, Way};
+use admission::interface::{
+    Attempt, AttemptState, CellId, ClassId, EngineId, LocationId, Statement, StatementId,
+    TableGroupId, TenantId, TimeDelta, Timestamp,
+};
+use settings::{NetworkDelay, Settings};
 
-const WAY: Way = Way(TimeDelta::ZERO);
+const NO_DELAY: NetworkDelay = NetworkDelay(TimeDelta::ZERO);
 
 const LINES: &str = "Discovery=pushed\nExtra.Bills=true\nExtra.KindCores=8,16\nExtra.Notes=a_b__c\n\
     Extra.Parallelism=1,2\nGrades.count=2\nGrades.0.Name=point\nGrades.0.Effect=safe\nGrades.0.GoalTimeS=0.5\n\
@@ -23,101 +26,88 @@
 
 #[test]
 fn both_forms_read_alike() {
-    let (lines, json) = (
-        Settings::from_lines(LINES),
-        Settings::from_json(&serde_json::from_str(JSON).unwrap()),
-    );
+    let lines = Settings::from_lines(LINES);
+    let json = Settings::from_json(&serde_json::from_str(JSON).unwrap());
     assert_eq!(lines, json);
     assert_eq!(json.class_names().unwrap(), ["point", "load"]);
-    assert_eq!(
-        (json.tenant_names().unwrap(), json.classes()),
-        (vec!["water".to_owned()], 2)
-    );
-    assert_eq!(
-        (json.location_names(), json.machine_names().len()),
-        (vec!["west".into(), "east".into()], 2)
-    );
-    let links = json.links().unwrap();
-    assert_eq!(
-        (
-            links.connect_timeout.secs(),
-            links.idle.secs(),
-            links.multiplex
-        ),
-        (0.25, 30.0, 100)
-    );
-    assert!(json.policy(1, WAY).is_ok() && json.bills().unwrap());
+    assert_eq!(json.class_count(), 2);
+    assert_eq!(json.tenant_names().unwrap(), ["water"]);
+    assert_eq!(json.location_names(), ["west", "east"]);
+    assert_eq!(json.machine_names().len(), 2);
+    let connections = json.connections().unwrap();
+    assert_eq!(connections.connect_timeout.secs(), 0.25);
+    assert_eq!(connections.idle_timeout.secs(), 30.0);
+    assert_eq!(connections.multiplex, 100);
+    assert!(json.policy(1, NO_DELAY).is_ok());
+    assert!(json.engines_report_usage().unwrap());
+}
+
+/// What is wrong with these lines.
+fn fault(lines: &str) -> String {
+    match Settings::from_lines(lines).policy(1, NO_DELAY) {
+        Ok(_) => panic!("accepted"),
+        Err(error) => error.to_string(),
+    }
 }
 
 #[test]
 fn what_is_missing_or_unreadable_is_named() {
-    let fault = |lines: &str| match Settings::from_lines(lines).policy(1, WAY) {
-        Ok(_) => panic!("taken for good"),
-        Err(error) => error.to_string(),
-    };
     assert!(fault("PeersTotal=1").contains("Grades.count is missing"));
-    assert!(
-        fault(&LINES.replace("GiveUpS=4.0", "GiveUpS=soon"))
-            .contains("Grades.0.GiveUpS cannot be read")
-    );
-    assert!(
-        fault(&LINES.replace("Effect=safe", "Effect=odd"))
-            .contains("Grades.0.Effect cannot be read: odd")
-    );
-    assert!(
-        Settings::from_lines("")
-            .links()
-            .unwrap_err()
-            .to_string()
-            .contains("ConnectTimeoutS is missing")
-    );
+    let no_time = LINES.replace("GiveUpS=4.0", "GiveUpS=soon");
+    assert!(fault(&no_time).contains("Grades.0.GiveUpS cannot be read"));
+    let no_effect = LINES.replace("Effect=safe", "Effect=odd");
+    assert!(fault(&no_effect).contains("Grades.0.Effect cannot be read: odd"));
+    let connections = Settings::from_lines("").connections();
+    let error = connections.unwrap_err().to_string();
+    assert!(error.contains("ConnectTimeoutS is missing"));
 }
 
-/// Who sends has the window less the way, and of a short window no more than a tenth goes.
-#[test]
-fn windows_of_repeats_are_shorter_by_the_way() {
-    use admission::interface::*;
+/// A statement of the class with a deduplication window, sent once at 10 s, that may have run.
+fn sent_statement() -> Statement {
     let at = Timestamp::from_secs;
-    for (window, way, left) in [("5.0", 0.0, 5.0), ("5.0", 0.05, 4.95), ("0.2", 0.05, 0.18)] {
-        let lines = LINES.replace(
-            "Grades.1.WindowS=5.0",
-            &format!("Grades.1.WindowS={window}"),
-        );
-        let policy = Settings::from_lines(&lines)
-            .policy(1, Way(TimeDelta::from_secs(way)))
-            .unwrap();
-        let attempt = Attempt {
-            engine: EngineId(1),
-            location: LocationId(0),
-            cell: CellId(0),
-            sent: at(10.0),
-            charge: TimeDelta::ZERO,
-            threads: 1.0,
-            memory_mb: 0.0,
-            priority: 0,
-            outlier_probe: false,
-            state: AttemptState::MayHaveRun,
-        };
-        let statement = Statement {
-            id: StatementId(1),
-            class: ClassId(1),
-            tenant: TenantId(0),
-            group: TableGroupId(0),
-            estimate: None,
-            memory_mb: 0.0,
-            key: None,
-            has_idempotency_key: true,
-            borrowed: false,
-            received: at(10.0),
-            deadline: at(19.0),
-            waiting_since: at(10.0),
-            queue_position: None,
-            attempts: vec![attempt],
-        };
+    let attempt = Attempt {
+        engine: EngineId(1),
+        location: LocationId(0),
+        cell: CellId(0),
+        sent: at(10.0),
+        charge: TimeDelta::ZERO,
+        threads: 1.0,
+        memory_mb: 0.0,
+        priority: 0,
+        outlier_probe: false,
+        state: AttemptState::MayHaveRun,
+    };
+    Statement {
+        id: StatementId(1),
+        class: ClassId(1),
+        tenant: TenantId(0),
+        group: TableGroupId(0),
+        estimate: None,
+        memory_mb: 0.0,
+        key: None,
+        has_idempotency_key: true,
+        borrowed: false,
+        received: at(10.0),
+        deadline: at(19.0),
+        waiting_since: at(10.0),
+        queue_position: None,
+        attempts: vec![attempt],
+    }
+}
+
+/// The sender has the window less the network delay; of a short window no more than a tenth goes.
+#[test]
+fn deduplication_windows_are_shorter_by_the_network_delay() {
+    for (window, delay_s, left_s) in [("5.0", 0.0, 5.0), ("5.0", 0.05, 4.95), ("0.2", 0.05, 0.18)] {
+        let window_line = format!("Grades.1.WindowS={window}");
+        let lines = LINES.replace("Grades.1.WindowS=5.0", &window_line);
+        let delay = NetworkDelay(TimeDelta::from_secs(delay_s));
+        let policy = Settings::from_lines(&lines).policy(1, delay).unwrap();
+        let until = Timestamp::from_secs(10.0 + left_s);
         assert_eq!(
-            policy.repeat_until(&statement),
-            Some(at(10.0 + left)),
-            "{window}, {way}"
+            policy.repeat_until(&sent_statement()),
+            Some(until),
+            "{window}, {delay_s}"
         );
     }
 }
--- a/crates/wirehost/src/host.rs
+++ b/crates/wirehost/src/host.rs
@@ -4,7 +4,7 @@
 
 use admission::interface::*;
 use dispatch::{Decision, Dispatcher, FollowUp, StatementRequest};
-use settings::{Settings, SettingsError, Way};
+use settings::{NetworkDelay, Settings, SettingsError};
 
 use crate::frames::{Batch, Fields, FrameError, Reply};
 
@@ -113,10 +113,10 @@
     fn new(text: &str, seed: u64) -> Result<Self, SettingsError> {
         let settings = Settings::from_lines(text);
         Ok(Gateway {
-            dispatch: Dispatcher::new(settings.policy(seed, Way(TimeDelta::ZERO))?),
-            classes: settings.classes(),
-            bills: settings.bills()?,
-            fields: settings.report_fields(),
+            dispatch: Dispatcher::new(settings.policy(seed, NetworkDelay(TimeDelta::ZERO))?),
+            classes: settings.class_count(),
+            bills: settings.engines_report_usage()?,
+            fields: settings.load_report_fields(),
             alarm: None,
             tag: 0,
         })
