--- a/crates/gateway/src/clients/input.rs
+++ b/crates/gateway/src/clients/input.rs
@@ -22,20 +22,21 @@
 impl Session {
     /// Whether the client has ended its direction.
     fn has_client_ended(&self) -> io::Result<bool> {
-        if self.socket.ended {
+        if self.socket.peer_finished {
             return Ok(true);
         }
         // Where there is no room to read up to it, the end has to be asked for.
-        let is_full = self.is_pending() && self.socket.inbox.len() >= MAX_INBOX_BYTES;
+        let is_full = self.is_pending() && self.socket.read_buffer.len() >= MAX_INBOX_BYTES;
         if is_full {
-            return self.socket.hung_up();
+            return self.socket.peer_hung_up();
         }
         Ok(false)
     }
 
     /// Whether the next turn goes on with it. What is blocked goes on with its response, or when its client has read.
     fn is_unfinished(&self) -> bool {
-        let can_read = self.socket.more() && self.socket.inbox.len() < MAX_INBOX_BYTES;
+        let can_read =
+            self.socket.may_have_more() && self.socket.read_buffer.len() < MAX_INBOX_BYTES;
         if self.state == SessionState::Closing {
             return can_read;
         }
@@ -47,7 +48,7 @@
     /// The connection of a session has news: there is something to read, room to write, or its end.
     pub fn on_ready(&mut self, now: Timestamp, id: SessionId, counters: &mut Counters) {
         if let Some(session) = self.sessions.get_mut(&id) {
-            session.socket.news();
+            session.socket.mark_readable();
             self.process(now, id, counters);
         }
     }
@@ -75,12 +76,12 @@
         let Some(session) = self.sessions.get_mut(&id) else {
             return Ok(());
         };
-        let bytes_before = session.socket.inbox.len();
+        let bytes_before = session.socket.read_buffer.len();
         let transfer = session
             .socket
             .flush()
-            .and_then(|()| session.socket.fill(MAX_INBOX_BYTES));
-        self.unread_bytes += session.socket.inbox.len() - bytes_before;
+            .and_then(|()| session.socket.read_up_to(MAX_INBOX_BYTES));
+        self.unread_bytes += session.socket.read_buffer.len() - bytes_before;
         transfer
     }
 
@@ -103,9 +104,9 @@
             if session.is_blocked() {
                 return;
             }
-            let bytes_before = session.socket.inbox.len();
-            let packet = packet::take_packet(&mut session.socket.inbox);
-            let bytes_left = session.socket.inbox.len();
+            let bytes_before = session.socket.read_buffer.len();
+            let packet = packet::take_packet(&mut session.socket.read_buffer);
+            let bytes_left = session.socket.read_buffer.len();
             self.unread_bytes -= bytes_before - bytes_left;
             let is_crowded = self.unread_bytes > self.limits.max_unread_bytes;
             match packet {
@@ -147,8 +148,8 @@
             return;
         };
         if session.state == SessionState::Closing {
-            self.unread_bytes -= session.socket.inbox.len();
-            session.socket.inbox.clear();
+            self.unread_bytes -= session.socket.read_buffer.len();
+            session.socket.read_buffer.clear();
         }
         session.update_waiting_times(now);
         if session.is_unfinished() {
@@ -168,11 +169,11 @@
         if !session.is_answered() {
             return;
         }
-        if session.socket.ended {
+        if session.socket.peer_finished {
             return self.remove(id, counters);
         }
         if session.state == SessionState::Closing {
-            session.socket.finish();
+            session.socket.finish_writing();
         }
     }
 }
--- a/crates/gateway/src/command.rs
+++ b/crates/gateway/src/command.rs
@@ -188,17 +188,17 @@
         println!(
             "  seeds {}; {} keys accepted",
             seeds.join(", "),
-            keys.accepted().count()
+            keys.accepted_keys().count()
         );
         let paces = &terms.paces;
         println!(
             "  probes each {} s, answers within {} s, {} helpers; hearsay counts from {} gateways on",
-            paces.period.secs(),
-            paces.answer.secs(),
-            paces.helpers,
-            paces.voices()
+            paces.probe_period.secs(),
+            paces.probe_timeout.secs(),
+            paces.indirect_probes,
+            paces.required_witnesses()
         );
-        if let Some(bounds) = &paces.bounds {
+        if let Some(bounds) = &paces.traffic_limits {
             println!(
                 "  bounded: {} confirmations, {} verifiers, {} direct probes a period, {} bytes a second of gossip and {} of tables",
                 bounds.confirmations,
@@ -213,16 +213,16 @@
         let voters: Vec<&str> = terms.voters.iter().map(|name| name.as_str()).collect();
         println!(
             "{file}: budgets are divided among {} gateways at most; voters {}; leases {} s, terms {} s",
-            terms.most,
+            terms.max_gateways,
             voters.join(", "),
-            terms.lease.secs(),
-            terms.term.secs()
+            terms.lease_duration.secs(),
+            terms.term_duration.secs()
         );
         for budget in &terms.budgets {
             let (name, unit) = (budget.name(), budget.unit());
             println!(
                 "  {name:<24} whole {} {unit}, floor of each {}",
-                budget.whole, budget.floor
+                budget.capacity, budget.guaranteed
             );
         }
     }
--- a/crates/gateway/tests/codecs.rs
+++ b/crates/gateway/tests/codecs.rs
@@ -3,7 +3,7 @@
 use admission::interface::{EndpointUpdate, EngineStage};
 use bytes::BytesMut;
 use gateway::clients::comment::{CommentError, CommentedStatement};
-use gateway::clients::protocol::handshake::check_login;
+use gateway::clients::protocol::handshake::{FirstPacket, check_login, first_packet};
 use gateway::clients::protocol::packet::take_packet;
 use gateway::clients::protocol::{Command, KillScope, Query};
 use gateway::clients::table_group::table_group;
@@ -11,7 +11,9 @@
 use gateway::discovery::endpoints::{EndpointListError, EventBatch};
 use gateway::discovery::http::{self, ConnectionReuse, InputState, PollResponse};
 use gateway::discovery::registry::{EngineAddress, EngineRegistry};
-use gateway::engines::lines::{self, Answer, LineError, Word};
+use gateway::engines::protocol::{
+    self, AttemptRequest, DecodeError, Response, ResponseKind, StatementKeys,
+};
 use quickcheck::{Gen, QuickCheck};
 
 /// Feeds the bytes in two parts, at every place, and hands what came to the check.
@@ -61,15 +63,22 @@
         x TELL remark=done,datum=0.5 0\r\n\r\nx WAIT - 0\r\n\r\n";
     at_every_split(
         bytes,
-        |inbox| Answer::take(inbox).unwrap(),
+        |inbox| Response::decode(inbox).unwrap(),
         |taken| {
-            let words: Vec<Word> = taken.iter().map(|answer| answer.word).collect();
-            assert_eq!(words, [Word::Done, Word::Tell, Word::Wait]);
+            let words: Vec<ResponseKind> = taken.iter().map(|answer| answer.kind).collect();
+            assert_eq!(
+                words,
+                [
+                    ResponseKind::Completed,
+                    ResponseKind::Status,
+                    ResponseKind::Rejected
+                ]
+            );
             let [done, note, wait] = &taken[..] else {
                 panic!("three")
             };
             assert_eq!(
-                (&done.id[..], &done.body[..]),
+                (&done.request_id[..], &done.body[..]),
                 (&b"5eed00c0ffee0a17"[..], &b"a\tb\r\n\n"[..])
             );
             assert_eq!(
@@ -81,38 +90,41 @@
                 (note.field("remark"), note.number("datum")),
                 (Some(&b"done"[..]), Some(0.5))
             );
-            assert_eq!((wait.field("total"), &wait.id[..]), (None, &b"x"[..]));
+            assert_eq!(
+                (wait.field("total"), &wait.request_id[..]),
+                (None, &b"x"[..])
+            );
         },
     );
 }
 
 #[test]
 fn lines_that_are_none_are_named() {
-    let fault = |bytes: &[u8]| Answer::take(&mut BytesMut::from(bytes)).unwrap_err();
-    assert_eq!(fault(b"x GONE - 0\r\n"), LineError::Unknown);
-    assert_eq!(fault(b"x DONE 0\r\n"), LineError::Words);
-    assert_eq!(fault(b"x DONE - many\r\n"), LineError::Length);
-    assert_eq!(fault(b"x DONE - 99999999\r\n"), LineError::Length);
-    assert_eq!(fault(b"x DONE - 2\r\nabcd"), LineError::Ending);
-    assert_eq!(fault(&[b'x'; 2000]), LineError::Long);
+    let fault = |bytes: &[u8]| Response::decode(&mut BytesMut::from(bytes)).unwrap_err();
+    assert_eq!(fault(b"x GONE - 0\r\n"), DecodeError::UnknownKind);
+    assert_eq!(fault(b"x DONE 0\r\n"), DecodeError::MalformedLine);
+    assert_eq!(fault(b"x DONE - many\r\n"), DecodeError::InvalidLength);
+    assert_eq!(fault(b"x DONE - 99999999\r\n"), DecodeError::InvalidLength);
+    assert_eq!(fault(b"x DONE - 2\r\nabcd"), DecodeError::MissingTerminator);
+    assert_eq!(fault(&[b'x'; 2000]), DecodeError::LineTooLong);
 }
 
 #[test]
 fn a_relay_carries_the_statement_as_it_came() {
-    let line = lines::attempt(
-        b"5eed00c0ffee0a17",
-        "scan",
-        1200,
-        Some(2),
-        &lines::Tags::default(),
-        b"SELECT '\r\n'",
-    );
+    let attempt = AttemptRequest {
+        request_id: *b"5eed00c0ffee0a17",
+        class: "scan",
+        timeout_ms: 1200,
+        priority: Some(2),
+        keys: &StatementKeys::default(),
+        text: b"SELECT '\r\n'",
+    };
     assert_eq!(
-        line,
+        attempt.encode(),
         b"do 5eed00c0ffee0a17 profile=scan,max=1200,band=2 11\r\nSELECT '\r\n'\r\n"
     );
     assert_eq!(
-        lines::page(b"5eed00c0ffee0a17", 3),
+        protocol::encode_page_request(b"5eed00c0ffee0a17", 3),
         b"page 5eed00c0ffee0a17 3\r\n"
     );
 }
@@ -254,6 +266,39 @@
     assert_eq!(Query::parse(b"/* method=a */ SET x"), Query::Statement);
 }
 
+#[test]
+fn queries_for_the_gateway_itself_are_told_from_statements() {
+    let cases = [
+        ("SHOW FLEET", Query::ShowFleet),
+        ("show shares ;", Query::ShowShares),
+        ("show shares all", Query::Statement),
+        ("SHOW QUEUE", Query::ShowQueue(None)),
+        ("show queue for 'a1'", Query::ShowQueue(Some("a1"))),
+        ("show queue for a1", Query::Statement),
+        ("show queue of 'a1'", Query::Statement),
+        ("SET @laurelhitch_token = 'abc'", Query::SetToken("abc")),
+        ("set @laurelhitch_token = abc", Query::Statement),
+        ("set @laurelhitch_token := 'abc'", Query::NoOperation),
+        ("kill query x", Query::Statement),
+        ("kill", Query::Statement),
+        ("select @@x limit", Query::Statement),
+        ("select 1", Query::Statement),
+    ];
+    for (text, query) in cases {
+        assert_eq!(Query::parse(text.as_bytes()), query, "{text}");
+    }
+}
+
+#[test]
+fn a_request_for_tls_is_told_from_a_login() {
+    let mut login = stand_ins::client::login_packet("app", b"", "warehouse")[4..].to_vec();
+    assert_eq!(first_packet(&login), FirstPacket::Login);
+    // The flag alone does not make it one: only a packet that ends ahead of the user's name is.
+    login[1] |= 0x08;
+    assert_eq!(first_packet(&login), FirstPacket::Login);
+    assert_eq!(first_packet(&login[..32]), FirstPacket::TlsRequest);
+}
+
 #[test]
 fn logins_are_checked() {
     let login = |user: &str, password: &[u8], database: &str| {
@@ -274,17 +319,17 @@
     assert_eq!(check_login(&eager), Ok(()));
 }
 
-const TOLD: &str = r#"{"rev":12,"notices":[{"rev":12,"pool":{"rev":3,"all":true,"targets":[{"uid":"e-0000002a",
+const SNAPSHOT_ANSWER: &str = r#"{"rev":12,"notices":[{"rev":12,"pool":{"rev":3,"all":true,"targets":[{"uid":"e-0000002a",
     "endpoint":"10.3.0.4:7200","az":"east","model":"std","pod_group":1,"state":"in_service","capacity_hint":6,
     "boot_ms":0}]}}]}"#;
 
 #[test]
-fn the_boards_answers_come_whole_from_any_split() {
+fn poll_responses_come_whole_from_any_split() {
     let plain = format!(
-        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{TOLD}",
-        TOLD.len()
+        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{SNAPSHOT_ANSWER}",
+        SNAPSHOT_ANSWER.len()
     );
-    let (left, right) = TOLD.split_at(40);
+    let (left, right) = SNAPSHOT_ANSWER.split_at(40);
     let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nConnection: close\r\n\r\n";
     let (first, second) = (left.len(), right.len());
     let chunked = format!("{head}{first:x}\r\n{left}\r\n{second:x}\r\n{right}\r\n0\r\n\r\n");
@@ -308,7 +353,20 @@
 }
 
 #[test]
-fn nonsense_from_the_board_is_told_from_an_answer() {
+fn a_poll_response_without_a_length_ends_with_its_connection() {
+    let text = format!("HTTP/1.1 200 OK\r\n\r\n{SNAPSHOT_ANSWER}");
+    let mut inbox = BytesMut::from(&text[..]);
+    assert_eq!(
+        http::take_response(&mut inbox, InputState::Open).unwrap(),
+        PollResponse::Incomplete
+    );
+    let response = http::take_response(&mut inbox, InputState::Ended).unwrap();
+    assert!(matches!(response, PollResponse::Complete { batch, .. } if batch.last_revision == 12));
+    assert!(inbox.is_empty());
+}
+
+#[test]
+fn poll_responses_that_cannot_be_used_are_errors() {
     for text in [
         "HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n",
         "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}",
@@ -325,10 +383,15 @@
 }
 
 #[test]
-fn events_of_the_list_become_facts_by_uid() {
+fn endpoint_events_become_engine_updates_by_uid() {
     let events = |text: &str| EventBatch::from_json(&serde_json::from_str(text).unwrap());
     let mut registry = EngineRegistry::new(vec!["west".into(), "east".into()], vec!["std".into()]);
-    let first = registry.apply(events(TOLD).unwrap().events[0].change.as_ref().unwrap());
+    let first = registry.apply(
+        events(SNAPSHOT_ANSWER).unwrap().events[0]
+            .change
+            .as_ref()
+            .unwrap(),
+    );
     let EndpointUpdate::Snapshot(facts) = &first.update else {
         panic!("whole")
     };
@@ -337,7 +400,7 @@
         (1, 0, EngineStage::Ready)
     );
     // Another engine at the same address is another engine; the one that is not in a whole list is gone.
-    let other = events(&TOLD.replace("e-0000002a", "s-11")).unwrap();
+    let other = events(&SNAPSHOT_ANSWER.replace("e-0000002a", "s-11")).unwrap();
     let second = registry.apply(other.events[0].change.as_ref().unwrap());
     assert_eq!(
         second.addresses[0],
@@ -349,7 +412,7 @@
     assert_ne!(second.addresses[1].engine, facts[0].id);
     assert_eq!(second.addresses[1].address, first.addresses[0].address);
     assert_eq!(
-        events(&TOLD.replace("in_service", "asleep")),
+        events(&SNAPSHOT_ANSWER.replace("in_service", "asleep")),
         Err(EndpointListError::Field("state"))
     );
 }
@@ -390,7 +453,7 @@
         .concat();
         let _ = (CommentedStatement::parse(&commented), Config::parse(&bytes));
         let mut inbox = BytesMut::from(&[b"x DONE - 3\r\n", &bytes[..]].concat()[..]);
-        while let Ok(Some(_)) = Answer::take(&mut inbox) {}
+        while let Ok(Some(_)) = Response::decode(&mut inbox) {}
         let body = [
             b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
             &bytes[..],
