--- a/crates/gateway/src/engines/mod.rs
+++ b/crates/gateway/src/engines/mod.rs
@@ -9,7 +9,7 @@
 
 use admission::interface::*;
 use bytes::Bytes;
-use settings::Links;
+use settings::ConnectionSettings;
 use tracing::debug;
 
 use crate::counters::Counters;
@@ -106,7 +106,7 @@
 
 pub struct EngineTransport {
     handle: EventLoopHandle,
-    links: Links,
+    links: ConnectionSettings,
     /// Descriptors that connections may take.
     share: usize,
     next: u64,
@@ -129,7 +129,7 @@
 }
 
 impl EngineTransport {
-    pub fn new(handle: &EventLoopHandle, links: Links, share: usize) -> Self {
+    pub fn new(handle: &EventLoopHandle, links: ConnectionSettings, share: usize) -> Self {
         EngineTransport {
             handle: handle.clone(),
             links,
@@ -374,7 +374,7 @@
     fn settle(&mut self, at: ConnectionId) {
         let (rest, idle) = (
             TimeDelta::from_secs(REST_S),
-            TimeDelta::from_secs(self.links.idle.secs() * IDLE_PART),
+            TimeDelta::from_secs(self.links.idle_timeout.secs() * IDLE_PART),
         );
         let Some(connection) = self.connections.get_mut(&at) else {
             return;
