--- a/crates/scheduler/src/credit.rs
+++ b/crates/scheduler/src/credit.rs
@@ -1,159 +1,181 @@
-//! One team's account: what it is owed, and its part of what others leave.
+//! The credit account of one tenant or sub-queue: what its budget covers, and what it borrowed beyond that.
 
 use admission::interface::{TimeDelta, Timestamp};
 use quota::Bucket;
 
 use crate::config::CapacityShare;
 
-/// A bucket of predicted CPU seconds that fills at the budget, and a virtual time for what is lent beyond it.
-/// What the bucket holds pays for what is owed; one statement larger than the whole bucket goes when it is full, and
-/// leaves a debt. What is lent is no debt: it moves the virtual time only, and the team with the least is next.
-#[derive(Clone, Debug)]
-pub struct CreditAccount {
-    share: CapacityShare,
-    bucket: Bucket,
-    borrowed: f64,
-    /// Paid out of the budget since the start.
-    paid: f64,
-}
-
-/// The time that budgets go by. It runs faster than the clock while this gateway carries more than its share, as when
-/// another one is away: a budget of all gateways together is then due here in a larger part, and nobody is to be kept
-/// back for the want of it.
+/// The clock that budgets fill by. It runs faster than time while this gateway carries more than its share of the
+/// traffic, as when another one is away: a budget of all gateways together is then due here in a larger part, and
+/// nobody is to be kept back for the lack of it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct BudgetClock {
+pub(crate) struct BudgetClock {
     secs: f64,
-    at: Timestamp,
-    stretch: f64,
+    now: Timestamp,
+    speed: f64,
 }
 
 impl BudgetClock {
-    pub fn new(now: Timestamp) -> Self {
+    pub(crate) fn new(now: Timestamp) -> Self {
         BudgetClock {
             secs: 0.0,
-            at: now,
-            stretch: 1.0,
+            now,
+            speed: 1.0,
         }
     }
 
-    pub fn go_on(&mut self, now: Timestamp) {
-        self.secs += (now - self.at).secs().max(0.0) * self.stretch;
-        self.at = now;
+    pub(crate) fn advance(&mut self, now: Timestamp) {
+        self.secs += (now - self.now).secs().max(0.0) * self.speed;
+        self.now = now;
     }
 
-    pub fn stretch(&mut self, carries: f64) {
-        self.stretch = carries.max(1.0);
+    /// `traffic_share`: what this gateway carries, in even shares of all gateways' traffic.
+    pub(crate) fn set_speed(&mut self, traffic_share: f64) {
+        self.speed = traffic_share.max(1.0);
+    }
+
+    /// The time that it was last advanced to.
+    pub(crate) fn now(&self) -> Timestamp {
+        self.now
     }
 }
 
-/// Where a charge went, to be corrected there.
+/// What a charge was paid from; a later correction goes to the same.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Paid {
+pub(crate) enum Funding {
+    /// The account's own budget.
     Budget,
-    Lent,
+    /// Capacity that others left.
+    Borrowed,
+}
+
+/// A bucket of predicted CPU seconds that fills at the budget, and a virtual time of what is borrowed beyond it.
+///
+/// A statement larger than the whole bucket goes when the bucket is full, and leaves a debt. What is borrowed is no
+/// debt: it moves the virtual time only, and the account with the least virtual time is next.
+#[derive(Clone, Debug)]
+pub(crate) struct CreditAccount {
+    share: CapacityShare,
+    bucket: Bucket,
+    virtual_time: f64,
+    spent: f64,
 }
 
 impl CreditAccount {
-    /// Under this weight a team would wait for ever beside others.
-    const LEAST_WEIGHT: f64 = 1e-6;
+    /// With a weight under this an account would wait for ever beside others.
+    const MIN_WEIGHT: f64 = 1e-6;
+    /// Added to the time at which a budget covers a cost, since the clock's resolution must not leave it just short.
+    const CLOCK_RESOLUTION_S: f64 = 1e-6;
 
-    pub fn new(now: BudgetClock, share: CapacityShare, burst: TimeDelta) -> Self {
-        let bucket = Bucket::full(now.secs, share.budget, burst.secs());
+    /// An account with a full bucket.
+    pub(crate) fn new(clock: BudgetClock, share: CapacityShare, burst: TimeDelta) -> Self {
         CreditAccount {
             share,
-            bucket,
-            borrowed: 0.0,
-            paid: 0.0,
+            bucket: Bucket::full(clock.secs, share.budget, burst.secs()),
+            virtual_time: 0.0,
+            spent: 0.0,
         }
     }
 
-    /// New config: what it has used stays used.
-    pub fn change(&mut self, now: BudgetClock, share: CapacityShare, burst: TimeDelta) {
-        self.bucket.fill(now.secs);
+    /// A new share; what was used stays used.
+    pub(crate) fn reconfigure(
+        &mut self,
+        clock: BudgetClock,
+        share: CapacityShare,
+        burst: TimeDelta,
+    ) {
+        self.bucket.fill(clock.secs);
         self.bucket.rescale(share.budget, burst.secs());
         self.share = share;
     }
 
-    /// Its part of a budget of all gateways from now on: savings are cut to what it may save, and do not grow with it; debts stay.
-    pub fn lease(&mut self, now: BudgetClock, rate: f64) {
-        self.bucket.fill(now.secs);
-        self.bucket.cut(rate);
-        self.share.budget = rate;
-    }
-
-    /// New config but for the part that is leased, which is told as it changes: savings and debts stay.
-    pub fn hold(&mut self, now: BudgetClock, weight: f64, burst: TimeDelta) {
-        self.bucket.fill(now.secs);
+    /// A new weight and burst for an account whose budget is leased; savings and debts stay.
+    pub(crate) fn reconfigure_leased(&mut self, clock: BudgetClock, weight: f64, burst: TimeDelta) {
+        self.bucket.fill(clock.secs);
         self.bucket.save_over(burst.secs());
         self.share.weight = weight;
     }
 
-    /// Nothing is saved: what is leased from now on was another's to save up to here.
-    pub fn empty(&mut self, now: BudgetClock) {
-        self.bucket = Bucket::empty(now.secs, self.bucket.rate(), self.bucket.burst());
+    /// A new budget, as this gateway's lease of the budget of all gateways. Savings are cut to the new capacity and do
+    /// not grow with it; debts stay.
+    pub(crate) fn set_leased_budget(&mut self, clock: BudgetClock, budget: f64) {
+        self.bucket.fill(clock.secs);
+        self.bucket.cut(budget);
+        self.share.budget = budget;
     }
 
-    /// Whether a statement of this cost is owed to it: what is saved pays for it, or nothing more can be saved. So
-    /// many light ones are not kept back by the debts of a few heavy ones, and one larger than all can go.
-    pub fn owes(&mut self, now: BudgetClock, cpu: f64) -> bool {
-        self.bucket.fill(now.secs);
+    /// Empties the bucket: up to now another gateway's lease covered the same savings.
+    pub(crate) fn empty(&mut self, clock: BudgetClock) {
+        self.bucket = Bucket::empty(clock.secs, self.bucket.rate(), self.bucket.burst());
+    }
+
+    /// Whether the budget covers a statement of this cost: the bucket holds its cost, or is full. So many light
+    /// statements are not kept back by the debts of a few heavy ones, and one larger than the bucket can go.
+    pub(crate) fn covers(&mut self, clock: BudgetClock, cpu: f64) -> bool {
+        self.bucket.fill(clock.secs);
         self.bucket.owes(cpu)
     }
 
-    /// When it will be owed this; never where nothing is owed.
-    pub fn owes_at(&mut self, now: BudgetClock, cpu: f64) -> Option<Timestamp> {
-        self.bucket.fill(now.secs);
-        // A microsecond more: the clock's grain must not leave it just short.
-        let owes_in = self.bucket.owes_in(cpu)?;
-        Some(now.at + TimeDelta::from_secs(owes_in / now.stretch + 1e-6))
+    /// When the budget will cover this cost; never where there is no budget.
+    pub(crate) fn covers_from(&mut self, clock: BudgetClock, cpu: f64) -> Option<Timestamp> {
+        self.bucket.fill(clock.secs);
+        let wait_s = self.bucket.owes_in(cpu)?;
+        Some(clock.now + TimeDelta::from_secs(wait_s / clock.speed + Self::CLOCK_RESOLUTION_S))
     }
 
-    /// What is saved by now; negative: to be made up for first.
-    pub fn saved(&mut self, now: BudgetClock) -> f64 {
-        self.bucket.fill(now.secs);
+    /// CPU seconds in the bucket; negative: a debt.
+    pub(crate) fn balance(&mut self, clock: BudgetClock) -> f64 {
+        self.bucket.fill(clock.secs);
         self.bucket.level()
     }
 
-    pub fn borrowed(&self) -> f64 {
-        self.borrowed
+    /// What was borrowed so far by weight, in CPU seconds.
+    pub(crate) fn virtual_time(&self) -> f64 {
+        self.virtual_time
     }
 
-    pub fn paid(&self) -> f64 {
-        self.paid
+    /// CPU seconds paid from the budget since the start.
+    pub(crate) fn spent(&self) -> f64 {
+        self.spent
     }
 
-    pub fn share(&self) -> CapacityShare {
+    pub(crate) fn share(&self) -> CapacityShare {
         self.share
     }
 
-    /// One that comes back starts with the others: what it did not take while away is nobody's debt.
-    pub fn join(&mut self, borrowed: f64) {
-        self.borrowed = self.borrowed.max(borrowed);
+    /// An account that becomes active starts at the virtual time of the others: what it did not borrow while it was
+    /// idle gives it no precedence.
+    pub(crate) fn activate(&mut self, virtual_time: f64) {
+        self.virtual_time = self.virtual_time.max(virtual_time);
     }
 
-    pub fn pay(&mut self, now: BudgetClock, cpu: f64, owed: bool) -> Paid {
-        self.bucket.fill(now.secs);
-        if owed {
-            self.bucket.pay(cpu);
-            self.paid += cpu;
-            return Paid::Budget;
+    /// Charges a statement.
+    pub(crate) fn charge(&mut self, clock: BudgetClock, cpu: f64, funding: Funding) {
+        self.bucket.fill(clock.secs);
+        match funding {
+            Funding::Budget => {
+                self.bucket.pay(cpu);
+                self.spent += cpu;
+            }
+            Funding::Borrowed => self.virtual_time += self.weighted(cpu),
         }
-        self.borrowed += cpu / self.share.weight.max(Self::LEAST_WEIGHT);
-        Paid::Lent
     }
 
-    /// Beyond what was paid (less, if negative), as the outcome told.
-    pub fn correct(&mut self, now: BudgetClock, paid: Paid, more: f64) {
-        self.bucket.fill(now.secs);
-        match paid {
-            Paid::Budget => {
-                self.bucket.pay(more);
-                self.paid += more;
+    /// Charges what a statement cost beyond its charge; negative: gives back.
+    pub(crate) fn correct(&mut self, clock: BudgetClock, cpu: f64, funding: Funding) {
+        self.bucket.fill(clock.secs);
+        match funding {
+            Funding::Budget => {
+                self.bucket.pay(cpu);
+                self.spent += cpu;
             }
-            Paid::Lent => {
-                self.borrowed =
-                    (self.borrowed + more / self.share.weight.max(Self::LEAST_WEIGHT)).max(0.0);
+            Funding::Borrowed => {
+                self.virtual_time = (self.virtual_time + self.weighted(cpu)).max(0.0);
             }
         }
     }
+
+    fn weighted(&self, cpu: f64) -> f64 {
+        cpu / self.share.weight.max(Self::MIN_WEIGHT)
+    }
 }
--- /dev/null
+++ b/crates/scheduler/src/refill.rs
@@ -0,0 +1,54 @@
+//! When budgets will cover again what they do not cover now.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use admission::interface::Timestamp;
+
+use crate::config::{SubQueueId, TenantQueueId};
+
+/// A node of the tenant tree that has an account.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) enum TreeNode {
+    SubQueue(SubQueueId),
+    Tenant(TenantQueueId),
+}
+
+/// At most one timer for each node, by the time at which it fires.
+#[derive(Debug, Default)]
+pub(crate) struct RefillTimers {
+    by_time: BTreeSet<(Timestamp, TreeNode)>,
+    by_node: BTreeMap<TreeNode, Timestamp>,
+}
+
+impl RefillTimers {
+    /// Sets a node's timer in place of the one it had; none: it needs no timer.
+    pub(crate) fn set(&mut self, node: TreeNode, time: Option<Timestamp>) {
+        let current = self.by_node.get(&node).copied();
+        if current == time {
+            return;
+        }
+        if let Some(current) = current {
+            self.by_time.remove(&(current, node));
+        }
+        match time {
+            Some(time) => {
+                self.by_time.insert((time, node));
+                self.by_node.insert(node, time);
+            }
+            None => {
+                self.by_node.remove(&node);
+            }
+        }
+    }
+
+    /// Removes the first timer that has fired by now.
+    pub(crate) fn pop_due(&mut self, now: Timestamp) -> Option<TreeNode> {
+        let (time, node) = *self.by_time.first()?;
+        if time > now {
+            return None;
+        }
+        self.by_time.remove(&(time, node));
+        self.by_node.remove(&node);
+        Some(node)
+    }
+}
--- a/crates/scheduler/src/treap.rs
+++ b/crates/scheduler/src/treap.rs
@@ -1,63 +1,42 @@
-//! Waiting statements in the order of release, with sums: an arena of treaps, one for each team and lane.
-//! Beside insert and remove it answers, in logarithmic time, three things a plain ordered map cannot: the
-//! first that is cheaper than what was just found to have no room, the work ahead of a place, and the sum of all.
+//! Waiting statements in the order of release, with sums: an arena of treaps, one for each sub-queue and class.
+//!
+//! Beside insert and remove it answers, in logarithmic time, two things that a plain ordered map cannot: the first
+//! that is cheaper than what was just found to have no capacity, and the work ahead of a position.
 
 use admission::interface::QueuePosition;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// What of a statement bears on whether there is room for it.
+use crate::frontier::{CapacityFrontier, ResourceNeed};
+
+/// A statement in a treap.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ResourceNeed {
-    /// Predicted CPU seconds.
-    pub cpu: f64,
-    pub memory_mb: f64,
+pub struct QueuedStatement {
+    /// Where it stands.
+    pub position: QueuePosition,
+    /// What it needs.
+    pub need: ResourceNeed,
 }
 
-/// What had no room a moment ago. For one lane room only shrinks with the need, so all that need as much or more of
-/// both have none either, until something changes.
-#[derive(Clone, Debug, Default)]
-pub struct CapacityFrontier {
-    least: Vec<ResourceNeed>,
-    asked: usize,
+/// How many statements there are, and what they need together.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct Work {
+    /// Statements.
+    pub statements: u32,
+    /// Predicted CPU seconds.
+    pub cpu: f64,
 }
 
-impl CapacityFrontier {
-    /// How many are asked in vain before a lane is left alone until the next round.
-    const MOST: usize = 64;
-
-    pub fn record(&mut self, need: ResourceNeed) {
-        self.asked += 1;
-        self.least
-            .retain(|known| known.cpu < need.cpu || known.memory_mb < need.memory_mb);
-        self.least.push(need);
-    }
-
-    /// Nothing more in this round, whatever it needs.
-    pub fn close(&mut self) {
-        self.asked = Self::MOST;
-    }
-
-    pub fn closed(&self) -> bool {
-        self.asked >= Self::MOST
-    }
-
-    pub fn is_empty(&self) -> bool {
-        self.asked == 0
-    }
-
-    pub fn may_have_capacity(&self, need: ResourceNeed) -> bool {
-        self.least
-            .iter()
-            .all(|known| need.cpu < known.cpu || need.memory_mb < known.memory_mb)
-    }
-}
+/// Index of a node in the arena.
+type NodeIndex = u32;
 
-/// One treap of the arena.
+/// One treap of the arena; empty by default.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct TreapRoot(Option<u32>);
+pub struct TreapRoot(Option<NodeIndex>);
 
 impl TreapRoot {
+    /// Nothing is in it.
+    #[must_use]
     pub fn is_empty(self) -> bool {
         self.0.is_none()
     }
@@ -65,26 +44,33 @@
 
 #[derive(Clone, Debug)]
 struct Node {
-    position: QueuePosition,
-    need: ResourceNeed,
-    weight: u64,
-    left: Option<u32>,
-    right: Option<u32>,
-    /// Of the whole subtree.
+    statement: QueuedStatement,
+    /// Random; a parent's is no less than its children's.
+    priority: u64,
+    left: Option<NodeIndex>,
+    right: Option<NodeIndex>,
+    /// The least need of each resource in the subtree.
     least: ResourceNeed,
-    cpu: f64,
-    count: u32,
+    /// Sums over the subtree.
+    work: Work,
+}
+
+/// Two parts of a treap, in order.
+struct Split {
+    before: Option<NodeIndex>,
+    after: Option<NodeIndex>,
 }
 
-/// Freed nodes are used again, so it holds as many as waited at once at most.
+/// The nodes of many treaps. Freed nodes are used again, so it holds as many as waited at once at most.
 pub struct TreapArena {
     nodes: Vec<Node>,
-    free: Vec<u32>,
+    free: Vec<NodeIndex>,
     rng: Pcg64Mcg,
 }
 
 impl TreapArena {
-    /// `seed`: of the shape of the trees only; no order depends on it.
+    /// An arena without nodes. `seed`: of the shape of the treaps only; no order depends on it.
+    #[must_use]
     pub fn new(seed: u64) -> Self {
         TreapArena {
             nodes: Vec::new(),
@@ -93,196 +79,225 @@
         }
     }
 
-    fn node(&self, at: u32) -> &Node {
-        &self.nodes[at as usize]
-    }
-
-    fn sum(&mut self, at: u32) {
-        let Node {
-            need, left, right, ..
-        } = *self.node(at);
-        let (mut least, mut cpu, mut count) = (need, need.cpu, 1);
-        for child in [left, right]
-            .into_iter()
-            .flatten()
-            .map(|child| self.node(child))
-        {
-            least.cpu = least.cpu.min(child.least.cpu);
-            least.memory_mb = least.memory_mb.min(child.least.memory_mb);
-            (cpu, count) = (cpu + child.cpu, count + child.count);
-        }
-        let node = &mut self.nodes[at as usize];
-        (node.least, node.cpu, node.count) = (least, cpu, count);
-    }
-
-    /// Splits into those before `position` and the rest.
-    fn split(&mut self, root: Option<u32>, position: QueuePosition) -> (Option<u32>, Option<u32>) {
-        let Some(at) = root else { return (None, None) };
-        if self.node(at).position < position {
-            let (low, high) = self.split(self.node(at).right, position);
-            self.nodes[at as usize].right = low;
-            self.sum(at);
-            (Some(at), high)
-        } else {
-            let (low, high) = self.split(self.node(at).left, position);
-            self.nodes[at as usize].left = high;
-            self.sum(at);
-            (low, Some(at))
-        }
-    }
-
-    fn merge(&mut self, low: Option<u32>, high: Option<u32>) -> Option<u32> {
-        let (Some(a), Some(b)) = (low, high) else {
-            return low.or(high);
-        };
-        let top = if self.node(a).weight >= self.node(b).weight {
-            self.nodes[a as usize].right = self.merge(self.node(a).right, high);
-            a
-        } else {
-            self.nodes[b as usize].left = self.merge(low, self.node(b).left);
-            b
-        };
-        self.sum(top);
-        Some(top)
-    }
-
-    /// The place must not be in it yet.
+    /// Inserts a statement. Its position must not be in the treap yet.
     pub fn insert(&mut self, root: &mut TreapRoot, position: QueuePosition, need: ResourceNeed) {
-        let weight = self.rng.random::<u64>();
         let node = Node {
-            position,
-            need,
-            weight,
+            statement: QueuedStatement { position, need },
+            priority: self.rng.random::<u64>(),
             left: None,
             right: None,
             least: need,
-            cpu: need.cpu,
-            count: 1,
+            work: Work {
+                statements: 1,
+                cpu: need.cpu,
+            },
         };
-        let at = match self.free.pop() {
-            Some(at) => {
-                self.nodes[at as usize] = node;
-                at
-            }
-            None => {
-                self.nodes.push(node);
-                (self.nodes.len() - 1) as u32
-            }
-        };
-        let (low, high) = self.split(root.0, position);
-        let low = self.merge(low, Some(at));
-        root.0 = self.merge(low, high);
+        let index = self.store(node);
+        let Split { before, after } = self.split(root.0, position);
+        let before = self.merge(before, Some(index));
+        root.0 = self.merge(before, after);
     }
 
-    /// False: it was not there.
+    /// Removes the statement at this position. False: there was none.
     pub fn remove(&mut self, root: &mut TreapRoot, position: QueuePosition) -> bool {
-        let (low, rest) = self.split(root.0, position);
-        let (found, high) = self.split_first(rest, position);
-        root.0 = self.merge(low, high);
-        found.into_iter().for_each(|at| self.free.push(at));
+        let Split { before, after } = self.split(root.0, position);
+        let (found, after) = self.take_first_if(after, position);
+        root.0 = self.merge(before, after);
+        self.free.extend(found);
         found.is_some()
     }
 
-    /// Takes the first off, if it is the one at this place.
-    fn split_first(
-        &mut self,
-        root: Option<u32>,
-        position: QueuePosition,
-    ) -> (Option<u32>, Option<u32>) {
-        let Some(at) = root else { return (None, None) };
-        if let Some(left) = self.node(at).left {
-            let (found, rest) = self.split_first(Some(left), position);
-            self.nodes[at as usize].left = rest;
-            self.sum(at);
-            return (found, Some(at));
-        }
-        if self.node(at).position != position {
-            return (None, root);
+    /// The first statement.
+    #[must_use]
+    pub fn first(&self, root: TreapRoot) -> Option<QueuedStatement> {
+        let mut index = root.0?;
+        while let Some(left) = self.node(index).left {
+            index = left;
         }
-        (Some(at), self.node(at).right)
+        Some(self.node(index).statement)
     }
 
-    pub fn first(&self, root: TreapRoot) -> Option<(QueuePosition, ResourceNeed)> {
-        let mut at = root.0?;
-        while let Some(left) = self.node(at).left {
-            at = left;
+    /// The last statement.
+    #[must_use]
+    pub fn last(&self, root: TreapRoot) -> Option<QueuedStatement> {
+        let mut index = root.0?;
+        while let Some(right) = self.node(index).right {
+            index = right;
         }
-        Some((self.node(at).position, self.node(at).need))
+        Some(self.node(index).statement)
     }
 
-    pub fn last(&self, root: TreapRoot) -> Option<(QueuePosition, ResourceNeed)> {
-        let mut at = root.0?;
-        while let Some(right) = self.node(at).right {
-            at = right;
-        }
-        Some((self.node(at).position, self.node(at).need))
-    }
-
-    /// The first that `frontier` does not rule out. Subtrees whose least needs are ruled out are passed over whole.
+    /// The first statement that the frontier does not rule out. A subtree whose least need is ruled out is passed over
+    /// whole.
+    #[must_use]
     pub fn first_with_capacity(
         &self,
         root: TreapRoot,
         frontier: &CapacityFrontier,
-    ) -> Option<(QueuePosition, ResourceNeed)> {
-        if frontier.closed() {
+    ) -> Option<QueuedStatement> {
+        if frontier.is_closed() {
             return None;
         }
         self.search(root.0, frontier)
     }
 
-    fn search(
-        &self,
-        root: Option<u32>,
-        frontier: &CapacityFrontier,
-    ) -> Option<(QueuePosition, ResourceNeed)> {
-        let node = self.node(root?);
-        if !frontier.may_have_capacity(node.least) {
-            return None;
+    /// The work before this position.
+    #[must_use]
+    pub fn ahead(&self, root: TreapRoot, position: QueuePosition) -> Work {
+        let mut ahead = Work::default();
+        let mut next = root.0;
+        while let Some(index) = next {
+            let node = self.node(index);
+            if node.statement.position >= position {
+                next = node.left;
+                continue;
+            }
+            let left = node
+                .left
+                .map_or_else(Work::default, |left| self.node(left).work);
+            ahead.statements += left.statements + 1;
+            ahead.cpu = ahead.cpu + left.cpu + node.statement.need.cpu;
+            next = node.right;
         }
-        self.search(node.left, frontier)
-            .or_else(|| {
-                frontier
-                    .may_have_capacity(node.need)
-                    .then_some((node.position, node.need))
-            })
-            .or_else(|| self.search(node.right, frontier))
+        ahead
     }
 
-    /// How many wait before `position`, and the CPU seconds they need.
-    pub fn ahead(&self, root: TreapRoot, position: QueuePosition) -> (u32, f64) {
-        let (mut at, mut count, mut cpu) = (root.0, 0, 0.0);
-        while let Some(node) = at.map(|at| self.node(at)) {
-            if node.position < position {
-                let (below, work) = node.left.map_or((0, 0.0), |left| {
-                    (self.node(left).count, self.node(left).cpu)
-                });
-                (count, cpu) = (count + below + 1, cpu + work + node.need.cpu);
-                at = node.right;
-            } else {
-                at = node.left;
+    /// All positions, in order.
+    #[must_use]
+    pub fn positions(&self, root: TreapRoot) -> Vec<QueuePosition> {
+        let mut positions = Vec::new();
+        let mut ancestors = Vec::new();
+        let mut next = root.0;
+        loop {
+            while let Some(index) = next {
+                ancestors.push(index);
+                next = self.node(index).left;
             }
+            let Some(index) = ancestors.pop() else {
+                return positions;
+            };
+            positions.push(self.node(index).statement.position);
+            next = self.node(index).right;
         }
-        (count, cpu)
     }
 
-    /// How many there are, and the CPU seconds they need.
-    pub fn all(&self, root: TreapRoot) -> (u32, f64) {
-        root.0
-            .map_or((0, 0.0), |at| (self.node(at).count, self.node(at).cpu))
+    fn node(&self, index: NodeIndex) -> &Node {
+        &self.nodes[index as usize]
     }
 
-    /// All places, in order.
-    pub fn positions(&self, root: TreapRoot) -> Vec<QueuePosition> {
-        let (mut places, mut stack, mut at) = (Vec::new(), Vec::new(), root.0);
-        while at.is_some() || !stack.is_empty() {
-            while let Some(down) = at {
-                stack.push(down);
-                at = self.node(down).left;
-            }
-            let Some(up) = stack.pop() else { break };
-            places.push(self.node(up).position);
-            at = self.node(up).right;
+    fn node_mut(&mut self, index: NodeIndex) -> &mut Node {
+        &mut self.nodes[index as usize]
+    }
+
+    fn store(&mut self, node: Node) -> NodeIndex {
+        let Some(index) = self.free.pop() else {
+            self.nodes.push(node);
+            return (self.nodes.len() - 1) as NodeIndex;
+        };
+        *self.node_mut(index) = node;
+        index
+    }
+
+    /// Computes what a node keeps of its subtree, from its children.
+    fn update(&mut self, index: NodeIndex) {
+        let node = self.node(index);
+        let mut least = node.statement.need;
+        let mut work = Work {
+            statements: 1,
+            cpu: node.statement.need.cpu,
+        };
+        for child in [node.left, node.right].into_iter().flatten() {
+            let child = self.node(child);
+            least.cpu = least.cpu.min(child.least.cpu);
+            least.memory_mb = least.memory_mb.min(child.least.memory_mb);
+            work.cpu += child.work.cpu;
+            work.statements += child.work.statements;
+        }
+        let node = self.node_mut(index);
+        node.least = least;
+        node.work = work;
+    }
+
+    /// Splits a treap into those before `position` and the rest.
+    fn split(&mut self, root: Option<NodeIndex>, position: QueuePosition) -> Split {
+        let Some(index) = root else {
+            return Split {
+                before: None,
+                after: None,
+            };
+        };
+        if self.node(index).statement.position < position {
+            let right = self.split(self.node(index).right, position);
+            self.node_mut(index).right = right.before;
+            self.update(index);
+            return Split {
+                before: Some(index),
+                after: right.after,
+            };
+        }
+        let left = self.split(self.node(index).left, position);
+        self.node_mut(index).left = left.after;
+        self.update(index);
+        Split {
+            before: left.before,
+            after: Some(index),
+        }
+    }
+
+    /// Joins two treaps; all of `before` must come before all of `after`.
+    fn merge(&mut self, before: Option<NodeIndex>, after: Option<NodeIndex>) -> Option<NodeIndex> {
+        let (Some(first), Some(second)) = (before, after) else {
+            return before.or(after);
+        };
+        let top = if self.node(first).priority >= self.node(second).priority {
+            let right = self.merge(self.node(first).right, after);
+            self.node_mut(first).right = right;
+            first
+        } else {
+            let left = self.merge(before, self.node(second).left);
+            self.node_mut(second).left = left;
+            second
+        };
+        self.update(top);
+        Some(top)
+    }
+
+    /// Takes the first node off if it is the one at this position; the node, and the treap without it.
+    fn take_first_if(
+        &mut self,
+        root: Option<NodeIndex>,
+        position: QueuePosition,
+    ) -> (Option<NodeIndex>, Option<NodeIndex>) {
+        let Some(index) = root else {
+            return (None, None);
+        };
+        if let Some(left) = self.node(index).left {
+            let (found, rest) = self.take_first_if(Some(left), position);
+            self.node_mut(index).left = rest;
+            self.update(index);
+            return (found, Some(index));
+        }
+        if self.node(index).statement.position != position {
+            return (None, root);
+        }
+        (Some(index), self.node(index).right)
+    }
+
+    fn search(
+        &self,
+        root: Option<NodeIndex>,
+        frontier: &CapacityFrontier,
+    ) -> Option<QueuedStatement> {
+        let node = self.node(root?);
+        if !frontier.may_have_capacity(node.least) {
+            return None;
+        }
+        if let Some(found) = self.search(node.left, frontier) {
+            return Some(found);
+        }
+        if frontier.may_have_capacity(node.statement.need) {
+            return Some(node.statement);
         }
-        places
+        self.search(node.right, frontier)
     }
 }
--- a/crates/scheduler/tests/scheduler.rs
+++ b/crates/scheduler/tests/scheduler.rs
@@ -139,7 +139,7 @@
 /// With one team, the same statements leave in the same order at the same time as with no queues at all, and attempts
 /// that failed go back in between as they did.
 #[test]
-fn with_one_team_the_order_is_that_of_the_modules_own_line() {
+fn with_one_tenant_the_order_is_that_of_the_dispatchers_own_queue() {
     fn same(seed: u64) -> bool {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut plain = Scheduler::new(dispatch(seed), None);
--- a/crates/scheduler/tests/tenant_queues.rs
+++ b/crates/scheduler/tests/tenant_queues.rs
@@ -8,9 +8,9 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use scheduler::{
-    CapacityFrontier, CapacityShare, Config, EnqueueOutcome, EnqueueRequest, Offer, QueueLimit,
-    QueueResolver, ResourceNeed, SubQueueConfig, SubQueueId, TenantConfig, TenantQueues,
-    TreapArena, TreapRoot,
+    CapacityFrontier, CapacityShare, Config, EnqueueOutcome, EnqueueRequest, Eviction, Offer,
+    QueueLimit, QueueResolver, QueuedStatement, ResourceNeed, SubQueueConfig, SubQueueId,
+    TenantConfig, TenantQueues, TreapArena, TreapRoot, Work,
 };
 
 fn at(secs: f64) -> Timestamp {
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn a_team_under_its_budget_goes_before_one_over_it_and_what_is_left_is_lent_by_weight() {
+fn a_tenant_within_budget_goes_first_and_what_is_left_is_borrowed_by_weight() {
     let mut queues = TenantQueues::new(at(0.0), config(&[1.0, 3.0, 1.0]), 1, 7);
     // 20 s of work each, a tenth a statement; the third tenant asks for nothing.
     for n in 0..200 {
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn at_one_desk_the_earliest_hard_limit_leaves_first_over_all_products() {
+fn in_one_sub_queue_the_earliest_deadline_leaves_first_over_all_classes() {
     let mut queues = TenantQueues::new(at(0.0), config(&[1.0]), 2, 7);
     for (id, by, class) in [
         (1010, 9.0, 0),
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn what_has_no_room_lets_the_cheaper_and_other_products_pass_but_not_the_dearer() {
+fn what_found_no_capacity_lets_cheaper_ones_and_other_classes_pass_but_not_dearer_ones() {
     let mut queues = TenantQueues::new(at(0.0), config(&[1.0]), 2, 7);
     for (id, cpu, by, class) in [
         (1, 2.0, 3.0, 0),
@@ -199,7 +199,7 @@
 }
 
 #[test]
-fn the_head_of_a_desk_that_is_owed_nothing_is_passed_over_no_longer_than_the_bound() {
+fn the_first_of_a_sub_queue_without_budget_is_passed_over_no_longer_than_the_bound() {
     let mut queues = TenantQueues::new(at(0.0), config(&[1.0, 0.0]), 1, 7);
     waits(&mut queues, 0.0, &entry(999_010, 1, 0.1, 90.0));
     let mut next = 1;
@@ -222,7 +222,7 @@
 }
 
 #[test]
-fn a_statement_larger_than_the_whole_budget_goes_and_is_made_up_for() {
+fn a_statement_larger_than_the_whole_budget_goes_and_leaves_a_debt() {
     let mut queues = TenantQueues::new(at(0.0), config(&[0.5, 1.0]), 1, 7);
     waits(&mut queues, 0.0, &entry(1900, 0, 9.0, 20.0));
     assert_eq!(release(&mut queues, 0.1, 1), [1900]);
@@ -238,7 +238,7 @@
 }
 
 #[test]
-fn a_full_desk_denies_who_would_leave_last_and_a_full_house_the_heaviest_desk() {
+fn a_full_sub_queue_evicts_its_last_and_full_queues_the_last_of_the_heaviest() {
     let mut of = config(&[1.0, 1.0]);
     (of.sub_queue_limit.statements, of.total_limit.statements) = (3, 4);
     let mut queues = TenantQueues::new(at(0.0), of, 1, 7);
@@ -250,13 +250,24 @@
     let sooner = queues.enqueue(at(0.0), &entry(5, 0, 1.0, 15.0));
     assert!(matches!(sooner.outcome, EnqueueOutcome::Queued(_)));
     assert_eq!(
-        sooner.evicted.iter().map(|d| d.0.0).collect::<Vec<_>>(),
+        sooner
+            .evicted
+            .iter()
+            .map(|eviction| eviction.id.0)
+            .collect::<Vec<_>>(),
         [3]
     );
     waits(&mut queues, 0.0, &entry(6, 1, 1.0, 90.0));
     // The house is full: the second sub_queue's next, however late, takes the place of the first sub_queue's last.
     let other = queues.enqueue(at(0.0), &entry(7, 1, 1.0, 95.0));
-    assert_eq!(other.evicted.iter().map(|d| d.0.0).collect::<Vec<_>>(), [2]);
+    assert_eq!(
+        other
+            .evicted
+            .iter()
+            .map(|eviction| eviction.id.0)
+            .collect::<Vec<_>>(),
+        [2]
+    );
     // Even now: nobody has the better share.
     let even = queues.enqueue(at(0.0), &entry(8, 1, 1.0, 99.0));
     assert!(matches!(even.outcome, EnqueueOutcome::Rejected { .. }) && even.evicted.is_empty());
@@ -264,7 +275,7 @@
 }
 
 #[test]
-fn keyed_statements_leave_in_the_order_they_came_whatever_their_limits() {
+fn keyed_statements_leave_in_the_order_they_came_whatever_their_deadlines() {
     let mut queues = TenantQueues::new(at(0.0), config(&[1.0]), 1, 7);
     let key = Some(OrderKey(5));
     for (id, by) in [(1010, 9.0), (2010, 3.0)] {
@@ -288,7 +299,7 @@
 }
 
 #[test]
-fn new_terms_keep_all_that_waits_in_its_order_and_what_was_used() {
+fn reconfiguration_keeps_all_that_waits_in_its_order_and_what_was_used() {
     let two = |name: &str| tenant(name, vec![sub_queue("front", 1.0), sub_queue("back", 1.0)]);
     let mut of = config(&[]);
     of.tenants = vec![two("a"), two("b")];
@@ -325,7 +336,7 @@
 }
 
 #[test]
-fn a_wait_longer_than_its_use_is_denied_at_entry() {
+fn a_wait_longer_than_its_use_is_rejected_at_entry() {
     let mut queues = TenantQueues::new(at(0.0), config(&[1.0, 1.0]), 1, 7);
     let mut id = 0;
     let mut enter = |queues: &mut TenantQueues, now: f64, useful_until: f64| {
@@ -412,7 +423,7 @@
 }
 
 #[test]
-fn a_thousand_teams_of_which_three_are_busy_share_as_three_would() {
+fn a_thousand_tenants_of_which_three_are_busy_share_as_three_would() {
     let budgets: Vec<f64> = (0..1000).map(|_| 1.0).collect();
     let mut queues = TenantQueues::new(at(0.0), config(&budgets), 1, 7);
     for n in 0..300 {
@@ -439,7 +450,7 @@
 }
 
 #[test]
-fn desks_are_found_by_name_then_network_then_default() {
+fn sub_queues_are_found_by_name_then_network_then_default() {
     let mut of = config(&[1.0]);
     let with = |name: &str, networks: &[&str]| SubQueueConfig {
         networks: networks
@@ -479,7 +490,7 @@
 
 /// The treap against a sorted list, step by step.
 #[test]
-fn the_ordered_line_agrees_with_a_sorted_list() {
+fn the_treap_agrees_with_a_sorted_list() {
     fn holds(seed: u64) -> bool {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let (mut arena, mut root, mut plain) =
@@ -514,15 +525,21 @@
                 .find(|(_, need)| frontier.may_have_capacity(**need));
             assert_eq!(
                 arena.first_with_capacity(root, &frontier),
-                first.map(|(position, need)| (*position, *need))
+                first.map(|(position, need)| QueuedStatement {
+                    position: *position,
+                    need: *need
+                })
             );
             let before: Vec<_> = plain.range(..position).map(|(_, need)| need.cpu).collect();
             assert_eq!(
                 arena.ahead(root, position),
-                (before.len() as u32, before.iter().sum())
+                Work {
+                    statements: before.len() as u32,
+                    cpu: before.iter().sum()
+                }
             );
             assert_eq!(
-                arena.last(root).map(|last| last.0),
+                arena.last(root).map(|last| last.position),
                 plain.keys().last().copied()
             );
         }
@@ -581,7 +598,7 @@
                     ..entry(id, sub_queue, cpu, 0.0)
                 };
                 let enqueued = queues.enqueue(at(now), &entry);
-                for (victim, _) in enqueued.evicted {
+                for Eviction { id: victim, .. } in enqueued.evicted {
                     assert!(here.remove(&victim.0).is_some(), "evicted twice");
                 }
                 if matches!(enqueued.outcome, EnqueueOutcome::Queued(_)) {
@@ -667,7 +684,7 @@
 }
 
 #[test]
-fn when_the_gateway_ends_all_that_waits_is_asked_about_before_it() {
+fn when_the_gateway_ends_all_that_waits_is_offered_before_it() {
     let mut queues = TenantQueues::new(at(0.0), config(&[1.0, 1.0]), 1, 7);
     for id in 0..4 {
         waits(&mut queues, 0.0, &entry(id, id as u32 % 2, 1.0, 100.0));
