--- a/crates/gateway/tests/golden.rs
+++ b/crates/gateway/tests/golden.rs
@@ -23,7 +23,10 @@
 use gateway::clients::comment;
 use gateway::clients::packets::{self, Answer as Packets, Command, Hello, Query};
 use gateway::counters::Counters;
-use gateway::engines::lines::{self, Answer, Tags, Word};
+use gateway::engines::protocol::{
+    self, AttemptRequest, MAX_BODY_BYTES, MAX_RESPONSE_BYTES, RequestId, ResponseKind,
+    StatementKeys,
+};
 use gateway::status;
 use quota::office::Holding;
 use quota::{Amount, Line, Status, Who};
@@ -367,71 +370,87 @@
 
 #[test]
 fn lines_to_engines_are_as_recorded() {
-    let rid = b"5eed00c0ffee0a17";
-    let none = Tags {
-        mark: None,
-        key: None,
+    let request_id: RequestId = *b"5eed00c0ffee0a17";
+    let none = StatementKeys {
+        idempotency_key: None,
+        ordering_key: None,
     };
-    let both = Tags {
-        mark: Some("00112233445566778899aabbccddeeff".into()),
-        key: Some("a1b2".into()),
+    let both = StatementKeys {
+        idempotency_key: Some("00112233445566778899aabbccddeeff".into()),
+        ordering_key: Some("a1b2".into()),
     };
     let got = [
         (
             "do",
-            plain(lines::attempt(
-                rid,
-                "scan",
-                1200,
-                None,
-                &none,
-                b"SELECT '\r\n'",
-            )),
+            plain(
+                AttemptRequest {
+                    request_id,
+                    class: "scan",
+                    timeout_ms: 1200,
+                    priority: None,
+                    keys: &none,
+                    text: b"SELECT '\r\n'",
+                }
+                .encode(),
+            ),
         ),
         (
             "do-ranked",
-            plain(lines::attempt(
-                rid,
-                "scan",
-                1200,
-                Some(2),
-                &none,
-                b"SELECT 1",
-            )),
+            plain(
+                AttemptRequest {
+                    request_id,
+                    class: "scan",
+                    timeout_ms: 1200,
+                    priority: Some(2),
+                    keys: &none,
+                    text: b"SELECT 1",
+                }
+                .encode(),
+            ),
         ),
         (
             "do-tagged",
-            plain(lines::attempt(rid, "load", 80, Some(0), &both, b"INSERT")),
+            plain(
+                AttemptRequest {
+                    request_id,
+                    class: "load",
+                    timeout_ms: 80,
+                    priority: Some(0),
+                    keys: &both,
+                    text: b"INSERT",
+                }
+                .encode(),
+            ),
         ),
-        ("undo", plain(lines::undo(rid))),
-        ("page", plain(lines::page(rid, 3))),
-        ("forget", plain(lines::forget(rid))),
-        ("longest-body", lines::BODY.to_string()),
-        ("inbox-bound", lines::BOUND.to_string()),
+        ("undo", plain(protocol::encode_cancel(&request_id))),
+        ("page", plain(protocol::encode_page_request(&request_id, 3))),
+        ("forget", plain(protocol::encode_release(&request_id))),
+        ("longest-body", MAX_BODY_BYTES.to_string()),
+        ("inbox-bound", MAX_RESPONSE_BYTES.to_string()),
     ];
     golden("lines.txt", &got);
 }
 
 fn line(bytes: &[u8]) -> String {
-    let answer = match Answer::take(&mut BytesMut::from(bytes)) {
+    let answer = match protocol::Response::decode(&mut BytesMut::from(bytes)) {
         Ok(Some(answer)) => answer,
         Ok(None) => return "not all there".to_owned(),
         Err(error) => return error.to_string(),
     };
-    let word = match answer.word {
-        Word::Done => "done",
-        Word::Wait => "wait",
-        Word::Broke => "broke",
-        Word::Past => "past",
-        Word::Tell => "tell",
-        Word::More => "more",
-        Word::Fit => "fit",
+    let word = match answer.kind {
+        ResponseKind::Completed => "done",
+        ResponseKind::Rejected => "wait",
+        ResponseKind::Failed => "broke",
+        ResponseKind::Expired => "past",
+        ResponseKind::Status => "tell",
+        ResponseKind::Page => "more",
+        ResponseKind::Pong => "fit",
     };
     let fields = ["total", "elapsed", "rss", "remark", "datum", "index"];
     let fields = fields.map(|name| answer.field(name).map_or("-".to_owned(), plain));
     format!(
         "{} {word} {} '{}'",
-        plain(&answer.id),
+        plain(&answer.request_id),
         fields.join("/"),
         plain(&answer.body)
     )
