--- a/crates/operator_config/tests/file.rs
+++ b/crates/operator_config/tests/file.rs
@@ -214,13 +214,13 @@
             .fleet
             .unwrap()
             .paces
-            .bounds
+            .traffic_limits
     };
     assert_eq!(bounds(""), None);
     assert_eq!(bounds("  bounded = false\n"), None);
     assert_eq!(
         bounds("  bounded = true\n"),
-        Some(membership::Bounds::default())
+        Some(membership::TrafficLimits::default())
     );
     let set =
         bounds("  bounded = true\n  confirmations = 3\n  gossip_bytes_per_s = 900\n").unwrap();
@@ -262,7 +262,7 @@
     let budgets: Vec<_> = shares
         .budgets
         .iter()
-        .map(|b| (b.name(), b.whole.units(), b.floor.units()))
+        .map(|b| (b.name(), b.capacity.units(), b.guaranteed.units()))
         .collect();
     let want = [
         ("cold", 1.0, 0.05),
@@ -276,7 +276,11 @@
         want.map(|(name, whole, floor)| (name.to_owned(), whole, floor))
     );
     assert_eq!(
-        (shares.lease.secs(), shares.term.secs(), shares.renew.secs()),
+        (
+            shares.lease_duration.secs(),
+            shares.term_duration.secs(),
+            shares.renew_interval.secs()
+        ),
         (6.0, 2.0, 0.5)
     );
     for (change, to, want) in [
--- a/crates/scheduler/src/credit.rs
+++ b/crates/scheduler/src/credit.rs
@@ -1,7 +1,7 @@
 //! The credit account of one tenant or sub-queue: what its budget covers, and what it borrowed beyond that.
 
 use admission::interface::{TimeDelta, Timestamp};
-use quota::Bucket;
+use quota::TokenBucket;
 
 use crate::config::CapacityShare;
 
@@ -56,7 +56,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct CreditAccount {
     share: CapacityShare,
-    bucket: Bucket,
+    bucket: TokenBucket,
     virtual_time: f64,
     spent: f64,
 }
@@ -71,7 +71,7 @@
     pub(crate) fn new(clock: BudgetClock, share: CapacityShare, burst: TimeDelta) -> Self {
         CreditAccount {
             share,
-            bucket: Bucket::full(clock.secs, share.budget, burst.secs()),
+            bucket: TokenBucket::full(clock.secs, share.budget, burst.secs()),
             virtual_time: 0.0,
             spent: 0.0,
         }
@@ -84,48 +84,48 @@
         share: CapacityShare,
         burst: TimeDelta,
     ) {
-        self.bucket.fill(clock.secs);
+        self.bucket.refill(clock.secs);
         self.bucket.rescale(share.budget, burst.secs());
         self.share = share;
     }
 
     /// A new weight and burst for an account whose budget is leased; savings and debts stay.
     pub(crate) fn reconfigure_leased(&mut self, clock: BudgetClock, weight: f64, burst: TimeDelta) {
-        self.bucket.fill(clock.secs);
-        self.bucket.save_over(burst.secs());
+        self.bucket.refill(clock.secs);
+        self.bucket.set_burst(burst.secs());
         self.share.weight = weight;
     }
 
     /// A new budget, as this gateway's lease of the budget of all gateways. Savings are cut to the new capacity and do
     /// not grow with it; debts stay.
     pub(crate) fn set_leased_budget(&mut self, clock: BudgetClock, budget: f64) {
-        self.bucket.fill(clock.secs);
-        self.bucket.cut(budget);
+        self.bucket.refill(clock.secs);
+        self.bucket.set_rate(budget);
         self.share.budget = budget;
     }
 
     /// Empties the bucket: up to now another gateway's lease covered the same savings.
     pub(crate) fn empty(&mut self, clock: BudgetClock) {
-        self.bucket = Bucket::empty(clock.secs, self.bucket.rate(), self.bucket.burst());
+        self.bucket = TokenBucket::empty(clock.secs, self.bucket.rate(), self.bucket.burst_s());
     }
 
     /// Whether the budget covers a statement of this cost: the bucket holds its cost, or is full. So many light
     /// statements are not kept back by the debts of a few heavy ones, and one larger than the bucket can go.
     pub(crate) fn covers(&mut self, clock: BudgetClock, cpu: f64) -> bool {
-        self.bucket.fill(clock.secs);
-        self.bucket.owes(cpu)
+        self.bucket.refill(clock.secs);
+        self.bucket.covers(cpu)
     }
 
     /// When the budget will cover this cost; never where there is no budget.
     pub(crate) fn covers_from(&mut self, clock: BudgetClock, cpu: f64) -> Option<Timestamp> {
-        self.bucket.fill(clock.secs);
-        let wait_s = self.bucket.owes_in(cpu)?;
+        self.bucket.refill(clock.secs);
+        let wait_s = self.bucket.secs_until_covered(cpu)?;
         Some(clock.now + TimeDelta::from_secs(wait_s / clock.speed + Self::CLOCK_RESOLUTION_S))
     }
 
     /// CPU seconds in the bucket; negative: a debt.
     pub(crate) fn balance(&mut self, clock: BudgetClock) -> f64 {
-        self.bucket.fill(clock.secs);
+        self.bucket.refill(clock.secs);
         self.bucket.level()
     }
 
@@ -151,10 +151,10 @@
 
     /// Charges a statement.
     pub(crate) fn charge(&mut self, clock: BudgetClock, cpu: f64, funding: Funding) {
-        self.bucket.fill(clock.secs);
+        self.bucket.refill(clock.secs);
         match funding {
             Funding::Budget => {
-                self.bucket.pay(cpu);
+                self.bucket.withdraw(cpu);
                 self.spent += cpu;
             }
             Funding::Borrowed => self.virtual_time += self.weighted(cpu),
@@ -163,10 +163,10 @@
 
     /// Charges what a statement cost beyond its charge; negative: gives back.
     pub(crate) fn correct(&mut self, clock: BudgetClock, cpu: f64, funding: Funding) {
-        self.bucket.fill(clock.secs);
+        self.bucket.refill(clock.secs);
         match funding {
             Funding::Budget => {
-                self.bucket.pay(cpu);
+                self.bucket.withdraw(cpu);
                 self.spent += cpu;
             }
             Funding::Borrowed => {
