--- a/crates/gateway/src/clients/eviction.rs
+++ b/crates/gateway/src/clients/eviction.rs
@@ -4,7 +4,7 @@
 
 use super::Sessions;
 use super::events::SessionId;
-use super::session::{EvictionClass, SessionState};
+use super::session::{EvictionClass, Session, SessionState};
 use crate::counters::Counters;
 
 /// Part of the sessions that may be new ones without a command while others are idle.
@@ -25,7 +25,7 @@
     /// connections wait in the machine's backlog, where they cost nothing.
     #[must_use]
     pub fn has_room(&self) -> bool {
-        let can_evict = |session: &super::session::Session| session.eviction_class().is_some();
+        let can_evict = |session: &Session| session.eviction_class().is_some();
         self.sessions.len() < self.limits.max_sessions || self.sessions.values().any(can_evict)
     }
 
@@ -112,10 +112,7 @@
         if session.state == SessionState::Closing || self.read(id).is_err() {
             return true;
         }
-        let has_packet = self
-            .sessions
-            .get(&id)
-            .is_some_and(|session| session.has_packet());
+        let has_packet = self.sessions.get(&id).is_some_and(Session::has_packet);
         if has_packet {
             self.process(now, id, counters);
         }
--- a/crates/gateway/src/clients/input.rs
+++ b/crates/gateway/src/clients/input.rs
@@ -109,7 +109,7 @@
             self.unread_bytes -= bytes_before - bytes_left;
             let is_crowded = self.unread_bytes > self.limits.max_unread_bytes;
             match packet {
-                Ok(Some(packet)) => self.process_packet(now, id, packet, counters),
+                Ok(Some(packet)) => self.process_packet(now, id, &packet, counters),
                 Ok(None) if is_crowded && bytes_left > USUAL_PACKET_BYTES => {
                     session.reject_packet(now, "too many large packets at once");
                 }
@@ -123,7 +123,7 @@
         &mut self,
         now: Timestamp,
         id: SessionId,
-        packet: Packet,
+        packet: &Packet,
         counters: &mut Counters,
     ) {
         let Some(session) = self.sessions.get_mut(&id) else {
