--- a/crates/gateway/src/clients/timeouts.rs
+++ b/crates/gateway/src/clients/timeouts.rs
@@ -36,7 +36,7 @@
         if self.commands == 0 && has_passed(self.opened, FIRST_COMMAND_S) {
             return true;
         }
-        if self.socket.unwritten() > 0 {
+        if self.socket.unwritten_bytes() > 0 {
             return has_passed(self.last_activity, UNREAD_RESPONSE_S);
         }
         if self.is_pending() {
@@ -50,7 +50,7 @@
 
     /// Its client reads nothing, so it would not read a last response either.
     fn is_unread(&self) -> bool {
-        self.state == SessionState::Closing || self.socket.unwritten() > 0
+        self.state == SessionState::Closing || self.socket.unwritten_bytes() > 0
     }
 }
 
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -5,7 +5,7 @@
 
 use ::membership::Name;
 use operator_config::{Callers, FleetTerms, Operator, OperatorError};
-use scheduler::Terms;
+use scheduler::Config as QueueConfig;
 use serde_json::Value;
 use settings::{Settings, SettingsError};
 use thiserror::Error;
@@ -33,7 +33,7 @@
     #[error("{0}: shares.relays_per_s.{1}: the configuration knows no such product")]
     QueryClass(String, String),
     #[error("{0}: fleet.name: the configuration's name cannot be taken: {1}")]
-    Name(String, ::membership::who::NoName),
+    Name(String, ::membership::InvalidName),
 }
 
 /// The operator's file beside the configuration: what of it is in force at this gateway.
@@ -41,11 +41,11 @@
 pub struct Operated {
     pub file: Option<PathBuf>,
     /// Budgets as this gateway's part of those of all; nothing where there are no queues.
-    pub queues: Option<Terms>,
+    pub queues: Option<QueueConfig>,
     /// Files and terms by which callers are known; nothing where they are not.
     pub callers: Option<Callers>,
     /// Budgets that are divided among all gateways; nothing where they are not.
-    pub shares: Option<::quota::Terms>,
+    pub shares: Option<::quota::Config>,
     /// How gateways know each other, and this one's name; nothing where they don't.
     pub fleet: Option<(Name, FleetTerms)>,
 }
@@ -61,7 +61,7 @@
         let known = config.settings.tenant_names()?;
         if let Some(terms) = &operator.queues {
             let unknown = terms
-                .members
+                .tenants
                 .iter()
                 .find(|member| !known.is_empty() && !known.contains(&member.name));
             if let Some(member) = unknown {
@@ -72,21 +72,21 @@
             }
         }
         // Divided among all, a budget is whole here: what of it is this gateway's is told as it changes.
-        let divided = |of: &::quota::Use| matches!(of, ::quota::Use::Member(_));
+        let divided = |of: &::quota::BudgetKind| matches!(of, ::quota::BudgetKind::Tenant(_));
         let divided = operator
             .shares
             .as_ref()
-            .is_some_and(|terms| terms.budgets.iter().any(|b| divided(&b.of)));
+            .is_some_and(|terms| terms.budgets.iter().any(|b| divided(&b.kind)));
         let part = if divided {
             1.0
         } else {
             1.0 / config.settings.peers()?
         };
-        let queues = operator.queues.map(|terms| terms.part(part));
+        let queues = operator.queues.map(|terms| terms.scaled(part));
         let classes = config.settings.class_names()?;
         let of = operator.shares.iter().flat_map(|terms| &terms.budgets);
-        let unknown = of.filter_map(|budget| match &budget.of {
-            ::quota::Use::Relays(class) if !classes.contains(class) => Some(class.clone()),
+        let unknown = of.filter_map(|budget| match &budget.kind {
+            ::quota::BudgetKind::Retries(class) if !classes.contains(class) => Some(class.clone()),
             _ => None,
         });
         if let Some(class) = unknown.into_iter().next() {
@@ -113,7 +113,7 @@
 impl Operated {
     /// Members of the lines, in their order.
     pub fn member_names(&self) -> Vec<String> {
-        let members = self.queues.iter().flat_map(|terms| &terms.members);
+        let members = self.queues.iter().flat_map(|terms| &terms.tenants);
         members.map(|member| member.name.clone()).collect()
     }
 }
--- a/crates/gateway/src/service/endings.rs
+++ b/crates/gateway/src/service/endings.rs
@@ -34,10 +34,10 @@
                 String::from_utf8_lossy(&in_flight.rid).into_owned(),
                 (now - ends).secs(),
             );
-            let engines = self.engines.stand(id);
+            let engines = self.engines.describe_attempts(id);
             warn!(rid, late, out = ?in_flight.out, engines, "a statement without an answer at its end");
             self.counters.overdue += 1;
-            self.hall.gone(now, id);
+            self.scheduler.client_left(now, id);
             self.fail(now, id);
             self.forget(id);
         }
@@ -55,9 +55,9 @@
         self.counters.client_left += 1;
         self.ends.remove(&(in_flight.ends, id));
         let out = in_flight.out.clone();
-        self.hall.gone(now, id);
+        self.scheduler.client_left(now, id);
         out.into_iter()
-            .for_each(|attempt| self.engines.unwanted(now, id, attempt, &mut self.counters));
+            .for_each(|attempt| self.engines.abandon(now, id, attempt, &mut self.counters));
         self.forget(id);
     }
 
@@ -78,7 +78,7 @@
                 continue;
             }
             for attempt in in_flight.out.clone() {
-                self.engines.stay(now, id, attempt, &mut self.counters);
+                self.engines.withdraw(now, id, attempt, &mut self.counters);
             }
             self.reports(now);
             if self
@@ -89,7 +89,7 @@
                 continue;
             }
             self.counters.client_left += 1;
-            match self.hall.leave(now, id, LONG) {
+            match self.scheduler.reject_abandoned(now, id, LONG) {
                 Decision::Reject { retry_after } => self.answer_rejected(now, id, retry_after),
                 _ => self.answer_failed(now, id),
             }
--- a/crates/gateway/src/service/mod.rs
+++ b/crates/gateway/src/service/mod.rs
@@ -12,8 +12,8 @@
 use admission::interface::*;
 use bytes::Bytes;
 use dispatch::Dispatcher;
-use identity::Guard;
-use scheduler::{Directory, Hall, Lines, Terms};
+use identity::TokenVerifier;
+use scheduler::{Config as QueueConfig, QueueResolver, Scheduler, TenantQueues};
 use settings::{Settings, SettingsError, Way};
 use tracing::{info, warn};
 
@@ -22,8 +22,8 @@
 use crate::discovery::DiscoveryClient;
 use crate::discovery::endpoints::DiscoveryEvent;
 use crate::discovery::registry::EngineRegistry;
-use crate::engines::Engines;
-use crate::engines::lines::{Rid, Tags};
+use crate::engines::protocol::{RequestId, StatementKeys};
+use crate::engines::{ConnectionId, EngineTransport};
 use crate::fleet::Fleet;
 use crate::fleet::parts::Flow;
 
@@ -39,11 +39,11 @@
 /// A statement from its reading to its answer and the end of its last attempt; the text is dropped with the answer.
 struct InFlight {
     session: SessionId,
-    rid: Rid,
+    rid: RequestId,
     /// Whose it is, where callers are known.
     caller: Option<String>,
     class: usize,
-    tags: Tags,
+    tags: StatementKeys,
     text: Bytes,
     answered: bool,
     taken: Timestamp,
@@ -52,21 +52,21 @@
     /// One, where a statement may not have two out at the same time.
     out: Vec<AttemptNumber>,
     /// The connections that its attempts went on, as many as attempts.
-    went_on: Vec<u64>,
+    used_connections: Vec<ConnectionId>,
 }
 
 pub struct Service {
     pub clients: Sessions,
-    pub engines: Engines,
+    pub engines: EngineTransport,
     pub discovery: DiscoveryClient,
     pub counters: Counters,
-    hall: Hall,
+    scheduler: Scheduler,
     /// Where there are lines: whose desk a statement waits at.
-    directory: Option<Directory>,
+    resolver: Option<QueueResolver>,
     /// Where gateways know each other.
     fleet: Option<Fleet>,
     /// Where callers are to be known.
-    guard: Option<Guard>,
+    token_verifier: Option<TokenVerifier>,
     /// Statements open by caller; leaves with the last of them.
     open: BTreeMap<String, u32>,
     names: EngineRegistry,
@@ -78,7 +78,7 @@
     next: u64,
     in_flight: BTreeMap<StatementId, InFlight>,
     /// Their ids as clients gave them: of two with one id an engine's answer could be for either.
-    rids: BTreeMap<Rid, StatementId>,
+    rids: BTreeMap<RequestId, StatementId>,
     /// Ends of all statements not answered yet; leaves with the answer or the client.
     ends: BTreeSet<(Timestamp, StatementId)>,
     wake: Timestamp,
@@ -95,21 +95,21 @@
         settings: &Settings,
         seed: u64,
         clients: Sessions,
-        engines: Engines,
+        engines: EngineTransport,
         discovery: DiscoveryClient,
-        terms: Option<&Terms>,
+        terms: Option<&QueueConfig>,
     ) -> Result<Self, SettingsError> {
-        let (directory, classes) = (terms.map(Directory::new), settings.classes());
-        let lines = terms.map(|terms| Lines::new(now, terms.clone(), classes, seed));
+        let (resolver, classes) = (terms.map(QueueResolver::new), settings.classes());
+        let queues = terms.map(|terms| TenantQueues::new(now, terms.clone(), classes, seed));
         Ok(Service {
             clients,
             engines,
             discovery,
             counters: Counters::default(),
-            hall: Hall::new(Dispatcher::new(settings.policy(seed, WAY)?), lines),
-            directory,
+            scheduler: Scheduler::new(Dispatcher::new(settings.policy(seed, WAY)?), queues),
+            resolver,
             fleet: None,
-            guard: None,
+            token_verifier: None,
             open: BTreeMap::new(),
             names: EngineRegistry::new(settings.location_names(), settings.machine_names()),
             peers: settings.peers()?,
@@ -138,38 +138,39 @@
                 "endpoint list"
             );
             for address in applied.addresses {
-                self.engines.listed(address.engine, address.address);
+                self.engines.set_address(address.engine, address.address);
             }
-            self.hall.on_endpoint_update(now, &applied.update);
+            self.scheduler.on_endpoint_update(now, &applied.update);
             for engine in applied.not_ready {
-                self.engines.closed(now, engine, &mut self.counters);
+                self.engines.drain_engine(now, engine, &mut self.counters);
             }
             self.listed |= change.is_snapshot();
         }
     }
 
     /// Other terms for what waits, in the file's own budgets as this gateway's part.
-    pub fn change(&mut self, now: Timestamp, terms: &Terms) {
-        self.directory = Some(Directory::new(terms));
-        self.hall.change(now, terms.clone());
+    pub fn change(&mut self, now: Timestamp, terms: &QueueConfig) {
+        self.resolver = Some(QueueResolver::new(terms));
+        self.scheduler.reconfigure(now, terms.clone());
     }
 
     pub fn waiting(&self) -> usize {
-        self.hall.waiting()
+        self.scheduler.waiting()
     }
 
     /// The lines keep their own count.
     pub fn count(&mut self) {
-        let (tally, counters) = (self.hall.tally(), &mut self.counters);
-        counters.queue_entered = tally.entered;
-        counters.queue_turned_away = tally.turned_away;
-        counters.queue_displaced = tally.displaced;
-        counters.queue_released = tally.released;
-        counters.queue_denied = tally.denied;
-        counters.queue_left = tally.left;
-        counters.queue_refused = tally.refused;
-        counters.queue_told_well = tally.told_well;
-        counters.queue_longest_passed_ms = (self.hall.longest_passed().secs() * 1e3) as u64;
+        let (metrics, counters) = (self.scheduler.metrics(), &mut self.counters);
+        counters.queue_entered = metrics.received;
+        counters.queue_turned_away = metrics.rejected_at_entry;
+        counters.queue_displaced = metrics.evicted;
+        counters.queue_released = metrics.released;
+        counters.queue_denied = metrics.rejected_while_waiting;
+        counters.queue_left = metrics.client_left;
+        counters.queue_refused = metrics.offers_without_capacity;
+        counters.queue_told_well = metrics.accurate_estimates;
+        counters.queue_longest_passed_ms =
+            (self.scheduler.longest_passed_over().secs() * 1e3) as u64;
     }
 
     pub fn can_decide(&self) -> bool {
@@ -187,8 +188,8 @@
             .into_iter()
             .map(|(end, id)| (end.min(last), id))
             .collect();
-        self.hall.drain_deadline(by);
-        self.engines.end_by(by);
+        self.scheduler.drain_by(by);
+        self.engines.cap_deadlines(by);
     }
 
     /// Nothing is owed to anyone.
@@ -198,7 +199,7 @@
 
     pub fn next_due(&self, now: Timestamp) -> Timestamp {
         let dues = [
-            self.engines.next_due(now),
+            self.engines.next_timeout(now),
             self.clients.next_due(now),
             self.discovery.next_due(),
         ];
@@ -212,8 +213,8 @@
 
     /// Works off what all peers brought, then asks once for all that waits.
     pub fn turn(&mut self, now: Timestamp) {
-        self.engines.expire(now, &mut self.counters);
-        self.engines.go_on(now, &mut self.counters);
+        self.engines.expire_timeouts(now, &mut self.counters);
+        self.engines.resume_reads(now, &mut self.counters);
         self.clients.on_timer(now, &mut self.counters);
         self.clients.resume(now, &mut self.counters);
         self.discovery.on_timer(now, &mut self.counters);
@@ -236,18 +237,18 @@
         self.leave(now);
         if let Some(fleet) = &mut self.fleet {
             fleet.turn(now);
-            let doubts = fleet.engines(now, self.hall.health(), &self.names);
-            self.hall.on_outlier_gossip(now, &doubts);
+            let doubts = fleet.engines(now, self.scheduler.health(), &self.names);
+            self.scheduler.on_outlier_gossip(now, &doubts);
         }
         self.divided(now);
-        let tick = self.hall.tick(now);
+        let tick = self.scheduler.tick(now);
         tick.due
             .into_iter()
             .for_each(|(id, pick)| self.picked(now, id, pick));
         // What could not even be sent is back in line by now, and what stood behind an answer was read.
         let again = self.reports(now) || self.clients.has_events();
         self.overdue(now);
-        if self.progress <= now && self.directory.is_some() {
+        if self.progress <= now && self.resolver.is_some() {
             self.progress = now + TimeDelta::from_secs(PROGRESS_S);
             self.tell_progress(now);
         }
@@ -264,28 +265,34 @@
             return;
         };
         if parts.divides_members() {
-            let flows = self
-                .hall
-                .flows()
-                .into_iter()
-                .map(|(wanted, paid)| Flow { wanted, paid });
+            let flows = self.scheduler.tenant_usage().into_iter().map(|usage| Flow {
+                wanted: usage.demanded,
+                paid: usage.spent,
+            });
             let rates = parts.members(&flows.collect::<Vec<_>>());
-            self.hall.lease(now, &rates);
+            self.scheduler.set_leased_budgets(now, &rates);
         }
-        let benched = self.hall.engines().filter(|engine| engine.ejected).count();
-        let allowed = parts.allowed(self.hall.carries(), self.peers, benched);
-        self.hall.on_quota(allowed);
+        let benched = self
+            .scheduler
+            .engines()
+            .filter(|engine| engine.ejected)
+            .count();
+        let allowed = parts.allowed(self.scheduler.traffic_share(), self.peers, benched);
+        self.scheduler.on_quota(allowed);
     }
 
     /// Statements in flight as the decisions hold them, against what is out on the sockets. A difference would have
     /// them send to the wrong engine for ever after, with nothing else to show it.
     fn compare(&mut self) {
         let held = self
-            .hall
+            .scheduler
             .engines()
             .filter(|engine| engine.in_flight > 0)
             .map(|engine| (engine.id, engine.in_flight));
-        let (held, out) = (held.collect::<BTreeMap<_, _>>(), self.engines.out());
+        let (held, out) = (
+            held.collect::<BTreeMap<_, _>>(),
+            self.engines.attempts_in_flight(),
+        );
         self.counters.books_checked += 1;
         if held != out {
             self.counters.books_differ += 1;
@@ -299,7 +306,10 @@
 
     /// Engines left out at present.
     pub fn benched(&self) -> usize {
-        self.hall.engines().filter(|engine| engine.ejected).count()
+        self.scheduler
+            .engines()
+            .filter(|engine| engine.ejected)
+            .count()
     }
 
     /// Other gateways are to be known from now on.
--- a/crates/gateway/tests/golden.rs
+++ b/crates/gateway/tests/golden.rs
@@ -15,8 +15,10 @@
 use std::path::Path;
 use std::process::Command as Program;
 
-use ::membership::letter::{self, Body, Letter, Nonce, View};
-use ::membership::{Incarnation, Life, Locality, Name, Record, Ring, State};
+use ::membership::message::{self, Body, Message, Nonce, View};
+use ::membership::{
+    BootId, Config, Incarnation, KeyRing, Locality, MemberState, Name, Node, NodeSetup, Record,
+};
 use admission::interface::{EngineStage, TimeDelta, Timestamp};
 use bytes::BytesMut;
 use gateway::clients::comment::CommentedStatement;
@@ -30,11 +32,13 @@
 use gateway::clients::table_group::table_group;
 use gateway::counters::Counters;
 use gateway::discovery::http::{self, ConnectionReuse, InputState, PollResponse};
-use gateway::engines::lines::{self, Answer, Tags, Word};
+use gateway::engines::protocol::{
+    self, AttemptRequest, MAX_BODY_BYTES, MAX_RESPONSE_BYTES, RequestId, ResponseKind,
+    StatementKeys,
+};
 use gateway::status;
-use quota::office::Holding;
-use quota::{Amount, Line, Status, Who};
-use scheduler::{DeskStatus, Estimate, StatementStatus};
+use quota::{Amount, BudgetStatus, HolderId, Holding, Status};
+use scheduler::{StatementStatus, SubQueueStatus, WaitEstimate};
 use serde_json::json;
 use stand_ins::client::{Client, login_packet, packet, query_packet};
 use stand_ins::engine::Mood;
@@ -394,71 +398,87 @@
 
 #[test]
 fn lines_to_engines_are_as_recorded() {
-    let rid = b"5eed00c0ffee0a17";
-    let none = Tags {
-        mark: None,
-        key: None,
+    let request_id: RequestId = *b"5eed00c0ffee0a17";
+    let none = StatementKeys {
+        idempotency_key: None,
+        ordering_key: None,
     };
-    let both = Tags {
-        mark: Some("00112233445566778899aabbccddeeff".into()),
-        key: Some("a1b2".into()),
+    let both = StatementKeys {
+        idempotency_key: Some("00112233445566778899aabbccddeeff".into()),
+        ordering_key: Some("a1b2".into()),
     };
     let got = [
         (
             "do",
-            plain(lines::attempt(
-                rid,
-                "scan",
-                1200,
-                None,
-                &none,
-                b"SELECT '\r\n'",
-            )),
+            plain(
+                AttemptRequest {
+                    request_id,
+                    class: "scan",
+                    timeout_ms: 1200,
+                    priority: None,
+                    keys: &none,
+                    text: b"SELECT '\r\n'",
+                }
+                .encode(),
+            ),
         ),
         (
             "do-ranked",
-            plain(lines::attempt(
-                rid,
-                "scan",
-                1200,
-                Some(2),
-                &none,
-                b"SELECT 1",
-            )),
+            plain(
+                AttemptRequest {
+                    request_id,
+                    class: "scan",
+                    timeout_ms: 1200,
+                    priority: Some(2),
+                    keys: &none,
+                    text: b"SELECT 1",
+                }
+                .encode(),
+            ),
         ),
         (
             "do-tagged",
-            plain(lines::attempt(rid, "load", 80, Some(0), &both, b"INSERT")),
+            plain(
+                AttemptRequest {
+                    request_id,
+                    class: "load",
+                    timeout_ms: 80,
+                    priority: Some(0),
+                    keys: &both,
+                    text: b"INSERT",
+                }
+                .encode(),
+            ),
         ),
-        ("undo", plain(lines::undo(rid))),
-        ("page", plain(lines::page(rid, 3))),
-        ("forget", plain(lines::forget(rid))),
-        ("longest-body", lines::BODY.to_string()),
-        ("inbox-bound", lines::BOUND.to_string()),
+        ("undo", plain(protocol::encode_cancel(&request_id))),
+        ("page", plain(protocol::encode_page_request(&request_id, 3))),
+        ("forget", plain(protocol::encode_release(&request_id))),
+        ("longest-body", MAX_BODY_BYTES.to_string()),
+        ("inbox-bound", MAX_RESPONSE_BYTES.to_string()),
     ];
     golden("lines.txt", &got);
 }
 
 fn line(bytes: &[u8]) -> String {
-    let answer = match Answer::take(&mut BytesMut::from(bytes)) {
+    let answer = match protocol::Response::decode(&mut BytesMut::from(bytes)) {
         Ok(Some(answer)) => answer,
         Ok(None) => return "not all there".to_owned(),
         Err(error) => return error.to_string(),
     };
-    let word = match answer.word {
-        Word::Done => "done",
-        Word::Wait => "wait",
-        Word::Broke => "broke",
-        Word::Past => "past",
-        Word::Tell => "tell",
-        Word::More => "more",
-        Word::Fit => "fit",
+    let word = match answer.kind {
+        ResponseKind::Completed => "done",
+        ResponseKind::Rejected => "wait",
+        ResponseKind::Failed => "broke",
+        ResponseKind::Expired => "past",
+        ResponseKind::Status => "tell",
+        ResponseKind::Page => "more",
+        ResponseKind::Pong => "fit",
     };
     let fields = ["total", "elapsed", "rss", "remark", "datum", "index"];
     let fields = fields.map(|name| answer.field(name).map_or("-".to_owned(), plain));
     format!(
         "{} {word} {} '{}'",
-        plain(&answer.id),
+        plain(&answer.request_id),
         fields.join("/"),
         plain(&answer.body)
     )
@@ -741,38 +761,38 @@
     Timestamp::from_secs(secs)
 }
 
-fn estimate(wait: f64, p90: f64) -> Estimate {
-    Estimate {
-        wait: TimeDelta::from_secs(wait),
+fn estimate(wait: f64, p90: f64) -> WaitEstimate {
+    WaitEstimate {
+        median: TimeDelta::from_secs(wait),
         p90: TimeDelta::from_secs(p90),
     }
 }
 
 #[test]
 fn queues_are_shown_as_recorded() {
-    let desk = DeskStatus {
-        member: "water".to_owned(),
-        desk: "counter".to_owned(),
+    let desk = SubQueueStatus {
+        tenant: "water".to_owned(),
+        sub_queue: "counter".to_owned(),
         waiting: 3,
-        cpu: 1.25,
+        waiting_cpu: 1.25,
         budget: 0.5,
         rate: Some(0.75),
         saved: -2.5,
-        longest: TimeDelta::from_secs(0.4),
-        next: vec![estimate(0.1, 0.3), estimate(0.2, 0.6)],
+        longest_wait: TimeDelta::from_secs(0.4),
+        next_waits: vec![estimate(0.1, 0.3), estimate(0.2, 0.6)],
     };
-    let quiet = DeskStatus {
+    let quiet = SubQueueStatus {
         rate: None,
-        next: Vec::new(),
-        desk: "kiosk".to_owned(),
+        next_waits: Vec::new(),
+        sub_queue: "kiosk".to_owned(),
         ..desk.clone()
     };
     let statement = StatementStatus {
-        member: "water".to_owned(),
-        desk: "counter".to_owned(),
+        tenant: "water".to_owned(),
+        sub_queue: "counter".to_owned(),
         ahead: 4,
         waited: TimeDelta::from_secs(0.25),
-        left: estimate(0.5, 1.5),
+        remaining: estimate(0.5, 1.5),
     };
     let desks = status::desks(&[desk, quiet]);
     let statement = [status::statement("5eed00c0ffee0a17", &statement)];
@@ -801,21 +821,23 @@
         zone: Some(name(zone)),
         region: Some(name(region)),
     };
-    let ring = || Ring::new(&[7; 32], &[]).unwrap();
-    let mut own = ::membership::Gateway::new(
+    let ring = || KeyRing::new(&[7; 32], &[]).unwrap();
+    let mut own = Node::new(
         at(10.0),
-        name("golden"),
-        name("g0"),
-        "127.0.0.1:7001".parse().unwrap(),
-        place("room-a", "north"),
-        Vec::new(),
-        ring(),
-        ::membership::Terms::default(),
-        5,
+        NodeSetup {
+            fleet: name("golden"),
+            name: name("g0"),
+            address: "127.0.0.1:7001".parse().unwrap(),
+            locality: place("room-a", "north"),
+            seeds: Vec::new(),
+            key_ring: ring(),
+            config: Config::default(),
+            rng_seed: 5,
+        },
     );
-    let record = |of: &str, port: u16, state: State, locality: Locality| Record {
+    let record = |of: &str, port: u16, state: MemberState, locality: Locality| Record {
         name: name(of),
-        life: Life(0x0102_0304_0506_0708),
+        boot_id: BootId(0x0102_0304_0506_0708),
         incarnation: Incarnation(3),
         address: format!("127.0.0.1:{port}").parse().unwrap(),
         locality,
@@ -823,11 +845,11 @@
     };
     let alone = cells(&status::fleet(at(12.5), &mut own));
     for (count, of, state, place) in [
-        (1, "g1", State::Alive, place("room-b", "south")),
+        (1, "g1", MemberState::Alive, place("room-b", "south")),
         (
             1,
             "g2",
-            State::Alive,
+            MemberState::Alive,
             Locality {
                 zone: None,
                 region: None,
@@ -836,16 +858,16 @@
     ] {
         let from = record(of, 7000 + if of == "g1" { 2 } else { 3 }, state, place);
         let address = from.address;
-        let letter = Letter {
+        let message = Message {
             fleet: name("golden"),
             from,
             counter: count,
             view: View { digest: 1, size: 2 },
             body: Body::Ping(Nonce(9)),
             records: Vec::new(),
-            engines: Vec::new(),
+            engine_reports: Vec::new(),
         };
-        let _ = own.receive(at(13.0), address, &letter::seal(&ring(), &letter));
+        let _ = own.receive(at(13.0), address, &message::seal(&ring(), &message));
     }
     let rows = cells(&status::fleet(at(15.0), &mut own));
     let mut got = vec![
@@ -854,8 +876,13 @@
     ];
     got.extend(rows.into_iter().map(|row| ("fleet-row", row)));
     got.extend(
-        [State::Alive, State::Suspect, State::Dead, State::Left]
-            .map(|state| ("fleet-state", state.to_string())),
+        [
+            MemberState::Alive,
+            MemberState::Suspect,
+            MemberState::Dead,
+            MemberState::Left,
+        ]
+        .map(|state| ("fleet-state", state.to_string())),
     );
     golden("fleet.txt", &got);
 }
@@ -863,50 +890,50 @@
 #[test]
 fn shares_are_shown_as_recorded() {
     let holding = |of: &str, differs: bool| Holding {
-        who: Who {
+        holder: HolderId {
             name: name(of),
-            life: Life(1),
+            boot_id: BootId(1),
         },
-        need: Amount(1_500_000),
+        demand: Amount(1_500_000),
         reserved: Amount(2_250_000),
-        until: Some(at(12.0)),
-        differs,
+        expires: Some(at(12.0)),
+        config_differs: differs,
     };
-    let line = |budget: &str, unit: &'static str| Line {
+    let line = |budget: &str, unit: &'static str| BudgetStatus {
         budget: budget.to_owned(),
         unit,
-        whole: Amount(6_000_000),
-        floor: Amount(500_000),
+        capacity: Amount(6_000_000),
+        guaranteed: Amount(500_000),
         leased: Amount(1_250_000),
-        until: Some(at(11.5)),
+        lease_expires: Some(at(11.5)),
         wanted: 0.125,
         spent: 3.5,
         allowed: 4.75,
-        refused: 2,
+        rejected: 2,
         holdings: vec![
             holding("g0", false),
             holding("g1", true),
             holding("g2", false),
         ],
     };
-    let bare = Line {
-        until: None,
+    let bare = BudgetStatus {
+        lease_expires: None,
         holdings: Vec::new(),
         ..line("trials", "trials/s")
     };
     let steward = Status {
-        me: name("g0"),
-        steward: Some(name("g1")),
-        is_steward: true,
-        number: Some(7),
-        lines: vec![line("relays.point", "relays/s"), bare.clone()],
+        gateway: name("g0"),
+        leader: Some(name("g1")),
+        is_leader: true,
+        term: Some(7),
+        budgets: vec![line("relays.point", "relays/s"), bare.clone()],
     };
     let none = Status {
-        me: name("g0"),
-        steward: None,
-        is_steward: false,
-        number: None,
-        lines: vec![bare],
+        gateway: name("g0"),
+        leader: None,
+        is_leader: false,
+        term: None,
+        budgets: vec![bare],
     };
     let mut got = vec![("shares-columns", status::SHARES.join("|"))];
     got.extend(
