--- a/crates/gateway/benches/memory.rs
+++ b/crates/gateway/benches/memory.rs
@@ -142,7 +142,7 @@
     table("idle sessions", &SESSIONS, &rounds(idle_sessions));
     let waits = |counts: &str, size: usize| {
         assert!(
-            counter(counts, "engines_open") <= 2,
+            counter(counts, "engine_connections_open") <= 2,
             "{size} in line: {counts}"
         );
     };
@@ -153,7 +153,7 @@
     );
     let out = |counts: &str, size: usize| {
         assert_eq!(
-            counter(counts, "engines_open"),
+            counter(counts, "engine_connections_open"),
             size as i64,
             "each on a connection of its own: {counts}"
         );
--- a/crates/gateway/benches/work.rs
+++ b/crates/gateway/benches/work.rs
@@ -54,7 +54,7 @@
     asks.into_iter().for_each(|ask| ask.join().unwrap());
     gateway.signal(Signal::TERM);
     let (_, log) = gateway.end(millis(8000));
-    counter(&log, "busy_ms") as f64 * 1e3 / counter(&log, "statements_taken") as f64
+    counter(&log, "busy_ms") as f64 * 1e3 / counter(&log, "statements_accepted") as f64
 }
 
 fn main() {
--- a/crates/gateway/src/board/mod.rs
+++ b/crates/gateway/src/board/mod.rs
@@ -116,7 +116,7 @@
         }
         let before = self.polls.len();
         self.polls.retain(|_, poll| since(poll) < GIVE_UP_S);
-        counters.polls_failed += (before - self.polls.len()) as u64;
+        counters.discovery_polls_failed += (before - self.polls.len()) as u64;
         if self.ask_at.is_some_and(|at| at <= now) {
             self.ask(now, counters);
         }
@@ -137,7 +137,7 @@
         self.ask_at = None;
         if self.polls.len() >= POLLS {
             self.polls.pop_first();
-            counters.polls_failed += 1;
+            counters.discovery_polls_failed += 1;
         }
         let at = self.next;
         self.next += 1;
@@ -161,7 +161,7 @@
     }
 
     fn question(&self, now: Timestamp, poll: &mut Poll, counters: &mut Counters) {
-        counters.polls += 1;
+        counters.discovery_polls += 1;
         (poll.asked, poll.watch, poll.late) = (now, self.last, false);
         let linger = (LINGER_S * 1e3) as u64;
         let question = format!(
@@ -173,7 +173,7 @@
 
     /// Growing waits, but far below the time after which events count as told.
     fn failed(&mut self, now: Timestamp, why: &str, counters: &mut Counters) {
-        counters.polls_failed += 1;
+        counters.discovery_polls_failed += 1;
         debug!(why, "poll failed");
         if self.polls.values().all(|poll| poll.late) {
             let part = 0.5 + 0.5 * self.rng.random::<f64>();
@@ -268,7 +268,7 @@
                 return;
             }
             self.last = event.number;
-            counters.list_events += 1;
+            counters.watch_events += 1;
             self.events.push(event);
         }
     }
--- a/crates/gateway/src/clients/mod.rs
+++ b/crates/gateway/src/clients/mod.rs
@@ -281,7 +281,7 @@
         };
         // One that asks in this very moment is none to spare, and another goes.
         if self.at_rest(now, id, counters) {
-            counters.sessions_crowded += 1;
+            counters.sessions_evicted += 1;
             self.sessions
                 .get_mut(&id)
                 .into_iter()
@@ -567,7 +567,7 @@
                     session.socket.put(&bytes);
                 }
                 Err((code, state, text)) => {
-                    counters.logins_denied += 1;
+                    counters.logins_rejected += 1;
                     session.phase = Phase::Closing;
                     session
                         .socket
@@ -587,7 +587,7 @@
                     session.socket.put(&answer.ok());
                 }
                 Err((code, state, text)) => {
-                    counters.logins_denied += 1;
+                    counters.logins_rejected += 1;
                     session.phase = Phase::Closing;
                     session.socket.put(&answer.error(code, state, text));
                 }
@@ -710,7 +710,7 @@
         counters: &mut Counters,
         answer: impl FnOnce(Answer) -> BytesMut,
     ) {
-        counters.logins_denied += 1;
+        counters.logins_rejected += 1;
         if let Some(session) = self.sessions.get_mut(&id) {
             session.phase = Phase::Closing;
         }
@@ -741,7 +741,7 @@
         let (seq, packet) = Answer::to(session.seq).progress((1, 2), done, text);
         session.seq = seq;
         session.socket.put(&packet);
-        counters.progress_told += 1;
+        counters.progress_reports_sent += 1;
         self.settle(now, id, counters);
     }
 
--- a/crates/gateway/src/engines/mod.rs
+++ b/crates/gateway/src/engines/mod.rs
@@ -198,7 +198,7 @@
 
     /// The connection it went on; none if it was reported as never sent.
     pub fn send(&mut self, now: Timestamp, o: &Outgoing, counters: &mut Counters) -> Option<u64> {
-        counters.relays_sent += 1;
+        counters.attempts_sent += 1;
         let at = self.connection(now, o, counters)?;
         let max_ms = ((o.due - now).secs() * 1e3).max(1.0) as u64;
         let connection = self.connections.get_mut(&at).expect("just chosen");
@@ -279,7 +279,7 @@
             pages: Vec::new(),
         };
         if self.connections.len() >= self.share && !self.close_one_idle(counters) {
-            counters.relays_unsent += 1;
+            counters.attempts_never_sent += 1;
             self.reports.push(never(AttemptEvent::NeverSent));
             return None;
         }
@@ -293,9 +293,12 @@
                 // Our own shortage must not be laid at the engine's door.
                 let (event, count) = match error {
                     Some(error) if is_shortage(&error) => {
-                        (AttemptEvent::NeverSent, &mut counters.relays_unsent)
+                        (AttemptEvent::NeverSent, &mut counters.attempts_never_sent)
                     }
-                    _ => (AttemptEvent::Unreachable, &mut counters.relays_unreachable),
+                    _ => (
+                        AttemptEvent::Unreachable,
+                        &mut counters.attempts_unreachable,
+                    ),
                 };
                 *count += 1;
                 self.reports.push(never(event));
@@ -386,7 +389,7 @@
         no: AttemptNumber,
         counters: &mut Counters,
     ) {
-        counters.relays_cancelled += u64::from(self.places.contains_key(&(id, no)));
+        counters.attempts_cancelled += u64::from(self.places.contains_key(&(id, no)));
         self.give_up(now, id, no, AttemptEvent::Cancelled, counters);
     }
 
@@ -475,7 +478,7 @@
 
     pub fn expire(&mut self, now: Timestamp, counters: &mut Counters) {
         while let Some((due, id, no)) = self.dues.first().copied().filter(|due| due.0 <= now) {
-            counters.relays_timed_out += 1;
+            counters.attempts_timed_out += 1;
             self.give_up(now, id, no, AttemptEvent::TimedOut, counters);
             // Gone already where the attempt was; else an entry that nothing else would take out.
             self.dues.remove(&(due, id, no));
@@ -492,7 +495,7 @@
                 counters.engine_idle_closed += 1;
                 drop(self.drop_connection(at));
             } else {
-                counters.answers_spoilt += 1;
+                counters.answers_malformed += 1;
                 self.end(now, at, "an answer that stopped half way", counters);
             }
         }
@@ -587,7 +590,7 @@
             // Begun already, and others' are behind it: its end is needed for them to be read.
             return false;
         }
-        counters.relays_withdrawn += 1;
+        counters.attempts_withdrawn += 1;
         self.over(now, at, rid, event, latency, Vec::new());
         if alone {
             // Nobody waits for it any more, or what it began must not be ended.
@@ -669,8 +672,8 @@
         ends.sort_by_key(|end| end.0);
         for (_, rid, event, latency) in ends {
             match event {
-                AttemptEvent::Reset => counters.relays_reset += 1,
-                _ => counters.relays_unreachable += 1,
+                AttemptEvent::Reset => counters.attempts_reset += 1,
+                _ => counters.attempts_unreachable += 1,
             }
             self.over(now, at, &rid, event, latency, Vec::new());
         }
@@ -712,7 +715,7 @@
                     }
                     Ok(None) => break,
                     Err(error) => {
-                        counters.answers_spoilt += 1;
+                        counters.answers_malformed += 1;
                         return self.end(now, at, &error.to_string(), counters);
                     }
                 }
@@ -730,7 +733,7 @@
             let partial = !connection.socket.inbox.is_empty();
             if partial && connection.attempts.is_empty() {
                 // Nobody asked for it, and what is put on this connection next would stand behind it.
-                counters.answers_spoilt += 1;
+                counters.answers_malformed += 1;
                 return self.end(now, at, "half an answer to nothing", counters);
             }
             connection.begun = connection
@@ -761,7 +764,7 @@
         let end = match answer.word {
             Word::Fit => return,
             Word::Tell => {
-                counters.notes += 1;
+                counters.engine_notes += 1;
                 let event = match (answer.field("remark"), answer.number::<f64>("datum")) {
                     (Some(b"done"), Some(done)) if done.is_finite() => AttemptEvent::Progress(done),
                     (Some(b"spills" | b"waits"), _) => AttemptEvent::Stalled,
@@ -777,9 +780,9 @@
                 });
                 return;
             }
-            Word::Wait => (AttemptEvent::Rejected, &mut counters.relays_full),
-            Word::Past => (AttemptEvent::NeverSent, &mut counters.relays_past),
-            Word::Broke => (AttemptEvent::Error, &mut counters.relays_error),
+            Word::Wait => (AttemptEvent::Rejected, &mut counters.attempts_rejected),
+            Word::Past => (AttemptEvent::NeverSent, &mut counters.attempts_expired),
+            Word::Broke => (AttemptEvent::Error, &mut counters.attempts_failed),
             Word::Done if attempt.coming.is_some() => {
                 counters.answers_late += 1;
                 return;
@@ -787,7 +790,7 @@
             Word::Done => {
                 let total = answer.number::<usize>("total").unwrap_or(1).max(1);
                 if total > PAGES {
-                    counters.answers_spoilt += 1;
+                    counters.answers_malformed += 1;
                     return self.end(now, at, "a result of too many pages", counters);
                 }
                 let mut coming = Coming {
@@ -807,7 +810,7 @@
                 return self.complete(now, at, &rid, counters);
             }
             Word::More => {
-                counters.pages += 1;
+                counters.pages_received += 1;
                 let number = answer.number::<usize>("index").unwrap_or(0);
                 let coming = attempt.coming.as_mut();
                 let slot = coming
@@ -843,7 +846,7 @@
             coming.pages.iter().flatten().cloned().collect()
         };
         if coming.size > RESULT || !pages.iter().all(|page| is_rows(page)) {
-            counters.answers_spoilt += 1;
+            counters.answers_malformed += 1;
             debug!(
                 engine = connection.engine.0,
                 "a result that is no rows of text"
@@ -858,7 +861,7 @@
             memory_mb: coming.memory_mb,
         };
         let latency = coming.latency;
-        counters.relays_done += 1;
+        counters.attempts_completed += 1;
         if missing {
             connection.socket.put(&lines::forget(rid));
         }
--- a/crates/gateway/src/lifecycle.rs
+++ b/crates/gateway/src/lifecycle.rs
@@ -435,11 +435,11 @@
         let counters = &mut self.service.counters;
         match refused {
             None => {
-                counters.key_files += 1;
+                counters.key_file_reloads += 1;
                 info!("key files taken in");
             }
             Some(error) => {
-                counters.key_files_failed += 1;
+                counters.key_file_reloads_failed += 1;
                 warn!(
                     error,
                     "the key files cannot be used; the last good ones stand"
@@ -525,7 +525,7 @@
                 info!(listen = %self.config.listen, "ready");
                 Phase::Ready
             }
-            Phase::Ready if self.service.counters.statements_taken > 0 => {
+            Phase::Ready if self.service.counters.statements_accepted > 0 => {
                 info!("serving");
                 Phase::Serving
             }
@@ -562,7 +562,7 @@
             .map_or_else(String::new, |fleet| fleet.counters(now));
         let service = &self.service;
         eprintln!(
-            "counters: {}{fleet}open={} waiting={} sessions={} engines_open={} engines_benched={} polls_open={}",
+            "counters: {}{fleet}open={} waiting={} sessions={} engine_connections_open={} engines_ejected={} discovery_polls_open={}",
             service.counters,
             service.counters.open(),
             service.waiting(),
--- a/crates/gateway/src/service/callers.rs
+++ b/crates/gateway/src/service/callers.rs
@@ -36,15 +36,15 @@
                 return self.clients.known(now, session, token.clone(), counters);
             }
             Judged::Granted { .. } => {
-                counters.tokens_refused += 1;
+                counters.tokens_rejected += 1;
                 (1045, b"28000", Beyond::Network.to_string())
             }
             Judged::Later { back } => {
-                counters.tokens_later += 1;
+                counters.tokens_deferred += 1;
                 (1226, b"42000", denial(Some(back)))
             }
             Judged::Refused(why) => {
-                counters.tokens_refused += 1;
+                counters.tokens_rejected += 1;
                 (1045, b"28000", why.to_string())
             }
         };
@@ -67,11 +67,11 @@
         match guard.verdict(unix(), &token) {
             Judged::Granted { claims, .. } => Ok(Some(claims)),
             Judged::Later { back } => {
-                self.counters.tokens_later += 1;
+                self.counters.tokens_deferred += 1;
                 Err(Unusable::Later(back))
             }
             Judged::Refused(why) => {
-                self.counters.tokens_refused += 1;
+                self.counters.tokens_rejected += 1;
                 Err(Unusable::Unknown(why.to_string()))
             }
         }
--- a/crates/gateway/src/service/endings.rs
+++ b/crates/gateway/src/service/endings.rs
@@ -102,7 +102,7 @@
         id: StatementId,
         retry_after: Option<TimeDelta>,
     ) {
-        self.counters.denied += 1;
+        self.counters.rejected += 1;
         self.answer_rejected(now, id, retry_after);
     }
 
@@ -117,7 +117,7 @@
     }
 
     pub(super) fn fail(&mut self, now: Timestamp, id: StatementId) {
-        self.counters.scrapped += 1;
+        self.counters.failed += 1;
         self.answer_failed(now, id);
     }
 
--- a/crates/gateway/src/service/intake.rs
+++ b/crates/gateway/src/service/intake.rs
@@ -98,7 +98,7 @@
     ) {
         // Reset in the very turn in which it came: nothing would tell any more that its client has left.
         if !self.clients.stands(session) {
-            self.counters.statements_taken += 1;
+            self.counters.statements_accepted += 1;
             self.counters.client_left += 1;
             return;
         }
@@ -120,7 +120,7 @@
         let (wants, rid, tags, statement, desk, caller) = match wanted {
             Ok(usable) => usable,
             Err(why) => {
-                self.counters.statements_unusable += 1;
+                self.counters.statements_invalid += 1;
                 self.clients
                     .answer(now, session, &mut self.counters, |answer| match why {
                         Unusable::Wrong(why) => answer.error(1064, b"42000", &why),
@@ -136,7 +136,7 @@
         };
         let id = StatementId(self.next);
         self.next += 1;
-        self.counters.statements_taken += 1;
+        self.counters.statements_accepted += 1;
         let class = wants.class.0;
         let ends = now + wants.budget.max(TimeDelta::ZERO) + TimeDelta::from_secs(OVERDUE_S);
         let ends = self
@@ -189,7 +189,7 @@
                 open,
             });
             if let Err(beyond) = beyond {
-                self.counters.beyond_grant += 1;
+                self.counters.statements_unauthorized += 1;
                 return Err(Unusable::Beyond(beyond));
             }
             // What the comment leaves open, the caller is.
@@ -214,7 +214,7 @@
             .directory
             .as_ref()
             .map(|directory| directory.find(read.tenant, read.desk, Some(from)));
-        self.counters.desks_unknown += u64::from(found.is_some_and(|found| !found.known));
+        self.counters.sub_queues_unknown += u64::from(found.is_some_and(|found| !found.known));
         let desk = found.map_or(DeskId(0), |found| found.desk);
         let budget_s = read.budget_ms / 1e3;
         let budget =
--- a/crates/gateway/src/service/mod.rs
+++ b/crates/gateway/src/service/mod.rs
@@ -156,15 +156,15 @@
     /// The lines keep their own count.
     pub fn count(&mut self) {
         let (tally, counters) = (self.hall.tally(), &mut self.counters);
-        counters.queue_entered = tally.entered;
-        counters.queue_turned_away = tally.turned_away;
-        counters.queue_displaced = tally.displaced;
+        counters.queue_received = tally.entered;
+        counters.queue_rejected_at_entry = tally.turned_away;
+        counters.queue_evicted = tally.displaced;
         counters.queue_released = tally.released;
-        counters.queue_denied = tally.denied;
-        counters.queue_left = tally.left;
-        counters.queue_refused = tally.refused;
-        counters.queue_told_well = tally.told_well;
-        counters.queue_longest_passed_ms = (self.hall.longest_passed().secs() * 1e3) as u64;
+        counters.queue_rejected_while_waiting = tally.denied;
+        counters.queue_client_left = tally.left;
+        counters.queue_offers_without_capacity = tally.refused;
+        counters.queue_accurate_estimates = tally.told_well;
+        counters.queue_longest_passed_over_ms = (self.hall.longest_passed().secs() * 1e3) as u64;
     }
 
     pub fn can_decide(&self) -> bool {
@@ -279,13 +279,13 @@
             .filter(|engine| engine.in_flight > 0)
             .map(|engine| (engine.id, engine.in_flight));
         let (held, out) = (held.collect::<BTreeMap<_, _>>(), self.engines.out());
-        self.counters.books_checked += 1;
+        self.counters.in_flight_checks += 1;
         if held != out {
-            self.counters.books_differ += 1;
+            self.counters.in_flight_mismatches += 1;
             warn!(
-                ?held,
-                ?out,
-                "the decisions hold other relays out than the sockets"
+                decided = ?held,
+                on_sockets = ?out,
+                "attempts in flight differ between the decisions and the sockets"
             );
         }
     }
--- a/crates/gateway/src/service/shown.rs
+++ b/crates/gateway/src/service/shown.rs
@@ -52,7 +52,7 @@
     }
 
     pub(super) fn tell_queue(&mut self, now: Timestamp, session: u32, id: Option<String>) {
-        self.counters.statuses_told += 1;
+        self.counters.queue_status_queries += 1;
         let Some(id) = id else {
             let rows = status::desks(&self.hall.status(now, STATUS_ROWS).unwrap_or_default());
             let table = |answer: Answer| answer.table(status::DESKS, &rows);
--- a/crates/gateway/tests/connections.rs
+++ b/crates/gateway/tests/connections.rs
@@ -214,7 +214,9 @@
                 board.expire(now, &mut counters);
                 // Refused at once, in the same instant for all.
                 let mut ready = Ready::default();
-                while ready.peers.is_empty() && counters.polls_failed as usize == asked.len() {
+                while ready.peers.is_empty()
+                    && counters.discovery_polls_failed as usize == asked.len()
+                {
                     event_loop
                         .dispatch(std::time::Duration::from_secs(10), &mut ready)
                         .unwrap();
--- a/crates/gateway/tests/endings.rs
+++ b/crates/gateway/tests/endings.rs
@@ -96,7 +96,7 @@
         assert_eq!(rows(first.answer().unwrap()).len(), 1);
         let seen = (
             counter(&counts, "client_left"),
-            counter(&counts, "queue_left"),
+            counter(&counts, "queue_client_left"),
         );
         assert_eq!((seen, counter(&counts, "waiting")), ((1, 1), 0), "{way:?}");
         ended(gateway);
@@ -113,8 +113,8 @@
         let counts = gateway.settled();
         assert_eq!(
             (
-                counter(&counts, "relays_sent"),
-                counter(&counts, "engines_open")
+                counter(&counts, "attempts_sent"),
+                counter(&counts, "engine_connections_open")
             ),
             (1, 1),
             "{counts}"
@@ -139,8 +139,8 @@
         assert_eq!(counter(&counts, "client_left"), 1, "{way:?}");
         // Its connection went with it: nothing can carry it on any more.
         let gone = (
-            counter(&counts, "relays_withdrawn"),
-            counter(&counts, "engines_open"),
+            counter(&counts, "attempts_withdrawn"),
+            counter(&counts, "engine_connections_open"),
         );
         assert_eq!(gone, (1, 0), "{way:?}");
     });
@@ -197,7 +197,7 @@
         let counts = gateway.settled();
         assert_eq!(
             (
-                counter(&counts, "statements_taken"),
+                counter(&counts, "statements_accepted"),
                 counter(&counts, "open")
             ),
             (1001, 1001),
@@ -292,12 +292,12 @@
     assert_eq!(
         (
             counter(&counts, "client_left"),
-            counter(&counts, "relays_withdrawn")
+            counter(&counts, "attempts_withdrawn")
         ),
         (8, 8),
         "{counts}"
     );
-    assert_eq!(counter(&counts, "engines_benched"), 0, "{counts}");
+    assert_eq!(counter(&counts, "engines_ejected"), 0, "{counts}");
     drop(kept);
 }
 
@@ -332,7 +332,7 @@
         let (mut client, statement) = (gateway.client(), text(8, "SELECT 'moves'"));
         send(&mut client, &statement);
         let mut gateway = gateway;
-        assert_eq!(counter(&gateway.settled(), "relays_sent"), 1);
+        assert_eq!(counter(&gateway.settled(), "attempts_sent"), 1);
         let drains = target("e-0", deaf.script.address, state);
         gateway.board.tell(
             false,
@@ -347,14 +347,14 @@
         let counts = gateway.settled();
         assert_eq!(
             (
-                counter(&counts, "relays_withdrawn"),
-                counter(&counts, "relays_sent")
+                counter(&counts, "attempts_withdrawn"),
+                counter(&counts, "attempts_sent")
             ),
             (1, 2),
             "{counts}"
         );
         // Only the one to the other engine is open, so that nothing can come up any more.
-        assert_eq!(counter(&counts, "engines_open"), 1, "{counts}");
+        assert_eq!(counter(&counts, "engine_connections_open"), 1, "{counts}");
         assert!(lines.try_iter().next().is_none());
         ended(gateway);
     });
@@ -377,7 +377,7 @@
         false,
         vec![target("e-1", deaf.script.address, "in_service")],
     );
-    while counter(&gateway.settled(), "list_events") < 1 {}
+    while counter(&gateway.settled(), "watch_events") < 1 {}
     let begun = Instant::now();
     link.reset();
     // It may have run, and can't be told to be harmless any more.
@@ -387,13 +387,13 @@
     let counts = gateway.settled();
     assert_eq!(
         (
-            counter(&counts, "relays_sent"),
-            counter(&counts, "relays_withdrawn")
+            counter(&counts, "attempts_sent"),
+            counter(&counts, "attempts_withdrawn")
         ),
         (2, 1),
         "{counts}"
     );
-    assert_eq!(counter(&counts, "engines_open"), 0, "{counts}");
+    assert_eq!(counter(&counts, "engine_connections_open"), 0, "{counts}");
     assert!(deaf.hear().listen().recv_timeout(millis(1500)).is_err());
     ended(gateway);
 }
@@ -545,7 +545,7 @@
             let log = ended(gateway);
             let sent = if !may_have_run || repeatable { 2 } else { 1 };
             assert_eq!(
-                counter(&log, "relays_sent"),
+                counter(&log, "attempts_sent"),
                 sent,
                 "{fails:?}, {name}: {log}"
             );
@@ -595,7 +595,7 @@
     let log = ended(gateway);
     assert_eq!(
         (
-            counter(&log, "relays_timed_out"),
+            counter(&log, "attempts_timed_out"),
             counter(&log, "completed")
         ),
         (0, 1),
@@ -634,8 +634,8 @@
     assert!(status.success());
     assert_eq!(
         (
-            counter(&log, "statements_taken"),
-            counter(&log, "relays_sent")
+            counter(&log, "statements_accepted"),
+            counter(&log, "attempts_sent")
         ),
         (1, 1),
         "{log}"
@@ -739,7 +739,7 @@
     let (status, log) = gateway.end(millis(5000));
     assert!(status.success());
     assert_eq!(
-        (counter(&log, "relays_sent"), counter(&log, "overdue")),
+        (counter(&log, "attempts_sent"), counter(&log, "overdue")),
         (1, 0),
         "{log}"
     );
@@ -901,7 +901,7 @@
     // It has stopped to take more, since what it has said is not read.
     let mut taken = (0, 1);
     while taken.0 != taken.1 {
-        taken = (taken.1, counter(&gateway.settled(), "statements_taken"));
+        taken = (taken.1, counter(&gateway.settled(), "statements_accepted"));
         sleep(millis(50));
     }
     assert!(taken.1 < MANY, "{taken:?}");
@@ -917,7 +917,7 @@
     let (status, log) = gateway.end(millis(8000));
     assert!(status.success());
     // All that were taken have a whole answer; what was never read of the session was not taken.
-    assert_eq!(counter(&log, "statements_taken"), whole, "{log}");
+    assert_eq!(counter(&log, "statements_accepted"), whole, "{log}");
     add_up(&log);
 }
 
@@ -1064,7 +1064,7 @@
     ));
     assert!(link.silent());
     link.complete(&asked);
-    while counter(&gateway.settled(), "relays_done") < 1 {}
+    while counter(&gateway.settled(), "attempts_completed") < 1 {}
     send(&mut client, &statement);
     let again = link.asked();
     assert_eq!(again, asked);
--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -246,7 +246,7 @@
         }
         fleet.print_counters(at);
         assert_eq!(
-            fleet.counter(at, "engines_benched"),
+            fleet.counter(at, "engines_ejected"),
             Some(0),
             "{}",
             name(at)
--- a/crates/gateway/tests/identity.rs
+++ b/crates/gateway/tests/identity.rs
@@ -229,8 +229,8 @@
     add_up(&log);
     assert_eq!(
         (
-            counter(&log, "beyond_grant"),
-            counter(&log, "tokens_refused")
+            counter(&log, "statements_unauthorized"),
+            counter(&log, "tokens_rejected")
         ),
         (5, 4)
     );
@@ -351,10 +351,11 @@
     let (_, log) = gateway.end(millis(6000));
     add_up(&log);
     assert!(
-        counter(&log, "key_files") >= 2 * rounds as i64 && counter(&log, "key_files_failed") == 0,
+        counter(&log, "key_file_reloads") >= 2 * rounds as i64
+            && counter(&log, "key_file_reloads_failed") == 0,
         "{log}"
     );
-    assert_eq!(counter(&log, "tokens_refused"), rounds as i64, "{log}");
+    assert_eq!(counter(&log, "tokens_rejected"), rounds as i64, "{log}");
     println!("{} denied by the decisions", denied.load(Ordering::Relaxed));
     (asked, refusals)
 }
@@ -402,7 +403,7 @@
     sleep(millis(600));
     gateway.signal(Signal::TERM);
     let (_, log) = gateway.end(millis(6000));
-    let failed = counter(&log, "key_files_failed");
+    let failed = counter(&log, "key_file_reloads_failed");
     let lines = log
         .lines()
         .filter(|line| line.contains("the last good ones stand"))
--- a/crates/gateway/tests/process.rs
+++ b/crates/gateway/tests/process.rs
@@ -170,9 +170,12 @@
         .for_each(|client| assert_eq!(rows(client.answer().unwrap()).len(), 1));
     gateway.signal(Signal::TERM);
     let (_, log) = gateway.end(millis(5000));
-    let (sent, reset) = (counter(&log, "relays_sent"), counter(&log, "relays_reset"));
+    let (sent, reset) = (
+        counter(&log, "attempts_sent"),
+        counter(&log, "attempts_reset"),
+    );
     assert!(
-        reset <= 3 && reset == counter(&log, "answers_spoilt") && sent == 6 + reset,
+        reset <= 3 && reset == counter(&log, "answers_malformed") && sent == 6 + reset,
         "{log}"
     );
     add_up(&log);
@@ -265,7 +268,7 @@
     gateway.signal(Signal::TERM);
     let (_, log) = gateway.end(millis(5000));
     assert!(
-        counter(&log, "relays_unreachable") > 0 && counter(&log, "relays_reset") == 0,
+        counter(&log, "attempts_unreachable") > 0 && counter(&log, "attempts_reset") == 0,
         "{log}"
     );
     add_up(&log);
@@ -293,8 +296,8 @@
     gateway.signal(Signal::TERM);
     let (_, log) = gateway.end(millis(5000));
     assert_eq!(
-        counter(&log, "relays_unreachable"),
-        counter(&log, "relays_sent"),
+        counter(&log, "attempts_unreachable"),
+        counter(&log, "attempts_sent"),
         "{log}"
     );
     add_up(&log);
@@ -358,7 +361,7 @@
     );
     gateway.signal(Signal::TERM);
     let (_, log) = gateway.end(millis(8000));
-    assert!(counter(&log, "relays_withdrawn") >= 2, "{log}");
+    assert!(counter(&log, "attempts_withdrawn") >= 2, "{log}");
     add_up(&log);
 }
 
@@ -383,7 +386,7 @@
         (1, 0),
         "{log}"
     );
-    assert_eq!(counter(&log, "relays_done"), 1, "{log}");
+    assert_eq!(counter(&log, "attempts_completed"), 1, "{log}");
     add_up(&log);
 }
 
@@ -514,7 +517,10 @@
     gateway.signal(Signal::TERM);
     let (_, log) = gateway.end(millis(5000));
     assert_eq!(
-        (counter(&log, "client_left"), counter(&log, "relays_done")),
+        (
+            counter(&log, "client_left"),
+            counter(&log, "attempts_completed")
+        ),
         (1, 1)
     );
     add_up(&log);
@@ -579,7 +585,7 @@
     gateway.signal(Signal::TERM);
     let (_, log) = gateway.end(millis(5000));
     assert!(counter(&log, "engine_idle_closed") >= 1, "{log}");
-    assert_eq!(counter(&log, "relays_sent"), 3, "{log}");
+    assert_eq!(counter(&log, "attempts_sent"), 3, "{log}");
 }
 
 #[test]
@@ -683,8 +689,8 @@
     gateway.signal(Signal::TERM);
     let (_, log) = gateway.end(millis(5000));
     // Each event once.
-    assert_eq!(counter(&log, "list_events"), 2, "{log}");
-    assert!(counter(&log, "polls_failed") > 0, "{log}");
+    assert_eq!(counter(&log, "watch_events"), 2, "{log}");
+    assert!(counter(&log, "discovery_polls_failed") > 0, "{log}");
 }
 
 #[test]
@@ -854,7 +860,7 @@
         (4, 4),
         "{log}"
     );
-    assert_eq!(counter(&log, "list_events"), 2, "{log}");
+    assert_eq!(counter(&log, "watch_events"), 2, "{log}");
     assert!(log.contains(r#"kept=["seed"]"#), "{log}");
     add_up(&log);
 }
@@ -964,7 +970,7 @@
     assert!(begun.elapsed() < millis(2800), "{:?}", begun.elapsed());
     gateway.signal(Signal::TERM);
     let (_, log) = gateway.end(millis(5000));
-    assert!(counter(&log, "sessions_crowded") > 68, "{log}");
+    assert!(counter(&log, "sessions_evicted") > 68, "{log}");
     add_up(&log);
 }
 
@@ -1080,7 +1086,7 @@
     let (status, log) = gateway.end(millis(5000));
     assert!(status.success());
     assert!(
-        counter(&log, "relays_unsent") > 0 && counter(&log, "relays_unreachable") == 0,
+        counter(&log, "attempts_never_sent") > 0 && counter(&log, "attempts_unreachable") == 0,
         "{log}"
     );
     // Once for each time that it ran short anew, not once a turn.
--- a/crates/gateway/tests/queues.rs
+++ b/crates/gateway/tests/queues.rs
@@ -132,12 +132,18 @@
     let (status, log) = gateway.end(millis(6000));
     assert!(status.success());
     add_up(&log);
-    let names = ["turned_away", "displaced", "released", "denied", "left"];
+    let names = [
+        "rejected_at_entry",
+        "evicted",
+        "released",
+        "rejected_while_waiting",
+        "client_left",
+    ];
     let ends: i64 = names
         .iter()
         .map(|name| counter(&log, &format!("queue_{name}")))
         .sum();
-    assert_eq!(counter(&log, "queue_entered"), ends, "{log}");
+    assert_eq!(counter(&log, "queue_received"), ends, "{log}");
 }
 
 #[test]
@@ -308,7 +314,7 @@
     gateway.signal(Signal::TERM);
     let (_, log) = gateway.end(millis(6000));
     add_up(&log);
-    assert!(counter(&log, "queue_left") > 0, "{log}");
+    assert!(counter(&log, "queue_client_left") > 0, "{log}");
 }
 
 #[test]
@@ -404,7 +410,7 @@
     assert_eq!(
         (
             counter(&log, "reloads_failed"),
-            counter(&log, "desks_unknown")
+            counter(&log, "sub_queues_unknown")
         ),
         (0, 0)
     );
@@ -486,7 +492,10 @@
         );
     }
     gateway.signal(Signal::TERM);
-    assert_eq!(counter(&gateway.end(millis(6000)).1, "desks_unknown"), 1);
+    assert_eq!(
+        counter(&gateway.end(millis(6000)).1, "sub_queues_unknown"),
+        1
+    );
 }
 
 #[test]
--- a/crates/gateway/tests/standing_terms.rs
+++ b/crates/gateway/tests/standing_terms.rs
@@ -81,7 +81,7 @@
         send(&mut waits, &text(LARGE, "SELECT 'gone'"));
         let counts = gateway.settled();
         assert_eq!(
-            (counter(&counts, "open"), counter(&counts, "relays_sent")),
+            (counter(&counts, "open"), counter(&counts, "attempts_sent")),
             (2, 1),
             "{counts}"
         );
@@ -148,8 +148,8 @@
         let counts = gateway.settled();
         assert_eq!(
             (
-                counter(&counts, "relays_sent"),
-                counter(&counts, "engines_open")
+                counter(&counts, "attempts_sent"),
+                counter(&counts, "engine_connections_open")
             ),
             (1, 1),
             "{counts}"
@@ -193,17 +193,17 @@
             let mut link = drains.accept();
             let asked = link.asked();
             gateway.board.tell(false, vec![terminating]);
-            while counter(&gateway.settled(), "list_events") < 1 {}
+            while counter(&gateway.settled(), "watch_events") < 1 {}
             link.say(&said(&asked, "WAIT"));
         } else {
             gateway.board.tell(false, vec![terminating]);
-            while counter(&gateway.settled(), "list_events") < 1 {}
+            while counter(&gateway.settled(), "watch_events") < 1 {}
             send(&mut waits, &gone);
         }
         let counts = gateway.settled();
         let attempts = if attempt == "retry" { 1 } else { 0 };
         assert_eq!(
-            (counter(&counts, "open"), counter(&counts, "relays_sent")),
+            (counter(&counts, "open"), counter(&counts, "attempts_sent")),
             (1, attempts),
             "{attempt}: {counts}"
         );
@@ -213,7 +213,7 @@
         gateway
             .board
             .tell(false, vec![target("e-1", comes.address, "in_service")]);
-        while counter(&gateway.settled(), "list_events") < 2 {}
+        while counter(&gateway.settled(), "watch_events") < 2 {}
         only_who_stands_is_sent_first(&gateway, &comes, &format!("{attempt}, {way:?}"));
         ended(gateway);
     });
@@ -239,7 +239,7 @@
         let (status, log) = gateway.end(millis(8000));
         assert!(status.success(), "{log}");
         assert_eq!(
-            (counter(&log, "relays_sent"), counter(&log, "client_left")),
+            (counter(&log, "attempts_sent"), counter(&log, "client_left")),
             (1, 1),
             "{way:?}: {log}"
         );
@@ -433,9 +433,9 @@
             },
         );
         let clients = idle_clients(&gateway, 4 * DESCRIPTORS);
-        let failed = counter(&gateway.settled(), "polls_failed");
+        let failed = counter(&gateway.settled(), "discovery_polls_failed");
         // It has asked in vain with the descriptors full, and not only before.
-        while counter(&gateway.settled(), "polls_failed") < failed + 2 {}
+        while counter(&gateway.settled(), "discovery_polls_failed") < failed + 2 {}
         let board = Board::start(&place.to_string()).unwrap();
         board.tell(true, vec![target("e-0", old.address, "in_service")]);
         board.tell(
@@ -447,7 +447,7 @@
         );
         let until = Instant::now() + millis(10_000);
         let mut newcomers = Vec::new();
-        while counter(&gateway.settled(), "list_events") < 1 {
+        while counter(&gateway.settled(), "watch_events") < 1 {
             assert!(
                 Instant::now() < until,
                 "{configured}: it never came back to the board"
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -267,27 +267,30 @@
 pub fn add_up(log: &str) {
     let sum = |names: &[&str]| names.iter().map(|name| counter(log, name)).sum::<i64>();
     assert_eq!(
-        (counter(log, "overdue"), counter(log, "books_differ")),
+        (
+            counter(log, "overdue"),
+            counter(log, "in_flight_mismatches")
+        ),
         (0, 0),
         "{log}"
     );
-    let ends = ["completed", "denied", "scrapped", "client_left", "open"];
-    assert_eq!(counter(log, "statements_taken"), sum(&ends), "{log}");
+    let ends = ["completed", "rejected", "failed", "client_left", "open"];
+    assert_eq!(counter(log, "statements_accepted"), sum(&ends), "{log}");
     let attempts = [
-        "done",
-        "full",
-        "past",
-        "error",
+        "completed",
+        "rejected",
+        "expired",
+        "failed",
         "timed_out",
         "unreachable",
         "reset",
         "cancelled",
-        "unsent",
+        "never_sent",
     ];
     let attempts: Vec<String> = attempts
         .iter()
-        .map(|name| format!("relays_{name}"))
+        .map(|name| format!("attempts_{name}"))
         .collect();
     let attempts: Vec<&str> = attempts.iter().map(String::as_str).collect();
-    assert!(counter(log, "relays_sent") >= sum(&attempts), "{log}");
+    assert!(counter(log, "attempts_sent") >= sum(&attempts), "{log}");
 }
