--- a/crates/gateway/src/service/mod.rs
+++ b/crates/gateway/src/service/mod.rs
@@ -13,14 +13,15 @@
 use bytes::Bytes;
 use dispatch::Dispatcher;
 use identity::Guard;
-use scheduler::{Directory, Hall, Lines, Terms};
+use scheduler::{Config as QueueConfig, QueueResolver, Scheduler, TenantQueues};
 use settings::{Settings, SettingsError, Way};
 use tracing::{info, warn};
 
-use crate::board::list::Names;
-use crate::board::{Board, Event};
-use crate::clients::Clients;
+use crate::clients::{SessionId, Sessions};
 use crate::counters::Counters;
+use crate::discovery::DiscoveryClient;
+use crate::discovery::endpoints::DiscoveryEvent;
+use crate::discovery::registry::EngineRegistry;
 use crate::engines::Engines;
 use crate::engines::lines::{Rid, Tags};
 use crate::fleet::Fleet;
@@ -37,7 +38,7 @@
 
 /// A statement from its reading to its answer and the end of its last attempt; the text is dropped with the answer.
 struct InFlight {
-    session: u32,
+    session: SessionId,
     rid: Rid,
     /// Whose it is, where callers are known.
     caller: Option<String>,
@@ -55,20 +56,20 @@
 }
 
 pub struct Service {
-    pub clients: Clients,
+    pub clients: Sessions,
     pub engines: Engines,
-    pub board: Board,
+    pub discovery: DiscoveryClient,
     pub counters: Counters,
-    hall: Hall,
+    scheduler: Scheduler,
     /// Where there are lines: whose desk a statement waits at.
-    directory: Option<Directory>,
+    resolver: Option<QueueResolver>,
     /// Where gateways know each other.
     fleet: Option<Fleet>,
     /// Where callers are to be known.
     guard: Option<Guard>,
     /// Statements open by caller; leaves with the last of them.
     open: BTreeMap<String, u32>,
-    names: Names,
+    names: EngineRegistry,
     peers: f64,
     classes: Vec<String>,
     tenants: Vec<String>,
@@ -93,24 +94,24 @@
         now: Timestamp,
         settings: &Settings,
         seed: u64,
-        clients: Clients,
+        clients: Sessions,
         engines: Engines,
-        board: Board,
-        terms: Option<&Terms>,
+        discovery: DiscoveryClient,
+        terms: Option<&QueueConfig>,
     ) -> Result<Self, SettingsError> {
-        let (directory, classes) = (terms.map(Directory::new), settings.classes());
-        let lines = terms.map(|terms| Lines::new(now, terms.clone(), classes, seed));
+        let (resolver, classes) = (terms.map(QueueResolver::new), settings.classes());
+        let queues = terms.map(|terms| TenantQueues::new(now, terms.clone(), classes, seed));
         Ok(Service {
             clients,
             engines,
-            board,
+            discovery,
             counters: Counters::default(),
-            hall: Hall::new(Dispatcher::new(settings.policy(seed, WAY)?), lines),
-            directory,
+            scheduler: Scheduler::new(Dispatcher::new(settings.policy(seed, WAY)?), queues),
+            resolver,
             fleet: None,
             guard: None,
             open: BTreeMap::new(),
-            names: Names::new(settings.location_names(), settings.machine_names()),
+            names: EngineRegistry::new(settings.location_names(), settings.machine_names()),
             peers: settings.peers()?,
             classes: settings.class_names()?,
             tenants: settings.tenant_names()?,
@@ -128,43 +129,48 @@
         })
     }
 
-    pub fn told(&mut self, now: Timestamp, events: &[Event]) {
-        for change in events.iter().filter_map(|event| event.list.as_ref()) {
-            let told = self.names.told(change);
-            info!(whole = change.whole, engines = change.targets.len(), "list");
-            told.addresses
-                .into_iter()
-                .for_each(|(id, address)| self.engines.listed(id, address));
-            self.hall.on_endpoint_update(now, &told.news);
-            told.closed
-                .into_iter()
-                .for_each(|id| self.engines.closed(now, id, &mut self.counters));
-            self.listed |= change.whole;
+    pub fn told(&mut self, now: Timestamp, events: &[DiscoveryEvent]) {
+        for change in events.iter().filter_map(|event| event.change.as_ref()) {
+            let applied = self.names.apply(change);
+            info!(
+                snapshot = change.is_snapshot(),
+                engines = change.endpoints().len(),
+                "endpoint list"
+            );
+            for address in applied.addresses {
+                self.engines.listed(address.engine, address.address);
+            }
+            self.scheduler.on_endpoint_update(now, &applied.update);
+            for engine in applied.not_ready {
+                self.engines.closed(now, engine, &mut self.counters);
+            }
+            self.listed |= change.is_snapshot();
         }
     }
 
     /// Other terms for what waits, in the file's own budgets as this gateway's part.
-    pub fn change(&mut self, now: Timestamp, terms: &Terms) {
-        self.directory = Some(Directory::new(terms));
-        self.hall.change(now, terms.clone());
+    pub fn change(&mut self, now: Timestamp, terms: &QueueConfig) {
+        self.resolver = Some(QueueResolver::new(terms));
+        self.scheduler.reconfigure(now, terms.clone());
     }
 
     pub fn waiting(&self) -> usize {
-        self.hall.waiting()
+        self.scheduler.waiting()
     }
 
     /// The lines keep their own count.
     pub fn count(&mut self) {
-        let (tally, counters) = (self.hall.tally(), &mut self.counters);
-        counters.queue_received = tally.entered;
-        counters.queue_rejected_at_entry = tally.turned_away;
-        counters.queue_evicted = tally.displaced;
-        counters.queue_released = tally.released;
-        counters.queue_rejected_while_waiting = tally.denied;
-        counters.queue_client_left = tally.left;
-        counters.queue_offers_without_capacity = tally.refused;
-        counters.queue_accurate_estimates = tally.told_well;
-        counters.queue_longest_passed_over_ms = (self.hall.longest_passed().secs() * 1e3) as u64;
+        let (metrics, counters) = (self.scheduler.metrics(), &mut self.counters);
+        counters.queue_received = metrics.received;
+        counters.queue_rejected_at_entry = metrics.rejected_at_entry;
+        counters.queue_evicted = metrics.evicted;
+        counters.queue_released = metrics.released;
+        counters.queue_rejected_while_waiting = metrics.rejected_while_waiting;
+        counters.queue_client_left = metrics.client_left;
+        counters.queue_offers_without_capacity = metrics.offers_without_capacity;
+        counters.queue_accurate_estimates = metrics.accurate_estimates;
+        counters.queue_longest_passed_over_ms =
+            (self.scheduler.longest_passed_over().secs() * 1e3) as u64;
     }
 
     pub fn can_decide(&self) -> bool {
@@ -182,20 +188,20 @@
             .into_iter()
             .map(|(end, id)| (end.min(last), id))
             .collect();
-        self.hall.drain_deadline(by);
+        self.scheduler.drain_by(by);
         self.engines.end_by(by);
     }
 
     /// Nothing is owed to anyone.
     pub fn quiet(&self) -> bool {
-        self.clients.all_quiet()
+        self.clients.all_answered()
     }
 
     pub fn next_due(&self, now: Timestamp) -> Timestamp {
         let dues = [
             self.engines.next_due(now),
             self.clients.next_due(now),
-            self.board.next_due(),
+            self.discovery.next_due(),
         ];
         let end = self.ends.first().map(|end| end.0);
         let fleet = self.fleet.as_ref().map(|fleet| fleet.next_due(now));
@@ -209,18 +215,20 @@
     pub fn turn(&mut self, now: Timestamp) {
         self.engines.expire(now, &mut self.counters);
         self.engines.go_on(now, &mut self.counters);
-        self.clients.expire(now, &mut self.counters);
-        self.clients.go_on(now, &mut self.counters);
-        self.board.expire(now, &mut self.counters);
+        self.clients.on_timer(now, &mut self.counters);
+        self.clients.resume(now, &mut self.counters);
+        self.discovery.on_timer(now, &mut self.counters);
         // Idle clients may hold every descriptor: one goes for the board, without which no news of engines comes.
-        if self.board.short() && self.clients.give_up_one(now, &mut self.counters) {
-            self.board.ask_again(now, &mut self.counters);
+        if self.discovery.take_descriptor_shortage()
+            && self.clients.evict_one(now, &mut self.counters)
+        {
+            self.discovery.poll_now(now, &mut self.counters);
         }
-        let events = self.board.events();
+        let events = self.discovery.take_events();
         self.told(now, &events);
         self.reports(now);
         loop {
-            let news = self.clients.news();
+            let news = self.clients.take_events();
             if news.is_empty() {
                 break;
             }
@@ -229,18 +237,18 @@
         self.leave(now);
         if let Some(fleet) = &mut self.fleet {
             fleet.turn(now);
-            let doubts = fleet.engines(now, self.hall.health(), &self.names);
-            self.hall.on_outlier_gossip(now, &doubts);
+            let doubts = fleet.engines(now, self.scheduler.health(), &self.names);
+            self.scheduler.on_outlier_gossip(now, &doubts);
         }
         self.divided(now);
-        let tick = self.hall.tick(now);
+        let tick = self.scheduler.tick(now);
         tick.due
             .into_iter()
             .for_each(|(id, pick)| self.picked(now, id, pick));
         // What could not even be sent is back in line by now, and what stood behind an answer was read.
-        let again = self.reports(now) || self.clients.has_news();
+        let again = self.reports(now) || self.clients.has_events();
         self.overdue(now);
-        if self.progress <= now && self.directory.is_some() {
+        if self.progress <= now && self.resolver.is_some() {
             self.progress = now + TimeDelta::from_secs(PROGRESS_S);
             self.tell_progress(now);
         }
@@ -257,24 +265,27 @@
             return;
         };
         if parts.divides_members() {
-            let flows = self
-                .hall
-                .flows()
-                .into_iter()
-                .map(|(wanted, paid)| Flow { wanted, paid });
+            let flows = self.scheduler.tenant_usage().into_iter().map(|usage| Flow {
+                wanted: usage.demanded,
+                paid: usage.spent,
+            });
             let rates = parts.members(&flows.collect::<Vec<_>>());
-            self.hall.lease(now, &rates);
+            self.scheduler.set_leased_budgets(now, &rates);
         }
-        let benched = self.hall.engines().filter(|engine| engine.ejected).count();
-        let allowed = parts.allowed(self.hall.carries(), self.peers, benched);
-        self.hall.on_quota(allowed);
+        let benched = self
+            .scheduler
+            .engines()
+            .filter(|engine| engine.ejected)
+            .count();
+        let allowed = parts.allowed(self.scheduler.traffic_share(), self.peers, benched);
+        self.scheduler.on_quota(allowed);
     }
 
     /// Statements in flight as the decisions hold them, against what is out on the sockets. A difference would have
     /// them send to the wrong engine for ever after, with nothing else to show it.
     fn compare(&mut self) {
         let held = self
-            .hall
+            .scheduler
             .engines()
             .filter(|engine| engine.in_flight > 0)
             .map(|engine| (engine.id, engine.in_flight));
@@ -292,7 +303,10 @@
 
     /// Engines left out at present.
     pub fn benched(&self) -> usize {
-        self.hall.engines().filter(|engine| engine.ejected).count()
+        self.scheduler
+            .engines()
+            .filter(|engine| engine.ejected)
+            .count()
     }
 
     /// Other gateways are to be known from now on.
