--- a/crates/gateway/benches/list.rs
+++ b/crates/gateway/benches/list.rs
@@ -15,7 +15,7 @@
 use gateway::discovery::endpoints::{DiscoveryEvent, EventBatch};
 use gateway::discovery::http::{self, InputState, PollResponse};
 use gateway::discovery::registry::EngineRegistry;
-use gateway::service::WAY;
+use gateway::service::NETWORK_DELAY;
 use serde_json::{Value, json};
 use settings::Settings;
 use stand_ins::board::{event, target};
@@ -48,7 +48,11 @@
 }
 
 fn dispatch(settings: &Settings) -> Dispatcher {
-    Dispatcher::new(settings.policy(1, WAY).expect("the example's settings"))
+    Dispatcher::new(
+        settings
+            .policy(1, NETWORK_DELAY)
+            .expect("the example's settings"),
+    )
 }
 
 fn read(bytes: &[u8]) -> EventBatch {
--- a/crates/gateway/src/command.rs
+++ b/crates/gateway/src/command.rs
@@ -165,7 +165,9 @@
 fn check(operator: Option<PathBuf>, config: Option<PathBuf>) -> Done {
     let path = configured(config)?;
     let config = Config::read(&path)?;
-    config.settings.policy(config.seed, crate::service::WAY)?;
+    config
+        .settings
+        .policy(config.seed, crate::service::NETWORK_DELAY)?;
     println!(
         "configuration {}: gateway {}, listens on {}",
         path.display(),
--- a/crates/gateway/src/lifecycle.rs
+++ b/crates/gateway/src/lifecycle.rs
@@ -23,7 +23,7 @@
 use crate::fleet::parts::Parts;
 use crate::fleet::{Fleet, FleetError};
 use crate::keywatch::{self, Known, WatchError};
-use crate::service::Service;
+use crate::service::{Service, ServiceConfig};
 use crate::socket::{Peer, Ready};
 
 /// Network facts of a planned restart. After SIGTERM statements go on coming for 0.7 s; the kill comes no sooner
@@ -178,14 +178,16 @@
         );
         let mut service = Service::new(
             now,
-            &config.settings,
-            config.seed,
-            clients,
-            engines,
-            discovery,
-            operated.queues.as_ref(),
+            ServiceConfig {
+                settings: &config.settings,
+                seed: config.seed,
+                queues: operated.queues.as_ref(),
+                sessions: clients,
+                engines,
+                discovery,
+            },
         )?;
-        service.told(now, &std::mem::take(&mut config.known.events));
+        service.on_discovery_events(now, &std::mem::take(&mut config.known.events));
         if let Some(callers) = &operated.callers {
             let known = keywatch::read(callers)?;
             let mut verifier = TokenVerifier::new(unix(), callers.terms);
@@ -200,7 +202,7 @@
                 "callers are to be known"
             );
             service.set_token_verifier(verifier);
-            service.clients.require_tls(known.tls);
+            service.sessions.require_tls(known.tls);
             let note = |event, _: &mut (), ready: &mut Ready| {
                 if let calloop::channel::Event::Msg(known) = event {
                     ready.known.push(known);
@@ -228,7 +230,7 @@
                 fleet.join(parts);
                 info!("budgets are divided among all gateways");
             }
-            service.join(fleet);
+            service.join_fleet(fleet);
         }
         info!(name = config.name, "starting");
         Ok(Lifecycle {
@@ -342,7 +344,7 @@
             Peer::Listener => self.backlog = true,
             Peer::Client(connection_id) => {
                 service
-                    .clients
+                    .sessions
                     .on_ready(now, SessionId(connection_id), &mut service.counters);
             }
             Peer::Engine(at) => service.engines.ready(now, at, &mut service.counters),
@@ -356,17 +358,17 @@
             return;
         };
         let Service {
-            clients, counters, ..
+            sessions, counters, ..
         } = &mut self.service;
         for _ in 0..ACCEPTS {
-            self.crowded = self.backlog && !clients.has_room();
+            self.crowded = self.backlog && !sessions.has_room();
             if !self.backlog || self.crowded {
                 return;
             }
             match listener.accept() {
                 Ok((stream, from)) => {
                     self.short = false;
-                    clients.accept(now, stream, from.ip(), counters);
+                    sessions.accept(now, stream, from.ip(), counters);
                 }
                 Err(error) => match error.kind() {
                     io::ErrorKind::WouldBlock => self.backlog = false,
@@ -400,7 +402,7 @@
                     until,
                     end: now + end,
                 };
-                self.service.drain_deadline(now + by);
+                self.service.drain_by(now + by);
                 self.service
                     .fleet()
                     .into_iter()
@@ -443,7 +445,7 @@
                 });
                 let refused = taken.and_then(Result::err).map(|error| error.to_string());
                 if refused.is_none() {
-                    self.service.clients.require_tls(tls);
+                    self.service.sessions.require_tls(tls);
                 }
                 refused
             }
@@ -521,7 +523,7 @@
                     desks = new.sub_queue_count(),
                     "queues: new terms"
                 );
-                self.service.change(now, new);
+                self.service.reconfigure_queues(now, new);
                 self.operated = operated;
             }
             (Some(_), None) | (None, Some(_)) => {
@@ -533,8 +535,8 @@
 
     fn step(&mut self, now: Timestamp) -> Result<(), StartError> {
         self.phase = match self.phase {
-            Phase::Starting { until } if self.service.can_decide() || until <= now => {
-                if !self.service.can_decide() {
+            Phase::Starting { until } if self.service.has_endpoints() || until <= now => {
+                if !self.service.has_endpoints() {
                     warn!("no list yet; statements are denied until one comes");
                 }
                 self.listen()?;
@@ -546,14 +548,14 @@
                 Phase::Serving
             }
             Phase::Draining { end, .. } if end <= now => Phase::Exit,
-            Phase::Draining { until, end } if until <= now && self.service.quiet() => {
+            Phase::Draining { until, end } if until <= now && self.service.all_answered() => {
                 // What the machine has accepted counts as taken, whether or not an edge has told of it yet.
                 self.backlog = true;
                 self.accept(now);
                 let Service {
-                    clients, counters, ..
+                    sessions, counters, ..
                 } = &mut self.service;
-                if self.backlog || !clients.try_shut_down_all(now, counters) {
+                if self.backlog || !sessions.try_shut_down_all(now, counters) {
                     self.phase
                 } else {
                     self.listener = None;
@@ -562,7 +564,7 @@
                     }
                 }
             }
-            Phase::Parting { end } if end <= now || self.service.clients.is_empty() => Phase::Exit,
+            Phase::Parting { end } if end <= now || self.service.sessions.is_empty() => Phase::Exit,
             phase => phase,
         };
         Ok(())
@@ -570,7 +572,7 @@
 
     /// Whatever the log's level: it was asked for.
     fn print(&mut self) {
-        self.service.count();
+        self.service.update_queue_counters();
         let now = self.clock.now();
         let fleet = self
             .service
@@ -582,9 +584,9 @@
             service.counters,
             service.counters.open(),
             service.waiting(),
-            service.clients.len(),
+            service.sessions.len(),
             service.engines.open(),
-            service.benched(),
+            service.ejected_engines(),
             service.discovery.open_polls()
         );
     }
--- a/crates/gateway/src/service/attempts.rs
+++ b/crates/gateway/src/service/attempts.rs
@@ -1,128 +1,159 @@
-//! Attempts of statements at engines: picks of the decisions go out, reports of engines come back.
+//! Attempts of statements at engines: what the decisions order goes out, and reports of engines come back.
 
-use admission::interface::*;
+use admission::interface::{AttemptEvent, AttemptNumber, StatementId, TimeDelta, Timestamp};
 use dispatch::{AttemptOrder, Decision, FollowUp};
 
 use super::Service;
 use crate::engines::{Outgoing, Report};
 use crate::fleet::Fleet;
 
+/// Whether engines reported anything.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum ReportsRead {
+    /// At least one report was handled.
+    Some,
+    /// There was none.
+    None,
+}
+
 impl Service {
-    pub(super) fn reports(&mut self, now: Timestamp) -> bool {
-        let mut any = false;
+    /// Handles the reports of engines until there are none.
+    pub(super) fn read_reports(&mut self, now: Timestamp) -> ReportsRead {
+        let mut read = ReportsRead::None;
         loop {
             let reports = self.engines.reports();
             if reports.is_empty() {
-                return any;
+                return read;
+            }
+            read = ReportsRead::Some;
+            for report in reports {
+                self.on_report(now, report);
             }
-            any = true;
-            reports
-                .into_iter()
-                .for_each(|report| self.report(now, report));
         }
     }
 
-    pub(super) fn report(&mut self, now: Timestamp, report: Report) {
+    fn on_report(&mut self, now: Timestamp, report: Report) {
         let id = report.statement;
-        let Some(in_flight) = self.in_flight.get_mut(&id) else {
+        let Some(statement) = self.statements.get_mut(id) else {
             return;
         };
-        let mut event = report.event;
-        if let AttemptEvent::Completed { cpu, memory_mb } = &mut event
-            && !self.bills
-        {
-            (*cpu, *memory_mb) = (None, None);
+        let event = if self.catalog.answers_report_usage {
+            report.event
+        } else {
+            without_usage(report.event)
+        };
+        let ended = !is_in_flight(event);
+        if ended {
+            statement
+                .in_flight
+                .retain(|attempt| *attempt != report.attempt);
         }
-        let still_out = matches!(
-            event,
-            AttemptEvent::Progress(_) | AttemptEvent::Stalled | AttemptEvent::Streaming
-        );
-        in_flight
-            .out
-            .retain(|attempt| still_out || *attempt != report.attempt);
         let completed = matches!(event, AttemptEvent::Completed { .. });
-        let failed =
-            !still_out && !completed && event != AttemptEvent::Cancelled && !in_flight.answered;
-        if let Some(parts) = self
-            .fleet
-            .as_mut()
-            .and_then(Fleet::parts)
-            .filter(|_| failed)
-        {
-            parts.wants_relay(in_flight.class);
+        let is_answer_owed = !statement.answered;
+        let class = statement.class;
+        let lost = ended && !completed && event != AttemptEvent::Cancelled;
+        if lost && is_answer_owed {
+            // A retry may be wanted: the share of the retry budget that this gateway leases grows by it.
+            if let Some(parts) = self.fleet.as_mut().and_then(Fleet::parts) {
+                parts.wants_relay(class.0);
+            }
         }
-        if completed && !in_flight.answered {
-            let pages = report.pages;
+        if completed && is_answer_owed {
             self.counters.completed += 1;
-            self.answer(now, id, |answer| {
-                answer.result_set(pages.iter().map(|page| &page[..]))
+            let pages = report.pages;
+            self.answer(now, id, |response| {
+                response.result_set(pages.iter().map(|page| &page[..]))
             });
         }
-        match self
-            .scheduler
-            .report(now, id, report.attempt, event, report.latency, completed)
-        {
+        let follow_up =
+            self.scheduler
+                .report(now, id, report.attempt, event, report.latency, completed);
+        match follow_up {
             FollowUp::None => {}
             FollowUp::Cancel(attempt) => self.engines.cancel(now, id, attempt, &mut self.counters),
             FollowUp::Reject { retry_after } => self.reject(now, id, retry_after),
             FollowUp::Fail => self.fail(now, id),
         }
-        self.forget(id);
+        self.close_if_done(id);
     }
 
-    pub(super) fn picked(&mut self, now: Timestamp, id: StatementId, pick: Decision) {
-        match pick {
+    pub(super) fn follow_decision(&mut self, now: Timestamp, id: StatementId, decision: Decision) {
+        match decision {
             Decision::Queued => {}
-            Decision::Forward(order) => self.attempt(now, id, order),
+            Decision::Forward(order) => self.send_attempt(now, id, order),
             Decision::Reject { retry_after } => self.reject(now, id, retry_after),
             Decision::Fail => self.fail(now, id),
         }
-        self.forget(id);
+        self.close_if_done(id);
     }
 
-    pub(super) fn attempt(&mut self, now: Timestamp, id: StatementId, order: AttemptOrder) {
-        let Some(in_flight) = self.in_flight.get_mut(&id) else {
+    fn send_attempt(&mut self, now: Timestamp, id: StatementId, order: AttemptOrder) {
+        let Some(statement) = self.statements.get_mut(id) else {
             return;
         };
-        if let Some(parts) = self.fleet.as_mut().and_then(Fleet::parts)
-            && (order.is_retry || order.outlier_probe)
-            && !parts.spend(in_flight.class, order.is_retry, order.outlier_probe)
+        let needs_leased_budget = order.is_retry || order.outlier_probe;
+        if needs_leased_budget
+            && let Some(parts) = self.fleet.as_mut().and_then(Fleet::parts)
+            && !parts.spend(statement.class.0, order.is_retry, order.outlier_probe)
         {
-            return self.unspent(now, id, order.attempt);
+            self.take_back_unleased(now, id, order.attempt);
+            return;
         }
-        in_flight.out.push(order.attempt);
+        statement.in_flight.push(order.attempt);
+        let due = self
+            .drain_deadline
+            .map_or(order.due, |drain| drain.min(order.due));
         let outgoing = Outgoing {
             statement: id,
             attempt: order.attempt,
             engine: order.engine,
-            rid: in_flight.rid,
-            class: &self.classes[in_flight.class],
-            tags: &in_flight.tags,
-            text: &in_flight.text,
-            due: self
-                .drain_deadline
-                .map_or(order.due, |by| by.min(order.due)),
+            rid: statement.request_id,
+            class: self.catalog.class_name(statement.class),
+            tags: &statement.tags,
+            text: &statement.text,
+            due,
             priority: order.priority,
             leave_by: order.leave_by,
-            avoid: &in_flight.went_on,
+            avoid: &statement.connections,
         };
-        let went_on = self.engines.send(now, &outgoing, &mut self.counters);
-        in_flight.went_on.extend(went_on);
+        let connection = self.engines.send(now, &outgoing, &mut self.counters);
+        statement.connections.extend(connection);
     }
 
-    /// The share that an attempt was to go on ended before it went: back in line, as one that never left.
-    pub(super) fn unspent(&mut self, now: Timestamp, id: StatementId, attempt: AttemptNumber) {
-        match self.scheduler.report(
+    /// The lease that an attempt was to be sent on ended before it was sent: it is queued again, as one never sent.
+    fn take_back_unleased(&mut self, now: Timestamp, id: StatementId, attempt: AttemptNumber) {
+        let answered = false;
+        let follow_up = self.scheduler.report(
             now,
             id,
             attempt,
             AttemptEvent::NeverSent,
             TimeDelta::ZERO,
-            false,
-        ) {
+            answered,
+        );
+        match follow_up {
             FollowUp::None | FollowUp::Cancel(_) => {}
             FollowUp::Reject { retry_after } => self.reject(now, id, retry_after),
             FollowUp::Fail => self.fail(now, id),
         }
     }
 }
+
+/// Whether an attempt is still in flight after an event.
+fn is_in_flight(event: AttemptEvent) -> bool {
+    matches!(
+        event,
+        AttemptEvent::Progress(_) | AttemptEvent::Stalled | AttemptEvent::Streaming
+    )
+}
+
+/// The same event, without what its engine says of the work it took.
+fn without_usage(event: AttemptEvent) -> AttemptEvent {
+    match event {
+        AttemptEvent::Completed { .. } => AttemptEvent::Completed {
+            cpu: None,
+            memory_mb: None,
+        },
+        other => other,
+    }
+}
--- a/crates/gateway/src/service/callers.rs
+++ b/crates/gateway/src/service/callers.rs
@@ -1,5 +1,6 @@
-//! Who a session is: tokens at login and later, judged anew for each statement.
+//! Who a session belongs to: tokens at login and at renewal, verified again for each statement.
 
+use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::sync::Arc;
 
@@ -7,86 +8,123 @@
 use identity::{Authentication, AuthorizationError, Claims, TokenVerifier};
 
 use super::Service;
-use super::endings::denial;
-use super::intake::Unusable;
+use super::endings::rejection_text;
+use super::error::StatementError;
 use crate::clients::protocol::{ErrorCode, Response};
 use crate::clients::{SessionId, TokenPurpose};
 use crate::clock::unix;
+use crate::counters::Counters;
+
+/// The callers of this gateway: how they are authenticated, and how many statements each has open.
+#[derive(Default)]
+pub(super) struct Callers {
+    /// None: callers are not authenticated.
+    pub verifier: Option<TokenVerifier>,
+    /// Callers without an open statement have no entry.
+    open_statements: BTreeMap<String, u32>,
+}
+
+impl Callers {
+    /// How many statements a caller has open.
+    pub fn open_statements(&self, caller: &str) -> u32 {
+        self.open_statements.get(caller).copied().unwrap_or(0)
+    }
+
+    /// A statement of this caller was opened.
+    pub fn on_statement_opened(&mut self, caller: &str) {
+        *self.open_statements.entry(caller.to_owned()).or_default() += 1;
+    }
+
+    /// A statement of this caller was closed.
+    pub fn on_statement_closed(&mut self, caller: &str) {
+        let Some(open) = self.open_statements.get_mut(caller) else {
+            return;
+        };
+        *open -= 1;
+        if *open == 0 {
+            self.open_statements.remove(caller);
+        }
+    }
+
+    /// What the token of a statement's session says of its caller; none where callers are not authenticated.
+    ///
+    /// # Errors
+    /// There is no token, or it is not accepted now.
+    pub fn authenticate(
+        &mut self,
+        token: Option<&str>,
+        counters: &mut Counters,
+    ) -> Result<Option<Arc<Claims>>, StatementError> {
+        let Some(verifier) = &mut self.verifier else {
+            return Ok(None);
+        };
+        let token = token.ok_or(StatementError::NoToken)?;
+        match verifier.verify(unix(), token) {
+            Authentication::Accepted { claims, .. } => Ok(Some(claims)),
+            Authentication::RetryLater { retry_after } => {
+                counters.tokens_deferred += 1;
+                Err(StatementError::RetryLater(retry_after))
+            }
+            Authentication::Rejected(rejection) => {
+                counters.tokens_rejected += 1;
+                Err(StatementError::TokenRejected(rejection))
+            }
+        }
+    }
+}
 
 impl Service {
-    /// Callers are to be known from now on, by this.
+    /// From now on callers are authenticated, by this verifier.
     pub fn set_token_verifier(&mut self, verifier: TokenVerifier) {
-        self.token_verifier = Some(verifier);
+        self.callers.verifier = Some(verifier);
     }
 
+    /// What authenticates callers, where they are authenticated.
     pub fn token_verifier(&mut self) -> Option<&mut TokenVerifier> {
-        self.token_verifier.as_mut()
+        self.callers.verifier.as_mut()
     }
 
-    /// A token at login or later: only one that holds now replaces what stood.
-    pub(super) fn judge(
+    /// A token at login or later: only one that is accepted now replaces the session's token.
+    pub(super) fn on_token(
         &mut self,
         now: Timestamp,
         session: SessionId,
         token: &Rc<str>,
         purpose: TokenPurpose,
     ) {
-        let Some(verifier) = &mut self.token_verifier else {
+        let Some(verifier) = &mut self.callers.verifier else {
             return;
         };
         let counters = &mut self.counters;
         let (code, text) = match verifier.verify(unix(), token) {
             Authentication::Accepted { claims, .. }
-                if claims.grant.allows_address(self.clients.client_ip(session)) =>
+                if claims
+                    .grant
+                    .allows_address(self.sessions.client_ip(session)) =>
             {
                 counters.tokens_granted += 1;
-                return self
-                    .clients
+                self.sessions
                     .accept_token(now, session, token.clone(), counters);
+                return;
             }
             Authentication::Accepted { .. } => {
                 counters.tokens_rejected += 1;
-                (
-                    ErrorCode::ACCESS_DENIED,
-                    AuthorizationError::Network.to_string(),
-                )
+                let error = AuthorizationError::Network;
+                (ErrorCode::ACCESS_DENIED, error.to_string())
             }
             Authentication::RetryLater { retry_after } => {
                 counters.tokens_deferred += 1;
-                (ErrorCode::LIMIT_REACHED, denial(Some(retry_after)))
+                (ErrorCode::LIMIT_REACHED, rejection_text(Some(retry_after)))
             }
-            Authentication::Rejected(why) => {
+            Authentication::Rejected(rejection) => {
                 counters.tokens_rejected += 1;
-                (ErrorCode::ACCESS_DENIED, why.to_string())
+                (ErrorCode::ACCESS_DENIED, rejection.to_string())
             }
         };
-        let rejection = |response: Response| response.error(code, &text);
+        let error = |response: Response| response.error(code, &text);
         match purpose {
-            TokenPurpose::Login => {
-                self.clients.reject_login(now, session, counters, rejection);
-            }
-            TokenPurpose::Renewal => self.clients.respond(now, session, counters, rejection),
-        }
-    }
-
-    /// Whose a statement is by its session's token, which is judged anew each time.
-    pub(super) fn caller(&mut self, session: SessionId) -> Result<Option<Arc<Claims>>, Unusable> {
-        let Some(verifier) = &mut self.token_verifier else {
-            return Ok(None);
-        };
-        let Some(token) = self.clients.token(session) else {
-            return Err(Unusable::Unknown("no token".into()));
-        };
-        match verifier.verify(unix(), &token) {
-            Authentication::Accepted { claims, .. } => Ok(Some(claims)),
-            Authentication::RetryLater { retry_after } => {
-                self.counters.tokens_deferred += 1;
-                Err(Unusable::Later(retry_after))
-            }
-            Authentication::Rejected(why) => {
-                self.counters.tokens_rejected += 1;
-                Err(Unusable::Unknown(why.to_string()))
-            }
+            TokenPurpose::Login => self.sessions.reject_login(now, session, counters, error),
+            TokenPurpose::Renewal => self.sessions.respond(now, session, counters, error),
         }
     }
 }
--- a/crates/gateway/src/service/endings.rs
+++ b/crates/gateway/src/service/endings.rs
@@ -1,7 +1,7 @@
-//! How statements end: one final answer each, whether completed, rejected, failed, overdue or left by their client.
+//! How statements end: one final answer each, whether completed, rejected, failed, overdue or abandoned by their client.
 
-use admission::interface::*;
-use bytes::{Bytes, BytesMut};
+use admission::interface::{StatementId, TimeDelta, Timestamp};
+use bytes::BytesMut;
 use dispatch::Decision;
 use tracing::warn;
 
@@ -9,94 +9,113 @@
 use crate::clients::Disconnection;
 use crate::clients::protocol::{ErrorCode, Response};
 
-/// Longer than any client is told to stay away: the decisions cut it to what they allow.
-const LONG: TimeDelta = TimeDelta::from_micros(3_600_000_000);
+/// Longer than any client is told to wait: the decisions cut it to what they allow.
+const LONGEST_RETRY_AFTER: TimeDelta = TimeDelta::from_micros(3_600_000_000);
 
 /// A client's end that comes together with its statement and is younger than this may be that of one that only shut its
 /// sending side, and still reads; of one that went for good nothing may leave any more 0.1 s later.
-const JUST_LEFT_S: f64 = 0.05;
+const JUST_DISCONNECTED_S: f64 = 0.05;
 
-pub(super) fn denial(retry_after: Option<TimeDelta>) -> String {
-    let back = |wait: TimeDelta| format!("denied; backoff={}", (wait.secs() * 1e3).round() as u64);
-    retry_after.map_or("denied".to_owned(), back)
+/// What a rejected client reads.
+pub(super) fn rejection_text(retry_after: Option<TimeDelta>) -> String {
+    let Some(retry_after) = retry_after else {
+        return "denied".to_owned();
+    };
+    let backoff_ms = (retry_after.secs() * 1e3).round() as u64;
+    format!("denied; backoff={backoff_ms}")
 }
 
 impl Service {
-    /// The last guard of one answer before the budget ends, whatever went wrong before it. Never seen to act;
-    /// its line in the log is a fault of ours, and tells where the statement stood.
-    pub(super) fn overdue(&mut self, now: Timestamp) {
-        while let Some((ends, id)) = self.ends.first().copied().filter(|end| end.0 <= now) {
-            self.ends.pop_first();
-            let Some(in_flight) = self.in_flight.get(&id) else {
+    /// Guarantees one answer to each statement before its budget ends, whatever went wrong before. Never seen to act;
+    /// its line in the log is a fault of the gateway, and tells where the statement stood.
+    pub(super) fn answer_overdue(&mut self, now: Timestamp) {
+        while let Some(overdue) = self.statements.pop_overdue(now) {
+            let id = overdue.id;
+            let Some(statement) = self.statements.get(id) else {
                 continue;
             };
-            let (rid, late) = (
-                String::from_utf8_lossy(&in_flight.rid).into_owned(),
-                (now - ends).secs(),
-            );
+            let rid = String::from_utf8_lossy(&statement.request_id).into_owned();
+            let late = (now - overdue.answer_deadline).secs();
+            let in_flight = &statement.in_flight;
             let engines = self.engines.stand(id);
-            warn!(rid, late, out = ?in_flight.out, engines, "a statement without an answer at its end");
+            warn!(
+                rid,
+                late,
+                ?in_flight,
+                engines,
+                "a statement without an answer at its end"
+            );
             self.counters.overdue += 1;
             self.scheduler.client_left(now, id);
             self.fail(now, id);
-            self.forget(id);
+            self.close_if_done(id);
         }
     }
 
-    pub(super) fn left(&mut self, now: Timestamp, id: StatementId) {
-        let Some(in_flight) = self
-            .in_flight
-            .get_mut(&id)
-            .filter(|in_flight| !in_flight.answered)
-        else {
+    /// Its client is gone, or has killed it: nobody waits for its answer.
+    pub(super) fn on_abandoned(&mut self, now: Timestamp, id: StatementId) {
+        let Some(statement) = self.statements.unanswered(id) else {
             return;
         };
-        (in_flight.answered, in_flight.text) = (true, Bytes::new());
+        let in_flight = statement.in_flight.clone();
+        self.statements.mark_answered(id);
         self.counters.client_left += 1;
-        self.ends.remove(&(in_flight.ends, id));
-        let out = in_flight.out.clone();
         self.scheduler.client_left(now, id);
-        out.into_iter()
-            .for_each(|attempt| self.engines.unwanted(now, id, attempt, &mut self.counters));
-        self.forget(id);
+        for attempt in in_flight {
+            self.engines.unwanted(now, id, attempt, &mut self.counters);
+        }
+        self.close_if_done(id);
     }
 
-    /// Takes out what waits, wherever it does, for a client that sends no more: in line, for a connection that comes up
-    /// or for a further attempt. It gets its answer all the same, since who only shut the sending side still reads. What
-    /// has left goes on; so does, for this turn, what came together with its client's end a moment ago.
-    pub(super) fn leave(&mut self, now: Timestamp) {
-        for Disconnection { statement: id, end } in self.clients.disconnections() {
-            let Some(in_flight) = self
-                .in_flight
-                .get(&id)
-                .filter(|in_flight| !in_flight.answered)
-            else {
-                continue;
-            };
-            let just_left = end.detected == now && (now - end.arrived).secs() < JUST_LEFT_S;
-            if just_left && in_flight.taken == now {
-                continue;
-            }
-            for attempt in in_flight.out.clone() {
-                self.engines.stay(now, id, attempt, &mut self.counters);
-            }
-            self.reports(now);
-            if self
-                .in_flight
-                .get(&id)
-                .is_none_or(|in_flight| in_flight.answered || !in_flight.out.is_empty())
-            {
-                continue;
-            }
-            self.counters.client_left += 1;
-            match self.scheduler.reject_abandoned(now, id, LONG) {
-                Decision::Reject { retry_after } => self.answer_rejected(now, id, retry_after),
-                _ => self.answer_failed(now, id),
+    /// Takes out what waits, wherever it does, for clients that send no more: in a queue, for a connection that comes
+    /// up or for a retry. It gets its answer all the same, since a client that only shut its sending side still reads.
+    /// What was sent goes on; so does, for this turn, what came together with its client's end a moment ago.
+    pub(super) fn reject_disconnected(&mut self, now: Timestamp) {
+        for disconnection in self.sessions.disconnections() {
+            let id = disconnection.statement;
+            if self.is_withdrawable(now, &disconnection) && self.withdraw_attempts(now, id) {
+                self.counters.client_left += 1;
+                let decision = self
+                    .scheduler
+                    .reject_abandoned(now, id, LONGEST_RETRY_AFTER);
+                match decision {
+                    Decision::Reject { retry_after } => self.answer_rejected(now, id, retry_after),
+                    Decision::Queued | Decision::Forward(_) | Decision::Fail => {
+                        self.answer_failed(now, id);
+                    }
+                }
+                self.close_if_done(id);
             }
-            self.forget(id);
         }
     }
 
+    /// Whether a statement is to be taken out because its client sends no more.
+    fn is_withdrawable(&self, now: Timestamp, disconnection: &Disconnection) -> bool {
+        let Some(statement) = self.statements.unanswered(disconnection.statement) else {
+            return false;
+        };
+        let end = disconnection.end;
+        let just_disconnected =
+            end.detected == now && (now - end.arrived).secs() < JUST_DISCONNECTED_S;
+        let came_with_its_end = just_disconnected && statement.received == now;
+        !came_with_its_end
+    }
+
+    /// Takes back what has not left yet. Whether the statement then has nothing in flight, and still no answer.
+    fn withdraw_attempts(&mut self, now: Timestamp, id: StatementId) -> bool {
+        let in_flight = self
+            .statements
+            .get(id)
+            .map(|statement| statement.in_flight.clone());
+        for attempt in in_flight.unwrap_or_default() {
+            self.engines.stay(now, id, attempt, &mut self.counters);
+        }
+        self.read_reports(now);
+        self.statements
+            .unanswered(id)
+            .is_some_and(|statement| statement.in_flight.is_empty())
+    }
+
     pub(super) fn reject(
         &mut self,
         now: Timestamp,
@@ -107,15 +126,10 @@
         self.answer_rejected(now, id, retry_after);
     }
 
-    pub(super) fn answer_rejected(
-        &mut self,
-        now: Timestamp,
-        id: StatementId,
-        retry_after: Option<TimeDelta>,
-    ) {
-        let text = denial(retry_after);
-        self.answer(now, id, |answer| {
-            answer.error(ErrorCode::LIMIT_REACHED, &text)
+    fn answer_rejected(&mut self, now: Timestamp, id: StatementId, retry_after: Option<TimeDelta>) {
+        let text = rejection_text(retry_after);
+        self.answer(now, id, |response| {
+            response.error(ErrorCode::LIMIT_REACHED, &text)
         });
     }
 
@@ -124,47 +138,34 @@
         self.answer_failed(now, id);
     }
 
-    pub(super) fn answer_failed(&mut self, now: Timestamp, id: StatementId) {
-        self.answer(now, id, |answer| {
-            answer.error(
-                ErrorCode::UNKNOWN_ERROR,
-                "the statement could not be completed",
-            )
+    fn answer_failed(&mut self, now: Timestamp, id: StatementId) {
+        let text = "the statement could not be completed";
+        self.answer(now, id, |response| {
+            response.error(ErrorCode::UNKNOWN_ERROR, text)
         });
     }
 
+    /// Gives a statement its final answer.
     pub(super) fn answer(
         &mut self,
         now: Timestamp,
         id: StatementId,
-        answer: impl FnOnce(Response) -> BytesMut,
+        response: impl FnOnce(Response) -> BytesMut,
     ) {
-        let Some(in_flight) = self.in_flight.get_mut(&id) else {
+        let Some(session) = self.statements.mark_answered(id) else {
             return;
         };
-        (in_flight.answered, in_flight.text) = (true, Bytes::new());
-        self.ends.remove(&(in_flight.ends, id));
-        let session = in_flight.session;
-        self.clients
-            .respond(now, session, &mut self.counters, answer);
+        self.sessions
+            .respond(now, session, &mut self.counters, response);
     }
 
-    pub(super) fn forget(&mut self, id: StatementId) {
-        if self
-            .in_flight
-            .get(&id)
-            .is_some_and(|in_flight| in_flight.answered && in_flight.out.is_empty())
-        {
-            let in_flight = self.in_flight.remove(&id).expect("just seen");
-            if let Some(caller) = &in_flight.caller
-                && let Some(open) = self.open.get_mut(caller)
-            {
-                *open -= 1;
-                if *open == 0 {
-                    self.open.remove(caller);
-                }
-            }
-            self.rids.remove(&in_flight.rid);
+    /// Closes a statement that is answered and has no attempt in flight.
+    pub(super) fn close_if_done(&mut self, id: StatementId) {
+        let Some(statement) = self.statements.remove_if_done(id) else {
+            return;
+        };
+        if let Some(caller) = &statement.caller {
+            self.callers.on_statement_closed(caller);
         }
     }
 }
--- a/crates/gateway/src/service/mod.rs
+++ b/crates/gateway/src/service/mod.rs
@@ -1,166 +1,142 @@
-//! What ties the peers together: client news to `pick`, engine reports to `report`, and a `tick` once all
-//! that is ready was read. It passes on; it decides nothing. The struct stands here; each module beside it holds one job of it.
+//! What connects clients, engines, discovery and other gateways with the decisions: statements go to
+//! `Scheduler::pick`, reports of engines to `Scheduler::report`, and once all that is ready was read, a tick places what
+//! waits. It passes on; it decides nothing.
+//!
+//! The struct and the order of a turn stand here; each module has one job of it, or owns one part of its state.
 
 mod attempts;
 mod callers;
+mod catalog;
 mod endings;
+mod endpoints;
+mod error;
 mod intake;
-mod shown;
+mod quotas;
+mod request;
+mod schedule;
+mod show;
+mod statements;
 
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeMap;
 
-use admission::interface::*;
-use bytes::Bytes;
+use admission::interface::{EngineId, TimeDelta, Timestamp};
 use dispatch::Dispatcher;
-use identity::TokenVerifier;
 use scheduler::{Config as QueueConfig, QueueResolver, Scheduler, TenantQueues};
 use settings::{Settings, SettingsError, Way};
-use tracing::{info, warn};
+use tracing::warn;
 
-use crate::clients::{SessionId, Sessions};
+use self::attempts::ReportsRead;
+use self::callers::Callers;
+use self::catalog::Catalog;
+use self::endpoints::EndpointList;
+use self::schedule::Schedule;
+use self::statements::OpenStatements;
+use crate::clients::Sessions;
 use crate::counters::Counters;
 use crate::discovery::DiscoveryClient;
-use crate::discovery::endpoints::DiscoveryEvent;
 use crate::discovery::registry::EngineRegistry;
 use crate::engines::Engines;
-use crate::engines::lines::{Rid, Tags};
 use crate::fleet::Fleet;
-use crate::fleet::parts::Flow;
 
-/// Network fact: the longest time that what has left is on its way to an engine.
-pub const WAY: Way = Way(TimeDelta::from_micros(50_000));
+/// The longest time that what was sent is on its way to an engine.
+pub const NETWORK_DELAY: Way = Way(TimeDelta::from_micros(50_000));
+
 /// How long after its deadline a statement may still be without the decisions' answer, within its budget.
-const OVERDUE_S: f64 = 0.004;
-/// How often those that wait are told of their progress, where their client takes it.
-const PROGRESS_S: f64 = 1.0;
-/// How often what the decisions hold is compared with the sockets: far below what a difference could do harm in.
-const CHECK_S: f64 = 0.5;
+const ANSWER_GRACE: TimeDelta = TimeDelta::from_micros(4_000);
 
-/// A statement from its reading to its answer and the end of its last attempt; the text is dropped with the answer.
-struct InFlight {
-    session: SessionId,
-    rid: Rid,
-    /// Whose it is, where callers are known.
-    caller: Option<String>,
-    class: usize,
-    tags: Tags,
-    text: Bytes,
-    answered: bool,
-    taken: Timestamp,
-    /// When it is answered by whatever stands here, if by nothing else.
-    ends: Timestamp,
-    /// One, where a statement may not have two out at the same time.
-    out: Vec<AttemptNumber>,
-    /// The connections that its attempts went on, as many as attempts.
-    went_on: Vec<u64>,
+/// What a service is made of.
+pub struct ServiceConfig<'a> {
+    /// The settings that all gateways share.
+    pub settings: &'a Settings,
+    /// Of all chance in the decisions.
+    pub seed: u64,
+    /// Where statements wait; none: before the decisions alone.
+    pub queues: Option<&'a QueueConfig>,
+    /// The clients' side.
+    pub sessions: Sessions,
+    /// The engines' side.
+    pub engines: Engines,
+    /// Where the endpoint list comes from.
+    pub discovery: DiscoveryClient,
 }
 
+/// One gateway's statements, from their receipt to their answer.
 pub struct Service {
-    pub clients: Sessions,
+    /// The clients' side.
+    pub sessions: Sessions,
+    /// The engines' side.
     pub engines: Engines,
+    /// Where the endpoint list comes from.
     pub discovery: DiscoveryClient,
+    /// What happened since the start.
     pub counters: Counters,
     scheduler: Scheduler,
-    /// Where there are lines: whose desk a statement waits at.
-    resolver: Option<QueueResolver>,
+    /// Where there are queues: which sub-queue a statement waits in.
+    sub_queues: Option<QueueResolver>,
     /// Where gateways know each other.
     fleet: Option<Fleet>,
-    /// Where callers are to be known.
-    token_verifier: Option<TokenVerifier>,
-    /// Statements open by caller; leaves with the last of them.
-    open: BTreeMap<String, u32>,
-    names: EngineRegistry,
-    peers: f64,
-    classes: Vec<String>,
-    tenants: Vec<String>,
-    bills: bool,
-    most_open: usize,
-    next: u64,
-    in_flight: BTreeMap<StatementId, InFlight>,
-    /// Their ids as clients gave them: of two with one id an engine's answer could be for either.
-    rids: BTreeMap<Rid, StatementId>,
-    /// Ends of all statements not answered yet; leaves with the answer or the client.
-    ends: BTreeSet<(Timestamp, StatementId)>,
-    wake: Timestamp,
-    check: Timestamp,
-    progress: Timestamp,
+    callers: Callers,
+    endpoints: EndpointList,
+    catalog: Catalog,
+    statements: OpenStatements,
+    schedule: Schedule,
+    /// The gateway ends: all is answered by then.
     drain_deadline: Option<Timestamp>,
-    /// A whole list was told: there is something to decide on.
-    listed: bool,
 }
 
 impl Service {
-    pub fn new(
-        now: Timestamp,
-        settings: &Settings,
-        seed: u64,
-        clients: Sessions,
-        engines: Engines,
-        discovery: DiscoveryClient,
-        terms: Option<&QueueConfig>,
-    ) -> Result<Self, SettingsError> {
-        let (resolver, classes) = (terms.map(QueueResolver::new), settings.classes());
-        let queues = terms.map(|terms| TenantQueues::new(now, terms.clone(), classes, seed));
+    /// A service without statements and without engines.
+    ///
+    /// # Errors
+    /// A setting is missing or cannot be used.
+    pub fn new(now: Timestamp, config: ServiceConfig) -> Result<Self, SettingsError> {
+        let ServiceConfig {
+            settings,
+            seed,
+            queues,
+            ..
+        } = config;
+        let dispatcher = Dispatcher::new(settings.policy(seed, NETWORK_DELAY)?);
+        let tenant_queues =
+            queues.map(|queues| TenantQueues::new(now, queues.clone(), settings.classes(), seed));
+        let registry = EngineRegistry::new(settings.location_names(), settings.machine_names());
         Ok(Service {
-            clients,
-            engines,
-            discovery,
+            sessions: config.sessions,
+            engines: config.engines,
+            discovery: config.discovery,
             counters: Counters::default(),
-            scheduler: Scheduler::new(Dispatcher::new(settings.policy(seed, WAY)?), queues),
-            resolver,
+            scheduler: Scheduler::new(dispatcher, tenant_queues),
+            sub_queues: queues.map(QueueResolver::new),
             fleet: None,
-            token_verifier: None,
-            open: BTreeMap::new(),
-            names: EngineRegistry::new(settings.location_names(), settings.machine_names()),
-            peers: settings.peers()?,
-            classes: settings.class_names()?,
-            tenants: settings.tenant_names()?,
-            bills: settings.bills()?,
-            most_open: settings.most_open()?,
-            next: 0,
-            in_flight: BTreeMap::new(),
-            rids: BTreeMap::new(),
-            ends: BTreeSet::new(),
-            wake: now,
-            check: now,
-            progress: now,
+            callers: Callers::default(),
+            endpoints: EndpointList {
+                registry,
+                has_snapshot: false,
+            },
+            catalog: Catalog::new(settings)?,
+            statements: OpenStatements::default(),
+            schedule: Schedule::new(now),
             drain_deadline: None,
-            listed: false,
         })
     }
 
-    pub fn told(&mut self, now: Timestamp, events: &[DiscoveryEvent]) {
-        for change in events.iter().filter_map(|event| event.change.as_ref()) {
-            let applied = self.names.apply(change);
-            info!(
-                snapshot = change.is_snapshot(),
-                engines = change.endpoints().len(),
-                "endpoint list"
-            );
-            for address in applied.addresses {
-                self.engines.listed(address.engine, address.address);
-            }
-            self.scheduler.on_endpoint_update(now, &applied.update);
-            for engine in applied.not_ready {
-                self.engines.closed(now, engine, &mut self.counters);
-            }
-            self.listed |= change.is_snapshot();
-        }
-    }
-
-    /// Other terms for what waits, in the file's own budgets as this gateway's part.
-    pub fn change(&mut self, now: Timestamp, terms: &QueueConfig) {
-        self.resolver = Some(QueueResolver::new(terms));
-        self.scheduler.reconfigure(now, terms.clone());
+    /// Other queues, with this gateway's part of the operator's budgets.
+    pub fn reconfigure_queues(&mut self, now: Timestamp, queues: &QueueConfig) {
+        self.sub_queues = Some(QueueResolver::new(queues));
+        self.scheduler.reconfigure(now, queues.clone());
     }
 
+    /// Statements that wait in queues.
+    #[must_use]
     pub fn waiting(&self) -> usize {
         self.scheduler.waiting()
     }
 
-    /// The lines keep their own count.
-    pub fn count(&mut self) {
-        let (metrics, counters) = (self.scheduler.metrics(), &mut self.counters);
+    /// Takes over the counters that the queues keep.
+    pub fn update_queue_counters(&mut self) {
+        let metrics = self.scheduler.metrics();
+        let longest_passed_over = self.scheduler.longest_passed_over();
+        let counters = &mut self.counters;
         counters.queue_received = metrics.received;
         counters.queue_rejected_at_entry = metrics.rejected_at_entry;
         counters.queue_evicted = metrics.evicted;
@@ -169,152 +145,130 @@
         counters.queue_client_left = metrics.client_left;
         counters.queue_offers_without_capacity = metrics.offers_without_capacity;
         counters.queue_accurate_estimates = metrics.accurate_estimates;
-        counters.queue_longest_passed_over_ms =
-            (self.scheduler.longest_passed_over().secs() * 1e3) as u64;
+        counters.queue_longest_passed_over_ms = (longest_passed_over.secs() * 1e3) as u64;
     }
 
-    pub fn can_decide(&self) -> bool {
-        self.listed
+    /// Whether a snapshot of the endpoint list came: without one there is nothing to decide on.
+    #[must_use]
+    pub fn has_endpoints(&self) -> bool {
+        self.endpoints.has_snapshot
     }
 
-    /// The gateway ends: all that is in hand, and all that still comes, is answered by then.
-    pub fn drain_deadline(&mut self, by: Timestamp) {
-        self.drain_deadline = Some(by);
-        let last = by + TimeDelta::from_secs(OVERDUE_S);
-        self.in_flight
-            .values_mut()
-            .for_each(|in_flight| in_flight.ends = in_flight.ends.min(last));
-        self.ends = std::mem::take(&mut self.ends)
-            .into_iter()
-            .map(|(end, id)| (end.min(last), id))
-            .collect();
-        self.scheduler.drain_by(by);
-        self.engines.end_by(by);
+    /// The gateway ends: all that is open, and all that still comes, is answered by then.
+    pub fn drain_by(&mut self, deadline: Timestamp) {
+        self.drain_deadline = Some(deadline);
+        self.statements
+            .cap_answer_deadlines(deadline + ANSWER_GRACE);
+        self.scheduler.drain_by(deadline);
+        self.engines.end_by(deadline);
     }
 
-    /// Nothing is owed to anyone.
-    pub fn quiet(&self) -> bool {
-        self.clients.all_answered()
+    /// Whether no answer is owed to any client, and none is on its way.
+    #[must_use]
+    pub fn all_answered(&self) -> bool {
+        self.sessions.all_answered()
     }
 
+    /// When the next turn is due, if nothing comes before.
+    #[must_use]
     pub fn next_due(&self, now: Timestamp) -> Timestamp {
-        let dues = [
+        let due = [
             self.engines.next_due(now),
-            self.clients.next_due(now),
+            self.sessions.next_due(now),
             self.discovery.next_due(),
+            self.statements.next_deadline(),
+            self.fleet.as_ref().map(|fleet| fleet.next_due(now)),
         ];
-        let end = self.ends.first().map(|end| end.0);
-        let fleet = self.fleet.as_ref().map(|fleet| fleet.next_due(now));
-        dues.into_iter()
-            .chain([end, fleet])
+        due.into_iter()
             .flatten()
-            .fold(self.wake, Timestamp::min)
+            .fold(self.schedule.wakeup, Timestamp::min)
     }
 
-    /// Works off what all peers brought, then asks once for all that waits.
+    /// Handles what all peers brought, then places all that waits, once.
     pub fn turn(&mut self, now: Timestamp) {
+        self.handle_timers(now);
+        self.read_discovery(now);
+        self.read_reports(now);
+        self.read_sessions(now);
+        self.reject_disconnected(now);
+        self.gossip_outliers(now);
+        self.update_quotas(now);
+        let wait = self.place_queued(now);
+        // What could not even be sent is queued again by now, and what stood behind an answer was read.
+        let has_more = self.read_reports(now) == ReportsRead::Some || self.sessions.has_events();
+        self.answer_overdue(now);
+        self.run_periodic_work(now);
+        let wait = if has_more { TimeDelta::ZERO } else { wait };
+        self.schedule.wakeup = now + wait;
+    }
+
+    fn handle_timers(&mut self, now: Timestamp) {
         self.engines.expire(now, &mut self.counters);
         self.engines.go_on(now, &mut self.counters);
-        self.clients.on_timer(now, &mut self.counters);
-        self.clients.resume(now, &mut self.counters);
+        self.sessions.on_timer(now, &mut self.counters);
+        self.sessions.resume(now, &mut self.counters);
         self.discovery.on_timer(now, &mut self.counters);
-        // Idle clients may hold every descriptor: one goes for the board, without which no news of engines comes.
-        if self.discovery.take_descriptor_shortage()
-            && self.clients.evict_one(now, &mut self.counters)
-        {
+        // Idle clients may hold every descriptor: one is closed for discovery, without which nothing is heard of engines.
+        let lacks_descriptor = self.discovery.take_descriptor_shortage();
+        if lacks_descriptor && self.sessions.evict_one(now, &mut self.counters) {
             self.discovery.poll_now(now, &mut self.counters);
         }
+    }
+
+    fn read_discovery(&mut self, now: Timestamp) {
         let events = self.discovery.take_events();
-        self.told(now, &events);
-        self.reports(now);
+        self.on_discovery_events(now, &events);
+    }
+
+    /// Handles what sessions report until there is nothing more.
+    fn read_sessions(&mut self, now: Timestamp) {
         loop {
-            let news = self.clients.take_events();
-            if news.is_empty() {
-                break;
+            let events = self.sessions.take_events();
+            if events.is_empty() {
+                return;
+            }
+            for event in events {
+                self.on_session_event(now, event);
             }
-            news.into_iter().for_each(|news| self.heard(now, news));
-        }
-        self.leave(now);
-        if let Some(fleet) = &mut self.fleet {
-            fleet.turn(now);
-            let doubts = fleet.engines(now, self.scheduler.health(), &self.names);
-            self.scheduler.on_outlier_gossip(now, &doubts);
         }
-        self.divided(now);
+    }
+
+    /// Places what waits; how long until that is to be done again.
+    fn place_queued(&mut self, now: Timestamp) -> TimeDelta {
         let tick = self.scheduler.tick(now);
-        tick.due
-            .into_iter()
-            .for_each(|(id, pick)| self.picked(now, id, pick));
-        // What could not even be sent is back in line by now, and what stood behind an answer was read.
-        let again = self.reports(now) || self.clients.has_events();
-        self.overdue(now);
-        if self.progress <= now && self.resolver.is_some() {
-            self.progress = now + TimeDelta::from_secs(PROGRESS_S);
-            self.tell_progress(now);
+        for (id, decision) in tick.due {
+            self.follow_decision(now, id, decision);
         }
-        if self.check <= now {
-            self.check = now + TimeDelta::from_secs(CHECK_S);
-            self.compare();
-        }
-        self.wake = now + if again { TimeDelta::ZERO } else { tick.wait };
+        tick.wait
     }
 
-    /// What of the budgets of all is this gateway's at present, for the lines and the decisions.
-    fn divided(&mut self, now: Timestamp) {
-        let Some(parts) = self.fleet.as_mut().and_then(Fleet::parts) else {
-            return;
-        };
-        if parts.divides_members() {
-            let flows = self.scheduler.tenant_usage().into_iter().map(|usage| Flow {
-                wanted: usage.demanded,
-                paid: usage.spent,
-            });
-            let rates = parts.members(&flows.collect::<Vec<_>>());
-            self.scheduler.set_leased_budgets(now, &rates);
+    fn run_periodic_work(&mut self, now: Timestamp) {
+        if self.sub_queues.is_some() && self.schedule.take_progress_due(now) {
+            self.send_progress_reports(now);
+        }
+        if self.schedule.take_consistency_check_due(now) {
+            self.check_in_flight();
         }
-        let benched = self
-            .scheduler
-            .engines()
-            .filter(|engine| engine.ejected)
-            .count();
-        let allowed = parts.allowed(self.scheduler.traffic_share(), self.peers, benched);
-        self.scheduler.on_quota(allowed);
     }
 
-    /// Statements in flight as the decisions hold them, against what is out on the sockets. A difference would have
-    /// them send to the wrong engine for ever after, with nothing else to show it.
-    fn compare(&mut self) {
-        let held = self
+    /// Compares the attempts in flight at each engine as the decisions count them with those on the sockets. With a
+    /// difference, statements would be sent to the wrong engine for ever after, with nothing else to show it.
+    fn check_in_flight(&mut self) {
+        let decided: BTreeMap<EngineId, u32> = self
             .scheduler
             .engines()
             .filter(|engine| engine.in_flight > 0)
-            .map(|engine| (engine.id, engine.in_flight));
-        let (held, out) = (held.collect::<BTreeMap<_, _>>(), self.engines.out());
+            .map(|engine| (engine.id, engine.in_flight))
+            .collect();
+        let on_sockets = self.engines.out();
         self.counters.in_flight_checks += 1;
-        if held != out {
+        if decided != on_sockets {
             self.counters.in_flight_mismatches += 1;
             warn!(
-                decided = ?held,
-                on_sockets = ?out,
+                ?decided,
+                ?on_sockets,
                 "attempts in flight differ between the decisions and the sockets"
             );
         }
     }
-
-    /// Engines left out at present.
-    pub fn benched(&self) -> usize {
-        self.scheduler
-            .engines()
-            .filter(|engine| engine.ejected)
-            .count()
-    }
-
-    /// Other gateways are to be known from now on.
-    pub fn join(&mut self, fleet: Fleet) {
-        self.fleet = Some(fleet);
-    }
-
-    pub fn fleet(&mut self) -> Option<&mut Fleet> {
-        self.fleet.as_mut()
-    }
 }
--- /dev/null
+++ b/crates/gateway/src/service/show.rs
@@ -0,0 +1,118 @@
+//! What a session is shown of this gateway: queues, progress, the fleet, shares.
+
+use std::net::IpAddr;
+
+use admission::interface::{TimeDelta, Timestamp};
+use bytes::Bytes;
+
+use super::Service;
+use crate::clients::protocol::Response;
+use crate::clients::{ProgressSubscriber, SessionId};
+use crate::engines::lines::Rid;
+use crate::fleet::Fleet;
+use crate::status;
+
+/// Sub-queues that one `SHOW QUEUE` lists at most; those where something waits come first.
+const MAX_STATUS_ROWS: usize = 1000;
+
+/// All of a stage in a progress report: thousandths of a percent.
+const WHOLE_STAGE: f64 = 1e5;
+
+impl Service {
+    /// `SHOW FLEET`.
+    pub(super) fn show_fleet(&mut self, now: Timestamp, session: SessionId, query: &Bytes) {
+        let Some(fleet) = &mut self.fleet else {
+            self.on_unsupported_show(now, session, query);
+            return;
+        };
+        let rows = status::fleet(now, fleet.gateway());
+        self.respond_table(now, session, status::FLEET, &rows);
+    }
+
+    /// `SHOW SHARES`.
+    pub(super) fn show_shares(&mut self, now: Timestamp, session: SessionId, query: &Bytes) {
+        let Some(parts) = self.fleet.as_mut().and_then(Fleet::parts) else {
+            self.on_unsupported_show(now, session, query);
+            return;
+        };
+        let (lease_clock_now, shares) = parts.status();
+        let rows = status::shares(lease_clock_now, &shares);
+        self.respond_table(now, session, status::SHARES, &rows);
+    }
+
+    /// `SHOW QUEUE`, or `SHOW QUEUE FOR` the statement with this request id.
+    pub(super) fn show_queue(
+        &mut self,
+        now: Timestamp,
+        session: SessionId,
+        request_id: Option<&str>,
+    ) {
+        self.counters.queue_status_queries += 1;
+        match request_id {
+            None => self.show_sub_queues(now, session),
+            Some(request_id) => self.show_queued_statement(now, session, request_id),
+        }
+    }
+
+    fn show_sub_queues(&mut self, now: Timestamp, session: SessionId) {
+        let sub_queues = self.scheduler.sub_queue_status(now, MAX_STATUS_ROWS);
+        let rows = status::desks(&sub_queues.unwrap_or_default());
+        self.respond_table(now, session, status::DESKS, &rows);
+    }
+
+    /// One row; none where the statement does not wait.
+    fn show_queued_statement(&mut self, now: Timestamp, session: SessionId, request_id: &str) {
+        let id = Rid::try_from(request_id.as_bytes())
+            .ok()
+            .and_then(|request_id| self.statements.find(&request_id));
+        let queued = id.and_then(|id| self.scheduler.statement_status(now, id));
+        let rows: Vec<_> = queued
+            .iter()
+            .map(|queued| status::statement(request_id, queued))
+            .collect();
+        self.respond_table(now, session, status::STATEMENT, &rows);
+    }
+
+    /// Reports progress to the clients that ask for it and whose statement waits.
+    pub(super) fn send_progress_reports(&mut self, now: Timestamp) {
+        for ProgressSubscriber { session, statement } in self.sessions.progress_subscribers() {
+            let Some(progress) = self.scheduler.wait_progress(now, statement) else {
+                continue;
+            };
+            let waited_s = progress.waited.secs();
+            let remaining_s = progress.remaining.median.secs();
+            let total_s = waited_s + remaining_s;
+            let done = if total_s > 0.0 {
+                waited_s / total_s * WHOLE_STAGE
+            } else {
+                0.0
+            };
+            let text = format!("Waiting, {remaining_s:.1} s more");
+            self.sessions
+                .send_progress(now, session, done as u32, &text, &mut self.counters);
+        }
+    }
+
+    /// A `SHOW` of what is not switched on is a statement like any other that is invalid.
+    pub(super) fn on_unsupported_show(
+        &mut self,
+        now: Timestamp,
+        session: SessionId,
+        query: &Bytes,
+    ) {
+        let unspecified = IpAddr::from([0; 4]);
+        self.on_statement(now, session, query, unspecified, TimeDelta::ZERO);
+    }
+
+    fn respond_table<const COLUMNS: usize>(
+        &mut self,
+        now: Timestamp,
+        session: SessionId,
+        columns: [&str; COLUMNS],
+        rows: &[[String; COLUMNS]],
+    ) {
+        let table = |response: Response| response.table(columns, rows);
+        self.sessions
+            .respond(now, session, &mut self.counters, table);
+    }
+}
