--- /dev/null
+++ b/crates/gateway/src/lifecycle/mod.rs
@@ -0,0 +1,257 @@
+//! The program from start to exit: the event loop, signals and the phases that lead to the end.
+
+mod acceptor;
+mod phase;
+mod reload;
+mod start;
+mod timer;
+
+use std::io;
+use std::net::SocketAddr;
+use std::path::PathBuf;
+
+use admission::interface::{TimeDelta, Timestamp};
+use calloop::EventLoop;
+use calloop::signals::Signal;
+use identity::KeyIndexError;
+use settings::SettingsError;
+use thiserror::Error;
+use tracing::{info, warn};
+
+use self::acceptor::Acceptor;
+pub use self::phase::DrainTimes;
+use self::phase::{Conditions, Phase, Transition};
+pub use self::start::signals;
+use self::timer::WakeTimer;
+use crate::clients::SessionId;
+use crate::clock::Clock;
+use crate::config::{Config, Operated};
+use crate::fleet::{Fleet, FleetError};
+use crate::keywatch::WatchError;
+use crate::service::Service;
+use crate::socket::{Peer, Ready};
+
+/// A turn that begins so much after it was due is late.
+const LATE_TURN: TimeDelta = TimeDelta::from_micros(5_000);
+
+/// Why the gateway cannot start, or cannot go on.
+#[derive(Debug, Error)]
+pub enum StartError {
+    /// The address for clients cannot be bound.
+    #[error("listen on {0}: {1}")]
+    Listen(SocketAddr, io::Error),
+    /// The event loop failed.
+    #[error("event loop: {0}")]
+    Loop(#[from] calloop::Error),
+    /// A setting is missing or cannot be used.
+    #[error(transparent)]
+    Settings(#[from] SettingsError),
+    /// The key files or the certificate cannot be used.
+    #[error(transparent)]
+    Known(#[from] WatchError),
+    /// The index of keys contradicts itself.
+    #[error(transparent)]
+    Keys(#[from] KeyIndexError),
+    /// The fleet cannot be joined.
+    #[error(transparent)]
+    Fleet(#[from] FleetError),
+}
+
+/// One gateway, from its start to its exit.
+pub struct Lifecycle {
+    phase: Phase,
+    event_loop: EventLoop<'static, Ready>,
+    acceptor: Acceptor,
+    clock: Clock,
+    timer: WakeTimer,
+    service: Service,
+    drain_times: DrainTimes,
+    /// Where the configuration comes from.
+    source: PathBuf,
+    /// The configuration in force; its endpoint list went to the service.
+    config: Config,
+    /// What of the operator's file is in force.
+    operated: Operated,
+}
+
+impl Lifecycle {
+    /// Runs until the gateway ends after SIGTERM or SIGINT.
+    ///
+    /// # Errors
+    /// The event loop fails, or the address for clients cannot be bound.
+    pub fn run(mut self) -> Result<(), StartError> {
+        let mut ready = Ready::default();
+        let mut busy_s = 0.0;
+        while self.phase != Phase::Exited {
+            let due = self.next_due();
+            let handle = self.event_loop.handle();
+            self.timer.arm(due, &self.clock, &handle)?;
+            self.event_loop.dispatch(None, &mut ready)?;
+            let now = self.clock.now();
+            self.turn(now, due, &mut ready)?;
+            busy_s += (self.clock.now() - now).secs();
+            self.service.counters.busy_ms = (busy_s * 1e3) as u64;
+        }
+        self.print_counters();
+        Ok(())
+    }
+
+    fn next_due(&self) -> Timestamp {
+        let now = self.clock.now();
+        let service_due = self.service.next_due(now);
+        let due = if self.acceptor.is_due() {
+            now
+        } else {
+            service_due
+        };
+        match self.phase.due(now) {
+            Some(phase_due) => due.min(phase_due),
+            None => due,
+        }
+    }
+
+    /// Handles all that one sleep of the event loop brought.
+    fn turn(
+        &mut self,
+        now: Timestamp,
+        due: Timestamp,
+        ready: &mut Ready,
+    ) -> Result<(), StartError> {
+        if std::mem::take(&mut ready.due) {
+            self.timer.on_fired();
+        }
+        self.service.counters.turns += 1;
+        if now - due > LATE_TURN {
+            self.service.counters.late_turns += 1;
+        }
+        for signal in std::mem::take(&mut ready.signals) {
+            self.on_signal(now, signal);
+        }
+        for known in std::mem::take(&mut ready.known) {
+            self.reload_key_files(known);
+        }
+        for peer in std::mem::take(&mut ready.peers) {
+            self.on_ready(now, peer);
+        }
+        self.accept(now);
+        self.service.turn(now);
+        self.advance_phase(now)
+    }
+
+    fn on_ready(&mut self, now: Timestamp, peer: Peer) {
+        let service = &mut self.service;
+        let counters = &mut service.counters;
+        match peer {
+            Peer::Listener => self.acceptor.on_ready(),
+            Peer::Client(id) => service.sessions.on_ready(now, SessionId(id), counters),
+            Peer::Engine(connection) => service.engines.ready(now, connection, counters),
+            Peer::Discovery(poll) => service.discovery.on_ready(now, poll, counters),
+            Peer::Fleet => {
+                if let Some(fleet) = service.fleet() {
+                    fleet.news();
+                }
+            }
+        }
+    }
+
+    fn accept(&mut self, now: Timestamp) {
+        let service = &mut self.service;
+        self.acceptor
+            .accept(now, &mut service.sessions, &mut service.counters);
+    }
+
+    fn on_signal(&mut self, now: Timestamp, signal: Signal) {
+        match signal {
+            Signal::SIGUSR1 => self.print_counters(),
+            Signal::SIGHUP => self.reload(now),
+            _ => self.drain(now),
+        }
+    }
+
+    /// The gateway is to end; nothing happens where it ends already.
+    fn drain(&mut self, now: Timestamp) {
+        let Some(draining) = self.phase.drained(now, self.drain_times) else {
+            return;
+        };
+        info!("draining");
+        self.phase = draining;
+        self.service.drain_by(now + self.drain_times.answered);
+        if let Some(fleet) = self.service.fleet() {
+            fleet.leave(now);
+        }
+    }
+
+    fn advance_phase(&mut self, now: Timestamp) -> Result<(), StartError> {
+        let conditions = Conditions {
+            has_endpoints: self.service.has_endpoints(),
+            has_statement: self.service.counters.statements_accepted > 0,
+            all_answered: self.service.all_answered(),
+            all_closed: self.service.sessions.is_empty(),
+        };
+        match self.phase.transition(now, conditions) {
+            None => {}
+            Some(Transition::Listen) => {
+                self.listen()?;
+                self.phase = Phase::Ready;
+            }
+            Some(Transition::Serve) => {
+                info!("serving");
+                self.phase = Phase::Serving;
+            }
+            Some(Transition::Close { exit_by }) => {
+                if self.shut_down_sessions(now) {
+                    self.phase = Phase::closing(now, exit_by);
+                }
+            }
+            Some(Transition::Exit) => self.phase = Phase::Exited,
+        }
+        Ok(())
+    }
+
+    fn listen(&mut self) -> Result<(), StartError> {
+        if !self.service.has_endpoints() {
+            warn!("no list yet; statements are denied until one comes");
+        }
+        let handle = self.event_loop.handle();
+        self.acceptor.listen(self.config.listen, &handle)?;
+        info!(listen = %self.config.listen, "ready");
+        Ok(())
+    }
+
+    /// Shuts all sessions and the listening socket, unless something came that is to be answered first.
+    fn shut_down_sessions(&mut self, now: Timestamp) -> bool {
+        // What the machine has accepted counts as received, whether or not an edge has told of it yet.
+        self.acceptor.on_ready();
+        self.accept(now);
+        let service = &mut self.service;
+        let shut_down = !self.acceptor.has_backlog()
+            && service
+                .sessions
+                .try_shut_down_all(now, &mut service.counters);
+        if shut_down {
+            self.acceptor.close();
+        }
+        shut_down
+    }
+
+    /// Prints the counters, whatever the log's level: they were asked for.
+    fn print_counters(&mut self) {
+        self.service.update_queue_counters();
+        let now = self.clock.now();
+        let fleet = self
+            .service
+            .fleet()
+            .map_or_else(String::new, |fleet: &mut Fleet| fleet.counters(now));
+        let service = &self.service;
+        eprintln!(
+            "counters: {}{fleet}open={} waiting={} sessions={} engine_connections_open={} engines_ejected={} discovery_polls_open={}",
+            service.counters,
+            service.counters.open(),
+            service.waiting(),
+            service.sessions.len(),
+            service.engines.open(),
+            service.ejected_engines(),
+            service.discovery.open_polls()
+        );
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/lifecycle/reload.rs
@@ -0,0 +1,138 @@
+//! What changes without a restart: the configuration and the operator's file on SIGHUP, key files when they change. A
+//! file that cannot be used leaves what was in force as it was.
+
+use admission::interface::Timestamp;
+use identity::KeyIndexError;
+use tracing::{info, warn};
+
+use super::Lifecycle;
+use crate::clock::unix;
+use crate::config::{Config, Operated};
+use crate::fleet::Fleet;
+use crate::keywatch::{Known, WatchError};
+
+impl Lifecycle {
+    /// Reads the files again, in every phase.
+    pub(super) fn reload(&mut self, now: Timestamp) {
+        self.reload_configuration(now);
+        self.reload_operator_file(now);
+    }
+
+    /// Of a usable file only the discovery service and the list are taken, since no open statement may be touched.
+    fn reload_configuration(&mut self, now: Timestamp) {
+        let config = match Config::read(&self.source) {
+            Ok(config) => config,
+            Err(error) => {
+                self.service.counters.reloads_failed += 1;
+                warn!(%error, "the configuration cannot be used; the old one stands");
+                return;
+            }
+        };
+        let kept = self.config.fixed_differences(&config);
+        info!(board = %config.board, known = config.known.last_revision, ?kept, "configuration read again");
+        let service = &mut self.service;
+        let counters = &mut service.counters;
+        counters.reloads += 1;
+        service
+            .discovery
+            .reconfigure(now, config.board, config.known, counters);
+    }
+
+    /// Key files and certificates that changed, all or none of them.
+    pub(super) fn reload_key_files(&mut self, changed: Result<Known, WatchError>) {
+        let result = changed
+            .map_err(|error| error.to_string())
+            .and_then(|known| {
+                self.apply_key_files(known)
+                    .map_err(|error| error.to_string())
+            });
+        let counters = &mut self.service.counters;
+        match result {
+            Ok(()) => {
+                counters.key_file_reloads += 1;
+                info!("key files taken in");
+            }
+            Err(error) => {
+                counters.key_file_reloads_failed += 1;
+                warn!(
+                    error,
+                    "the key files cannot be used; the last good ones stand"
+                );
+            }
+        }
+    }
+
+    fn apply_key_files(&mut self, known: Known) -> Result<(), KeyIndexError> {
+        let Known { files, tls } = known;
+        if let Some(verifier) = self.service.token_verifier() {
+            verifier.update(unix(), &files.index, &files.public, files.revoked)?;
+        }
+        self.service.sessions.require_tls(tls);
+        Ok(())
+    }
+
+    /// The operator's file, all of it or nothing. What is off or on stays so: sessions were told at their start.
+    fn reload_operator_file(&mut self, now: Timestamp) {
+        let Some(path) = self.operated.file.clone() else {
+            return;
+        };
+        match Operated::read(Some(path), &self.config) {
+            Err(error) => {
+                self.service.counters.reloads_failed += 1;
+                warn!(%error, "the operator's file cannot be used; the old one stands");
+            }
+            Ok(operated) => {
+                self.reload_fleet(&operated);
+                self.reload_shares(&operated);
+                self.reload_queues(now, operated);
+            }
+        }
+    }
+
+    fn reload_fleet(&mut self, operated: &Operated) {
+        match (self.service.fleet(), &operated.fleet) {
+            (Some(fleet), Some((_, terms))) => match fleet.change(terms) {
+                Ok(kept) => info!(?kept, seeds = terms.seeds.len(), "fleet: new terms"),
+                Err(error) => {
+                    self.service.counters.reloads_failed += 1;
+                    warn!(%error, "the fleet's keys cannot be used; the old ones stand");
+                }
+            },
+            (None, None) => {}
+            _ => warn!("the fleet is joined and left by a restart only; it stays as it was"),
+        }
+    }
+
+    /// Budgets by their names; how long leases last, who votes and how many may run wait for a restart of all.
+    fn reload_shares(&mut self, operated: &Operated) {
+        let tenants = operated.member_names();
+        let parts = self.service.fleet().and_then(Fleet::parts);
+        match (parts, &operated.shares) {
+            (Some(parts), Some(terms)) => {
+                let kept = parts.change(terms.clone(), &tenants);
+                info!(?kept, budgets = terms.budgets.len(), "shares: new budgets");
+                self.operated.shares = operated.shares.clone();
+            }
+            (None, None) => {}
+            _ => warn!("budgets are divided or not from the start on; they stay as they were"),
+        }
+    }
+
+    fn reload_queues(&mut self, now: Timestamp, operated: Operated) {
+        match (&self.operated.queues, &operated.queues) {
+            (Some(old), Some(new)) if old != new => {
+                info!(
+                    members = new.tenants.len(),
+                    desks = new.sub_queue_count(),
+                    "queues: new terms"
+                );
+                self.service.reconfigure_queues(now, new);
+                self.operated = operated;
+            }
+            (Some(_), None) | (None, Some(_)) => {
+                warn!("queues are switched on and off by a restart only; they stay as they were");
+            }
+            _ => self.operated = operated,
+        }
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/lifecycle/start.rs
@@ -0,0 +1,200 @@
+//! The start: the event loop's sources and the parts of the service, made from the configuration.
+
+use std::path::PathBuf;
+
+use admission::interface::Timestamp;
+use calloop::EventLoop;
+use calloop::signals::{Event as SignalEvent, Signal, Signals};
+use identity::TokenVerifier;
+use operator_config::Callers;
+use tracing::info;
+
+use super::acceptor::Acceptor;
+use super::phase::{DrainTimes, Phase};
+use super::timer::WakeTimer;
+use super::{Lifecycle, StartError};
+use crate::clients::{ProgressReports, SessionLimits, Sessions};
+use crate::clock::{Clock, unix};
+use crate::config::{Config, Operated};
+use crate::discovery::DiscoveryClient;
+use crate::engines::Engines;
+use crate::fleet::Fleet;
+use crate::fleet::parts::Parts;
+use crate::keywatch;
+use crate::service::{Service, ServiceConfig};
+use crate::socket::{Loop, Ready};
+
+/// Clients hold a third of the descriptors at most; old sessions that linger after a restart, and those of this gateway
+/// that read their last answer, come on top.
+const CLIENT_DESCRIPTOR_SHARE: f64 = 0.5;
+
+/// Descriptors of discovery and of the program itself. Engines share what these and clients leave.
+const OWN_DESCRIPTORS: usize = 24;
+
+/// Part of the memory that what clients have begun to send, all together, may take.
+const UNREAD_MEMORY_SHARE: f64 = 0.1;
+
+const BYTES_PER_MB: f64 = (1 << 20) as f64;
+
+/// The signals that a gateway handles. Asked for before all else: one that comes while the program still starts waits,
+/// where it would have ended the program by the machine's own rule.
+///
+/// # Errors
+/// The machine gives none.
+pub fn signals() -> Result<Signals, StartError> {
+    let handled = [
+        Signal::SIGTERM,
+        Signal::SIGINT,
+        Signal::SIGHUP,
+        Signal::SIGUSR1,
+    ];
+    Ok(Signals::new(&handled)?)
+}
+
+impl Lifecycle {
+    /// Makes all parts and tells them what the configuration knows.
+    ///
+    /// `source`: the file that `config` was read from.
+    ///
+    /// # Errors
+    /// The event loop, a setting, a key file or the fleet's address cannot be used.
+    pub fn start(
+        signals: Signals,
+        source: PathBuf,
+        mut config: Config,
+        operated: Operated,
+    ) -> Result<Self, StartError> {
+        let clock = Clock::start();
+        let now = clock.now();
+        let event_loop: EventLoop<'static, Ready> = EventLoop::try_new()?;
+        let handle = event_loop.handle();
+        watch_signals(&handle, signals)?;
+        let mut service = new_service(now, &handle, &config, &operated)?;
+        let known_events = std::mem::take(&mut config.known.events);
+        service.on_discovery_events(now, &known_events);
+        if let Some(callers) = &operated.callers {
+            authenticate_callers(&mut service, &handle, callers)?;
+        }
+        if let Some((name, terms)) = &operated.fleet {
+            let mut fleet = Fleet::start(now, &handle, terms, name, config.seed)?;
+            share_quotas(&mut fleet, clock, &config, &operated)?;
+            service.join_fleet(fleet);
+        }
+        info!(name = config.name, "starting");
+        let longest_deadline = config.settings.longest_deadline()?;
+        Ok(Lifecycle {
+            phase: Phase::starting(now),
+            event_loop,
+            acceptor: Acceptor::default(),
+            clock,
+            timer: WakeTimer::default(),
+            service,
+            drain_times: DrainTimes::for_longest_deadline(longest_deadline),
+            source,
+            config,
+            operated,
+        })
+    }
+}
+
+fn watch_signals(handle: &Loop, signals: Signals) -> Result<(), StartError> {
+    let on_signal = |event: SignalEvent, _: &mut (), ready: &mut Ready| {
+        ready.signals.push(event.signal());
+    };
+    handle
+        .insert_source(signals, on_signal)
+        .map_err(|error| error.error)?;
+    Ok(())
+}
+
+fn new_service(
+    now: Timestamp,
+    handle: &Loop,
+    config: &Config,
+    operated: &Operated,
+) -> Result<Service, StartError> {
+    let client_descriptors = (config.sockets as f64 * CLIENT_DESCRIPTOR_SHARE) as usize;
+    let engine_descriptors = config
+        .sockets
+        .saturating_sub(client_descriptors + OWN_DESCRIPTORS)
+        .max(1);
+    let limits = SessionLimits {
+        max_sessions: client_descriptors,
+        max_unread_bytes: (config.memory_mb * UNREAD_MEMORY_SHARE * BYTES_PER_MB) as usize,
+    };
+    // Only what waits in queues has progress to report.
+    let progress_reports = if operated.queues.is_some() {
+        ProgressReports::Offered
+    } else {
+        ProgressReports::Off
+    };
+    let sessions = Sessions::new(handle, limits, progress_reports, now);
+    let engines = Engines::new(handle, config.settings.links()?, engine_descriptors);
+    let discovery = DiscoveryClient::new(
+        handle,
+        config.board,
+        config.known.last_revision,
+        config.seed,
+        now,
+    );
+    let service = ServiceConfig {
+        settings: &config.settings,
+        seed: config.seed,
+        queues: operated.queues.as_ref(),
+        sessions,
+        engines,
+        discovery,
+    };
+    Ok(Service::new(now, service)?)
+}
+
+/// Callers are authenticated from now on, by the key files as they are and as they change.
+fn authenticate_callers(
+    service: &mut Service,
+    handle: &Loop,
+    callers: &Callers,
+) -> Result<(), StartError> {
+    let known = keywatch::read(callers)?;
+    let files = known.files;
+    let mut verifier = TokenVerifier::new(unix(), callers.terms);
+    verifier.update(unix(), &files.index, &files.public, files.revoked)?;
+    info!(keys = files.index.keys.len(), "callers are to be known");
+    service.set_token_verifier(verifier);
+    service.sessions.require_tls(known.tls);
+    let on_change = |event, _: &mut (), ready: &mut Ready| {
+        if let calloop::channel::Event::Msg(known) = event {
+            ready.known.push(known);
+        }
+    };
+    handle
+        .insert_source(keywatch::watch(callers.clone()), on_change)
+        .map_err(|error| error.error)?;
+    Ok(())
+}
+
+/// Budgets are divided among the fleet's gateways, where the operator's file says so.
+fn share_quotas(
+    fleet: &mut Fleet,
+    clock: Clock,
+    config: &Config,
+    operated: &Operated,
+) -> Result<(), StartError> {
+    let Some(terms) = &operated.shares else {
+        return Ok(());
+    };
+    let classes = config.settings.class_names()?;
+    let tenants = operated.member_names();
+    let own = fleet.gateway().own().clone();
+    let parts = Parts::new(
+        clock,
+        own.name,
+        own.life,
+        terms.clone(),
+        &classes,
+        &tenants,
+        config.seed,
+    );
+    fleet.join(parts);
+    info!("budgets are divided among all gateways");
+    Ok(())
+}
--- /dev/null
+++ b/crates/gateway/src/lifecycle/timer.rs
@@ -0,0 +1,50 @@
+//! The one timer of the event loop, set to whatever is due first: all that is due ends in the same turn.
+
+use admission::interface::Timestamp;
+use calloop::RegistrationToken;
+use calloop::timer::{TimeoutAction, Timer};
+
+use crate::clock::Clock;
+use crate::socket::{Loop, Ready};
+
+struct ArmedTimer {
+    due: Timestamp,
+    token: RegistrationToken,
+}
+
+/// Wakes the event loop at the time that it was armed for last.
+#[derive(Default)]
+pub(super) struct WakeTimer {
+    armed: Option<ArmedTimer>,
+}
+
+impl WakeTimer {
+    /// Sets the timer; one that is set for this time already stays.
+    ///
+    /// # Errors
+    /// The event loop takes no timer.
+    pub fn arm(&mut self, due: Timestamp, clock: &Clock, handle: &Loop) -> calloop::Result<()> {
+        if let Some(armed) = &self.armed {
+            if armed.due == due {
+                return Ok(());
+            }
+            handle.remove(armed.token);
+        }
+        self.armed = None;
+        let on_due = |_, _: &mut (), ready: &mut Ready| {
+            ready.due = true;
+            TimeoutAction::Drop
+        };
+        let timer = Timer::from_deadline(clock.instant(due));
+        let token = handle
+            .insert_source(timer, on_due)
+            .map_err(|error| error.error)?;
+        self.armed = Some(ArmedTimer { due, token });
+        Ok(())
+    }
+
+    /// It has fired, and is gone from the event loop.
+    pub fn on_fired(&mut self) {
+        self.armed = None;
+    }
+}
--- a/crates/gateway/tests/sockets.rs
+++ b/crates/gateway/tests/sockets.rs
@@ -5,7 +5,7 @@
 
 use admission::interface::TimeDelta;
 use calloop::EventLoop;
-use gateway::lifecycle::drained;
+use gateway::lifecycle::DrainTimes;
 use gateway::socket::{Peer, Ready, Socket};
 
 #[test]
@@ -43,10 +43,11 @@
 #[test]
 fn draining_ends_before_the_kill_and_after_the_last_statement() {
     for (longest, by) in [(0.2, 0.85), (1.0, 1.45), (3.0, 3.4), (15.0, 3.4)] {
-        let (answered, end) = drained(TimeDelta::from_secs(longest));
+        let DrainTimes { answered, exit } =
+            DrainTimes::for_longest_deadline(TimeDelta::from_secs(longest));
         assert_eq!(answered, TimeDelta::from_secs(by));
         // What still comes, 0.7 s, and the longest limit, 3 s at most.
-        assert!(answered.secs() > 0.7 && end > answered);
-        assert!(end.secs() < 0.7 + longest.min(3.0));
+        assert!(answered.secs() > 0.7 && exit > answered);
+        assert!(exit.secs() < 0.7 + longest.min(3.0));
     }
 }
