--- a/crates/gateway/src/clients/eviction.rs
+++ b/crates/gateway/src/clients/eviction.rs
@@ -59,7 +59,7 @@
         if self.is_quiet_at_last_look(now, id, counters) {
             counters.sessions_evicted += 1;
             if let Some(session) = self.sessions.get_mut(&id) {
-                session.socket.finish();
+                session.socket.finish_writing();
             }
             self.remove(id, counters);
         }
@@ -108,7 +108,7 @@
         let Some(session) = self.sessions.get_mut(&id) else {
             return true;
         };
-        session.socket.news();
+        session.socket.mark_readable();
         if session.state == SessionState::Closing || self.read(id).is_err() {
             return true;
         }
--- a/crates/gateway/src/lifecycle/acceptor.rs
+++ b/crates/gateway/src/lifecycle/acceptor.rs
@@ -12,7 +12,7 @@
 use super::StartError;
 use crate::clients::Sessions;
 use crate::counters::Counters;
-use crate::socket::{Loop, Peer, Ready};
+use crate::socket::{EventLoopHandle, EventSource, LoopEvents};
 
 /// Connections that may wait to be accepted. The library asks for 128; what finds no place is only tried again a second
 /// later.
@@ -39,15 +39,19 @@
     ///
     /// # Errors
     /// The address cannot be bound.
-    pub fn listen(&mut self, address: SocketAddr, handle: &Loop) -> Result<(), StartError> {
+    pub fn listen(
+        &mut self,
+        address: SocketAddr,
+        handle: &EventLoopHandle,
+    ) -> Result<(), StartError> {
         let unable = |error| StartError::Listen(address, error);
         let listener = TcpListener::bind(address).map_err(unable)?;
         rustix::net::listen(&listener, BACKLOG).map_err(|error| unable(error.into()))?;
         listener.set_nonblocking(true).map_err(unable)?;
         let descriptor = listener.as_fd().try_clone_to_owned().map_err(unable)?;
         let source = Generic::new(descriptor, Interest::READ, Mode::Edge);
-        let on_ready = |_, _: &mut _, ready: &mut Ready| {
-            ready.peers.push(Peer::Listener);
+        let on_ready = |_, _: &mut _, ready: &mut LoopEvents| {
+            ready.sources.push(EventSource::Listener);
             Ok(PostAction::Continue)
         };
         handle
--- a/crates/gateway/src/lifecycle/mod.rs
+++ b/crates/gateway/src/lifecycle/mod.rs
@@ -29,7 +29,7 @@
 use crate::fleet::{Fleet, FleetError};
 use crate::keywatch::WatchError;
 use crate::service::Service;
-use crate::socket::{Peer, Ready};
+use crate::socket::{EventSource, LoopEvents};
 
 /// A turn that begins so much after it was due is late.
 const LATE_TURN: TimeDelta = TimeDelta::from_micros(5_000);
@@ -60,7 +60,7 @@
 /// One gateway, from its start to its exit.
 pub struct Lifecycle {
     phase: Phase,
-    event_loop: EventLoop<'static, Ready>,
+    event_loop: EventLoop<'static, LoopEvents>,
     acceptor: Acceptor,
     clock: Clock,
     timer: WakeTimer,
@@ -80,7 +80,7 @@
     /// # Errors
     /// The event loop fails, or the address for clients cannot be bound.
     pub fn run(mut self) -> Result<(), StartError> {
-        let mut ready = Ready::default();
+        let mut ready = LoopEvents::default();
         let mut busy_s = 0.0;
         while self.phase != Phase::Exited {
             let due = self.next_due();
@@ -115,9 +115,9 @@
         &mut self,
         now: Timestamp,
         due: Timestamp,
-        ready: &mut Ready,
+        ready: &mut LoopEvents,
     ) -> Result<(), StartError> {
-        if std::mem::take(&mut ready.due) {
+        if std::mem::take(&mut ready.timer_fired) {
             self.timer.on_fired();
         }
         self.service.counters.turns += 1;
@@ -127,10 +127,10 @@
         for signal in std::mem::take(&mut ready.signals) {
             self.on_signal(now, signal);
         }
-        for known in std::mem::take(&mut ready.known) {
+        for known in std::mem::take(&mut ready.key_changes) {
             self.reload_key_files(known);
         }
-        for peer in std::mem::take(&mut ready.peers) {
+        for peer in std::mem::take(&mut ready.sources) {
             self.on_ready(now, peer);
         }
         self.accept(now);
@@ -138,15 +138,17 @@
         self.advance_phase(now)
     }
 
-    fn on_ready(&mut self, now: Timestamp, peer: Peer) {
+    fn on_ready(&mut self, now: Timestamp, peer: EventSource) {
         let service = &mut self.service;
         let counters = &mut service.counters;
         match peer {
-            Peer::Listener => self.acceptor.on_ready(),
-            Peer::Client(id) => service.sessions.on_ready(now, SessionId(id), counters),
-            Peer::Engine(connection) => service.engines.ready(now, connection, counters),
-            Peer::Discovery(poll) => service.discovery.on_ready(now, poll, counters),
-            Peer::Fleet => {
+            EventSource::Listener => self.acceptor.on_ready(),
+            EventSource::Client(id) => service.sessions.on_ready(now, SessionId(id), counters),
+            EventSource::Engine(connection) => {
+                service.engines.on_socket_event(now, connection, counters)
+            }
+            EventSource::Discovery(poll) => service.discovery.on_ready(now, poll, counters),
+            EventSource::PeerGateways => {
                 if let Some(fleet) = service.fleet() {
                     fleet.news();
                 }
@@ -249,7 +251,7 @@
             service.counters.open(),
             service.waiting(),
             service.sessions.len(),
-            service.engines.open(),
+            service.engines.connection_count(),
             service.ejected_engines(),
             service.discovery.open_polls()
         );
--- a/crates/gateway/src/lifecycle/reload.rs
+++ b/crates/gateway/src/lifecycle/reload.rs
@@ -6,7 +6,7 @@
 use tracing::{info, warn};
 
 use super::Lifecycle;
-use crate::clock::unix;
+use crate::clock::unix_now;
 use crate::config::{Config, Operated};
 use crate::fleet::Fleet;
 use crate::keywatch::{Known, WatchError};
@@ -65,7 +65,7 @@
     fn apply_key_files(&mut self, known: Known) -> Result<(), KeyIndexError> {
         let Known { files, tls } = known;
         if let Some(verifier) = self.service.token_verifier() {
-            verifier.update(unix(), &files.index, &files.public, files.revoked)?;
+            verifier.update(unix_now(), &files.index, &files.public, files.revoked)?;
         }
         self.service.sessions.require_tls(tls);
         Ok(())
--- a/crates/gateway/src/lifecycle/start.rs
+++ b/crates/gateway/src/lifecycle/start.rs
@@ -14,15 +14,15 @@
 use super::timer::WakeTimer;
 use super::{Lifecycle, StartError};
 use crate::clients::{ProgressReports, SessionLimits, Sessions};
-use crate::clock::{Clock, unix};
+use crate::clock::{Clock, unix_now};
 use crate::config::{Config, Operated};
 use crate::discovery::DiscoveryClient;
-use crate::engines::Engines;
+use crate::engines::EngineTransport;
 use crate::fleet::Fleet;
 use crate::fleet::parts::Parts;
 use crate::keywatch;
 use crate::service::{Service, ServiceConfig};
-use crate::socket::{Loop, Ready};
+use crate::socket::{EventLoopHandle, LoopEvents};
 
 /// Clients hold a third of the descriptors at most; old sessions that linger after a restart, and those of this gateway
 /// that read their last answer, come on top.
@@ -66,7 +66,7 @@
     ) -> Result<Self, StartError> {
         let clock = Clock::start();
         let now = clock.now();
-        let event_loop: EventLoop<'static, Ready> = EventLoop::try_new()?;
+        let event_loop: EventLoop<'static, LoopEvents> = EventLoop::try_new()?;
         let handle = event_loop.handle();
         watch_signals(&handle, signals)?;
         let mut service = new_service(now, &handle, &config, &operated)?;
@@ -97,8 +97,8 @@
     }
 }
 
-fn watch_signals(handle: &Loop, signals: Signals) -> Result<(), StartError> {
-    let on_signal = |event: SignalEvent, _: &mut (), ready: &mut Ready| {
+fn watch_signals(handle: &EventLoopHandle, signals: Signals) -> Result<(), StartError> {
+    let on_signal = |event: SignalEvent, _: &mut (), ready: &mut LoopEvents| {
         ready.signals.push(event.signal());
     };
     handle
@@ -109,7 +109,7 @@
 
 fn new_service(
     now: Timestamp,
-    handle: &Loop,
+    handle: &EventLoopHandle,
     config: &Config,
     operated: &Operated,
 ) -> Result<Service, StartError> {
@@ -129,7 +129,7 @@
         ProgressReports::Off
     };
     let sessions = Sessions::new(handle, limits, progress_reports, now);
-    let engines = Engines::new(handle, config.settings.links()?, engine_descriptors);
+    let engines = EngineTransport::new(handle, config.settings.links()?, engine_descriptors);
     let discovery = DiscoveryClient::new(
         handle,
         config.board,
@@ -151,19 +151,19 @@
 /// Callers are authenticated from now on, by the key files as they are and as they change.
 fn authenticate_callers(
     service: &mut Service,
-    handle: &Loop,
+    handle: &EventLoopHandle,
     callers: &Callers,
 ) -> Result<(), StartError> {
     let known = keywatch::read(callers)?;
     let files = known.files;
-    let mut verifier = TokenVerifier::new(unix(), callers.terms);
-    verifier.update(unix(), &files.index, &files.public, files.revoked)?;
+    let mut verifier = TokenVerifier::new(unix_now(), callers.terms);
+    verifier.update(unix_now(), &files.index, &files.public, files.revoked)?;
     info!(keys = files.index.keys.len(), "callers are to be known");
     service.set_token_verifier(verifier);
     service.sessions.require_tls(known.tls);
-    let on_change = |event, _: &mut (), ready: &mut Ready| {
+    let on_change = |event, _: &mut (), ready: &mut LoopEvents| {
         if let calloop::channel::Event::Msg(known) = event {
-            ready.known.push(known);
+            ready.key_changes.push(known);
         }
     };
     handle
--- a/crates/gateway/src/lifecycle/timer.rs
+++ b/crates/gateway/src/lifecycle/timer.rs
@@ -5,7 +5,7 @@
 use calloop::timer::{TimeoutAction, Timer};
 
 use crate::clock::Clock;
-use crate::socket::{Loop, Ready};
+use crate::socket::{EventLoopHandle, LoopEvents};
 
 struct ArmedTimer {
     due: Timestamp,
@@ -23,7 +23,12 @@
     ///
     /// # Errors
     /// The event loop takes no timer.
-    pub fn arm(&mut self, due: Timestamp, clock: &Clock, handle: &Loop) -> calloop::Result<()> {
+    pub fn arm(
+        &mut self,
+        due: Timestamp,
+        clock: &Clock,
+        handle: &EventLoopHandle,
+    ) -> calloop::Result<()> {
         if let Some(armed) = &self.armed {
             if armed.due == due {
                 return Ok(());
@@ -31,11 +36,11 @@
             handle.remove(armed.token);
         }
         self.armed = None;
-        let on_due = |_, _: &mut (), ready: &mut Ready| {
-            ready.due = true;
+        let on_due = |_, _: &mut (), ready: &mut LoopEvents| {
+            ready.timer_fired = true;
             TimeoutAction::Drop
         };
-        let timer = Timer::from_deadline(clock.instant(due));
+        let timer = Timer::from_deadline(clock.to_instant(due));
         let token = handle
             .insert_source(timer, on_due)
             .map_err(|error| error.error)?;
--- a/crates/gateway/src/service/attempts.rs
+++ b/crates/gateway/src/service/attempts.rs
@@ -4,7 +4,7 @@
 use dispatch::{AttemptOrder, Decision, FollowUp};
 
 use super::Service;
-use crate::engines::{Outgoing, Report};
+use crate::engines::{AttemptUpdate, OutgoingAttempt};
 use crate::fleet::Fleet;
 
 /// Whether engines reported anything.
@@ -21,7 +21,7 @@
     pub(super) fn read_reports(&mut self, now: Timestamp) -> ReportsRead {
         let mut read = ReportsRead::None;
         loop {
-            let reports = self.engines.reports();
+            let reports = self.engines.take_updates();
             if reports.is_empty() {
                 return read;
             }
@@ -32,7 +32,7 @@
         }
     }
 
-    fn on_report(&mut self, now: Timestamp, report: Report) {
+    fn on_report(&mut self, now: Timestamp, report: AttemptUpdate) {
         let id = report.statement;
         let Some(statement) = self.statements.get_mut(id) else {
             return;
@@ -100,20 +100,20 @@
             return;
         }
         statement.in_flight.push(order.attempt);
-        let due = self
+        let deadline = self
             .drain_deadline
             .map_or(order.due, |drain| drain.min(order.due));
-        let outgoing = Outgoing {
+        let outgoing = OutgoingAttempt {
             statement: id,
             attempt: order.attempt,
             engine: order.engine,
-            rid: statement.request_id,
+            request_id: statement.request_id,
             class: self.catalog.class_name(statement.class),
-            tags: &statement.tags,
+            keys: &statement.tags,
             text: &statement.text,
-            due,
+            deadline,
             priority: order.priority,
-            leave_by: order.leave_by,
+            send_by: order.leave_by,
             avoid: &statement.connections,
         };
         let connection = self.engines.send(now, &outgoing, &mut self.counters);
--- a/crates/gateway/src/service/callers.rs
+++ b/crates/gateway/src/service/callers.rs
@@ -12,7 +12,7 @@
 use super::error::StatementError;
 use crate::clients::protocol::{ErrorCode, Response};
 use crate::clients::{SessionId, TokenPurpose};
-use crate::clock::unix;
+use crate::clock::unix_now;
 use crate::counters::Counters;
 
 /// The callers of this gateway: how they are authenticated, and how many statements each has open.
@@ -59,7 +59,7 @@
             return Ok(None);
         };
         let token = token.ok_or(StatementError::NoToken)?;
-        match verifier.verify(unix(), token) {
+        match verifier.verify(unix_now(), token) {
             Authentication::Accepted { claims, .. } => Ok(Some(claims)),
             Authentication::RetryLater { retry_after } => {
                 counters.tokens_deferred += 1;
@@ -96,7 +96,7 @@
             return;
         };
         let counters = &mut self.counters;
-        let (code, text) = match verifier.verify(unix(), token) {
+        let (code, text) = match verifier.verify(unix_now(), token) {
             Authentication::Accepted { claims, .. }
                 if claims
                     .grant
--- a/crates/gateway/src/service/endings.rs
+++ b/crates/gateway/src/service/endings.rs
@@ -37,7 +37,7 @@
             let rid = String::from_utf8_lossy(&statement.request_id).into_owned();
             let late = (now - overdue.answer_deadline).secs();
             let in_flight = &statement.in_flight;
-            let engines = self.engines.stand(id);
+            let engines = self.engines.describe_attempts(id);
             warn!(
                 rid,
                 late,
@@ -62,7 +62,7 @@
         self.counters.client_left += 1;
         self.scheduler.client_left(now, id);
         for attempt in in_flight {
-            self.engines.unwanted(now, id, attempt, &mut self.counters);
+            self.engines.abandon(now, id, attempt, &mut self.counters);
         }
         self.close_if_done(id);
     }
@@ -108,7 +108,7 @@
             .get(id)
             .map(|statement| statement.in_flight.clone());
         for attempt in in_flight.unwrap_or_default() {
-            self.engines.stay(now, id, attempt, &mut self.counters);
+            self.engines.withdraw(now, id, attempt, &mut self.counters);
         }
         self.read_reports(now);
         self.statements
--- a/crates/gateway/src/service/endpoints.rs
+++ b/crates/gateway/src/service/endpoints.rs
@@ -26,11 +26,11 @@
                 "endpoint list"
             );
             for address in applied.addresses {
-                self.engines.listed(address.engine, address.address);
+                self.engines.set_address(address.engine, address.address);
             }
             self.scheduler.on_endpoint_update(now, &applied.update);
             for engine in applied.not_ready {
-                self.engines.closed(now, engine, &mut self.counters);
+                self.engines.drain_engine(now, engine, &mut self.counters);
             }
             self.endpoints.has_snapshot |= change.is_snapshot();
         }
--- a/crates/gateway/src/service/mod.rs
+++ b/crates/gateway/src/service/mod.rs
@@ -35,7 +35,7 @@
 use crate::counters::Counters;
 use crate::discovery::DiscoveryClient;
 use crate::discovery::registry::EngineRegistry;
-use crate::engines::Engines;
+use crate::engines::EngineTransport;
 use crate::fleet::Fleet;
 
 /// The longest time that what was sent is on its way to an engine.
@@ -55,7 +55,7 @@
     /// The clients' side.
     pub sessions: Sessions,
     /// The engines' side.
-    pub engines: Engines,
+    pub engines: EngineTransport,
     /// Where the endpoint list comes from.
     pub discovery: DiscoveryClient,
 }
@@ -65,7 +65,7 @@
     /// The clients' side.
     pub sessions: Sessions,
     /// The engines' side.
-    pub engines: Engines,
+    pub engines: EngineTransport,
     /// Where the endpoint list comes from.
     pub discovery: DiscoveryClient,
     /// What happened since the start.
@@ -160,7 +160,7 @@
         self.statements
             .cap_answer_deadlines(deadline + ANSWER_GRACE);
         self.scheduler.drain_by(deadline);
-        self.engines.end_by(deadline);
+        self.engines.cap_deadlines(deadline);
     }
 
     /// Whether no answer is owed to any client, and none is on its way.
@@ -173,7 +173,7 @@
     #[must_use]
     pub fn next_due(&self, now: Timestamp) -> Timestamp {
         let due = [
-            self.engines.next_due(now),
+            self.engines.next_timeout(now),
             self.sessions.next_due(now),
             self.discovery.next_due(),
             self.statements.next_deadline(),
@@ -203,8 +203,8 @@
     }
 
     fn handle_timers(&mut self, now: Timestamp) {
-        self.engines.expire(now, &mut self.counters);
-        self.engines.go_on(now, &mut self.counters);
+        self.engines.expire_timeouts(now, &mut self.counters);
+        self.engines.resume_reads(now, &mut self.counters);
         self.sessions.on_timer(now, &mut self.counters);
         self.sessions.resume(now, &mut self.counters);
         self.discovery.on_timer(now, &mut self.counters);
@@ -260,7 +260,7 @@
             .filter(|engine| engine.in_flight > 0)
             .map(|engine| (engine.id, engine.in_flight))
             .collect();
-        let on_sockets = self.engines.out();
+        let on_sockets = self.engines.attempts_in_flight();
         self.counters.in_flight_checks += 1;
         if decided != on_sockets {
             self.counters.in_flight_mismatches += 1;
--- a/crates/gateway/src/service/quotas.rs
+++ b/crates/gateway/src/service/quotas.rs
@@ -18,7 +18,7 @@
         self.fleet.as_mut()
     }
 
-    /// Engines that are ejected now.
+    /// EngineTransport that are ejected now.
     #[must_use]
     pub fn ejected_engines(&self) -> usize {
         count_ejected(&self.scheduler)
--- a/crates/gateway/src/service/request.rs
+++ b/crates/gateway/src/service/request.rs
@@ -12,7 +12,7 @@
 use super::error::StatementError;
 use crate::clients::comment::CommentedStatement;
 use crate::clients::table_group::table_group;
-use crate::engines::lines::{Rid, Tags};
+use crate::engines::protocol::{RequestId, StatementKeys};
 
 /// An answer must be with the client before its budget ends, and the budget runs from when the client sent. So much
 /// is kept for the network in both directions, and for a machine that stands still a moment.
@@ -31,9 +31,9 @@
     /// Where it waits, if it has to.
     pub sub_queue: SubQueueId,
     /// The id that its client gave it.
-    pub request_id: Rid,
+    pub request_id: RequestId,
     /// What its engine gets beside its text.
-    pub tags: Tags,
+    pub tags: StatementKeys,
     /// What its engine runs.
     pub text: Bytes,
     /// Whose it is, where callers are authenticated.
@@ -79,9 +79,9 @@
             has_idempotency_key: comment.idempotency_key.is_some(),
             budget: budget_less_network_delay(comment.budget_ms),
         };
-        let tags = Tags {
-            mark: comment.idempotency_key.map(Box::from),
-            key: comment.order_key.map(Box::from),
+        let tags = StatementKeys {
+            idempotency_key: comment.idempotency_key.map(Box::from),
+            ordering_key: comment.order_key.map(Box::from),
         };
         Ok(ValidStatement {
             request,
--- a/crates/gateway/src/service/show.rs
+++ b/crates/gateway/src/service/show.rs
@@ -8,7 +8,7 @@
 use super::Service;
 use crate::clients::protocol::Response;
 use crate::clients::{ProgressSubscriber, SessionId};
-use crate::engines::lines::Rid;
+use crate::engines::protocol::RequestId;
 use crate::fleet::Fleet;
 use crate::status;
 
@@ -62,7 +62,7 @@
 
     /// One row; none where the statement does not wait.
     fn show_queued_statement(&mut self, now: Timestamp, session: SessionId, request_id: &str) {
-        let id = Rid::try_from(request_id.as_bytes())
+        let id = RequestId::try_from(request_id.as_bytes())
             .ok()
             .and_then(|request_id| self.statements.find(&request_id));
         let queued = id.and_then(|id| self.scheduler.statement_status(now, id));
--- a/crates/gateway/src/service/statements.rs
+++ b/crates/gateway/src/service/statements.rs
@@ -6,20 +6,21 @@
 use bytes::Bytes;
 
 use crate::clients::SessionId;
-use crate::engines::lines::{Rid, Tags};
+use crate::engines::ConnectionId;
+use crate::engines::protocol::{RequestId, StatementKeys};
 
 /// A statement from its receipt to its answer and the end of its last attempt.
 pub(super) struct OpenStatement {
     /// The session that gets its answer.
     pub session: SessionId,
     /// The id that its client gave it.
-    pub request_id: Rid,
+    pub request_id: RequestId,
     /// Whose it is, where callers are authenticated.
     pub caller: Option<String>,
     /// Its query class.
     pub class: ClassId,
     /// What its engine gets beside its text.
-    pub tags: Tags,
+    pub tags: StatementKeys,
     /// What its engine runs; empty once it is answered.
     pub text: Bytes,
     /// Its answer was given, or nobody waits for one.
@@ -31,7 +32,7 @@
     /// Its attempts at engines that have not ended; one at most, where it may not have two at the same time.
     pub in_flight: Vec<AttemptNumber>,
     /// The connections that its attempts went on, as many as attempts.
-    pub connections: Vec<u64>,
+    pub connections: Vec<ConnectionId>,
 }
 
 /// A statement that has no answer at its deadline.
@@ -48,7 +49,7 @@
     last_id: u64,
     by_id: BTreeMap<StatementId, OpenStatement>,
     /// Of two statements with one request id, an engine's answer could be for either.
-    by_request_id: BTreeMap<Rid, StatementId>,
+    by_request_id: BTreeMap<RequestId, StatementId>,
     /// Of the statements without an answer.
     answer_deadlines: BTreeSet<(Timestamp, StatementId)>,
 }
@@ -86,7 +87,7 @@
     }
 
     /// The open statement to which its client gave this id.
-    pub fn find(&self, request_id: &Rid) -> Option<StatementId> {
+    pub fn find(&self, request_id: &RequestId) -> Option<StatementId> {
         self.by_request_id.get(request_id).copied()
     }
 
