--- a/crates/gateway/src/lifecycle/start.rs
+++ b/crates/gateway/src/lifecycle/start.rs
@@ -184,11 +184,11 @@
     };
     let classes = config.settings.class_names()?;
     let tenants = operated.member_names();
-    let own = fleet.gateway().own().clone();
+    let own = fleet.gateway().local_record().clone();
     let parts = Parts::new(
         clock,
         own.name,
-        own.life,
+        own.boot_id,
         terms.clone(),
         &classes,
         &tenants,
--- a/crates/gateway/tests/golden.rs
+++ b/crates/gateway/tests/golden.rs
@@ -15,8 +15,10 @@
 use std::path::Path;
 use std::process::Command as Program;
 
-use ::membership::letter::{self, Body, Letter, Nonce, View};
-use ::membership::{Incarnation, Life, Locality, Name, Record, Ring, State};
+use ::membership::message::{self, Body, Message, Nonce, View};
+use ::membership::{
+    BootId, Config, Incarnation, KeyRing, Locality, MemberState, Name, Node, NodeSetup, Record,
+};
 use admission::interface::{EngineStage, TimeDelta, Timestamp};
 use bytes::BytesMut;
 use gateway::clients::comment::CommentedStatement;
@@ -35,8 +37,7 @@
     StatementKeys,
 };
 use gateway::status;
-use quota::office::Holding;
-use quota::{Amount, Line, Status, Who};
+use quota::{Amount, BudgetStatus, HolderId, Holding, Status};
 use scheduler::{StatementStatus, SubQueueStatus, WaitEstimate};
 use serde_json::json;
 use stand_ins::client::{Client, login_packet, packet, query_packet};
@@ -820,21 +821,23 @@
         zone: Some(name(zone)),
         region: Some(name(region)),
     };
-    let ring = || Ring::new(&[7; 32], &[]).unwrap();
-    let mut own = ::membership::Gateway::new(
+    let ring = || KeyRing::new(&[7; 32], &[]).unwrap();
+    let mut own = Node::new(
         at(10.0),
-        name("golden"),
-        name("g0"),
-        "127.0.0.1:7001".parse().unwrap(),
-        place("room-a", "north"),
-        Vec::new(),
-        ring(),
-        ::membership::Terms::default(),
-        5,
+        NodeSetup {
+            fleet: name("golden"),
+            name: name("g0"),
+            address: "127.0.0.1:7001".parse().unwrap(),
+            locality: place("room-a", "north"),
+            seeds: Vec::new(),
+            key_ring: ring(),
+            config: Config::default(),
+            rng_seed: 5,
+        },
     );
-    let record = |of: &str, port: u16, state: State, locality: Locality| Record {
+    let record = |of: &str, port: u16, state: MemberState, locality: Locality| Record {
         name: name(of),
-        life: Life(0x0102_0304_0506_0708),
+        boot_id: BootId(0x0102_0304_0506_0708),
         incarnation: Incarnation(3),
         address: format!("127.0.0.1:{port}").parse().unwrap(),
         locality,
@@ -842,11 +845,11 @@
     };
     let alone = cells(&status::fleet(at(12.5), &mut own));
     for (count, of, state, place) in [
-        (1, "g1", State::Alive, place("room-b", "south")),
+        (1, "g1", MemberState::Alive, place("room-b", "south")),
         (
             1,
             "g2",
-            State::Alive,
+            MemberState::Alive,
             Locality {
                 zone: None,
                 region: None,
@@ -855,16 +858,16 @@
     ] {
         let from = record(of, 7000 + if of == "g1" { 2 } else { 3 }, state, place);
         let address = from.address;
-        let letter = Letter {
+        let message = Message {
             fleet: name("golden"),
             from,
             counter: count,
             view: View { digest: 1, size: 2 },
             body: Body::Ping(Nonce(9)),
             records: Vec::new(),
-            engines: Vec::new(),
+            engine_reports: Vec::new(),
         };
-        let _ = own.receive(at(13.0), address, &letter::seal(&ring(), &letter));
+        let _ = own.receive(at(13.0), address, &message::seal(&ring(), &message));
     }
     let rows = cells(&status::fleet(at(15.0), &mut own));
     let mut got = vec![
@@ -873,8 +876,13 @@
     ];
     got.extend(rows.into_iter().map(|row| ("fleet-row", row)));
     got.extend(
-        [State::Alive, State::Suspect, State::Dead, State::Left]
-            .map(|state| ("fleet-state", state.to_string())),
+        [
+            MemberState::Alive,
+            MemberState::Suspect,
+            MemberState::Dead,
+            MemberState::Left,
+        ]
+        .map(|state| ("fleet-state", state.to_string())),
     );
     golden("fleet.txt", &got);
 }
@@ -882,50 +890,50 @@
 #[test]
 fn shares_are_shown_as_recorded() {
     let holding = |of: &str, differs: bool| Holding {
-        who: Who {
+        holder: HolderId {
             name: name(of),
-            life: Life(1),
+            boot_id: BootId(1),
         },
-        need: Amount(1_500_000),
+        demand: Amount(1_500_000),
         reserved: Amount(2_250_000),
-        until: Some(at(12.0)),
-        differs,
+        expires: Some(at(12.0)),
+        config_differs: differs,
     };
-    let line = |budget: &str, unit: &'static str| Line {
+    let line = |budget: &str, unit: &'static str| BudgetStatus {
         budget: budget.to_owned(),
         unit,
-        whole: Amount(6_000_000),
-        floor: Amount(500_000),
+        capacity: Amount(6_000_000),
+        guaranteed: Amount(500_000),
         leased: Amount(1_250_000),
-        until: Some(at(11.5)),
+        lease_expires: Some(at(11.5)),
         wanted: 0.125,
         spent: 3.5,
         allowed: 4.75,
-        refused: 2,
+        rejected: 2,
         holdings: vec![
             holding("g0", false),
             holding("g1", true),
             holding("g2", false),
         ],
     };
-    let bare = Line {
-        until: None,
+    let bare = BudgetStatus {
+        lease_expires: None,
         holdings: Vec::new(),
         ..line("trials", "trials/s")
     };
     let steward = Status {
-        me: name("g0"),
-        steward: Some(name("g1")),
-        is_steward: true,
-        number: Some(7),
-        lines: vec![line("relays.point", "relays/s"), bare.clone()],
+        gateway: name("g0"),
+        leader: Some(name("g1")),
+        is_leader: true,
+        term: Some(7),
+        budgets: vec![line("relays.point", "relays/s"), bare.clone()],
     };
     let none = Status {
-        me: name("g0"),
-        steward: None,
-        is_steward: false,
-        number: None,
-        lines: vec![bare],
+        gateway: name("g0"),
+        leader: None,
+        is_leader: false,
+        term: None,
+        budgets: vec![bare],
     };
     let mut got = vec![("shares-columns", status::SHARES.join("|"))];
     got.extend(
--- a/crates/process_harness/src/scale/hollow.rs
+++ b/crates/process_harness/src/scale/hollow.rs
@@ -5,9 +5,9 @@
 
 use admission::interface::Timestamp;
 use control::{Control, Times};
-use membership::{Event, Gateway, Locality, Name, Ring};
+use membership::{Event, KeyRing, Locality, Name, Node, NodeSetup};
 use operator_config::FleetTerms;
-use quota::{Shares, Who};
+use quota::{FleetQuotas, HolderId};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -25,7 +25,7 @@
 pub struct Plan {
     pub layout: Layout,
     pub fleet: FleetTerms,
-    pub shares: Option<quota::Terms>,
+    pub shares: Option<quota::Config>,
     pub seed: u64,
 }
 
@@ -38,7 +38,7 @@
 
 pub struct Hollow {
     pub member: usize,
-    control: Control<Shares>,
+    control: Control<FleetQuotas>,
     pub socket: UdpSocket,
     unread: bool,
     rng: Pcg64Mcg,
@@ -75,24 +75,31 @@
             region: Some(name(&format!("r{}", plan.layout.region(member)))),
         };
         let times = times();
-        let membership = Gateway::new(
+        let membership = Node::new(
             times.now,
-            plan.fleet.fleet.clone(),
-            name(&plan.layout.name(member)),
-            address,
-            place,
-            plan.fleet.seeds.clone(),
-            Ring::new(&KEY, &[]).expect("one key"),
-            plan.fleet.paces.clone(),
-            rng.random(),
+            NodeSetup {
+                fleet: plan.fleet.fleet.clone(),
+                name: name(&plan.layout.name(member)),
+                address,
+                locality: place,
+                seeds: plan.fleet.seeds.clone(),
+                key_ring: KeyRing::new(&KEY, &[]).expect("one key"),
+                config: plan.fleet.paces.clone(),
+                rng_seed: rng.random(),
+            },
         );
-        let own = Who {
-            name: membership.own().name.clone(),
-            life: membership.own().life,
+        let own = HolderId {
+            name: membership.local_record().name.clone(),
+            boot_id: membership.local_record().boot_id,
         };
         let mut control = Control::new(membership);
         if let Some(terms) = &plan.shares {
-            control.set_leases(Shares::new(times.steady, own, terms.clone(), rng.random()));
+            control.set_leases(FleetQuotas::new(
+                times.steady,
+                own,
+                terms.clone(),
+                rng.random(),
+            ));
         }
         let usage = Usage {
             member,
@@ -123,11 +130,11 @@
 
     pub fn view(&mut self) -> (u64, usize) {
         let digest = self.control.membership_mut().view().digest;
-        (digest, self.control.membership().size())
+        (digest, self.control.membership().fleet_size())
     }
 
     pub fn stalls(&self) -> u64 {
-        self.control.membership().tally.stood_still
+        self.control.membership().metrics.loop_stalls
     }
 
     pub fn undelivered(&self) -> u64 {
@@ -145,11 +152,11 @@
         let leases = self
             .control
             .leases_mut()
-            .map(Shares::take_events)
+            .map(FleetQuotas::take_events)
             .unwrap_or_default();
         let chosen = leases
             .iter()
-            .any(|event| matches!(event, quota::Event::Chosen(_)));
+            .any(|event| matches!(event, quota::Event::BecameLeader { .. }));
         self.usage.cpu_s += process::thread_cpu_s() - began;
         Happened { events, chosen }
     }
