--- /dev/null
+++ b/crates/gateway/src/command/query.rs
@@ -0,0 +1,55 @@
+//! What a running gateway is asked, as a client of it: its queues, its fleet and its shares.
+
+use std::error::Error;
+use std::net::SocketAddr;
+
+use client::{Answer, Client};
+
+use super::CommandResult;
+use super::table::{OutputFormat, print_table};
+use crate::status;
+
+type Rows = Vec<Vec<String>>;
+
+/// `laurelhitch queue`: all sub-queues, or those of one tenant, or one statement.
+pub(super) fn queue(
+    address: SocketAddr,
+    tenant: Option<&str>,
+    request_id: Option<&str>,
+    format: OutputFormat,
+) -> CommandResult {
+    let (columns, query): (&[&str], String) = match request_id {
+        Some(request_id) => (&status::STATEMENT, format!("SHOW QUEUE FOR '{request_id}'")),
+        None => (&status::DESKS, "SHOW QUEUE".to_owned()),
+    };
+    let mut rows = show(address, &query, "has no queues")?;
+    if let Some(tenant) = tenant {
+        rows.retain(|row| row.first().is_some_and(|name| name == tenant));
+    }
+    print_table(columns, &rows, format)
+}
+
+/// `laurelhitch fleet`.
+pub(super) fn fleet(address: SocketAddr, format: OutputFormat) -> CommandResult {
+    let if_off = "knows no other gateways: its fleet is off";
+    let rows = show(address, "SHOW FLEET", if_off)?;
+    print_table(&status::FLEET, &rows, format)
+}
+
+/// `laurelhitch shares`.
+pub(super) fn shares(address: SocketAddr, format: OutputFormat) -> CommandResult {
+    let if_off = "divides no budgets: its shares are off";
+    let rows = show(address, "SHOW SHARES", if_off)?;
+    print_table(&status::SHARES, &rows, format)
+}
+
+/// The rows that a gateway answers with.
+///
+/// `if_off`: what is wrong where it answers with an error, as one does where the subsystem is off.
+fn show(address: SocketAddr, query: &str, if_off: &str) -> Result<Rows, Box<dyn Error>> {
+    match Client::login(address)?.ask(query)? {
+        Answer::Rows(rows) => Ok(rows),
+        Answer::Error(..) => Err(format!("{address} {if_off}").into()),
+        other => Err(format!("{address} answered {other:?}").into()),
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/command/serve.rs
@@ -0,0 +1,39 @@
+//! `laurelhitch serve`.
+
+use std::io;
+use std::path::PathBuf;
+
+use tracing_subscriber::EnvFilter;
+
+use super::{CommandResult, LogFormat, config_path};
+use crate::config::{Config, Operated};
+use crate::lifecycle::{self, Lifecycle};
+
+/// The environment's name of the log's level.
+const LOG_VARIABLE: &str = "LAURELHITCH_LOG";
+const DEFAULT_LOG_LEVEL: &str = "info";
+
+/// Serves until SIGTERM.
+pub(super) fn serve(operator: Option<PathBuf>, format: LogFormat) -> CommandResult {
+    // Before all else: a signal that comes while the program still starts waits.
+    let signals = lifecycle::signals()?;
+    start_log(format);
+    let path = config_path(None)?;
+    let config = Config::read(&path)?;
+    let operated = Operated::read(operator, &config)?;
+    Lifecycle::start(signals, path, config, operated)?.run()?;
+    Ok(())
+}
+
+fn start_log(format: LogFormat) {
+    let level =
+        EnvFilter::try_from_env(LOG_VARIABLE).unwrap_or_else(|_| EnvFilter::new(DEFAULT_LOG_LEVEL));
+    let log = tracing_subscriber::fmt()
+        .with_env_filter(level)
+        .with_writer(io::stderr)
+        .with_ansi(false);
+    match format {
+        LogFormat::Text => log.init(),
+        LogFormat::Json => log.json().init(),
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/command/table.rs
@@ -0,0 +1,94 @@
+//! Rows as a table for people, or as JSON for programs.
+
+use serde_json::{Map, Value, json};
+
+use super::CommandResult;
+
+/// Columns of names, to the left; those after them hold numbers, to the right.
+const NAME_COLUMNS: usize = 2;
+
+/// How a table is printed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum OutputFormat {
+    /// Aligned columns below their names.
+    Text,
+    /// An array of objects.
+    Json,
+}
+
+impl From<bool> for OutputFormat {
+    /// The flag `--json`.
+    fn from(json: bool) -> Self {
+        if json {
+            OutputFormat::Json
+        } else {
+            OutputFormat::Text
+        }
+    }
+}
+
+/// Prints rows of as many cells as there are columns.
+///
+/// # Panics
+/// If a row has fewer cells.
+pub(super) fn print_table(
+    columns: &[&str],
+    rows: &[Vec<String>],
+    format: OutputFormat,
+) -> CommandResult {
+    match format {
+        OutputFormat::Json => print_json(columns, rows),
+        OutputFormat::Text => {
+            print_text(columns, rows);
+            Ok(())
+        }
+    }
+}
+
+fn print_json(columns: &[&str], rows: &[Vec<String>]) -> CommandResult {
+    let objects: Vec<Value> = rows.iter().map(|row| json_object(columns, row)).collect();
+    println!("{}", serde_json::to_string_pretty(&objects)?);
+    Ok(())
+}
+
+fn json_object(columns: &[&str], row: &[String]) -> Value {
+    let fields = columns
+        .iter()
+        .zip(row)
+        .map(|(name, cell)| ((*name).to_owned(), json_value(cell)));
+    Value::Object(fields.collect::<Map<_, _>>())
+}
+
+/// A number where the cell is one, else its text.
+fn json_value(cell: &str) -> Value {
+    match cell.parse::<f64>() {
+        Ok(number) => json!(number),
+        Err(_) => json!(cell),
+    }
+}
+
+fn print_text(columns: &[&str], rows: &[Vec<String>]) {
+    let width = |column: usize| {
+        let cells = rows.iter().map(|row| row[column].len());
+        cells.chain([columns[column].len()]).max().unwrap_or(0)
+    };
+    let widths: Vec<usize> = (0..columns.len()).map(width).collect();
+    let names: Vec<String> = columns.iter().map(ToString::to_string).collect();
+    for row in [&names].into_iter().chain(rows) {
+        println!("{}", text_line(row, &widths));
+    }
+}
+
+fn text_line(row: &[String], widths: &[usize]) -> String {
+    let cells = row.iter().zip(widths).enumerate();
+    let cells: Vec<String> = cells
+        .map(|(column, (cell, width))| {
+            if column < NAME_COLUMNS {
+                format!("{cell:<width$}")
+            } else {
+                format!("{cell:>width$}")
+            }
+        })
+        .collect();
+    cells.join("  ").trim_end().to_owned()
+}
