--- a/crates/gateway/src/clients/eviction.rs
+++ b/crates/gateway/src/clients/eviction.rs
@@ -57,7 +57,7 @@
             return false;
         };
         if self.is_quiet_at_last_look(now, id, counters) {
-            counters.sessions_crowded += 1;
+            counters.sessions_evicted += 1;
             if let Some(session) = self.sessions.get_mut(&id) {
                 session.socket.finish_writing();
             }
--- a/crates/gateway/src/clients/login.rs
+++ b/crates/gateway/src/clients/login.rs
@@ -17,7 +17,7 @@
 impl Session {
     /// Answers a login that cannot be used, and ends the session.
     fn reject_login(&mut self, error: LoginError, counters: &mut Counters) {
-        counters.logins_denied += 1;
+        counters.logins_rejected += 1;
         self.state = SessionState::Closing;
         let response = self.response().error(error.code(), &error.to_string());
         self.socket.enqueue(&response);
@@ -54,7 +54,7 @@
         counters: &mut Counters,
         response: impl FnOnce(Response) -> BytesMut,
     ) {
-        counters.logins_denied += 1;
+        counters.logins_rejected += 1;
         if let Some(session) = self.sessions.get_mut(&id) {
             session.state = SessionState::Closing;
         }
--- a/crates/gateway/src/clients/mod.rs
+++ b/crates/gateway/src/clients/mod.rs
@@ -295,7 +295,7 @@
         });
         session.sequence = packet.sequence;
         session.socket.enqueue(&packet.bytes);
-        counters.progress_told += 1;
+        counters.progress_reports_sent += 1;
         self.write(now, id, counters);
     }
 }
--- a/crates/gateway/src/engines/mod.rs
+++ b/crates/gateway/src/engines/mod.rs
@@ -207,7 +207,7 @@
         o: &OutgoingAttempt,
         counters: &mut Counters,
     ) -> Option<ConnectionId> {
-        counters.relays_sent += 1;
+        counters.attempts_sent += 1;
         let at = self.connection(now, o, counters)?;
         let max_ms = ((o.deadline - now).secs() * 1e3).max(1.0) as u64;
         let connection = self.connections.get_mut(&at).expect("just chosen");
@@ -302,7 +302,7 @@
             pages: Vec::new(),
         };
         if self.connections.len() >= self.share && !self.close_one_idle(counters) {
-            counters.relays_unsent += 1;
+            counters.attempts_never_sent += 1;
             self.reports.push(never(AttemptEvent::NeverSent));
             return None;
         }
@@ -321,9 +321,12 @@
                 // Our own shortage must not be laid at the engine's door.
                 let (event, count) = match error {
                     Some(error) if is_resource_exhaustion(&error) => {
-                        (AttemptEvent::NeverSent, &mut counters.relays_unsent)
+                        (AttemptEvent::NeverSent, &mut counters.attempts_never_sent)
                     }
-                    _ => (AttemptEvent::Unreachable, &mut counters.relays_unreachable),
+                    _ => (
+                        AttemptEvent::Unreachable,
+                        &mut counters.attempts_unreachable,
+                    ),
                 };
                 *count += 1;
                 self.reports.push(never(event));
@@ -414,7 +417,7 @@
         no: AttemptNumber,
         counters: &mut Counters,
     ) {
-        counters.relays_cancelled += u64::from(self.places.contains_key(&(id, no)));
+        counters.attempts_cancelled += u64::from(self.places.contains_key(&(id, no)));
         self.give_up(now, id, no, AttemptEvent::Cancelled, counters);
     }
 
@@ -503,7 +506,7 @@
 
     pub fn expire_timeouts(&mut self, now: Timestamp, counters: &mut Counters) {
         while let Some((due, id, no)) = self.dues.first().copied().filter(|due| due.0 <= now) {
-            counters.relays_timed_out += 1;
+            counters.attempts_timed_out += 1;
             self.give_up(now, id, no, AttemptEvent::TimedOut, counters);
             // Gone already where the attempt was; else an entry that nothing else would take out.
             self.dues.remove(&(due, id, no));
@@ -520,7 +523,7 @@
                 counters.engine_idle_closed += 1;
                 drop(self.drop_connection(at));
             } else {
-                counters.answers_spoilt += 1;
+                counters.answers_malformed += 1;
                 self.end(now, at, "an answer that stopped half way", counters);
             }
         }
@@ -615,7 +618,7 @@
             // Begun already, and others' are behind it: its end is needed for them to be read.
             return false;
         }
-        counters.relays_withdrawn += 1;
+        counters.attempts_withdrawn += 1;
         self.over(now, at, rid, event, latency, Vec::new());
         if alone {
             // Nobody waits for it any more, or what it began must not be ended.
@@ -697,8 +700,8 @@
         ends.sort_by_key(|end| end.0);
         for (_, rid, event, latency) in ends {
             match event {
-                AttemptEvent::Reset => counters.relays_reset += 1,
-                _ => counters.relays_unreachable += 1,
+                AttemptEvent::Reset => counters.attempts_reset += 1,
+                _ => counters.attempts_unreachable += 1,
             }
             self.over(now, at, &rid, event, latency, Vec::new());
         }
@@ -740,7 +743,7 @@
                     }
                     Ok(None) => break,
                     Err(error) => {
-                        counters.answers_spoilt += 1;
+                        counters.answers_malformed += 1;
                         return self.end(now, at, &error.to_string(), counters);
                     }
                 }
@@ -758,7 +761,7 @@
             let partial = !connection.socket.read_buffer.is_empty();
             if partial && connection.attempts.is_empty() {
                 // Nobody asked for it, and what is put on this connection next would stand behind it.
-                counters.answers_spoilt += 1;
+                counters.answers_malformed += 1;
                 return self.end(now, at, "half an answer to nothing", counters);
             }
             connection.begun = connection
@@ -795,7 +798,7 @@
         let end = match answer.kind {
             ResponseKind::Pong => return,
             ResponseKind::Status => {
-                counters.notes += 1;
+                counters.engine_notes += 1;
                 let event = match (answer.field("remark"), answer.number::<f64>("datum")) {
                     (Some(b"done"), Some(done)) if done.is_finite() => AttemptEvent::Progress(done),
                     (Some(b"spills" | b"waits"), _) => AttemptEvent::Stalled,
@@ -811,9 +814,9 @@
                 });
                 return;
             }
-            ResponseKind::Rejected => (AttemptEvent::Rejected, &mut counters.relays_full),
-            ResponseKind::Expired => (AttemptEvent::NeverSent, &mut counters.relays_past),
-            ResponseKind::Failed => (AttemptEvent::Error, &mut counters.relays_error),
+            ResponseKind::Rejected => (AttemptEvent::Rejected, &mut counters.attempts_rejected),
+            ResponseKind::Expired => (AttemptEvent::NeverSent, &mut counters.attempts_expired),
+            ResponseKind::Failed => (AttemptEvent::Error, &mut counters.attempts_failed),
             ResponseKind::Completed if attempt.coming.is_some() => {
                 counters.answers_late += 1;
                 return;
@@ -821,7 +824,7 @@
             ResponseKind::Completed => {
                 let total = answer.number::<usize>("total").unwrap_or(1).max(1);
                 if total > PAGES {
-                    counters.answers_spoilt += 1;
+                    counters.answers_malformed += 1;
                     return self.end(now, at, "a result of too many pages", counters);
                 }
                 let mut coming = Coming {
@@ -847,7 +850,7 @@
                 return self.complete(now, at, &rid, counters);
             }
             ResponseKind::Page => {
-                counters.pages += 1;
+                counters.pages_received += 1;
                 let number = answer.number::<usize>("index").unwrap_or(0);
                 let coming = attempt.coming.as_mut();
                 let slot = coming
@@ -889,7 +892,7 @@
             coming.pages.iter().flatten().cloned().collect()
         };
         if coming.size > RESULT || !pages.iter().all(|page| is_rows(page)) {
-            counters.answers_spoilt += 1;
+            counters.answers_malformed += 1;
             debug!(
                 engine = connection.engine.0,
                 "a result that is no rows of text"
@@ -904,7 +907,7 @@
             memory_mb: coming.memory_mb,
         };
         let latency = coming.latency;
-        counters.relays_done += 1;
+        counters.attempts_completed += 1;
         if missing {
             connection.socket.enqueue(&protocol::encode_release(rid));
         }
