--- a/crates/gateway/src/credentials.rs
+++ b/crates/gateway/src/credentials.rs
@@ -113,7 +113,7 @@
 
 /// Changes the index and writes it, one version on; it must stand up to its own checks first.
 fn change(folder: &Path, of: impl FnOnce(&mut KeyIndex) -> Result<(), Box<dyn Error>>) -> Done {
-    let mut index = keyfiles::index(folder)?;
+    let mut index = keyfiles::read_index_or_default(folder)?;
     of(&mut index)?;
     index.version += 1;
     let text = serde_json::to_string(&index)?;
@@ -138,21 +138,17 @@
             );
             for path in [&secret_path, &public_path] {
                 if path.exists() {
-                    return Err(FilesError::There(path.clone()).into());
+                    return Err(FilesError::Exists(path.clone()).into());
                 }
             }
             let pair = token::generate_key_pair()?;
-            keyfiles::replace(
-                &secret_path,
-                keyfiles::hex(&pair.secret[..]).as_bytes(),
-                true,
-            )?;
-            keyfiles::replace(&public_path, keyfiles::hex(&pair.public).as_bytes(), false)?;
+            keyfiles::write_secret(&secret_path, keyfiles::hex(&pair.secret[..]).as_bytes())?;
+            keyfiles::write_public(&public_path, keyfiles::hex(&pair.public).as_bytes())?;
             println!("{}", public_path.display());
             Ok(())
         }
         Keys::List { folder } => {
-            let index = keyfiles::index(&folder)?;
+            let index = keyfiles::read_index_or_default(&folder)?;
             println!("version {}", index.version);
             let now = Timestamp::from_secs(now_s());
             for listed in &index.keys {
@@ -223,7 +219,7 @@
     match command {
         Token::Issue(issue) => {
             let id = id(issue.key)?;
-            let secret = keyfiles::secret(&issue.folder, &id)?;
+            let secret = keyfiles::read_secret(&issue.folder, &id)?;
             let set =
                 |of: Vec<String>| (!of.is_empty()).then(|| of.into_iter().collect::<BTreeSet<_>>());
             let grant = Grant {
@@ -245,7 +241,7 @@
                 grant,
             };
             let token = token::sign(&claims, &id, &secret)?;
-            let public = keyfiles::read(&issue.folder)?.public.get(&id).copied();
+            let public = keyfiles::read(&issue.folder)?.public_keys.get(&id).copied();
             let public = public.ok_or_else(|| format!("{} is not announced", id.as_str()))?;
             token::verify(&token, &public)?;
             println!("{token}");
@@ -263,7 +259,7 @@
         Token::Verify { folder, token } => {
             let (files, now) = (keyfiles::read(&folder)?, Timestamp::from_secs(now_s()));
             let mut verifier = TokenVerifier::new(now, VerifierConfig::default());
-            verifier.update(now, &files.index, &files.public, files.revoked)?;
+            verifier.update(now, &files.index, &files.public_keys, files.revoked)?;
             match verifier.verify(now, &token) {
                 Authentication::Accepted { claims, .. } => {
                     println!("granted to {} of {}", claims.caller, claims.grant.tenant);
@@ -281,7 +277,7 @@
             token,
             caller,
         } => {
-            let path = folder.join("revoked");
+            let path = keyfiles::revocation_path(&folder);
             let mut text = if path.exists() {
                 fs::read_to_string(&path)?
             } else {
@@ -295,9 +291,9 @@
                     .for_each(|name| text.push_str(&format!("{kind} {name}\n")));
             }
             if let Err(error) = RevocationList::parse(&text) {
-                return Err(FilesError::Revoked(path, error.line).into());
+                return Err(FilesError::Revocation(path, error.line).into());
             }
-            keyfiles::replace(&path, text.as_bytes(), false)?;
+            keyfiles::write_public(&path, text.as_bytes())?;
             // Gateways look at the index: it tells them that something is new.
             change(&folder, |_| Ok(()))
         }
--- a/crates/gateway/src/fleet/files.rs
+++ b/crates/gateway/src/fleet/files.rs
@@ -66,7 +66,7 @@
     let (names, signs) = list(folder)?;
     let signs = signs.filter(|signs| names.contains(signs));
     let signs = signs.ok_or_else(|| FleetKeysError::Signs(folder.join("signs")))?;
-    let key = |name: &str| keyfiles::unhex::<32>(&path(folder, name));
+    let key = |name: &str| keyfiles::read_hex::<32>(&path(folder, name));
     let others = names
         .iter()
         .filter(|name| **name != signs)
@@ -80,9 +80,9 @@
     usable(name)?;
     let path = path(folder, name);
     if path.exists() {
-        return Err(FilesError::There(path).into());
+        return Err(FilesError::Exists(path).into());
     }
-    keyfiles::replace(&path, keyfiles::hex(key).as_bytes(), true)?;
+    keyfiles::write_secret(&path, keyfiles::hex(key).as_bytes())?;
     if list(folder)?.1.is_none() {
         sign(folder, name)?;
     }
@@ -95,10 +95,9 @@
     if !path(folder, name).exists() {
         return Err(FleetKeysError::Signs(path(folder, name)));
     }
-    Ok(keyfiles::replace(
+    Ok(keyfiles::write_public(
         &folder.join("signs"),
         format!("{name}\n").as_bytes(),
-        false,
     )?)
 }
 
--- a/crates/gateway/src/keyfiles.rs
+++ b/crates/gateway/src/keyfiles.rs
@@ -1,5 +1,5 @@
-//! The folder of keys: `index.json`, `ID.pub` and `ID.key` for each key, and `revoked`. Every file is replaced whole, by
-//! rename, so that a reader never meets half of one.
+//! The folder of token signing keys: `index.json`, `ID.pub` and `ID.key` for each key, and `revoked`. A file is only ever
+//! replaced by rename, so that a reader never meets half of one.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -7,133 +7,214 @@
 use std::os::unix::fs::OpenOptionsExt;
 use std::path::{Path, PathBuf};
 
+use identity::key_ring::PublicKey;
+use identity::token::SecretKey;
 use identity::{KeyId, KeyIndex, KeyIndexError, RevocationList};
 use thiserror::Error;
 use zeroize::Zeroizing;
 
+/// The index of keys.
+const INDEX_FILE: &str = "index.json";
+/// The revocation list.
+const REVOCATION_FILE: &str = "revoked";
+/// Permissions of a file that only its owner may read.
+const SECRET_MODE: u32 = 0o600;
+/// Permissions of a file that all may read.
+const PUBLIC_MODE: u32 = 0o644;
+
+/// Why a file of the folder cannot be used or written.
 #[derive(Debug, Error)]
 pub enum FilesError {
+    /// It cannot be read, written or renamed.
     #[error("{0}: {1}")]
-    Unreadable(PathBuf, io::Error),
+    Io(PathBuf, io::Error),
+    /// The index cannot be used.
     #[error("{0}: {1}")]
     Index(PathBuf, KeyIndexError),
+    /// It does not hold a key in hexadecimal digits.
     #[error("{0}: no key of so many hexadecimal digits")]
     Key(PathBuf),
+    /// This line of the revocation list cannot be used.
     #[error("{0}:{1}: neither caller NAME nor token ID, or too many lines")]
-    Revoked(PathBuf, usize),
+    Revocation(PathBuf, usize),
+    /// It would be overwritten.
     #[error("{0} is there already")]
-    There(PathBuf),
+    Exists(PathBuf),
 }
 
-/// All that the folder holds for those who check tokens.
+/// All that the folder holds for those who verify tokens.
 pub struct Files {
+    /// Which keys there are, and their lifecycle.
     pub index: KeyIndex,
-    pub public: BTreeMap<KeyId, [u8; 32]>,
+    /// The public key of each entry of the index.
+    pub public_keys: BTreeMap<KeyId, PublicKey>,
+    /// Revoked callers and tokens; empty where there is no such file.
     pub revoked: RevocationList,
 }
 
+/// Where the public half of a key is.
+#[must_use]
 pub fn public_path(folder: &Path, id: &KeyId) -> PathBuf {
-    folder.join(format!("{}.pub", id.as_str()))
+    folder.join(format!("{id}.pub"))
 }
 
+/// Where the secret half of a key is.
+#[must_use]
 pub fn secret_path(folder: &Path, id: &KeyId) -> PathBuf {
-    folder.join(format!("{}.key", id.as_str()))
+    folder.join(format!("{id}.key"))
+}
+
+/// Where the index is.
+#[must_use]
+pub fn index_path(folder: &Path) -> PathBuf {
+    folder.join(INDEX_FILE)
 }
 
-fn text(path: &Path) -> Result<Zeroizing<String>, FilesError> {
-    let text = fs::read_to_string(path).map_err(|e| FilesError::Unreadable(path.into(), e))?;
-    Ok(Zeroizing::new(text))
+/// Where the revocation list is.
+#[must_use]
+pub fn revocation_path(folder: &Path) -> PathBuf {
+    folder.join(REVOCATION_FILE)
 }
 
-pub fn unhex<const N: usize>(path: &Path) -> Result<Zeroizing<[u8; N]>, FilesError> {
-    let text = text(path)?;
+fn read_text(path: &Path) -> Result<Zeroizing<String>, FilesError> {
+    match fs::read_to_string(path) {
+        Ok(text) => Ok(Zeroizing::new(text)),
+        Err(error) => Err(FilesError::Io(path.into(), error)),
+    }
+}
+
+/// Reads a file of `N` bytes in hexadecimal digits.
+///
+/// # Errors
+/// It cannot be read, or holds something else.
+pub fn read_hex<const N: usize>(path: &Path) -> Result<Zeroizing<[u8; N]>, FilesError> {
+    let text = read_text(path)?;
     let digits = text.trim().as_bytes();
-    let digit = |byte: u8| (byte as char).to_digit(16).map(|digit| digit as u8);
-    let mut bytes = Zeroizing::new([0; N]);
+    let invalid = || FilesError::Key(path.into());
     if digits.len() != N * 2 {
-        return Err(FilesError::Key(path.into()));
+        return Err(invalid());
     }
-    for (byte, pair) in bytes.iter_mut().zip(digits.chunks(2)) {
-        let both = digit(pair[0]).zip(digit(pair[1]));
-        let (high, low) = both.ok_or_else(|| FilesError::Key(path.into()))?;
+    let mut bytes = Zeroizing::new([0; N]);
+    for (byte, pair) in bytes.iter_mut().zip(digits.chunks_exact(2)) {
+        let high = hex_digit(pair[0]).ok_or_else(invalid)?;
+        let low = hex_digit(pair[1]).ok_or_else(invalid)?;
         *byte = high << 4 | low;
     }
     Ok(bytes)
 }
 
+fn hex_digit(digit: u8) -> Option<u8> {
+    let value = char::from(digit).to_digit(16)?;
+    u8::try_from(value).ok()
+}
+
+/// Bytes as a line of hexadecimal digits.
+#[must_use]
+pub fn hex(bytes: &[u8]) -> Zeroizing<String> {
+    let mut line: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
+    line.push('\n');
+    Zeroizing::new(line)
+}
+
+/// Reads the index; an empty one where there is no such file yet.
+///
 /// # Errors
-/// There is an index that cannot be used; none at all is an empty one.
-pub fn index(folder: &Path) -> Result<KeyIndex, FilesError> {
-    let path = folder.join("index.json");
-    if !path.exists() {
+/// There is an index that cannot be used.
+pub fn read_index_or_default(folder: &Path) -> Result<KeyIndex, FilesError> {
+    if !index_path(folder).exists() {
         return Ok(KeyIndex::default());
     }
-    KeyIndex::parse(&text(&path)?).map_err(|e| FilesError::Index(path, e))
+    read_index(folder)
+}
+
+fn read_index(folder: &Path) -> Result<KeyIndex, FilesError> {
+    let path = index_path(folder);
+    KeyIndex::parse(&read_text(&path)?).map_err(|error| FilesError::Index(path, error))
 }
 
-pub fn secret(folder: &Path, id: &KeyId) -> Result<Zeroizing<[u8; 64]>, FilesError> {
-    unhex(&secret_path(folder, id))
+/// Reads the secret half of a key.
+///
+/// # Errors
+/// It is missing or cannot be used.
+pub fn read_secret(folder: &Path, id: &KeyId) -> Result<Zeroizing<SecretKey>, FilesError> {
+    read_hex(&secret_path(folder, id))
 }
 
+/// Reads all that is needed to verify tokens.
+///
 /// # Errors
-/// Any file that the index needs is missing or cannot be used.
+/// The index or a public key that it names is missing, or any file cannot be used.
 pub fn read(folder: &Path) -> Result<Files, FilesError> {
-    let index_path = folder.join("index.json");
-    let index =
-        KeyIndex::parse(&text(&index_path)?).map_err(|e| FilesError::Index(index_path, e))?;
-    let mut public = BTreeMap::new();
-    for listed in &index.keys {
-        public.insert(listed.id.clone(), *unhex(&public_path(folder, &listed.id))?);
+    let index = read_index(folder)?;
+    let mut public_keys = BTreeMap::new();
+    for entry in &index.keys {
+        let public = read_hex(&public_path(folder, &entry.id))?;
+        public_keys.insert(entry.id.clone(), *public);
     }
-    let path = folder.join("revoked");
-    let revoked = if path.exists() {
-        text(&path)?
-    } else {
-        Zeroizing::default()
-    };
-    let revoked =
-        RevocationList::parse(&revoked).map_err(|error| FilesError::Revoked(path, error.line))?;
+    let revoked = read_revocation_list(folder)?;
     Ok(Files {
         index,
-        public,
+        public_keys,
         revoked,
     })
 }
 
-/// Writes beside it and renames; readable by its owner alone where it is secret.
-pub fn replace(path: &Path, content: &[u8], secret: bool) -> Result<(), FilesError> {
-    let error = |e| FilesError::Unreadable(path.into(), e);
-    let beside = path.with_extension(format!("new-{}", std::process::id()));
-    let mode = if secret { 0o600 } else { 0o644 };
-    let mut options = fs::OpenOptions::new();
-    let mut file = options
+fn read_revocation_list(folder: &Path) -> Result<RevocationList, FilesError> {
+    let path = revocation_path(folder);
+    if !path.exists() {
+        return Ok(RevocationList::default());
+    }
+    let text = read_text(&path)?;
+    RevocationList::parse(&text).map_err(|error| FilesError::Revocation(path, error.line))
+}
+
+/// Replaces a file that only its owner may read.
+///
+/// # Errors
+/// It cannot be written.
+pub fn write_secret(path: &Path, content: &[u8]) -> Result<(), FilesError> {
+    replace(path, content, SECRET_MODE)
+}
+
+/// Replaces a file that all may read.
+///
+/// # Errors
+/// It cannot be written.
+pub fn write_public(path: &Path, content: &[u8]) -> Result<(), FilesError> {
+    replace(path, content, PUBLIC_MODE)
+}
+
+/// Writes a temporary file beside it and renames that.
+fn replace(path: &Path, content: &[u8], mode: u32) -> Result<(), FilesError> {
+    let io_error = |error| FilesError::Io(path.into(), error);
+    let temporary = path.with_extension(format!("new-{}", std::process::id()));
+    let mut file = fs::OpenOptions::new()
         .write(true)
         .create_new(true)
         .mode(mode)
-        .open(&beside)
-        .map_err(error)?;
-    let written = file.write_all(content).and_then(|()| file.sync_all());
-    written
-        .and_then(|()| fs::rename(&beside, path))
-        .map_err(|e| {
-            let _ = fs::remove_file(&beside);
-            error(e)
-        })
+        .open(&temporary)
+        .map_err(io_error)?;
+    let written = file
+        .write_all(content)
+        .and_then(|()| file.sync_all())
+        .and_then(|()| fs::rename(&temporary, path));
+    if let Err(error) = written {
+        // The first error says what is wrong; the file that is left over harms nobody.
+        let _ = fs::remove_file(&temporary);
+        return Err(io_error(error));
+    }
+    Ok(())
 }
 
+/// Replaces the index.
+///
 /// # Errors
 /// It cannot be written.
+///
+/// # Panics
+/// Never: an index is plain values.
 pub fn write_index(folder: &Path, index: &KeyIndex) -> Result<(), FilesError> {
-    let text = serde_json::to_string_pretty(index).expect("plain values");
-    replace(&folder.join("index.json"), (text + "\n").as_bytes(), false)
-}
-
-pub fn hex(bytes: &[u8]) -> Zeroizing<String> {
-    Zeroizing::new(
-        bytes
-            .iter()
-            .map(|byte| format!("{byte:02x}"))
-            .collect::<String>()
-            + "\n",
-    )
+    let mut text = serde_json::to_string_pretty(index).expect("an index is plain values");
+    text.push('\n');
+    write_public(&index_path(folder), text.as_bytes())
 }
--- a/crates/gateway/src/keywatch.rs
+++ b/crates/gateway/src/keywatch.rs
@@ -1,5 +1,6 @@
-//! Key files and certificates for a running gateway. A thread of its own reads them, so that the loop never waits for a
-//! disk; what it read comes by a channel that holds one, and a change that finds it full is seen again.
+//! Watches the token key folder and the TLS certificate of a running gateway. A thread of its own reads the files, so that
+//! the event loop never waits for a disk. What it read goes over a channel that holds one message; while that is full the
+//! thread waits, and a change in that time is seen afterwards.
 
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -9,90 +10,111 @@
 use calloop::channel::{Channel, SyncSender, sync_channel};
 use operator_config::Callers;
 use rustls::ServerConfig;
-use rustls::pki_types::pem::PemObject;
+use rustls::pki_types::pem::{Error as PemError, PemObject};
 use rustls::pki_types::{CertificateDer, PrivateKeyDer};
 use thiserror::Error;
 
 use crate::keyfiles::{self, Files, FilesError};
 
-/// How often the files are looked at: with the time to read them, the bound from a change to the first refusal.
-const LOOK: Duration = Duration::from_millis(250);
+/// How often the files are looked at. With the time to read them it bounds the time from a change to its effect.
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
+/// Why the files cannot be used.
 #[derive(Debug, Error)]
 pub enum WatchError {
+    /// The key folder cannot be used.
     #[error(transparent)]
     Files(#[from] FilesError),
+    /// A certificate or its private key is not PEM.
     #[error("{0}: {1}")]
-    Pem(PathBuf, rustls::pki_types::pem::Error),
+    Pem(PathBuf, PemError),
+    /// The certificate does not fit its private key.
     #[error("{0}: {1}")]
     Tls(PathBuf, rustls::Error),
 }
 
-/// Everything by which callers are known, whole.
+/// Everything that authentication of callers needs.
 pub struct Known {
+    /// The key folder.
     pub files: Files,
+    /// For new handshakes.
     pub tls: Arc<ServerConfig>,
 }
 
+/// Reads all files.
+///
 /// # Errors
-/// Any file of it is missing or cannot be used.
+/// One of them is missing or cannot be used.
 pub fn read(callers: &Callers) -> Result<Known, WatchError> {
-    let files = keyfiles::read(&callers.keys_folder)?;
-    let path = &callers.certificate;
-    let pem = |error| WatchError::Pem(path.clone(), error);
-    let chain = CertificateDer::pem_file_iter(path)
-        .map_err(pem)?
+    Ok(Known {
+        files: keyfiles::read(&callers.keys_folder)?,
+        tls: Arc::new(read_tls(callers)?),
+    })
+}
+
+fn read_tls(callers: &Callers) -> Result<ServerConfig, WatchError> {
+    let certificate_error = |error| WatchError::Pem(callers.certificate.clone(), error);
+    let chain = CertificateDer::pem_file_iter(&callers.certificate)
+        .map_err(certificate_error)?
         .collect::<Result<Vec<_>, _>>()
-        .map_err(pem)?;
-    let key = PrivateKeyDer::from_pem_file(&callers.private_key);
-    let key = key.map_err(|error| WatchError::Pem(callers.private_key.clone(), error))?;
-    let tls = |error| WatchError::Tls(path.clone(), error);
+        .map_err(certificate_error)?;
+    let private_key = PrivateKeyDer::from_pem_file(&callers.private_key)
+        .map_err(|error| WatchError::Pem(callers.private_key.clone(), error))?;
+    let tls_error = |error| WatchError::Tls(callers.certificate.clone(), error);
     let provider = Arc::new(rustls::crypto::ring::default_provider());
-    let builder = ServerConfig::builder_with_provider(provider)
+    ServerConfig::builder_with_provider(provider)
         .with_safe_default_protocol_versions()
-        .map_err(tls)?;
-    let tls = builder
+        .map_err(tls_error)?
         .with_no_client_auth()
-        .with_single_cert(chain, key)
-        .map_err(tls)?;
-    Ok(Known {
-        files,
-        tls: Arc::new(tls),
-    })
+        .with_single_cert(chain, private_key)
+        .map_err(tls_error)
+}
+
+/// When each watched file was modified last; none: it cannot be told. Every change of the key folder rewrites its index.
+#[derive(PartialEq)]
+struct ModificationTimes {
+    index: Option<SystemTime>,
+    certificate: Option<SystemTime>,
+    private_key: Option<SystemTime>,
 }
 
-/// What tells that something changed, without reading it.
-fn stamps(callers: &Callers) -> Vec<Option<SystemTime>> {
-    let of = [
-        callers.keys_folder.join("index.json"),
-        callers.certificate.clone(),
-        callers.private_key.clone(),
-    ];
-    of.iter()
-        .map(|path| {
+impl ModificationTimes {
+    fn read(callers: &Callers) -> Self {
+        let modified = |path: &PathBuf| {
             std::fs::metadata(path)
                 .and_then(|data| data.modified())
                 .ok()
-        })
-        .collect()
+        };
+        ModificationTimes {
+            index: modified(&keyfiles::index_path(&callers.keys_folder)),
+            certificate: modified(&callers.certificate),
+            private_key: modified(&callers.private_key),
+        }
+    }
 }
 
-/// Starts the thread; it ends with the channel.
-pub fn watch(callers: Callers) -> Channel<Result<Known, WatchError>> {
+/// What the watching thread sends: the files, or why they cannot be used.
+type ReadResult = Result<Known, WatchError>;
+
+/// Starts the thread. It ends once the channel is dropped and a file changes.
+#[must_use]
+pub fn watch(callers: Callers) -> Channel<ReadResult> {
     let (sender, channel) = sync_channel(1);
-    let mut seen = stamps(&callers);
-    thread::spawn(move || {
-        let sender: SyncSender<Result<Known, WatchError>> = sender;
-        loop {
-            thread::sleep(LOOK);
-            let now = stamps(&callers);
-            if now != seen {
-                if sender.send(read(&callers)).is_err() {
-                    return;
-                }
-                seen = now;
-            }
-        }
-    });
+    let seen = ModificationTimes::read(&callers);
+    thread::spawn(move || send_changes(&callers, seen, &sender));
     channel
 }
+
+fn send_changes(callers: &Callers, mut seen: ModificationTimes, sender: &SyncSender<ReadResult>) {
+    loop {
+        thread::sleep(POLL_INTERVAL);
+        let current = ModificationTimes::read(callers);
+        if current == seen {
+            continue;
+        }
+        if sender.send(read(callers)).is_err() {
+            return;
+        }
+        seen = current;
+    }
+}
--- a/crates/gateway/src/lifecycle.rs
+++ b/crates/gateway/src/lifecycle.rs
@@ -192,7 +192,7 @@
             verifier.update(
                 unix(),
                 &known.files.index,
-                &known.files.public,
+                &known.files.public_keys,
                 known.files.revoked,
             )?;
             info!(
@@ -439,7 +439,7 @@
             Ok(Known { files, tls }) => {
                 let verifier = self.service.token_verifier();
                 let taken = verifier.map(|verifier| {
-                    verifier.update(unix(), &files.index, &files.public, files.revoked)
+                    verifier.update(unix(), &files.index, &files.public_keys, files.revoked)
                 });
                 let refused = taken.and_then(Result::err).map(|error| error.to_string());
                 if refused.is_none() {
