--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -9,8 +9,8 @@
 use std::net::SocketAddr;
 
 use admission::interface::Timestamp;
-use membership::{Datagram, Gateway, Refused};
-use quota::Who;
+use membership::{Datagram, Node, RejectReason};
+use quota::HolderId;
 
 pub use leases::Leases;
 
@@ -23,10 +23,10 @@
     pub steady: Timestamp,
 }
 
-/// Membership, and leases where budgets are divided among all gateways. `L` is what holds the leases: `quota::Shares`
+/// Membership, and leases where budgets are divided among all gateways. `L` is what holds the leases: `quota::FleetQuotas`
 /// itself, or the caller's own type around it.
 pub struct Control<L> {
-    membership: Gateway,
+    membership: Node,
     leases: Option<L>,
     /// Lease messages for gateways that membership does not hold to be there.
     pub undelivered: u64,
@@ -34,7 +34,7 @@
 
 impl<L: Leases> Control<L> {
     /// Without leases until [`Control::set_leases`].
-    pub fn new(membership: Gateway) -> Self {
+    pub fn new(membership: Node) -> Self {
         Control {
             membership,
             leases: None,
@@ -47,11 +47,11 @@
         self.leases = Some(leases);
     }
 
-    pub fn membership(&self) -> &Gateway {
+    pub fn membership(&self) -> &Node {
         &self.membership
     }
 
-    pub fn membership_mut(&mut self) -> &mut Gateway {
+    pub fn membership_mut(&mut self) -> &mut Node {
         &mut self.membership
     }
 
@@ -72,7 +72,7 @@
         now: Timestamp,
         from: SocketAddr,
         bytes: &[u8],
-    ) -> Result<(), Refused> {
+    ) -> Result<(), RejectReason> {
         self.membership.receive(now, from, bytes)
     }
 
@@ -94,17 +94,20 @@
     }
 
     fn exchange_leases(&mut self, times: Times) {
-        let received = self.membership.take_carried();
+        let received = self.membership.take_payloads();
         let Some(leases) = &mut self.leases else {
             return;
         };
-        for (name, life, message) in received {
-            leases
-                .shares_mut()
-                .receive(times.steady, &Who { name, life }, &message);
+        for received in received {
+            let sender = HolderId {
+                name: received.from,
+                boot_id: received.boot_id,
+            };
+            let quotas = leases.quotas_mut();
+            quotas.receive(times.steady, &sender, &received.payload);
         }
-        if leases.shares().due() <= times.steady {
-            leases.shares_mut().turn(times.steady);
+        if leases.quotas().next_wakeup() <= times.steady {
+            leases.quotas_mut().tick(times.steady);
         }
         self.send_leases(times.now);
     }
@@ -113,8 +116,10 @@
         let Some(leases) = &mut self.leases else {
             return;
         };
-        for letter in leases.shares_mut().take_out() {
-            let delivered = self.membership.carry(now, &letter.to, letter.word.bytes());
+        for message in leases.quotas_mut().take_outgoing() {
+            let delivered =
+                self.membership
+                    .send_payload(now, &message.to, message.payload.encode());
             self.undelivered += u64::from(!delivered);
         }
     }
@@ -122,7 +127,7 @@
     /// This gateway ends: its lease is given back, and others are told that it goes.
     pub fn leave(&mut self, times: Times) {
         if let Some(leases) = &mut self.leases {
-            leases.shares_mut().leave(times.steady);
+            leases.quotas_mut().leave(times.steady);
         }
         self.send_leases(times.now);
         self.membership.leave(times.now);
@@ -130,6 +135,6 @@
 
     /// Datagrams to be sent.
     pub fn take_out(&mut self) -> Vec<Datagram> {
-        self.membership.take_out()
+        self.membership.take_datagrams()
     }
 }
