--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,72 +1,99 @@
-//! The control code of one gateway: membership (`crates/membership`) and leases (`crates/quota`) composed. Pure: datagrams
-//! and time in, datagrams, events and the next due time out. Nothing here does I/O.
+//! The control plane of one gateway: membership (`crates/membership`) and quota leases (`crates/quota`), composed. Pure:
+//! datagrams and time in; datagrams, events and the time of the next turn out. Nothing here does I/O.
 //!
-//! The gateway's process and the hollow gateways of the rig's scale run both drive this type over a UDP socket, so that
-//! what the scale run measures is what a gateway runs.
+//! | state | owner | bound | what empties it |
+//! | --- | --- | --- | --- |
+//! | the view of other gateways | [`Node`] | see `membership` | see `membership` |
+//! | the lease and, at the leader, the lease ledger | [`quota::FleetQuotas`] | see `quota` | see `quota` |
+//! | lease messages received and not yet processed | [`Node`] | see `membership` | each turn |
+//! | lease messages to be sent | none: handed to membership at once | | |
+//! | datagrams to be sent | [`Node`] | see `membership` | [`ControlPlane::take_datagrams`] |
+//!
+//! [`ControlPlane`] owns no state of its own but one counter. It decides the order: membership first, then the lease
+//! messages that it carried, then those that answer them.
+//!
+//! The gateway's process and the bare members of the process harness both drive this type over a UDP socket, so that what
+//! the harness measures is what a gateway runs.
 
-mod leases;
+mod quota_owner;
 
 use std::net::SocketAddr;
 
-use admission::interface::Timestamp;
+use admission::interface::{TimeDelta, Timestamp};
 use membership::{Datagram, Node, RejectReason};
 use quota::HolderId;
 
-pub use leases::Leases;
+pub use quota_owner::QuotaOwner;
 
-/// The clocks of one gateway, read once for a turn.
+/// The two clocks of one gateway, read once for a turn.
 #[derive(Clone, Copy, Debug)]
-pub struct Times {
+pub struct ClockReadings {
     /// The clock of the event loop, which membership goes by.
     pub now: Timestamp,
-    /// A clock that nobody sets and that runs on while the machine sleeps: leases end by it.
+    /// The steady clock: nobody sets it and it runs on while the machine sleeps. Leases expire by it.
     pub steady: Timestamp,
 }
 
-/// Membership, and leases where budgets are divided among all gateways. `L` is what holds the leases: `quota::FleetQuotas`
-/// itself, or the caller's own type around it.
-pub struct Control<L> {
+/// What is left of the datagrams that had arrived at the socket before a turn.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ReceiveQueue {
+    /// All were handed in.
+    Drained,
+    /// Some may wait to be read: no other gateway is suspected for an answer that is not in yet.
+    Pending,
+}
+
+/// Membership, and quota leases where budgets are shared by all gateways. `Q` is [`quota::FleetQuotas`] itself or the
+/// caller's own type around it.
+pub struct ControlPlane<Q> {
     membership: Node,
-    leases: Option<L>,
-    /// Lease messages for gateways that membership does not hold to be there.
+    quota_owner: Option<Q>,
+    /// Lease messages dropped because membership does not hold their receiver to be alive.
     pub undelivered: u64,
 }
 
-impl<L: Leases> Control<L> {
-    /// Without leases until [`Control::set_leases`].
+impl<Q: QuotaOwner> ControlPlane<Q> {
+    /// A control plane without quota leases until [`ControlPlane::set_quota_owner`].
+    #[must_use]
     pub fn new(membership: Node) -> Self {
-        Control {
+        ControlPlane {
             membership,
-            leases: None,
+            quota_owner: None,
             undelivered: 0,
         }
     }
 
-    /// Budgets are divided among all gateways from now on.
-    pub fn set_leases(&mut self, leases: L) {
-        self.leases = Some(leases);
+    /// Takes part in the lease protocol from now on.
+    pub fn set_quota_owner(&mut self, quota_owner: Q) {
+        self.quota_owner = Some(quota_owner);
     }
 
+    /// This gateway's membership.
+    #[must_use]
     pub fn membership(&self) -> &Node {
         &self.membership
     }
 
+    /// This gateway's membership, to be changed.
     pub fn membership_mut(&mut self) -> &mut Node {
         &mut self.membership
     }
 
-    pub fn leases(&self) -> Option<&L> {
-        self.leases.as_ref()
+    /// What holds the quotas; none where no budget is shared.
+    #[must_use]
+    pub fn quota_owner(&self) -> Option<&Q> {
+        self.quota_owner.as_ref()
     }
 
-    pub fn leases_mut(&mut self) -> Option<&mut L> {
-        self.leases.as_mut()
+    /// What holds the quotas, to be changed.
+    pub fn quota_owner_mut(&mut self) -> Option<&mut Q> {
+        self.quota_owner.as_mut()
     }
 
-    /// A datagram that came from an address.
+    /// Takes in a datagram that came from an address.
     ///
     /// # Errors
-    /// It counts for nothing; this is why, and membership counted it.
+    /// Why it is rejected; membership has counted it.
     pub fn receive(
         &mut self,
         now: Timestamp,
@@ -76,65 +103,68 @@
         self.membership.receive(now, from, bytes)
     }
 
-    /// When [`Control::turn`] is due next, by the clock of the event loop.
-    pub fn due(&self, times: Times) -> Timestamp {
-        let leases = self.leases.as_ref().map(|leases| leases.due(times));
-        leases
-            .into_iter()
-            .fold(self.membership.due(), Timestamp::min)
+    /// When [`ControlPlane::turn`] is due next, by the clock of the event loop.
+    #[must_use]
+    pub fn next_wakeup(&self, clocks: ClockReadings) -> Timestamp {
+        let membership = self.membership.due();
+        let Some(owner) = &self.quota_owner else {
+            return membership;
+        };
+        let until_lease_step = owner.quotas().next_wakeup() - clocks.steady;
+        membership.min(clocks.now + until_lease_step.max(TimeDelta::ZERO))
     }
 
-    /// Does what is due and passes lease messages both ways. `drained`: all datagrams that had come were handed in; as
-    /// long as some wait to be read, nobody is judged by their absence.
-    pub fn turn(&mut self, times: Times, drained: bool) {
-        if drained && self.membership.due() <= times.now {
-            self.membership.turn(times.now);
+    /// Does what is due and passes lease messages both ways.
+    pub fn turn(&mut self, clocks: ClockReadings, receive_queue: ReceiveQueue) {
+        let is_due = self.membership.due() <= clocks.now;
+        if is_due && receive_queue == ReceiveQueue::Drained {
+            self.membership.turn(clocks.now);
         }
-        self.exchange_leases(times);
+        self.receive_lease_messages(clocks);
+        self.send_lease_messages(clocks.now);
     }
 
-    fn exchange_leases(&mut self, times: Times) {
+    fn receive_lease_messages(&mut self, clocks: ClockReadings) {
         let received = self.membership.take_payloads();
-        let Some(leases) = &mut self.leases else {
+        let Some(owner) = &mut self.quota_owner else {
             return;
         };
-        for received in received {
+        let quotas = owner.quotas_mut();
+        for message in received {
             let sender = HolderId {
-                name: received.from,
-                boot_id: received.boot_id,
+                name: message.from,
+                boot_id: message.boot_id,
             };
-            let quotas = leases.quotas_mut();
-            quotas.receive(times.steady, &sender, &received.payload);
+            quotas.receive(clocks.steady, &sender, &message.payload);
         }
-        if leases.quotas().next_wakeup() <= times.steady {
-            leases.quotas_mut().tick(times.steady);
+        if quotas.next_wakeup() <= clocks.steady {
+            quotas.tick(clocks.steady);
         }
-        self.send_leases(times.now);
     }
 
-    fn send_leases(&mut self, now: Timestamp) {
-        let Some(leases) = &mut self.leases else {
+    fn send_lease_messages(&mut self, now: Timestamp) {
+        let Some(owner) = &mut self.quota_owner else {
             return;
         };
-        for message in leases.quotas_mut().take_outgoing() {
-            let delivered =
-                self.membership
-                    .send_payload(now, &message.to, message.payload.encode());
-            self.undelivered += u64::from(!delivered);
+        for message in owner.quotas_mut().take_outgoing() {
+            let payload = message.payload.encode();
+            if !self.membership.send_payload(now, &message.to, payload) {
+                self.undelivered += 1;
+            }
         }
     }
 
-    /// This gateway ends: its lease is given back, and others are told that it goes.
-    pub fn leave(&mut self, times: Times) {
-        if let Some(leases) = &mut self.leases {
-            leases.quotas_mut().leave(times.steady);
+    /// Leaves the fleet in order: the lease is given back, and the other gateways are told.
+    pub fn leave(&mut self, clocks: ClockReadings) {
+        if let Some(owner) = &mut self.quota_owner {
+            owner.quotas_mut().leave(clocks.steady);
         }
-        self.send_leases(times.now);
-        self.membership.leave(times.now);
+        self.send_lease_messages(clocks.now);
+        self.membership.leave(clocks.now);
     }
 
-    /// Datagrams to be sent.
-    pub fn take_out(&mut self) -> Vec<Datagram> {
+    /// Datagrams to be sent, in this order.
+    pub fn take_datagrams(&mut self) -> Vec<Datagram> {
         self.membership.take_datagrams()
     }
 }
--- /dev/null
+++ b/crates/gateway/src/cluster/endpoint.rs
@@ -0,0 +1,276 @@
+//! The UDP socket between gateways on the event loop. What arrives is read in bounded parts a turn; sending never waits.
+
+use std::io::{self, ErrorKind};
+use std::net::{SocketAddr, UdpSocket};
+use std::rc::Rc;
+
+use ::control::{ClockReadings, ControlPlane, ReceiveQueue};
+use ::membership::{Name, Node, NodeSetup};
+use admission::interface::{EngineHealth, OutlierReport, Timestamp};
+use calloop::generic::Generic;
+use calloop::{Interest, Mode, PostAction, RegistrationToken};
+use operator_config::FleetTerms;
+use thiserror::Error;
+use tracing::info;
+
+use super::engine_gossip::EngineGossip;
+use super::event_log::EventLog;
+use super::key_folder::{self, KeyFolderError};
+use super::quota_leases::QuotaLeases;
+use crate::clock::boottime_now;
+use crate::discovery::registry::EngineRegistry;
+use crate::socket::{EventLoopHandle, EventSource, LoopEvents};
+
+/// Datagrams read in one turn: a flood costs a turn no more than checking so many authentication tags.
+const MAX_READS_PER_TURN: usize = 64;
+/// Larger than any datagram of another gateway; what is longer is cut and rejected.
+const RECEIVE_BUFFER_BYTES: usize = 2048;
+
+/// Why the endpoint cannot start or change.
+#[derive(Debug, Error)]
+pub enum ClusterError {
+    /// The address cannot be bound or watched.
+    #[error("fleet: {0}: {1}")]
+    Bind(SocketAddr, io::Error),
+    /// The folder of keys cannot be used.
+    #[error("fleet: {0}")]
+    Keys(#[from] KeyFolderError),
+}
+
+/// The socket to the other gateways, and the control plane that it carries datagrams for.
+pub struct ClusterEndpoint {
+    config: FleetTerms,
+    control: ControlPlane<QuotaLeases>,
+    socket: Rc<UdpSocket>,
+    handle: EventLoopHandle,
+    /// Of the socket at the event loop; taken when it is removed there.
+    registration: Option<RegistrationToken>,
+    /// The socket may hold datagrams that no further edge will announce.
+    readable: bool,
+    engine_gossip: EngineGossip,
+    event_log: EventLog,
+    /// Datagrams that the machine did not take.
+    send_failures: u64,
+}
+
+impl ClusterEndpoint {
+    /// Binds the socket and starts membership without quota leases.
+    ///
+    /// # Errors
+    /// The address cannot be bound, or a key cannot be used.
+    pub fn bind(
+        now: Timestamp,
+        handle: &EventLoopHandle,
+        config: &FleetTerms,
+        name: &Name,
+        seed: u64,
+    ) -> Result<Self, ClusterError> {
+        let bind_error = |error| ClusterError::Bind(config.bind, error);
+        let socket = UdpSocket::bind(config.bind).map_err(bind_error)?;
+        socket.set_nonblocking(true).map_err(bind_error)?;
+        let socket = Rc::new(socket);
+        let registration = register(handle, &socket).map_err(bind_error)?;
+        let setup = NodeSetup {
+            fleet: config.fleet.clone(),
+            name: name.clone(),
+            address: config.advertise,
+            locality: config.place.clone(),
+            seeds: config.seeds.clone(),
+            key_ring: key_folder::read(&config.keys_folder)?,
+            config: config.paces.clone(),
+            rng_seed: boot_seed(now, seed),
+        };
+        info!(%name, bind = %config.bind, advertise = %config.advertise, "membership: started");
+        Ok(ClusterEndpoint {
+            config: config.clone(),
+            control: ControlPlane::new(Node::new(now, setup)),
+            socket,
+            handle: handle.clone(),
+            registration: Some(registration),
+            readable: true,
+            engine_gossip: EngineGossip::new(now),
+            event_log: EventLog::new(now),
+            send_failures: 0,
+        })
+    }
+
+    /// Takes over seeds, keys and the protocol's times. Returns the settings that differ and wait for a restart.
+    ///
+    /// # Errors
+    /// A key cannot be used; nothing has changed then.
+    pub fn reconfigure(&mut self, config: &FleetTerms) -> Result<Vec<&'static str>, ClusterError> {
+        let key_ring = key_folder::read(&config.keys_folder)?;
+        self.control.membership_mut().reconfigure(
+            config.seeds.clone(),
+            key_ring,
+            config.paces.clone(),
+        );
+        let old = std::mem::replace(&mut self.config, config.clone());
+        let differs = [
+            ("fleet", old.fleet != config.fleet),
+            ("name", old.name != config.name),
+            ("bind", old.bind != config.bind),
+            ("advertise", old.advertise != config.advertise),
+            ("zone or region", old.place != config.place),
+        ];
+        let waiting = differs.into_iter().filter(|(_, differs)| *differs);
+        Ok(waiting.map(|(setting, _)| setting).collect())
+    }
+
+    /// The event loop saw that datagrams arrived; the next turn reads them.
+    pub fn set_readable(&mut self) {
+        self.readable = true;
+    }
+
+    /// When the next turn is due.
+    #[must_use]
+    pub fn next_wakeup(&self, now: Timestamp) -> Timestamp {
+        if self.readable {
+            return now;
+        }
+        let control = self.control.next_wakeup(clock_readings(now));
+        control.min(self.engine_gossip.next_exchange())
+    }
+
+    /// Reads what arrived, does what is due, sends what follows and logs it.
+    pub fn turn(&mut self, now: Timestamp) {
+        self.read(now);
+        let receive_queue = if self.readable {
+            ReceiveQueue::Pending
+        } else {
+            ReceiveQueue::Drained
+        };
+        self.control.turn(clock_readings(now), receive_queue);
+        if let Some(leases) = self.control.quota_owner_mut() {
+            leases.log_events();
+        }
+        self.flush();
+        self.event_log.log(now, self.control.membership_mut());
+    }
+
+    fn read(&mut self, now: Timestamp) {
+        let mut buffer = [0; RECEIVE_BUFFER_BYTES];
+        for _ in 0..MAX_READS_PER_TURN {
+            if !self.readable {
+                return;
+            }
+            match self.socket.recv_from(&mut buffer) {
+                // A rejected datagram is counted by its reason in membership.
+                Ok((length, from)) => drop(self.control.receive(now, from, &buffer[..length])),
+                Err(error) => match error.kind() {
+                    ErrorKind::WouldBlock => self.readable = false,
+                    // Refused: an earlier datagram of ours reached no socket; this one is fine.
+                    ErrorKind::Interrupted | ErrorKind::ConnectionRefused => {}
+                    _ => return,
+                },
+            }
+        }
+    }
+
+    fn flush(&mut self) {
+        for datagram in self.control.take_datagrams() {
+            let sent = self.socket.send_to(&datagram.bytes, datagram.to);
+            if sent.is_err() {
+                self.send_failures += 1;
+            }
+        }
+    }
+
+    /// Takes part in the lease protocol from now on.
+    pub fn set_quota_leases(&mut self, leases: QuotaLeases) {
+        self.control.set_quota_owner(leases);
+    }
+
+    /// The quota leases; none where no budget is shared.
+    pub fn quota_leases(&mut self) -> Option<&mut QuotaLeases> {
+        self.control.quota_owner_mut()
+    }
+
+    /// Tells other gateways which engines this one ejected or uses again, and returns the engines that enough of the others
+    /// report.
+    pub fn exchange_engine_health(
+        &mut self,
+        now: Timestamp,
+        health: impl Iterator<Item = EngineHealth>,
+        registry: &EngineRegistry,
+    ) -> Vec<OutlierReport> {
+        self.engine_gossip
+            .exchange(now, health, registry, self.control.membership_mut())
+    }
+
+    /// Leaves the fleet in order: the lease goes back, and no other gateway suspects this one.
+    pub fn leave(&mut self, now: Timestamp) {
+        self.control.leave(clock_readings(now));
+        self.flush();
+    }
+
+    /// This gateway's membership.
+    pub fn membership(&mut self) -> &mut Node {
+        self.control.membership_mut()
+    }
+
+    /// All counters as `name=value` pairs, each followed by a space. Their names are read by operators' tools.
+    pub fn counters(&mut self, now: Timestamp) -> String {
+        let membership = self.control.membership();
+        let mut text: String = membership
+            .metrics
+            .named_counts()
+            .iter()
+            .map(|(name, count)| format!("fleet_{name}={count} "))
+            .collect();
+        text += &format!(
+            "fleet_unlogged={} fleet_unsent={} fleet_size={} ",
+            self.event_log.suppressed(),
+            self.send_failures,
+            membership.fleet_size()
+        );
+        if let Some(leases) = self.control.quota_owner_mut() {
+            text += &leases.counters();
+        }
+        text += &format!("fleet_uncarried={} ", self.control.undelivered);
+        let membership = self.control.membership();
+        if let Some(last_heard) = membership.last_heard() {
+            let age_ms = (now - last_heard).secs() * 1e3;
+            text += &format!("fleet_heard_ms_ago={age_ms:.0} ");
+        }
+        text += &format!(
+            "fleet_table={} fleet_standing={} ",
+            membership.table_len(),
+            membership.view_state().name().replace(' ', "_")
+        );
+        text
+    }
+}
+
+impl Drop for ClusterEndpoint {
+    fn drop(&mut self) {
+        if let Some(registration) = self.registration.take() {
+            self.handle.remove(registration);
+        }
+    }
+}
+
+fn register(handle: &EventLoopHandle, socket: &Rc<UdpSocket>) -> io::Result<RegistrationToken> {
+    let source = Generic::new(socket.clone(), Interest::READ, Mode::Edge);
+    let on_readable = |_, _: &mut _, events: &mut LoopEvents| {
+        events.sources.push(EventSource::PeerGateways);
+        Ok(PostAction::Continue)
+    };
+    handle
+        .insert_source(source, on_readable)
+        .map_err(|error| io::Error::other(error.error))
+}
+
+fn clock_readings(now: Timestamp) -> ClockReadings {
+    ClockReadings {
+        now,
+        steady: boottime_now(),
+    }
+}
+
+/// The configuration's seed may be the same at every start, but the boot id that is drawn by this one must not be.
+fn boot_seed(now: Timestamp, seed: u64) -> u64 {
+    let process = u64::from(std::process::id()) << 32;
+    let start = (now - Timestamp::from_secs(0.0)).secs().to_bits();
+    seed ^ process ^ start
+}
--- /dev/null
+++ b/crates/gateway/src/cluster/key_folder.rs
@@ -0,0 +1,150 @@
+//! The folder of the fleet's keys: `NAME.key` for each accepted key, 64 hexadecimal digits, and `signs`, which names the
+//! signing key.
+
+use std::fs;
+use std::io;
+use std::path::{Path, PathBuf};
+
+use ::membership::{KeyError, KeyRing};
+use thiserror::Error;
+use zeroize::Zeroizing;
+
+use crate::keyfiles::{self, FilesError};
+
+/// Bytes of a key.
+const KEY_BYTES: usize = 32;
+/// Longest name of a key.
+const MAX_NAME_LEN: usize = 32;
+/// The file that names the signing key.
+const SIGNING_KEY_FILE: &str = "signs";
+
+/// Why the folder cannot be used or changed.
+#[derive(Debug, Error)]
+pub enum KeyFolderError {
+    /// A file cannot be read, written or removed.
+    #[error("{0}: {1}")]
+    Io(PathBuf, io::Error),
+    /// A key file cannot be used.
+    #[error(transparent)]
+    File(#[from] FilesError),
+    /// The keys make no key ring.
+    #[error("{0}: {1}")]
+    Keys(PathBuf, KeyError),
+    /// This file does not name a key of the folder, or names the key that was to be removed.
+    #[error("{0}: names no key of this folder")]
+    SigningKey(PathBuf),
+    /// This is not the name of a key.
+    #[error("'{0}' is no name of 1 to 32 letters, digits, underscores and hyphens")]
+    InvalidName(String),
+}
+
+/// The names of the keys of a folder.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct KeyNames {
+    /// Accepted keys, in order.
+    pub accepted: Vec<String>,
+    /// The name in the file `signs`, whether or not there is such a key; none: there is no such file.
+    pub signing: Option<String>,
+}
+
+fn check_name(name: &str) -> Result<(), KeyFolderError> {
+    let is_allowed = |c: char| c.is_ascii_alphanumeric() || c == '_' || c == '-';
+    let has_allowed_length = (1..=MAX_NAME_LEN).contains(&name.len());
+    if has_allowed_length && name.chars().all(is_allowed) {
+        Ok(())
+    } else {
+        Err(KeyFolderError::InvalidName(name.into()))
+    }
+}
+
+fn key_path(folder: &Path, name: &str) -> PathBuf {
+    folder.join(format!("{name}.key"))
+}
+
+fn key_name(path: &Path) -> Option<&str> {
+    let is_key = path.extension().is_some_and(|extension| extension == "key");
+    if !is_key {
+        return None;
+    }
+    path.file_stem()?.to_str()
+}
+
+/// Lists the keys of the folder.
+///
+/// # Errors
+/// The folder cannot be read.
+pub fn list(folder: &Path) -> Result<KeyNames, KeyFolderError> {
+    let io_error = |error| KeyFolderError::Io(folder.into(), error);
+    let mut accepted = Vec::new();
+    for entry in fs::read_dir(folder).map_err(io_error)? {
+        let path = entry.map_err(io_error)?.path();
+        accepted.extend(key_name(&path).map(str::to_owned));
+    }
+    accepted.sort();
+    let signing = fs::read_to_string(folder.join(SIGNING_KEY_FILE))
+        .ok()
+        .map(|text| text.trim().to_owned());
+    Ok(KeyNames { accepted, signing })
+}
+
+/// Reads all keys of the folder.
+///
+/// # Errors
+/// The folder or a key in it cannot be used, or no key signs.
+pub fn read(folder: &Path) -> Result<KeyRing, KeyFolderError> {
+    let KeyNames { accepted, signing } = list(folder)?;
+    let signing = signing
+        .filter(|signing| accepted.contains(signing))
+        .ok_or_else(|| KeyFolderError::SigningKey(folder.join(SIGNING_KEY_FILE)))?;
+    let mut others = Zeroizing::new(Vec::new());
+    for name in accepted.iter().filter(|name| **name != signing) {
+        others.push(*keyfiles::read_hex::<KEY_BYTES>(&key_path(folder, name))?);
+    }
+    let signing_key = keyfiles::read_hex::<KEY_BYTES>(&key_path(folder, &signing))?;
+    KeyRing::new(&signing_key, &others).map_err(|error| KeyFolderError::Keys(folder.into(), error))
+}
+
+/// Writes a new key, which is accepted wherever the folder is read. The first key of a folder signs.
+///
+/// # Errors
+/// The name is not allowed or taken, or a file cannot be written.
+pub fn add(folder: &Path, name: &str, key: &[u8; KEY_BYTES]) -> Result<(), KeyFolderError> {
+    check_name(name)?;
+    let path = key_path(folder, name);
+    if path.exists() {
+        return Err(FilesError::Exists(path).into());
+    }
+    keyfiles::write_secret(&path, keyfiles::hex(key).as_bytes())?;
+    if list(folder)?.signing.is_none() {
+        set_signing_key(folder, name)?;
+    }
+    Ok(())
+}
+
+/// Makes a key of the folder the signing one, from the next reading on.
+///
+/// # Errors
+/// There is no such key, or the file cannot be written.
+pub fn set_signing_key(folder: &Path, name: &str) -> Result<(), KeyFolderError> {
+    check_name(name)?;
+    let path = key_path(folder, name);
+    if !path.exists() {
+        return Err(KeyFolderError::SigningKey(path));
+    }
+    let content = format!("{name}\n");
+    keyfiles::write_public(&folder.join(SIGNING_KEY_FILE), content.as_bytes())?;
+    Ok(())
+}
+
+/// Removes a key: what it signed is accepted nowhere from the next reading on.
+///
+/// # Errors
+/// It signs, or is not there.
+pub fn remove(folder: &Path, name: &str) -> Result<(), KeyFolderError> {
+    check_name(name)?;
+    if list(folder)?.signing.as_deref() == Some(name) {
+        return Err(KeyFolderError::SigningKey(folder.join(SIGNING_KEY_FILE)));
+    }
+    let path = key_path(folder, name);
+    fs::remove_file(&path).map_err(|error| KeyFolderError::Io(path, error))
+}
--- a/crates/gateway/src/command.rs
+++ b/crates/gateway/src/command.rs
@@ -179,7 +179,7 @@
         .map_or("no operator's file".to_owned(), shown);
     let operated = Operated::read(operator, &config)?;
     if let Some((name, terms)) = &operated.fleet {
-        let keys = crate::fleet::files::read(&terms.keys_folder)?;
+        let keys = crate::cluster::key_folder::read(&terms.keys_folder)?;
         println!(
             "{file}: fleet {} is on; this is {name}, bound to {}, reached at {}",
             terms.fleet, terms.bind, terms.advertise
@@ -286,7 +286,7 @@
 }
 
 fn fleet_keys(command: FleetKeys) -> Done {
-    use crate::fleet::files;
+    use crate::cluster::key_folder;
     match command {
         FleetKeys::Add { folder, name } => {
             let mut key = zeroize::Zeroizing::new([0; 32]);
@@ -295,16 +295,16 @@
                 .fill(&mut *key)
                 .map_err(|_| "the machine gives no random bytes")?;
             std::fs::create_dir_all(&folder)?;
-            files::add(&folder, &name, &key)?;
+            key_folder::add(&folder, &name, &key)?;
         }
-        FleetKeys::Sign { folder, name } => files::sign(&folder, &name)?,
-        FleetKeys::Remove { folder, name } => files::remove(&folder, &name)?,
+        FleetKeys::Sign { folder, name } => key_folder::set_signing_key(&folder, &name)?,
+        FleetKeys::Remove { folder, name } => key_folder::remove(&folder, &name)?,
         FleetKeys::List { folder } => {
-            let (names, signs) = files::list(&folder)?;
-            for name in names {
+            let names = key_folder::list(&folder)?;
+            for name in names.accepted {
                 println!(
                     "{name}{}",
-                    if signs.as_ref() == Some(&name) {
+                    if names.signing.as_ref() == Some(&name) {
                         "  signs"
                     } else {
                         ""
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -3,13 +3,13 @@
 
 pub mod clients;
 pub mod clock;
+pub mod cluster;
 pub mod command;
 pub mod config;
 pub mod counters;
 pub mod credentials;
 pub mod discovery;
 pub mod engines;
-pub mod fleet;
 pub mod keyfiles;
 pub mod keywatch;
 pub mod lifecycle;
--- a/crates/gateway/src/lifecycle.rs
+++ b/crates/gateway/src/lifecycle.rs
@@ -17,11 +17,10 @@
 
 use crate::clients::{ProgressReports, SessionId, SessionLimits, Sessions};
 use crate::clock::{Clock, unix_now};
+use crate::cluster::{ClusterEndpoint, ClusterError, QuotaLeases};
 use crate::config::{Config, Operated};
 use crate::discovery::DiscoveryClient;
 use crate::engines::EngineTransport;
-use crate::fleet::parts::Parts;
-use crate::fleet::{Fleet, FleetError};
 use crate::keywatch::{self, Known, WatchError};
 use crate::service::Service;
 use crate::socket::{EventSource, LoopEvents};
@@ -84,7 +83,7 @@
     #[error(transparent)]
     Keys(#[from] KeyIndexError),
     #[error(transparent)]
-    Fleet(#[from] FleetError),
+    Cluster(#[from] ClusterError),
 }
 
 pub struct Lifecycle {
@@ -211,15 +210,15 @@
                 .map_err(|e| e.error)?;
         }
         if let Some((name, terms)) = &operated.fleet {
-            let mut fleet = Fleet::start(now, &handle, terms, name, config.seed)?;
+            let mut cluster = ClusterEndpoint::bind(now, &handle, terms, name, config.seed)?;
             if let Some(terms) = &operated.shares {
                 let classes = config.settings.class_names()?;
                 let (own, members) = (
-                    fleet.gateway().local_record().clone(),
+                    cluster.membership().local_record().clone(),
                     operated.member_names(),
                 );
                 let terms = terms.clone();
-                let parts = Parts::new(
+                let leases = QuotaLeases::new(
                     clock,
                     own.name,
                     own.boot_id,
@@ -228,10 +227,10 @@
                     &members,
                     config.seed,
                 );
-                fleet.join(parts);
+                cluster.set_quota_leases(leases);
                 info!("budgets are divided among all gateways");
             }
-            service.join(fleet);
+            service.set_cluster(cluster);
         }
         info!(name = config.name, "starting");
         Ok(Lifecycle {
@@ -356,7 +355,11 @@
             EventSource::Discovery(poll) => {
                 service.discovery.on_ready(now, poll, &mut service.counters)
             }
-            EventSource::PeerGateways => service.fleet().into_iter().for_each(Fleet::news),
+            EventSource::PeerGateways => {
+                if let Some(cluster) = service.cluster() {
+                    cluster.set_readable();
+                }
+            }
         }
     }
 
@@ -411,9 +414,9 @@
                 };
                 self.service.drain_deadline(now + by);
                 self.service
-                    .fleet()
+                    .cluster()
                     .into_iter()
-                    .for_each(|fleet| fleet.leave(now));
+                    .for_each(|cluster| cluster.leave(now));
             }
         }
     }
@@ -492,8 +495,8 @@
     }
 
     fn reload_fleet(&mut self, operated: &Operated) {
-        match (self.service.fleet(), &operated.fleet) {
-            (Some(fleet), Some((_, terms))) => match fleet.change(terms) {
+        match (self.service.cluster(), &operated.fleet) {
+            (Some(cluster), Some((_, terms))) => match cluster.reconfigure(terms) {
                 Ok(kept) => info!(?kept, seeds = terms.seeds.len(), "fleet: new terms"),
                 Err(error) => {
                     self.service.counters.reloads_failed += 1;
@@ -509,11 +512,13 @@
     fn reload_shares(&mut self, operated: &Operated) {
         let members = operated.member_names();
         match (
-            self.service.fleet().and_then(Fleet::parts),
+            self.service
+                .cluster()
+                .and_then(ClusterEndpoint::quota_leases),
             &operated.shares,
         ) {
-            (Some(parts), Some(terms)) => {
-                let kept = parts.change(terms.clone(), &members);
+            (Some(leases), Some(terms)) => {
+                let kept = leases.reconfigure(terms.clone(), &members);
                 info!(?kept, budgets = terms.budgets.len(), "shares: new budgets");
                 self.operated.shares = operated.shares.clone();
             }
@@ -583,8 +588,8 @@
         let now = self.clock.now();
         let fleet = self
             .service
-            .fleet()
-            .map_or_else(String::new, |fleet| fleet.counters(now));
+            .cluster()
+            .map_or_else(String::new, |cluster| cluster.counters(now));
         let service = &self.service;
         eprintln!(
             "counters: {}{fleet}open={} waiting={} sessions={} engines_open={} engines_benched={} polls_open={}",
--- a/crates/gateway/src/service/attempts.rs
+++ b/crates/gateway/src/service/attempts.rs
@@ -4,8 +4,8 @@
 use dispatch::{AttemptOrder, Decision, FollowUp};
 
 use super::Service;
+use crate::cluster::{AttemptCharge, ClusterEndpoint};
 use crate::engines::{AttemptUpdate, OutgoingAttempt};
-use crate::fleet::Fleet;
 
 impl Service {
     pub(super) fn reports(&mut self, now: Timestamp) -> bool {
@@ -43,13 +43,13 @@
         let completed = matches!(event, AttemptEvent::Completed { .. });
         let failed =
             !still_out && !completed && event != AttemptEvent::Cancelled && !in_flight.answered;
-        if let Some(parts) = self
-            .fleet
-            .as_mut()
-            .and_then(Fleet::parts)
-            .filter(|_| failed)
+        if failed
+            && let Some(leases) = self
+                .cluster
+                .as_mut()
+                .and_then(ClusterEndpoint::quota_leases)
         {
-            parts.wants_relay(in_flight.class);
+            leases.record_retry_demand(in_flight.class);
         }
         if completed && !in_flight.answered {
             let pages = report.pages;
@@ -84,9 +84,17 @@
         let Some(in_flight) = self.in_flight.get_mut(&id) else {
             return;
         };
-        if let Some(parts) = self.fleet.as_mut().and_then(Fleet::parts)
-            && (order.is_retry || order.outlier_probe)
-            && !parts.spend(in_flight.class, order.is_retry, order.outlier_probe)
+        let charge = AttemptCharge {
+            class: in_flight.class,
+            is_retry: order.is_retry,
+            is_outlier_probe: order.outlier_probe,
+        };
+        if (order.is_retry || order.outlier_probe)
+            && let Some(leases) = self
+                .cluster
+                .as_mut()
+                .and_then(ClusterEndpoint::quota_leases)
+            && !leases.charge(charge)
         {
             return self.unspent(now, id, order.attempt);
         }
--- a/crates/gateway/src/service/mod.rs
+++ b/crates/gateway/src/service/mod.rs
@@ -18,14 +18,13 @@
 use tracing::{info, warn};
 
 use crate::clients::{SessionId, Sessions};
+use crate::cluster::ClusterEndpoint;
 use crate::counters::Counters;
 use crate::discovery::DiscoveryClient;
 use crate::discovery::endpoints::DiscoveryEvent;
 use crate::discovery::registry::EngineRegistry;
 use crate::engines::protocol::{RequestId, StatementKeys};
 use crate::engines::{ConnectionId, EngineTransport};
-use crate::fleet::Fleet;
-use crate::fleet::parts::Flow;
 
 /// Network fact: the longest time that what has left is on its way to an engine.
 pub const WAY: Way = Way(TimeDelta::from_micros(50_000));
@@ -64,7 +63,7 @@
     /// Where there are lines: whose desk a statement waits at.
     resolver: Option<QueueResolver>,
     /// Where gateways know each other.
-    fleet: Option<Fleet>,
+    cluster: Option<ClusterEndpoint>,
     /// Where callers are to be known.
     token_verifier: Option<TokenVerifier>,
     /// Statements open by caller; leaves with the last of them.
@@ -108,7 +107,7 @@
             counters: Counters::default(),
             scheduler: Scheduler::new(Dispatcher::new(settings.policy(seed, WAY)?), queues),
             resolver,
-            fleet: None,
+            cluster: None,
             token_verifier: None,
             open: BTreeMap::new(),
             names: EngineRegistry::new(settings.location_names(), settings.machine_names()),
@@ -204,9 +203,12 @@
             self.discovery.next_due(),
         ];
         let end = self.ends.first().map(|end| end.0);
-        let fleet = self.fleet.as_ref().map(|fleet| fleet.next_due(now));
+        let cluster = self
+            .cluster
+            .as_ref()
+            .map(|cluster| cluster.next_wakeup(now));
         dues.into_iter()
-            .chain([end, fleet])
+            .chain([end, cluster])
             .flatten()
             .fold(self.wake, Timestamp::min)
     }
@@ -235,10 +237,11 @@
             news.into_iter().for_each(|news| self.heard(now, news));
         }
         self.leave(now);
-        if let Some(fleet) = &mut self.fleet {
-            fleet.turn(now);
-            let doubts = fleet.engines(now, self.scheduler.health(), &self.names);
-            self.scheduler.on_outlier_gossip(now, &doubts);
+        if let Some(cluster) = &mut self.cluster {
+            cluster.turn(now);
+            let outliers =
+                cluster.exchange_engine_health(now, self.scheduler.health(), &self.names);
+            self.scheduler.on_outlier_gossip(now, &outliers);
         }
         self.divided(now);
         let tick = self.scheduler.tick(now);
@@ -261,15 +264,15 @@
 
     /// What of the budgets of all is this gateway's at present, for the lines and the decisions.
     fn divided(&mut self, now: Timestamp) {
-        let Some(parts) = self.fleet.as_mut().and_then(Fleet::parts) else {
+        let Some(leases) = self
+            .cluster
+            .as_mut()
+            .and_then(ClusterEndpoint::quota_leases)
+        else {
             return;
         };
-        if parts.divides_members() {
-            let flows = self.scheduler.tenant_usage().into_iter().map(|usage| Flow {
-                wanted: usage.demanded,
-                paid: usage.spent,
-            });
-            let rates = parts.members(&flows.collect::<Vec<_>>());
+        if leases.shares_tenant_budgets() {
+            let rates = leases.update_tenants(&self.scheduler.tenant_usage());
             self.scheduler.set_leased_budgets(now, &rates);
         }
         let benched = self
@@ -277,8 +280,8 @@
             .engines()
             .filter(|engine| engine.ejected)
             .count();
-        let allowed = parts.allowed(self.scheduler.traffic_share(), self.peers, benched);
-        self.scheduler.on_quota(allowed);
+        let grant = leases.grant(self.scheduler.traffic_share(), self.peers, benched);
+        self.scheduler.on_quota(grant);
     }
 
     /// Statements in flight as the decisions hold them, against what is out on the sockets. A difference would have
@@ -313,11 +316,11 @@
     }
 
     /// Other gateways are to be known from now on.
-    pub fn join(&mut self, fleet: Fleet) {
-        self.fleet = Some(fleet);
+    pub fn set_cluster(&mut self, cluster: ClusterEndpoint) {
+        self.cluster = Some(cluster);
     }
 
-    pub fn fleet(&mut self) -> Option<&mut Fleet> {
-        self.fleet.as_mut()
+    pub fn cluster(&mut self) -> Option<&mut ClusterEndpoint> {
+        self.cluster.as_mut()
     }
 }
--- a/crates/gateway/src/service/shown.rs
+++ b/crates/gateway/src/service/shown.rs
@@ -8,8 +8,8 @@
 use super::Service;
 use crate::clients::protocol::Response;
 use crate::clients::{ProgressSubscriber, SessionId};
+use crate::cluster::ClusterEndpoint;
 use crate::engines::protocol::RequestId;
-use crate::fleet::Fleet;
 use crate::status;
 
 /// Desks that one status shows at most; those where something waits come first.
@@ -17,20 +17,24 @@
 
 impl Service {
     pub(super) fn tell_fleet(&mut self, now: Timestamp, session: SessionId, text: &Bytes) {
-        let Some(fleet) = &mut self.fleet else {
+        let Some(cluster) = &mut self.cluster else {
             return self.unknown(now, session, text);
         };
-        let rows = status::fleet(now, fleet.gateway());
+        let rows = status::fleet(now, cluster.membership());
         let table = |response: Response| response.table(status::FLEET, &rows);
         self.clients
             .respond(now, session, &mut self.counters, table);
     }
 
     pub(super) fn tell_shares(&mut self, now: Timestamp, session: SessionId, text: &Bytes) {
-        let Some(parts) = self.fleet.as_mut().and_then(Fleet::parts) else {
+        let Some(leases) = self
+            .cluster
+            .as_mut()
+            .and_then(ClusterEndpoint::quota_leases)
+        else {
             return self.unknown(now, session, text);
         };
-        let (steady, status) = parts.status();
+        let (steady, status) = leases.status();
         let rows = status::shares(steady, &status);
         let table = |response: Response| response.table(status::SHARES, &rows);
         self.clients
--- a/crates/gateway/tests/shares.rs
+++ b/crates/gateway/tests/shares.rs
@@ -312,7 +312,7 @@
     let over = fleet
         .lines(first)
         .iter()
-        .any(|line| line.fields["message"] == "shares: this gateway is steward no more");
+        .any(|line| line.fields["message"] == "quota: this gateway lost leadership");
     assert!(over, "{:?}", fleet.lines(first));
 }
 
@@ -438,7 +438,8 @@
         .unwrap();
     let _ = flood.end();
     let named = |line: &process_harness::fleet::Line| {
-        line.fields["message"] == "shares: files differ; the smaller whole of a voter counts"
+        line.fields["message"]
+            == "quota: configurations differ; the smallest capacity of a voter counts"
     };
     assert!(
         fleet.lines(first).iter().any(named),
--- a/crates/process_harness/src/fleet.rs
+++ b/crates/process_harness/src/fleet.rs
@@ -573,10 +573,10 @@
             for line in self.lines(at) {
                 let text = |field: &str| line.fields[field].as_str().unwrap_or("").to_owned();
                 let message = text("message");
-                if let Some(event) = message.strip_prefix("fleet: ") {
+                if let Some(event) = message.strip_prefix("membership: ") {
                     let what = match event {
-                        "another gateway" => format!("{} {}", text("gateway"), text("state")),
-                        "standing" => format!("standing {}", text("why")),
+                        "member changed" => format!("{} {}", text("gateway"), text("state")),
+                        "view state changed" => format!("standing {}", text("detail")),
                         other => other.to_owned(),
                     };
                     all.push((line.at, one.name.clone(), what));
--- a/crates/process_harness/src/scale/hollow.rs
+++ b/crates/process_harness/src/scale/hollow.rs
@@ -4,7 +4,7 @@
 use std::net::{SocketAddr, UdpSocket};
 
 use admission::interface::Timestamp;
-use control::{Control, Times};
+use control::{ClockReadings, ControlPlane, ReceiveQueue};
 use membership::{Event, KeyRing, Locality, Name, Node, NodeSetup};
 use operator_config::FleetTerms;
 use quota::{FleetQuotas, HolderId};
@@ -38,7 +38,7 @@
 
 pub struct Hollow {
     pub member: usize,
-    control: Control<FleetQuotas>,
+    control: ControlPlane<FleetQuotas>,
     pub socket: UdpSocket,
     unread: bool,
     rng: Pcg64Mcg,
@@ -47,9 +47,9 @@
 }
 
 /// Both clocks now.
-pub fn times() -> Times {
+pub fn times() -> ClockReadings {
     let moment = Timestamp::from_secs;
-    Times {
+    ClockReadings {
         now: moment(process::monotonic_s()),
         steady: moment(process::boottime_s()),
     }
@@ -92,9 +92,9 @@
             name: membership.local_record().name.clone(),
             boot_id: membership.local_record().boot_id,
         };
-        let mut control = Control::new(membership);
+        let mut control = ControlPlane::new(membership);
         if let Some(terms) = &plan.shares {
-            control.set_leases(FleetQuotas::new(
+            control.set_quota_owner(FleetQuotas::new(
                 times.steady,
                 own,
                 terms.clone(),
@@ -120,11 +120,11 @@
         self.unread = true;
     }
 
-    pub fn due(&self, times: Times) -> Timestamp {
+    pub fn due(&self, times: ClockReadings) -> Timestamp {
         if self.unread {
             times.now
         } else {
-            self.control.due(times)
+            self.control.next_wakeup(times)
         }
     }
 
@@ -146,12 +146,17 @@
         let began = process::thread_cpu_s();
         let now = times().now;
         self.read(now, layout, links);
-        self.control.turn(times(), !self.unread);
+        let receive_queue = if self.unread {
+            ReceiveQueue::Pending
+        } else {
+            ReceiveQueue::Drained
+        };
+        self.control.turn(times(), receive_queue);
         self.flush(layout, links, to_real);
         let events = self.control.membership_mut().take_events();
         let leases = self
             .control
-            .leases_mut()
+            .quota_owner_mut()
             .map(FleetQuotas::take_events)
             .unwrap_or_default();
         let chosen = leases
@@ -209,7 +214,7 @@
     }
 
     fn flush(&mut self, layout: &Layout, links: &Links, to_real: &mut [Usage]) {
-        for datagram in self.control.take_out() {
+        for datagram in self.control.take_datagrams() {
             self.usage.datagrams += 1;
             self.usage.bytes += datagram.bytes.len() as u64;
             let Some(to) = layout.member_at(datagram.to) else {
