--- a/crates/gateway/src/command/check.rs
+++ b/crates/gateway/src/command/check.rs
@@ -7,8 +7,8 @@
 use scheduler::Config as QueueConfig;
 
 use super::{CommandResult, config_path};
+use crate::cluster::key_folder;
 use crate::config::{Config, Operated};
-use crate::fleet;
 use crate::service::NETWORK_DELAY;
 
 /// Reads both files and prints them by sections.
@@ -49,7 +49,7 @@
 }
 
 fn print_fleet(file: &str, name: &Name, terms: &FleetTerms) -> CommandResult {
-    let keys = fleet::files::read(&terms.keys_folder)?;
+    let keys = key_folder::read(&terms.keys_folder)?;
     println!(
         "{file}: fleet {} is on; this is {name}, bound to {}, reached at {}",
         terms.fleet, terms.bind, terms.advertise
--- a/crates/gateway/src/lifecycle/mod.rs
+++ b/crates/gateway/src/lifecycle/mod.rs
@@ -25,8 +25,8 @@
 use self::timer::WakeTimer;
 use crate::clients::SessionId;
 use crate::clock::Clock;
+use crate::cluster::{ClusterEndpoint, ClusterError};
 use crate::config::{Config, Operated};
-use crate::fleet::{Fleet, FleetError};
 use crate::keywatch::WatchError;
 use crate::service::Service;
 use crate::socket::{EventSource, LoopEvents};
@@ -54,7 +54,7 @@
     Keys(#[from] KeyIndexError),
     /// The fleet cannot be joined.
     #[error(transparent)]
-    Fleet(#[from] FleetError),
+    Cluster(#[from] ClusterError),
 }
 
 /// One gateway, from its start to its exit.
@@ -149,8 +149,8 @@
             }
             EventSource::Discovery(poll) => service.discovery.on_ready(now, poll, counters),
             EventSource::PeerGateways => {
-                if let Some(fleet) = service.fleet() {
-                    fleet.news();
+                if let Some(cluster) = service.cluster() {
+                    cluster.set_readable();
                 }
             }
         }
@@ -178,8 +178,8 @@
         info!("draining");
         self.phase = draining;
         self.service.drain_by(now + self.drain_times.answered);
-        if let Some(fleet) = self.service.fleet() {
-            fleet.leave(now);
+        if let Some(cluster) = self.service.cluster() {
+            cluster.leave(now);
         }
     }
 
@@ -242,8 +242,10 @@
         let now = self.clock.now();
         let fleet = self
             .service
-            .fleet()
-            .map_or_else(String::new, |fleet: &mut Fleet| fleet.counters(now));
+            .cluster()
+            .map_or_else(String::new, |cluster: &mut ClusterEndpoint| {
+                cluster.counters(now)
+            });
         let service = &self.service;
         eprintln!(
             "counters: {}{fleet}open={} waiting={} sessions={} engine_connections_open={} engines_ejected={} discovery_polls_open={}",
--- a/crates/gateway/src/service/mod.rs
+++ b/crates/gateway/src/service/mod.rs
@@ -32,11 +32,11 @@
 use self::schedule::Schedule;
 use self::statements::OpenStatements;
 use crate::clients::Sessions;
+use crate::cluster::ClusterEndpoint;
 use crate::counters::Counters;
 use crate::discovery::DiscoveryClient;
 use crate::discovery::registry::EngineRegistry;
 use crate::engines::EngineTransport;
-use crate::fleet::Fleet;
 
 /// The longest time that what was sent is on its way to an engine.
 pub const NETWORK_DELAY: NetworkDelay = NetworkDelay(TimeDelta::from_micros(50_000));
@@ -74,7 +74,7 @@
     /// Where there are queues: which sub-queue a statement waits in.
     sub_queues: Option<QueueResolver>,
     /// Where gateways know each other.
-    fleet: Option<Fleet>,
+    cluster: Option<ClusterEndpoint>,
     callers: Callers,
     endpoints: EndpointList,
     catalog: Catalog,
@@ -97,8 +97,8 @@
             ..
         } = config;
         let dispatcher = Dispatcher::new(settings.policy(seed, NETWORK_DELAY)?);
-        let tenant_queues =
-            queues.map(|queues| TenantQueues::new(now, queues.clone(), settings.class_count(), seed));
+        let tenant_queues = queues
+            .map(|queues| TenantQueues::new(now, queues.clone(), settings.class_count(), seed));
         let registry = EngineRegistry::new(settings.location_names(), settings.machine_names());
         Ok(Service {
             sessions: config.sessions,
@@ -107,7 +107,7 @@
             counters: Counters::default(),
             scheduler: Scheduler::new(dispatcher, tenant_queues),
             sub_queues: queues.map(QueueResolver::new),
-            fleet: None,
+            cluster: None,
             callers: Callers::default(),
             endpoints: EndpointList {
                 registry,
@@ -177,7 +177,9 @@
             self.sessions.next_due(now),
             self.discovery.next_due(),
             self.statements.next_deadline(),
-            self.fleet.as_ref().map(|fleet| fleet.next_due(now)),
+            self.cluster
+                .as_ref()
+                .map(|cluster| cluster.next_wakeup(now)),
         ];
         due.into_iter()
             .flatten()
--- a/crates/gateway/src/service/quotas.rs
+++ b/crates/gateway/src/service/quotas.rs
@@ -4,18 +4,17 @@
 use scheduler::Scheduler;
 
 use super::Service;
-use crate::fleet::Fleet;
-use crate::fleet::parts::Flow;
+use crate::cluster::ClusterEndpoint;
 
 impl Service {
     /// Other gateways are known from now on.
-    pub fn join_fleet(&mut self, fleet: Fleet) {
-        self.fleet = Some(fleet);
+    pub fn set_cluster(&mut self, cluster: ClusterEndpoint) {
+        self.cluster = Some(cluster);
     }
 
     /// The other gateways, where they are known.
-    pub fn fleet(&mut self) -> Option<&mut Fleet> {
-        self.fleet.as_mut()
+    pub fn cluster(&mut self) -> Option<&mut ClusterEndpoint> {
+        self.cluster.as_mut()
     }
 
     /// EngineTransport that are ejected now.
@@ -26,32 +25,30 @@
 
     /// Exchanges what is known of engines with the other gateways.
     pub(super) fn gossip_outliers(&mut self, now: Timestamp) {
-        let Some(fleet) = &mut self.fleet else {
+        let Some(cluster) = &mut self.cluster else {
             return;
         };
-        fleet.turn(now);
-        let reports = fleet.engines(now, self.scheduler.health(), &self.endpoints.registry);
+        cluster.turn(now);
+        let reports =
+            cluster.exchange_engine_health(now, self.scheduler.health(), &self.endpoints.registry);
         self.scheduler.on_outlier_gossip(now, &reports);
     }
 
     /// Tells the queues and the decisions what this gateway may use of shared quotas at present.
     pub(super) fn update_quotas(&mut self, now: Timestamp) {
-        let Some(parts) = self.fleet.as_mut().and_then(Fleet::parts) else {
+        let Some(leases) = self
+            .cluster
+            .as_mut()
+            .and_then(ClusterEndpoint::quota_leases)
+        else {
             return;
         };
-        if parts.divides_members() {
-            let usage = self.scheduler.tenant_usage().into_iter();
-            let flows: Vec<Flow> = usage
-                .map(|usage| Flow {
-                    wanted: usage.demanded,
-                    paid: usage.spent,
-                })
-                .collect();
-            let rates = parts.members(&flows);
+        if leases.shares_tenant_budgets() {
+            let rates = leases.update_tenants(&self.scheduler.tenant_usage());
             self.scheduler.set_leased_budgets(now, &rates);
         }
         let ejected = count_ejected(&self.scheduler);
-        let grant = parts.allowed(self.scheduler.traffic_share(), self.catalog.peers, ejected);
+        let grant = leases.grant(self.scheduler.traffic_share(), self.catalog.peers, ejected);
         self.scheduler.on_quota(grant);
     }
 }
--- a/crates/gateway/src/service/show.rs
+++ b/crates/gateway/src/service/show.rs
@@ -8,8 +8,8 @@
 use super::Service;
 use crate::clients::protocol::Response;
 use crate::clients::{ProgressSubscriber, SessionId};
+use crate::cluster::ClusterEndpoint;
 use crate::engines::protocol::RequestId;
-use crate::fleet::Fleet;
 use crate::status;
 
 /// Sub-queues that one `SHOW QUEUE` lists at most; those where something waits come first.
@@ -21,21 +21,25 @@
 impl Service {
     /// `SHOW FLEET`.
     pub(super) fn show_fleet(&mut self, now: Timestamp, session: SessionId, query: &Bytes) {
-        let Some(fleet) = &mut self.fleet else {
+        let Some(cluster) = &mut self.cluster else {
             self.on_unsupported_show(now, session, query);
             return;
         };
-        let rows = status::fleet(now, fleet.gateway());
+        let rows = status::fleet(now, cluster.membership());
         self.respond_table(now, session, status::FLEET, &rows);
     }
 
     /// `SHOW SHARES`.
     pub(super) fn show_shares(&mut self, now: Timestamp, session: SessionId, query: &Bytes) {
-        let Some(parts) = self.fleet.as_mut().and_then(Fleet::parts) else {
+        let Some(leases) = self
+            .cluster
+            .as_mut()
+            .and_then(ClusterEndpoint::quota_leases)
+        else {
             self.on_unsupported_show(now, session, query);
             return;
         };
-        let (lease_clock_now, shares) = parts.status();
+        let (lease_clock_now, shares) = leases.status();
         let rows = status::shares(lease_clock_now, &shares);
         self.respond_table(now, session, status::SHARES, &rows);
     }
