--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -1,41 +1,55 @@
-//! The Unix clock as moments. Read once, then run on by the monotonic clock: a step of the system's clock
-//! would end attempts early or never.
+//! The clocks of this machine, read as [`Timestamp`]s.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use admission::interface::Timestamp;
+use rustix::time::{ClockId, clock_gettime};
 
+const NANOS_PER_SECOND: f64 = 1e9;
+
+/// The Unix time, read once and then run on by the monotonic clock: a step of the system's clock would end attempts early
+/// or never.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
-    unix: Duration,
-    at: Instant,
+    /// The Unix time at the start.
+    started_unix: Duration,
+    /// The same point on the monotonic clock.
+    started: Instant,
 }
 
 impl Clock {
+    /// A clock that begins with the Unix time as the machine tells it now.
+    #[must_use]
     pub fn start() -> Self {
         Clock {
-            unix: since_epoch(),
-            at: Instant::now(),
+            started_unix: since_epoch(),
+            started: Instant::now(),
         }
     }
 
+    /// The time now. It never steps, so that it measures lengths of time.
+    #[must_use]
     pub fn now(&self) -> Timestamp {
-        Timestamp::from_secs((self.unix + self.at.elapsed()).as_secs_f64())
+        Timestamp::from_secs((self.started_unix + self.started.elapsed()).as_secs_f64())
     }
 
-    /// A clock of this machine that nobody sets, and that runs on while the machine sleeps: what was leased ends by it.
+    /// See [`boottime_now`].
+    #[must_use]
     pub fn boottime_now(&self) -> Timestamp {
         boottime_now()
     }
 
-    /// The same point on the monotonic clock; the past counts as now.
-    pub fn to_instant(&self, moment: Timestamp) -> Instant {
-        let left = (moment - self.now()).secs().max(0.0);
-        Instant::now() + Duration::from_secs_f64(left)
+    /// The same point in time on the monotonic clock; the past counts as now.
+    #[must_use]
+    pub fn to_instant(&self, timestamp: Timestamp) -> Instant {
+        let remaining_s = (timestamp - self.now()).secs().max(0.0);
+        Instant::now() + Duration::from_secs_f64(remaining_s)
     }
 }
 
-/// The Unix time as the machine tells it now, for what other machines dated: it may step, and is no measure of spans.
+/// The Unix time as the machine tells it now, to compare with what other machines dated. It may step, so it does not measure
+/// lengths of time.
+#[must_use]
 pub fn unix_now() -> Timestamp {
     Timestamp::from_secs(since_epoch().as_secs_f64())
 }
@@ -46,8 +60,9 @@
         .unwrap_or_default()
 }
 
-/// See [`Clock::boottime_now`].
+/// The time since the machine started. Nobody sets this clock, and it runs on while the machine sleeps: leases end by it.
+#[must_use]
 pub fn boottime_now() -> Timestamp {
-    let now = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
-    Timestamp::from_secs(now.tv_sec as f64 + now.tv_nsec as f64 / 1e9)
+    let now = clock_gettime(ClockId::Boottime);
+    Timestamp::from_secs(now.tv_sec as f64 + now.tv_nsec as f64 / NANOS_PER_SECOND)
 }
--- /dev/null
+++ b/crates/gateway/src/engines/attempt_timers.rs
@@ -0,0 +1,74 @@
+//! When attempts time out, and when those that have not left are withdrawn.
+
+use std::collections::BTreeSet;
+
+use admission::interface::{StatementId, Timestamp};
+
+use super::attempt::AttemptId;
+
+/// The timers of all attempts in flight.
+#[derive(Default)]
+pub(super) struct AttemptTimers {
+    /// One for each attempt in flight.
+    deadlines: BTreeSet<(Timestamp, AttemptId)>,
+    /// Removed only as they expire, so that some are of attempts that have ended.
+    send_limits: BTreeSet<(Timestamp, AttemptId)>,
+}
+
+impl AttemptTimers {
+    /// Starts the timers of an attempt.
+    pub fn start(&mut self, id: AttemptId, deadline: Timestamp, send_by: Option<Timestamp>) {
+        self.deadlines.insert((deadline, id));
+        if let Some(send_by) = send_by {
+            self.send_limits.insert((send_by, id));
+        }
+    }
+
+    /// Stops the deadline of an attempt that has ended.
+    pub fn stop_deadline(&mut self, id: AttemptId, deadline: Timestamp) {
+        self.deadlines.remove(&(deadline, id));
+    }
+
+    /// Moves later deadlines to `latest`.
+    pub fn cap_deadlines(&mut self, latest: Timestamp) {
+        self.deadlines = std::mem::take(&mut self.deadlines)
+            .into_iter()
+            .map(|(deadline, id)| (deadline.min(latest), id))
+            .collect();
+    }
+
+    /// Takes out the earliest deadline that has passed.
+    pub fn pop_deadline(&mut self, now: Timestamp) -> Option<AttemptId> {
+        pop_expired(&mut self.deadlines, now)
+    }
+
+    /// Takes out the earliest send limit that has passed.
+    pub fn pop_send_limit(&mut self, now: Timestamp) -> Option<AttemptId> {
+        pop_expired(&mut self.send_limits, now)
+    }
+
+    /// When the next timer expires.
+    pub fn next(&self) -> Option<Timestamp> {
+        let deadline = self.deadlines.first().map(|(at, _)| *at);
+        let send_limit = self.send_limits.first().map(|(at, _)| *at);
+        deadline.into_iter().chain(send_limit).min()
+    }
+
+    /// The deadlines of a statement's attempts.
+    pub fn deadlines_of(
+        &self,
+        statement: StatementId,
+    ) -> impl Iterator<Item = &(Timestamp, AttemptId)> {
+        self.deadlines
+            .iter()
+            .filter(move |(_, id)| id.statement == statement)
+    }
+}
+
+fn pop_expired(timers: &mut BTreeSet<(Timestamp, AttemptId)>, now: Timestamp) -> Option<AttemptId> {
+    let (at, _) = timers.first()?;
+    if *at > now {
+        return None;
+    }
+    timers.pop_first().map(|(_, id)| id)
+}
--- a/crates/gateway/src/socket.rs
+++ b/crates/gateway/src/socket.rs
@@ -1,8 +1,11 @@
-//! One non-blocking socket with its buffers. Registered once, edge-triggered, for both directions: whoever
-//! is told of it reads until nothing is left, and writes whenever something is to be written.
+//! One non-blocking socket with its buffers, and what the event loop tells of sockets.
+//!
+//! A socket is registered once, edge-triggered, for both directions. Whoever gets its event reads until nothing is left,
+//! and writes whenever something is to be written.
 
 use std::io::{self, ErrorKind, Read, Write};
-use std::net::{SocketAddr, TcpStream};
+use std::net::{Shutdown, SocketAddr, TcpStream};
+use std::ops::Range;
 use std::os::fd::OwnedFd;
 use std::rc::Rc;
 use std::sync::Arc;
@@ -28,115 +31,146 @@
     libc::tcp_info
 );
 
-/// This machine or program is out of descriptors or buffers; the peer has no part in it.
+/// Whether an error means that this machine or process is out of descriptors, buffers or ports; the peer has no part in it.
+#[must_use]
 pub fn is_resource_exhaustion(error: &io::Error) -> bool {
     use rustix::io::Errno;
-    let short = [
+    let exhausted = [
         Errno::MFILE,
         Errno::NFILE,
         Errno::NOBUFS,
         Errno::NOMEM,
         Errno::ADDRNOTAVAIL,
     ];
-    Errno::from_io_error(error).is_some_and(|errno| short.contains(&errno))
+    Errno::from_io_error(error).is_some_and(|errno| exhausted.contains(&errno))
 }
 
-/// Whom a readiness is for.
+/// What a readiness event is of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum EventSource {
+    /// The listener for clients.
     Listener,
+    /// The session of this number.
     Client(u32),
+    /// A connection to an engine.
     Engine(ConnectionId),
+    /// The poll of the discovery service of this number.
     Discovery(u64),
-    /// Datagrams of other gateways.
+    /// The datagram socket to other gateways.
     PeerGateways,
 }
 
-/// What one sleep of the loop brought: sources only note it, it is worked off in turn afterwards.
+/// What one wait of the event loop brought. Event sources only note it here; it is processed in order afterwards.
 #[derive(Default)]
 pub struct LoopEvents {
+    /// Sources that are ready, in the order in which they became so; one may stand here twice.
     pub sources: Vec<EventSource>,
+    /// Signals that came.
     pub signals: Vec<calloop::signals::Signal>,
-    /// The timer has fired, and is gone.
+    /// The timer has fired, and is removed.
     pub timer_fired: bool,
     /// Key files that changed, or why they cannot be used.
     pub key_changes: Vec<Result<Known, WatchError>>,
 }
 
+/// A handle of the event loop, by which sources are registered.
 pub type EventLoopHandle = LoopHandle<'static, LoopEvents>;
 
-/// Read at most so much at a time; what a peer may leave unread in `read_buffer` is each user's bound.
-const CHUNK: usize = 16 << 10;
+/// The most that is read from the machine at a time, and the largest write buffer that an idle socket keeps, in bytes.
+const CHUNK_BYTES: usize = 16 << 10;
 
+const MICROS_PER_MILLI: i64 = 1000;
+
+/// A connection to a client, an engine or the discovery service; it closes as it is dropped.
 pub struct Socket {
     stream: Rc<TcpStream>,
-    token: Option<RegistrationToken>,
-    handle: EventLoopHandle,
+    /// None once it is dropped.
+    registration: Option<RegistrationToken>,
+    event_loop: EventLoopHandle,
+    /// What the peer sent and nobody has processed yet. Its bound is its user's, by [`read_up_to`](Self::read_up_to).
     pub read_buffer: BytesMut,
-    out: BytesMut,
-    /// Bytes accepted by the machine so far, of all ever put.
+    write_buffer: BytesMut,
+    /// Bytes that the machine has taken so far, of all that were ever enqueued. Within TLS these are bytes of its records.
     pub bytes_written: u64,
+    /// Bytes that were ever enqueued, less those that were retracted.
     pub bytes_enqueued: u64,
-    /// The peer has ended its direction.
+    /// The peer has finished its direction.
     pub peer_finished: bool,
-    /// We have ended ours.
-    finished: bool,
-    /// The machine may still hold bytes that no edge will announce again.
-    unread: bool,
-    /// From the start of its handshake on: what is read and written goes through it.
+    /// This side has finished its own.
+    write_finished: bool,
+    /// The machine may hold bytes that no further event will tell of.
+    may_be_readable: bool,
+    /// From the start of its handshake on, all that is read and written goes through it.
     tls: Option<Box<ServerConnection>>,
 }
 
 impl Socket {
-    pub fn new(stream: TcpStream, handle: &EventLoopHandle, peer: EventSource) -> io::Result<Self> {
+    /// A socket of a stream that is up, or coming up. Its events are noted as those of `source`.
+    ///
+    /// # Errors
+    ///
+    /// The stream cannot be set up, or the event loop cannot take it.
+    pub fn new(
+        stream: TcpStream,
+        event_loop: &EventLoopHandle,
+        source: EventSource,
+    ) -> io::Result<Self> {
         stream.set_nonblocking(true)?;
-        // Answers and attempts are small and whole: waiting to fill a segment only delays them.
+        // Responses and attempts are small and written at once: waiting to fill a segment would only delay them.
         stream.set_nodelay(true)?;
         let stream = Rc::new(stream);
-        let source = Generic::new(stream.clone(), Interest::BOTH, Mode::Edge);
-        let token = handle
-            .insert_source(source, move |_, _, events: &mut LoopEvents| {
-                events.sources.push(peer);
+        let readiness = Generic::new(stream.clone(), Interest::BOTH, Mode::Edge);
+        let registration = event_loop
+            .insert_source(readiness, move |_, _, events: &mut LoopEvents| {
+                events.sources.push(source);
                 Ok(PostAction::Continue)
             })
-            .map_err(|e| io::Error::other(e.error))?;
+            .map_err(|error| io::Error::other(error.error))?;
         Ok(Socket {
             stream,
-            token: Some(token),
-            handle: handle.clone(),
+            registration: Some(registration),
+            event_loop: event_loop.clone(),
             read_buffer: BytesMut::new(),
-            out: BytesMut::new(),
+            write_buffer: BytesMut::new(),
             bytes_written: 0,
             bytes_enqueued: 0,
             peer_finished: false,
-            finished: false,
-            unread: true,
+            write_finished: false,
+            may_be_readable: true,
             tls: None,
         })
     }
 
-    /// Starts to connect; `connected` tells how it went.
+    /// Starts to connect; [`is_connected`](Self::is_connected) tells how it went.
+    ///
+    /// # Errors
+    ///
+    /// The connection cannot be started.
     pub fn connect(
-        to: SocketAddr,
-        handle: &EventLoopHandle,
-        peer: EventSource,
+        address: SocketAddr,
+        event_loop: &EventLoopHandle,
+        source: EventSource,
     ) -> io::Result<Self> {
-        let family = if to.is_ipv4() {
+        let family = if address.is_ipv4() {
             AddressFamily::INET
         } else {
             AddressFamily::INET6
         };
         let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
         let fd: OwnedFd = socket_with(family, SocketType::STREAM, flags, Some(ipproto::TCP))?;
-        match connect(&fd, &to) {
+        match connect(&fd, &address) {
             Ok(()) | Err(rustix::io::Errno::INPROGRESS) => {
-                Self::new(TcpStream::from(fd), handle, peer)
+                Self::new(TcpStream::from(fd), event_loop, source)
             }
             Err(error) => Err(error.into()),
         }
     }
 
-    /// Whether the connection is up; an error if it failed.
+    /// Whether the connection is up; false while it is coming up.
+    ///
+    /// # Errors
+    ///
+    /// It failed.
     pub fn is_connected(&self) -> io::Result<bool> {
         sockopt::socket_error(&*self.stream)??;
         match self.stream.peer_addr() {
@@ -146,33 +180,41 @@
         }
     }
 
-    /// An edge told that there is something to read, or the peer's end.
+    /// There may be something to read, or the peer's end: an event of the socket told so.
     pub fn mark_readable(&mut self) {
-        self.unread = true;
+        self.may_be_readable = true;
     }
 
-    /// All from here on is TLS, what has come already too: bytes put before the handshake are no command of anybody.
+    /// Starts TLS, as its server. All from here on is TLS, what has come already too: bytes that were sent before the
+    /// handshake must not count as a command.
+    ///
+    /// # Errors
+    ///
+    /// The configuration cannot be used, or what has come is no TLS.
     pub fn start_tls(&mut self, config: Arc<ServerConfig>) -> io::Result<()> {
         let mut tls = ServerConnection::new(config).map_err(io::Error::other)?;
-        // What may wait to be written is bounded by who puts it.
+        // What may wait to be written is bounded by whoever enqueues it.
         tls.set_buffer_limit(None);
         self.tls = Some(Box::new(tls));
-        let come = self.read_buffer.split();
-        self.decrypt(&come)
+        let received = self.read_buffer.split();
+        self.take_received(&received)
     }
 
+    /// Whether TLS was started.
+    #[must_use]
     pub fn is_tls(&self) -> bool {
         self.tls.is_some()
     }
 
-    /// Takes bytes of the peer's: as they are, or what they say through TLS. A record of no use ends the connection.
-    fn decrypt(&mut self, mut come: &[u8]) -> io::Result<()> {
+    /// Takes what the peer sent into the read buffer, within TLS its plain text. A record that cannot be used is an error,
+    /// which ends the connection.
+    fn take_received(&mut self, mut received: &[u8]) -> io::Result<()> {
         let Some(tls) = &mut self.tls else {
-            self.read_buffer.extend_from_slice(come);
+            self.read_buffer.extend_from_slice(received);
             return Ok(());
         };
-        while !come.is_empty() {
-            tls.read_tls(&mut come)?;
+        while !received.is_empty() {
+            tls.read_tls(&mut received)?;
             let state = match tls.process_new_packets() {
                 Ok(state) => state,
                 Err(error) => {
@@ -183,138 +225,161 @@
                     return Err(io::Error::new(ErrorKind::InvalidData, error));
                 }
             };
-            let before = self.read_buffer.len();
-            self.read_buffer
-                .resize(before + state.plaintext_bytes_to_read(), 0);
-            tls.reader().read_exact(&mut self.read_buffer[before..])?;
+            let plain_text_start = self.read_buffer.len();
+            let plain_text_end = plain_text_start + state.plaintext_bytes_to_read();
+            self.read_buffer.resize(plain_text_end, 0);
+            tls.reader()
+                .read_exact(&mut self.read_buffer[plain_text_start..])?;
             self.peer_finished |= state.peer_has_closed();
         }
         Ok(())
     }
 
-    /// Reads what is there, up to `bound` in the read_buffer: a peer that sends without end gets no more of a turn.
-    /// An read_buffer has the size of what waits in it, not of what could.
-    pub fn read_up_to(&mut self, bound: usize) -> io::Result<()> {
-        let mut chunk = [0; CHUNK];
-        while self.unread && !self.peer_finished && self.read_buffer.len() < bound {
+    /// Reads what is there, until the read buffer holds `limit` bytes or somewhat more: a peer that sends without end gets
+    /// no more of a turn. The buffer has the size of what waits in it, and not of what could.
+    ///
+    /// # Errors
+    ///
+    /// The connection failed, or brought what is no TLS.
+    pub fn read_up_to(&mut self, limit: usize) -> io::Result<()> {
+        let mut chunk = [0; CHUNK_BYTES];
+        while self.may_have_more() && self.read_buffer.len() < limit {
             match (&*self.stream).read(&mut chunk) {
                 Ok(0) => self.peer_finished = true,
-                Ok(n) => self.decrypt(&chunk[..n])?,
+                Ok(length) => self.take_received(&chunk[..length])?,
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
-                Err(error) if error.kind() == ErrorKind::WouldBlock => self.unread = false,
+                Err(error) if error.kind() == ErrorKind::WouldBlock => self.may_be_readable = false,
                 Err(error) => return Err(error),
             }
         }
         Ok(())
     }
 
-    /// More may be there than there was room for.
+    /// Whether there may be more to read than the last [`read_up_to`](Self::read_up_to) had room for.
+    #[must_use]
     pub fn may_have_more(&self) -> bool {
-        self.unread && !self.peer_finished
+        self.may_be_readable && !self.peer_finished
     }
 
-    /// Whether the peer's end stands behind bytes for which there is no room. Asked for where `fill` may not read on:
-    /// an end that is only found by reading would stay unseen for as long as the bytes before it wait.
+    /// Whether the peer has finished behind bytes for which there is no room. To be asked where
+    /// [`read_up_to`](Self::read_up_to) may not read on: an end that is found only by reading would stay unseen for as
+    /// long as the bytes before it wait.
+    ///
+    /// # Errors
+    ///
+    /// The connection was reset.
     pub fn peer_hung_up(&self) -> io::Result<bool> {
-        let mut of = [PollFd::new(&*self.stream, PollFlags::RDHUP)];
-        let now = Timespec {
+        let mut watched = [PollFd::new(&*self.stream, PollFlags::RDHUP)];
+        let no_wait = Timespec {
             tv_sec: 0,
             tv_nsec: 0,
         };
         // A machine that cannot tell has not told of an end.
-        if poll(&mut of, Some(&now)).is_err() {
+        if poll(&mut watched, Some(&no_wait)).is_err() {
             return Ok(false);
         }
-        let seen = of[0].revents();
-        if seen.intersects(PollFlags::ERR | PollFlags::HUP) {
+        let events = watched[0].revents();
+        if events.intersects(PollFlags::ERR | PollFlags::HUP) {
             return Err(ErrorKind::ConnectionReset.into());
         }
-        Ok(seen.contains(PollFlags::RDHUP))
+        Ok(events.contains(PollFlags::RDHUP))
     }
 
-    /// When the peer's last segment came to this machine, whether or not it was read since: its end, if it has ended. What
-    /// it acknowledges counts too. Now where the machine cannot tell.
+    /// When the peer's last segment came to this machine, whether or not it was read since: its end, if it has finished. A
+    /// segment that only acknowledges counts too. `now` where the machine cannot tell.
+    #[must_use]
     pub fn last_received(&self, now: Timestamp) -> Timestamp {
         let silent_ms =
             getsockopt(&*self.stream, TcpInfo).map_or(0, |info| info.tcpi_last_ack_recv);
-        now + TimeDelta::from_micros(-i64::from(silent_ms) * 1000)
+        now + TimeDelta::from_micros(-i64::from(silent_ms) * MICROS_PER_MILLI)
     }
 
+    /// Puts bytes behind those that are to be written; [`flush`](Self::flush) writes them.
     pub fn enqueue(&mut self, bytes: &[u8]) {
         self.bytes_enqueued += bytes.len() as u64;
         match &mut self.tls {
             // Into its buffer, which has no limit: this cannot fail.
             Some(tls) => drop(tls.writer().write_all(bytes)),
-            None => self.out.extend_from_slice(bytes),
+            None => self.write_buffer.extend_from_slice(bytes),
         }
     }
 
-    /// Writes what the machine takes; the rest follows when an edge tells of room.
+    /// Writes what the machine takes; the rest follows when an event tells that there is room.
+    ///
+    /// # Errors
+    ///
+    /// The connection failed.
     pub fn flush(&mut self) -> io::Result<()> {
         while let Some(tls) = self.tls.as_mut().filter(|tls| tls.wants_write()) {
-            tls.write_tls(&mut (&mut self.out).writer())?;
+            tls.write_tls(&mut (&mut self.write_buffer).writer())?;
         }
-        while !self.out.is_empty() {
-            match (&*self.stream).write(&self.out) {
+        while !self.write_buffer.is_empty() {
+            match (&*self.stream).write(&self.write_buffer) {
                 Ok(0) => return Err(ErrorKind::WriteZero.into()),
-                Ok(n) => {
-                    self.bytes_written += n as u64;
-                    self.out.advance(n);
+                Ok(length) => {
+                    self.bytes_written += length as u64;
+                    self.write_buffer.advance(length);
                 }
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return Ok(()),
                 Err(error) => return Err(error),
             }
         }
-        // An idle peer keeps no memory of its largest answer.
-        if self.out.capacity() > CHUNK {
-            self.out = BytesMut::new();
+        // An idle peer keeps no memory of its largest response.
+        if self.write_buffer.capacity() > CHUNK_BYTES {
+            self.write_buffer = BytesMut::new();
         }
         Ok(())
     }
 
-    /// Takes bytes back that were put and of which nothing has left; what was put behind them moves up. True: they are
-    /// gone, and were never written. Bytes within TLS cannot be taken back.
-    pub fn retract(&mut self, from: u64, to: u64) -> bool {
-        if self.tls.is_some() || from < self.bytes_written || to > self.bytes_enqueued || from >= to
-        {
+    /// Takes enqueued bytes back, by their place among all that were ever enqueued; what stands behind them moves up. True:
+    /// they are gone, and were never written. False: some have been written, or there is no such range. Bytes within TLS
+    /// cannot be taken back.
+    pub fn retract(&mut self, bytes: Range<u64>) -> bool {
+        let is_unwritten = bytes.start >= self.bytes_written && bytes.end <= self.bytes_enqueued;
+        if self.is_tls() || !is_unwritten || bytes.is_empty() {
             return false;
         }
-        let (from, to) = (
-            (from - self.bytes_written) as usize,
-            (to - self.bytes_written) as usize,
-        );
-        let behind = self.out.split_off(to);
-        self.out.truncate(from);
-        self.out.unsplit(behind);
-        self.bytes_enqueued -= (to - from) as u64;
+        let start = (bytes.start - self.bytes_written) as usize;
+        let end = (bytes.end - self.bytes_written) as usize;
+        let behind = self.write_buffer.split_off(end);
+        self.write_buffer.truncate(start);
+        self.write_buffer.unsplit(behind);
+        self.bytes_enqueued -= bytes.end - bytes.start;
         true
     }
 
+    /// Bytes that wait to be written; what waits within TLS counts as one.
+    #[must_use]
     pub fn unwritten_bytes(&self) -> usize {
-        self.out.len() + usize::from(self.tls.as_ref().is_some_and(|tls| tls.wants_write()))
+        let tls_waits = self.tls.as_ref().is_some_and(|tls| tls.wants_write());
+        if tls_waits {
+            self.write_buffer.len() + 1
+        } else {
+            self.write_buffer.len()
+        }
     }
 
-    /// No more is written: the peer reads to the end and then finds it. Once only: the machine tells of each shutdown as of
-    /// something new at the connection, so that one at every look would bring the next look at once.
+    /// Finishes this side's direction: the peer reads to the end and then finds it. Does so once: the machine makes an
+    /// event of each shutdown, so that one at every look would bring the next look at once.
     pub fn finish_writing(&mut self) {
-        if std::mem::replace(&mut self.finished, true) {
+        if self.write_finished {
             return;
         }
+        self.write_finished = true;
         if let Some(tls) = &mut self.tls {
             tls.send_close_notify();
-            let _ = tls.write_tls(&mut (&mut self.out).writer());
-            let _ = (&*self.stream).write(&self.out);
+            let _ = tls.write_tls(&mut (&mut self.write_buffer).writer());
+            let _ = (&*self.stream).write(&self.write_buffer);
         }
-        let _ = self.stream.shutdown(std::net::Shutdown::Write);
+        let _ = self.stream.shutdown(Shutdown::Write);
     }
 }
 
 impl Drop for Socket {
     fn drop(&mut self) {
-        self.token
-            .take()
-            .into_iter()
-            .for_each(|token| self.handle.remove(token));
+        if let Some(registration) = self.registration.take() {
+            self.event_loop.remove(registration);
+        }
     }
 }
--- a/crates/gateway/tests/sockets.rs
+++ b/crates/gateway/tests/sockets.rs
@@ -34,7 +34,7 @@
         (19, 40, false),
         (13, 19, true),
     ] {
-        assert_eq!(socket.retract(from, to), back, "{from} to {to}");
+        assert_eq!(socket.retract(from..to), back, "{from} to {to}");
     }
     assert_eq!(socket.bytes_enqueued, 19);
     socket.enqueue(b"!");
