--- a/crates/dispatch/benches/support/simulation.rs
+++ b/crates/dispatch/benches/support/simulation.rs
@@ -1,5 +1,5 @@
 //! Gateways before engines in simulated time: the real decisions, no sockets, one queue of events, all chance from
-//! a seed. Connections follow the rules of the gateway's pools (`gateway::engines::Engines::connection`).
+//! a seed. Connections follow the rules of the gateway's pools (`gateway::engines::EngineTransport`).
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
