--- a/crates/gateway/src/cluster/endpoint.rs
+++ b/crates/gateway/src/cluster/endpoint.rs
@@ -9,7 +9,7 @@
 use admission::interface::{EngineHealth, OutlierReport, Timestamp};
 use calloop::generic::Generic;
 use calloop::{Interest, Mode, PostAction, RegistrationToken};
-use operator_config::FleetTerms;
+use operator_config::MembershipConfig;
 use thiserror::Error;
 use tracing::info;
 
@@ -39,7 +39,7 @@
 
 /// The socket to the other gateways, and the control plane that it carries datagrams for.
 pub struct ClusterEndpoint {
-    config: FleetTerms,
+    config: MembershipConfig,
     control: ControlPlane<QuotaLeases>,
     socket: Rc<UdpSocket>,
     handle: EventLoopHandle,
@@ -61,7 +61,7 @@
     pub fn bind(
         now: Timestamp,
         handle: &EventLoopHandle,
-        config: &FleetTerms,
+        config: &MembershipConfig,
         name: &Name,
         seed: u64,
     ) -> Result<Self, ClusterError> {
@@ -74,10 +74,10 @@
             fleet: config.fleet.clone(),
             name: name.clone(),
             address: config.advertise,
-            locality: config.place.clone(),
+            locality: config.locality.clone(),
             seeds: config.seeds.clone(),
             key_ring: key_folder::read(&config.keys_folder)?,
-            config: config.paces.clone(),
+            config: config.protocol.clone(),
             rng_seed: boot_seed(now, seed),
         };
         info!(%name, bind = %config.bind, advertise = %config.advertise, "membership: started");
@@ -98,12 +98,15 @@
     ///
     /// # Errors
     /// A key cannot be used; nothing has changed then.
-    pub fn reconfigure(&mut self, config: &FleetTerms) -> Result<Vec<&'static str>, ClusterError> {
+    pub fn reconfigure(
+        &mut self,
+        config: &MembershipConfig,
+    ) -> Result<Vec<&'static str>, ClusterError> {
         let key_ring = key_folder::read(&config.keys_folder)?;
         self.control.membership_mut().reconfigure(
             config.seeds.clone(),
             key_ring,
-            config.paces.clone(),
+            config.protocol.clone(),
         );
         let old = std::mem::replace(&mut self.config, config.clone());
         let differs = [
@@ -111,7 +114,7 @@
             ("name", old.name != config.name),
             ("bind", old.bind != config.bind),
             ("advertise", old.advertise != config.advertise),
-            ("zone or region", old.place != config.place),
+            ("zone or region", old.locality != config.locality),
         ];
         let waiting = differs.into_iter().filter(|(_, differs)| *differs);
         Ok(waiting.map(|(setting, _)| setting).collect())
--- a/crates/gateway/src/command/check.rs
+++ b/crates/gateway/src/command/check.rs
@@ -3,7 +3,7 @@
 use std::path::{Path, PathBuf};
 
 use ::membership::Name;
-use operator_config::FleetTerms;
+use operator_config::MembershipConfig;
 use scheduler::Config as QueueConfig;
 
 use super::{CommandResult, config_path};
@@ -48,7 +48,7 @@
     Ok(())
 }
 
-fn print_fleet(file: &str, name: &Name, terms: &FleetTerms) -> CommandResult {
+fn print_fleet(file: &str, name: &Name, terms: &MembershipConfig) -> CommandResult {
     let keys = key_folder::read(&terms.keys_folder)?;
     println!(
         "{file}: fleet {} is on; this is {name}, bound to {}, reached at {}",
@@ -60,7 +60,7 @@
         seeds.join(", "),
         keys.accepted_keys().count()
     );
-    let paces = &terms.paces;
+    let paces = &terms.protocol;
     println!(
         "  probes each {} s, answers within {} s, {} helpers; hearsay counts from {} gateways on",
         paces.probe_period.secs(),
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 
 use ::membership::Name;
-use operator_config::{Callers, FleetTerms, Operator, OperatorError};
+use operator_config::{IdentityConfig, MembershipConfig, OperatorConfig, OperatorConfigError};
 use scheduler::Config as QueueConfig;
 use serde_json::Value;
 use settings::{Settings, SettingsError};
@@ -27,7 +27,7 @@
     #[error(transparent)]
     Settings(#[from] SettingsError),
     #[error(transparent)]
-    Operator(#[from] OperatorError),
+    Operator(#[from] OperatorConfigError),
     #[error("{0}: queues.member.{1}: the configuration knows no such member")]
     Member(String, String),
     #[error("{0}: shares.relays_per_s.{1}: the configuration knows no such product")]
@@ -43,11 +43,11 @@
     /// Budgets as this gateway's part of those of all; nothing where there are no queues.
     pub queues: Option<QueueConfig>,
     /// Files and terms by which callers are known; nothing where they are not.
-    pub callers: Option<Callers>,
+    pub callers: Option<IdentityConfig>,
     /// Budgets that are divided among all gateways; nothing where they are not.
     pub shares: Option<::quota::Config>,
     /// How gateways know each other, and this one's name; nothing where they don't.
-    pub fleet: Option<(Name, FleetTerms)>,
+    pub fleet: Option<(Name, MembershipConfig)>,
 }
 
 impl Operated {
@@ -57,9 +57,9 @@
         let Some(path) = file else {
             return Ok(Operated::default());
         };
-        let operator = Operator::read(&path)?;
+        let operator = OperatorConfig::read(&path)?;
         let known = config.settings.tenant_names()?;
-        if let Some(terms) = &operator.queues {
+        if let Some(terms) = &operator.scheduler {
             let unknown = terms
                 .tenants
                 .iter()
@@ -74,7 +74,7 @@
         // Divided among all, a budget is whole here: what of it is this gateway's is told as it changes.
         let divided = |of: &::quota::BudgetKind| matches!(of, ::quota::BudgetKind::Tenant(_));
         let divided = operator
-            .shares
+            .quota
             .as_ref()
             .is_some_and(|terms| terms.budgets.iter().any(|b| divided(&b.kind)));
         let part = if divided {
@@ -82,9 +82,9 @@
         } else {
             1.0 / config.settings.peers()?
         };
-        let queues = operator.queues.map(|terms| terms.scaled(part));
+        let queues = operator.scheduler.map(|terms| terms.scaled(part));
         let classes = config.settings.class_names()?;
-        let of = operator.shares.iter().flat_map(|terms| &terms.budgets);
+        let of = operator.quota.iter().flat_map(|terms| &terms.budgets);
         let unknown = of.filter_map(|budget| match &budget.kind {
             ::quota::BudgetKind::Retries(class) if !classes.contains(class) => Some(class.clone()),
             _ => None,
@@ -92,20 +92,20 @@
         if let Some(class) = unknown.into_iter().next() {
             return Err(ConfigError::QueryClass(path.display().to_string(), class));
         }
-        let named = |terms: FleetTerms| {
+        let named = |terms: MembershipConfig| {
             let own = || {
                 Name::new(&config.name)
                     .map_err(|e| ConfigError::Name(path.display().to_string(), e))
             };
             Ok::<_, ConfigError>((terms.name.clone().map_or_else(own, Ok)?, terms))
         };
-        let fleet = operator.fleet.map(named).transpose()?;
+        let fleet = operator.membership.map(named).transpose()?;
         Ok(Operated {
             file: Some(path),
             queues,
             callers: operator.identity,
             fleet,
-            shares: operator.shares,
+            shares: operator.quota,
         })
     }
 }
--- a/crates/gateway/src/keywatch.rs
+++ b/crates/gateway/src/keywatch.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, SystemTime};
 
 use calloop::channel::{Channel, SyncSender, sync_channel};
-use operator_config::Callers;
+use operator_config::IdentityConfig;
 use rustls::ServerConfig;
 use rustls::pki_types::pem::{Error as PemError, PemObject};
 use rustls::pki_types::{CertificateDer, PrivateKeyDer};
@@ -45,14 +45,14 @@
 ///
 /// # Errors
 /// One of them is missing or cannot be used.
-pub fn read(callers: &Callers) -> Result<Known, WatchError> {
+pub fn read(callers: &IdentityConfig) -> Result<Known, WatchError> {
     Ok(Known {
         files: keyfiles::read(&callers.keys_folder)?,
         tls: Arc::new(read_tls(callers)?),
     })
 }
 
-fn read_tls(callers: &Callers) -> Result<ServerConfig, WatchError> {
+fn read_tls(callers: &IdentityConfig) -> Result<ServerConfig, WatchError> {
     let certificate_error = |error| WatchError::Pem(callers.certificate.clone(), error);
     let chain = CertificateDer::pem_file_iter(&callers.certificate)
         .map_err(certificate_error)?
@@ -79,7 +79,7 @@
 }
 
 impl ModificationTimes {
-    fn read(callers: &Callers) -> Self {
+    fn read(callers: &IdentityConfig) -> Self {
         let modified = |path: &PathBuf| {
             std::fs::metadata(path)
                 .and_then(|data| data.modified())
@@ -98,14 +98,18 @@
 
 /// Starts the thread. It ends once the channel is dropped and a file changes.
 #[must_use]
-pub fn watch(callers: Callers) -> Channel<ReadResult> {
+pub fn watch(callers: IdentityConfig) -> Channel<ReadResult> {
     let (sender, channel) = sync_channel(1);
     let seen = ModificationTimes::read(&callers);
     thread::spawn(move || send_changes(&callers, seen, &sender));
     channel
 }
 
-fn send_changes(callers: &Callers, mut seen: ModificationTimes, sender: &SyncSender<ReadResult>) {
+fn send_changes(
+    callers: &IdentityConfig,
+    mut seen: ModificationTimes,
+    sender: &SyncSender<ReadResult>,
+) {
     loop {
         thread::sleep(POLL_INTERVAL);
         let current = ModificationTimes::read(callers);
--- a/crates/gateway/src/lifecycle/start.rs
+++ b/crates/gateway/src/lifecycle/start.rs
@@ -6,7 +6,7 @@
 use calloop::EventLoop;
 use calloop::signals::{Event as SignalEvent, Signal, Signals};
 use identity::TokenVerifier;
-use operator_config::Callers;
+use operator_config::IdentityConfig;
 use tracing::info;
 
 use super::acceptor::Acceptor;
@@ -152,11 +152,11 @@
 fn authenticate_callers(
     service: &mut Service,
     handle: &EventLoopHandle,
-    callers: &Callers,
+    callers: &IdentityConfig,
 ) -> Result<(), StartError> {
     let known = keywatch::read(callers)?;
     let files = known.files;
-    let mut verifier = TokenVerifier::new(unix_now(), callers.terms);
+    let mut verifier = TokenVerifier::new(unix_now(), callers.verifier);
     verifier.update(unix_now(), &files.index, &files.public_keys, files.revoked)?;
     info!(keys = files.index.keys.len(), "callers are to be known");
     service.set_token_verifier(verifier);
--- a/crates/operator_config/src/fleet_block.rs
+++ b/crates/operator_config/src/fleet_block.rs
@@ -7,15 +7,22 @@
 use membership::{Config, Locality, Name, TrafficLimits};
 use serde::Deserialize;
 
-use crate::{Fault, fault, yes};
+use crate::block::{BlockPath, enabled_by_default};
+use crate::error::FieldError;
 
+/// A day, in milliseconds.
+const DAY_MS: f64 = 8.64e7;
+/// Ten minutes, in milliseconds.
+const TEN_MINUTES_MS: f64 = 600_000.0;
+
+/// The block as it is written.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Fleet {
-    #[serde(default = "yes")]
+pub(crate) struct FleetBlock {
+    #[serde(default = "enabled_by_default")]
     enabled: bool,
     fleet: String,
-    /// Without it, the configuration's name.
+    /// Without it, the name in the gateway's configuration.
     name: Option<String>,
     bind: SocketAddr,
     advertise: Option<SocketAddr>,
@@ -46,198 +53,202 @@
     exchange_bytes_per_s: Option<f64>,
 }
 
-/// How gateways know each other, checked.
+/// How this gateway knows the others, checked.
 #[derive(Clone, Debug, PartialEq)]
-pub struct FleetTerms {
+pub struct MembershipConfig {
+    /// The fleet's name: datagrams of another one are rejected.
     pub fleet: Name,
-    /// None: the configuration's.
+    /// This gateway's name; none: that of its configuration.
     pub name: Option<Name>,
+    /// Where its UDP socket is bound.
     pub bind: SocketAddr,
     /// Where others reach it.
     pub advertise: SocketAddr,
+    /// Gateways to join by.
     pub seeds: Vec<SocketAddr>,
+    /// The folder of the keys that datagrams are signed with.
     pub keys_folder: PathBuf,
-    pub place: Locality,
-    pub paces: Config,
+    /// Where it runs.
+    pub locality: Locality,
+    /// Times and limits of the protocol.
+    pub protocol: Config,
+}
+
+/// How often a member is probed, and how long it has to answer.
+struct ProbeTimes {
+    period: TimeDelta,
+    timeout: TimeDelta,
 }
 
-impl Fleet {
+impl FleetBlock {
+    /// The configuration, or `None` where the block is switched off.
+    ///
     /// # Errors
-    /// A field that cannot be used.
-    pub fn terms(self) -> Result<Option<FleetTerms>, Fault> {
-        let span = |name, value, default: TimeDelta, least, most| {
-            within(name, value, default.secs() * 1e3, least, most)
-                .map(|ms| TimeDelta::from_secs(ms / 1e3))
+    /// A field that cannot be used, or contradicts another.
+    pub(crate) fn check(self) -> Result<Option<MembershipConfig>, FieldError> {
+        let block = BlockPath::new(&["fleet"]);
+        let name = |field: &str, text: &str| Name::new(text).map_err(|why| block.error(field, why));
+        let optional_name = |field: &str, text: &Option<String>| {
+            text.as_ref().map(|text| name(field, text)).transpose()
         };
-        let named =
-            |field: &str, text: &str| Name::new(text).map_err(|why| fault(&["fleet", field], why));
-        let place = |field: &str, text: &Option<String>| {
-            text.as_ref().map(|text| named(field, text)).transpose()
+        let probe = self.probe_times(&block)?;
+        let advertise = self.advertised(&block)?;
+        let protocol = self.protocol(&block, probe)?;
+        let config = MembershipConfig {
+            fleet: name("fleet", &self.fleet)?,
+            name: optional_name("name", &self.name)?,
+            bind: self.bind,
+            advertise,
+            seeds: self.seeds,
+            keys_folder: self.keys_folder,
+            locality: Locality {
+                zone: optional_name("zone", &self.zone)?,
+                region: optional_name("region", &self.region)?,
+            },
+            protocol,
         };
-        let plain = Config::default();
-        let period = span(
+        Ok(self.enabled.then_some(config))
+    }
+
+    fn advertised(&self, block: &BlockPath<'_>) -> Result<SocketAddr, FieldError> {
+        let advertise = self.advertise.unwrap_or(self.bind);
+        if advertise.ip().is_unspecified() || advertise.port() == 0 {
+            let why = format!("{advertise} is no address at which others reach this gateway");
+            return Err(block.error("advertise", why));
+        }
+        Ok(advertise)
+    }
+
+    fn probe_times(&self, block: &BlockPath<'_>) -> Result<ProbeTimes, FieldError> {
+        let default = Config::default();
+        let period = block.millis(
             "period_ms",
             self.period_ms,
-            plain.probe_period,
-            50.0,
-            60_000.0,
+            default.probe_period,
+            50.0..=60_000.0,
         )?;
-        let answer = span(
+        let timeout = block.millis(
             "answer_ms",
             self.answer_ms,
-            plain.probe_timeout,
-            5.0,
-            30_000.0,
+            default.probe_timeout,
+            5.0..=30_000.0,
         )?;
-        if answer.secs() * 2.0 > period.secs() {
+        if timeout.secs() * 2.0 > period.secs() {
             let why = "others need as long again to ask in its place: at most half of period_ms";
-            return Err(fault(&["fleet", "answer_ms"], why));
-        }
-        let advertise = self.advertise.unwrap_or(self.bind);
-        if advertise.ip().is_unspecified() || advertise.port() == 0 {
-            let why = format!("{advertise} is no address at which others reach this gateway");
-            return Err(fault(&["fleet", "advertise"], why));
+            return Err(block.error("answer_ms", why));
         }
-        let paces = Config {
-            probe_period: period,
-            probe_timeout: answer,
-            indirect_probes: within(
-                "helpers",
-                self.helpers,
-                plain.indirect_probes as f64,
-                0.0,
-                16.0,
-            )? as usize,
-            max_byzantine: within("liars", self.liars, plain.max_byzantine as f64, 0.0, 7.0)?
-                as usize,
-            suspicion_multiplier: within(
+        Ok(ProbeTimes { period, timeout })
+    }
+
+    fn protocol(&self, block: &BlockPath<'_>, probe: ProbeTimes) -> Result<Config, FieldError> {
+        let default = Config::default();
+        let millis = |field, value, default, bounds| block.millis(field, value, default, bounds);
+        let number = |field, value, default, bounds| block.number(field, value, default, bounds);
+        let count = |field, value, default, bounds| block.count(field, value, default, bounds);
+        Ok(Config {
+            probe_period: probe.period,
+            probe_timeout: probe.timeout,
+            indirect_probes: count("helpers", self.helpers, default.indirect_probes, 0.0..=16.0)?,
+            max_byzantine: count("liars", self.liars, default.max_byzantine, 0.0..=7.0)?,
+            suspicion_multiplier: number(
                 "suspicion_periods",
                 self.suspicion_periods,
-                plain.suspicion_multiplier,
-                1.0,
-                100.0,
+                default.suspicion_multiplier,
+                1.0..=100.0,
             )?,
-            max_suspicion_factor: within(
+            max_suspicion_factor: number(
                 "patience",
                 self.patience,
-                plain.max_suspicion_factor,
-                1.0,
-                20.0,
+                default.max_suspicion_factor,
+                1.0..=20.0,
             )?,
-            max_members: within(
+            max_members: count(
                 "most_gateways",
                 self.most_gateways,
-                plain.max_members as f64,
-                2.0,
-                8192.0,
-            )? as usize,
-            dead_retention: span(
+                default.max_members,
+                2.0..=8192.0,
+            )?,
+            dead_retention: millis(
                 "keep_gone_ms",
                 self.keep_gone_ms,
-                plain.dead_retention,
-                1000.0,
-                8.64e7,
+                default.dead_retention,
+                1000.0..=DAY_MS,
             )?,
-            partition_threshold: within(
+            partition_threshold: number(
                 "cut_off_below",
                 self.cut_off_below,
-                plain.partition_threshold,
-                0.0,
-                1.0,
+                default.partition_threshold,
+                0.0..=1.0,
             )?,
-            partition_acceptance: span(
+            partition_acceptance: millis(
                 "accept_ms",
                 self.accept_ms,
-                plain.partition_acceptance,
-                1000.0,
-                8.64e7,
+                default.partition_acceptance,
+                1000.0..=DAY_MS,
             )?,
-            min_view_state_duration: span(
+            min_view_state_duration: millis(
                 "hold_ms",
                 self.hold_ms,
-                plain.min_view_state_duration,
-                0.0,
-                600_000.0,
+                default.min_view_state_duration,
+                0.0..=TEN_MINUTES_MS,
             )?,
-            engine_report_lifetime: span(
+            engine_report_lifetime: millis(
                 "news_lasts_ms",
                 self.news_lasts_ms,
-                plain.engine_report_lifetime,
-                100.0,
-                600_000.0,
+                default.engine_report_lifetime,
+                100.0..=TEN_MINUTES_MS,
             )?,
-            traffic_limits: self.bounds()?,
-            ..plain
-        };
-        let terms = FleetTerms {
-            fleet: named("fleet", &self.fleet)?,
-            name: place("name", &self.name)?,
-            bind: self.bind,
-            advertise,
-            seeds: self.seeds,
-            keys_folder: self.keys_folder,
-            place: Locality {
-                zone: place("zone", &self.zone)?,
-                region: place("region", &self.region)?,
-            },
-            paces,
-        };
-        Ok(self.enabled.then_some(terms))
+            traffic_limits: self.traffic_limits(block)?,
+            ..default
+        })
     }
 
-    fn bounds(&self) -> Result<Option<TrafficLimits>, Fault> {
-        let given = [
-            ("confirmations", self.confirmations),
-            ("verifiers", self.verifiers),
-            ("direct_probes", self.direct_probes),
-            ("gossip_bytes_per_s", self.gossip_bytes_per_s),
-            ("exchange_bytes_per_s", self.exchange_bytes_per_s),
-        ];
+    fn traffic_limits(&self, block: &BlockPath<'_>) -> Result<Option<TrafficLimits>, FieldError> {
         if !self.bounded {
-            let first = given.iter().find(|(_, value)| value.is_some());
-            let needs =
-                |(name, _): &(&str, _)| Err(fault(&["fleet", name], "it needs bounded = true"));
-            return first.map_or(Ok(None), needs);
+            return match self.field_that_needs_bounded() {
+                Some(field) => Err(block.error(field, "it needs bounded = true")),
+                None => Ok(None),
+            };
         }
-        let [confirmations, verifiers, direct_probes, gossip, exchange] = given;
-        let plain = TrafficLimits::default();
-        let count = |(name, value), default: usize, least, most| {
-            within(name, value, default as f64, least, most).map(|value| value as usize)
-        };
+        let default = TrafficLimits::default();
         Ok(Some(TrafficLimits {
-            confirmations: count(confirmations, plain.confirmations, 0.0, 20.0)?,
-            verifiers: count(verifiers, plain.verifiers, 1.0, 64.0)?,
-            direct_probes: count(direct_probes, plain.direct_probes, 1.0, 256.0)?,
-            gossip_bytes_per_s: within(gossip.0, gossip.1, plain.gossip_bytes_per_s, 200.0, 1e6)?,
-            exchange_bytes_per_s: within(
-                exchange.0,
-                exchange.1,
-                plain.exchange_bytes_per_s,
-                100.0,
-                1e6,
+            confirmations: block.count(
+                "confirmations",
+                self.confirmations,
+                default.confirmations,
+                0.0..=20.0,
+            )?,
+            verifiers: block.count("verifiers", self.verifiers, default.verifiers, 1.0..=64.0)?,
+            direct_probes: block.count(
+                "direct_probes",
+                self.direct_probes,
+                default.direct_probes,
+                1.0..=256.0,
+            )?,
+            gossip_bytes_per_s: block.number(
+                "gossip_bytes_per_s",
+                self.gossip_bytes_per_s,
+                default.gossip_bytes_per_s,
+                200.0..=1e6,
+            )?,
+            exchange_bytes_per_s: block.number(
+                "exchange_bytes_per_s",
+                self.exchange_bytes_per_s,
+                default.exchange_bytes_per_s,
+                100.0..=1e6,
             )?,
         }))
     }
-}
 
-/// A value of the block, or its default; refused outside its range.
-fn within(
-    name: &str,
-    value: Option<f64>,
-    default: f64,
-    least: f64,
-    most: f64,
-) -> Result<f64, Fault> {
-    let value = value.unwrap_or(default);
-    let why = || {
-        fault(
-            &["fleet", name],
-            format!("{value} is not between {least} and {most}"),
-        )
-    };
-    if (least..=most).contains(&value) {
-        Ok(value)
-    } else {
-        Err(why())
+    fn field_that_needs_bounded(&self) -> Option<&'static str> {
+        let fields = [
+            ("confirmations", self.confirmations),
+            ("verifiers", self.verifiers),
+            ("direct_probes", self.direct_probes),
+            ("gossip_bytes_per_s", self.gossip_bytes_per_s),
+            ("exchange_bytes_per_s", self.exchange_bytes_per_s),
+        ];
+        let given = fields.into_iter().find(|(_, value)| value.is_some())?;
+        Some(given.0)
     }
 }
--- a/crates/operator_config/src/identity_block.rs
+++ b/crates/operator_config/src/identity_block.rs
@@ -2,16 +2,17 @@
 
 use std::path::PathBuf;
 
-use admission::interface::TimeDelta;
 use identity::VerifierConfig;
 use serde::Deserialize;
 
-use crate::{Fault, fault, yes};
+use crate::block::{BlockPath, enabled_by_default};
+use crate::error::FieldError;
 
+/// The block as it is written.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Identity {
-    #[serde(default = "yes")]
+pub(crate) struct IdentityBlock {
+    #[serde(default = "enabled_by_default")]
     enabled: bool,
     keys_folder: PathBuf,
     certificate: PathBuf,
@@ -20,85 +21,79 @@
     grace_ms: Option<f64>,
     back_ms: Option<f64>,
     longest_token_ms: Option<f64>,
-    #[serde(rename = "remembered")]
-    cached_verdicts: Option<f64>,
+    remembered: Option<f64>,
     checks_per_s: Option<f64>,
 }
 
-/// Files and terms by which callers are known.
+/// How callers are known, checked. The files are read by whoever serves.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Callers {
+pub struct IdentityConfig {
+    /// The folder of public keys that tokens are checked by.
     pub keys_folder: PathBuf,
-    /// PEM: the chain, and its private key.
+    /// The certificate chain that clients see, in PEM.
     pub certificate: PathBuf,
+    /// Its private key, in PEM.
     pub private_key: PathBuf,
-    pub terms: VerifierConfig,
+    /// Limits and times of checking tokens.
+    pub verifier: VerifierConfig,
 }
 
-impl Identity {
+impl IdentityBlock {
+    /// The configuration, or `None` where the block is switched off.
+    ///
     /// # Errors
     /// A field that cannot be used.
-    pub fn callers(self) -> Result<Option<Callers>, Fault> {
-        let within = |name: &str, value: Option<f64>, default: f64, least: f64, most: f64| {
-            let value = value.unwrap_or(default);
-            let usable = (least..=most).contains(&value);
-            let why = || {
-                fault(
-                    &["identity", name],
-                    format!("{value} is not between {least} and {most}"),
-                )
-            };
-            if usable { Ok(value) } else { Err(why()) }
+    pub(crate) fn check(self) -> Result<Option<IdentityConfig>, FieldError> {
+        let verifier = self.verifier()?;
+        let config = IdentityConfig {
+            keys_folder: self.keys_folder,
+            certificate: self.certificate,
+            private_key: self.private_key,
+            verifier,
         };
-        let span = |name, value, default: TimeDelta, least, most| {
-            within(name, value, default.secs() * 1e3, least, most)
-                .map(|ms| TimeDelta::from_secs(ms / 1e3))
-        };
-        let plain = VerifierConfig::default();
-        let terms = VerifierConfig {
-            clock_skew: span("skew_ms", self.skew_ms, plain.clock_skew, 0.0, 600_000.0)?,
-            key_arrival_grace: span(
+        Ok(self.enabled.then_some(config))
+    }
+
+    fn verifier(&self) -> Result<VerifierConfig, FieldError> {
+        let block = BlockPath::new(&["identity"]);
+        let default = VerifierConfig::default();
+        Ok(VerifierConfig {
+            clock_skew: block.millis(
+                "skew_ms",
+                self.skew_ms,
+                default.clock_skew,
+                0.0..=600_000.0,
+            )?,
+            key_arrival_grace: block.millis(
                 "grace_ms",
                 self.grace_ms,
-                plain.key_arrival_grace,
-                0.0,
-                600_000.0,
+                default.key_arrival_grace,
+                0.0..=600_000.0,
             )?,
-            retry_after: span("back_ms", self.back_ms, plain.retry_after, 1.0, 60_000.0)?,
-            max_token_lifetime: span(
+            retry_after: block.millis(
+                "back_ms",
+                self.back_ms,
+                default.retry_after,
+                1.0..=60_000.0,
+            )?,
+            max_token_lifetime: block.millis(
                 "longest_token_ms",
                 self.longest_token_ms,
-                plain.max_token_lifetime,
-                1000.0,
-                3.2e10,
+                default.max_token_lifetime,
+                1000.0..=3.2e10,
             )?,
-            max_cached_tokens: within(
+            max_cached_tokens: block.count(
                 "remembered",
-                self.cached_verdicts,
-                plain.max_cached_tokens as f64,
-                0.0,
-                1e6,
-            )? as usize,
-            signature_checks_per_s: within(
+                self.remembered,
+                default.max_cached_tokens,
+                0.0..=1e6,
+            )?,
+            signature_checks_per_s: block.number(
                 "checks_per_s",
                 self.checks_per_s,
-                plain.signature_checks_per_s,
-                1.0,
-                1e6,
+                default.signature_checks_per_s,
+                1.0..=1e6,
             )?,
-        };
-        let Identity {
-            enabled,
-            keys_folder,
-            certificate,
-            private_key,
-            ..
-        } = self;
-        Ok(enabled.then_some(Callers {
-            keys_folder,
-            certificate,
-            private_key,
-            terms,
-        }))
+        })
     }
 }
--- a/crates/operator_config/src/lib.rs
+++ b/crates/operator_config/src/lib.rs
@@ -1,182 +1,145 @@
-//! The operator's file: HCL, in blocks by subsystem. A field that is not known, cannot be used or contradicts another
-//! is one error that names file, line and field. Without a file, or without its block, a subsystem is off.
+//! The operator's file: HCL, in blocks by subsystem, each off until its block is written. A field that is not known, cannot be used
+//! or contradicts another is one error that names file, line and field.
+//!
+//! [`OperatorConfig::read`] gives each subsystem's own configuration, checked. The keys are the operators' words; they end here.
 
+mod block;
+mod error;
 mod fleet_block;
 mod identity_block;
-mod place;
+mod location;
 mod queues_block;
 mod shares_block;
 
-pub use fleet_block::FleetTerms;
-pub use identity_block::Callers;
-pub use queues_block::Queues as QueuesBlock;
-
-use std::path::{Path, PathBuf};
+use std::path::Path;
 
 use serde::Deserialize;
 use serde::de::IntoDeserializer;
-use thiserror::Error;
-
-/// Why a file cannot be used.
-#[derive(Debug, Error)]
-pub enum OperatorError {
-    #[error("{0}: {1}")]
-    Unreadable(PathBuf, std::io::Error),
-    /// `line` counts from one.
-    #[error("{file}:{line}: {field}: {why}", file = .file.display())]
-    Field {
-        file: PathBuf,
-        line: usize,
-        field: String,
-        why: String,
-    },
-    #[error("{file}:{line}: {why}", file = .file.display())]
-    Form {
-        file: PathBuf,
-        line: usize,
-        why: String,
-    },
-}
-
-/// A fault of one field, by its path from the top.
-#[derive(Debug, PartialEq)]
-pub struct Fault {
-    pub path: Vec<String>,
-    pub why: String,
-}
 
-fn yes() -> bool {
-    true
-}
+pub use error::{FieldError, OperatorConfigError};
+pub use fleet_block::MembershipConfig;
+pub use identity_block::IdentityConfig;
+pub use queues_block::QueuesBlock;
 
-fn within(
-    path: &[&str],
-    value: Option<f64>,
-    default: f64,
-    least: f64,
-    most: f64,
-) -> Result<f64, Fault> {
-    let value = value.unwrap_or(default);
-    let usable = value.is_finite() && (least..=most).contains(&value);
-    if usable {
-        Ok(value)
-    } else {
-        Err(fault(
-            path,
-            format!("{value} is not between {least} and {most}"),
-        ))
-    }
-}
-
-fn fault(path: &[&str], why: impl ToString) -> Fault {
-    Fault {
-        path: path.iter().map(|step| step.to_string()).collect(),
-        why: why.to_string(),
-    }
-}
+use fleet_block::FleetBlock;
+use identity_block::IdentityBlock;
+use shares_block::SharesBlock;
 
+/// The blocks as they are written.
 #[derive(Deserialize, Default)]
 #[serde(deny_unknown_fields, default)]
 struct File {
-    queues: Option<queues_block::Queues>,
-    identity: Option<identity_block::Identity>,
-    fleet: Option<fleet_block::Fleet>,
-    shares: Option<shares_block::Shares>,
+    queues: Option<QueuesBlock>,
+    identity: Option<IdentityBlock>,
+    fleet: Option<FleetBlock>,
+    shares: Option<SharesBlock>,
 }
 
-/// What the file says, checked.
+/// What the file configures; a subsystem without a block, or with one that is switched off, is `None`.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Operator {
-    /// Budgets of all gateways together.
-    pub queues: Option<scheduler::Config>,
-    pub identity: Option<Callers>,
-    pub fleet: Option<FleetTerms>,
-    /// Budgets that are divided among all; only where gateways know each other.
-    pub shares: Option<quota::Config>,
+pub struct OperatorConfig {
+    /// Waiting statements by tenant and sub-queue: the block `queues`. Budgets are those of all gateways together.
+    pub scheduler: Option<scheduler::Config>,
+    /// Callers by token within TLS: the block `identity`.
+    pub identity: Option<IdentityConfig>,
+    /// Gateways that know each other: the block `fleet`.
+    pub membership: Option<MembershipConfig>,
+    /// Quotas that are divided among all gateways: the block `shares`, which needs a block `fleet`.
+    pub quota: Option<quota::Config>,
 }
 
-impl Operator {
+impl OperatorConfig {
+    /// Reads and checks a file.
+    ///
     /// # Errors
     /// The file cannot be read, is no HCL, or a field of it cannot be used.
-    pub fn read(file: &Path) -> Result<Self, OperatorError> {
-        let text =
-            std::fs::read_to_string(file).map_err(|e| OperatorError::Unreadable(file.into(), e))?;
+    pub fn read(file: &Path) -> Result<Self, OperatorConfigError> {
+        let text = std::fs::read_to_string(file)
+            .map_err(|error| OperatorConfigError::Unreadable(file.into(), error))?;
         Self::parse(file, &text)
     }
 
-    /// `file`: for errors only.
-    pub fn parse(file: &Path, text: &str) -> Result<Self, OperatorError> {
-        let form = |line, why: String| OperatorError::Form {
+    /// Checks the text of a file, whose path stands in errors only.
+    ///
+    /// # Errors
+    /// The text is no HCL, or a field of it cannot be used.
+    pub fn parse(file: &Path, text: &str) -> Result<Self, OperatorConfigError> {
+        let body = parse_hcl(file, text)?;
+        let located = |error: FieldError| OperatorConfigError::Field {
             file: file.into(),
-            line,
-            why,
+            line: location::line_of_field(text, &error.path),
+            field: error.path.join("."),
+            why: error.why,
         };
-        let body = hcl::parse(text).map_err(|error| match &error {
-            hcl::Error::Parse(parse) => form(
-                parse.location().line(),
-                format!("no HCL: {}", parse.message()),
-            ),
-            other => form(1, other.to_string()),
-        })?;
-        let read: Result<File, _> =
-            serde_path_to_error::deserialize(hcl::Value::from(body).into_deserializer());
-        let located = |fault: Fault| OperatorError::Field {
-            file: file.into(),
-            line: place::line(text, &fault.path),
-            field: fault.path.join("."),
-            why: fault.why,
+        deserialize(body).and_then(File::check).map_err(located)
+    }
+}
+
+impl File {
+    fn check(self) -> Result<OperatorConfig, FieldError> {
+        let scheduler = match self.queues {
+            Some(block) => block.check()?,
+            None => None,
+        };
+        let identity = match self.identity {
+            Some(block) => block.check()?,
+            None => None,
+        };
+        let membership = match self.fleet {
+            Some(block) => block.check()?,
+            None => None,
         };
-        let read = read.map_err(|error| {
-            let path: Vec<String> = error.path().iter().map(|step| step.to_string()).collect();
-            let why = error.inner().to_string();
-            // The path ends at the block that holds an unknown field; its message has the name.
-            let unknown = why
-                .strip_prefix("unknown field `")
-                .and_then(|rest| rest.split('`').next());
-            let path = path.into_iter().filter(|step| step != "?");
-            let mut path: Vec<String> = path.collect();
-            if let Some(unknown) =
-                unknown.filter(|unknown| path.last().is_none_or(|last| last != unknown))
-            {
-                path.push(unknown.to_owned());
-            }
-            located(Fault { path, why })
-        })?;
-        let queues = read
-            .queues
-            .map(queues_block::Queues::terms)
-            .transpose()
-            .map_err(&located)?
-            .flatten();
-        let identity = read
-            .identity
-            .map(identity_block::Identity::callers)
-            .transpose()
-            .map_err(&located)?
-            .flatten();
-        let fleet = read
-            .fleet
-            .map(fleet_block::Fleet::terms)
-            .transpose()
-            .map_err(&located)?
-            .flatten();
-        let of = queues.as_ref();
-        let shares = read
-            .shares
-            .map(|block| block.terms(of))
-            .transpose()
-            .map_err(&located)?
-            .flatten();
-        if shares.is_some() && fleet.is_none() {
+        let quota = match self.shares {
+            Some(block) => block.check(scheduler.as_ref())?,
+            None => None,
+        };
+        if quota.is_some() && membership.is_none() {
             let why =
                 "budgets are divided only where gateways know each other: a fleet block is needed";
-            return Err(located(fault(&["shares"], why)));
+            return Err(FieldError::new(&["shares"], why));
         }
-        Ok(Operator {
-            queues,
+        Ok(OperatorConfig {
+            scheduler,
             identity,
-            fleet,
-            shares,
+            membership,
+            quota,
         })
     }
 }
+
+fn parse_hcl(file: &Path, text: &str) -> Result<hcl::Body, OperatorConfigError> {
+    hcl::parse(text).map_err(|error| {
+        let (line, why) = match &error {
+            hcl::Error::Parse(parse) => (
+                parse.location().line(),
+                format!("no HCL: {}", parse.message()),
+            ),
+            other => (1, other.to_string()),
+        };
+        OperatorConfigError::Form {
+            file: file.into(),
+            line,
+            why,
+        }
+    })
+}
+
+fn deserialize(body: hcl::Body) -> Result<File, FieldError> {
+    let read = serde_path_to_error::deserialize(hcl::Value::from(body).into_deserializer());
+    read.map_err(|error: serde_path_to_error::Error<hcl::Error>| {
+        let why = error.inner().to_string();
+        let steps = error.path().iter().map(ToString::to_string);
+        let mut path: Vec<String> = steps.filter(|step| step != "?").collect();
+        // The path ends at the block that holds an unknown field; its message has the name.
+        if let Some(unknown) = unknown_field(&why)
+            && path.last().is_none_or(|last| last != unknown)
+        {
+            path.push(unknown.to_owned());
+        }
+        FieldError { path, why }
+    })
+}
+
+fn unknown_field(why: &str) -> Option<&str> {
+    why.strip_prefix("unknown field `")?.split('`').next()
+}
--- a/crates/operator_config/src/queues_block.rs
+++ b/crates/operator_config/src/queues_block.rs
@@ -1,4 +1,4 @@
-//! `queues`: teams, budgets and bounds of waiting work.
+//! `queues`: waiting statements by tenant and sub-queue. The file's words are `member` for a tenant and `desk` for a sub-queue.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,12 +7,27 @@
 use scheduler::{CapacityShare, Config, QueueLimit, SubQueueConfig, TenantConfig};
 use serde::Deserialize;
 
-use crate::{Fault, fault, within, yes};
+use crate::block::{BlockPath, enabled_by_default};
+use crate::error::FieldError;
 
+const AGEING: TimeDelta = TimeDelta::from_micros(1_000_000);
+const BURST: TimeDelta = TimeDelta::from_micros(2_000_000);
+const SUB_QUEUE_STATEMENTS: f64 = 5000.0;
+const SUB_QUEUE_CPU_S: f64 = 300.0;
+const ALL_STATEMENTS: f64 = 20_000.0;
+const ALL_CPU_S: f64 = 1000.0;
+/// Least weight that a budget gives where the file says none.
+const MIN_DEFAULT_WEIGHT: f64 = 0.01;
+/// Sums of budgets may differ by this part from what they sum to.
+const ROUNDING: f64 = 1e-9;
+/// The sub-queue of a tenant that names none.
+const ONLY_SUB_QUEUE: &str = "all";
+
+/// The block as it is written.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Queues {
-    #[serde(default = "yes")]
+pub struct QueuesBlock {
+    #[serde(default = "enabled_by_default")]
     enabled: bool,
     ageing_ms: Option<f64>,
     burst_ms: Option<f64>,
@@ -21,142 +36,149 @@
     desk_statements: Option<f64>,
     desk_cpu_s: Option<f64>,
     default_member: String,
-    member: BTreeMap<String, Member>,
+    member: BTreeMap<String, MemberBlock>,
 }
 
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Member {
+struct MemberBlock {
     cpu_s_per_s: f64,
     weight: Option<f64>,
     default_desk: Option<String>,
     #[serde(default)]
-    desk: BTreeMap<String, Desk>,
+    desk: BTreeMap<String, DeskBlock>,
 }
 
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Desk {
+struct DeskBlock {
     cpu_s_per_s: Option<f64>,
     weight: Option<f64>,
     #[serde(default)]
     networks: Vec<IpNet>,
 }
 
-/// The desk of a member that names none.
-const ONLY_DESK: &str = "all";
-
-impl Queues {
-    /// The scheduler's configuration; nothing where switched off.
+impl QueuesBlock {
+    /// The scheduler's configuration, or `None` where the block is switched off.
     ///
     /// # Errors
     /// A field that cannot be used, or contradicts another.
-    pub fn terms(self) -> Result<Option<Config>, Fault> {
-        let span_ms = |name, value, default: f64, least, most| {
-            within(&["queues", name], value, default, least, most)
-                .map(|ms| TimeDelta::from_secs(ms / 1e3))
-        };
-        let count = |name, value, default| {
-            within(&["queues", name], value, default, 1.0, 1e7).map(|count| count as u32)
-        };
-        let cpu = |name, value, default| within(&["queues", name], value, default, 1e-3, 1e9);
+    pub fn check(self) -> Result<Option<Config>, FieldError> {
+        let block = BlockPath::new(&["queues"]);
         if !self.member.contains_key(&self.default_member) {
-            return Err(fault(&["queues", "default_member"], "no such member"));
+            return Err(block.error("default_member", "no such member"));
         }
-        // The default one first: it takes whoever is not known.
-        let (default, others): (Vec<_>, Vec<_>) = self
-            .member
-            .into_iter()
-            .partition(|(name, _)| *name == self.default_member);
-        let members = default.into_iter().chain(others);
-        let members = members
-            .map(|(name, member)| member.terms(name))
-            .collect::<Result<Vec<_>, _>>()?;
-        let terms = Config {
-            tenants: members,
-            ageing: span_ms("ageing_ms", self.ageing_ms, 1000.0, 10.0, 600_000.0)?,
-            burst: span_ms("burst_ms", self.burst_ms, 2000.0, 10.0, 600_000.0)?,
+        let statements = |field, value, default| {
+            let count = block.number(field, value, default, 1.0..=1e7)?;
+            Ok::<_, FieldError>(count as u32)
+        };
+        let cpu_s = |field, value, default| block.number(field, value, default, 1e-3..=1e9);
+        let millis = |field, value, default| block.millis(field, value, default, 10.0..=600_000.0);
+        let config = Config {
+            tenants: tenants(&self.default_member, self.member)?,
+            ageing: millis("ageing_ms", self.ageing_ms, AGEING)?,
+            burst: millis("burst_ms", self.burst_ms, BURST)?,
             sub_queue_limit: QueueLimit {
-                statements: count("desk_statements", self.desk_statements, 5000.0)?,
-                cpu: cpu("desk_cpu_s", self.desk_cpu_s, 300.0)?,
+                statements: statements(
+                    "desk_statements",
+                    self.desk_statements,
+                    SUB_QUEUE_STATEMENTS,
+                )?,
+                cpu: cpu_s("desk_cpu_s", self.desk_cpu_s, SUB_QUEUE_CPU_S)?,
             },
             total_limit: QueueLimit {
-                statements: count("waiting_statements", self.waiting_statements, 20_000.0)?,
-                cpu: cpu("waiting_cpu_s", self.waiting_cpu_s, 1000.0)?,
+                statements: statements(
+                    "waiting_statements",
+                    self.waiting_statements,
+                    ALL_STATEMENTS,
+                )?,
+                cpu: cpu_s("waiting_cpu_s", self.waiting_cpu_s, ALL_CPU_S)?,
             },
         };
-        Ok(self.enabled.then_some(terms))
+        Ok(self.enabled.then_some(config))
     }
 }
 
-impl Member {
-    fn terms(self, name: String) -> Result<TenantConfig, Fault> {
-        let at = |field| ["queues", "member", &name, field].map(String::from);
-        let path = at("cpu_s_per_s");
-        let path: Vec<&str> = path.iter().map(String::as_str).collect();
-        let budget = within(&path, Some(self.cpu_s_per_s), 0.0, 0.0, 1e6)?;
-        let weight = within(
-            &["queues", "member", &name, "weight"],
-            self.weight,
-            budget.max(0.01),
-            1e-3,
-            1e6,
-        )?;
-        let count = self.desk.len().max(1) as f64;
-        let mut networks: BTreeSet<IpNet> = BTreeSet::new();
-        let mut desks = Vec::new();
-        for (desk_name, desk) in self.desk {
-            let path = |field| ["queues", "member", &name, "desk", &desk_name, field];
-            let owed = within(
-                &path("cpu_s_per_s"),
-                desk.cpu_s_per_s,
-                budget / count,
-                0.0,
-                1e6,
-            )?;
-            let weight = within(&path("weight"), desk.weight, owed.max(0.01), 1e-3, 1e6)?;
-            for network in &desk.networks {
-                if !networks.insert(network.trunc()) {
-                    return Err(fault(
-                        &path("networks"),
-                        format!("{network} is another desk's already"),
-                    ));
-                }
-            }
-            let share = CapacityShare {
-                budget: owed,
-                weight,
-            };
-            desks.push(SubQueueConfig {
-                name: desk_name,
-                share,
-                networks: desk.networks,
-            });
-        }
-        let owed: f64 = desks.iter().map(|desk| desk.share.budget).sum();
-        if owed > budget * (1.0 + 1e-9) {
+/// The default tenant first, since it takes whoever is not known; the others by name.
+fn tenants(
+    default: &str,
+    members: BTreeMap<String, MemberBlock>,
+) -> Result<Vec<TenantConfig>, FieldError> {
+    let (default, others): (Vec<_>, Vec<_>) =
+        members.into_iter().partition(|(name, _)| name == default);
+    let members = default.into_iter().chain(others);
+    members.map(|(name, member)| member.check(&name)).collect()
+}
+
+impl MemberBlock {
+    fn check(self, name: &str) -> Result<TenantConfig, FieldError> {
+        let block = BlockPath::new(&["queues", "member", name]);
+        let budget = block.number("cpu_s_per_s", Some(self.cpu_s_per_s), 0.0, 0.0..=1e6)?;
+        let share = CapacityShare {
+            budget,
+            weight: weight(&block, self.weight, budget)?,
+        };
+        let mut sub_queues = sub_queues(name, budget, self.desk)?;
+        let owed: f64 = sub_queues
+            .iter()
+            .map(|sub_queue| sub_queue.share.budget)
+            .sum();
+        if owed > budget * (1.0 + ROUNDING) {
             let why = format!("its desks are owed {owed} together");
-            return Err(fault(&["queues", "member", &name, "cpu_s_per_s"], why));
+            return Err(block.error("cpu_s_per_s", why));
         }
-        if desks.is_empty() {
-            let share = CapacityShare { budget, weight };
-            desks.push(SubQueueConfig {
-                name: ONLY_DESK.to_owned(),
+        if sub_queues.is_empty() {
+            sub_queues.push(SubQueueConfig {
+                name: ONLY_SUB_QUEUE.to_owned(),
                 share,
                 networks: Vec::new(),
             });
         }
-        if let Some(default) = self.default_desk {
-            let at = desks.iter().position(|desk| desk.name == default);
-            let at = at.ok_or_else(|| {
-                fault(&["queues", "member", &name, "default_desk"], "no such desk")
-            })?;
-            desks[..=at].rotate_right(1);
+        if let Some(default) = &self.default_desk {
+            let found = sub_queues
+                .iter()
+                .position(|sub_queue| sub_queue.name == *default);
+            let index = found.ok_or_else(|| block.error("default_desk", "no such desk"))?;
+            // The default one first, the others in their order.
+            sub_queues[..=index].rotate_right(1);
         }
         Ok(TenantConfig {
-            name,
-            share: CapacityShare { budget, weight },
-            sub_queues: desks,
+            name: name.to_owned(),
+            share,
+            sub_queues,
         })
     }
 }
+
+/// A weight; without one, the budget's.
+fn weight(block: &BlockPath<'_>, given: Option<f64>, budget: f64) -> Result<f64, FieldError> {
+    block.number("weight", given, budget.max(MIN_DEFAULT_WEIGHT), 1e-3..=1e6)
+}
+
+/// The sub-queues of one tenant, by name. One without a budget has an even part of the tenant's.
+fn sub_queues(
+    tenant: &str,
+    tenant_budget: f64,
+    desks: BTreeMap<String, DeskBlock>,
+) -> Result<Vec<SubQueueConfig>, FieldError> {
+    let even_part = tenant_budget / desks.len().max(1) as f64;
+    let mut known_networks: BTreeSet<IpNet> = BTreeSet::new();
+    let mut sub_queues = Vec::new();
+    for (name, desk) in desks {
+        let block = BlockPath::new(&["queues", "member", tenant, "desk", &name]);
+        let budget = block.number("cpu_s_per_s", desk.cpu_s_per_s, even_part, 0.0..=1e6)?;
+        let weight = weight(&block, desk.weight, budget)?;
+        for network in &desk.networks {
+            if !known_networks.insert(network.trunc()) {
+                let why = format!("{network} is another desk's already");
+                return Err(block.error("networks", why));
+            }
+        }
+        sub_queues.push(SubQueueConfig {
+            share: CapacityShare { budget, weight },
+            networks: desk.networks,
+            name,
+        });
+    }
+    Ok(sub_queues)
+}
--- a/crates/operator_config/tests/file.rs
+++ b/crates/operator_config/tests/file.rs
@@ -2,7 +2,7 @@
 
 use std::path::Path;
 
-use operator_config::Operator;
+use operator_config::OperatorConfig;
 
 const GOOD: &str = r#"
 queues {
@@ -26,16 +26,16 @@
 "#;
 
 fn error(text: &str) -> String {
-    Operator::parse(Path::new("site.hcl"), text)
+    OperatorConfig::parse(Path::new("site.hcl"), text)
         .unwrap_err()
         .to_string()
 }
 
 #[test]
 fn a_good_file_gives_terms_with_the_defaults_first() {
-    let terms = Operator::parse(Path::new("site.hcl"), GOOD)
+    let terms = OperatorConfig::parse(Path::new("site.hcl"), GOOD)
         .unwrap()
-        .queues
+        .scheduler
         .unwrap();
     let names: Vec<_> = terms
         .tenants
@@ -59,8 +59,8 @@
     let off = GOOD.replace("ageing_ms ", "enabled = false\n ageing_ms ");
     for text in ["", "# all off\n", &off] {
         assert_eq!(
-            Operator::parse(Path::new("site.hcl"), text).unwrap(),
-            Operator::default()
+            OperatorConfig::parse(Path::new("site.hcl"), text).unwrap(),
+            OperatorConfig::default()
         );
     }
 }
@@ -139,7 +139,7 @@
         );
     }
     assert!(
-        Operator::read(Path::new("/nonexistent.hcl"))
+        OperatorConfig::read(Path::new("/nonexistent.hcl"))
             .unwrap_err()
             .to_string()
             .starts_with("/nonexistent.hcl: ")
@@ -149,14 +149,14 @@
 #[test]
 fn callers_have_their_files_and_times_checked() {
     let good = "identity {\n  keys_folder = \"k\"\n  certificate = \"c\"\n  private_key = \"p\"\n  grace_ms = 2000\n}\n";
-    let callers = Operator::parse(Path::new("site.hcl"), good)
+    let callers = OperatorConfig::parse(Path::new("site.hcl"), good)
         .unwrap()
         .identity
         .unwrap();
     assert_eq!(
         (
-            callers.terms.key_arrival_grace.secs(),
-            callers.terms.clock_skew.secs()
+            callers.verifier.key_arrival_grace.secs(),
+            callers.verifier.clock_skew.secs()
         ),
         (2.0, 5.0)
     );
@@ -209,11 +209,11 @@
     };
     let bounds = |lines: &str| {
         let text = GOOD.to_owned() + &with(lines);
-        Operator::parse(Path::new("site.hcl"), &text)
+        OperatorConfig::parse(Path::new("site.hcl"), &text)
             .unwrap()
-            .fleet
+            .membership
             .unwrap()
-            .paces
+            .protocol
             .traffic_limits
     };
     assert_eq!(bounds(""), None);
@@ -257,8 +257,9 @@
 
 #[test]
 fn divided_budgets_take_the_members_and_are_checked() {
-    let operator = Operator::parse(Path::new("site.hcl"), &(GOOD.to_owned() + DIVIDED)).unwrap();
-    let shares = operator.shares.unwrap();
+    let operator =
+        OperatorConfig::parse(Path::new("site.hcl"), &(GOOD.to_owned() + DIVIDED)).unwrap();
+    let shares = operator.quota.unwrap();
     let budgets: Vec<_> = shares
         .budgets
         .iter()
--- a/crates/process_harness/src/scale/hollow.rs
+++ b/crates/process_harness/src/scale/hollow.rs
@@ -6,7 +6,7 @@
 use admission::interface::Timestamp;
 use control::{ClockReadings, ControlPlane, ReceiveQueue};
 use membership::{Event, KeyRing, Locality, Name, Node, NodeSetup};
-use operator_config::FleetTerms;
+use operator_config::MembershipConfig;
 use quota::{FleetQuotas, HolderId};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -24,7 +24,7 @@
 /// What all hollow gateways of a process are made from.
 pub struct Plan {
     pub layout: Layout,
-    pub fleet: FleetTerms,
+    pub fleet: MembershipConfig,
     pub shares: Option<quota::Config>,
     pub seed: u64,
 }
@@ -84,7 +84,7 @@
                 locality: place,
                 seeds: plan.fleet.seeds.clone(),
                 key_ring: KeyRing::new(&KEY, &[]).expect("one key"),
-                config: plan.fleet.paces.clone(),
+                config: plan.fleet.protocol.clone(),
                 rng_seed: rng.random(),
             },
         );
--- a/crates/process_harness/src/scale/mod.rs
+++ b/crates/process_harness/src/scale/mod.rs
@@ -53,7 +53,7 @@
     #[error(transparent)]
     Script(#[from] script::ScriptError),
     #[error("operator's file of the run: {0}")]
-    Operator(#[from] operator_config::OperatorError),
+    Operator(#[from] operator_config::OperatorConfigError),
     #[error("--seconds: {0} is not between 2 and 3600")]
     Seconds(f64),
     #[error("--program: {0} is no file; build it: cargo build --release --locked")]
--- a/crates/process_harness/src/scale/run.rs
+++ b/crates/process_harness/src/scale/run.rs
@@ -105,7 +105,7 @@
         .unwrap_or_default();
     let layout = layout(options, Vec::new());
     let text = operator_file::hollow(&layout, &script.block, options.budgets);
-    operator_config::Operator::parse(std::path::Path::new("operator.hcl"), &text)?;
+    operator_config::OperatorConfig::parse(std::path::Path::new("operator.hcl"), &text)?;
     let parts = parts(&layout);
     let largest = parts.iter().map(Vec::len).max().unwrap_or(0);
     limits::before(
--- a/crates/process_harness/src/scale/worker.rs
+++ b/crates/process_harness/src/scale/worker.rs
@@ -77,17 +77,17 @@
 
 impl Worker {
     fn new(setup: Setup) -> Result<Worker, Box<dyn std::error::Error>> {
-        let operator = operator_config::Operator::parse(
+        let operator = operator_config::OperatorConfig::parse(
             Path::new("operator's file of the run"),
             &setup.operator,
         )?;
         let fleet = operator
-            .fleet
+            .membership
             .ok_or("the operator's file has no fleet block")?;
         let plan = Plan {
             layout: setup.layout,
             fleet,
-            shares: operator.shares,
+            shares: operator.quota,
             seed: setup.seed,
         };
         let epoll = epoll::create(epoll::CreateFlags::CLOEXEC)?;
--- a/crates/simulator/src/scenario.rs
+++ b/crates/simulator/src/scenario.rs
@@ -344,7 +344,7 @@
             return Ok(None);
         };
         block
-            .terms()
+            .check()
             .map_err(|fault| format!("{}: {}", fault.path.join("."), fault.why))
     }
 }
