--- a/crates/membership/src/outstanding_probes.rs
+++ b/crates/membership/src/outstanding_probes.rs
@@ -10,7 +10,7 @@
 
 /// What a probe is for, and what follows where no ack comes.
 #[derive(Clone, Debug, PartialEq)]
-pub enum ProbePurpose {
+pub(crate) enum ProbePurpose {
     /// Of a member, in turn or since something was heard of it: without an ack it is suspected.
     Member(Name),
     /// Of a node that gossip tells of: without an ack it is forgotten.
@@ -29,7 +29,7 @@
 impl ProbePurpose {
     /// Whom it is for, where that is known.
     #[must_use]
-    pub fn target_name(&self) -> Option<&Name> {
+    pub(crate) fn target_name(&self) -> Option<&Name> {
         match self {
             ProbePurpose::Member(name) | ProbePurpose::Direct(name) => Some(name),
             ProbePurpose::Rejoin(name) => name.as_ref(),
@@ -39,7 +39,7 @@
 
     /// Whether the ack may come from a node of this name.
     #[must_use]
-    pub fn may_be_acked_by(&self, name: &Name) -> bool {
+    pub(crate) fn may_be_acked_by(&self, name: &Name) -> bool {
         match self {
             ProbePurpose::Member(target) | ProbePurpose::Direct(target) => target == name,
             ProbePurpose::Rejoin(_) | ProbePurpose::Indirect { .. } => true,
@@ -49,17 +49,17 @@
 
 /// How long a probe waits.
 #[derive(Clone, Copy, Debug)]
-pub struct ProbeTimeouts {
+pub(crate) struct ProbeTimeouts {
     /// For the ack of its target, before others are asked.
-    pub direct: TimeDelta,
+    pub(crate) direct: TimeDelta,
     /// For any answer.
-    pub total: TimeDelta,
+    pub(crate) total: TimeDelta,
 }
 
 impl ProbeTimeouts {
     /// Both times as many times as long.
     #[must_use]
-    pub fn times(self, factor: f64) -> ProbeTimeouts {
+    pub(crate) fn times(self, factor: f64) -> ProbeTimeouts {
         ProbeTimeouts {
             direct: TimeDelta::from_secs(self.direct.secs() * factor),
             total: TimeDelta::from_secs(self.total.secs() * factor),
@@ -69,25 +69,25 @@
 
 /// A probe that waits for an ack.
 #[derive(Clone, Debug)]
-pub struct Probe {
+pub(crate) struct Probe {
     /// What it is for.
-    pub purpose: ProbePurpose,
+    pub(crate) purpose: ProbePurpose,
     /// Where it was sent.
-    pub target: SocketAddr,
+    pub(crate) target: SocketAddr,
     /// When the next step is due: others are asked, or it has failed.
-    pub due: Timestamp,
+    pub(crate) due: Timestamp,
     /// When it has failed.
-    pub deadline: Timestamp,
+    pub(crate) deadline: Timestamp,
     /// Members asked for an indirect probe that have not answered.
-    pub relays: BTreeSet<SocketAddr>,
+    pub(crate) relays: BTreeSet<SocketAddr>,
     /// Relays that said that they are well and had no ack either.
-    pub nacks: usize,
+    pub(crate) nacks: usize,
 }
 
 impl Probe {
     /// A probe that is sent now.
     #[must_use]
-    pub fn new(
+    pub(crate) fn new(
         now: Timestamp,
         purpose: ProbePurpose,
         target: SocketAddr,
@@ -111,40 +111,40 @@
 
 /// All probes that wait for an ack, by their nonces.
 #[derive(Clone, Debug, Default)]
-pub struct OutstandingProbes {
+pub(crate) struct OutstandingProbes {
     probes: BTreeMap<Nonce, Probe>,
 }
 
 impl OutstandingProbes {
     /// Adds one.
-    pub fn insert(&mut self, nonce: Nonce, probe: Probe) {
+    pub(crate) fn insert(&mut self, nonce: Nonce, probe: Probe) {
         self.probes.insert(nonce, probe);
     }
 
     /// The probe of a nonce.
     #[must_use]
-    pub fn get(&self, nonce: Nonce) -> Option<&Probe> {
+    pub(crate) fn get(&self, nonce: Nonce) -> Option<&Probe> {
         self.probes.get(&nonce)
     }
 
     /// The probe of a nonce, to be changed.
-    pub fn get_mut(&mut self, nonce: Nonce) -> Option<&mut Probe> {
+    pub(crate) fn get_mut(&mut self, nonce: Nonce) -> Option<&mut Probe> {
         self.probes.get_mut(&nonce)
     }
 
     /// Takes a probe out: it is over.
-    pub fn remove(&mut self, nonce: Nonce) -> Option<Probe> {
+    pub(crate) fn remove(&mut self, nonce: Nonce) -> Option<Probe> {
         self.probes.remove(&nonce)
     }
 
     /// Forgets all.
-    pub fn clear(&mut self) {
+    pub(crate) fn clear(&mut self) {
         self.probes.clear();
     }
 
     /// Whether a node of this name is being probed, in turn or directly.
     #[must_use]
-    pub fn is_probing(&self, name: &Name) -> bool {
+    pub(crate) fn is_probing(&self, name: &Name) -> bool {
         self.probes.values().any(|probe| match &probe.purpose {
             ProbePurpose::Member(target) | ProbePurpose::Direct(target) => target == name,
             ProbePurpose::Rejoin(_) | ProbePurpose::Indirect { .. } => false,
@@ -153,27 +153,27 @@
 
     /// Direct probes of nodes that gossip tells of.
     #[must_use]
-    pub fn direct_count(&self) -> usize {
+    pub(crate) fn direct_count(&self) -> usize {
         let is_direct = |probe: &&Probe| matches!(probe.purpose, ProbePurpose::Direct(_));
         self.probes.values().filter(is_direct).count()
     }
 
     /// Indirect probes for other nodes.
     #[must_use]
-    pub fn indirect_count(&self) -> usize {
+    pub(crate) fn indirect_count(&self) -> usize {
         let is_indirect = |probe: &&Probe| matches!(probe.purpose, ProbePurpose::Indirect { .. });
         self.probes.values().filter(is_indirect).count()
     }
 
     /// When the next step of any is due.
     #[must_use]
-    pub fn next_due(&self) -> Option<Timestamp> {
+    pub(crate) fn next_due(&self) -> Option<Timestamp> {
         self.probes.values().map(|probe| probe.due).min()
     }
 
     /// Probes whose next step is due, in the order of their nonces.
     #[must_use]
-    pub fn due(&self, now: Timestamp) -> Vec<Nonce> {
+    pub(crate) fn due(&self, now: Timestamp) -> Vec<Nonce> {
         self.probes
             .iter()
             .filter(|(_, probe)| probe.due <= now)
--- a/crates/membership/src/probe_round.rs
+++ b/crates/membership/src/probe_round.rs
@@ -8,13 +8,13 @@
 
 /// SWIM's round-robin probing: the rest of a round in random order, so that each member is probed once a round.
 #[derive(Clone, Debug, Default)]
-pub struct ProbeRound {
+pub(crate) struct ProbeRound {
     remaining: Vec<Name>,
 }
 
 impl ProbeRound {
     /// The next one in turn that is still in the fleet; a new round begins where one ends. `None`: the fleet is empty.
-    pub fn next(
+    pub(crate) fn next(
         &mut self,
         fleet: impl Fn() -> Vec<Name>,
         is_in_fleet: impl Fn(&Name) -> bool,
@@ -47,7 +47,7 @@
 }
 
 /// A random sample of so many records, or all where there are fewer.
-pub fn sample<'a>(
+pub(crate) fn sample<'a>(
     records: impl Iterator<Item = &'a Record>,
     count: usize,
     rng: &mut Pcg64Mcg,
@@ -63,7 +63,7 @@
 }
 
 /// One record by chance.
-pub fn sample_one<'a>(
+pub(crate) fn sample_one<'a>(
     records: impl Iterator<Item = &'a Record>,
     rng: &mut Pcg64Mcg,
 ) -> Option<&'a Record> {
--- a/crates/membership/src/request_limits.rs
+++ b/crates/membership/src/request_limits.rs
@@ -7,7 +7,7 @@
 
 /// Who sent a message, as far as it is known before the message counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum SenderStatus {
+pub(crate) enum SenderStatus {
     /// Nothing is held of its name.
     Unknown,
     /// It is not in the fleet, or not at the address that is held of it.
@@ -18,7 +18,7 @@
 
 /// Rates at which requests are answered: whoever floods this node uses up no more than these.
 #[derive(Clone, Debug)]
-pub struct RequestLimits {
+pub(crate) struct RequestLimits {
     members: RateLimiter,
     strangers: RateLimiter,
     table_parts: RateLimiter,
@@ -27,7 +27,7 @@
 impl RequestLimits {
     /// Full rates.
     #[must_use]
-    pub fn new(config: &Config) -> Self {
+    pub(crate) fn new(config: &Config) -> Self {
         RequestLimits {
             members: RateLimiter::new(config.answers_per_s),
             strangers: RateLimiter::new(config.answers_per_s),
@@ -36,7 +36,7 @@
     }
 
     /// Whether a ping, or a request for one, is answered.
-    pub fn try_answer_probe(&mut self, now: Timestamp, sender: SenderStatus) -> bool {
+    pub(crate) fn try_answer_probe(&mut self, now: Timestamp, sender: SenderStatus) -> bool {
         match sender {
             SenderStatus::Member => self.members.try_take(now),
             SenderStatus::Unknown | SenderStatus::Unconfirmed => self.strangers.try_take(now),
@@ -44,7 +44,7 @@
     }
 
     /// Whether a part of the table is given out.
-    pub fn try_give_table_part(&mut self, now: Timestamp) -> bool {
+    pub(crate) fn try_give_table_part(&mut self, now: Timestamp) -> bool {
         self.table_parts.try_take(now)
     }
 }
--- a/crates/membership/src/verifications.rs
+++ b/crates/membership/src/verifications.rs
@@ -12,7 +12,7 @@
 
 /// What makes a node be verified.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum VerificationCause {
+pub(crate) enum VerificationCause {
     /// It spoke itself.
     OwnMessage,
     /// Others spoke of it.
@@ -21,29 +21,29 @@
 
 /// A direct probe to come.
 #[derive(Clone, Copy, Debug)]
-pub struct Verification {
+pub(crate) struct Verification {
     /// Where to.
-    pub address: SocketAddr,
+    pub(crate) address: SocketAddr,
     /// When at the earliest.
-    pub due: Timestamp,
+    pub(crate) due: Timestamp,
     /// What it is for.
-    pub cause: VerificationCause,
+    pub(crate) cause: VerificationCause,
 }
 
 /// Direct probes to come, by name.
 #[derive(Clone, Debug, Default)]
-pub struct Verifications {
+pub(crate) struct Verifications {
     pending: BTreeMap<Name, Verification>,
 }
 
 impl Verifications {
     /// Sets the direct probe of one. True: none was to come.
-    pub fn schedule(&mut self, name: &Name, verification: Verification) -> bool {
+    pub(crate) fn schedule(&mut self, name: &Name, verification: Verification) -> bool {
         self.pending.insert(name.clone(), verification).is_none()
     }
 
     /// Sets where one goes that is to come already. False: none is.
-    pub fn redirect(&mut self, name: &Name, address: SocketAddr) -> bool {
+    pub(crate) fn redirect(&mut self, name: &Name, address: SocketAddr) -> bool {
         let Some(verification) = self.pending.get_mut(name) else {
             return false;
         };
@@ -52,18 +52,18 @@
     }
 
     /// Takes one out: it is sent, or not needed any more.
-    pub fn remove(&mut self, name: &Name) -> Option<Verification> {
+    pub(crate) fn remove(&mut self, name: &Name) -> Option<Verification> {
         self.pending.remove(name)
     }
 
     /// Keeps those of these names only.
-    pub fn retain(&mut self, is_kept: impl Fn(&Name) -> bool) {
+    pub(crate) fn retain(&mut self, is_kept: impl Fn(&Name) -> bool) {
         self.pending.retain(|name, _| is_kept(name));
     }
 
     /// Those that are due, in the order of their names.
     #[must_use]
-    pub fn due(&self, now: Timestamp) -> Vec<Name> {
+    pub(crate) fn due(&self, now: Timestamp) -> Vec<Name> {
         self.pending
             .iter()
             .filter(|(_, verification)| verification.due <= now)
@@ -73,7 +73,7 @@
 
     /// Of these, at most so many, those that spoke themselves first; of gossip a few, since others verify it as well.
     #[must_use]
-    pub fn limit(&self, names: Vec<Name>, max: usize) -> Vec<Name> {
+    pub(crate) fn limit(&self, names: Vec<Name>, max: usize) -> Vec<Name> {
         let spoke_itself = |name: &Name| {
             self.pending
                 .get(name)
--- a/crates/membership/src/view_tracker.rs
+++ b/crates/membership/src/view_tracker.rs
@@ -22,16 +22,16 @@
 
 /// Views heard since the own view last changed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct ViewComparison {
+pub(crate) struct ViewComparison {
     /// Those that equal the own view.
-    pub equal: usize,
+    pub(crate) equal: usize,
     /// Those that differ from it.
-    pub differing: usize,
+    pub(crate) differing: usize,
 }
 
 /// The own view over time, and how it compares with others'.
 #[derive(Clone, Debug)]
-pub struct ViewTracker {
+pub(crate) struct ViewTracker {
     local: View,
     local_since: Timestamp,
     heard: VecDeque<HeardView>,
@@ -41,7 +41,7 @@
 impl ViewTracker {
     /// No view was heard yet.
     #[must_use]
-    pub fn new(now: Timestamp) -> Self {
+    pub(crate) fn new(now: Timestamp) -> Self {
         ViewTracker {
             local: View::default(),
             local_since: now,
@@ -51,7 +51,7 @@
     }
 
     /// A member told its view.
-    pub fn hear(&mut self, now: Timestamp, view: View) {
+    pub(crate) fn hear(&mut self, now: Timestamp, view: View) {
         self.heard.push_back(HeardView { heard: now, view });
         if self.heard.len() > MAX_HEARD {
             self.heard.pop_front();
@@ -60,7 +60,12 @@
 
     /// Compares the own view, which may have changed, with those heard lately. What was heard before its last change says
     /// nothing of the view that stands now.
-    pub fn compare(&mut self, now: Timestamp, local: View, config: &Config) -> ViewComparison {
+    pub(crate) fn compare(
+        &mut self,
+        now: Timestamp,
+        local: View,
+        config: &Config,
+    ) -> ViewComparison {
         if local != self.local {
             self.local = local;
             self.local_since = now;
@@ -82,42 +87,47 @@
 
     /// Since when the own view has not changed.
     #[must_use]
-    pub fn unchanged_since(&self) -> Timestamp {
+    pub(crate) fn unchanged_since(&self) -> Timestamp {
         self.local_since
     }
 
     /// How long the own view has not changed.
     #[must_use]
-    pub fn unchanged_for(&self, now: Timestamp) -> TimeDelta {
+    pub(crate) fn unchanged_for(&self, now: Timestamp) -> TimeDelta {
         now - self.local_since
     }
 
     /// Takes in an observation. True: the view state changed.
-    pub fn update(&mut self, now: Timestamp, observed: &ViewObservation, config: &Config) -> bool {
+    pub(crate) fn update(
+        &mut self,
+        now: Timestamp,
+        observed: &ViewObservation,
+        config: &Config,
+    ) -> bool {
         self.machine.update(now, observed, config)
     }
 
     /// The view state now.
     #[must_use]
-    pub fn state(&self) -> &ViewState {
+    pub(crate) fn state(&self) -> &ViewState {
         self.machine.state()
     }
 
     /// When the view state last changed.
     #[must_use]
-    pub fn state_since(&self) -> Timestamp {
+    pub(crate) fn state_since(&self) -> Timestamp {
         self.machine.since()
     }
 
     /// What may be assumed of a fleet of this size.
     #[must_use]
-    pub fn assumptions(&self, size: usize) -> FleetAssumptions {
+    pub(crate) fn assumptions(&self, size: usize) -> FleetAssumptions {
         self.machine.assumptions(size)
     }
 
     /// Views heard, and those of them that differ from the own one, for diagnostics.
     #[must_use]
-    pub fn summary(&self) -> String {
+    pub(crate) fn summary(&self) -> String {
         let since = self.local_since;
         let differing = self
             .heard
--- a/crates/membership/tests/byzantine.rs
+++ b/crates/membership/tests/byzantine.rs
@@ -90,6 +90,15 @@
     }
 }
 
+/// Another process with the first node's name.
+fn namesake() -> Record {
+    Record {
+        address: at(9),
+        boot_id: BootId(99),
+        ..record(1)
+    }
+}
+
 #[test]
 fn foreign_datagrams_are_rejected_by_their_reason() {
     let mut own = node(1, Config::default());
@@ -98,11 +107,6 @@
         fleet: Name::new("other").unwrap(),
         ..message_of(record(2), 2, Body::Gossip)
     };
-    let own_name = Record {
-        address: at(9),
-        boot_id: BootId(99),
-        ..record(1)
-    };
     let change = |at: usize, by: u8| {
         let mut bytes = good.clone();
         bytes[at] ^= by;
@@ -136,12 +140,9 @@
             "{rejected}"
         );
     }
+    let under_own_name = message::seal(&key_ring(), &message_of(namesake(), 1, Body::Gossip));
     assert_eq!(
-        own.receive(
-            at_time(1.0),
-            at(9),
-            &message::seal(&key_ring(), &message_of(own_name, 1, Body::Gossip))
-        ),
+        own.receive(at_time(1.0), at(9), &under_own_name),
         Err(RejectReason::OwnName)
     );
     assert_eq!(own.receive(at_time(1.0), at(2), &good), Ok(()));
@@ -161,6 +162,8 @@
 
 #[test]
 fn any_bytes_leave_a_node_as_it_was() {
+    // QuickCheck gives its values away.
+    #[expect(clippy::needless_pass_by_value)]
     fn holds(bytes: Vec<u8>) -> TestResult {
         let mut own = node(1, Config::default());
         let rejected = own.receive(at_time(1.0), at(2), &bytes).is_err();
@@ -188,7 +191,13 @@
     }
 }
 
-/// One that holds the key says anything: four honest ones stay together, bounded, and hold each other.
+/// Records that the table holds at most in these tests.
+const MAX_MEMBERS: usize = 40;
+/// Honest nodes among the five.
+const HONEST: usize = 4;
+
+/// Four honest nodes and the Byzantine one, which holds the key and says anything: the four keep each other, in a bounded
+/// table.
 fn byzantine_rounds(seed: u64) -> TestResult {
     byzantine_rounds_with(seed, None)
 }
@@ -196,13 +205,12 @@
 fn byzantine_rounds_with(seed: u64, limits: Option<TrafficLimits>) -> TestResult {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let config = Config {
-        max_members: 40,
+        max_members: MAX_MEMBERS,
         traffic_limits: limits,
         ..Config::default()
     };
-    let mut all: Vec<Node> = (1..=4).map(|number| node(number, config.clone())).collect();
     // The Byzantine node is a member too: known, and heard.
-    all.push(node(5, config));
+    let mut all: Vec<Node> = (1..=5).map(|number| node(number, config.clone())).collect();
     let mut now = 0.0;
     talk(&mut all, &mut now, 12.0);
     if all.iter().any(|node| node.fleet_size() != 5) {
@@ -210,65 +218,80 @@
     }
     let mut counter = 1 << 40;
     for _ in 0..40 {
-        for honest in 0..4 {
-            let mut lie = message_of(all[4].local_record().clone(), counter, Body::Gossip);
+        for honest in 0..HONEST {
+            let lie = lie(&all, counter, &mut rng);
             counter += 1;
-            for _ in 0..rng.random_range(0..8) {
-                let number = rng.random_range(1..=8u8);
-                let known = all
-                    .iter()
-                    .find(|node| node.local_record().address == at(number));
-                let life = known
-                    .filter(|_| rng.random::<bool>())
-                    .map_or(BootId(rng.random()), |of| of.local_record().boot_id);
-                let states = [
-                    MemberState::Alive,
-                    MemberState::Suspect,
-                    MemberState::Dead,
-                    MemberState::Left,
-                ];
-                let incarnation = [1, 2, 3, 9_000, 1 << 30, u32::MAX][rng.random_range(0..6)];
-                lie.records.push(Record {
-                    name: Name::new(&format!("g{number}")).unwrap(),
-                    boot_id: life,
-                    incarnation: Incarnation(incarnation),
-                    address: at(rng.random_range(1..=40)),
-                    locality: Locality::default(),
-                    state: states[rng.random_range(0..4)],
-                });
-            }
             let bytes = message::seal(&key_ring(), &lie);
             let _ = all[honest].receive(at_time(now), at(5), &bytes);
         }
         let until = now + 0.5;
         talk(&mut all, &mut now, until);
-        for honest in &all[..4] {
-            let there = |number: u8| honest.member(&Name::new(&format!("g{number}")).unwrap());
-            let own = honest.local_record().address;
-            for number in (1..=4).filter(|number| at(*number) != own) {
-                let Some(held) = there(number) else {
-                    return TestResult::error(format!("g{number} was lost"));
-                };
-                let life = all[usize::from(number) - 1].local_record().boot_id;
-                if !held.is_in_fleet()
-                    || held.record.boot_id != life
-                    || held.record.address != at(number)
-                {
-                    return TestResult::error(format!("{own} holds {:?}", held.record));
-                }
-            }
-            if honest.table_len() > 40 || honest.local_record().incarnation > Incarnation(100_000) {
-                return TestResult::error(format!(
-                    "{} held, {:?}",
-                    honest.table_len(),
-                    honest.local_record()
-                ));
+        for honest in &all[..HONEST] {
+            if let Err(what) = check_honest(honest, &all) {
+                return TestResult::error(what);
             }
         }
     }
     TestResult::passed()
 }
 
+/// A message of the Byzantine node with up to seven records of any kind.
+fn lie(all: &[Node], counter: u64, rng: &mut Pcg64Mcg) -> Message {
+    let mut lie = message_of(all[HONEST].local_record().clone(), counter, Body::Gossip);
+    for _ in 0..rng.random_range(0..8) {
+        lie.records.push(any_record(all, rng));
+    }
+    lie
+}
+
+/// A record of a node that is there or not, in its boot or another, in any state.
+fn any_record(all: &[Node], rng: &mut Pcg64Mcg) -> Record {
+    let number = rng.random_range(1..=8u8);
+    let known = all
+        .iter()
+        .find(|node| node.local_record().address == at(number));
+    let boot_id = known
+        .filter(|_| rng.random::<bool>())
+        .map_or(BootId(rng.random()), |node| node.local_record().boot_id);
+    let states = [
+        MemberState::Alive,
+        MemberState::Suspect,
+        MemberState::Dead,
+        MemberState::Left,
+    ];
+    let incarnation = [1, 2, 3, 9_000, 1 << 30, u32::MAX][rng.random_range(0..6)];
+    Record {
+        name: Name::new(&format!("g{number}")).unwrap(),
+        boot_id,
+        incarnation: Incarnation(incarnation),
+        address: at(rng.random_range(1..=40)),
+        locality: Locality::default(),
+        state: states[rng.random_range(0..4)],
+    }
+}
+
+/// An honest node holds the other honest ones as they are, in a bounded table, and has not risen far.
+fn check_honest(honest: &Node, all: &[Node]) -> Result<(), String> {
+    let own = honest.local_record();
+    for other in all[..HONEST].iter().map(Node::local_record) {
+        if other.name == own.name {
+            continue;
+        }
+        let Some(held) = honest.member(&other.name) else {
+            return Err(format!("{} was lost", other.name));
+        };
+        let is_same_process =
+            held.record.boot_id == other.boot_id && held.record.address == other.address;
+        if !held.is_in_fleet() || !is_same_process {
+            return Err(format!("{} holds {:?}", own.address, held.record));
+        }
+    }
+    if honest.table_len() > MAX_MEMBERS || own.incarnation > Incarnation(100_000) {
+        return Err(format!("{} held, {own:?}", honest.table_len()));
+    }
+    Ok(())
+}
+
 #[test]
 fn one_byzantine_node_among_five_takes_nobody_off_whatever_it_says() {
     QuickCheck::new()
