--- a/crates/membership/src/member_entry.rs
+++ b/crates/membership/src/member_entry.rs
@@ -152,10 +152,32 @@
         self.replay.window.accept(counter)
     }
 
-    /// It answered this node itself.
-    pub(crate) fn acked(&mut self, now: Timestamp) {
+    /// Whether this is in the fleet in another boot than a node that answered, which the answer does not replace: it is not
+    /// above what is held or, at another address, waits until nobody answers at the first, or any process could take a name
+    /// that is in use.
+    pub(crate) fn is_above_boot_of(&self, other: &Record) -> bool {
+        let is_other_boot = self.record.boot_id != other.boot_id;
+        let is_not_above =
+            other.incarnation <= self.record.incarnation || other.address != self.record.address;
+        is_other_boot && is_not_above && self.is_in_fleet()
+    }
+
+    /// It answered this node itself: its own record is held, at an incarnation no lower than before in the same boot.
+    pub(crate) fn take_ack(&mut self, now: Timestamp, from: &Record) {
         self.last_ack = Some(now);
         self.failed_probes = 0;
+        self.confirmed = true;
+        let mut record = from.clone();
+        if self.record.boot_id == from.boot_id {
+            record.incarnation = from.incarnation.max(self.record.incarnation);
+        }
+        if record.state == MemberState::Alive {
+            let incarnation = record.incarnation;
+            self.witnesses
+                .retain(|_, witness| witness.record.incarnation > incarnation);
+        }
+        self.record = record;
+        self.suspicion = None;
     }
 
     /// A direct probe of it came to nothing. True: it is a candidate that was probed often enough, and is dropped.
--- a/crates/membership/src/node/gossip.rs
+++ b/crates/membership/src/node/gossip.rs
@@ -23,35 +23,17 @@
             self.add_acked(now, from);
             return;
         };
-        let before = entry.record.clone();
-        let is_other_boot = before.boot_id != from.boot_id;
-        let is_not_above = from.incarnation <= before.incarnation || before.address != from.address;
-        if is_other_boot && is_not_above && entry.is_in_fleet() {
-            // An earlier boot is still held: the node hears of that with this node's answer, and rises. At another address it
-            // waits until nobody answers at the first, or any process could take a name that is in use.
+        if entry.is_above_boot_of(from) {
+            // The node hears of the earlier boot with this node's answer, and rises.
             return;
         }
-        entry.acked(now);
-        let was_confirmed = std::mem::replace(&mut entry.confirmed, true);
-        let incarnation = if is_other_boot {
-            from.incarnation
-        } else {
-            from.incarnation.max(before.incarnation)
-        };
-        entry.record = Record {
-            incarnation,
-            ..from.clone()
-        };
-        entry.suspicion = None;
-        let is_alive = from.state == MemberState::Alive;
-        if is_alive {
-            entry
-                .witnesses
-                .retain(|_, witness| witness.record.incarnation > incarnation);
-        }
+        let was_confirmed = entry.confirmed;
+        let before = entry.record.clone();
+        entry.take_ack(now, from);
         let is_changed = !was_confirmed || before != entry.record;
         let was_dead = was_confirmed && before.state == MemberState::Dead;
-        if was_dead && !is_other_boot && is_alive {
+        let is_alive = from.state == MemberState::Alive;
+        if was_dead && before.boot_id == from.boot_id && is_alive {
             self.note_false_death(now, &from.name);
         }
         if is_changed {
@@ -93,20 +75,27 @@
         if !is_newer && entry.record.state == MemberState::Alive {
             return;
         }
-        if from.state == MemberState::Left {
-            if entry.record.state != MemberState::Left {
-                entry.record = from.clone();
-                entry.suspicion = None;
-                self.member_changed(now, &from.name);
-            }
-        } else if is_newer {
-            self.replace_record(now, from.clone());
-        } else {
+        match from.state {
+            MemberState::Left => self.take_leave(now, from),
+            _ if is_newer => self.replace_record(now, from.clone()),
             // Something worse is held at this incarnation: it will hear of that, and rise.
-            self.verify_sender(now, from);
+            _ => self.verify_sender(now, from),
         }
     }
 
+    /// A member says that it leaves.
+    fn take_leave(&mut self, now: Timestamp, from: &Record) {
+        let Some(entry) = self.table.get_mut_keeping_view(&from.name) else {
+            return;
+        };
+        if entry.record.state == MemberState::Left {
+            return;
+        }
+        entry.record = from.clone();
+        entry.suspicion = None;
+        self.member_changed(now, &from.name);
+    }
+
     /// Holds a newer record of a confirmed member in place of the one that is held.
     pub(super) fn replace_record(&mut self, now: Timestamp, record: Record) {
         let name = record.name.clone();
