--- a/crates/gateway/src/discovery/mod.rs
+++ b/crates/gateway/src/discovery/mod.rs
@@ -122,7 +122,7 @@
         }
         let polls_before = self.polls.len();
         self.polls.retain(|_, poll| !poll.is_given_up(now));
-        counters.polls_failed += (polls_before - self.polls.len()) as u64;
+        counters.discovery_polls_failed += (polls_before - self.polls.len()) as u64;
         if self.next_poll.is_some_and(|due| due <= now) {
             self.start_poll(now, counters);
         }
@@ -144,7 +144,7 @@
         self.next_poll = None;
         if self.polls.len() >= MAX_POLLS {
             self.polls.pop_first();
-            counters.polls_failed += 1;
+            counters.discovery_polls_failed += 1;
         }
         let poll_id = self.next_poll_id;
         self.next_poll_id += 1;
@@ -161,13 +161,13 @@
     }
 
     fn send_request(&self, now: Timestamp, poll: &mut Poll, counters: &mut Counters) {
-        counters.polls += 1;
+        counters.discovery_polls += 1;
         poll.send_request(now, self.last_revision, self.address);
     }
 
     /// Unless another poll is under way, the next one goes out after a pause.
     fn on_failure(&mut self, now: Timestamp, why: &str, counters: &mut Counters) {
-        counters.polls_failed += 1;
+        counters.discovery_polls_failed += 1;
         debug!(why, "discovery poll failed");
         if self.polls.values().all(Poll::is_late) {
             self.next_poll = Some(now + self.backoff.next_pause());
@@ -269,7 +269,7 @@
                 return;
             }
             self.last_revision = event.revision;
-            counters.list_events += 1;
+            counters.watch_events += 1;
             self.events.push(event);
         }
     }
