--- a/crates/wirehost/src/lib.rs
+++ b/crates/wirehost/src/lib.rs
@@ -1,4 +1,6 @@
-//! Puts the admission decisions before the simulator's wire: frames to calls, answers to frames.
+//! Puts the decisions before the simulator's wire: frames become calls, what those return becomes frames.
 
+mod action;
 pub mod frames;
 pub mod host;
+mod instance;
--- a/crates/wirehost/src/main.rs
+++ b/crates/wirehost/src/main.rs
@@ -1,3 +1,5 @@
+//! The program that speaks the wire on standard input and output.
+
 use std::io::{self, BufReader, BufWriter, Write};
 use std::process::ExitCode;
 
--- a/crates/wirehost/tests/golden.rs
+++ b/crates/wirehost/tests/golden.rs
@@ -8,7 +8,7 @@
 use std::fmt::Write;
 use std::path::Path;
 
-use wirehost::frames::{Batch, Fields, FrameError, Reply, encode_reply, read_batch};
+use wirehost::frames::{Batch, Fields, FrameError, Reply, TailRange, encode_reply, read_batch};
 use wirehost::host::Host;
 
 /// Compares with what is recorded, or records it.
@@ -246,6 +246,10 @@
     golden("events.txt", &got);
 }
 
+fn range(offset: u32, count: u32) -> TailRange {
+    TailRange { offset, count }
+}
+
 fn fault(frame: &[u8]) -> String {
     let error: FrameError = read_batch(&mut &frame[..]).unwrap_err();
     error.to_string()
@@ -260,7 +264,7 @@
     let entries = frame(&["78"], &(1..=46).collect::<Vec<u8>>());
     let entries = read_batch(&mut &entries[..]).unwrap().unwrap();
     let entries: Vec<String> = entries
-        .entries(0, (0, 2))
+        .entries(0, range(0, 2))
         .unwrap()
         .map(|entry| format!("{}/{}", entry.u32(0), entry.u8(22)))
         .collect();
@@ -274,17 +278,23 @@
         ("eight-bytes", of.u64(2).to_string()),
         ("short-fraction", format!("{:e}", of.f32(2))),
         ("long-fraction", format!("{:e}", of.f64(2))),
-        ("range", format!("{}+{}", of.range(2).0, of.range(2).1)),
-        ("text", batch.text(0, (2, 4)).unwrap()),
+        (
+            "range",
+            format!("{}+{}", of.range(2).offset, of.range(2).count),
+        ),
+        ("text", batch.text(0, range(2, 4)).unwrap()),
         ("entries", entries.join(" ")),
         (
             "nothing-more",
             read_batch(&mut &[][..]).unwrap().is_none().to_string(),
         ),
-        ("outside", batch.text(0, (2, 5)).unwrap_err().to_string()),
+        (
+            "outside",
+            batch.text(0, range(2, 5)).unwrap_err().to_string(),
+        ),
         (
             "entries-outside",
-            batch.entries(0, (0, 1)).err().unwrap().to_string(),
+            batch.entries(0, range(0, 1)).err().unwrap().to_string(),
         ),
         ("unknown", batch.unknown(4, "thing", 5).to_string()),
         ("cut-head", fault(&sent[..11])),
