--- a/crates/gateway/tests/connections.rs
+++ b/crates/gateway/tests/connections.rs
@@ -216,7 +216,9 @@
                 discovery.on_timer(now, &mut counters);
                 // Refused at once, in the same instant for all.
                 let mut ready = LoopEvents::default();
-                while ready.sources.is_empty() && counters.polls_failed as usize == asked.len() {
+                while ready.sources.is_empty()
+                    && counters.discovery_polls_failed as usize == asked.len()
+                {
                     event_loop
                         .dispatch(std::time::Duration::from_secs(10), &mut ready)
                         .unwrap();
--- a/crates/gateway/tests/golden.rs
+++ b/crates/gateway/tests/golden.rs
@@ -1119,12 +1119,12 @@
 fn counters_are_printed_as_recorded() {
     let counters = Counters {
         sessions_opened: 1,
-        statements_taken: 2,
+        statements_accepted: 2,
         completed: 3,
-        denied: 4,
-        relays_sent: 5,
-        polls: 6,
-        list_events: 7,
+        rejected: 4,
+        attempts_sent: 5,
+        discovery_polls: 6,
+        watch_events: 7,
         busy_ms: 8,
         ..Counters::default()
     };
