--- a/crates/gateway/src/lifecycle/start.rs
+++ b/crates/gateway/src/lifecycle/start.rs
@@ -81,7 +81,7 @@
             service.join_fleet(fleet);
         }
         info!(name = config.name, "starting");
-        let longest_deadline = config.settings.longest_deadline()?;
+        let longest_time_limit = config.settings.longest_time_limit()?;
         Ok(Lifecycle {
             phase: Phase::starting(now),
             event_loop,
@@ -89,7 +89,7 @@
             clock,
             timer: WakeTimer::default(),
             service,
-            drain_times: DrainTimes::for_longest_deadline(longest_deadline),
+            drain_times: DrainTimes::for_longest_deadline(longest_time_limit),
             source,
             config,
             operated,
@@ -129,7 +129,7 @@
         ProgressReports::Off
     };
     let sessions = Sessions::new(handle, limits, progress_reports, now);
-    let engines = EngineTransport::new(handle, config.settings.links()?, engine_descriptors);
+    let engines = EngineTransport::new(handle, config.settings.connections()?, engine_descriptors);
     let discovery = DiscoveryClient::new(
         handle,
         config.board,
--- a/crates/gateway/src/service/catalog.rs
+++ b/crates/gateway/src/service/catalog.rs
@@ -26,8 +26,8 @@
             peers: settings.peers()?,
             classes: settings.class_names()?,
             tenants: settings.tenant_names()?,
-            answers_report_usage: settings.bills()?,
-            max_open_statements: settings.most_open()?,
+            answers_report_usage: settings.engines_report_usage()?,
+            max_open_statements: settings.max_open_statements()?,
         })
     }
 
--- a/crates/gateway/src/service/mod.rs
+++ b/crates/gateway/src/service/mod.rs
@@ -22,7 +22,7 @@
 use admission::interface::{EngineId, TimeDelta, Timestamp};
 use dispatch::Dispatcher;
 use scheduler::{Config as QueueConfig, QueueResolver, Scheduler, TenantQueues};
-use settings::{Settings, SettingsError, Way};
+use settings::{NetworkDelay, Settings, SettingsError};
 use tracing::warn;
 
 use self::attempts::ReportsRead;
@@ -39,7 +39,7 @@
 use crate::fleet::Fleet;
 
 /// The longest time that what was sent is on its way to an engine.
-pub const NETWORK_DELAY: Way = Way(TimeDelta::from_micros(50_000));
+pub const NETWORK_DELAY: NetworkDelay = NetworkDelay(TimeDelta::from_micros(50_000));
 
 /// How long after its deadline a statement may still be without the decisions' answer, within its budget.
 const ANSWER_GRACE: TimeDelta = TimeDelta::from_micros(4_000);
@@ -97,8 +97,8 @@
             ..
         } = config;
         let dispatcher = Dispatcher::new(settings.policy(seed, NETWORK_DELAY)?);
-        let tenant_queues =
-            queues.map(|queues| TenantQueues::new(now, queues.clone(), settings.classes(), seed));
+        let tenant_queues = queues
+            .map(|queues| TenantQueues::new(now, queues.clone(), settings.class_count(), seed));
         let registry = EngineRegistry::new(settings.location_names(), settings.machine_names());
         Ok(Service {
             sessions: config.sessions,
