--- a/crates/gateway/src/lifecycle/mod.rs
+++ b/crates/gateway/src/lifecycle/mod.rs
@@ -201,9 +201,7 @@
                 self.phase = Phase::Serving;
             }
             Some(Transition::Close { exit_by }) => {
-                if self.shut_down_sessions(now) {
-                    self.phase = Phase::closing(now, exit_by);
-                }
+                self.close_sessions(now, exit_by);
             }
             Some(Transition::Exit) => self.phase = Phase::Exited,
         }
@@ -221,7 +219,7 @@
     }
 
     /// Shuts all sessions and the listening socket, unless something came that is to be answered first.
-    fn shut_down_sessions(&mut self, now: Timestamp) -> bool {
+    fn close_sessions(&mut self, now: Timestamp, exit_by: Timestamp) {
         // What the machine has accepted counts as received, whether or not an edge has told of it yet.
         self.acceptor.on_ready();
         self.accept(now);
@@ -232,8 +230,8 @@
                 .try_shut_down_all(now, &mut service.counters);
         if shut_down {
             self.acceptor.close();
+            self.phase = Phase::closing(now, exit_by);
         }
-        shut_down
     }
 
     /// Prints the counters, whatever the log's level: they were asked for.
