--- a/crates/gateway/src/command/check.rs
+++ b/crates/gateway/src/command/check.rs
@@ -3,12 +3,12 @@
 use std::path::{Path, PathBuf};
 
 use ::membership::Name;
-use operator_config::FleetTerms;
+use operator_config::MembershipConfig;
 use scheduler::Config as QueueConfig;
 
 use super::{CommandResult, config_path};
+use crate::cluster::key_folder;
 use crate::config::{Config, Operated};
-use crate::fleet;
 use crate::service::NETWORK_DELAY;
 
 /// Reads both files and prints them by sections.
@@ -48,8 +48,8 @@
     Ok(())
 }
 
-fn print_fleet(file: &str, name: &Name, terms: &FleetTerms) -> CommandResult {
-    let keys = fleet::files::read(&terms.keys_folder)?;
+fn print_fleet(file: &str, name: &Name, terms: &MembershipConfig) -> CommandResult {
+    let keys = key_folder::read(&terms.keys_folder)?;
     println!(
         "{file}: fleet {} is on; this is {name}, bound to {}, reached at {}",
         terms.fleet, terms.bind, terms.advertise
@@ -60,7 +60,7 @@
         seeds.join(", "),
         keys.accepted_keys().count()
     );
-    let paces = &terms.paces;
+    let paces = &terms.protocol;
     println!(
         "  probes each {} s, answers within {} s, {} helpers; hearsay counts from {} gateways on",
         paces.probe_period.secs(),
--- a/crates/gateway/src/command/fleet_keys.rs
+++ b/crates/gateway/src/command/fleet_keys.rs
@@ -6,7 +6,7 @@
 use zeroize::Zeroizing;
 
 use super::{CommandResult, FleetKeys};
-use crate::fleet::files;
+use crate::cluster::key_folder;
 
 const KEY_BYTES: usize = 32;
 
@@ -14,8 +14,8 @@
 pub(super) fn fleet_keys(command: FleetKeys) -> CommandResult {
     match command {
         FleetKeys::Add { folder, name } => add(&folder, &name),
-        FleetKeys::Sign { folder, name } => Ok(files::sign(&folder, &name)?),
-        FleetKeys::Remove { folder, name } => Ok(files::remove(&folder, &name)?),
+        FleetKeys::Sign { folder, name } => Ok(key_folder::set_signing_key(&folder, &name)?),
+        FleetKeys::Remove { folder, name } => Ok(key_folder::remove(&folder, &name)?),
         FleetKeys::List { folder } => list(&folder),
     }
 }
@@ -27,14 +27,14 @@
         .fill(&mut *key)
         .map_err(|_| "the machine gives no random bytes")?;
     fs::create_dir_all(folder)?;
-    files::add(folder, name, &key)?;
+    key_folder::add(folder, name, &key)?;
     Ok(())
 }
 
 fn list(folder: &Path) -> CommandResult {
-    let (names, signing) = files::list(folder)?;
-    for name in names {
-        let mark = if signing.as_ref() == Some(&name) {
+    let names = key_folder::list(folder)?;
+    for name in names.accepted {
+        let mark = if names.signing.as_ref() == Some(&name) {
             "  signs"
         } else {
             ""
--- a/crates/gateway/src/credentials/keys.rs
+++ b/crates/gateway/src/credentials/keys.rs
@@ -65,20 +65,20 @@
     let public_path = keyfiles::public_path(folder, id);
     for path in [&secret_path, &public_path] {
         if path.exists() {
-            return Err(FilesError::There(path.clone()).into());
+            return Err(FilesError::Exists(path.clone()).into());
         }
     }
     let pair = token::generate_key_pair()?;
     let secret = keyfiles::hex(&pair.secret[..]);
-    keyfiles::replace(&secret_path, secret.as_bytes(), true)?;
+    keyfiles::write_secret(&secret_path, secret.as_bytes())?;
     let public = keyfiles::hex(&pair.public);
-    keyfiles::replace(&public_path, public.as_bytes(), false)?;
+    keyfiles::write_public(&public_path, public.as_bytes())?;
     println!("{}", public_path.display());
     Ok(())
 }
 
 fn list(folder: &Path) -> CommandResult {
-    let index = keyfiles::index(folder)?;
+    let index = keyfiles::read_index_or_default(folder)?;
     println!("version {}", index.version);
     let now = Timestamp::from_secs(unix_now_s());
     for key in &index.keys {
--- a/crates/gateway/src/credentials/mod.rs
+++ b/crates/gateway/src/credentials/mod.rs
@@ -34,7 +34,7 @@
     folder: &Path,
     change: impl FnOnce(&mut KeyIndex) -> CommandResult,
 ) -> CommandResult {
-    let mut index = keyfiles::index(folder)?;
+    let mut index = keyfiles::read_index_or_default(folder)?;
     change(&mut index)?;
     index.version += 1;
     let text = serde_json::to_string(&index)?;
--- a/crates/gateway/src/credentials/token.rs
+++ b/crates/gateway/src/credentials/token.rs
@@ -89,7 +89,7 @@
 
 fn issue_token(issue: Issue) -> CommandResult {
     let id = key_id(issue.key)?;
-    let secret = keyfiles::secret(&issue.folder, &id)?;
+    let secret = keyfiles::read_secret(&issue.folder, &id)?;
     let grant = Grant {
         tenant: issue.tenant,
         sub_queues: limited_to(issue.sub_queues),
@@ -109,7 +109,7 @@
         grant,
     };
     let signed = token::sign(&claims, &id, &secret)?;
-    let public = keyfiles::read(&issue.folder)?.public.get(&id).copied();
+    let public = keyfiles::read(&issue.folder)?.public_keys.get(&id).copied();
     let public = public.ok_or_else(|| format!("{} is not announced", id.as_str()))?;
     token::verify(&signed, &public)?;
     println!("{signed}");
@@ -133,7 +133,7 @@
     let files = keyfiles::read(folder)?;
     let now = Timestamp::from_secs(unix_now_s());
     let mut verifier = TokenVerifier::new(now, VerifierConfig::default());
-    verifier.update(now, &files.index, &files.public, files.revoked)?;
+    verifier.update(now, &files.index, &files.public_keys, files.revoked)?;
     match verifier.verify(now, token) {
         Authentication::Accepted { claims, .. } => {
             println!("granted to {} of {}", claims.caller, claims.grant.tenant);
@@ -148,7 +148,7 @@
 }
 
 fn revoke(folder: &Path, token: Option<&str>, caller: Option<&str>) -> CommandResult {
-    let path = folder.join("revoked");
+    let path = keyfiles::revocation_path(folder);
     let mut text = if path.exists() {
         fs::read_to_string(&path)?
     } else {
@@ -164,9 +164,9 @@
         text.push_str(&format!("caller {caller}\n"));
     }
     if let Err(error) = RevocationList::parse(&text) {
-        return Err(FilesError::Revoked(path, error.line).into());
+        return Err(FilesError::Revocation(path, error.line).into());
     }
-    keyfiles::replace(&path, text.as_bytes(), false)?;
+    keyfiles::write_public(&path, text.as_bytes())?;
     // Gateways look at the index: its version tells them that something is new.
     update_index(folder, |_| Ok(()))
 }
--- a/crates/gateway/src/lifecycle/reload.rs
+++ b/crates/gateway/src/lifecycle/reload.rs
@@ -7,8 +7,8 @@
 
 use super::Lifecycle;
 use crate::clock::unix_now;
+use crate::cluster::ClusterEndpoint;
 use crate::config::{Config, Operated};
-use crate::fleet::Fleet;
 use crate::keywatch::{Known, WatchError};
 
 impl Lifecycle {
@@ -65,7 +65,7 @@
     fn apply_key_files(&mut self, known: Known) -> Result<(), KeyIndexError> {
         let Known { files, tls } = known;
         if let Some(verifier) = self.service.token_verifier() {
-            verifier.update(unix_now(), &files.index, &files.public, files.revoked)?;
+            verifier.update(unix_now(), &files.index, &files.public_keys, files.revoked)?;
         }
         self.service.sessions.require_tls(tls);
         Ok(())
@@ -90,8 +90,8 @@
     }
 
     fn reload_fleet(&mut self, operated: &Operated) {
-        match (self.service.fleet(), &operated.fleet) {
-            (Some(fleet), Some((_, terms))) => match fleet.change(terms) {
+        match (self.service.cluster(), &operated.fleet) {
+            (Some(cluster), Some((_, terms))) => match cluster.reconfigure(terms) {
                 Ok(kept) => info!(?kept, seeds = terms.seeds.len(), "fleet: new terms"),
                 Err(error) => {
                     self.service.counters.reloads_failed += 1;
@@ -106,10 +106,13 @@
     /// Budgets by their names; how long leases last, who votes and how many may run wait for a restart of all.
     fn reload_shares(&mut self, operated: &Operated) {
         let tenants = operated.member_names();
-        let parts = self.service.fleet().and_then(Fleet::parts);
-        match (parts, &operated.shares) {
-            (Some(parts), Some(terms)) => {
-                let kept = parts.change(terms.clone(), &tenants);
+        let leases = self
+            .service
+            .cluster()
+            .and_then(ClusterEndpoint::quota_leases);
+        match (leases, &operated.shares) {
+            (Some(leases), Some(terms)) => {
+                let kept = leases.reconfigure(terms.clone(), &tenants);
                 info!(?kept, budgets = terms.budgets.len(), "shares: new budgets");
                 self.operated.shares = operated.shares.clone();
             }
--- a/crates/gateway/src/lifecycle/start.rs
+++ b/crates/gateway/src/lifecycle/start.rs
@@ -1,4 +1,4 @@
-//! The start: the event loop's sources and the parts of the service, made from the configuration.
+//! The start: the event loop's sources and the leases of the service, made from the configuration.
 
 use std::path::PathBuf;
 
@@ -6,7 +6,7 @@
 use calloop::EventLoop;
 use calloop::signals::{Event as SignalEvent, Signal, Signals};
 use identity::TokenVerifier;
-use operator_config::Callers;
+use operator_config::IdentityConfig;
 use tracing::info;
 
 use super::acceptor::Acceptor;
@@ -15,11 +15,11 @@
 use super::{Lifecycle, StartError};
 use crate::clients::{ProgressReports, SessionLimits, Sessions};
 use crate::clock::{Clock, unix_now};
+use crate::cluster::ClusterEndpoint;
+use crate::cluster::QuotaLeases;
 use crate::config::{Config, Operated};
 use crate::discovery::DiscoveryClient;
 use crate::engines::EngineTransport;
-use crate::fleet::Fleet;
-use crate::fleet::parts::Parts;
 use crate::keywatch;
 use crate::service::{Service, ServiceConfig};
 use crate::socket::{EventLoopHandle, LoopEvents};
@@ -52,7 +52,7 @@
 }
 
 impl Lifecycle {
-    /// Makes all parts and tells them what the configuration knows.
+    /// Makes all leases and tells them what the configuration knows.
     ///
     /// `source`: the file that `config` was read from.
     ///
@@ -76,9 +76,9 @@
             authenticate_callers(&mut service, &handle, callers)?;
         }
         if let Some((name, terms)) = &operated.fleet {
-            let mut fleet = Fleet::start(now, &handle, terms, name, config.seed)?;
-            share_quotas(&mut fleet, clock, &config, &operated)?;
-            service.join_fleet(fleet);
+            let mut cluster = ClusterEndpoint::bind(now, &handle, terms, name, config.seed)?;
+            share_quotas(&mut cluster, clock, &config, &operated)?;
+            service.set_cluster(cluster);
         }
         info!(name = config.name, "starting");
         let longest_time_limit = config.settings.longest_time_limit()?;
@@ -152,12 +152,12 @@
 fn authenticate_callers(
     service: &mut Service,
     handle: &EventLoopHandle,
-    callers: &Callers,
+    callers: &IdentityConfig,
 ) -> Result<(), StartError> {
     let known = keywatch::read(callers)?;
     let files = known.files;
-    let mut verifier = TokenVerifier::new(unix_now(), callers.terms);
-    verifier.update(unix_now(), &files.index, &files.public, files.revoked)?;
+    let mut verifier = TokenVerifier::new(unix_now(), callers.verifier);
+    verifier.update(unix_now(), &files.index, &files.public_keys, files.revoked)?;
     info!(keys = files.index.keys.len(), "callers are to be known");
     service.set_token_verifier(verifier);
     service.sessions.require_tls(known.tls);
@@ -174,7 +174,7 @@
 
 /// Budgets are divided among the fleet's gateways, where the operator's file says so.
 fn share_quotas(
-    fleet: &mut Fleet,
+    cluster: &mut ClusterEndpoint,
     clock: Clock,
     config: &Config,
     operated: &Operated,
@@ -184,8 +184,8 @@
     };
     let classes = config.settings.class_names()?;
     let tenants = operated.member_names();
-    let own = fleet.gateway().local_record().clone();
-    let parts = Parts::new(
+    let own = cluster.membership().local_record().clone();
+    let leases = QuotaLeases::new(
         clock,
         own.name,
         own.boot_id,
@@ -194,7 +194,7 @@
         &tenants,
         config.seed,
     );
-    fleet.join(parts);
+    cluster.set_quota_leases(leases);
     info!("budgets are divided among all gateways");
     Ok(())
 }
--- a/crates/gateway/src/service/attempts.rs
+++ b/crates/gateway/src/service/attempts.rs
@@ -4,8 +4,8 @@
 use dispatch::{AttemptOrder, Decision, FollowUp};
 
 use super::Service;
+use crate::cluster::{AttemptCharge, ClusterEndpoint};
 use crate::engines::{AttemptUpdate, OutgoingAttempt};
-use crate::fleet::Fleet;
 
 /// Whether engines reported anything.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -54,8 +54,12 @@
         let lost = ended && !completed && event != AttemptEvent::Cancelled;
         if lost && is_answer_owed {
             // A retry may be wanted: the share of the retry budget that this gateway leases grows by it.
-            if let Some(parts) = self.fleet.as_mut().and_then(Fleet::parts) {
-                parts.wants_relay(class.0);
+            if let Some(leases) = self
+                .cluster
+                .as_mut()
+                .and_then(ClusterEndpoint::quota_leases)
+            {
+                leases.record_retry_demand(class.0);
             }
         }
         if completed && is_answer_owed {
@@ -91,10 +95,18 @@
         let Some(statement) = self.statements.get_mut(id) else {
             return;
         };
+        let charge = AttemptCharge {
+            class: statement.class.0,
+            is_retry: order.is_retry,
+            is_outlier_probe: order.outlier_probe,
+        };
         let needs_leased_budget = order.is_retry || order.outlier_probe;
         if needs_leased_budget
-            && let Some(parts) = self.fleet.as_mut().and_then(Fleet::parts)
-            && !parts.spend(statement.class.0, order.is_retry, order.outlier_probe)
+            && let Some(leases) = self
+                .cluster
+                .as_mut()
+                .and_then(ClusterEndpoint::quota_leases)
+            && !leases.charge(charge)
         {
             self.take_back_unleased(now, id, order.attempt);
             return;
