--- a/crates/gateway/src/command/query.rs
+++ b/crates/gateway/src/command/query.rs
@@ -19,8 +19,11 @@
     format: OutputFormat,
 ) -> CommandResult {
     let (columns, query): (&[&str], String) = match request_id {
-        Some(request_id) => (&status::STATEMENT, format!("SHOW QUEUE FOR '{request_id}'")),
-        None => (&status::DESKS, "SHOW QUEUE".to_owned()),
+        Some(request_id) => (
+            &status::STATEMENT_COLUMNS,
+            format!("SHOW QUEUE FOR '{request_id}'"),
+        ),
+        None => (&status::SUB_QUEUE_COLUMNS, "SHOW QUEUE".to_owned()),
     };
     let mut rows = show(address, &query, "has no queues")?;
     if let Some(tenant) = tenant {
@@ -33,14 +36,14 @@
 pub(super) fn fleet(address: SocketAddr, format: OutputFormat) -> CommandResult {
     let if_off = "knows no other gateways: its fleet is off";
     let rows = show(address, "SHOW FLEET", if_off)?;
-    print_table(&status::FLEET, &rows, format)
+    print_table(&status::FLEET_COLUMNS, &rows, format)
 }
 
 /// `laurelhitch shares`.
 pub(super) fn shares(address: SocketAddr, format: OutputFormat) -> CommandResult {
     let if_off = "divides no budgets: its shares are off";
     let rows = show(address, "SHOW SHARES", if_off)?;
-    print_table(&status::SHARES, &rows, format)
+    print_table(&status::QUOTA_COLUMNS, &rows, format)
 }
 
 /// The rows that a gateway answers with.
--- a/crates/gateway/src/service/show.rs
+++ b/crates/gateway/src/service/show.rs
@@ -25,8 +25,8 @@
             self.on_unsupported_show(now, session, query);
             return;
         };
-        let rows = status::fleet(now, cluster.membership());
-        self.respond_table(now, session, status::FLEET, &rows);
+        let rows = status::fleet_rows(now, cluster.membership());
+        self.respond_table(now, session, status::FLEET_COLUMNS, &rows);
     }
 
     /// `SHOW SHARES`.
@@ -40,8 +40,8 @@
             return;
         };
         let (lease_clock_now, shares) = leases.status();
-        let rows = status::shares(lease_clock_now, &shares);
-        self.respond_table(now, session, status::SHARES, &rows);
+        let rows = status::quota_rows(lease_clock_now, &shares);
+        self.respond_table(now, session, status::QUOTA_COLUMNS, &rows);
     }
 
     /// `SHOW QUEUE`, or `SHOW QUEUE FOR` the statement with this request id.
@@ -60,8 +60,8 @@
 
     fn show_sub_queues(&mut self, now: Timestamp, session: SessionId) {
         let sub_queues = self.scheduler.sub_queue_status(now, MAX_STATUS_ROWS);
-        let rows = status::desks(&sub_queues.unwrap_or_default());
-        self.respond_table(now, session, status::DESKS, &rows);
+        let rows = status::sub_queue_rows(&sub_queues.unwrap_or_default());
+        self.respond_table(now, session, status::SUB_QUEUE_COLUMNS, &rows);
     }
 
     /// One row; none where the statement does not wait.
@@ -72,9 +72,9 @@
         let queued = id.and_then(|id| self.scheduler.statement_status(now, id));
         let rows: Vec<_> = queued
             .iter()
-            .map(|queued| status::statement(request_id, queued))
+            .map(|queued| status::statement_row(request_id, queued))
             .collect();
-        self.respond_table(now, session, status::STATEMENT, &rows);
+        self.respond_table(now, session, status::STATEMENT_COLUMNS, &rows);
     }
 
     /// Reports progress to the clients that ask for it and whose statement waits.
--- a/crates/gateway/src/status.rs
+++ b/crates/gateway/src/status.rs
@@ -1,12 +1,13 @@
-//! What waits, as rows: the same for the status query and for the command line that asks it.
+//! What operators are shown of this gateway, as rows of text: the same for the answers to `SHOW` and for the command line
+//! that asks for them. Names of columns and texts of values are an interface and never change.
 
-use ::membership::{Node, Record};
-use ::quota::{Amount, BudgetStatus, Status};
+use ::membership::{MemberSummary, Name, Node, Record};
+use ::quota::{Amount, BudgetStatus, Holding, Status};
 use admission::interface::Timestamp;
 use scheduler::{StatementStatus, SubQueueStatus, WaitEstimate};
 
-/// Columns of `SHOW QUEUE`.
-pub const DESKS: [&str; 10] = [
+/// Columns of `SHOW QUEUE`: one row a sub-queue.
+pub const SUB_QUEUE_COLUMNS: [&str; 10] = [
     "member",
     "desk",
     "waiting",
@@ -19,8 +20,8 @@
     "next_wait_p90_ms",
 ];
 
-/// Columns of `SHOW QUEUE FOR 'RID'`; no row where it does not wait.
-pub const STATEMENT: [&str; 7] = [
+/// Columns of `SHOW QUEUE FOR 'RID'`; there is no row for a statement that does not wait.
+pub const STATEMENT_COLUMNS: [&str; 7] = [
     "rid",
     "member",
     "desk",
@@ -30,200 +31,239 @@
     "wait_p90_ms",
 ];
 
-fn ms(secs: f64) -> String {
+/// Columns of `SHOW FLEET`: this gateway first, with its view state and the digest of its view, then the members that it
+/// knows. `heard_s` of this gateway: seconds since it heard from any other, which is the age of its view while it is
+/// partitioned; of another one: since that acknowledged a probe of this one. `-`: never.
+pub const FLEET_COLUMNS: [&str; 13] = [
+    "name",
+    "state",
+    "incarnation",
+    "known",
+    "standing",
+    "digest",
+    "size",
+    "address",
+    "zone",
+    "region",
+    "since_s",
+    "life",
+    "heard_s",
+];
+
+/// Columns of `SHOW SHARES`: what this gateway holds of each budget; at the leader then what the others hold.
+pub const QUOTA_COLUMNS: [&str; 14] = [
+    "budget", "holder", "unit", "whole", "floor", "leased", "until_ms", "wanted", "spent",
+    "allowed", "refused", "steward", "term", "differs",
+];
+
+/// Stands for a value that there is not.
+const NO_VALUE: &str = "-";
+
+fn milliseconds(secs: f64) -> String {
     format!("{}", (secs * 1e3).round())
 }
 
-/// For the query class whose next statement would wait longest.
-fn longest(of: &[WaitEstimate]) -> WaitEstimate {
-    of.iter()
+fn yes_or_no(value: bool) -> String {
+    if value { "yes" } else { "no" }.to_owned()
+}
+
+fn text_or_none<T: ToString>(value: Option<T>) -> String {
+    match value {
+        Some(value) => value.to_string(),
+        None => NO_VALUE.to_owned(),
+    }
+}
+
+/// The estimate for the query class whose next statement would wait longest.
+fn longest_wait(estimates: &[WaitEstimate]) -> WaitEstimate {
+    estimates
+        .iter()
         .copied()
         .max_by(|a, b| a.median.cmp(&b.median))
         .unwrap_or_default()
 }
 
-pub fn desks(of: &[SubQueueStatus]) -> Vec<[String; DESKS.len()]> {
-    let row = |desk: &SubQueueStatus| {
-        let next = longest(&desk.next_waits);
-        [
-            desk.tenant.clone(),
-            desk.sub_queue.clone(),
-            desk.waiting.to_string(),
-            format!("{:.3}", desk.waiting_cpu),
-            format!("{:.3}", desk.budget),
-            desk.rate
-                .map_or("-".to_owned(), |rate| format!("{rate:.3}")),
-            format!("{:.3}", desk.saved),
-            ms(desk.longest_wait.secs()),
-            ms(next.median.secs()),
-            ms(next.p90.secs()),
-        ]
-    };
-    of.iter().map(row).collect()
+/// Rows of `SHOW QUEUE`.
+#[must_use]
+pub fn sub_queue_rows(sub_queues: &[SubQueueStatus]) -> Vec<[String; SUB_QUEUE_COLUMNS.len()]> {
+    sub_queues.iter().map(sub_queue_row).collect()
 }
 
-pub fn statement(rid: &str, of: &StatementStatus) -> [String; STATEMENT.len()] {
-    let (waited, left) = (of.waited.secs(), of.remaining);
-    let (member, desk) = (of.tenant.clone(), of.sub_queue.clone());
-    let [waited, wait, p90] = [waited, left.median.secs(), left.p90.secs()].map(ms);
+fn sub_queue_row(status: &SubQueueStatus) -> [String; SUB_QUEUE_COLUMNS.len()] {
+    let next_wait = longest_wait(&status.next_waits);
+    [
+        status.tenant.clone(),
+        status.sub_queue.clone(),
+        status.waiting.to_string(),
+        format!("{:.3}", status.waiting_cpu),
+        format!("{:.3}", status.budget),
+        text_or_none(status.rate.map(|rate| format!("{rate:.3}"))),
+        format!("{:.3}", status.saved),
+        milliseconds(status.longest_wait.secs()),
+        milliseconds(next_wait.median.secs()),
+        milliseconds(next_wait.p90.secs()),
+    ]
+}
+
+/// The row of `SHOW QUEUE FOR 'RID'`.
+#[must_use]
+pub fn statement_row(rid: &str, status: &StatementStatus) -> [String; STATEMENT_COLUMNS.len()] {
     [
         rid.to_owned(),
-        member,
-        desk,
-        of.ahead.to_string(),
-        waited,
-        wait,
-        p90,
+        status.tenant.clone(),
+        status.sub_queue.clone(),
+        status.ahead.to_string(),
+        milliseconds(status.waited.secs()),
+        milliseconds(status.remaining.median.secs()),
+        milliseconds(status.remaining.p90.secs()),
     ]
 }
 
-/// Columns of `SHOW FLEET`: this gateway first, with its standing and the digest of its view, then those it holds.
-/// `heard_s`: seconds since this gateway heard from any other, which is how old what it holds is while it is cut off; of another
-/// one, since that answered this gateway itself. `-`: never.
-pub const FLEET: [&str; 13] = [
-    "name",
-    "state",
-    "incarnation",
-    "known",
-    "standing",
-    "digest",
-    "size",
-    "address",
-    "zone",
-    "region",
-    "since_s",
-    "life",
-    "heard_s",
-];
+/// What `SHOW FLEET` shows of this gateway's view, in its own row only.
+#[derive(Default)]
+struct ViewCells {
+    state: String,
+    digest: String,
+    size: String,
+}
 
-pub fn fleet(now: Timestamp, of: &mut Node) -> Vec<[String; FLEET.len()]> {
-    let view = of.view();
-    let (digest, size) = (format!("{:016x}", view.digest), of.fleet_size().to_string());
-    let (own, since, heard) = (of.local_record(), of.view_state_since(), of.last_heard());
-    let own = fleet_row(
-        now,
-        own,
-        true,
-        since,
-        heard,
-        [of.view_state().to_string(), digest, size],
-    );
-    let none = || [String::new(), String::new(), String::new()];
-    let others = of.members().map(|held| {
-        fleet_row(
-            now,
-            &held.record,
-            held.confirmed,
-            held.changed,
-            held.last_ack,
-            none(),
-        )
-    });
-    [own].into_iter().chain(others).collect()
+/// Rows of `SHOW FLEET`.
+#[must_use]
+pub fn fleet_rows(now: Timestamp, membership: &mut Node) -> Vec<[String; FLEET_COLUMNS.len()]> {
+    let digest = membership.view().digest;
+    let view = ViewCells {
+        state: membership.view_state().to_string(),
+        digest: format!("{digest:016x}"),
+        size: membership.fleet_size().to_string(),
+    };
+    let local = MemberSummary {
+        record: membership.local_record().clone(),
+        confirmed: true,
+        changed: membership.view_state_since(),
+        last_ack: membership.last_heard(),
+    };
+    let mut rows = vec![fleet_row(now, &local, view)];
+    let others = membership.members();
+    rows.extend(others.map(|member| fleet_row(now, &member, ViewCells::default())));
+    rows
 }
 
-/// `view`: standing, digest and size, of this gateway itself only.
 fn fleet_row(
     now: Timestamp,
-    record: &Record,
-    known: bool,
-    since: Timestamp,
-    heard: Option<Timestamp>,
-    view: [String; 3],
-) -> [String; FLEET.len()] {
-    let place = |name: &Option<::membership::Name>| {
-        name.as_ref().map_or("-".to_owned(), ToString::to_string)
-    };
-    let ago = |at: Timestamp| format!("{:.1}", (now - at).secs());
-    let [standing, digest, size] = view;
+    member: &MemberSummary,
+    view: ViewCells,
+) -> [String; FLEET_COLUMNS.len()] {
+    let age_s = |time: Timestamp| format!("{:.1}", (now - time).secs());
+    let Record {
+        name,
+        state,
+        incarnation,
+        address,
+        locality,
+        boot_id,
+        ..
+    } = &member.record;
     [
-        record.name.to_string(),
-        record.state.to_string(),
-        record.incarnation.0.to_string(),
-        if known { "yes" } else { "no" }.to_owned(),
-        standing,
-        digest,
-        size,
-        record.address.to_string(),
-        place(&record.locality.zone),
-        place(&record.locality.region),
-        ago(since),
-        format!("{:016x}", record.boot_id.0),
-        heard.map_or("-".to_owned(), ago),
+        name.to_string(),
+        state.to_string(),
+        incarnation.0.to_string(),
+        yes_or_no(member.confirmed),
+        view.state,
+        view.digest,
+        view.size,
+        address.to_string(),
+        text_or_none(locality.zone.as_ref()),
+        text_or_none(locality.region.as_ref()),
+        age_s(member.changed),
+        format!("{:016x}", boot_id.0),
+        text_or_none(member.last_ack.map(age_s)),
     ]
 }
 
-/// Columns of `SHOW SHARES`: what this gateway holds of each budget; at the steward then what the others hold.
-pub const SHARES: [&str; 14] = [
-    "budget", "holder", "unit", "whole", "floor", "leased", "until_ms", "wanted", "spent",
-    "allowed", "refused", "steward", "term", "differs",
-];
+/// What `SHOW SHARES` shows of one holder of a budget.
+struct HolderCells<'a> {
+    holder: &'a Name,
+    leased: Amount,
+    lease_expires: Option<Timestamp>,
+    wanted: f64,
+    spent: String,
+    allowed: String,
+    rejected: String,
+    differs: String,
+}
 
-pub fn shares(now: Timestamp, of: &Status) -> Vec<[String; SHARES.len()]> {
-    let until =
-        |until: Option<Timestamp>| until.map_or("-".to_owned(), |until| ms((until - now).secs()));
-    let none = || "-".to_owned();
-    let steward = of.leader.as_ref().map_or_else(none, ToString::to_string);
-    let term = of.term.map_or_else(none, |term| term.to_string());
-    let row = |line: &BudgetStatus,
-               holder: String,
-               leased: Amount,
-               ends,
-               wanted: f64,
-               own: [String; 3],
-               differs| {
-        let [spent, allowed, refused] = own;
-        [
-            line.budget.clone(),
-            holder,
-            line.unit.to_owned(),
-            line.capacity.to_string(),
-            line.guaranteed.to_string(),
-            leased.to_string(),
-            until(ends),
-            format!("{wanted:.3}"),
-            spent,
-            allowed,
-            refused,
-            steward.clone(),
-            term.clone(),
-            differs,
-        ]
-    };
-    let own = of.budgets.iter().map(|line| {
-        let spent = [
-            format!("{:.3}", line.spent),
-            format!("{:.3}", line.allowed),
-            line.rejected.to_string(),
-        ];
-        row(
-            line,
-            of.gateway.to_string(),
-            line.leased,
-            line.lease_expires,
-            line.wanted,
-            spent,
-            none(),
-        )
-    });
-    let others = of.budgets.iter().flat_map(|line| {
-        let others = line
-            .holdings
-            .iter()
-            .filter(|holding| holding.holder.name != of.gateway);
-        others.map(|of| {
-            let differs = if of.config_differs { "yes" } else { "no" }.to_owned();
-            let (holder, needs) = (of.holder.name.to_string(), of.demand.units());
-            row(
-                line,
-                holder,
-                of.reserved,
-                of.expires,
-                needs,
-                [none(), none(), none()],
-                differs,
-            )
-        })
-    });
-    own.chain(others).collect()
+impl<'a> HolderCells<'a> {
+    fn of_this_gateway(status: &'a Status, budget: &BudgetStatus) -> Self {
+        HolderCells {
+            holder: &status.gateway,
+            leased: budget.leased,
+            lease_expires: budget.lease_expires,
+            wanted: budget.wanted,
+            spent: format!("{:.3}", budget.spent),
+            allowed: format!("{:.3}", budget.allowed),
+            rejected: budget.rejected.to_string(),
+            differs: NO_VALUE.to_owned(),
+        }
+    }
+
+    fn of_another(holding: &'a Holding) -> Self {
+        HolderCells {
+            holder: &holding.holder.name,
+            leased: holding.reserved,
+            lease_expires: holding.expires,
+            wanted: holding.demand.units(),
+            spent: NO_VALUE.to_owned(),
+            allowed: NO_VALUE.to_owned(),
+            rejected: NO_VALUE.to_owned(),
+            differs: yes_or_no(holding.config_differs),
+        }
+    }
+}
+
+/// Rows of `SHOW SHARES`. `now` is the steady clock at which the status was taken.
+#[must_use]
+pub fn quota_rows(now: Timestamp, status: &Status) -> Vec<[String; QUOTA_COLUMNS.len()]> {
+    let mut rows = Vec::new();
+    for budget in &status.budgets {
+        let cells = HolderCells::of_this_gateway(status, budget);
+        rows.push(quota_row(now, status, budget, cells));
+    }
+    for budget in &status.budgets {
+        for holding in &budget.holdings {
+            if holding.holder.name != status.gateway {
+                rows.push(quota_row(
+                    now,
+                    status,
+                    budget,
+                    HolderCells::of_another(holding),
+                ));
+            }
+        }
+    }
+    rows
+}
+
+fn quota_row(
+    now: Timestamp,
+    status: &Status,
+    budget: &BudgetStatus,
+    cells: HolderCells<'_>,
+) -> [String; QUOTA_COLUMNS.len()] {
+    let remaining = |expires: Timestamp| milliseconds((expires - now).secs());
+    [
+        budget.budget.clone(),
+        cells.holder.to_string(),
+        budget.unit.to_owned(),
+        budget.capacity.to_string(),
+        budget.guaranteed.to_string(),
+        cells.leased.to_string(),
+        text_or_none(cells.lease_expires.map(remaining)),
+        format!("{:.3}", cells.wanted),
+        cells.spent,
+        cells.allowed,
+        cells.rejected,
+        text_or_none(status.leader.as_ref()),
+        text_or_none(status.term),
+        cells.differs,
+    ]
 }
--- a/crates/gateway/tests/golden.rs
+++ b/crates/gateway/tests/golden.rs
@@ -794,22 +794,22 @@
         waited: TimeDelta::from_secs(0.25),
         remaining: estimate(0.5, 1.5),
     };
-    let desks = status::desks(&[desk, quiet]);
-    let statement = [status::statement("5eed00c0ffee0a17", &statement)];
+    let desks = status::sub_queue_rows(&[desk, quiet]);
+    let statement = [status::statement_row("5eed00c0ffee0a17", &statement)];
     let rows = cells(&desks);
     let got = [
-        ("queue-columns", status::DESKS.join("|")),
+        ("queue-columns", status::SUB_QUEUE_COLUMNS.join("|")),
         ("queue-desk", rows[0].clone()),
         ("queue-quiet-desk", rows[1].clone()),
         (
             "queue-packets",
-            hex(Response::to(0).table(status::DESKS, &desks)),
+            hex(Response::to(0).table(status::SUB_QUEUE_COLUMNS, &desks)),
         ),
-        ("statement-columns", status::STATEMENT.join("|")),
+        ("statement-columns", status::STATEMENT_COLUMNS.join("|")),
         ("statement", cells(&statement).concat()),
         (
             "statement-packets",
-            hex(Response::to(0).table(status::STATEMENT, &statement)),
+            hex(Response::to(0).table(status::STATEMENT_COLUMNS, &statement)),
         ),
     ];
     golden("queues.txt", &got);
@@ -843,7 +843,7 @@
         locality,
         state,
     };
-    let alone = cells(&status::fleet(at(12.5), &mut own));
+    let alone = cells(&status::fleet_rows(at(12.5), &mut own));
     for (count, of, state, place) in [
         (1, "g1", MemberState::Alive, place("room-b", "south")),
         (
@@ -869,9 +869,9 @@
         };
         let _ = own.receive(at(13.0), address, &message::seal(&ring(), &message));
     }
-    let rows = cells(&status::fleet(at(15.0), &mut own));
+    let rows = cells(&status::fleet_rows(at(15.0), &mut own));
     let mut got = vec![
-        ("fleet-columns", status::FLEET.join("|")),
+        ("fleet-columns", status::FLEET_COLUMNS.join("|")),
         ("fleet-alone", alone.concat()),
     ];
     got.extend(rows.into_iter().map(|row| ("fleet-row", row)));
@@ -935,15 +935,15 @@
         term: None,
         budgets: vec![bare],
     };
-    let mut got = vec![("shares-columns", status::SHARES.join("|"))];
+    let mut got = vec![("shares-columns", status::QUOTA_COLUMNS.join("|"))];
     got.extend(
-        cells(&status::shares(at(10.0), &steward))
+        cells(&status::quota_rows(at(10.0), &steward))
             .into_iter()
             .map(|row| ("shares-row", row)),
     );
     got.push((
         "shares-without-steward",
-        cells(&status::shares(at(10.0), &none)).concat(),
+        cells(&status::quota_rows(at(10.0), &none)).concat(),
     ));
     golden("shares.txt", &got);
 }
