--- a/crates/gateway/src/engines/ending.rs
+++ b/crates/gateway/src/engines/ending.rs
@@ -21,7 +21,7 @@
     ) {
         let id = AttemptId { statement, attempt };
         if self.locations.contains_key(&id) {
-            counters.relays_cancelled += 1;
+            counters.attempts_cancelled += 1;
         }
         self.stop_attempt(now, id, AttemptEvent::Cancelled, counters);
     }
@@ -102,7 +102,7 @@
     /// Ends the attempts and connections whose time has passed.
     pub fn expire_timeouts(&mut self, now: Timestamp, counters: &mut Counters) {
         while let Some(id) = self.timers.pop_deadline(now) {
-            counters.relays_timed_out += 1;
+            counters.attempts_timed_out += 1;
             self.stop_attempt(now, id, AttemptEvent::TimedOut, counters);
         }
         while let Some(id) = self.timers.pop_send_limit(now) {
@@ -195,7 +195,7 @@
             return false;
         }
         let was_alone = connection.attempts.len() == 1;
-        counters.relays_withdrawn += 1;
+        counters.attempts_withdrawn += 1;
         self.finish_attempt(now, id, &request_id, event);
         if was_alone {
             // Nobody waits for it any more, or what it began must not be ended.
@@ -224,12 +224,12 @@
             "connection lost"
         );
         if error.is_unusable_response() {
-            counters.answers_spoilt += 1;
+            counters.answers_malformed += 1;
         }
         for lost in connection.lost_attempts() {
             match lost.event {
-                AttemptEvent::Reset => counters.relays_reset += 1,
-                _ => counters.relays_unreachable += 1,
+                AttemptEvent::Reset => counters.attempts_reset += 1,
+                _ => counters.attempts_unreachable += 1,
             }
             self.finish_attempt(now, id, &lost.request_id, lost.event);
         }
--- a/crates/gateway/src/engines/mod.rs
+++ b/crates/gateway/src/engines/mod.rs
@@ -20,7 +20,7 @@
 use std::net::SocketAddr;
 
 use admission::interface::{AttemptEvent, EngineId, StatementId, TimeDelta, Timestamp};
-use settings::Links;
+use settings::ConnectionSettings;
 use tracing::debug;
 
 use crate::counters::Counters;
@@ -59,7 +59,11 @@
 impl EngineTransport {
     /// A transport without engines, of at most `max_connections` at once.
     #[must_use]
-    pub fn new(event_loop: &EventLoopHandle, links: Links, max_connections: usize) -> Self {
+    pub fn new(
+        event_loop: &EventLoopHandle,
+        links: ConnectionSettings,
+        max_connections: usize,
+    ) -> Self {
         EngineTransport {
             pool: ConnectionPool::new(event_loop, links, max_connections),
             locations: HashMap::new(),
@@ -131,7 +135,7 @@
         outgoing: &OutgoingAttempt,
         counters: &mut Counters,
     ) -> Option<ConnectionId> {
-        counters.relays_sent += 1;
+        counters.attempts_sent += 1;
         let id = self.acquire_connection(now, outgoing, counters)?;
         let connection = self.pool.get_mut(id).expect("acquired above");
         connection.enqueue_attempt(now, outgoing);
@@ -160,7 +164,7 @@
             return reusable;
         }
         if self.pool.is_full() && !self.close_longest_idle(counters) {
-            counters.relays_unsent += 1;
+            counters.attempts_never_sent += 1;
             self.report_unsent(outgoing, AttemptEvent::NeverSent);
             return None;
         }
@@ -218,11 +222,11 @@
         match error {
             // This machine's shortage must not count against the engine.
             OpenError::ResourcesExhausted(_) => {
-                counters.relays_unsent += 1;
+                counters.attempts_never_sent += 1;
                 self.report_unsent(outgoing, AttemptEvent::NeverSent);
             }
             OpenError::NotListed | OpenError::Failed(_) => {
-                counters.relays_unreachable += 1;
+                counters.attempts_unreachable += 1;
                 self.report_unsent(outgoing, AttemptEvent::Unreachable);
             }
         }
--- a/crates/gateway/src/engines/pool.rs
+++ b/crates/gateway/src/engines/pool.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 
 use admission::interface::{EngineId, TimeDelta, Timestamp};
-use settings::Links;
+use settings::ConnectionSettings;
 use thiserror::Error;
 
 use super::attempt::OutgoingAttempt;
@@ -43,7 +43,7 @@
 /// The connections of one gateway to its engines.
 pub(super) struct ConnectionPool {
     event_loop: EventLoopHandle,
-    links: Links,
+    links: ConnectionSettings,
     /// Descriptors that connections may take.
     max_connections: usize,
     next_id: u64,
@@ -58,7 +58,11 @@
 
 impl ConnectionPool {
     /// A pool without connections, of at most `max_connections`.
-    pub fn new(event_loop: &EventLoopHandle, links: Links, max_connections: usize) -> Self {
+    pub fn new(
+        event_loop: &EventLoopHandle,
+        links: ConnectionSettings,
+        max_connections: usize,
+    ) -> Self {
         ConnectionPool {
             event_loop: event_loop.clone(),
             links,
@@ -210,7 +214,8 @@
             self.remove(id);
             return;
         }
-        let idle_timeout = TimeDelta::from_secs(self.links.idle.secs() * IDLE_TIMEOUT_SHARE);
+        let idle_timeout =
+            TimeDelta::from_secs(self.links.idle_timeout.secs() * IDLE_TIMEOUT_SHARE);
         let timeout = connection.next_timeout(idle_timeout);
         if timeout != connection.timeout {
             self.timeouts.remove(&(connection.timeout, id));
--- a/crates/gateway/src/engines/receiving.rs
+++ b/crates/gateway/src/engines/receiving.rs
@@ -136,21 +136,21 @@
         match response.kind {
             ResponseKind::Pong => {}
             ResponseKind::Status => {
-                counters.notes += 1;
+                counters.engine_notes += 1;
                 let latency = now - attempt.sent;
                 let attempt = attempt.id;
                 self.report_status(attempt, latency, &response);
             }
             ResponseKind::Rejected => {
-                counters.relays_full += 1;
+                counters.attempts_rejected += 1;
                 self.finish_attempt(now, id, &request_id, AttemptEvent::Rejected);
             }
             ResponseKind::Expired => {
-                counters.relays_past += 1;
+                counters.attempts_expired += 1;
                 self.finish_attempt(now, id, &request_id, AttemptEvent::NeverSent);
             }
             ResponseKind::Failed => {
-                counters.relays_error += 1;
+                counters.attempts_failed += 1;
                 self.finish_attempt(now, id, &request_id, AttemptEvent::Error);
             }
             ResponseKind::Completed => {
@@ -222,7 +222,7 @@
         response: Response,
         counters: &mut Counters,
     ) -> Result<(), ConnectionError> {
-        counters.pages += 1;
+        counters.pages_received += 1;
         let Some((_, attempt)) = self.attempt_of(id, &response) else {
             return Ok(());
         };
@@ -260,7 +260,7 @@
         if is_incomplete && !attempt.abandoned {
             return Ok(());
         }
-        counters.relays_done += 1;
+        counters.attempts_completed += 1;
         let update = AttemptUpdate {
             statement: attempt.id.statement,
             attempt: attempt.id.attempt,
