--- a/crates/simulator/src/play/statements.rs
+++ b/crates/simulator/src/play/statements.rs
@@ -146,7 +146,7 @@
             at: self.now_s,
             gateway,
             desk: queue,
-            class: class,
+            class,
             told: wait.estimated.median.secs(),
             p90: wait.estimated.p90.secs(),
             real: real_s,
