--- a/crates/gateway/src/lifecycle/start.rs
+++ b/crates/gateway/src/lifecycle/start.rs
@@ -81,7 +81,7 @@
             service.set_cluster(cluster);
         }
         info!(name = config.name, "starting");
-        let longest_deadline = config.settings.longest_time_limit()?;
+        let longest_time_limit = config.settings.longest_time_limit()?;
         Ok(Lifecycle {
             phase: Phase::starting(now),
             event_loop,
@@ -89,7 +89,7 @@
             clock,
             timer: WakeTimer::default(),
             service,
-            drain_times: DrainTimes::for_longest_deadline(longest_deadline),
+            drain_times: DrainTimes::for_longest_deadline(longest_time_limit),
             source,
             config,
             operated,
