--- a/crates/gateway/src/cluster/mod.rs
+++ b/crates/gateway/src/cluster/mod.rs
@@ -4,8 +4,8 @@
 //! | --- | --- | --- | --- |
 //! | UDP socket, membership | [`ClusterEndpoint`] | one descriptor; [`endpoint`] reads 64 datagrams a turn | the process's end |
 //! | quota leases and their use | [`QuotaLeases`] | a budget an index, a usage record a tenant | a reload that drops the budget or tenant |
-//! | ejections announced to others | [`engine_gossip::EngineGossip`] | one for each ejected engine | the ejection's end |
-//! | log lines that may be written | [`event_log::EventLog`] | 20 at once, 5 a second | refilled with time |
+//! | ejections announced to others | `engine_gossip::EngineGossip` | one for each ejected engine | the ejection's end |
+//! | log lines that may be written | `event_log::EventLog` | 20 at once, 5 a second | refilled with time |
 //! | key files | the operator, by [`key_folder`] | 8 keys | the operator |
 //!
 //! The event loop calls [`ClusterEndpoint::turn`] when the socket is readable or [`ClusterEndpoint::next_wakeup`] has come.
--- a/crates/membership/src/table_digest.rs
+++ b/crates/membership/src/table_digest.rs
@@ -18,7 +18,7 @@
 /// Hash of one bucket, truncated to what nobody can find a second set of records for within an exchange's time.
 pub type BucketDigest = [u8; 8];
 
-/// A [`Fingerprint`] on the wire.
+/// A fingerprint of a record on the wire.
 pub type FingerprintBytes = [u8; 8];
 
 /// Hash of a record's name and boot. Views are digested by it, and it says a record's bucket.
