--- a/crates/gateway/benches/list.rs
+++ b/crates/gateway/benches/list.rs
@@ -8,17 +8,17 @@
 use std::net::SocketAddr;
 use std::time::Instant;
 
-use admission::interface::{Moment, Span};
+use admission::interface::{TimeDelta, Timestamp};
 use bytes::BytesMut;
-use dispatch::Dispatch;
+use dispatch::Dispatcher;
 use fit::{Line, median, spread};
-use gateway::board::http::{self, Answered};
-use gateway::board::list::Names;
-use gateway::board::{Event, Events};
-use gateway::service::WAY;
+use gateway::discovery::endpoints::{DiscoveryEvent, EventBatch};
+use gateway::discovery::http::{self, InputState, PollResponse};
+use gateway::discovery::registry::EngineRegistry;
+use gateway::service::NETWORK_DELAY;
 use serde_json::{Value, json};
 use settings::Settings;
-use toy::board::{event, target};
+use stand_ins::board::{event, target};
 
 const SIZES: [u32; 4] = [10, 100, 1_000, 3_100];
 const ROUNDS: usize = 15;
@@ -27,37 +27,53 @@
 
 fn engine(number: u32) -> Value {
     let [_, high, middle, low] = number.to_be_bytes();
-    target(&format!("e-{number}"), SocketAddr::from(([10, high, middle, low], 7101)), "in_service")
+    target(
+        &format!("e-{number}"),
+        SocketAddr::from(([10, high, middle, low], 7101)),
+        "in_service",
+    )
 }
 
 fn answer(last: usize, whole: bool, engines: Vec<Value>) -> Vec<u8> {
     let body = json!({"rev": last, "notices": [event(last, whole, engines)]}).to_string();
-    format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()).into_bytes()
+    format!(
+        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+        body.len()
+    )
+    .into_bytes()
 }
 
 fn whole_list(engines: u32) -> Vec<u8> {
     answer(1, true, (1..=engines).map(engine).collect())
 }
 
-fn dispatch(settings: &Settings) -> Dispatch {
-    Dispatch::new(settings.policy(1, WAY).expect("the example's settings"))
+fn dispatch(settings: &Settings) -> Dispatcher {
+    Dispatcher::new(
+        settings
+            .policy(1, NETWORK_DELAY)
+            .expect("the example's settings"),
+    )
 }
 
-fn read(bytes: &[u8]) -> Events {
-    match http::take(&mut BytesMut::from(bytes), false) {
-        Answered::Events(events, _) => events,
+fn read(bytes: &[u8]) -> EventBatch {
+    match http::take_response(&mut BytesMut::from(bytes), InputState::Open) {
+        Ok(PollResponse::Complete { batch, .. }) => batch,
         other => panic!("{other:?}"),
     }
 }
 
 /// Microseconds of taking names, and of telling the decisions.
-fn tell(names: &mut Names, dispatch: &mut Dispatch, events: &[Event]) -> (f64, f64) {
-    let change = events[0].list.as_ref().expect("a change of the list");
+fn tell(
+    names: &mut EngineRegistry,
+    dispatch: &mut Dispatcher,
+    events: &[DiscoveryEvent],
+) -> (f64, f64) {
+    let change = events[0].change.as_ref().expect("a change of the list");
     let begun = Instant::now();
-    let told = names.told(change);
+    let applied = names.apply(change);
     let named_us = begun.elapsed().as_secs_f64() * 1e6;
     let begun = Instant::now();
-    dispatch.told_list(Moment::from_secs(1.0) + Span::ZERO, &told.news);
+    dispatch.on_endpoint_update(Timestamp::from_secs(1.0) + TimeDelta::ZERO, &applied.update);
     (named_us, begun.elapsed().as_secs_f64() * 1e6)
 }
 
@@ -76,8 +92,10 @@
     let begun = Instant::now();
     let first = read(&bytes);
     samples.parse.push(begun.elapsed().as_secs_f64() * 1e6);
-    let (mut names, mut dispatch) =
-        (Names::new(settings.location_names(), settings.machine_names()), dispatch(settings));
+    let (mut names, mut dispatch) = (
+        EngineRegistry::new(settings.location_names(), settings.machine_names()),
+        dispatch(settings),
+    );
     let (named, told) = tell(&mut names, &mut dispatch, &first.events);
     samples.names.push(named);
     samples.decisions.push(told);
@@ -95,7 +113,13 @@
 /// The largest list, to a step, that one answer of the board may carry.
 fn largest_list() -> u32 {
     let fits = |engines: u32| {
-        matches!(http::take(&mut BytesMut::from(&whole_list(engines)[..]), false), Answered::Events(..))
+        matches!(
+            http::take_response(
+                &mut BytesMut::from(&whole_list(engines)[..]),
+                InputState::Open
+            ),
+            Ok(PollResponse::Complete { .. })
+        )
     };
     let mut engines = SIZES[SIZES.len() - 1];
     assert!(fits(engines), "the target size is refused");
@@ -106,26 +130,64 @@
 }
 
 fn main() {
-    let mut config: Value =
-        serde_json::from_str(include_str!("../../../examples/config.json")).expect("the example is JSON");
+    let mut config: Value = serde_json::from_str(include_str!("../../../examples/config.json"))
+        .expect("the example is JSON");
     config["settings"]["PeersTotal"] = json!(1_900);
     let settings = Settings::from_json(&config["settings"]);
     let mut all: [Samples; SIZES.len()] = Default::default();
     for _ in 0..ROUNDS {
-        SIZES.iter().zip(&mut all).for_each(|(engines, samples)| measure(&settings, *engines, samples));
+        SIZES
+            .iter()
+            .zip(&mut all)
+            .for_each(|(engines, samples)| measure(&settings, *engines, samples));
     }
     println!("engines {SIZES:?}; microseconds: median (least-most) of {ROUNDS} rounds");
     let row = |name: &str, values: [Vec<f64>; SIZES.len()]| {
-        println!("{name}: {}", values.iter().map(|of| spread(of)).collect::<Vec<_>>().join(" | "));
-        let points = SIZES.iter().zip(&values).map(|(size, of)| (f64::from(*size), median(of)));
+        println!(
+            "{name}: {}",
+            values
+                .iter()
+                .map(|of| spread(of))
+                .collect::<Vec<_>>()
+                .join(" | ")
+        );
+        let points = SIZES
+            .iter()
+            .zip(&values)
+            .map(|(size, of)| (f64::from(*size), median(of)));
         println!("    {}", Line::through(&points.collect::<Vec<_>>()));
     };
-    row("bytes of the answer", SIZES.map(|engines| vec![whole_list(engines).len() as f64]));
-    row("read whole: http and JSON", all.each_ref().map(|samples| samples.parse.clone()));
-    row("names, first list", all.each_ref().map(|samples| samples.names.clone()));
-    row("decisions, first list", all.each_ref().map(|samples| samples.decisions.clone()));
-    row("names, same list again", all.each_ref().map(|samples| samples.names_again.clone()));
-    row("decisions, same list again", all.each_ref().map(|samples| samples.decisions_again.clone()));
-    row("one event, all steps", all.each_ref().map(|samples| samples.event.clone()));
-    println!("largest list in one answer, to {SEARCH_STEP}: {} engines", largest_list());
+    row(
+        "bytes of the answer",
+        SIZES.map(|engines| vec![whole_list(engines).len() as f64]),
+    );
+    row(
+        "read whole: http and JSON",
+        all.each_ref().map(|samples| samples.parse.clone()),
+    );
+    row(
+        "names, first list",
+        all.each_ref().map(|samples| samples.names.clone()),
+    );
+    row(
+        "decisions, first list",
+        all.each_ref().map(|samples| samples.decisions.clone()),
+    );
+    row(
+        "names, same list again",
+        all.each_ref().map(|samples| samples.names_again.clone()),
+    );
+    row(
+        "decisions, same list again",
+        all.each_ref()
+            .map(|samples| samples.decisions_again.clone()),
+    );
+    row(
+        "one event, all steps",
+        all.each_ref().map(|samples| samples.event.clone()),
+    );
+    println!(
+        "largest list in one answer, to {SEARCH_STEP}: {} engines",
+        largest_list()
+    );
 }
--- a/crates/gateway/benches/work.rs
+++ b/crates/gateway/benches/work.rs
@@ -8,8 +8,8 @@
 
 use rustix::process::Signal;
 use serde_json::json;
-use support::*;
-use toy::client::Answer;
+use stand_ins::client::Answer;
+use support::{Gateway, counter, engine, millis};
 
 const CLIENTS: usize = 8;
 const EACH: usize = 1500;
@@ -32,13 +32,21 @@
     let asks = (0..CLIENTS).map(|client| {
         let listen = gateway.listen;
         thread::spawn(move || {
-            let mut own = toy::client::Client::login(listen).unwrap();
+            let mut own = stand_ins::client::Client::login(listen).unwrap();
             for n in 0..EACH {
                 let (rid, member) = (client * EACH + n, (client * 131 + n * 17) % count);
-                let fields = format!("method=point,rid={rid:016x},budget=2000,acct=m{member},est=12.0,mem=8");
-                let answer =
-                    own.ask(&format!("/* {fields} */ SELECT 1 FROM ledger_1.bills LIMIT 1")).unwrap();
-                assert!(matches!(answer, Answer::Rows(_) | Answer::Error(1226, _)), "{answer:?}");
+                let fields = format!(
+                    "method=point,rid={rid:016x},budget=2000,acct=m{member},est=12.0,mem=8"
+                );
+                let answer = own
+                    .ask(&format!(
+                        "/* {fields} */ SELECT 1 FROM ledger_1.bills LIMIT 1"
+                    ))
+                    .unwrap();
+                assert!(
+                    matches!(answer, Answer::Rows(_) | Answer::Error(1226, _)),
+                    "{answer:?}"
+                );
             }
         })
     });
@@ -46,11 +54,15 @@
     asks.into_iter().for_each(|ask| ask.join().unwrap());
     gateway.signal(Signal::TERM);
     let (_, log) = gateway.end(millis(8000));
-    counter(&log, "busy_ms") as f64 * 1e3 / counter(&log, "statements_taken") as f64
+    counter(&log, "busy_ms") as f64 * 1e3 / counter(&log, "statements_accepted") as f64
 }
 
 fn main() {
-    let kinds = [("off", String::new(), 3), ("3 teams", teams(3), 3), ("1,000 teams", teams(1000), 1000)];
+    let kinds = [
+        ("off", String::new(), 3),
+        ("3 teams", teams(3), 3),
+        ("1,000 teams", teams(1000), 1000),
+    ];
     let mut seen = [const { Vec::new() }; 3];
     for _ in 0..ROUNDS {
         for (at, (_, operator, count)) in kinds.iter().enumerate() {
@@ -63,7 +75,11 @@
         sorted[sorted.len() / 2]
     };
     for ((name, ..), of) in kinds.iter().zip(&seen) {
-        let ratios: Vec<f64> = of.iter().zip(&seen[0]).map(|(own, off)| own / off).collect();
+        let ratios: Vec<f64> = of
+            .iter()
+            .zip(&seen[0])
+            .map(|(own, off)| own / off)
+            .collect();
         println!(
             "{name:<12} {:.1} us a statement, {:.3} of off (medians of {ROUNDS})",
             median(of),
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -3,14 +3,14 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-use ::fleet::Name;
-use operator::{Callers, FleetTerms, Operator, OperatorError};
-use queues::Terms;
+use ::membership::Name;
+use operator_config::{IdentityConfig, MembershipConfig, OperatorConfig, OperatorConfigError};
+use scheduler::Config as QueueConfig;
 use serde_json::Value;
 use settings::{Settings, SettingsError};
 use thiserror::Error;
 
-use crate::board::{Events, ListError};
+use crate::discovery::endpoints::{EndpointListError, EventBatch};
 
 #[derive(Debug, Error)]
 pub enum ConfigError {
@@ -23,17 +23,17 @@
     #[error("configuration: {0} is missing or cannot be used")]
     Field(&'static str),
     #[error("configuration: known: {0}")]
-    Known(#[from] ListError),
+    Known(#[from] EndpointListError),
     #[error(transparent)]
     Settings(#[from] SettingsError),
     #[error(transparent)]
-    Operator(#[from] OperatorError),
+    Operator(#[from] OperatorConfigError),
     #[error("{0}: queues.member.{1}: the configuration knows no such member")]
     Member(String, String),
     #[error("{0}: shares.relays_per_s.{1}: the configuration knows no such product")]
-    Product(String, String),
+    QueryClass(String, String),
     #[error("{0}: fleet.name: the configuration's name cannot be taken: {1}")]
-    Name(String, ::fleet::who::NoName),
+    Name(String, ::membership::InvalidName),
 }
 
 /// The operator's file beside the configuration: what of it is in force at this gateway.
@@ -41,58 +41,79 @@
 pub struct Operated {
     pub file: Option<PathBuf>,
     /// Budgets as this gateway's part of those of all; nothing where there are no queues.
-    pub queues: Option<Terms>,
+    pub queues: Option<QueueConfig>,
     /// Files and terms by which callers are known; nothing where they are not.
-    pub callers: Option<Callers>,
+    pub callers: Option<IdentityConfig>,
     /// Budgets that are divided among all gateways; nothing where they are not.
-    pub shares: Option<::shares::Terms>,
+    pub shares: Option<::quota::Config>,
     /// How gateways know each other, and this one's name; nothing where they don't.
-    pub fleet: Option<(Name, FleetTerms)>,
+    pub fleet: Option<(Name, MembershipConfig)>,
 }
 
 impl Operated {
     /// # Errors
     /// The file cannot be used, or contradicts the configuration.
     pub fn read(file: Option<PathBuf>, config: &Config) -> Result<Self, ConfigError> {
-        let Some(path) = file else { return Ok(Operated::default()) };
-        let operator = Operator::read(&path)?;
+        let Some(path) = file else {
+            return Ok(Operated::default());
+        };
+        let operator = OperatorConfig::read(&path)?;
         let known = config.settings.tenant_names()?;
-        if let Some(terms) = &operator.queues {
-            let unknown =
-                terms.members.iter().find(|member| !known.is_empty() && !known.contains(&member.name));
+        if let Some(terms) = &operator.scheduler {
+            let unknown = terms
+                .tenants
+                .iter()
+                .find(|member| !known.is_empty() && !known.contains(&member.name));
             if let Some(member) = unknown {
-                return Err(ConfigError::Member(path.display().to_string(), member.name.clone()));
+                return Err(ConfigError::Member(
+                    path.display().to_string(),
+                    member.name.clone(),
+                ));
             }
         }
         // Divided among all, a budget is whole here: what of it is this gateway's is told as it changes.
-        let divided = |of: &::shares::Use| matches!(of, ::shares::Use::Member(_));
-        let divided =
-            operator.shares.as_ref().is_some_and(|terms| terms.budgets.iter().any(|b| divided(&b.of)));
-        let part = if divided { 1.0 } else { 1.0 / config.settings.peers()? };
-        let queues = operator.queues.map(|terms| terms.part(part));
-        let products = config.settings.product_names()?;
-        let of = operator.shares.iter().flat_map(|terms| &terms.budgets);
-        let unknown = of.filter_map(|budget| match &budget.of {
-            ::shares::Use::Relays(product) if !products.contains(product) => Some(product.clone()),
+        let divided = |of: &::quota::BudgetKind| matches!(of, ::quota::BudgetKind::Tenant(_));
+        let divided = operator
+            .quota
+            .as_ref()
+            .is_some_and(|terms| terms.budgets.iter().any(|b| divided(&b.kind)));
+        let part = if divided {
+            1.0
+        } else {
+            1.0 / config.settings.peers()?
+        };
+        let queues = operator.scheduler.map(|terms| terms.scaled(part));
+        let classes = config.settings.class_names()?;
+        let of = operator.quota.iter().flat_map(|terms| &terms.budgets);
+        let unknown = of.filter_map(|budget| match &budget.kind {
+            ::quota::BudgetKind::Retries(class) if !classes.contains(class) => Some(class.clone()),
             _ => None,
         });
-        if let Some(product) = unknown.into_iter().next() {
-            return Err(ConfigError::Product(path.display().to_string(), product));
+        if let Some(class) = unknown.into_iter().next() {
+            return Err(ConfigError::QueryClass(path.display().to_string(), class));
         }
-        let named = |terms: FleetTerms| {
-            let own =
-                || Name::new(&config.name).map_err(|e| ConfigError::Name(path.display().to_string(), e));
+        let named = |terms: MembershipConfig| {
+            let own = || {
+                Name::new(&config.name)
+                    .map_err(|e| ConfigError::Name(path.display().to_string(), e))
+            };
             Ok::<_, ConfigError>((terms.name.clone().map_or_else(own, Ok)?, terms))
         };
-        let fleet = operator.fleet.map(named).transpose()?;
-        Ok(Operated { file: Some(path), queues, callers: operator.identity, fleet, shares: operator.shares })
+        let fleet = operator.membership.map(named).transpose()?;
+        Ok(Operated {
+            file: Some(path),
+            queues,
+            callers: operator.identity,
+            fleet,
+            shares: operator.quota,
+        })
     }
 }
 
 impl Operated {
     /// Members of the lines, in their order.
     pub fn member_names(&self) -> Vec<String> {
-        let members = self.queues.iter().flat_map(|terms| &terms.members);
+        let members = self.queues.iter().flat_map(|terms| &terms.tenants);
         members.map(|member| member.name.clone()).collect()
     }
 }
@@ -104,7 +125,7 @@
     pub sockets: usize,
     pub memory_mb: f64,
     pub board: SocketAddr,
-    pub known: Events,
+    pub known: EventBatch,
     pub settings: Settings,
 }
 
@@ -119,11 +140,15 @@
             ("limits.memory_mb", self.memory_mb == other.memory_mb),
             ("settings", self.settings == other.settings),
         ];
-        same.into_iter().filter(|(_, same)| !same).map(|(name, _)| name).collect()
+        same.into_iter()
+            .filter(|(_, same)| !same)
+            .map(|(name, _)| name)
+            .collect()
     }
 
     pub fn read(path: &Path) -> Result<Self, ConfigError> {
-        let text = std::fs::read(path).map_err(|e| ConfigError::Unreadable(path.display().to_string(), e))?;
+        let text = std::fs::read(path)
+            .map_err(|e| ConfigError::Unreadable(path.display().to_string(), e))?;
         Self::parse(&text)
     }
 
@@ -131,10 +156,14 @@
         let json: Value = serde_json::from_slice(text)?;
         let text = |name: &'static str| json[name].as_str().ok_or(ConfigError::Field(name));
         let address = |name| text(name)?.parse().map_err(|_| ConfigError::Field(name));
-        let settings =
-            json.get("settings").filter(|s| s.is_object()).ok_or(ConfigError::Field("settings"))?;
+        let settings = json
+            .get("settings")
+            .filter(|s| s.is_object())
+            .ok_or(ConfigError::Field("settings"))?;
         let memory_mb = json["limits"]["memory_mb"].as_f64().filter(|mb| *mb >= 1.0);
-        let sockets = json["limits"]["sockets"].as_u64().filter(|n| (16..=1 << 20).contains(n));
+        let sockets = json["limits"]["sockets"]
+            .as_u64()
+            .filter(|n| (16..=1 << 20).contains(n));
         Ok(Config {
             name: text("name")?.to_owned(),
             listen: address("listen")?,
@@ -142,7 +171,7 @@
             sockets: sockets.ok_or(ConfigError::Field("limits.sockets"))? as usize,
             memory_mb: memory_mb.ok_or(ConfigError::Field("limits.memory_mb"))?,
             board: address("board")?,
-            known: Events::from_json(&json["known"])?,
+            known: EventBatch::from_json(&json["known"])?,
             settings: Settings::from_json(settings),
         })
     }
--- a/crates/gateway/src/engines/mod.rs
+++ b/crates/gateway/src/engines/mod.rs
@@ -1,678 +1,239 @@
-//! Connections to engines and the relays on them. An engine is known by its id, never by its address: a new
-//! one may listen where another did.
+//! Transport of attempts to engines: connections are opened, shared and closed, attempts are written, responses are
+//! read, and what becomes of each attempt is reported.
+//!
+//! [`EngineTransport`] holds the parts together. Where its calls stand:
+//!
+//! - here: what an attempt begins with, and what is asked of the whole;
+//! - `receiving`: bytes that come from engines;
+//! - `ending`: time-outs, cancellation, withdrawal, and the loss of connections.
+
+mod attempt;
+mod attempt_timers;
+mod connection;
+mod ending;
+mod paged_result;
+mod pool;
+pub mod protocol;
+mod receiving;
 
-pub mod lines;
-
-use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
 
-use admission::interface::*;
-use bytes::Bytes;
-use settings::Links;
+use admission::interface::{AttemptEvent, EngineId, StatementId, TimeDelta, Timestamp};
+use settings::ConnectionSettings;
 use tracing::debug;
 
 use crate::counters::Counters;
-use crate::socket::{Loop, Peer, Socket, is_shortage};
-use lines::{Answer, Rid, Tags, Word};
-
-/// Network fact: a result holds 48,000 bytes at most, and what stands between its values. What is past this,
-/// or in more pages, is no result, and must not fill our memory.
-const PAGES: usize = 64;
-const RESULT: usize = 64 << 10;
-/// How long the rest of an answer may take once it has begun, and the next page once it was asked for: both stand
-/// ready at the engine, and one segment sent again takes a fifth of a second. Past it the connection serves no
-/// further use, though it stays open.
-const REST_S: f64 = 0.3;
-/// Inboxes read from one connection in a turn.
-const READS: usize = 4;
-/// We close an idle connection after this part of the time in the settings: our close must be on the engine's
-/// side before its own, with a slow loop and a slow way between.
-const IDLE_PART: f64 = 0.8;
+use crate::socket::EventLoopHandle;
 
-/// A relay to be written.
-pub struct Outgoing<'a> {
-    pub statement: StatementId,
-    pub relay: RelayNo,
-    pub engine: EngineId,
-    pub rid: Rid,
-    pub product: &'a str,
-    pub tags: &'a Tags,
-    pub text: &'a [u8],
-    pub due: Moment,
-    pub rank: Option<u8>,
-    /// A repeat that has not left whole by then stays here.
-    pub leave_by: Option<Moment>,
-    /// Connections that earlier relays of the statement went on: what still comes there is not this one's.
-    pub avoid: &'a [u64],
-}
+pub use attempt::{AttemptUpdate, OutgoingAttempt};
+pub use connection::ConnectionId;
 
-/// What became of a relay; with a completed one its pages in order.
-#[derive(Debug)]
-pub struct Report {
-    pub statement: StatementId,
-    pub relay: RelayNo,
-    pub news: News,
-    pub latency: Span,
-    pub pages: Vec<Bytes>,
-}
+use attempt::AttemptId;
+use attempt_timers::AttemptTimers;
+use pool::{Candidate, ConnectionPool, OpenError};
+use protocol::RequestId;
 
-/// A result on its way: told done, some pages still to come.
-struct Coming {
-    latency: Span,
-    cpu: Option<Span>,
-    memory_mb: Option<f64>,
-    pages: Vec<Option<Bytes>>,
-    size: usize,
-    /// When its last part came.
-    moved: Moment,
+/// Where an attempt is.
+#[derive(Clone, Copy, Debug)]
+struct AttemptLocation {
+    connection: ConnectionId,
+    request_id: RequestId,
 }
 
-struct Relay {
-    statement: StatementId,
-    relay: RelayNo,
-    sent: Moment,
-    due: Moment,
-    /// Of all bytes put on the connection, the first of this relay's, and the first after them.
-    starts_at: u64,
-    ends_at: u64,
-    coming: Option<Coming>,
-    /// Its client is gone: the work still counts, the pages do not.
-    unwanted: bool,
+/// All connections of one gateway to its engines, and all attempts on them.
+///
+/// It never waits: sockets are read and written as events of the loop tell. What becomes of attempts is taken from it by
+/// [`take_updates`](Self::take_updates).
+pub struct EngineTransport {
+    pool: ConnectionPool,
+    /// The attempts in flight.
+    locations: HashMap<AttemptId, AttemptLocation>,
+    timers: AttemptTimers,
+    /// Connections with more to read than their part of a turn; the next turn goes on with them.
+    unfinished_reads: BTreeSet<ConnectionId>,
+    /// Updates that are not taken yet, in their order.
+    updates: Vec<AttemptUpdate>,
 }
 
-struct Connection {
-    engine: EngineId,
-    /// Where it leads; an engine listed elsewhere since takes its relays there.
-    address: SocketAddr,
-    socket: Socket,
-    /// Until when it may take to come up; none once it is up.
-    connecting: Option<Moment>,
-    /// Bounded by the settings' multiplex.
-    relays: HashMap<Rid, Relay>,
-    /// Since when an answer has been begun and not ended.
-    begun: Option<Moment>,
-    quiet_since: Moment,
-    /// A relay on it was given up unanswered: it takes no more. A vanished machine keeps its connections open, one
-    /// spoilt answer may be its last, and a late answer must not be taken for a further relay's.
-    spent: bool,
-    /// When something is next to be done about it, as it stands in `ends`.
-    end: Moment,
-}
-
-pub struct Engines {
-    handle: Loop,
-    links: Links,
-    /// Descriptors that connections may take.
-    share: usize,
-    next: u64,
-    /// Listed engines; leaves when the list says that it is gone.
-    addresses: BTreeMap<EngineId, SocketAddr>,
-    connections: BTreeMap<u64, Connection>,
-    /// The connections of each engine; leaves with the last of them.
-    of: BTreeMap<EngineId, BTreeSet<u64>>,
-    /// When each connection is not up in time, stalls or is idle for too long; as many as connections.
-    ends: BTreeSet<(Moment, u64)>,
-    /// Connections with more to read than their part of a turn; emptied by the next.
-    again: BTreeSet<u64>,
-    /// Where each relay is; leaves with the relay.
-    places: HashMap<(StatementId, RelayNo), (u64, Rid)>,
-    /// When relays time out; as many as relays.
-    dues: BTreeSet<(Moment, StatementId, RelayNo)>,
-    /// When repeats must have left; emptied as it passes.
-    leaves: BTreeSet<(Moment, StatementId, RelayNo)>,
-    reports: Vec<Report>,
-}
-
-impl Engines {
-    pub fn new(handle: &Loop, links: Links, share: usize) -> Self {
-        Engines {
-            handle: handle.clone(),
-            links,
-            share,
-            next: 0,
-            addresses: BTreeMap::new(),
-            connections: BTreeMap::new(),
-            of: BTreeMap::new(),
-            ends: BTreeSet::new(),
-            again: BTreeSet::new(),
-            places: HashMap::new(),
-            dues: BTreeSet::new(),
-            leaves: BTreeSet::new(),
-            reports: Vec::new(),
-        }
-    }
-
-    pub fn listed(&mut self, engine: EngineId, address: Option<SocketAddr>) {
-        match address {
-            Some(address) => drop(self.addresses.insert(engine, address)),
-            None => drop(self.addresses.remove(&engine)),
+impl EngineTransport {
+    /// A transport without engines, of at most `max_connections` at once.
+    #[must_use]
+    pub fn new(
+        event_loop: &EventLoopHandle,
+        links: ConnectionSettings,
+        max_connections: usize,
+    ) -> Self {
+        EngineTransport {
+            pool: ConnectionPool::new(event_loop, links, max_connections),
+            locations: HashMap::new(),
+            timers: AttemptTimers::default(),
+            unfinished_reads: BTreeSet::new(),
+            updates: Vec::new(),
         }
-        // Idle ones to where it is no longer go at once, the others with their last relay.
-        let of: Vec<u64> = self.of.get(&engine).into_iter().flatten().copied().collect();
-        of.into_iter().for_each(|at| self.settle(at));
     }
 
-    /// The list says that an engine drains or is gone: what has not begun to leave for it must not begin any more. A
-    /// connection that comes up late would carry it past the grace.
-    pub fn closed(&mut self, now: Moment, engine: EngineId, counters: &mut Counters) {
-        let of: Vec<u64> = self.of.get(&engine).into_iter().flatten().copied().collect();
-        for at in of {
-            let Some(connection) = self.connections.get(&at) else { continue };
-            let written = connection.socket.written;
-            let unbegun = connection.relays.iter().filter(|(_, relay)| relay.starts_at >= written);
-            let mut unbegun: Vec<(u64, Rid)> = unbegun.map(|(rid, relay)| (relay.starts_at, *rid)).collect();
-            unbegun.sort_unstable();
-            for (_, rid) in unbegun {
-                self.withdraw(now, at, &rid, News::Withdrawn, counters);
-            }
-        }
+    /// Where discovery lists an engine; none: it lists it no longer. Attempts in flight go on.
+    pub fn set_address(&mut self, engine: EngineId, address: Option<SocketAddr>) {
+        self.pool.set_address(engine, address);
     }
 
-    pub fn open(&self) -> usize {
-        self.connections.len()
+    /// Connections that are open or coming up.
+    #[must_use]
+    pub fn connection_count(&self) -> usize {
+        self.pool.len()
     }
 
-    pub fn reports(&mut self) -> Vec<Report> {
-        std::mem::take(&mut self.reports)
+    /// What happened to attempts since the last call, in its order.
+    #[must_use]
+    pub fn take_updates(&mut self) -> Vec<AttemptUpdate> {
+        std::mem::take(&mut self.updates)
     }
 
-    /// The connection it went on; none if it was reported as never sent.
-    pub fn send(&mut self, now: Moment, o: &Outgoing, counters: &mut Counters) -> Option<u64> {
-        counters.relays_sent += 1;
-        let at = self.connection(now, o, counters)?;
-        let max_ms = ((o.due - now).secs() * 1e3).max(1.0) as u64;
-        let connection = self.connections.get_mut(&at).expect("just chosen");
-        let starts_at = connection.socket.put;
-        connection.socket.put(&lines::relay(&o.rid, o.product, max_ms, o.rank, o.tags, o.text));
-        let relay = Relay {
-            statement: o.statement,
-            relay: o.relay,
-            sent: now,
-            due: o.due,
-            starts_at,
-            ends_at: connection.socket.put,
-            coming: None,
-            unwanted: false,
-        };
-        connection.relays.insert(o.rid, relay);
-        self.places.insert((o.statement, o.relay), (at, o.rid));
-        self.dues.insert((o.due, o.statement, o.relay));
-        self.leaves.extend(o.leave_by.map(|by| (by, o.statement, o.relay)));
-        self.settle(at);
-        self.flush(now, at, counters);
-        Some(at)
-    }
-
-    /// An idle connection, the last used, so that the others may end; else a new one; with descriptors short the
-    /// one with the fewest relays. A connection that is spoilt or reset costs all relays on it, so each has its
-    /// own as far as descriptors go. None: the relay was reported as never sent.
-    fn connection(&mut self, now: Moment, o: &Outgoing, counters: &mut Counters) -> Option<u64> {
-        let (most, address) = (self.links.multiplex, self.addresses.get(&o.engine).copied());
-        loop {
-            let fits = |(at, c): &(u64, &Connection)| {
-                address.is_none_or(|address| address == c.address)
-                    && !c.spent
-                    && c.relays.len() < most
-                    && !o.avoid.contains(at)
-                    && !c.relays.contains_key(&o.rid)
-            };
-            let of = self.of.get(&o.engine).into_iter().flatten().map(|at| (*at, &self.connections[at]));
-            let least = of.filter(fits).min_by_key(|(_, c)| (c.relays.len(), Reverse(c.quiet_since)));
-            let full = self.connections.len() >= self.share;
-            let Some((at, rests)) = least.map(|(at, c)| (at, c.relays.is_empty() && c.connecting.is_none()))
-            else {
-                break;
-            };
-            if !rests {
-                if full {
-                    return Some(at);
-                }
-                break;
-            }
-            // A last look: its engine may have closed it since this turn's events were taken, and what is written on it
-            // then may have run for all that can be known.
-            self.connections.get_mut(&at).into_iter().for_each(|connection| connection.socket.news());
-            self.read(now, at, counters);
-            if self.connections.contains_key(&at) {
-                return Some(at);
+    /// Attempts in flight at each engine, by the sockets; engines without any are left out.
+    #[must_use]
+    pub fn attempts_in_flight(&self) -> BTreeMap<EngineId, u32> {
+        let mut by_engine = BTreeMap::new();
+        for connection in self.pool.iter() {
+            if !connection.attempts.is_empty() {
+                *by_engine.entry(connection.engine).or_default() +=
+                    connection.attempts.len() as u32;
             }
         }
-        let never = |news| Report {
-            statement: o.statement,
-            relay: o.relay,
-            news,
-            latency: Span::ZERO,
-            pages: Vec::new(),
+        by_engine
+    }
+
+    /// Where a statement's attempts are and when they time out, for a line in the log.
+    #[must_use]
+    pub fn describe_attempts(&self, statement: StatementId) -> String {
+        let locations: Vec<_> = self
+            .locations
+            .iter()
+            .filter(|(id, _)| id.statement == statement)
+            .collect();
+        let deadlines: Vec<_> = self.timers.deadlines_of(statement).collect();
+        format!("{locations:?} deadlines {deadlines:?}")
+    }
+
+    /// When [`expire_timeouts`](Self::expire_timeouts) or [`resume_reads`](Self::resume_reads) is next to be called;
+    /// none: there is nothing to be called for.
+    #[must_use]
+    pub fn next_timeout(&self, now: Timestamp) -> Option<Timestamp> {
+        let resume = (!self.unfinished_reads.is_empty()).then_some(now);
+        self.pool
+            .next_timeout()
+            .into_iter()
+            .chain(self.timers.next())
+            .chain(resume)
+            .min()
+    }
+
+    /// Sends an attempt. Returns the connection that it uses; none: it could not be sent, and its end is among the updates.
+    pub fn send(
+        &mut self,
+        now: Timestamp,
+        outgoing: &OutgoingAttempt,
+        counters: &mut Counters,
+    ) -> Option<ConnectionId> {
+        counters.attempts_sent += 1;
+        let id = self.acquire_connection(now, outgoing, counters)?;
+        let connection = self.pool.get_mut(id).expect("acquired above");
+        connection.enqueue_attempt(now, outgoing);
+        let location = AttemptLocation {
+            connection: id,
+            request_id: outgoing.request_id,
         };
-        if self.connections.len() >= self.share && !self.close_one_idle(counters) {
-            counters.relays_unsent += 1;
-            self.reports.push(never(News::NeverSent));
+        self.locations.insert(outgoing.id(), location);
+        self.timers
+            .start(outgoing.id(), outgoing.deadline, outgoing.send_by);
+        self.pool.update_timeout(id);
+        self.flush(now, id, counters);
+        Some(id)
+    }
+
+    /// An idle connection, else a new one. Only with descriptors short attempts share a connection: one that brings an
+    /// unusable response or is reset costs all attempts on it. None: the attempt was reported as not sent.
+    fn acquire_connection(
+        &mut self,
+        now: Timestamp,
+        outgoing: &OutgoingAttempt,
+        counters: &mut Counters,
+    ) -> Option<ConnectionId> {
+        let reusable = self.reusable_connection(now, outgoing, counters);
+        if reusable.is_some() {
+            return reusable;
+        }
+        if self.pool.is_full() && !self.close_longest_idle(counters) {
+            counters.attempts_never_sent += 1;
+            self.report_unsent(outgoing, AttemptEvent::NeverSent);
             return None;
         }
-        let at = self.next;
-        let opened = address.map(|to| (to, Socket::connect(to, &self.handle, Peer::Engine(at))));
-        let (address, socket) = match opened {
-            Some((address, Ok(socket))) => (address, socket),
-            other => {
-                let error = other.and_then(|(_, opened)| opened.err());
-                debug!(engine = o.engine.0, ?error, "no connection could be begun");
-                // Our own shortage must not be laid at the engine's door.
-                let (news, count) = match error {
-                    Some(error) if is_shortage(&error) => (News::NeverSent, &mut counters.relays_unsent),
-                    _ => (News::Unreachable, &mut counters.relays_unreachable),
-                };
-                *count += 1;
-                self.reports.push(never(news));
-                return None;
+        match self.pool.open(now, outgoing.engine) {
+            Ok(id) => {
+                counters.engine_connections += 1;
+                Some(id)
             }
-        };
-        self.next += 1;
-        counters.engine_connections += 1;
-        let connection = Connection {
-            engine: o.engine,
-            address,
-            socket,
-            connecting: Some(now + self.links.connect_timeout),
-            relays: HashMap::new(),
-            begun: None,
-            quiet_since: now,
-            spent: false,
-            end: now,
-        };
-        self.ends.insert((now, at));
-        self.of.entry(o.engine).or_default().insert(at);
-        self.connections.insert(at, connection);
-        Some(at)
-    }
-
-    fn close_one_idle(&mut self, counters: &mut Counters) -> bool {
-        let idle = self.connections.iter().filter(|(_, c)| c.relays.is_empty());
-        let oldest = idle.min_by_key(|(_, c)| c.quiet_since).map(|(at, _)| *at);
-        counters.engine_idle_closed += u64::from(oldest.is_some());
-        oldest.and_then(|at| self.drop_connection(at)).is_some()
-    }
-
-    fn drop_connection(&mut self, at: u64) -> Option<Connection> {
-        let connection = self.connections.remove(&at)?;
-        self.ends.remove(&(connection.end, at));
-        if let Some(of) = self.of.get_mut(&connection.engine) {
-            of.remove(&at);
-        }
-        self.of.retain(|_, of| !of.is_empty());
-        Some(connection)
-    }
-
-    /// What a change means for a connection: one that is of no use goes once it is empty, of the others the time
-    /// stands at which they are looked at next.
-    fn settle(&mut self, at: u64) {
-        let (rest, idle) = (Span::from_secs(REST_S), Span::from_secs(self.links.idle.secs() * IDLE_PART));
-        let Some(connection) = self.connections.get_mut(&at) else { return };
-        let empty = connection.relays.is_empty();
-        let there = self.addresses.get(&connection.engine) == Some(&connection.address);
-        if empty && connection.connecting.is_none() && (connection.spent || !there) {
-            drop(self.drop_connection(at));
-            return;
-        }
-        let coming = connection.relays.values().filter_map(|relay| relay.coming.as_ref());
-        let coming = coming.map(|coming| coming.moved).min();
-        let stalls = connection.begun.into_iter().chain(coming).map(|since| since + rest);
-        let quiet = empty.then_some(connection.quiet_since + idle);
-        let end = stalls.chain(connection.connecting).chain(quiet).min();
-        // With relays out the last of them looks after itself.
-        let end = end.unwrap_or(connection.quiet_since + Span::from_secs(1e9));
-        if end != connection.end {
-            self.ends.remove(&(connection.end, at));
-            self.ends.insert((end, at));
-            connection.end = end;
-        }
-    }
-
-    /// Gives a relay up by the decisions' word.
-    pub fn cancel(&mut self, now: Moment, id: StatementId, no: RelayNo, counters: &mut Counters) {
-        counters.relays_cancelled += u64::from(self.places.contains_key(&(id, no)));
-        self.give_up(now, id, no, News::Cancelled, counters);
-    }
-
-    /// Its client sends no more: what has not left whole stays here. Nothing is said of what has.
-    pub fn stay(&mut self, now: Moment, id: StatementId, no: RelayNo, counters: &mut Counters) -> bool {
-        let Some((at, rid)) = self.places.get(&(id, no)).copied() else { return false };
-        self.withdraw(now, at, &rid, News::Withdrawn, counters)
-    }
-
-    /// No client waits for it any more: what is still to come of its result is not asked for.
-    pub fn unwanted(&mut self, now: Moment, id: StatementId, no: RelayNo, counters: &mut Counters) {
-        if self.stay(now, id, no, counters) {
-            return;
-        }
-        let Some((at, rid)) = self.places.get(&(id, no)).copied() else { return };
-        let relay = self.connections.get_mut(&at).and_then(|connection| connection.relays.get_mut(&rid));
-        relay.into_iter().for_each(|relay| relay.unwanted = true);
-        self.complete(now, at, &rid, counters);
-    }
-
-    /// Relays out to each engine, as they stand on the sockets.
-    pub fn out(&self) -> BTreeMap<EngineId, u32> {
-        let mut out = BTreeMap::new();
-        self.connections.values().for_each(|c| *out.entry(c.engine).or_default() += c.relays.len() as u32);
-        out.retain(|_, relays| *relays > 0);
-        out
-    }
-
-    /// The gateway ends: what is out is to have ended by then.
-    pub fn end_by(&mut self, by: Moment) {
-        for connection in self.connections.values_mut() {
-            connection.relays.values_mut().for_each(|relay| relay.due = relay.due.min(by));
-        }
-        self.dues =
-            std::mem::take(&mut self.dues).into_iter().map(|(due, s, r)| (due.min(by), s, r)).collect();
-    }
-
-    /// Where a statement's relays stand, for a line in the log.
-    pub fn stand(&self, id: StatementId) -> String {
-        let places: Vec<_> = self.places.iter().filter(|(key, _)| key.0 == id).collect();
-        let dues: Vec<_> = self.dues.iter().filter(|due| due.1 == id).collect();
-        format!("{places:?} due {dues:?}")
-    }
-
-    pub fn next_due(&self, now: Moment) -> Option<Moment> {
-        let relay = self.dues.first().map(|due| due.0);
-        let again = (!self.again.is_empty()).then_some(now);
-        let leave = self.leaves.first().map(|leave| leave.0);
-        self.ends.first().map(|end| end.0).into_iter().chain(relay).chain(leave).chain(again).min()
-    }
-
-    pub fn expire(&mut self, now: Moment, counters: &mut Counters) {
-        while let Some((due, id, no)) = self.dues.first().copied().filter(|due| due.0 <= now) {
-            counters.relays_timed_out += 1;
-            self.give_up(now, id, no, News::TimedOut, counters);
-            // Gone already where the relay was; else an entry that nothing else would take out.
-            self.dues.remove(&(due, id, no));
-        }
-        while let Some((_, id, no)) = self.leaves.first().copied().filter(|leave| leave.0 <= now) {
-            self.leaves.pop_first();
-            self.stay(now, id, no, counters);
-        }
-        while let Some((_, at)) = self.ends.first().copied().filter(|end| end.0 <= now) {
-            let connection = &self.connections[&at];
-            if connection.connecting.is_some() {
-                self.end(now, at, "not up in time", counters);
-            } else if connection.relays.is_empty() && connection.begun.is_none() {
-                counters.engine_idle_closed += 1;
-                drop(self.drop_connection(at));
-            } else {
-                counters.answers_spoilt += 1;
-                self.end(now, at, "an answer that stopped half way", counters);
+            Err(error) => {
+                debug!(engine = outgoing.engine.0, %error, "no connection could be opened");
+                self.report_open_error(outgoing, &error, counters);
+                None
             }
         }
     }
 
-    /// Reads on where a turn's part was not enough.
-    pub fn go_on(&mut self, now: Moment, counters: &mut Counters) {
-        std::mem::take(&mut self.again).into_iter().for_each(|at| self.read(now, at, counters));
-    }
-
-    fn give_up(&mut self, now: Moment, id: StatementId, no: RelayNo, news: News, counters: &mut Counters) {
-        let Some((at, rid)) = self.places.get(&(id, no)).copied() else { return };
-        let Some(connection) = self.connections.get_mut(&at) else { return };
-        let Some(relay) = connection.relays.get(&rid) else { return };
-        // Not up in the statement's time tells of the engine; bytes that it did not take yet, of nobody.
-        let kept = if connection.connecting.is_some() { News::Unreachable } else { News::NeverSent };
-        if relay.ends_at > connection.socket.written && self.withdraw(now, at, &rid, kept, counters) {
-            return;
-        }
-        let Some(connection) = self.connections.get_mut(&at) else { return };
-        let Some(relay) = connection.relays.get(&rid) else { return };
-        if relay.coming.is_some() {
-            connection.socket.put(&lines::forget(&rid));
-        } else {
-            connection.socket.put(&lines::undo(&rid));
+    /// An open connection that the attempt is to use; none: it needs a new one.
+    fn reusable_connection(
+        &mut self,
+        now: Timestamp,
+        outgoing: &OutgoingAttempt,
+        counters: &mut Counters,
+    ) -> Option<ConnectionId> {
+        loop {
+            let id = match self.pool.best_candidate(outgoing)? {
+                Candidate::Idle(id) => id,
+                Candidate::Busy(id) => return self.pool.is_full().then_some(id),
+            };
+            // Its engine may have closed it since this turn's events were taken, and nobody could tell whether what is
+            // written on it then has run: it is looked at once more.
+            self.pool.get_mut(id)?.socket.mark_readable();
+            self.read(now, id, counters);
+            if self.pool.contains(id) {
+                return Some(id);
+            }
         }
-        connection.spent = true;
-        let latency = now - relay.sent;
-        self.over(now, at, &rid, news, latency, Vec::new());
-        self.flush(now, at, counters);
-        self.settle(at);
     }
 
-    /// Takes a relay back that has not left this machine whole. It has its answer, or is about to: a connection that comes
-    /// up later, or takes bytes again, must not carry it on after that. True: it is off the books, and never ran.
-    fn withdraw(&mut self, now: Moment, at: u64, rid: &Rid, news: News, counters: &mut Counters) -> bool {
-        let Some(connection) = self.connections.get_mut(&at) else { return false };
-        let Some(relay) = connection.relays.get(rid) else { return false };
-        let (from, to, latency) = (relay.starts_at, relay.ends_at, now - relay.sent);
-        if to <= connection.socket.written {
-            return false;
-        }
-        let alone = connection.relays.len() == 1;
-        if connection.socket.take_back(from, to) {
-            let later = connection.relays.values_mut().filter(|relay| relay.starts_at >= to);
-            later.for_each(|relay| {
-                (relay.starts_at, relay.ends_at) =
-                    (relay.starts_at - (to - from), relay.ends_at - (to - from));
-            });
-        } else if !alone {
-            // Begun already, and others' are behind it: its end is needed for them to be read.
+    /// Closes the connection that has been without attempts for the longest time. False: all have some.
+    fn close_longest_idle(&mut self, counters: &mut Counters) -> bool {
+        let Some(id) = self.pool.longest_idle() else {
             return false;
-        }
-        counters.relays_withdrawn += 1;
-        self.over(now, at, rid, news, latency, Vec::new());
-        if alone {
-            // Nobody waits for it any more, or what it began must not be ended.
-            drop(self.drop_connection(at));
-        } else {
-            self.settle(at);
-        }
+        };
+        counters.engine_idle_closed += 1;
+        self.pool.remove(id);
         true
     }
 
-    /// Takes a relay off the books and tells of its end.
-    fn over(&mut self, now: Moment, at: u64, rid: &Rid, news: News, latency: Span, pages: Vec<Bytes>) {
-        let Some(connection) = self.connections.get_mut(&at) else { return };
-        let Some(relay) = connection.relays.remove(rid) else { return };
-        if connection.relays.is_empty() {
-            connection.quiet_since = now;
-        }
-        let (statement, relay_no) = (relay.statement, relay.relay);
-        self.places.remove(&(statement, relay_no));
-        self.dues.remove(&(relay.due, statement, relay_no));
-        self.reports.push(Report { statement, relay: relay_no, news, latency, pages });
-    }
-
-    fn flush(&mut self, now: Moment, at: u64, counters: &mut Counters) {
-        let Some(connection) = self.connections.get_mut(&at) else { return };
-        if connection.connecting.is_none()
-            && let Err(error) = connection.socket.flush()
-        {
-            self.end(now, at, &error.to_string(), counters);
-        }
-    }
-
-    /// A connection is lost. What had not left this machine whole never ran; the rest may have.
-    fn end(&mut self, now: Moment, at: u64, why: &str, counters: &mut Counters) {
-        let Some(connection) = self.connections.get(&at) else { return };
-        debug!(engine = connection.engine.0, relays = connection.relays.len(), why, "connection lost");
-        let written = connection.socket.written;
-        let mut ends: Vec<(StatementId, Rid, News, Span)> = connection
-            .relays
-            .iter()
-            .map(|(rid, relay)| {
-                let never = connection.connecting.is_some() || relay.ends_at > written;
-                let news = if never { News::Unreachable } else { News::Reset };
-                (relay.statement, *rid, news, now - relay.sent)
-            })
-            .collect();
-        // In the order of taking, not of the hash: what follows must not hang on it.
-        ends.sort_by_key(|end| end.0);
-        for (_, rid, news, latency) in ends {
-            match news {
-                News::Reset => counters.relays_reset += 1,
-                _ => counters.relays_unreachable += 1,
+    fn report_open_error(
+        &mut self,
+        outgoing: &OutgoingAttempt,
+        error: &OpenError,
+        counters: &mut Counters,
+    ) {
+        match error {
+            // This machine's shortage must not count against the engine.
+            OpenError::ResourcesExhausted(_) => {
+                counters.attempts_never_sent += 1;
+                self.report_unsent(outgoing, AttemptEvent::NeverSent);
             }
-            self.over(now, at, &rid, news, latency, Vec::new());
-        }
-        self.drop_connection(at);
-    }
-
-    pub fn ready(&mut self, now: Moment, at: u64, counters: &mut Counters) {
-        let Some(connection) = self.connections.get_mut(&at) else { return };
-        if connection.connecting.is_some() {
-            match connection.socket.connected() {
-                Ok(false) => return,
-                Ok(true) => connection.connecting = None,
-                Err(error) => return self.end(now, at, &error.to_string(), counters),
-            }
-        }
-        connection.socket.news();
-        self.flush(now, at, counters);
-        self.read(now, at, counters);
-    }
-
-    /// Reads a bounded part. Bytes that can't be used end the connection at once, whatever else it says.
-    fn read(&mut self, now: Moment, at: u64, counters: &mut Counters) {
-        for _ in 0..READS {
-            let Some(connection) = self.connections.get_mut(&at) else { return };
-            let read = connection.socket.fill(lines::BOUND);
-            // What came before an end still counts.
-            loop {
-                let Some(connection) = self.connections.get_mut(&at) else { return };
-                match Answer::take(&mut connection.socket.inbox) {
-                    Ok(Some(answer)) => {
-                        connection.begun = None;
-                        self.answered(now, at, answer, counters);
-                    }
-                    Ok(None) => break,
-                    Err(error) => {
-                        counters.answers_spoilt += 1;
-                        return self.end(now, at, &error.to_string(), counters);
-                    }
-                }
-            }
-            let Some(connection) = self.connections.get_mut(&at) else { return };
-            match read {
-                Err(error) => return self.end(now, at, &error.to_string(), counters),
-                Ok(()) if connection.socket.ended => {
-                    return self.end(now, at, "closed by the engine", counters);
-                }
-                Ok(()) => {}
-            }
-            let partial = !connection.socket.inbox.is_empty();
-            if partial && connection.relays.is_empty() {
-                // Nobody asked for it, and what is put on this connection next would stand behind it.
-                counters.answers_spoilt += 1;
-                return self.end(now, at, "half an answer to nothing", counters);
-            }
-            connection.begun = connection.begun.filter(|_| partial).or(partial.then_some(now));
-            if !connection.socket.more() {
-                return self.settle(at);
+            OpenError::NotListed | OpenError::Failed(_) => {
+                counters.attempts_unreachable += 1;
+                self.report_unsent(outgoing, AttemptEvent::Unreachable);
             }
         }
-        self.again.insert(at);
-        self.settle(at);
-    }
-
-    fn answered(&mut self, now: Moment, at: u64, answer: Answer, counters: &mut Counters) {
-        let Some(connection) = self.connections.get_mut(&at) else { return };
-        let rid = Rid::try_from(&answer.id[..]).ok();
-        let Some((rid, relay)) = rid.and_then(|rid| Some((rid, connection.relays.get_mut(&rid)?))) else {
-            // Late, twice or unasked: no further relay of that id is ever on this connection.
-            counters.answers_late += u64::from(answer.word != Word::Fit);
-            return;
-        };
-        let latency = now - relay.sent;
-        let end = match answer.word {
-            Word::Fit => return,
-            Word::Tell => {
-                counters.notes += 1;
-                let news = match (answer.field("remark"), answer.number::<f64>("datum")) {
-                    (Some(b"done"), Some(done)) if done.is_finite() => News::Progress(done),
-                    (Some(b"spills" | b"waits"), _) => News::Strained,
-                    _ => return,
-                };
-                let (statement, relay) = (relay.statement, relay.relay);
-                self.reports.push(Report { statement, relay, news, latency, pages: Vec::new() });
-                return;
-            }
-            Word::Wait => (News::TurnedAway, &mut counters.relays_full),
-            Word::Past => (News::NeverSent, &mut counters.relays_past),
-            Word::Broke => (News::Error, &mut counters.relays_error),
-            Word::Done if relay.coming.is_some() => {
-                counters.answers_late += 1;
-                return;
-            }
-            Word::Done => {
-                let total = answer.number::<usize>("total").unwrap_or(1).max(1);
-                if total > PAGES {
-                    counters.answers_spoilt += 1;
-                    return self.end(now, at, "a result of too many pages", counters);
-                }
-                let mut coming = Coming {
-                    latency,
-                    cpu: told(&answer, "elapsed").map(|ms| Span::from_secs(ms / 1e3)),
-                    memory_mb: told(&answer, "rss"),
-                    size: answer.body.len(),
-                    pages: vec![None; total],
-                    moved: now,
-                };
-                coming.pages[0] = Some(answer.body);
-                relay.coming = Some(coming);
-                if !relay.unwanted {
-                    (1..total).for_each(|number| connection.socket.put(&lines::page(&rid, number)));
-                    self.flush(now, at, counters);
-                }
-                return self.complete(now, at, &rid, counters);
-            }
-            Word::More => {
-                counters.pages += 1;
-                let number = answer.number::<usize>("index").unwrap_or(0);
-                let coming = relay.coming.as_mut();
-                let slot = coming.and_then(|c| Some((&mut c.size, &mut c.moved, c.pages.get_mut(number)?)));
-                let Some((size, moved, slot @ None)) = slot else {
-                    counters.answers_late += 1;
-                    return;
-                };
-                (*size, *moved) = (*size + answer.body.len(), now);
-                *slot = Some(answer.body);
-                return self.complete(now, at, &rid, counters);
-            }
-        };
-        *end.1 += 1;
-        self.over(now, at, &rid, end.0, latency, Vec::new());
     }
 
-    /// Ends a relay whose pages are all there, or not wanted. What is no text of whole rows ends the connection.
-    fn complete(&mut self, now: Moment, at: u64, rid: &Rid, counters: &mut Counters) {
-        let Some(connection) = self.connections.get_mut(&at) else { return };
-        let Some(relay) = connection.relays.get_mut(rid) else { return };
-        let Some(coming) = relay.coming.as_mut() else { return };
-        let missing = coming.pages.iter().any(Option::is_none);
-        let pages: Vec<Bytes> =
-            if missing { Vec::new() } else { coming.pages.iter().flatten().cloned().collect() };
-        if coming.size > RESULT || !pages.iter().all(|page| is_rows(page)) {
-            counters.answers_spoilt += 1;
-            debug!(engine = connection.engine.0, "a result that is no rows of text");
-            return self.end(now, at, "a result that is no rows of text", counters);
-        }
-        if missing && !relay.unwanted {
-            return;
-        }
-        let news = News::Completed { cpu: coming.cpu, memory_mb: coming.memory_mb };
-        let latency = coming.latency;
-        counters.relays_done += 1;
-        if missing {
-            connection.socket.put(&lines::forget(rid));
-        }
-        self.over(now, at, rid, news, latency, pages);
-        self.flush(now, at, counters);
+    fn report_unsent(&mut self, outgoing: &OutgoingAttempt, event: AttemptEvent) {
+        let update = AttemptUpdate::without_pages(outgoing.id(), event, TimeDelta::ZERO);
+        self.updates.push(update);
     }
 }
-
-fn told(answer: &Answer, name: &str) -> Option<f64> {
-    answer.number::<f64>(name).filter(|value| value.is_finite() && *value > 0.0)
-}
-
-fn is_rows(page: &[u8]) -> bool {
-    let lines = page.strip_suffix(b"\n").map(|rows| rows.split(|byte| *byte == b'\n'));
-    let three = |row: &[u8]| row.iter().filter(|byte| **byte == b'\t').count() == 2;
-    std::str::from_utf8(page).is_ok() && (page.is_empty() || lines.is_some_and(|mut lines| lines.all(three)))
-}
--- a/crates/gateway/src/service/attempts.rs
+++ b/crates/gateway/src/service/attempts.rs
@@ -1,97 +1,171 @@
-//! Attempts of statements at engines: picks of the decisions go out, reports of engines come back.
+//! Attempts of statements at engines: what the decisions order goes out, and reports of engines come back.
 
-use admission::interface::*;
-use dispatch::{Order, Pick, Verdict};
+use admission::interface::{AttemptEvent, AttemptNumber, StatementId, TimeDelta, Timestamp};
+use dispatch::{AttemptOrder, Decision, FollowUp};
 
 use super::Service;
-use crate::engines::{Outgoing, Report};
-use crate::fleet::Fleet;
+use crate::cluster::{AttemptCharge, ClusterEndpoint};
+use crate::engines::{AttemptUpdate, OutgoingAttempt};
+
+/// Whether engines reported anything.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum ReportsRead {
+    /// At least one report was handled.
+    Some,
+    /// There was none.
+    None,
+}
 
 impl Service {
-    pub(super) fn reports(&mut self, now: Moment) -> bool {
-        let mut any = false;
+    /// Handles the reports of engines until there are none.
+    pub(super) fn read_reports(&mut self, now: Timestamp) -> ReportsRead {
+        let mut read = ReportsRead::None;
         loop {
-            let reports = self.engines.reports();
+            let reports = self.engines.take_updates();
             if reports.is_empty() {
-                return any;
+                return read;
+            }
+            read = ReportsRead::Some;
+            for report in reports {
+                self.on_report(now, report);
             }
-            any = true;
-            reports.into_iter().for_each(|report| self.report(now, report));
         }
     }
 
-    pub(super) fn report(&mut self, now: Moment, report: Report) {
+    fn on_report(&mut self, now: Timestamp, report: AttemptUpdate) {
         let id = report.statement;
-        let Some(in_flight) = self.in_flight.get_mut(&id) else { return };
-        let mut news = report.news;
-        if let News::Completed { cpu, memory_mb } = &mut news
-            && !self.bills
-        {
-            (*cpu, *memory_mb) = (None, None);
+        let Some(statement) = self.statements.get_mut(id) else {
+            return;
+        };
+        let event = if self.catalog.answers_report_usage {
+            report.event
+        } else {
+            without_usage(report.event)
+        };
+        let ended = !is_in_flight(event);
+        if ended {
+            statement
+                .in_flight
+                .retain(|attempt| *attempt != report.attempt);
         }
-        let still_out = matches!(news, News::Progress(_) | News::Strained | News::Streaming);
-        in_flight.out.retain(|relay| still_out || *relay != report.relay);
-        let completed = matches!(news, News::Completed { .. });
-        let failed = !still_out && !completed && news != News::Cancelled && !in_flight.answered;
-        if let Some(parts) = self.fleet.as_mut().and_then(Fleet::parts).filter(|_| failed) {
-            parts.wants_relay(in_flight.product);
+        let completed = matches!(event, AttemptEvent::Completed { .. });
+        let is_answer_owed = !statement.answered;
+        let class = statement.class;
+        let lost = ended && !completed && event != AttemptEvent::Cancelled;
+        if lost && is_answer_owed {
+            // A retry may be wanted: the share of the retry budget that this gateway leases grows by it.
+            if let Some(leases) = self
+                .cluster
+                .as_mut()
+                .and_then(ClusterEndpoint::quota_leases)
+            {
+                leases.record_retry_demand(class.0);
+            }
         }
-        if completed && !in_flight.answered {
-            let pages = report.pages;
+        if completed && is_answer_owed {
             self.counters.completed += 1;
-            self.answer(now, id, |answer| answer.result(pages.iter().map(|page| &page[..])));
+            let pages = report.pages;
+            self.answer(now, id, |response| {
+                response.result_set(pages.iter().map(|page| &page[..]))
+            });
         }
-        match self.hall.report(now, id, report.relay, news, report.latency, completed) {
-            Verdict::Nothing => {}
-            Verdict::Cancel(relay) => self.engines.cancel(now, id, relay, &mut self.counters),
-            Verdict::Deny { come_back } => self.reject(now, id, come_back),
-            Verdict::Scrap => self.fail(now, id),
+        let follow_up =
+            self.scheduler
+                .report(now, id, report.attempt, event, report.latency, completed);
+        match follow_up {
+            FollowUp::None => {}
+            FollowUp::Cancel(attempt) => self.engines.cancel(now, id, attempt, &mut self.counters),
+            FollowUp::Reject { retry_after } => self.reject(now, id, retry_after),
+            FollowUp::Fail => self.fail(now, id),
         }
-        self.forget(id);
+        self.close_if_done(id);
     }
 
-    pub(super) fn picked(&mut self, now: Moment, id: StatementId, pick: Pick) {
-        match pick {
-            Pick::Held => {}
-            Pick::Relay(order) => self.relay(now, id, order),
-            Pick::Deny { come_back } => self.reject(now, id, come_back),
-            Pick::Scrap => self.fail(now, id),
+    pub(super) fn follow_decision(&mut self, now: Timestamp, id: StatementId, decision: Decision) {
+        match decision {
+            Decision::Queued => {}
+            Decision::Forward(order) => self.send_attempt(now, id, order),
+            Decision::Reject { retry_after } => self.reject(now, id, retry_after),
+            Decision::Fail => self.fail(now, id),
         }
-        self.forget(id);
+        self.close_if_done(id);
     }
 
-    pub(super) fn relay(&mut self, now: Moment, id: StatementId, order: Order) {
-        let Some(in_flight) = self.in_flight.get_mut(&id) else { return };
-        if let Some(parts) = self.fleet.as_mut().and_then(Fleet::parts)
-            && (order.again || order.trial)
-            && !parts.spend(in_flight.product, order.again, order.trial)
+    fn send_attempt(&mut self, now: Timestamp, id: StatementId, order: AttemptOrder) {
+        let Some(statement) = self.statements.get_mut(id) else {
+            return;
+        };
+        let charge = AttemptCharge {
+            class: statement.class.0,
+            is_retry: order.is_retry,
+            is_outlier_probe: order.outlier_probe,
+        };
+        let needs_leased_budget = order.is_retry || order.outlier_probe;
+        if needs_leased_budget
+            && let Some(leases) = self
+                .cluster
+                .as_mut()
+                .and_then(ClusterEndpoint::quota_leases)
+            && !leases.charge(charge)
         {
-            return self.unspent(now, id, order.relay);
+            self.take_back_unleased(now, id, order.attempt);
+            return;
         }
-        in_flight.out.push(order.relay);
-        let outgoing = Outgoing {
+        statement.in_flight.push(order.attempt);
+        let deadline = self
+            .drain_deadline
+            .map_or(order.due, |drain| drain.min(order.due));
+        let outgoing = OutgoingAttempt {
             statement: id,
-            relay: order.relay,
+            attempt: order.attempt,
             engine: order.engine,
-            rid: in_flight.rid,
-            product: &self.products[in_flight.product],
-            tags: &in_flight.tags,
-            text: &in_flight.text,
-            due: self.answer_by.map_or(order.due, |by| by.min(order.due)),
-            rank: order.rank,
-            leave_by: order.leave_by,
-            avoid: &in_flight.went_on,
+            request_id: statement.request_id,
+            class: self.catalog.class_name(statement.class),
+            keys: &statement.tags,
+            text: &statement.text,
+            deadline,
+            priority: order.priority,
+            send_by: order.leave_by,
+            avoid: &statement.connections,
         };
-        let went_on = self.engines.send(now, &outgoing, &mut self.counters);
-        in_flight.went_on.extend(went_on);
+        let connection = self.engines.send(now, &outgoing, &mut self.counters);
+        statement.connections.extend(connection);
     }
 
-    /// The share that a relay was to go on ended before it went: back in line, as one that never left.
-    pub(super) fn unspent(&mut self, now: Moment, id: StatementId, relay: RelayNo) {
-        match self.hall.report(now, id, relay, News::NeverSent, Span::ZERO, false) {
-            Verdict::Nothing | Verdict::Cancel(_) => {}
-            Verdict::Deny { come_back } => self.reject(now, id, come_back),
-            Verdict::Scrap => self.fail(now, id),
+    /// The lease that an attempt was to be sent on ended before it was sent: it is queued again, as one never sent.
+    fn take_back_unleased(&mut self, now: Timestamp, id: StatementId, attempt: AttemptNumber) {
+        let answered = false;
+        let follow_up = self.scheduler.report(
+            now,
+            id,
+            attempt,
+            AttemptEvent::NeverSent,
+            TimeDelta::ZERO,
+            answered,
+        );
+        match follow_up {
+            FollowUp::None | FollowUp::Cancel(_) => {}
+            FollowUp::Reject { retry_after } => self.reject(now, id, retry_after),
+            FollowUp::Fail => self.fail(now, id),
         }
     }
 }
+
+/// Whether an attempt is still in flight after an event.
+fn is_in_flight(event: AttemptEvent) -> bool {
+    matches!(
+        event,
+        AttemptEvent::Progress(_) | AttemptEvent::Stalled | AttemptEvent::Streaming
+    )
+}
+
+/// The same event, without what its engine says of the work it took.
+fn without_usage(event: AttemptEvent) -> AttemptEvent {
+    match event {
+        AttemptEvent::Completed { .. } => AttemptEvent::Completed {
+            cpu: None,
+            memory_mb: None,
+        },
+        other => other,
+    }
+}
--- a/crates/gateway/tests/connections.rs
+++ b/crates/gateway/tests/connections.rs
@@ -6,18 +6,18 @@
 
 use admission::interface::*;
 use calloop::EventLoop;
-use gateway::board::Board;
 use gateway::counters::Counters;
-use gateway::engines::lines::{Rid, Tags};
-use gateway::engines::{Engines, Outgoing, Report};
-use gateway::socket::{Peer, Ready};
-use settings::Links;
+use gateway::discovery::DiscoveryClient;
+use gateway::engines::protocol::{RequestId, StatementKeys};
+use gateway::engines::{AttemptUpdate, ConnectionId, EngineTransport, OutgoingAttempt};
+use gateway::socket::{EventSource, LoopEvents};
+use settings::ConnectionSettings;
 
 use support::script::{Link, Script, completed, delivered};
 
 struct Turns {
-    event_loop: EventLoop<'static, Ready>,
-    engines: Engines,
+    event_loop: EventLoop<'static, LoopEvents>,
+    engines: EngineTransport,
     counters: Counters,
     now: f64,
     next: u64,
@@ -28,69 +28,95 @@
 impl Turns {
     fn new(engine: SocketAddr, connections: usize) -> Turns {
         let event_loop = EventLoop::try_new().unwrap();
-        let span = Span::from_secs;
-        let links = Links { connect_timeout: span(5.0), idle: span(100.0), multiplex: 10 };
-        let mut engines = Engines::new(&event_loop.handle(), links, connections);
-        engines.listed(ENGINE, Some(engine));
-        Turns { event_loop, engines, counters: Counters::default(), now: 1000.0, next: 0 }
+        let span = TimeDelta::from_secs;
+        let links = ConnectionSettings {
+            connect_timeout: span(5.0),
+            idle_timeout: span(100.0),
+            multiplex: 10,
+        };
+        let mut engines = EngineTransport::new(&event_loop.handle(), links, connections);
+        engines.set_address(ENGINE, Some(engine));
+        Turns {
+            event_loop,
+            engines,
+            counters: Counters::default(),
+            now: 1000.0,
+            next: 0,
+        }
     }
 
-    fn at(&self) -> Moment {
-        Moment::from_secs(self.now)
+    fn at(&self) -> Timestamp {
+        Timestamp::from_secs(self.now)
     }
 
-    fn rid(number: u64) -> Rid {
+    fn rid(number: u64) -> RequestId {
         format!("{number:016x}").into_bytes().try_into().unwrap()
     }
 
     /// One statement, without any turn before or after it.
-    fn send(&mut self, leave_by: Option<Moment>) -> (u64, Option<u64>) {
+    fn send(&mut self, send_by: Option<Timestamp>) -> (u64, Option<ConnectionId>) {
         self.next += 1;
-        let (number, due) = (self.next, Moment::from_secs(self.now + 60.0));
-        let outgoing = Outgoing {
+        let (number, deadline) = (self.next, Timestamp::from_secs(self.now + 60.0));
+        let outgoing = OutgoingAttempt {
             statement: StatementId(number),
-            relay: RelayNo(0),
+            attempt: AttemptNumber(0),
             engine: ENGINE,
-            rid: Self::rid(number),
-            product: "point",
-            tags: &Tags::default(),
+            request_id: Self::rid(number),
+            class: "point",
+            keys: &StatementKeys::default(),
             text: b"SELECT 1",
-            due,
-            rank: None,
-            leave_by,
+            deadline,
+            priority: None,
+            send_by,
             avoid: &[],
         };
-        (number, self.engines.send(self.at(), &outgoing, &mut self.counters))
+        (
+            number,
+            self.engines.send(self.at(), &outgoing, &mut self.counters),
+        )
     }
 
     /// Turns until an outcome is there.
-    fn outcome(&mut self) -> Report {
-        let mut ready = Ready::default();
+    fn outcome(&mut self) -> AttemptUpdate {
+        let mut ready = LoopEvents::default();
         loop {
-            self.event_loop.dispatch(std::time::Duration::from_secs(10), &mut ready).unwrap();
-            for peer in std::mem::take(&mut ready.peers) {
-                let Peer::Engine(at) = peer else { panic!("{peer:?}") };
-                self.engines.ready(self.at(), at, &mut self.counters);
+            self.event_loop
+                .dispatch(std::time::Duration::from_secs(10), &mut ready)
+                .unwrap();
+            for peer in std::mem::take(&mut ready.sources) {
+                let EventSource::Engine(at) = peer else {
+                    panic!("{peer:?}")
+                };
+                self.engines
+                    .on_socket_event(self.at(), at, &mut self.counters);
             }
-            if let Some(report) = self.engines.reports().pop() {
+            if let Some(report) = self.engines.take_updates().pop() {
                 return report;
             }
         }
     }
 
-    fn complete_one(&mut self, script: &Script) -> (Link, Option<u64>) {
+    fn complete_one(&mut self, script: &Script) -> (Link, Option<ConnectionId>) {
         let (_, at) = self.send(None);
         // Its connection comes up in the first turn, and takes the statement then.
         let mut link = script.accept();
-        let mut ready = Ready::default();
-        self.event_loop.dispatch(std::time::Duration::from_secs(10), &mut ready).unwrap();
-        for peer in std::mem::take(&mut ready.peers) {
-            let Peer::Engine(at) = peer else { panic!("{peer:?}") };
-            self.engines.ready(self.at(), at, &mut self.counters);
+        let mut ready = LoopEvents::default();
+        self.event_loop
+            .dispatch(std::time::Duration::from_secs(10), &mut ready)
+            .unwrap();
+        for peer in std::mem::take(&mut ready.sources) {
+            let EventSource::Engine(at) = peer else {
+                panic!("{peer:?}")
+            };
+            self.engines
+                .on_socket_event(self.at(), at, &mut self.counters);
         }
         let asked = link.asked();
         link.say(&completed(&asked));
-        assert!(matches!(self.outcome().news, News::Completed { .. }));
+        assert!(matches!(
+            self.outcome().event,
+            AttemptEvent::Completed { .. }
+        ));
         (link, at)
     }
 }
@@ -124,7 +150,10 @@
             assert_eq!(engine.join().unwrap().id.as_bytes(), Turns::rid(number));
             report
         });
-        assert!(matches!(report.news, News::Completed { .. }), "{ends}: {report:?}");
+        assert!(
+            matches!(report.event, AttemptEvent::Completed { .. }),
+            "{ends}: {report:?}"
+        );
     }
 }
 
@@ -137,63 +166,83 @@
     let (_, claimed) = turns.send(None);
     assert_eq!(claimed, first);
     // The only connection is claimed: a statement for another engine has no room, and never ran.
-    turns.engines.listed(EngineId(2), Some(other.address));
-    let outgoing = Outgoing {
+    turns.engines.set_address(EngineId(2), Some(other.address));
+    let outgoing = OutgoingAttempt {
         statement: StatementId(100),
-        relay: RelayNo(0),
+        attempt: AttemptNumber(0),
         engine: EngineId(2),
-        rid: Turns::rid(100),
-        product: "point",
-        tags: &Tags::default(),
+        request_id: Turns::rid(100),
+        class: "point",
+        keys: &StatementKeys::default(),
         text: b"SELECT 1",
-        due: Moment::from_secs(turns.now + 60.0),
-        rank: None,
-        leave_by: None,
+        deadline: Timestamp::from_secs(turns.now + 60.0),
+        priority: None,
+        send_by: None,
         avoid: &[],
     };
-    assert_eq!(turns.engines.send(turns.at(), &outgoing, &mut turns.counters), None);
-    let refused = turns.engines.reports().pop().unwrap();
-    assert_eq!((refused.statement, refused.news), (StatementId(100), News::NeverSent));
+    assert_eq!(
+        turns
+            .engines
+            .send(turns.at(), &outgoing, &mut turns.counters),
+        None
+    );
+    let refused = turns.engines.take_updates().pop().unwrap();
+    assert_eq!(
+        (refused.statement, refused.event),
+        (StatementId(100), AttemptEvent::NeverSent)
+    );
     let asked = link.asked();
     link.say(&completed(&asked));
-    assert!(matches!(turns.outcome().news, News::Completed { .. }));
+    assert!(matches!(
+        turns.outcome().event,
+        AttemptEvent::Completed { .. }
+    ));
 }
 
-/// Gateways that lose their board in one instant do not ask again in step.
+/// Gateways that lose the discovery service in one instant do not poll it again in step.
 #[test]
-fn a_lost_board_is_asked_again_at_an_instant_of_each_gateways_own() {
-    let closed = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    let begun = Moment::from_secs(1000.0);
-    let asks: Vec<Vec<Moment>> = (0..20)
+fn a_lost_discovery_service_is_polled_again_at_an_instant_of_each_gateways_own() {
+    let closed = std::net::TcpListener::bind("127.0.0.1:0")
+        .unwrap()
+        .local_addr()
+        .unwrap();
+    let begun = Timestamp::from_secs(1000.0);
+    let poll_times: Vec<Vec<Timestamp>> = (0..20)
         .map(|seed| {
-            let mut event_loop: EventLoop<'static, Ready> = EventLoop::try_new().unwrap();
-            let mut board = Board::new(&event_loop.handle(), closed, 0, seed, begun);
+            let mut event_loop: EventLoop<'static, LoopEvents> = EventLoop::try_new().unwrap();
+            let mut discovery = DiscoveryClient::new(&event_loop.handle(), closed, 0, seed, begun);
             let (mut now, mut asked, mut counters) = (begun, Vec::new(), Counters::default());
             while asked.len() < 8 {
-                board.expire(now, &mut counters);
+                discovery.on_timer(now, &mut counters);
                 // Refused at once, in the same instant for all.
-                let mut ready = Ready::default();
-                while ready.peers.is_empty() && counters.polls_failed as usize == asked.len() {
-                    event_loop.dispatch(std::time::Duration::from_secs(10), &mut ready).unwrap();
+                let mut ready = LoopEvents::default();
+                while ready.sources.is_empty()
+                    && counters.discovery_polls_failed as usize == asked.len()
+                {
+                    event_loop
+                        .dispatch(std::time::Duration::from_secs(10), &mut ready)
+                        .unwrap();
                 }
-                for peer in ready.peers {
-                    let Peer::Board(at) = peer else { panic!("{peer:?}") };
-                    board.ready(now, at, &mut counters);
+                for peer in ready.sources {
+                    let EventSource::Discovery(poll_id) = peer else {
+                        panic!("{peer:?}")
+                    };
+                    discovery.on_ready(now, poll_id, &mut counters);
                 }
-                now = board.next_due().unwrap();
+                now = discovery.next_due().unwrap();
                 asked.push(now);
             }
             asked
         })
         .collect();
     for round in 0..8 {
-        let mut at: Vec<Moment> = asks.iter().map(|of| of[round]).collect();
+        let mut at: Vec<Timestamp> = poll_times.iter().map(|of| of[round]).collect();
         at.sort_unstable();
         at.dedup();
         assert_eq!(at.len(), 20, "round {round}");
     }
     // Bounded all the same: never over a second between two, and no more than a few at once.
-    for of in &asks {
+    for of in &poll_times {
         assert!(of.windows(2).all(|pair| (pair[1] - pair[0]).secs() <= 1.0));
         assert!((of[7] - begun).secs() > 1.0, "{of:?}");
     }
@@ -202,12 +251,16 @@
 /// A statement that came whole after this turn's events were taken, just as the gateway would end: it is taken, and nobody
 /// is sent away before it has its answer.
 #[test]
-fn the_last_look_before_all_sessions_are_shut_takes_what_has_come() {
-    use gateway::clients::{Clients, News};
-    use toy::client::{login_packet, query_packet};
-    let event_loop: EventLoop<'static, Ready> = EventLoop::try_new().unwrap();
-    let (now, mut counters) = (Moment::from_secs(1000.0), Counters::default());
-    let mut clients = Clients::new(&event_loop.handle(), 8, 1 << 20, false, now);
+fn the_last_look_before_all_sessions_are_shut_down_takes_what_has_come() {
+    use gateway::clients::{ProgressReports, SessionEvent, SessionLimits, Sessions};
+    use stand_ins::client::{login_packet, query_packet};
+    let event_loop: EventLoop<'static, LoopEvents> = EventLoop::try_new().unwrap();
+    let (now, mut counters) = (Timestamp::from_secs(1000.0), Counters::default());
+    let limits = SessionLimits {
+        max_sessions: 8,
+        max_unread_bytes: 1 << 20,
+    };
+    let mut clients = Sessions::new(&event_loop.handle(), limits, ProgressReports::Off, now);
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let mut client = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     let mut send = |bytes: &[u8]| {
@@ -219,6 +272,9 @@
     clients.accept(now, near, from.ip(), &mut counters);
     send(&query_packet(&support::commented(5000, "SELECT 1")));
     // No turn in between.
-    assert!(!clients.part_all(now, &mut counters));
-    assert!(matches!(clients.news()[..], [News::Asked { .. }]));
+    assert!(!clients.try_shut_down_all(now, &mut counters));
+    assert!(matches!(
+        clients.take_events()[..],
+        [SessionEvent::Statement { .. }]
+    ));
 }
--- a/crates/gateway/tests/golden.rs
+++ b/crates/gateway/tests/golden.rs
@@ -1,5 +1,5 @@
 //! What travels between the gateway and others, to the byte: packets to clients, lines to and from engines, questions to the
-//! notice board and its answers, fields of the comment ahead of a statement, and the names of what is shown to operators.
+//! discovery service and its answers, fields of the comment ahead of a statement, and the names of what is shown to operators.
 //! Clients, engines, boards and operators' scripts hold to these, so no work on the code's own names may change them: what was
 //! written before such work is kept in `golden/` and compared here.
 //!
@@ -7,6 +7,9 @@
 //! files; a plain run only compares. A line is a name and a value: bytes in hexadecimal, or text with what is no plain letter
 //! of it escaped. Names are of the field's own words and don't follow the code's.
 
+// A test tells one story from top to bottom, and tables of cases are long.
+#![allow(clippy::too_many_lines)]
+
 mod support;
 
 use std::fmt::Write as _;
@@ -15,30 +18,46 @@
 use std::path::Path;
 use std::process::Command as Program;
 
-use ::fleet::letter::{self, Body, Letter, Nonce, View};
-use ::fleet::{Incarnation, Life, Name, Place, Record, Ring, State};
-use admission::interface::{Moment, Span, Stage};
+use ::membership::message::{self, Body, Message, Nonce, View};
+use ::membership::{
+    BootId, Config, Incarnation, KeyRing, Locality, MemberState, Name, Node, NodeSetup, Record,
+};
+use admission::interface::{EngineStage, TimeDelta, Timestamp};
 use bytes::BytesMut;
-use gateway::board::http::{self, Answered};
-use gateway::clients::comment;
-use gateway::clients::packets::{self, Answer as Packets, Command, Hello, Query};
+use gateway::clients::comment::CommentedStatement;
+use gateway::clients::protocol::handshake::{
+    self, FirstPacket, LoginError, OfferedOptions, accepts_progress_reports, check_login,
+    check_token_login, first_packet,
+};
+use gateway::clients::protocol::packet::take_packet;
+use gateway::clients::protocol::response::ProgressReport;
+use gateway::clients::protocol::{Command, ErrorCode, KillScope, Query, Response};
+use gateway::clients::table_group::table_group;
 use gateway::counters::Counters;
-use gateway::engines::lines::{self, Answer, Tags, Word};
+use gateway::discovery::http::{self, ConnectionReuse, InputState, PollResponse};
+use gateway::engines::protocol::{
+    self, AttemptRequest, MAX_BODY_BYTES, MAX_RESPONSE_BYTES, RequestId, ResponseKind,
+    StatementKeys,
+};
 use gateway::status;
-use queues::{DeskStatus, Estimate, StatementStatus};
+use quota::{Amount, BudgetStatus, HolderId, Holding, Status};
+use scheduler::{StatementStatus, SubQueueStatus, WaitEstimate};
 use serde_json::json;
-use shares::office::Holding;
-use shares::{Amount, Line, Status, Who};
+use stand_ins::client::{Client, login_packet, packet, query_packet};
+use stand_ins::engine::Mood;
 use support::clients::{patient, send, text};
 use support::script::Script;
 use support::*;
-use toy::client::{Client, login_packet, packet, query_packet};
-use toy::engine::Mood;
 
 /// Compares with what is recorded, or records it.
 fn golden(file: &str, got: &[(&str, String)]) {
-    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(file);
-    let got: Vec<String> = got.iter().map(|(name, value)| format!("{name} {value}")).collect();
+    let path = Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/golden")
+        .join(file);
+    let got: Vec<String> = got
+        .iter()
+        .map(|(name, value)| format!("{name} {value}"))
+        .collect();
     if std::env::var("GOLDEN_RECORD").is_ok_and(|set| set == "1") {
         std::fs::write(&path, got.join("\n") + "\n").unwrap();
         return;
@@ -53,7 +72,10 @@
 
 fn hex(bytes: impl AsRef<[u8]>) -> String {
     let mut text = String::new();
-    bytes.as_ref().iter().for_each(|byte| write!(text, "{byte:02x}").unwrap());
+    bytes
+        .as_ref()
+        .iter()
+        .for_each(|byte| write!(text, "{byte:02x}").unwrap());
     text
 }
 
@@ -64,25 +86,55 @@
 #[test]
 fn packets_to_clients_are_as_recorded() {
     let cells = |cells: [&str; 2]| cells.map(str::to_owned);
-    let (seq, progress) = Packets::to(0).progress((1, 2), 40_000, "Waiting, 1.5 s more");
+    let progress = Response::to(0).progress(&ProgressReport {
+        stage: 1,
+        stages: 2,
+        done: 40_000,
+        text: "Waiting, 1.5 s more",
+    });
+    let greeting = |progress_reports: bool, tls: bool| {
+        let options = OfferedOptions {
+            progress_reports,
+            tls,
+        };
+        hex(handshake::greeting(0x0102_0304, options))
+    };
     let pages = [&b"a\tb\tc\n1\t2\t3\n"[..], b"4\t5\t6\n"];
     let long = "x".repeat(300);
     let got = [
-        ("greeting", hex(packets::greeting(0x0102_0304, false, false))),
-        ("greeting-progress", hex(packets::greeting(0x0102_0304, true, false))),
-        ("greeting-tls", hex(packets::greeting(0x0102_0304, false, true))),
-        ("greeting-progress-tls", hex(packets::greeting(0x0102_0304, true, true))),
-        ("ok", hex(Packets::to(1).ok())),
-        ("ok-after-last-number", hex(Packets::to(255).ok())),
-        ("progress", hex(progress)),
-        ("progress-number", seq.to_string()),
-        ("error", hex(Packets::to(0).error(1226, b"42000", "denied; backoff=400"))),
-        ("ask-password", hex(Packets::to(2).ask_clear())),
-        ("value", hex(Packets::to(0).value("@@max_allowed_packet", b"65536"))),
-        ("table", hex(Packets::to(0).table(["one", "two"], &[cells(["a", "b"]), cells(["", &long])]))),
-        ("table-empty", hex(Packets::to(0).table(["one", "two"], &[]))),
-        ("result", hex(Packets::to(0).result(pages.into_iter()))),
-        ("result-empty", hex(Packets::to(0).result([].into_iter()))),
+        ("greeting", greeting(false, false)),
+        ("greeting-progress", greeting(true, false)),
+        ("greeting-tls", greeting(false, true)),
+        ("greeting-progress-tls", greeting(true, true)),
+        ("ok", hex(Response::to(1).ok())),
+        ("ok-after-last-number", hex(Response::to(255).ok())),
+        ("progress", hex(&progress.bytes)),
+        ("progress-number", progress.sequence.to_string()),
+        (
+            "error",
+            hex(Response::to(0).error(ErrorCode::LIMIT_REACHED, "denied; backoff=400")),
+        ),
+        (
+            "ask-password",
+            hex(Response::to(2).request_clear_password()),
+        ),
+        (
+            "value",
+            hex(Response::to(0).single_value("@@max_allowed_packet", b"65536")),
+        ),
+        (
+            "table",
+            hex(Response::to(0).table(["one", "two"], &[cells(["a", "b"]), cells(["", &long])])),
+        ),
+        (
+            "table-empty",
+            hex(Response::to(0).table(["one", "two"], &[])),
+        ),
+        ("result", hex(Response::to(0).result_set(pages.into_iter()))),
+        (
+            "result-empty",
+            hex(Response::to(0).result_set([].into_iter())),
+        ),
     ];
     golden("packets.txt", &got);
 }
@@ -91,33 +143,42 @@
     login_packet(user, password, database)[4..].to_vec()
 }
 
-fn judged(of: Result<(), packets::Denied>) -> String {
+fn judged(of: Result<(), LoginError>) -> String {
     match of {
         Ok(()) => "in".to_owned(),
-        Err((code, state, why)) => format!("{code} {} {why}", plain(state)),
+        Err(why) => {
+            let code = why.code();
+            format!("{} {} {why}", code.number, plain(code.sql_state))
+        }
     }
 }
 
 fn command(body: &[u8]) -> String {
-    match packets::command(body) {
+    match Command::parse(body) {
         Command::Quit => "quit".to_owned(),
         Command::Ping => "ping".to_owned(),
-        Command::Fine => "fine".to_owned(),
+        Command::NoOperation => "fine".to_owned(),
         Command::Query(text) => format!("query {}", plain(text)),
         Command::Unknown => "unknown".to_owned(),
     }
 }
 
 fn query(text: &str) -> String {
-    match packets::query(text.as_bytes()) {
+    match Query::parse(text.as_bytes()) {
         Query::Statement => "statement".to_owned(),
-        Query::Renew(token) => format!("token {token}"),
-        Query::Kill { connection, whole } => format!("kill {connection} whole={whole}"),
-        Query::Queue(id) => format!("queue {}", id.unwrap_or("-")),
-        Query::Fleet => "fleet".to_owned(),
-        Query::Shares => "shares".to_owned(),
-        Query::Fine => "fine".to_owned(),
-        Query::Variable(name) => format!("variable {name}"),
+        Query::SetToken(token) => format!("token {token}"),
+        Query::Kill {
+            connection_id,
+            scope,
+        } => {
+            let whole = scope == KillScope::Connection;
+            format!("kill {connection_id} whole={whole}")
+        }
+        Query::ShowQueue(id) => format!("queue {}", id.unwrap_or("-")),
+        Query::ShowFleet => "fleet".to_owned(),
+        Query::ShowShares => "shares".to_owned(),
+        Query::NoOperation => "fine".to_owned(),
+        Query::SystemVariable(name) => format!("variable {name}"),
     }
 }
 
@@ -128,25 +189,59 @@
     progress[28] = 1;
     let mut tls = login("token", b"", "warehouse");
     tls[1] |= 8;
-    let hello = |body: &[u8]| match packets::hello(body) {
-        Hello::Tls => "tls".to_owned(),
-        Hello::Login => "login".to_owned(),
+    let hello = |body: &[u8]| match first_packet(body) {
+        FirstPacket::TlsRequest => "tls".to_owned(),
+        FirstPacket::Login => "login".to_owned(),
     };
     let mut inbox = BytesMut::from(&[3, 0, 0, 9, 3, b'h', b'i', 1][..]);
-    let taken = packets::take(&mut inbox).unwrap().unwrap();
-    let too_large = packets::take(&mut BytesMut::from(&[1, 0, 1, 0][..])).err().unwrap();
+    let taken = take_packet(&mut inbox).unwrap().unwrap();
+    let too_large = take_packet(&mut BytesMut::from(&[1, 0, 1, 0][..]))
+        .err()
+        .unwrap();
     let got = [
-        ("packet", format!("{} {} {}", taken.seq, plain(&taken.body), plain(&inbox))),
+        (
+            "packet",
+            format!(
+                "{} {} {}",
+                taken.sequence,
+                plain(&taken.body),
+                plain(&inbox)
+            ),
+        ),
         ("packet-too-large", too_large.to_string()),
-        ("login", judged(packets::login(&login("app", b"", "warehouse")))),
-        ("login-other-user", judged(packets::login(&login("root", b"", "warehouse")))),
-        ("login-password", judged(packets::login(&login("app", b"x", "warehouse")))),
-        ("login-other-database", judged(packets::login(&login("app", b"", "other")))),
-        ("login-malformed", judged(packets::login(b"\x00"))),
-        ("login-token", judged(packets::token_login(&login("token", b"x", "warehouse")))),
-        ("login-token-other-user", judged(packets::token_login(&login("app", b"", "warehouse")))),
-        ("progress-wanted", packets::takes_progress(&progress).to_string()),
-        ("progress-not-wanted", packets::takes_progress(&login("app", b"", "warehouse")).to_string()),
+        (
+            "login",
+            judged(check_login(&login("app", b"", "warehouse"))),
+        ),
+        (
+            "login-other-user",
+            judged(check_login(&login("root", b"", "warehouse"))),
+        ),
+        (
+            "login-password",
+            judged(check_login(&login("app", b"x", "warehouse"))),
+        ),
+        (
+            "login-other-database",
+            judged(check_login(&login("app", b"", "other"))),
+        ),
+        ("login-malformed", judged(check_login(b"\x00"))),
+        (
+            "login-token",
+            judged(check_token_login(&login("token", b"x", "warehouse"))),
+        ),
+        (
+            "login-token-other-user",
+            judged(check_token_login(&login("app", b"", "warehouse"))),
+        ),
+        (
+            "progress-wanted",
+            accepts_progress_reports(&progress).to_string(),
+        ),
+        (
+            "progress-not-wanted",
+            accepts_progress_reports(&login("app", b"", "warehouse")).to_string(),
+        ),
         ("first-tls", hello(&tls[..32])),
         ("first-login", hello(&tls)),
         ("command-quit", command(b"\x01")),
@@ -162,12 +257,21 @@
         ("query-kill-connection", query("kill connection 17;")),
         ("query-kill-query", query("KILL QUERY 17")),
         ("query-queue", query("SHOW QUEUE")),
-        ("query-queue-for", query("SHOW QUEUE FOR '5eed00c0ffee0a17'")),
+        (
+            "query-queue-for",
+            query("SHOW QUEUE FOR '5eed00c0ffee0a17'"),
+        ),
         ("query-fleet", query("SHOW FLEET")),
         ("query-shares", query("SHOW SHARES")),
-        ("query-token", query("SET @laurelhitch_token = 'v4.public.x'")),
+        (
+            "query-token",
+            query("SET @laurelhitch_token = 'v4.public.x'"),
+        ),
         ("query-set", query("SET NAMES utf8")),
-        ("query-variable", query("SELECT @@max_allowed_packet LIMIT 1")),
+        (
+            "query-variable",
+            query("SELECT @@max_allowed_packet LIMIT 1"),
+        ),
     ];
     golden("packets_read.txt", &got);
 }
@@ -176,7 +280,11 @@
 fn error(client: &mut Client) -> String {
     let body = client.packet().unwrap();
     assert_eq!(body[0], 0xff, "{}", plain(&body));
-    format!("{} {}", u16::from_le_bytes([body[1], body[2]]), plain(&body[3..]))
+    format!(
+        "{} {}",
+        u16::from_le_bytes([body[1], body[2]]),
+        plain(&body[3..])
+    )
 }
 
 fn refused(client: &mut Client, query: &str) -> String {
@@ -196,17 +304,50 @@
     let mut got = vec![
         ("no-comment", refused(&mut client, "SELECT 1")),
         ("no-id", refused(&mut client, &good.replace("rid=", "id="))),
-        ("bad-id", refused(&mut client, &good.replace("rid=0", "rid=g"))),
-        ("no-budget", refused(&mut client, &good.replace("budget=1900,", ""))),
-        ("bad-budget", refused(&mut client, &good.replace("budget=1900", "budget=0"))),
-        ("no-method", refused(&mut client, &good.replace("method=point,", ""))),
-        ("unknown-method", refused(&mut client, &good.replace("point", "nothing"))),
-        ("unknown-account", refused(&mut client, &good.replace("water", "fire"))),
-        ("bad-estimate", refused(&mut client, &good.replace("est=12.0", "est=much"))),
-        ("bad-memory", refused(&mut client, &good.replace("mem=8", "mem=much"))),
-        ("bad-token", refused(&mut client, &good.replace("mem=8", "token=a b"))),
-        ("bad-object", refused(&mut client, &good.replace("mem=8", "obj=a b"))),
-        ("no-statement", refused(&mut client, &good.replace("SELECT 1", ""))),
+        (
+            "bad-id",
+            refused(&mut client, &good.replace("rid=0", "rid=g")),
+        ),
+        (
+            "no-budget",
+            refused(&mut client, &good.replace("budget=1900,", "")),
+        ),
+        (
+            "bad-budget",
+            refused(&mut client, &good.replace("budget=1900", "budget=0")),
+        ),
+        (
+            "no-method",
+            refused(&mut client, &good.replace("method=point,", "")),
+        ),
+        (
+            "unknown-method",
+            refused(&mut client, &good.replace("point", "nothing")),
+        ),
+        (
+            "unknown-account",
+            refused(&mut client, &good.replace("water", "fire")),
+        ),
+        (
+            "bad-estimate",
+            refused(&mut client, &good.replace("est=12.0", "est=much")),
+        ),
+        (
+            "bad-memory",
+            refused(&mut client, &good.replace("mem=8", "mem=much")),
+        ),
+        (
+            "bad-token",
+            refused(&mut client, &good.replace("mem=8", "token=a b")),
+        ),
+        (
+            "bad-object",
+            refused(&mut client, &good.replace("mem=8", "obj=a b")),
+        ),
+        (
+            "no-statement",
+            refused(&mut client, &good.replace("SELECT 1", "")),
+        ),
         ("no-fleet", refused(&mut client, "SHOW FLEET")),
         ("no-shares", refused(&mut client, "SHOW SHARES")),
         ("no-queues", refused(&mut client, "SHOW QUEUE")),
@@ -221,7 +362,10 @@
         ("login-malformed", packet(1, b"\x00")),
         ("packet-too-large", [0xff, 0xff, 0x7f, 1, 3].to_vec()),
     ] {
-        got.push((name, error(&mut Client::open(gateway.listen, &login).unwrap())));
+        got.push((
+            name,
+            error(&mut Client::open(gateway.listen, &login).unwrap()),
+        ));
     }
     // One is open, and as many as may be.
     let (mut first, open) = (gateway.client(), text(8, "SELECT 2"));
@@ -229,9 +373,12 @@
     let mut link = engine.accept();
     assert_eq!(link.asked().id, open.rid);
     got.push(("id-open", refused(&mut client, &open.query)));
-    got.push(("too-many-open", refused(&mut client, &commented(1900, "SELECT 3"))));
+    got.push((
+        "too-many-open",
+        refused(&mut client, &commented(1900, "SELECT 3")),
+    ));
     let kill = format!("KILL QUERY {}", first.connection);
-    assert_eq!(client.ask(&kill).unwrap(), toy::client::Answer::Ok);
+    assert_eq!(client.ask(&kill).unwrap(), stand_ins::client::Answer::Ok);
     got.push(("killed", error(&mut first)));
     golden("errors.txt", &got);
 }
@@ -254,50 +401,106 @@
 
 #[test]
 fn lines_to_engines_are_as_recorded() {
-    let rid = b"5eed00c0ffee0a17";
-    let none = Tags { mark: None, key: None };
-    let both = Tags { mark: Some("00112233445566778899aabbccddeeff".into()), key: Some("a1b2".into()) };
+    let request_id: RequestId = *b"5eed00c0ffee0a17";
+    let none = StatementKeys {
+        idempotency_key: None,
+        ordering_key: None,
+    };
+    let both = StatementKeys {
+        idempotency_key: Some("00112233445566778899aabbccddeeff".into()),
+        ordering_key: Some("a1b2".into()),
+    };
     let got = [
-        ("do", plain(lines::relay(rid, "scan", 1200, None, &none, b"SELECT '\r\n'"))),
-        ("do-ranked", plain(lines::relay(rid, "scan", 1200, Some(2), &none, b"SELECT 1"))),
-        ("do-tagged", plain(lines::relay(rid, "load", 80, Some(0), &both, b"INSERT"))),
-        ("undo", plain(lines::undo(rid))),
-        ("page", plain(lines::page(rid, 3))),
-        ("forget", plain(lines::forget(rid))),
-        ("longest-body", lines::BODY.to_string()),
-        ("inbox-bound", lines::BOUND.to_string()),
+        (
+            "do",
+            plain(
+                AttemptRequest {
+                    request_id,
+                    class: "scan",
+                    timeout_ms: 1200,
+                    priority: None,
+                    keys: &none,
+                    text: b"SELECT '\r\n'",
+                }
+                .encode(),
+            ),
+        ),
+        (
+            "do-ranked",
+            plain(
+                AttemptRequest {
+                    request_id,
+                    class: "scan",
+                    timeout_ms: 1200,
+                    priority: Some(2),
+                    keys: &none,
+                    text: b"SELECT 1",
+                }
+                .encode(),
+            ),
+        ),
+        (
+            "do-tagged",
+            plain(
+                AttemptRequest {
+                    request_id,
+                    class: "load",
+                    timeout_ms: 80,
+                    priority: Some(0),
+                    keys: &both,
+                    text: b"INSERT",
+                }
+                .encode(),
+            ),
+        ),
+        ("undo", plain(protocol::encode_cancel(&request_id))),
+        ("page", plain(protocol::encode_page_request(&request_id, 3))),
+        ("forget", plain(protocol::encode_release(&request_id))),
+        ("longest-body", MAX_BODY_BYTES.to_string()),
+        ("inbox-bound", MAX_RESPONSE_BYTES.to_string()),
     ];
     golden("lines.txt", &got);
 }
 
 fn line(bytes: &[u8]) -> String {
-    let answer = match Answer::take(&mut BytesMut::from(bytes)) {
+    let answer = match protocol::Response::decode(&mut BytesMut::from(bytes)) {
         Ok(Some(answer)) => answer,
         Ok(None) => return "not all there".to_owned(),
         Err(error) => return error.to_string(),
     };
-    let word = match answer.word {
-        Word::Done => "done",
-        Word::Wait => "wait",
-        Word::Broke => "broke",
-        Word::Past => "past",
-        Word::Tell => "tell",
-        Word::More => "more",
-        Word::Fit => "fit",
+    let word = match answer.kind {
+        ResponseKind::Completed => "done",
+        ResponseKind::Rejected => "wait",
+        ResponseKind::Failed => "broke",
+        ResponseKind::Expired => "past",
+        ResponseKind::Status => "tell",
+        ResponseKind::Page => "more",
+        ResponseKind::Pong => "fit",
     };
     let fields = ["total", "elapsed", "rss", "remark", "datum", "index"];
     let fields = fields.map(|name| answer.field(name).map_or("-".to_owned(), plain));
-    format!("{} {word} {} '{}'", plain(&answer.id), fields.join("/"), plain(&answer.body))
+    format!(
+        "{} {word} {} '{}'",
+        plain(&answer.request_id),
+        fields.join("/"),
+        plain(&answer.body)
+    )
 }
 
 #[test]
 fn lines_of_engines_are_read_as_recorded() {
     let got = [
-        ("done", line(b"5eed00c0ffee0a17 DONE total=2,elapsed=81.5,rss=96 6\r\na\tb\r\n\n\r\n")),
+        (
+            "done",
+            line(b"5eed00c0ffee0a17 DONE total=2,elapsed=81.5,rss=96 6\r\na\tb\r\n\n\r\n"),
+        ),
         ("wait", line(b"5eed00c0ffee0a17 WAIT - 0\r\n\r\n")),
         ("broke", line(b"5eed00c0ffee0a17 BROKE - 0\r\n\r\n")),
         ("past", line(b"5eed00c0ffee0a17 PAST - 0\r\n\r\n")),
-        ("tell", line(b"5eed00c0ffee0a17 TELL remark=done,datum=0.5 0\r\n\r\n")),
+        (
+            "tell",
+            line(b"5eed00c0ffee0a17 TELL remark=done,datum=0.5 0\r\n\r\n"),
+        ),
         ("more", line(b"5eed00c0ffee0a17 MORE index=1 2\r\nab\r\n")),
         ("fit", line(b"5eed00c0ffee0a17 FIT q=1 0\r\n\r\n")),
         ("half", line(b"5eed00c0ffee0a17 DONE - 5\r\nab")),
@@ -339,16 +542,23 @@
     let engine = engine(1);
     // Closed at its end, each answer is followed by a question on a connection of its own.
     let answer = |mut stream: TcpStream, body: String| {
-        let head = format!("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: {}\r\n\r\n", body.len());
-        stream.write_all(format!("{head}{body}").as_bytes()).unwrap();
+        let head = format!(
+            "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: {}\r\n\r\n",
+            body.len()
+        );
+        stream
+            .write_all(format!("{head}{body}").as_bytes())
+            .unwrap();
     };
     let _gateway = Gateway::with(&[engine.address], |config| config["board"] = json!(address));
     let (known, stream) = other_question(&board, "");
     let target = json!({"uid": "e-9", "endpoint": "127.0.0.1:1", "az": "hall-1", "model": "plain-8", "pod_group": 0,
         "state": "terminating", "capacity_hint": 8.0, "boot_ms": 0});
-    let pool =
-        |number: u32| json!({"rev": number, "pool": {"rev": number, "all": false, "targets": [target]}});
-    answer(stream, json!({"rev": 3, "notices": [pool(2), pool(3)]}).to_string());
+    let pool = |number: u32| json!({"rev": number, "pool": {"rev": number, "all": false, "targets": [target]}});
+    answer(
+        stream,
+        json!({"rev": 3, "notices": [pool(2), pool(3)]}).to_string(),
+    );
     let (later, stream) = other_question(&board, &known);
     answer(stream, json!({"rev": 1, "notices": []}).to_string());
     let (anew, _stream) = other_question(&board, &later);
@@ -357,34 +567,51 @@
         ("from-known", asked(&known)),
         ("after-news", asked(&later)),
         ("from-the-start", asked(&anew)),
-        ("longest-answer", http::LARGEST.to_string()),
+        ("longest-answer", http::MAX_RESPONSE_BYTES.to_string()),
     ];
     golden("board.txt", &got);
 }
 
 fn board(head: &str, body: &str) -> String {
     let bytes = format!("HTTP/1.1 {head}\r\n\r\n{body}");
-    let (events, keep) = match http::take(&mut BytesMut::from(bytes.as_bytes()), true) {
-        Answered::NotYet => return "not all there".to_owned(),
-        Answered::Nonsense(why) => return format!("nonsense: {why}"),
-        Answered::Events(events, keep) => (events, keep),
+    let mut inbox = BytesMut::from(bytes.as_bytes());
+    let (batch, reuse) = match http::take_response(&mut inbox, InputState::Ended) {
+        Ok(PollResponse::Incomplete) => return "not all there".to_owned(),
+        Err(why) => return format!("nonsense: {why}"),
+        Ok(PollResponse::Complete { batch, reuse }) => (batch, reuse),
     };
-    let mut text = format!("keep={keep} last={}", events.last);
-    for event in &events.events {
-        let Some(change) = &event.list else {
-            write!(text, "; {} other", event.number).unwrap();
+    let keep = reuse == ConnectionReuse::KeepAlive;
+    let mut text = format!("keep={keep} last={}", batch.last_revision);
+    for event in &batch.events {
+        let Some(change) = &event.change else {
+            write!(text, "; {} other", event.revision).unwrap();
             continue;
         };
-        write!(text, "; {} whole={}", event.number, change.whole).unwrap();
-        for of in &change.targets {
+        let whole = change.is_snapshot();
+        write!(text, "; {} whole={whole}", event.revision).unwrap();
+        for of in change.endpoints() {
             let stage = match of.stage {
-                Stage::Ready => "ready",
-                Stage::Draining => "draining",
-                Stage::Gone => "gone",
+                EngineStage::Ready => "ready",
+                EngineStage::Draining => "draining",
+                EngineStage::Removed => "gone",
             };
-            let (started, cell) = (of.started.map(|at| (at - Moment::from_secs(0.0)).secs()), of.cell);
-            write!(text, " [{} {} {} {}", of.uid, of.address, of.location, of.machine).unwrap();
-            write!(text, " {cell} {stage} {} {}]", of.scale, started.map_or(-1.0, |at| at)).unwrap();
+            let (started, cell) = (
+                of.started.map(|at| (at - Timestamp::from_secs(0.0)).secs()),
+                of.cell,
+            );
+            write!(
+                text,
+                " [{} {} {} {}",
+                of.uid, of.address, of.location, of.machine
+            )
+            .unwrap();
+            write!(
+                text,
+                " {cell} {stage} {} {}]",
+                of.scale,
+                started.map_or(-1.0, |at| at)
+            )
+            .unwrap();
         }
     }
     text
@@ -403,9 +630,18 @@
             r#"{{"rev": 5, "notices": [{{"rev": 4}}, {{"rev": 5, "pool": {{"all": {all}, "targets": [{targets}]}}}}]}}"#
         )
     };
-    let listed = [target("in_service"), target("terminating"), target("terminated")].join(",");
+    let listed = [
+        target("in_service"),
+        target("terminating"),
+        target("terminated"),
+    ]
+    .join(",");
     let sized = |body: &str| format!("200 OK\r\nContent-Length: {}", body.len());
-    let (whole, part, odd) = (body(true, &listed), body(false, ""), body(true, &target("resting")));
+    let (whole, part, odd) = (
+        body(true, &listed),
+        body(false, ""),
+        body(true, &target("resting")),
+    );
     let least = body(
         true,
         r#"{"uid": "e", "endpoint": "127.0.0.1:1", "az": "a", "model": "m", "state": "in_service"}"#,
@@ -419,8 +655,14 @@
         ("whole", board(&sized(&whole), &whole)),
         ("changes", board(&sized(&part), &part)),
         ("least-fields", board(&sized(&least), &least)),
-        ("closing", board(&format!("{}\r\nConnection: close", sized(&part)), &part)),
-        ("chunked", board("200 OK\r\nTransfer-Encoding: chunked", &chunked)),
+        (
+            "closing",
+            board(&format!("{}\r\nConnection: close", sized(&part)), &part),
+        ),
+        (
+            "chunked",
+            board("200 OK\r\nTransfer-Encoding: chunked", &chunked),
+        ),
         ("to-the-end", board("200 OK", &part)),
         ("state-unknown", board(&sized(&odd), &odd)),
         ("no-rev", less("rev")),
@@ -439,16 +681,28 @@
 }
 
 fn commented_as(text: &str) -> String {
-    let read = match comment::read(text.as_bytes()) {
+    let read = match CommentedStatement::parse(text.as_bytes()) {
         Ok(read) => read,
         Err(error) => return error.to_string(),
     };
     let number = |of: Option<f64>| of.map_or("-".to_owned(), |of| of.to_string());
-    let words = [read.product, read.tenant.unwrap_or("-"), read.desk.unwrap_or("-")].join("/");
-    let tags = [read.mark.unwrap_or("-"), read.key.unwrap_or("-")].join("/");
-    let (rid, statement) = (plain(read.rid), plain(read.statement));
+    let words = [
+        read.class,
+        read.tenant.unwrap_or("-"),
+        read.sub_queue.unwrap_or("-"),
+    ]
+    .join("/");
+    let tags = [
+        read.idempotency_key.unwrap_or("-"),
+        read.order_key.unwrap_or("-"),
+    ]
+    .join("/");
+    let (rid, statement) = (plain(read.request_id), plain(read.text));
     let (estimate, memory) = (number(read.estimate_ms), number(read.memory_mb));
-    format!("{rid} {words} {}/{estimate}/{memory} {tags} {statement}", read.budget_ms)
+    format!(
+        "{rid} {words} {}/{estimate}/{memory} {tags} {statement}",
+        read.budget_ms
+    )
 }
 
 #[test]
@@ -458,13 +712,16 @@
     let without = |field: &str| commented_as(&all.replace(&format!("{field}="), "other="));
     let empty = |field: &str| commented_as(&least.replace(" */", &format!(",{field}= */")));
     let group = |statement: &str| {
-        comment::table_group(statement.as_bytes()).map_or("-".to_owned(), |of| of.to_string())
+        table_group(statement.as_bytes()).map_or("-".to_owned(), |of| of.to_string())
     };
     let got = [
         ("all", commented_as(all)),
         ("least", commented_as(least)),
         ("none", commented_as("SELECT 1")),
-        ("no-statement", commented_as("/* method=scan,rid=5eed00c0ffee0a17,budget=900 */ ")),
+        (
+            "no-statement",
+            commented_as("/* method=scan,rid=5eed00c0ffee0a17,budget=900 */ "),
+        ),
         ("without-method", without("method")),
         ("without-rid", without("rid")),
         ("without-budget", without("budget")),
@@ -480,10 +737,16 @@
         ("empty-mem", empty("mem")),
         ("empty-token", empty("token")),
         ("empty-obj", empty("obj")),
-        ("twice", commented_as(&all.replace("est=12.5", "rid=5eed00c0ffee0a17"))),
+        (
+            "twice",
+            commented_as(&all.replace("est=12.5", "rid=5eed00c0ffee0a17")),
+        ),
         ("long-budget", commented_as(&all.replace("900", "3600001"))),
         ("group-from", group("SELECT a FROM ledger_17.bills")),
-        ("group-into", group("INSERT INTO ledger_4.bills SELECT a FROM staging.rows_3")),
+        (
+            "group-into",
+            group("INSERT INTO ledger_4.bills SELECT a FROM staging.rows_3"),
+        ),
         ("group-none", group("SELECT 'ledger_17.bills'")),
     ];
     golden("comment.txt", &got);
@@ -497,97 +760,132 @@
     rows.iter().map(|row| row.join("|")).collect()
 }
 
-fn at(secs: f64) -> Moment {
-    Moment::from_secs(secs)
+fn at(secs: f64) -> Timestamp {
+    Timestamp::from_secs(secs)
 }
 
-fn estimate(wait: f64, p90: f64) -> Estimate {
-    Estimate { wait: Span::from_secs(wait), p90: Span::from_secs(p90) }
+fn estimate(wait: f64, p90: f64) -> WaitEstimate {
+    WaitEstimate {
+        median: TimeDelta::from_secs(wait),
+        p90: TimeDelta::from_secs(p90),
+    }
 }
 
 #[test]
 fn queues_are_shown_as_recorded() {
-    let desk = DeskStatus {
-        member: "water".to_owned(),
-        desk: "counter".to_owned(),
+    let desk = SubQueueStatus {
+        tenant: "water".to_owned(),
+        sub_queue: "counter".to_owned(),
         waiting: 3,
-        cpu: 1.25,
+        waiting_cpu: 1.25,
         budget: 0.5,
         rate: Some(0.75),
         saved: -2.5,
-        longest: Span::from_secs(0.4),
-        next: vec![estimate(0.1, 0.3), estimate(0.2, 0.6)],
+        longest_wait: TimeDelta::from_secs(0.4),
+        next_waits: vec![estimate(0.1, 0.3), estimate(0.2, 0.6)],
+    };
+    let quiet = SubQueueStatus {
+        rate: None,
+        next_waits: Vec::new(),
+        sub_queue: "kiosk".to_owned(),
+        ..desk.clone()
     };
-    let quiet = DeskStatus { rate: None, next: Vec::new(), desk: "kiosk".to_owned(), ..desk.clone() };
     let statement = StatementStatus {
-        member: "water".to_owned(),
-        desk: "counter".to_owned(),
+        tenant: "water".to_owned(),
+        sub_queue: "counter".to_owned(),
         ahead: 4,
-        waited: Span::from_secs(0.25),
-        left: estimate(0.5, 1.5),
+        waited: TimeDelta::from_secs(0.25),
+        remaining: estimate(0.5, 1.5),
     };
-    let desks = status::desks(&[desk, quiet]);
-    let statement = [status::statement("5eed00c0ffee0a17", &statement)];
+    let desks = status::sub_queue_rows(&[desk, quiet]);
+    let statement = [status::statement_row("5eed00c0ffee0a17", &statement)];
     let rows = cells(&desks);
     let got = [
-        ("queue-columns", status::DESKS.join("|")),
+        ("queue-columns", status::SUB_QUEUE_COLUMNS.join("|")),
         ("queue-desk", rows[0].clone()),
         ("queue-quiet-desk", rows[1].clone()),
-        ("queue-packets", hex(Packets::to(0).table(status::DESKS, &desks))),
-        ("statement-columns", status::STATEMENT.join("|")),
+        (
+            "queue-packets",
+            hex(Response::to(0).table(status::SUB_QUEUE_COLUMNS, &desks)),
+        ),
+        ("statement-columns", status::STATEMENT_COLUMNS.join("|")),
         ("statement", cells(&statement).concat()),
-        ("statement-packets", hex(Packets::to(0).table(status::STATEMENT, &statement))),
+        (
+            "statement-packets",
+            hex(Response::to(0).table(status::STATEMENT_COLUMNS, &statement)),
+        ),
     ];
     golden("queues.txt", &got);
 }
 
 #[test]
 fn a_fleet_is_shown_as_recorded() {
-    let place = |zone: &str, region: &str| Place { zone: Some(name(zone)), region: Some(name(region)) };
-    let ring = || Ring::new(&[7; 32], &[]).unwrap();
-    let mut own = ::fleet::Gateway::new(
+    let place = |zone: &str, region: &str| Locality {
+        zone: Some(name(zone)),
+        region: Some(name(region)),
+    };
+    let ring = || KeyRing::new(&[7; 32], &[]).unwrap();
+    let mut own = Node::new(
         at(10.0),
-        name("golden"),
-        name("g0"),
-        "127.0.0.1:7001".parse().unwrap(),
-        place("room-a", "north"),
-        Vec::new(),
-        ring(),
-        ::fleet::Terms::default(),
-        5,
+        NodeSetup {
+            fleet: name("golden"),
+            name: name("g0"),
+            address: "127.0.0.1:7001".parse().unwrap(),
+            locality: place("room-a", "north"),
+            seeds: Vec::new(),
+            key_ring: ring(),
+            config: Config::default(),
+            rng_seed: 5,
+        },
     );
-    let record = |of: &str, port: u16, state: State, place: Place| Record {
+    let record = |of: &str, port: u16, state: MemberState, locality: Locality| Record {
         name: name(of),
-        life: Life(0x0102_0304_0506_0708),
+        boot_id: BootId(0x0102_0304_0506_0708),
         incarnation: Incarnation(3),
         address: format!("127.0.0.1:{port}").parse().unwrap(),
-        place,
+        locality,
         state,
     };
-    let alone = cells(&status::fleet(at(12.5), &mut own));
+    let alone = cells(&status::fleet_rows(at(12.5), &mut own));
     for (count, of, state, place) in [
-        (1, "g1", State::Alive, place("room-b", "south")),
-        (1, "g2", State::Alive, Place { zone: None, region: None }),
+        (1, "g1", MemberState::Alive, place("room-b", "south")),
+        (
+            1,
+            "g2",
+            MemberState::Alive,
+            Locality {
+                zone: None,
+                region: None,
+            },
+        ),
     ] {
         let from = record(of, 7000 + if of == "g1" { 2 } else { 3 }, state, place);
         let address = from.address;
-        let letter = Letter {
+        let message = Message {
             fleet: name("golden"),
             from,
             counter: count,
             view: View { digest: 1, size: 2 },
             body: Body::Ping(Nonce(9)),
             records: Vec::new(),
-            engines: Vec::new(),
+            engine_reports: Vec::new(),
         };
-        let _ = own.receive(at(13.0), address, &letter::seal(&ring(), &letter));
+        let _ = own.receive(at(13.0), address, &message::seal(&ring(), &message));
     }
-    let rows = cells(&status::fleet(at(15.0), &mut own));
-    let mut got = vec![("fleet-columns", status::FLEET.join("|")), ("fleet-alone", alone.concat())];
+    let rows = cells(&status::fleet_rows(at(15.0), &mut own));
+    let mut got = vec![
+        ("fleet-columns", status::FLEET_COLUMNS.join("|")),
+        ("fleet-alone", alone.concat()),
+    ];
     got.extend(rows.into_iter().map(|row| ("fleet-row", row)));
     got.extend(
-        [State::Alive, State::Suspect, State::Dead, State::Left]
-            .map(|state| ("fleet-state", state.to_string())),
+        [
+            MemberState::Alive,
+            MemberState::Suspect,
+            MemberState::Dead,
+            MemberState::Left,
+        ]
+        .map(|state| ("fleet-state", state.to_string())),
     );
     golden("fleet.txt", &got);
 }
@@ -595,37 +893,61 @@
 #[test]
 fn shares_are_shown_as_recorded() {
     let holding = |of: &str, differs: bool| Holding {
-        who: Who { name: name(of), life: Life(1) },
-        need: Amount(1_500_000),
+        holder: HolderId {
+            name: name(of),
+            boot_id: BootId(1),
+        },
+        demand: Amount(1_500_000),
         reserved: Amount(2_250_000),
-        until: Some(at(12.0)),
-        differs,
+        expires: Some(at(12.0)),
+        config_differs: differs,
     };
-    let line = |budget: &str, unit: &'static str| Line {
+    let line = |budget: &str, unit: &'static str| BudgetStatus {
         budget: budget.to_owned(),
         unit,
-        whole: Amount(6_000_000),
-        floor: Amount(500_000),
+        capacity: Amount(6_000_000),
+        guaranteed: Amount(500_000),
         leased: Amount(1_250_000),
-        until: Some(at(11.5)),
+        lease_expires: Some(at(11.5)),
         wanted: 0.125,
         spent: 3.5,
         allowed: 4.75,
-        refused: 2,
-        holdings: vec![holding("g0", false), holding("g1", true), holding("g2", false)],
+        rejected: 2,
+        holdings: vec![
+            holding("g0", false),
+            holding("g1", true),
+            holding("g2", false),
+        ],
+    };
+    let bare = BudgetStatus {
+        lease_expires: None,
+        holdings: Vec::new(),
+        ..line("trials", "trials/s")
     };
-    let bare = Line { until: None, holdings: Vec::new(), ..line("trials", "trials/s") };
     let steward = Status {
-        me: name("g0"),
-        steward: Some(name("g1")),
-        is_steward: true,
-        number: Some(7),
-        lines: vec![line("relays.point", "relays/s"), bare.clone()],
+        gateway: name("g0"),
+        leader: Some(name("g1")),
+        is_leader: true,
+        term: Some(7),
+        budgets: vec![line("relays.point", "relays/s"), bare.clone()],
     };
-    let none = Status { me: name("g0"), steward: None, is_steward: false, number: None, lines: vec![bare] };
-    let mut got = vec![("shares-columns", status::SHARES.join("|"))];
-    got.extend(cells(&status::shares(at(10.0), &steward)).into_iter().map(|row| ("shares-row", row)));
-    got.push(("shares-without-steward", cells(&status::shares(at(10.0), &none)).concat()));
+    let none = Status {
+        gateway: name("g0"),
+        leader: None,
+        is_leader: false,
+        term: None,
+        budgets: vec![bare],
+    };
+    let mut got = vec![("shares-columns", status::QUOTA_COLUMNS.join("|"))];
+    got.extend(
+        cells(&status::quota_rows(at(10.0), &steward))
+            .into_iter()
+            .map(|row| ("shares-row", row)),
+    );
+    got.push((
+        "shares-without-steward",
+        cells(&status::quota_rows(at(10.0), &none)).concat(),
+    ));
     golden("shares.txt", &got);
 }
 
@@ -639,7 +961,9 @@
         // Behind catalogue, schema and both names of the table, each with its length ahead.
         let (packet, mut start) = (client.packet().unwrap(), 0);
         (0..4).for_each(|_| start += 1 + usize::from(packet[start]));
-        names.push(plain(&packet[start + 1..start + 1 + usize::from(packet[start])]));
+        names.push(plain(
+            &packet[start + 1..start + 1 + usize::from(packet[start])],
+        ));
     }
     let is_end = |packet: &[u8]| packet[0] == 0xfe && packet.len() < 9;
     assert!(is_end(&client.packet().unwrap()));
@@ -661,19 +985,27 @@
 /// Names of an object's fields, as printed.
 fn keys(json: &str) -> String {
     let object = json.split('}').next().unwrap();
-    let names = object.lines().filter_map(|line| line.trim().strip_prefix('"')?.split('"').next());
+    let names = object
+        .lines()
+        .filter_map(|line| line.trim().strip_prefix('"')?.split('"').next());
     names.collect::<Vec<_>>().join("|")
 }
 
 /// These fields of the first object.
 fn values(json: &str, names: &[&str]) -> String {
     let json: serde_json::Value = serde_json::from_str(json).unwrap();
-    names.iter().map(|name| format!("{name}={}", json[0][name])).collect::<Vec<_>>().join("|")
+    names
+        .iter()
+        .map(|name| format!("{name}={}", json[0][name]))
+        .collect::<Vec<_>>()
+        .join("|")
 }
 
 fn said_by(arguments: &[&str], config: &Path, operator: &Path) -> String {
     let mut program = Program::new(env!("CARGO_BIN_EXE_laurelhitch"));
-    program.env("RELAY_CONFIG", config).env("LAURELHITCH_OPERATOR", operator);
+    program
+        .env("RELAY_CONFIG", config)
+        .env("LAURELHITCH_OPERATOR", operator);
     let output = program.args(arguments).output().unwrap();
     assert!(output.status.success(), "{arguments:?}: {output:?}");
     String::from_utf8(output.stdout).unwrap()
@@ -686,11 +1018,18 @@
     std::fs::write(folder.join("one.key"), "07".repeat(32)).unwrap();
     std::fs::write(folder.join("signs"), "one").unwrap();
     let (bind, engine) = (free_address().to_string(), engine(1));
-    let operator = OPERATOR.replace("FOLDER", folder.to_str().unwrap()).replace("BIND", &bind);
+    let operator = OPERATOR
+        .replace("FOLDER", folder.to_str().unwrap())
+        .replace("BIND", &bind);
     let mut gateway = Gateway::operated(&[engine.address], &operator, |_| ());
     let mut client = gateway.client();
     let some = |rows: &[Vec<String>], of: &[usize]| {
-        let row = |row: &Vec<String>| of.iter().map(|at| row[*at].clone()).collect::<Vec<_>>().join("|");
+        let row = |row: &Vec<String>| {
+            of.iter()
+                .map(|at| row[*at].clone())
+                .collect::<Vec<_>>()
+                .join("|")
+        };
         rows.iter().map(row).collect::<Vec<_>>().join("; ")
     };
     let queue = shown(&mut client, "SHOW QUEUE");
@@ -699,11 +1038,21 @@
     let shares = shown(&mut client, "SHOW SHARES");
     let counts = gateway.counts();
     let counts = counts.split_once("counters: ").unwrap().1;
-    let counts: Vec<&str> = counts.split_whitespace().filter_map(|word| word.split('=').next()).collect();
+    let counts: Vec<&str> = counts
+        .split_whitespace()
+        .filter_map(|word| word.split('=').next())
+        .collect();
     let listen = gateway.listen.to_string();
     let (config, file) = (&gateway.config, gateway.config.with_extension("hcl"));
     let printed = |arguments: &[&str]| said_by(arguments, config, &file);
-    let heads = |text: String| text.lines().next().unwrap().split_whitespace().collect::<Vec<_>>().join("|");
+    let heads = |text: String| {
+        text.lines()
+            .next()
+            .unwrap()
+            .split_whitespace()
+            .collect::<Vec<_>>()
+            .join("|")
+    };
     let [queue_json, fleet_json, shares_json] =
         ["queue", "fleet", "shares"].map(|what| printed(&[what, &listen, "--json"]));
     let mut got = vec![
@@ -717,23 +1066,53 @@
         ("shares-cells", some(&shares.1, &[0, 1, 2, 3, 4])),
         ("counters", counts.join("|")),
         ("queue-keys", keys(&queue_json)),
-        ("queue-values", values(&queue_json, &["member", "desk", "waiting", "budget_cpu_s_per_s"])),
+        (
+            "queue-values",
+            values(
+                &queue_json,
+                &["member", "desk", "waiting", "budget_cpu_s_per_s"],
+            ),
+        ),
         ("fleet-keys", keys(&fleet_json)),
         (
             "fleet-values",
-            values(&fleet_json, &["name", "state", "incarnation", "known", "size", "zone", "region"]),
+            values(
+                &fleet_json,
+                &[
+                    "name",
+                    "state",
+                    "incarnation",
+                    "known",
+                    "size",
+                    "zone",
+                    "region",
+                ],
+            ),
         ),
         ("shares-keys", keys(&shares_json)),
-        ("shares-values", values(&shares_json, &["budget", "holder", "unit", "whole", "floor"])),
+        (
+            "shares-values",
+            values(
+                &shares_json,
+                &["budget", "holder", "unit", "whole", "floor"],
+            ),
+        ),
         ("queue-heads", heads(printed(&["queue", &listen]))),
         ("fleet-heads", heads(printed(&["fleet", &listen]))),
         ("shares-heads", heads(printed(&["shares", &listen]))),
     ];
     let check = printed(&["check"]);
     for line in check.lines() {
-        let line =
-            line.replace(config.to_str().unwrap(), "CONFIG").replace(file.to_str().unwrap(), "OPERATOR");
-        got.push(("check", format!("'{}'", line.replace(&bind, "BIND").replace(&listen, "LISTEN"))));
+        let line = line
+            .replace(config.to_str().unwrap(), "CONFIG")
+            .replace(file.to_str().unwrap(), "OPERATOR");
+        got.push((
+            "check",
+            format!(
+                "'{}'",
+                line.replace(&bind, "BIND").replace(&listen, "LISTEN")
+            ),
+        ));
     }
     golden("shown.txt", &got);
     std::fs::remove_dir_all(&folder).unwrap();
@@ -743,12 +1122,12 @@
 fn counters_are_printed_as_recorded() {
     let counters = Counters {
         sessions_opened: 1,
-        statements_taken: 2,
+        statements_accepted: 2,
         completed: 3,
-        denied: 4,
-        relays_sent: 5,
-        polls: 6,
-        list_events: 7,
+        rejected: 4,
+        attempts_sent: 5,
+        discovery_polls: 6,
+        watch_events: 7,
         busy_ms: 8,
         ..Counters::default()
     };
--- a/crates/rig/src/main.rs
+++ b/crates/process_harness/src/main.rs
@@ -3,9 +3,9 @@
 use std::process::ExitCode;
 
 use clap::{Args, Parser, Subcommand};
-use rig::fleet::{Fleet, Wanted, name};
-use rig::scale::{self, Options};
-use rig::script::Script;
+use process_harness::fleet::{Fleet, Wanted, name};
+use process_harness::scale::{self, Options};
+use process_harness::script::Script;
 
 /// Plays faults between several gateway processes on loopback.
 #[derive(Parser)]
@@ -60,7 +60,7 @@
     /// Budgets divided by leases among all.
     #[arg(long, default_value_t = 24)]
     budgets: usize,
-    /// Faults, in HCL: see examples/rig.
+    /// Faults, in HCL: see examples/harness.
     #[arg(long)]
     faults: Option<PathBuf>,
     /// Where the figures go.
@@ -73,7 +73,12 @@
 
 fn run() -> Result<(), Box<dyn std::error::Error>> {
     match Arguments::parse().command {
-        Command::Run { file, seed, program, alone } => play(file, seed, program, alone),
+        Command::Run {
+            file,
+            seed,
+            program,
+            alone,
+        } => play(file, seed, program, alone),
         Command::Scale(arguments) => measure(arguments),
         Command::Hollow => scale::worker::run(),
     }
@@ -86,7 +91,11 @@
 
 fn measure(arguments: Scale) -> Result<(), Box<dyn std::error::Error>> {
     // Looked at first, so that a long run is not lost for a wrong path.
-    let mut json = arguments.json.as_ref().map(|path| create(path)).transpose()?;
+    let mut json = arguments
+        .json
+        .as_ref()
+        .map(|path| create(path))
+        .transpose()?;
     let report = scale::run(Options {
         hollow: arguments.hollow,
         real: arguments.real,
@@ -149,7 +158,12 @@
                 part.steward
             );
         }
-        println!("at the end  {}  busy {busy} ms  {} of {}  {there}", name(at), shown.standing, shown.size);
+        println!(
+            "at the end  {}  busy {busy} ms  {} of {}  {there}",
+            name(at),
+            shown.standing,
+            shown.size
+        );
     }
     for (at, carried) in fleet.switch.carried().iter().enumerate() {
         println!(
@@ -167,7 +181,7 @@
     match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("laurelhitch-rig: {error}");
+            eprintln!("laurelhitch-harness: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/rig/src/scale/hollow.rs
+++ b/crates/process_harness/src/scale/hollow.rs
@@ -3,13 +3,13 @@
 use std::io::ErrorKind;
 use std::net::{SocketAddr, UdpSocket};
 
-use admission::interface::Moment;
-use control::{Control, Times};
-use fleet::{Event, Gateway, Name, Place, Ring};
-use operator::FleetTerms;
+use admission::interface::Timestamp;
+use control::{ClockReadings, ControlPlane, ReceiveQueue};
+use membership::{Event, KeyRing, Locality, Name, Node, NodeSetup};
+use operator_config::MembershipConfig;
+use quota::{FleetQuotas, HolderId};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use shares::{Shares, Who};
 
 use super::layout::Layout;
 use super::links::Links;
@@ -24,8 +24,8 @@
 /// What all hollow gateways of a process are made from.
 pub struct Plan {
     pub layout: Layout,
-    pub fleet: FleetTerms,
-    pub shares: Option<shares::Terms>,
+    pub fleet: MembershipConfig,
+    pub shares: Option<quota::Config>,
     pub seed: u64,
 }
 
@@ -38,7 +38,7 @@
 
 pub struct Hollow {
     pub member: usize,
-    control: Control<Shares>,
+    control: ControlPlane<FleetQuotas>,
     pub socket: UdpSocket,
     unread: bool,
     rng: Pcg64Mcg,
@@ -47,9 +47,12 @@
 }
 
 /// Both clocks now.
-pub fn times() -> Times {
-    let moment = Moment::from_secs;
-    Times { now: moment(process::monotonic_s()), steady: moment(process::boottime_s()) }
+pub fn times() -> ClockReadings {
+    let moment = Timestamp::from_secs;
+    ClockReadings {
+        now: moment(process::monotonic_s()),
+        steady: moment(process::boottime_s()),
+    }
 }
 
 fn name(text: &str) -> Name {
@@ -67,46 +70,71 @@
         socket.set_nonblocking(true)?;
         let seed = plan.seed ^ (member as u64) << 32 ^ life << 44;
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let place = Place {
+        let place = Locality {
             zone: Some(name(&format!("z{}", plan.layout.zone(member)))),
             region: Some(name(&format!("r{}", plan.layout.region(member)))),
         };
         let times = times();
-        let membership = Gateway::new(
+        let membership = Node::new(
             times.now,
-            plan.fleet.fleet.clone(),
-            name(&plan.layout.name(member)),
-            address,
-            place,
-            plan.fleet.seeds.clone(),
-            Ring::new(&KEY, &[]).expect("one key"),
-            plan.fleet.paces.clone(),
-            rng.random(),
+            NodeSetup {
+                fleet: plan.fleet.fleet.clone(),
+                name: name(&plan.layout.name(member)),
+                address,
+                locality: place,
+                seeds: plan.fleet.seeds.clone(),
+                key_ring: KeyRing::new(&KEY, &[]).expect("one key"),
+                config: plan.fleet.protocol.clone(),
+                rng_seed: rng.random(),
+            },
         );
-        let own = Who { name: membership.own().name.clone(), life: membership.own().life };
-        let mut control = Control::new(membership);
+        let own = HolderId {
+            name: membership.local_record().name.clone(),
+            boot_id: membership.local_record().boot_id,
+        };
+        let mut control = ControlPlane::new(membership);
         if let Some(terms) = &plan.shares {
-            control.set_leases(Shares::new(times.steady, own, terms.clone(), rng.random()));
+            control.set_quota_owner(FleetQuotas::new(
+                times.steady,
+                own,
+                terms.clone(),
+                rng.random(),
+            ));
         }
-        let usage = Usage { member, ..Usage::default() };
-        Ok(Hollow { member, control, socket, unread: true, rng, usage, unsent: 0 })
+        let usage = Usage {
+            member,
+            ..Usage::default()
+        };
+        Ok(Hollow {
+            member,
+            control,
+            socket,
+            unread: true,
+            rng,
+            usage,
+            unsent: 0,
+        })
     }
 
     pub fn set_unread(&mut self) {
         self.unread = true;
     }
 
-    pub fn due(&self, times: Times) -> Moment {
-        if self.unread { times.now } else { self.control.due(times) }
+    pub fn due(&self, times: ClockReadings) -> Timestamp {
+        if self.unread {
+            times.now
+        } else {
+            self.control.next_wakeup(times)
+        }
     }
 
     pub fn view(&mut self) -> (u64, usize) {
         let digest = self.control.membership_mut().view().digest;
-        (digest, self.control.membership().size())
+        (digest, self.control.membership().fleet_size())
     }
 
     pub fn stalls(&self) -> u64 {
-        self.control.membership().tally.stood_still
+        self.control.membership().metrics.loop_stalls
     }
 
     pub fn undelivered(&self) -> u64 {
@@ -118,16 +146,27 @@
         let began = process::thread_cpu_s();
         let now = times().now;
         self.read(now, layout, links);
-        self.control.turn(times(), !self.unread);
+        let receive_queue = if self.unread {
+            ReceiveQueue::Pending
+        } else {
+            ReceiveQueue::Drained
+        };
+        self.control.turn(times(), receive_queue);
         self.flush(layout, links, to_real);
         let events = self.control.membership_mut().take_events();
-        let leases = self.control.leases_mut().map(Shares::take_events).unwrap_or_default();
-        let chosen = leases.iter().any(|event| matches!(event, shares::Event::Chosen(_)));
+        let leases = self
+            .control
+            .quota_owner_mut()
+            .map(FleetQuotas::take_events)
+            .unwrap_or_default();
+        let chosen = leases
+            .iter()
+            .any(|event| matches!(event, quota::Event::BecameLeader { .. }));
         self.usage.cpu_s += process::thread_cpu_s() - began;
         Happened { events, chosen }
     }
 
-    fn read(&mut self, now: Moment, layout: &Layout, links: &Links) {
+    fn read(&mut self, now: Timestamp, layout: &Layout, links: &Links) {
         let mut bytes = [0; 2048];
         for _ in 0..READS {
             if !self.unread {
@@ -138,14 +177,24 @@
                 Err(error) if error.kind() == ErrorKind::WouldBlock => self.unread = false,
                 // An earlier datagram came to nobody; nothing is wrong with this socket.
                 Err(error)
-                    if matches!(error.kind(), ErrorKind::Interrupted | ErrorKind::ConnectionRefused) => {}
+                    if matches!(
+                        error.kind(),
+                        ErrorKind::Interrupted | ErrorKind::ConnectionRefused
+                    ) => {}
                 Err(_) => return,
             }
         }
     }
 
     /// What a real process sent comes from its bound address, and its losses are drawn here.
-    fn take(&mut self, now: Moment, from: SocketAddr, bytes: &[u8], layout: &Layout, links: &Links) {
+    fn take(
+        &mut self,
+        now: Timestamp,
+        from: SocketAddr,
+        bytes: &[u8],
+        layout: &Layout,
+        links: &Links,
+    ) {
         let sender = layout.member_bound_at(from);
         let real = sender.filter(|sender| *sender >= layout.hollow);
         if real.is_some_and(|sender| self.lost(sender, self.member, layout, links)) {
@@ -165,10 +214,12 @@
     }
 
     fn flush(&mut self, layout: &Layout, links: &Links, to_real: &mut [Usage]) {
-        for datagram in self.control.take_out() {
+        for datagram in self.control.take_datagrams() {
             self.usage.datagrams += 1;
             self.usage.bytes += datagram.bytes.len() as u64;
-            let Some(to) = layout.member_at(datagram.to) else { continue };
+            let Some(to) = layout.member_at(datagram.to) else {
+                continue;
+            };
             if self.lost(self.member, to, layout, links) {
                 continue;
             }
--- a/crates/lab/examples/membership.rs
+++ b/crates/simulator/examples/membership.rs
@@ -2,29 +2,49 @@
 
 use std::time::Instant;
 
-use fleet::{Bounds, Gateway, Name, Place, Ring, Terms};
-use lab::mesh::{KEY, Mesh, address, name};
+use membership::{Config, KeyRing, Locality, Name, Node, NodeSetup, TrafficLimits};
+use simulator::mesh::{KEY, Mesh, address, name};
 
 const SEED: u64 = 61;
 
-fn fleet_of(count: usize, mode: &str) -> Mesh<Gateway> {
+fn fleet_of(count: usize, mode: &str) -> Mesh<Node> {
     let mode = mode.to_owned();
-    let ring = Ring::new(&KEY, &[]).expect("one key");
+    let ring = KeyRing::new(&KEY, &[]).expect("one key");
     Mesh::new(count, SEED, move |at, now, life| {
         let bounded = mode == "bounded" || mode == "mixed" && at % 2 == 0;
-        let terms = Terms { most: 4096, bounds: bounded.then(Bounds::default), ..Terms::default() };
+        let terms = Config {
+            max_members: 4096,
+            traffic_limits: bounded.then(TrafficLimits::default),
+            ..Config::default()
+        };
         let named = |text: String| Some(Name::new(&text).expect("a name"));
-        let place =
-            Place { zone: named(format!("zone-{}", at % 8)), region: named(format!("region-{}", at % 4)) };
+        let locality = Locality {
+            zone: named(format!("zone-{}", at % 8)),
+            region: named(format!("region-{}", at % 4)),
+        };
         let seeds = (0..3.min(count)).map(address).collect();
-        let (fleet, seed) =
-            (Name::new("lab").expect("a name"), SEED * 1_000_003 + at as u64 * 64 + u64::from(life));
-        Gateway::new(now, fleet, name(at), address(at), place, seeds, ring.clone(), terms, seed)
+        let (fleet, seed) = (
+            Name::new("lab").expect("a name"),
+            SEED * 1_000_003 + at as u64 * 64 + u64::from(life),
+        );
+        Node::new(
+            now,
+            NodeSetup {
+                fleet,
+                name: name(at),
+                address: address(at),
+                locality,
+                seeds,
+                key_ring: ring.clone(),
+                config: terms,
+                rng_seed: seed,
+            },
+        )
     })
 }
 
 /// Sent by one gateway a second over some time: datagrams and bytes, the mean and the most.
-fn traffic(mesh: &mut Mesh<Gateway>, what: &str, seconds: f64) {
+fn traffic(mesh: &mut Mesh<Node>, what: &str, seconds: f64) {
     let (before, from) = (mesh.sent.clone(), mesh.now);
     mesh.run(from + seconds);
     let spent: Vec<(u64, u64)> = mesh
@@ -34,7 +54,9 @@
         .map(|(after, before)| (after.0 - before.0, after.1 - before.1))
         .collect();
     let per = seconds * mesh.lives().len().max(1) as f64;
-    let (datagrams, bytes) = spent.iter().fold((0, 0), |sum, of| (sum.0 + of.0, sum.1 + of.1));
+    let (datagrams, bytes) = spent
+        .iter()
+        .fold((0, 0), |sum, of| (sum.0 + of.0, sum.1 + of.1));
     let most = spent.iter().map(|of| of.1).max().unwrap_or(0);
     println!(
         "  {what}: over {seconds} s, a gateway sends {:.1} datagrams and {:.0} bytes a second, the most {:.0}; false deaths {}",
@@ -45,15 +67,22 @@
     );
 }
 
-fn settle(mesh: &mut Mesh<Gateway>, what: &str, within: f64) {
+fn settle(mesh: &mut Mesh<Node>, what: &str, within: f64) {
     let (from, before) = (mesh.now, mesh.sent.clone());
     let settled = mesh.settle(within);
     let seconds = (mesh.now - from).max(0.1);
     let sent = |at: usize| (mesh.sent[at].1 - before[at].1) as f64 / seconds;
     let mean = (0..mesh.len()).map(sent).sum::<f64>() / mesh.lives().len().max(1) as f64;
     let most = (0..mesh.len()).map(sent).fold(0.0, f64::max);
-    let sizes: Vec<usize> = mesh.lives().iter().map(|at| mesh.peer(*at).map_or(0, Gateway::size)).collect();
-    let (least, largest) = (sizes.iter().min().unwrap_or(&0), sizes.iter().max().unwrap_or(&0));
+    let sizes: Vec<usize> = mesh
+        .lives()
+        .iter()
+        .map(|at| mesh.peer(*at).map_or(0, Node::fleet_size))
+        .collect();
+    let (least, largest) = (
+        sizes.iter().min().unwrap_or(&0),
+        sizes.iter().max().unwrap_or(&0),
+    );
     println!(
         "  {what}: settled {settled:?} s; sizes {least} to {largest}; meanwhile {mean:.0} bytes a second each, the most {most:.0}; false deaths {}",
         mesh.false_deaths()
@@ -76,21 +105,28 @@
             "start" => settle(&mut mesh, "all starting in one second", 300.0),
             "curve" => {
                 while mesh.settle(5.0).is_none() && mesh.now < 400.0 {
-                    let peers: Vec<_> = mesh.lives().into_iter().filter_map(|at| mesh.peer(at)).collect();
-                    let mean = |of: &dyn Fn(&Gateway) -> u64| {
+                    let peers: Vec<_> = mesh
+                        .lives()
+                        .into_iter()
+                        .filter_map(|at| mesh.peer(at))
+                        .collect();
+                    let mean = |of: &dyn Fn(&Node) -> u64| {
                         peers.iter().map(|peer| of(peer)).sum::<u64>() as f64 / peers.len() as f64
                     };
                     println!(
                         "  {:.0} s: size {:.1}, candidates {:.1}, verified later {:.0}, put off {:.0}, compared {:.1}, listed {:.1}, vouched {:.1}, sent {:.0}",
                         mesh.now,
-                        mean(&|peer| peer.size() as u64),
-                        mean(&|peer| peer.rows().filter(|row| !row.known).count() as u64),
-                        mean(&|peer| peer.tally.verified_later),
-                        mean(&|peer| peer.tally.bounded_probes),
-                        mean(&|peer| peer.tally.compared),
-                        mean(&|peer| peer.tally.listed),
-                        mean(&|peer| peer.tally.vouched_by_digest),
-                        mean(&|peer| peer.tally.sent_bytes)
+                        mean(&|peer| peer.fleet_size() as u64),
+                        mean(
+                            &|peer| peer.members().filter(|member| !member.confirmed).count()
+                                as u64
+                        ),
+                        mean(&|peer| peer.metrics.verifications_deferred),
+                        mean(&|peer| peer.metrics.limited_probes),
+                        mean(&|peer| peer.metrics.digest_requests_sent),
+                        mean(&|peer| peer.metrics.fingerprint_requests_sent),
+                        mean(&|peer| peer.metrics.vouched_by_digest),
+                        mean(&|peer| peer.metrics.sent_bytes)
                     );
                 }
             }
@@ -104,16 +140,30 @@
                 settle(&mut mesh, "after it", 120.0);
             }
             "one" | "rack" => {
-                let (deaths, killed) = (mesh.deaths.len(), if case == "one" { 1 } else { 40.min(count / 4) });
-                let alive: Vec<usize> = mesh.lives().into_iter().filter(|at| *at >= 3).take(killed).collect();
+                let (deaths, killed) = (
+                    mesh.deaths.len(),
+                    if case == "one" { 1 } else { 40.min(count / 4) },
+                );
+                let alive: Vec<usize> = mesh
+                    .lives()
+                    .into_iter()
+                    .filter(|at| *at >= 3)
+                    .take(killed)
+                    .collect();
                 let killed_at = mesh.now;
                 alive.iter().for_each(|at| mesh.kill(*at));
                 settle(&mut mesh, &format!("{killed} dead"), 120.0);
-                let mut times: Vec<f64> =
-                    mesh.deaths[deaths..].iter().map(|death| death.at - killed_at).collect();
+                let mut times: Vec<f64> = mesh.deaths[deaths..]
+                    .iter()
+                    .map(|death| death.at - killed_at)
+                    .collect();
                 times.sort_by(f64::total_cmp);
-                let at =
-                    |part: f64| times.get((times.len() as f64 * part) as usize).copied().unwrap_or(f64::NAN);
+                let at = |part: f64| {
+                    times
+                        .get((times.len() as f64 * part) as usize)
+                        .copied()
+                        .unwrap_or(f64::NAN)
+                };
                 println!(
                     "    {} held for dead: the first after {:.1} s, half after {:.1}, 99 of 100 after {:.1}",
                     times.len(),
@@ -128,25 +178,32 @@
                 mesh.cut(|a, b| a % 2 != b % 2);
                 for _ in 0..6 {
                     traffic(&mut mesh, "two halves apart", 20.0);
-                    let peers: Vec<_> = mesh.lives().into_iter().filter_map(|at| mesh.peer(at)).collect();
-                    let mean = |of: &dyn Fn(&Gateway) -> u64| {
+                    let peers: Vec<_> = mesh
+                        .lives()
+                        .into_iter()
+                        .filter_map(|at| mesh.peer(at))
+                        .collect();
+                    let mean = |of: &dyn Fn(&Node) -> u64| {
                         peers.iter().map(|peer| of(peer)).sum::<u64>() as f64 / peers.len() as f64
                     };
                     println!(
                         "    in the mean suspected {:.1}, died {:.1}, size {:.1}, probes failed {:.1}, put off {:.1}",
-                        mean(&|peer| peer.tally.suspected),
-                        mean(&|peer| peer.tally.died),
-                        mean(&|peer| peer.size() as u64),
-                        mean(&|peer| peer.tally.probes_failed),
-                        mean(&|peer| peer.tally.bounded_probes)
+                        mean(&|peer| peer.metrics.suspected),
+                        mean(&|peer| peer.metrics.declared_dead),
+                        mean(&|peer| peer.fleet_size() as u64),
+                        mean(&|peer| peer.metrics.probes_failed),
+                        mean(&|peer| peer.metrics.limited_probes)
                     );
                 }
                 mesh.heal();
                 let healed = mesh.now;
                 settle(&mut mesh, "together again", 300.0);
-                let false_ones: Vec<_> =
-                    mesh.deaths.iter().filter(|death| death.false_one && death.at > healed).collect();
-                let other = |death: &&&lab::mesh::Death| death.by % 2 != death.of % 2;
+                let false_ones: Vec<_> = mesh
+                    .deaths
+                    .iter()
+                    .filter(|death| death.false_one && death.at > healed)
+                    .collect();
+                let other = |death: &&&simulator::mesh::Death| death.by % 2 != death.of % 2;
                 let mut subjects: Vec<usize> = false_ones.iter().map(|death| death.of).collect();
                 subjects.sort_unstable();
                 subjects.dedup();
@@ -162,9 +219,16 @@
             }
             other => panic!("no such case: {other}"),
         }
-        eprintln!("  ({case}: {:.1} s of the clock so far)", began.elapsed().as_secs_f64());
+        eprintln!(
+            "  ({case}: {:.1} s of the clock so far)",
+            began.elapsed().as_secs_f64()
+        );
     }
-    for (counter, value) in mesh.peer(count / 2).into_iter().flat_map(|peer| peer.tally.each()) {
+    for (counter, value) in mesh
+        .peer(count / 2)
+        .into_iter()
+        .flat_map(|peer| peer.metrics.named_counts())
+    {
         print!("{counter}={value} ");
     }
     println!();
--- a/crates/lab/src/control/ledger.rs
+++ b/crates/simulator/src/control/ledger.rs
@@ -4,15 +4,14 @@
 
 use std::time::Duration;
 
-use admission::interface::{Moment, Span};
-use fleet::letter::{self, Body, Letter, View};
-use fleet::{Incarnation, Life, Name, Place, Record, Ring, State};
+use admission::interface::{TimeDelta, Timestamp};
+use membership::message::{self, Body, Message, View};
+use membership::{BootId, Incarnation, KeyRing, Locality, MemberState, Name, Record};
+use quota::message::{BudgetDemand, LeaseRequest, Vote, VoteRequest};
+use quota::{Amount, Budget, BudgetKind, Config, HolderId, Participant, Payload, RequestId};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use serde::Serialize;
-use shares::core::Core;
-use shares::word::{Ask, Count, Need, Word};
-use shares::{Amount, Budget, Terms, Use, Who};
 
 use crate::control::limits::{Ended, Limits, Watch};
 use crate::control::measured::thread_cpu;
@@ -21,7 +20,7 @@
 
 /// What all holders together want of a budget, as a multiple of it: it is short.
 const WANTED: f64 = 1.3;
-/// Questions a renewal of a holder whose needs move all the time, see `shares::core`.
+/// Questions a renewal of a holder whose needs move all the time, see `quota::participant`.
 pub const MOST_QUESTIONS_A_RENEWAL: f64 = 4.0;
 /// Datagrams sealed and opened to measure what one takes.
 const FRAMES: u32 = 2000;
@@ -98,16 +97,16 @@
 
 /// One that asks as a holder does.
 struct Asker {
-    who: Who,
-    count: Count,
+    who: HolderId,
+    count: RequestId,
     needs: Vec<Amount>,
     held: Vec<Amount>,
 }
 
 struct Ledger {
-    now: Moment,
-    core: Core,
-    terms: Terms,
+    now: Timestamp,
+    participant: Participant,
+    terms: Config,
     askers: Vec<Asker>,
     rng: Pcg64Mcg,
     frame: Frame,
@@ -145,9 +144,14 @@
         budgets: plan.budgets,
         ended,
         in_ledger: ledger
-            .core
-            .office(ledger.now)
-            .map_or(0, |office| office.holdings(ledger.now, 0, &ledger.terms).len()),
+            .participant
+            .leader_state(ledger.now)
+            .map_or(0, |leadership| {
+                leadership
+                    .ledger()
+                    .holdings(ledger.now, 0, &ledger.terms)
+                    .len()
+            }),
         answered: rest.answered + moving.answered,
         question_bytes: mean(rest.question_bytes),
         answer_bytes: mean(rest.answer_bytes),
@@ -155,11 +159,16 @@
         answer_datagram_bytes: mean(rest.answer_datagram_bytes),
         longest_question_bytes: rest.longest.max(moving.longest),
         vote_datagram_bytes: ledger.vote_bytes.0 as f64 / ledger.vote_bytes.1.max(1) as f64,
-        questions_per_s: 1.0 / ledger.terms.renew.secs(),
+        questions_per_s: 1.0 / ledger.terms.renew_interval.secs(),
     };
     let of = |measured: &Measured| measured.cpu / measured.answered.max(1) as u32;
     let framing = ledger.frame.cpu(mean(rest.question_bytes) as usize);
-    let spent = Spent { at_rest: of(&rest), moving: of(&moving), framing, real_time: watch.elapsed() };
+    let spent = Spent {
+        at_rest: of(&rest),
+        moving: of(&moving),
+        framing,
+        real_time: watch.elapsed(),
+    };
     (counted, spent)
 }
 
@@ -167,41 +176,61 @@
     fn new(plan: &Plan) -> Self {
         let terms = terms(plan.holders, plan.budgets);
         let mut rng = Pcg64Mcg::seed_from_u64(plan.seed);
-        let now = Moment::from_secs(0.0);
-        let core = Core::new(now, who(0), terms.clone(), plan.seed);
+        let now = Timestamp::from_secs(0.0);
+        let participant = Participant::new(now, who(0), terms.clone(), plan.seed);
         let asker = |at: usize| Asker {
             who: who(at),
-            count: Count::default(),
+            count: RequestId::default(),
             needs: needs(&terms, plan.holders, &mut rng),
             held: vec![Amount::ZERO; plan.budgets],
         };
         let askers = (1..=plan.holders).map(asker).collect();
-        Ledger { now, core, terms, askers, rng, frame: Frame::new(), vote_bytes: (0, 0) }
+        Ledger {
+            now,
+            participant,
+            terms,
+            askers,
+            rng,
+            frame: Frame::new(),
+            vote_bytes: (0, 0),
+        }
     }
 
     /// Waits out the promise of an earlier life, is chosen, and waits out the leases of an earlier coordinator.
     fn be_chosen(&mut self) {
-        let full = self.terms.term.secs() + self.terms.lease.secs() + 2.0;
-        while self.now < Moment::from_secs(full) {
-            self.advance(self.terms.renew);
+        let full = self.terms.term_duration.secs() + self.terms.lease_duration.secs() + 2.0;
+        while self.now < Timestamp::from_secs(full) {
+            self.advance(self.terms.renew_interval);
         }
     }
 
-    fn advance(&mut self, by: Span) {
+    fn advance(&mut self, by: TimeDelta) {
         self.now = self.now + by;
-        if self.core.due() > self.now {
+        if self.participant.next_wakeup() > self.now {
             return;
         }
-        self.core.turn(self.now);
-        for sent in self.core.take_out() {
-            let Word::Canvass { number, count } = sent.word else { continue };
-            let vote = Word::Vote { count, yes: true, highest: number };
-            self.vote_bytes.0 += self.frame.size(sent.word.bytes()) + self.frame.size(vote.bytes());
+        self.participant.tick(self.now);
+        for sent in self.participant.take_outgoing() {
+            let Payload::VoteRequest(VoteRequest { term, request }) = sent.payload else {
+                continue;
+            };
+            let vote = Payload::Vote(Vote {
+                request,
+                granted: true,
+                highest_term: term,
+            });
+            self.vote_bytes.0 +=
+                self.frame.size(sent.payload.encode()) + self.frame.size(vote.encode());
             self.vote_bytes.1 += 1;
-            let voter = self.terms.voters.iter().position(|voter| *voter == sent.to).unwrap_or(0);
-            let _ = self.core.receive(self.now, &who(voter), vote);
+            let voter = self
+                .terms
+                .voters
+                .iter()
+                .position(|voter| *voter == sent.to)
+                .unwrap_or(0);
+            let _ = self.participant.receive(self.now, &who(voter), vote);
         }
-        let _ = self.core.take_events();
+        let _ = self.participant.take_events();
     }
 
     /// Every holder asks once: two rounds, so that each holds what it was granted.
@@ -232,27 +261,44 @@
 
     /// One asks, when its turn in the renewal has come.
     fn question(&mut self, at: usize, measured: &mut Measured) {
-        self.advance(Span::from_secs(self.terms.renew.secs() / self.askers.len() as f64));
+        self.advance(TimeDelta::from_secs(
+            self.terms.renew_interval.secs() / self.askers.len() as f64,
+        ));
         let asker = &mut self.askers[at];
-        let holds = (asker.count > Count::default()).then_some(asker.count);
+        let holds = (asker.count > RequestId::default()).then_some(asker.count);
         asker.count = asker.count.next();
-        let question = Word::Ask(Ask {
-            count: asker.count,
-            holds,
-            leaves: false,
-            clock_ms: ((self.now - Moment::from_secs(0.0)).secs() * 1e3) as u64,
-            needs: asked(&self.terms, asker),
+        let question = Payload::LeaseRequest(LeaseRequest {
+            request: asker.count,
+            held_lease: holds,
+            leaving: false,
+            clock_ms: ((self.now - Timestamp::from_secs(0.0)).secs() * 1e3) as u64,
+            budgets: asked(&self.terms, asker),
         });
-        let bytes = question.bytes();
+        let bytes = question.encode();
         let began = thread_cpu();
-        let Ok(question) = Word::read(&bytes) else { return };
-        let taken = self.core.receive(self.now, &asker.who, question);
-        let out: Vec<Vec<u8>> = self.core.take_out().iter().map(|sent| sent.word.bytes()).collect();
+        let Ok(question) = Payload::decode(&bytes) else {
+            return;
+        };
+        let taken = self.participant.receive(self.now, &asker.who, question);
+        let out: Vec<Vec<u8>> = self
+            .participant
+            .take_outgoing()
+            .iter()
+            .map(|sent| sent.payload.encode())
+            .collect();
         measured.cpu += thread_cpu().saturating_sub(began);
-        let _ = self.core.take_events();
-        let (Ok(()), [answer]) = (taken, &out[..]) else { return };
-        let Ok(Word::Grant { amounts, .. }) = Word::read(answer) else { return };
-        asker.held = amounts.into_iter().map(|(_, amount)| amount).collect();
+        let _ = self.participant.take_events();
+        let (Ok(()), [answer]) = (taken, &out[..]) else {
+            return;
+        };
+        let Ok(Payload::LeaseGrant(grant)) = Payload::decode(answer) else {
+            return;
+        };
+        asker.held = grant
+            .amounts
+            .into_iter()
+            .map(|granted| granted.amount)
+            .collect();
         measured.answered += 1;
         measured.question_bytes += bytes.len();
         measured.answer_bytes += answer.len();
@@ -262,36 +308,51 @@
     }
 }
 
-fn who(at: usize) -> Who {
-    Who { name: name(at), life: Life(0x9e37_79b9_7f4a_7c15 ^ at as u64) }
+fn who(at: usize) -> HolderId {
+    HolderId {
+        name: name(at),
+        boot_id: BootId(0x9e37_79b9_7f4a_7c15 ^ at as u64),
+    }
 }
 
-fn terms(holders: usize, budgets: usize) -> Terms {
+fn terms(holders: usize, budgets: usize) -> Config {
     let plain = parts::terms(holders + 1);
-    let (whole, floor) = (plain.budgets[0].whole, plain.budgets[0].floor);
-    let budget = |at: usize| Budget { of: Use::Member(format!("member-{at:02}")), whole, floor };
-    Terms { budgets: (0..budgets).map(budget).collect(), ..plain }
+    let capacity = plain.budgets[0].capacity;
+    let guaranteed = plain.budgets[0].guaranteed;
+    let budget = |at: usize| Budget {
+        kind: BudgetKind::Tenant(format!("member-{at:02}")),
+        capacity,
+        guaranteed,
+    };
+    Config {
+        budgets: (0..budgets).map(budget).collect(),
+        ..plain
+    }
 }
 
-fn needs(terms: &Terms, holders: usize, rng: &mut Pcg64Mcg) -> Vec<Amount> {
-    let share = |budget: &Budget| budget.whole.units() * WANTED / holders as f64;
-    terms.budgets.iter().map(|budget| Amount::of(share(budget) * 2.0 * rng.random::<f64>())).collect()
+fn needs(terms: &Config, holders: usize, rng: &mut Pcg64Mcg) -> Vec<Amount> {
+    let share = |budget: &Budget| budget.capacity.units() * WANTED / holders as f64;
+    terms
+        .budgets
+        .iter()
+        .map(|budget| Amount::from_units(share(budget) * 2.0 * rng.random::<f64>()))
+        .collect()
 }
 
-fn asked(terms: &Terms, asker: &Asker) -> Vec<Need> {
-    let need = |(at, budget): (usize, &Budget)| Need {
-        mark: budget.mark(),
-        need: asker.needs[at],
+fn asked(terms: &Config, asker: &Asker) -> Vec<BudgetDemand> {
+    let need = |(at, budget): (usize, &Budget)| BudgetDemand {
+        budget: budget.key(),
+        demand: asker.needs[at],
         held: asker.held[at],
-        whole: budget.whole,
-        floor: budget.floor,
+        capacity: budget.capacity,
+        guaranteed: budget.guaranteed,
     };
     terms.budgets.iter().enumerate().map(need).collect()
 }
 
 /// The fleet's datagram around a message, in a fleet at rest: no gossip goes along.
 struct Frame {
-    ring: Ring,
+    ring: KeyRing,
     fleet: Name,
     from: Record,
 }
@@ -299,29 +360,39 @@
 impl Frame {
     fn new() -> Self {
         let part = |text: &str| Name::new(text).expect("a name");
-        let place = Place { zone: Some(part("zone-1")), region: Some(part("region-1")) };
+        let locality = Locality {
+            zone: Some(part("zone-1")),
+            region: Some(part("region-1")),
+        };
         let from = Record {
             name: name(1),
-            life: who(1).life,
+            boot_id: who(1).boot_id,
             incarnation: Incarnation(1),
             address: address(1),
-            place,
-            state: State::Alive,
+            locality,
+            state: MemberState::Alive,
         };
-        Frame { ring: Ring::new(&KEY, &[]).expect("one key"), fleet: part("lab"), from }
+        Frame {
+            ring: KeyRing::new(&KEY, &[]).expect("one key"),
+            fleet: part("lab"),
+            from,
+        }
     }
 
     fn sealed(&self, message: Vec<u8>) -> Vec<u8> {
-        let letter = Letter {
+        let letter = Message {
             fleet: self.fleet.clone(),
             from: self.from.clone(),
             counter: 1 << 20,
-            view: View { digest: u64::MAX, size: 4096 },
-            body: Body::Carried(message),
+            view: View {
+                digest: u64::MAX,
+                size: 4096,
+            },
+            body: Body::Payload(message),
             records: Vec::new(),
-            engines: Vec::new(),
+            engine_reports: Vec::new(),
         };
-        letter::seal(&self.ring, &letter)
+        message::seal(&self.ring, &letter)
     }
 
     fn size(&self, message: Vec<u8>) -> usize {
@@ -333,7 +404,7 @@
         let began = thread_cpu();
         for _ in 0..FRAMES {
             let sealed = self.sealed(message.clone());
-            std::hint::black_box(letter::open(&self.ring, &self.fleet, &sealed).is_ok());
+            std::hint::black_box(message::open(&self.ring, &self.fleet, &sealed).is_ok());
         }
         thread_cpu().saturating_sub(began) / FRAMES
     }
--- a/crates/lab/src/control/membership.rs
+++ b/crates/simulator/src/control/membership.rs
@@ -4,8 +4,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use fleet::letter::{self, Body};
-use fleet::{Gateway, Name, Ring, Terms};
+use membership::message::{self, Body};
+use membership::{Config, KeyRing, Name, Node};
 use serde::{Deserialize, Serialize};
 
 use crate::control::limits::{Ended, Limits, Watch, resident_bytes};
@@ -22,7 +22,7 @@
 pub struct Plan {
     pub gateways: usize,
     pub seed: u64,
-    pub terms: Terms,
+    pub terms: Config,
     /// How long a start, and an agreement on a death, may take.
     pub settle_s: f64,
     /// From the end of the start to the measurement at rest, for gossip to run out.
@@ -166,7 +166,7 @@
 }
 
 struct Play {
-    mesh: Mesh<Measured<Gateway>>,
+    mesh: Mesh<Measured<Node>>,
     kinds: Rc<RefCell<Kinds>>,
     limits: Limits,
 }
@@ -179,7 +179,10 @@
         let ended = rows.last().map(|row| row.counted.ended);
         matches!(ended, Some(Ended::RealTimeLimit | Ended::MemoryLimit))
     };
-    let lasts = [(Situation::Drain, plan.drain_s), (Situation::Rest, plan.measure_s)];
+    let lasts = [
+        (Situation::Drain, plan.drain_s),
+        (Situation::Rest, plan.measure_s),
+    ];
     for (situation, lasts_s) in lasts {
         if !stopped(&rows) {
             rows.push(play.situation(situation, |play, watch| play.run(lasts_s, watch)));
@@ -187,11 +190,15 @@
     }
     if !stopped(&rows) {
         play.mesh.kill(plan.gateways / 2);
-        rows.push(play.situation(Situation::Death, |play, watch| play.settle(plan.settle_s, watch)));
+        rows.push(play.situation(Situation::Death, |play, watch| {
+            play.settle(plan.settle_s, watch)
+        }));
     }
     if !stopped(&rows) {
         play.mesh.faults.lost = plan.loss;
-        rows.push(play.situation(Situation::Loss, |play, watch| play.run(plan.measure_s, watch)));
+        rows.push(play.situation(Situation::Loss, |play, watch| {
+            play.run(plan.measure_s, watch)
+        }));
     }
     rows
 }
@@ -203,10 +210,18 @@
         let mut mesh = Mesh::new(plan.gateways, plan.seed, make);
         let kinds = Rc::new(RefCell::new(Kinds::default()));
         mesh.liar = Some(counter_of_kinds(Rc::clone(&kinds)));
-        Play { mesh, kinds, limits: plan.limits }
+        Play {
+            mesh,
+            kinds,
+            limits: plan.limits,
+        }
     }
 
-    fn situation(&mut self, situation: Situation, play: impl FnOnce(&mut Self, &Watch) -> Ended) -> Row {
+    fn situation(
+        &mut self,
+        situation: Situation,
+        play: impl FnOnce(&mut Self, &Watch) -> Ended,
+    ) -> Row {
         let watch = self.limits.start();
         let before = self.totals();
         let ended = play(self, &watch);
@@ -225,7 +240,9 @@
             most_received: most(&before.each, &after.each, |each| each.0),
             most_refused: most(&before.each, &after.each, |each| each.1),
             false_deaths: after.false_deaths - before.false_deaths,
-            detected_s: (situation == Situation::Death).then(|| self.detected()).flatten(),
+            detected_s: (situation == Situation::Death)
+                .then(|| self.detected())
+                .flatten(),
             complete: self.complete(),
         };
         let spent = Spent {
@@ -239,7 +256,8 @@
 
     fn start(&mut self, plan: &Plan, watch: &Watch) -> Ended {
         for at in 0..plan.gateways {
-            self.mesh.run(START_WITHIN_S * at as f64 / plan.gateways as f64);
+            self.mesh
+                .run(START_WITHIN_S * at as f64 / plan.gateways as f64);
             self.mesh.start(at);
         }
         self.settle(plan.settle_s - START_WITHIN_S, watch)
@@ -275,15 +293,21 @@
         let mut counters = Counters::default();
         let mut each = vec![(0, 0); self.mesh.len()];
         for at in self.mesh.lives() {
-            let Some(peer) = self.mesh.peer(at) else { continue };
+            let Some(peer) = self.mesh.peer(at) else {
+                continue;
+            };
             let own = peer.cost();
-            each[at] = (own.received, peer.peer.tally.refused_many);
+            each[at] = (own.received, peer.peer.metrics.rejected_rate_limited);
             cost.cpu += own.cpu;
             cost.received += own.received;
             cost.received_bytes += own.received_bytes;
             counters.add(&peer.peer);
         }
-        let sent = self.mesh.sent.iter().fold((0, 0), |sum, of| (sum.0 + of.0, sum.1 + of.1));
+        let sent = self
+            .mesh
+            .sent
+            .iter()
+            .fold((0, 0), |sum, of| (sum.0 + of.0, sum.1 + of.1));
         Totals {
             at_s: self.mesh.now,
             sent,
@@ -303,32 +327,45 @@
 
     fn complete(&self) -> usize {
         let lives = self.mesh.lives();
-        let whole = |at: &&usize| self.mesh.peer(**at).is_some_and(|peer| peer.peer.size() == lives.len());
+        let whole = |at: &&usize| {
+            self.mesh
+                .peer(**at)
+                .is_some_and(|peer| peer.peer.fleet_size() == lives.len())
+        };
         lives.iter().filter(whole).count()
     }
 }
 
 /// The largest growth of one count at a gateway.
 fn most(before: &[(u64, u64)], after: &[(u64, u64)], count: fn(&(u64, u64)) -> u64) -> u64 {
-    let grown = before.iter().zip(after).map(|(before, after)| count(after).saturating_sub(count(before)));
+    let grown = before
+        .iter()
+        .zip(after)
+        .map(|(before, after)| count(after).saturating_sub(count(before)));
     grown.max().unwrap_or(0)
 }
 
 fn counter_of_kinds(kinds: Rc<RefCell<Kinds>>) -> Hearer {
-    let ring = Ring::new(&KEY, &[]).expect("one key");
+    let ring = KeyRing::new(&KEY, &[]).expect("one key");
     let fleet = Name::new("lab").expect("a name");
     Box::new(move |_, _, bytes| {
-        let Ok(letter) = letter::open(&ring, &fleet, bytes) else { return };
+        let Ok(message) = message::open(&ring, &fleet, bytes) else {
+            return;
+        };
         let mut kinds = kinds.borrow_mut();
-        *match letter.body {
+        *match message.body {
             Body::Ping(_) => &mut kinds.pings,
             Body::Ack(_) => &mut kinds.acknowledgements,
-            Body::Ask { .. } => &mut kinds.indirect_requests,
-            Body::Passed(_) => &mut kinds.indirect_answered,
-            Body::Silent(_) => &mut kinds.indirect_failed,
-            Body::Pull { .. } | Body::Compare { .. } | Body::List { .. } => &mut kinds.page_requests,
-            Body::Page { .. } | Body::Compared { .. } | Body::Listed { .. } => &mut kinds.pages,
-            Body::News | Body::Carried(_) => &mut kinds.other,
+            Body::IndirectPing { .. } => &mut kinds.indirect_requests,
+            Body::IndirectAck(_) => &mut kinds.indirect_answered,
+            Body::IndirectNack(_) => &mut kinds.indirect_failed,
+            Body::PageRequest { .. }
+            | Body::DigestRequest { .. }
+            | Body::FingerprintRequest { .. } => &mut kinds.page_requests,
+            Body::Page { .. } | Body::DigestResponse { .. } | Body::FingerprintResponse { .. } => {
+                &mut kinds.pages
+            }
+            Body::Gossip | Body::Payload(_) => &mut kinds.other,
         } += 1;
     })
 }
@@ -349,16 +386,16 @@
 }
 
 impl Counters {
-    fn add(&mut self, gateway: &Gateway) {
-        let tally = &gateway.tally;
-        self.probes += tally.probes;
-        self.probes_failed += tally.probes_failed;
-        self.suspected += tally.suspected;
-        self.refuted += tally.refuted;
-        self.died += tally.died;
-        self.revived += tally.revived;
-        self.unvouched += tally.unvouched;
-        self.refused_many += tally.refused_many;
+    fn add(&mut self, gateway: &Node) {
+        let metrics = &gateway.metrics;
+        self.probes += metrics.probes;
+        self.probes_failed += metrics.probes_failed;
+        self.suspected += metrics.suspected;
+        self.refuted += metrics.refutations;
+        self.died += metrics.declared_dead;
+        self.revived += metrics.false_deaths;
+        self.unvouched += metrics.unvouched;
+        self.refused_many += metrics.rejected_rate_limited;
     }
 
     fn since(&self, before: &Counters) -> Counters {
--- a/crates/lab/src/engine.rs
+++ b/crates/simulator/src/engine.rs
@@ -14,11 +14,11 @@
     Down,
 }
 
-/// A relay that runs.
+/// An attempt that runs.
 #[derive(Clone, Copy, Debug)]
 pub struct Run {
     pub statement: u64,
-    pub relay: u16,
+    pub attempt: u16,
     pub cpu: f64,
     pub threads: f64,
     pub memory_mb: f64,
@@ -75,8 +75,14 @@
 
     /// Part of its work that it can do by now.
     pub fn warmth(&self, now: f64) -> f64 {
-        let age = self.started.map_or(f64::INFINITY, |started| (now - started) / self.of.cold_s);
-        if age >= 1.0 { 1.0 } else { self.of.cold_share + (1.0 - self.of.cold_share) * age.max(0.0) }
+        let age = self
+            .started
+            .map_or(f64::INFINITY, |started| (now - started) / self.of.cold_s);
+        if age >= 1.0 {
+            1.0
+        } else {
+            self.of.cold_share + (1.0 - self.of.cold_share) * age.max(0.0)
+        }
     }
 
     /// Seconds that each thread runs in a second.
@@ -86,7 +92,10 @@
         }
         let crowd = (self.threads / self.of.cores - self.of.threads_a_core).max(0.0);
         let spill = (self.memory_mb / self.of.memory_mb).max(1.0);
-        let cores = self.of.cores * self.warmth(now) / self.slow / (1.0 + self.of.crowd_loss * crowd) / spill;
+        let cores = self.of.cores * self.warmth(now)
+            / self.slow
+            / (1.0 + self.of.crowd_loss * crowd)
+            / spill;
         (cores / self.threads).min(1.0 / self.slow)
     }
 
@@ -116,8 +125,9 @@
             && f64::from_bits(*mark) <= self.done + 1e-9
         {
             let (_, run) = self.runs.pop_first().expect("just seen");
-            self.marks.remove(&(run.statement, run.relay));
-            (self.threads, self.memory_mb) = (self.threads - run.threads, self.memory_mb - run.memory_mb);
+            self.marks.remove(&(run.statement, run.attempt));
+            (self.threads, self.memory_mb) =
+                (self.threads - run.threads, self.memory_mb - run.memory_mb);
             ended.push(run);
         }
         if self.runs.is_empty() {
@@ -127,14 +137,15 @@
         ended
     }
 
-    /// Takes a relay. True: it was cold, had too much, and falls over with all it has.
+    /// Takes an attempt. True: it was cold, had too much, and falls over with all it has.
     pub fn take(&mut self, now: f64, run: Run) -> bool {
         self.advance(now);
         self.turn += 1;
         let mark = ((self.done + run.cpu / run.threads).to_bits(), self.next);
         self.next += 1;
-        (self.threads, self.memory_mb) = (self.threads + run.threads, self.memory_mb + run.memory_mb);
-        self.marks.insert((run.statement, run.relay), mark);
+        (self.threads, self.memory_mb) =
+            (self.threads + run.threads, self.memory_mb + run.memory_mb);
+        self.marks.insert((run.statement, run.attempt), mark);
         self.runs.insert(mark, run);
         let warmth = self.warmth(now);
         if warmth >= 1.0 {
@@ -147,13 +158,16 @@
         sent > self.of.tip_multiple * warmth * self.of.cores * self.of.tip_s * CHANCE
     }
 
-    pub fn runs(&self, statement: u64, relay: u16) -> Option<&Run> {
-        self.runs.get(self.marks.get(&(statement, relay))?)
+    pub fn runs(&self, statement: u64, attempt: u16) -> Option<&Run> {
+        self.runs.get(self.marks.get(&(statement, attempt))?)
     }
 
     /// The part of a run that is done.
     pub fn share(&self, run: &Run) -> f64 {
-        let mark = self.marks.get(&(run.statement, run.relay)).map_or(0, |mark| mark.0);
+        let mark = self
+            .marks
+            .get(&(run.statement, run.attempt))
+            .map_or(0, |mark| mark.0);
         1.0 - ((f64::from_bits(mark) - self.done) / (run.cpu / run.threads)).clamp(0.0, 1.0)
     }
 
--- a/crates/lab/src/figures.rs
+++ b/crates/simulator/src/figures.rs
@@ -24,7 +24,7 @@
 }
 
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Product {
+pub struct QueryClass {
     pub asked: u64,
     pub served_in_time: u64,
     pub share_in_time: f64,
@@ -50,13 +50,14 @@
     pub statements: u64,
     pub completed: u64,
     pub denied: u64,
-    /// Of the denied, those denied within 50 ms of their taking.
+    /// Of the rejected, those rejected within 50 ms of their taking.
     pub denied_at_once: u64,
     pub scrapped: u64,
     /// Lost with their gateway, which was killed.
     pub died: u64,
-    pub relays: u64,
-    /// Relays that brought no answer in their time.
+    #[serde(rename = "relays")]
+    pub attempts: u64,
+    /// Attempts that brought no answer in their time.
     pub timed_out: u64,
     /// Connections opened to engines, and the most that stood at one engine at a time.
     pub handshakes: u64,
@@ -79,7 +80,8 @@
     pub worst_member_of_fair: f64,
     pub longest_passed_over_ms: f64,
     pub members: BTreeMap<String, Member>,
-    pub products: BTreeMap<String, Product>,
+    #[serde(rename = "products")]
+    pub classes: BTreeMap<String, QueryClass>,
     pub simulated_s: f64,
 }
 
@@ -89,7 +91,7 @@
     pub at: f64,
     pub gateway: usize,
     pub desk: u32,
-    pub product: usize,
+    pub class: usize,
     pub told: f64,
     pub p90: f64,
     pub real: f64,
@@ -103,12 +105,26 @@
 
 /// Weighted max-min shares of a capacity: what is owed first, then by weight what others leave.
 pub fn fair(capacity: f64, asked: &[f64], owed: &[f64], weights: &[f64]) -> Vec<f64> {
-    let total: f64 = owed.iter().zip(asked).map(|(owed, asked)| owed.min(*asked)).sum();
-    let cut = if total > capacity { capacity / total } else { 1.0 };
-    let mut given: Vec<f64> = owed.iter().zip(asked).map(|(owed, asked)| owed.min(*asked) * cut).collect();
+    let total: f64 = owed
+        .iter()
+        .zip(asked)
+        .map(|(owed, asked)| owed.min(*asked))
+        .sum();
+    let cut = if total > capacity {
+        capacity / total
+    } else {
+        1.0
+    };
+    let mut given: Vec<f64> = owed
+        .iter()
+        .zip(asked)
+        .map(|(owed, asked)| owed.min(*asked) * cut)
+        .collect();
     let mut left = capacity - given.iter().sum::<f64>();
     for _ in 0..asked.len() {
-        let open: Vec<usize> = (0..asked.len()).filter(|at| asked[*at] > given[*at] + 1e-9).collect();
+        let open: Vec<usize> = (0..asked.len())
+            .filter(|at| asked[*at] > given[*at] + 1e-9)
+            .collect();
         let weight: f64 = open.iter().map(|at| weights[*at]).sum();
         if left <= 1e-9 || open.is_empty() || weight <= 0.0 {
             break;
@@ -127,12 +143,24 @@
 pub fn waits(mut of: Vec<f64>) -> Waits {
     of.sort_by(f64::total_cmp);
     let last = of.len().saturating_sub(1);
-    let at = |part: f64| of.get(((of.len() as f64 * part) as usize).min(last)).copied().unwrap_or(0.0);
+    let at = |part: f64| {
+        of.get(((of.len() as f64 * part) as usize).min(last))
+            .copied()
+            .unwrap_or(0.0)
+    };
     let ms = |part: f64| (at(part) * 1e6).round() / 1e3;
-    Waits { p50_ms: ms(0.5), p90_ms: ms(0.9), longest_ms: ms(1.0) }
+    Waits {
+        p50_ms: ms(0.5),
+        p90_ms: ms(0.9),
+        longest_ms: ms(1.0),
+    }
 }
 
 /// Ratios as figures show them.
 pub fn ratio(part: f64, of: f64) -> f64 {
-    if of > 0.0 { (part / of * 1e4).round() / 1e4 } else { 1.0 }
+    if of > 0.0 {
+        (part / of * 1e4).round() / 1e4
+    } else {
+        1.0
+    }
 }
