--- a/crates/lab/src/mesh.rs
+++ b/crates/simulator/src/mesh.rs
@@ -1,12 +1,15 @@
-//! Hundreds of gateways that know each other, in simulated time: the code of `crates/fleet` itself, and two plainer ways
+//! Hundreds of gateways that know each other, in simulated time: the code of `crates/membership` itself, and two plainer ways
 //! of our own to compare with, between the same faults of network and processes, drawn from the same seed.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
-use admission::interface::{Moment, Span};
-use fleet::{Datagram, Event as Told, Gateway, Name, Place, Ring, Standing, State, Terms};
+use admission::interface::{TimeDelta, Timestamp};
+use membership::{
+    Config, Datagram, Event as Told, KeyRing, Locality, MemberState, Name, Node, NodeSetup,
+    ViewState,
+};
 use rand::seq::SliceRandom;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -23,16 +26,18 @@
 }
 
 pub fn number(address: SocketAddr) -> usize {
-    let IpAddr::V4(ip) = address.ip() else { return usize::MAX };
+    let IpAddr::V4(ip) = address.ip() else {
+        return usize::MAX;
+    };
     let [_, _, high, low] = ip.octets();
     usize::from(u16::from_be_bytes([high, low]))
 }
 
 /// One gateway's way of knowing the others.
 pub trait Peer {
-    fn receive(&mut self, now: Moment, from: SocketAddr, bytes: &[u8]);
-    fn turn(&mut self, now: Moment);
-    fn due(&self) -> Moment;
+    fn receive(&mut self, now: Timestamp, from: SocketAddr, bytes: &[u8]);
+    fn turn(&mut self, now: Timestamp);
+    fn due(&self) -> Timestamp;
     fn take_out(&mut self) -> Vec<Datagram>;
     /// Gateways that it holds to be there, without itself.
     fn there(&self) -> BTreeSet<usize>;
@@ -42,45 +47,51 @@
     }
     /// Whom it took for dead since the last ask.
     fn died(&mut self) -> Vec<usize>;
-    fn leave(&mut self, _now: Moment) {}
+    fn leave(&mut self, _now: Timestamp) {}
 }
 
-impl Peer for Gateway {
-    fn receive(&mut self, now: Moment, from: SocketAddr, bytes: &[u8]) {
-        let _ = Gateway::receive(self, now, from, bytes);
+impl Peer for Node {
+    fn receive(&mut self, now: Timestamp, from: SocketAddr, bytes: &[u8]) {
+        let _ = Node::receive(self, now, from, bytes);
     }
 
-    fn turn(&mut self, now: Moment) {
-        Gateway::turn(self, now);
+    fn turn(&mut self, now: Timestamp) {
+        Node::turn(self, now);
     }
 
-    fn due(&self) -> Moment {
-        Gateway::due(self)
+    fn due(&self) -> Timestamp {
+        Node::due(self)
     }
 
     fn take_out(&mut self) -> Vec<Datagram> {
-        Gateway::take_out(self)
+        Node::take_datagrams(self)
     }
 
     fn there(&self) -> BTreeSet<usize> {
-        let there = self.rows().filter(|row| row.known && row.record.state.counts());
+        let there = self
+            .members()
+            .filter(|member| member.confirmed && member.record.state.is_present());
         there.map(|row| number(row.record.address)).collect()
     }
 
     fn count(&self) -> usize {
-        self.size() - 1
+        self.fleet_size() - 1
     }
 
     fn died(&mut self) -> Vec<usize> {
         let dead = |event: Told| match event {
-            Told::Changed { name, state: State::Dead, .. } => name.as_str()[1..].parse().ok(),
+            Told::MemberChanged {
+                name,
+                state: MemberState::Dead,
+                ..
+            } => name.as_str()[1..].parse().ok(),
             _ => None,
         };
         self.take_events().into_iter().filter_map(dead).collect()
     }
 
-    fn leave(&mut self, now: Moment) {
-        Gateway::leave(self, now);
+    fn leave(&mut self, now: Timestamp) {
+        Node::leave(self, now);
     }
 }
 
@@ -90,16 +101,16 @@
     count: usize,
     period: f64,
     missed: f64,
-    next: Moment,
-    heard: BTreeMap<usize, Moment>,
+    next: Timestamp,
+    heard: BTreeMap<usize, Timestamp>,
     out: Vec<Datagram>,
     died: Vec<usize>,
 }
 
 impl Heartbeats {
-    pub fn new(now: Moment, at: usize, count: usize, terms: &Terms, missed: f64) -> Self {
-        let period = terms.period.secs();
-        let next = now + Span::from_secs(period * (at as f64 * 0.618).fract());
+    pub fn new(now: Timestamp, at: usize, count: usize, terms: &Config, missed: f64) -> Self {
+        let period = terms.probe_period.secs();
+        let next = now + TimeDelta::from_secs(period * (at as f64 * 0.618).fract());
         Heartbeats {
             at,
             count,
@@ -114,22 +125,25 @@
 }
 
 impl Peer for Heartbeats {
-    fn receive(&mut self, now: Moment, from: SocketAddr, _: &[u8]) {
+    fn receive(&mut self, now: Timestamp, from: SocketAddr, _: &[u8]) {
         self.heard.insert(number(from), now);
     }
 
-    fn turn(&mut self, now: Moment) {
-        self.next = now + Span::from_secs(self.period);
+    fn turn(&mut self, now: Timestamp) {
+        self.next = now + TimeDelta::from_secs(self.period);
         for to in (0..self.count).filter(|to| *to != self.at) {
             // As long as a letter of ours that carries nothing.
-            self.out.push(Datagram { to: address(to), bytes: vec![0; 70] });
+            self.out.push(Datagram {
+                to: address(to),
+                bytes: vec![0; 70],
+            });
         }
-        let lost = Span::from_secs(self.period * self.missed);
+        let lost = TimeDelta::from_secs(self.period * self.missed);
         let gone = self.heard.extract_if(.., |_, at| now - *at > lost);
         self.died.extend(gone.map(|(peer, _)| peer));
     }
 
-    fn due(&self) -> Moment {
+    fn due(&self) -> Timestamp {
         self.next
     }
 
@@ -152,8 +166,8 @@
     at: usize,
     period: f64,
     answer: f64,
-    next: Moment,
-    asked: Option<(usize, Moment)>,
+    next: Timestamp,
+    asked: Option<(usize, Timestamp)>,
     /// By gateway: the number of its last word, and whether it is there.
     held: BTreeMap<usize, (u32, bool)>,
     own: u32,
@@ -164,11 +178,11 @@
 }
 
 impl Hasty {
-    pub fn new(now: Moment, at: usize, terms: &Terms, seeds: Vec<usize>, seed: u64) -> Self {
+    pub fn new(now: Timestamp, at: usize, terms: &Config, seeds: Vec<usize>, seed: u64) -> Self {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let period = terms.period.secs();
-        let next = now + Span::from_secs(period * rng.random::<f64>());
-        let (answer, held) = (terms.answer.secs(), BTreeMap::new());
+        let period = terms.probe_period.secs();
+        let next = now + TimeDelta::from_secs(period * rng.random::<f64>());
+        let (answer, held) = (terms.probe_timeout.secs(), BTreeMap::new());
         Hasty {
             at,
             period,
@@ -197,12 +211,15 @@
         }
         // Beside this, a letter's head and code.
         bytes.resize(bytes.len() + 60, 0);
-        self.out.push(Datagram { to: address(to), bytes });
+        self.out.push(Datagram {
+            to: address(to),
+            bytes,
+        });
     }
 }
 
 impl Peer for Hasty {
-    fn receive(&mut self, _: Moment, from: SocketAddr, bytes: &[u8]) {
+    fn receive(&mut self, _: Timestamp, from: SocketAddr, bytes: &[u8]) {
         let from = number(from);
         let word = u32::from_le_bytes(std::array::from_fn(|at| bytes[1 + at]));
         let held = self.held.entry(from).or_insert((word, true));
@@ -232,7 +249,7 @@
         }
     }
 
-    fn turn(&mut self, now: Moment) {
+    fn turn(&mut self, now: Timestamp) {
         if let Some((at, since)) = self.asked
             && (now - since).secs() >= self.answer
         {
@@ -245,8 +262,13 @@
         if now < self.next {
             return;
         }
-        self.next = now + Span::from_secs(self.period);
-        let mut all: Vec<usize> = self.held.iter().filter(|(_, held)| held.1).map(|(at, _)| *at).collect();
+        self.next = now + TimeDelta::from_secs(self.period);
+        let mut all: Vec<usize> = self
+            .held
+            .iter()
+            .filter(|(_, held)| held.1)
+            .map(|(at, _)| *at)
+            .collect();
         if all.is_empty() {
             all.extend(self.seeds.iter().filter(|seed| **seed != self.at));
         }
@@ -258,9 +280,11 @@
         self.send(to, 0);
     }
 
-    fn due(&self) -> Moment {
-        let answer = self.asked.map(|(_, since)| since + Span::from_secs(self.answer));
-        answer.into_iter().fold(self.next, Moment::min)
+    fn due(&self) -> Timestamp {
+        let answer = self
+            .asked
+            .map(|(_, since)| since + TimeDelta::from_secs(self.answer));
+        answer.into_iter().fold(self.next, Timestamp::min)
     }
 
     fn take_out(&mut self) -> Vec<Datagram> {
@@ -268,7 +292,11 @@
     }
 
     fn there(&self) -> BTreeSet<usize> {
-        self.held.iter().filter(|(_, held)| held.1).map(|(at, _)| *at).collect()
+        self.held
+            .iter()
+            .filter(|(_, held)| held.1)
+            .map(|(at, _)| *at)
+            .collect()
     }
 
     fn died(&mut self) -> Vec<usize> {
@@ -287,7 +315,12 @@
 
 impl Default for Faults {
     fn default() -> Self {
-        Faults { lost: 0.0, repeated: 0.0, delay_s: (0.0005, 0.002), repeat_after_s: 1.0 }
+        Faults {
+            lost: 0.0,
+            repeated: 0.0,
+            delay_s: (0.0005, 0.002),
+            repeat_after_s: 1.0,
+        }
     }
 }
 
@@ -303,8 +336,15 @@
 }
 
 enum Happens {
-    Arrives { to: usize, from: usize, bytes: Vec<u8> },
-    Due { at: usize, turn: u64 },
+    Arrives {
+        to: usize,
+        from: usize,
+        bytes: Vec<u8>,
+    },
+    Due {
+        at: usize,
+        turn: u64,
+    },
 }
 
 /// A death that one took another for.
@@ -323,7 +363,7 @@
 pub struct Mesh<P> {
     pub now: f64,
     slots: Vec<Slot<P>>,
-    make: Box<dyn FnMut(usize, Moment, u32) -> P>,
+    make: Box<dyn FnMut(usize, Timestamp, u32) -> P>,
     queue: BinaryHeap<Reverse<(i64, u64)>>,
     events: BTreeMap<u64, Happens>,
     next: u64,
@@ -339,8 +379,19 @@
 }
 
 impl<P: Peer> Mesh<P> {
-    pub fn new(count: usize, seed: u64, make: impl FnMut(usize, Moment, u32) -> P + 'static) -> Self {
-        let slot = |_| Slot { peer: None, stopped: false, slow: 0.0, turn: 0, started: 0.0, ended: None };
+    pub fn new(
+        count: usize,
+        seed: u64,
+        make: impl FnMut(usize, Timestamp, u32) -> P + 'static,
+    ) -> Self {
+        let slot = |_| Slot {
+            peer: None,
+            stopped: false,
+            slow: 0.0,
+            turn: 0,
+            started: 0.0,
+            ended: None,
+        };
         Mesh {
             now: 0.0,
             slots: (0..count).map(slot).collect(),
@@ -366,13 +417,16 @@
         self.slots.is_empty()
     }
 
-    fn moment(&self) -> Moment {
-        Moment::from_secs(self.now)
+    fn moment(&self) -> Timestamp {
+        Timestamp::from_secs(self.now)
     }
 
     fn put(&mut self, at: f64, what: Happens) {
         self.next += 1;
-        self.queue.push(Reverse(((at.max(self.now) * 1e6).round() as i64, self.next)));
+        self.queue.push(Reverse((
+            (at.max(self.now) * 1e6).round() as i64,
+            self.next,
+        )));
         self.events.insert(self.next, what);
     }
 
@@ -432,12 +486,16 @@
     }
 
     pub fn lives(&self) -> Vec<usize> {
-        (0..self.len()).filter(|at| self.slots[*at].peer.is_some()).collect()
+        (0..self.len())
+            .filter(|at| self.slots[*at].peer.is_some())
+            .collect()
     }
 
     pub fn cut(&mut self, cut: impl Fn(usize, usize) -> bool) {
         for (a, row) in self.cut.iter_mut().enumerate() {
-            row.iter_mut().enumerate().for_each(|(b, is)| *is = cut(a, b));
+            row.iter_mut()
+                .enumerate()
+                .for_each(|(b, is)| *is = cut(a, b));
         }
     }
 
@@ -457,13 +515,15 @@
             return;
         }
         slot.turn += 1;
-        let due = (peer.due() - Moment::from_secs(0.0)).secs() + slot.slow;
+        let due = (peer.due() - Timestamp::from_secs(0.0)).secs() + slot.slow;
         let turn = slot.turn;
         self.put(due, Happens::Due { at, turn });
     }
 
     fn pump(&mut self, from: usize) {
-        let Some(peer) = &mut self.slots[from].peer else { return };
+        let Some(peer) = &mut self.slots[from].peer else {
+            return;
+        };
         let (out, died) = (peer.take_out(), peer.died());
         for of in died {
             let lives = self
@@ -471,7 +531,12 @@
                 .get(of)
                 .is_some_and(|slot| slot.peer.is_some() && !slot.stopped && slot.slow < 0.2);
             let reached = of < self.len() && !self.cut[from][of] && !self.cut[of][from];
-            self.deaths.push(Death { at: self.now, by: from, of, false_one: lives && reached });
+            self.deaths.push(Death {
+                at: self.now,
+                by: from,
+                of,
+                false_one: lives && reached,
+            });
         }
         for Datagram { to, mut bytes } in out {
             let to = number(to);
@@ -481,14 +546,18 @@
                 liar(from, to, &mut bytes);
             }
             let [lost, repeated, delay]: [f64; 3] = std::array::from_fn(|_| self.rng.random());
-            if to >= self.len() || self.cut[from][to] || lost < self.faults.lost || bytes.is_empty() {
+            if to >= self.len() || self.cut[from][to] || lost < self.faults.lost || bytes.is_empty()
+            {
                 continue;
             }
             let (least, most) = self.faults.delay_s;
             let arrives = self.now + least + (most - least) * delay;
             if repeated < self.faults.repeated {
                 let bytes = bytes.clone();
-                self.put(arrives + self.faults.repeat_after_s, Happens::Arrives { to, from, bytes });
+                self.put(
+                    arrives + self.faults.repeat_after_s,
+                    Happens::Arrives { to, from, bytes },
+                );
             }
             self.put(arrives, Happens::Arrives { to, from, bytes });
         }
@@ -502,7 +571,9 @@
             }
             self.queue.pop();
             self.now = at as f64 / 1e6;
-            let Some(event) = self.events.remove(&number) else { continue };
+            let Some(event) = self.events.remove(&number) else {
+                continue;
+            };
             let now = self.moment();
             match event {
                 Happens::Arrives { to, from, bytes } => {
@@ -547,12 +618,21 @@
     pub fn agreed(&self) -> bool {
         let lives = self.lives();
         let others = lives.len().saturating_sub(1);
-        if lives.iter().any(|at| self.slots[*at].peer.as_ref().is_none_or(|peer| peer.count() != others)) {
+        if lives.iter().any(|at| {
+            self.slots[*at]
+                .peer
+                .as_ref()
+                .is_none_or(|peer| peer.count() != others)
+        }) {
             return false;
         }
         let all: BTreeSet<usize> = lives.iter().copied().collect();
         lives.iter().all(|at| {
-            let mut there = self.slots[*at].peer.as_ref().map(Peer::there).unwrap_or_default();
+            let mut there = self.slots[*at]
+                .peer
+                .as_ref()
+                .map(Peer::there)
+                .unwrap_or_default();
             there.insert(*at);
             there == all
         })
@@ -565,7 +645,12 @@
     /// Times from each killing to when each survivor took it for dead, sorted.
     pub fn detected(&self) -> Vec<f64> {
         let since = |death: &Death| Some(death.at - self.slots[death.of].ended?);
-        let mut all: Vec<f64> = self.deaths.iter().filter_map(since).filter(|span| *span >= 0.0).collect();
+        let mut all: Vec<f64> = self
+            .deaths
+            .iter()
+            .filter_map(since)
+            .filter(|span| *span >= 0.0)
+            .collect();
         all.sort_by(f64::total_cmp);
         all
     }
@@ -576,52 +661,84 @@
 pub struct GatewayFactory {
     count: usize,
     seed: u64,
-    terms: Terms,
-    ring: Ring,
+    terms: Config,
+    ring: KeyRing,
     fleet: Name,
 }
 
 impl GatewayFactory {
-    pub fn new(count: usize, seed: u64, terms: Terms) -> Self {
-        let ring = Ring::new(&KEY, &[]).expect("one key");
+    pub fn new(count: usize, seed: u64, terms: Config) -> Self {
+        let ring = KeyRing::new(&KEY, &[]).expect("one key");
         let fleet = Name::new("lab").expect("a name");
-        GatewayFactory { count, seed, terms, ring, fleet }
+        GatewayFactory {
+            count,
+            seed,
+            terms,
+            ring,
+            fleet,
+        }
     }
 
     /// `life`: how often this gateway was started before.
-    pub fn make(&self, at: usize, now: Moment, life: u32) -> Gateway {
+    pub fn make(&self, at: usize, now: Timestamp, life: u32) -> Node {
         let seeds = (0..3.min(self.count)).map(address).collect();
-        let seed = self.seed.wrapping_mul(1_000_003).wrapping_add(at as u64 * 64 + u64::from(life));
+        let seed = self
+            .seed
+            .wrapping_mul(1_000_003)
+            .wrapping_add(at as u64 * 64 + u64::from(life));
         let zone = Some(Name::new(&format!("zone-{}", at % 3)).expect("a name"));
-        let place = Place { zone, region: None };
+        let locality = Locality { zone, region: None };
         let (fleet, ring, terms) = (self.fleet.clone(), self.ring.clone(), self.terms.clone());
-        Gateway::new(now, fleet, name(at), address(at), place, seeds, ring, terms, seed)
+        Node::new(
+            now,
+            NodeSetup {
+                fleet,
+                name: name(at),
+                address: address(at),
+                locality,
+                seeds,
+                key_ring: ring,
+                config: terms,
+                rng_seed: seed,
+            },
+        )
     }
 }
 
 /// Gateways of the real code.
-pub fn gateways(count: usize, seed: u64, terms: Terms) -> Mesh<Gateway> {
+pub fn gateways(count: usize, seed: u64, terms: Config) -> Mesh<Node> {
     let factory = GatewayFactory::new(count, seed, terms);
-    Mesh::new(count, seed, move |at, now, life| factory.make(at, now, life))
+    Mesh::new(count, seed, move |at, now, life| {
+        factory.make(at, now, life)
+    })
 }
 
-pub fn heartbeats(count: usize, seed: u64, terms: Terms) -> Mesh<Heartbeats> {
-    Mesh::new(count, seed, move |at, now, _| Heartbeats::new(now, at, count, &terms, 5.0))
+pub fn heartbeats(count: usize, seed: u64, terms: Config) -> Mesh<Heartbeats> {
+    Mesh::new(count, seed, move |at, now, _| {
+        Heartbeats::new(now, at, count, &terms, 5.0)
+    })
 }
 
-pub fn hasty(count: usize, seed: u64, terms: Terms) -> Mesh<Hasty> {
+pub fn hasty(count: usize, seed: u64, terms: Config) -> Mesh<Hasty> {
     Mesh::new(count, seed, move |at, now, life| {
-        Hasty::new(now, at, &terms, vec![0, 1, 2], seed.wrapping_add(at as u64 * 64 + u64::from(life)))
+        Hasty::new(
+            now,
+            at,
+            &terms,
+            vec![0, 1, 2],
+            seed.wrapping_add(at as u64 * 64 + u64::from(life)),
+        )
     })
 }
 
 /// All that live say that they are together.
-pub fn together(mesh: &Mesh<Gateway>) -> bool {
+pub fn together(mesh: &Mesh<Node>) -> bool {
     mesh.lives().iter().all(|at| is_together(mesh, *at))
 }
 
-pub fn is_together(mesh: &Mesh<Gateway>, at: usize) -> bool {
-    mesh.peer(at).is_some_and(|peer| *peer.standing() == Standing::Together)
+pub fn is_together(mesh: &Mesh<Node>, at: usize) -> bool {
+    mesh.peer(at)
+        .is_some_and(|peer| *peer.view_state() == ViewState::Converged)
 }
 
 /// One way's figures on one trouble.
@@ -647,9 +764,15 @@
     let joined_s = mesh.settle(120.0);
     let (before, from) = (mesh.sent.clone(), mesh.now);
     mesh.run(from + 30.0);
-    let spent = mesh.sent.iter().zip(&before).map(|(after, before)| (after.0 - before.0, after.1 - before.1));
+    let spent = mesh
+        .sent
+        .iter()
+        .zip(&before)
+        .map(|(after, before)| (after.0 - before.0, after.1 - before.1));
     let spent: Vec<(u64, u64)> = spent.collect();
-    let (datagrams, bytes) = spent.iter().fold((0, 0), |sum, of| (sum.0 + of.0, sum.1 + of.1));
+    let (datagrams, bytes) = spent
+        .iter()
+        .fold((0, 0), |sum, of| (sum.0 + of.0, sum.1 + of.1));
     let most = spent.iter().map(|of| of.0).max().unwrap_or(0);
     let per = count as f64 * 30.0;
     for at in 0..count.div_ceil(10) {
@@ -657,7 +780,12 @@
     }
     let settle_after_deaths_s = mesh.settle(120.0);
     let detected = mesh.detected();
-    let at = |part: f64| detected.get((detected.len() as f64 * part) as usize).copied().unwrap_or(f64::NAN);
+    let at = |part: f64| {
+        detected
+            .get((detected.len() as f64 * part) as usize)
+            .copied()
+            .unwrap_or(f64::NAN)
+    };
     let (detect_median_s, detect_99th_s) = (at(0.5), at(0.99));
     let (quiet, begins) = (mesh.false_deaths(), mesh.now);
     mesh.faults.lost = 1.0 / 3.0;
--- a/crates/lab/src/parts.rs
+++ b/crates/simulator/src/parts.rs
@@ -1,14 +1,16 @@
-//! Budgets divided among hundreds of gateways, in simulated time: the code of `crates/shares` itself between the faults of
+//! Budgets divided among hundreds of gateways, in simulated time: the code of `crates/quota` itself between the faults of
 //! `mesh`, with work that wants to be spent, beside two plainer ways on the same work.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 
-use admission::interface::{Moment, Span};
-use fleet::{Datagram, Life};
+use admission::interface::{TimeDelta, Timestamp};
+use membership::{BootId, Datagram};
+use quota::{
+    Amount, Budget, BudgetKind, Config, FaultInjection, FleetQuotas, HolderId, TokenBucket,
+};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use shares::{Amount, Bucket, Budget, Faults, Shares, Terms, Use, Who};
 
 use crate::mesh::{Mesh, Peer, address, name, number};
 
@@ -40,74 +42,106 @@
     }
 }
 
-pub fn terms(most: usize) -> Terms {
-    let whole = Amount::of(WHOLE);
-    let floor = Amount((whole.0 as f64 * 0.2 / most as f64) as u64);
-    Terms {
-        budgets: vec![Budget { of: Use::Member("all".into()), whole, floor }],
+pub fn terms(most: usize) -> Config {
+    let capacity = Amount::from_units(WHOLE);
+    let guaranteed = Amount((capacity.0 as f64 * 0.2 / most as f64) as u64);
+    Config {
+        budgets: vec![Budget {
+            kind: BudgetKind::Tenant("all".into()),
+            capacity,
+            guaranteed,
+        }],
         voters: (0..if most < 5 { 3 } else { 5 }).map(name).collect(),
-        most,
-        lease: Span::from_secs(6.0),
-        term: Span::from_secs(2.0),
-        renew: Span::from_secs(0.5),
+        max_gateways: most,
+        lease_duration: TimeDelta::from_secs(6.0),
+        term_duration: TimeDelta::from_secs(2.0),
+        renew_interval: TimeDelta::from_secs(0.5),
         drift_ppm: 10_000,
-        burst: Span::from_secs(BURST_S),
-        faults: Faults::default(),
+        burst: TimeDelta::from_secs(BURST_S),
+        fault_injection: FaultInjection::default(),
     }
 }
 
 /// A gateway's part alone, without the rest of it: words carry the sender's life ahead, as the fleet's letters do.
 pub struct Part {
-    pub shares: Shares,
+    pub quotas: FleetQuotas,
     life: u64,
     /// Millionths by which its clock runs fast, and where it started.
     pub fast_ppm: i64,
 }
 
 impl Part {
-    pub fn new(now: Moment, at: usize, life: u32, terms: Terms, fast_ppm: i64, seed: u64) -> Self {
+    pub fn new(
+        now: Timestamp,
+        at: usize,
+        life: u32,
+        terms: Config,
+        fast_ppm: i64,
+        seed: u64,
+    ) -> Self {
         let life = u64::from(life) << 16 | at as u64;
-        let me = Who { name: name(at), life: Life(life) };
+        let id = HolderId {
+            name: name(at),
+            boot_id: BootId(life),
+        };
         let local = clock(now, fast_ppm);
-        Part { shares: Shares::new(local, me, terms, seed), life, fast_ppm }
+        Part {
+            quotas: FleetQuotas::new(local, id, terms, seed),
+            life,
+            fast_ppm,
+        }
     }
 
-    pub fn clock(&self, now: Moment) -> Moment {
+    pub fn clock(&self, now: Timestamp) -> Timestamp {
         clock(now, self.fast_ppm)
     }
 }
 
-fn clock(now: Moment, fast_ppm: i64) -> Moment {
-    let secs = (now - Moment::from_secs(0.0)).secs();
-    Moment::from_secs(secs * (1.0 + fast_ppm as f64 / 1e6))
+fn clock(now: Timestamp, fast_ppm: i64) -> Timestamp {
+    let secs = (now - Timestamp::from_secs(0.0)).secs();
+    Timestamp::from_secs(secs * (1.0 + fast_ppm as f64 / 1e6))
 }
 
 impl Peer for Part {
-    fn receive(&mut self, now: Moment, from: SocketAddr, bytes: &[u8]) {
-        let Some((life, words)) = bytes.split_first_chunk::<8>() else { return };
-        let who = Who { name: name(number(from)), life: Life(u64::from_le_bytes(*life)) };
+    fn receive(&mut self, now: Timestamp, from: SocketAddr, bytes: &[u8]) {
+        let Some((life, words)) = bytes.split_first_chunk::<8>() else {
+            return;
+        };
+        let who = HolderId {
+            name: name(number(from)),
+            boot_id: BootId(u64::from_le_bytes(*life)),
+        };
         let now = self.clock(now);
-        self.shares.receive(now, &who, words);
+        self.quotas.receive(now, &who, words);
     }
 
-    fn turn(&mut self, now: Moment) {
+    fn turn(&mut self, now: Timestamp) {
         let now = self.clock(now);
-        self.shares.turn(now);
+        self.quotas.tick(now);
     }
 
-    fn due(&self) -> Moment {
+    fn due(&self) -> Timestamp {
         // A little later than by its own clock, never earlier: it is then due.
-        let own = (self.shares.due() - Moment::from_secs(0.0)).secs();
-        Moment::from_secs(own / (1.0 + self.fast_ppm as f64 / 1e6) + 2e-6)
+        let own = (self.quotas.next_wakeup() - Timestamp::from_secs(0.0)).secs();
+        Timestamp::from_secs(own / (1.0 + self.fast_ppm as f64 / 1e6) + 2e-6)
     }
 
     fn take_out(&mut self) -> Vec<Datagram> {
         let life = self.life.to_le_bytes();
-        let datagram = |letter: shares::Letter| {
-            let at: usize = letter.to.as_str()[1..].parse().expect("a gateway of the lab");
-            Datagram { to: address(at), bytes: [&life[..], &letter.word.bytes()].concat() }
+        let datagram = |message: quota::Message| {
+            let at: usize = message.to.as_str()[1..]
+                .parse()
+                .expect("a gateway of the lab");
+            Datagram {
+                to: address(at),
+                bytes: [&life[..], &message.payload.encode()].concat(),
+            }
         };
-        self.shares.take_out().into_iter().map(datagram).collect()
+        self.quotas
+            .take_outgoing()
+            .into_iter()
+            .map(datagram)
+            .collect()
     }
 
     fn there(&self) -> BTreeSet<usize> {
@@ -115,32 +149,43 @@
     }
 
     fn died(&mut self) -> Vec<usize> {
-        let _ = self.shares.take_events();
+        let _ = self.quotas.take_events();
         Vec::new()
     }
 
-    fn leave(&mut self, now: Moment) {
+    fn leave(&mut self, now: Timestamp) {
         let now = self.clock(now);
-        self.shares.leave(now);
+        self.quotas.leave(now);
     }
 }
 
 /// Budgets of these members, for so many gateways.
-pub fn members(of: &[queues::MemberTerms], most: usize) -> Terms {
-    let budget = |member: &queues::MemberTerms| {
-        let whole = Amount::of(member.claim.budget);
-        let floor = Amount((whole.0 as f64 * 0.2 / most as f64) as u64);
-        Budget { of: Use::Member(member.name.clone()), whole, floor }
+pub fn members(of: &[scheduler::TenantConfig], most: usize) -> Config {
+    let budget = |member: &scheduler::TenantConfig| {
+        let capacity = Amount::from_units(member.share.budget);
+        let guaranteed = Amount((capacity.0 as f64 * 0.2 / most as f64) as u64);
+        Budget {
+            kind: BudgetKind::Tenant(member.name.clone()),
+            capacity,
+            guaranteed,
+        }
     };
-    Terms { budgets: of.iter().map(budget).collect(), ..terms(most) }
+    Config {
+        budgets: of.iter().map(budget).collect(),
+        ..terms(most)
+    }
 }
 
-pub fn parts(count: usize, seed: u64, terms: Terms) -> Mesh<Part> {
+pub fn parts(count: usize, seed: u64, terms: Config) -> Mesh<Part> {
     let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0x7061_7274);
     let bound = i64::from(terms.drift_ppm);
-    let fast: Vec<i64> = (0..count).map(|_| rng.random_range(-bound..=bound)).collect();
+    let fast: Vec<i64> = (0..count)
+        .map(|_| rng.random_range(-bound..=bound))
+        .collect();
     Mesh::new(count, seed, move |at, now, life| {
-        let seed = seed.wrapping_mul(1_000_003).wrapping_add(at as u64 * 64 + u64::from(life));
+        let seed = seed
+            .wrapping_mul(1_000_003)
+            .wrapping_add(at as u64 * 64 + u64::from(life));
         Part::new(now, at, life, terms.clone(), fast[at], seed)
     })
 }
@@ -156,7 +201,9 @@
     pub fn worst(&self, window_s: f64, whole: f64, burst_s: f64) -> f64 {
         let steps = (window_s / STEP_S).round() as usize;
         let spent: Vec<f64> = self.steps.iter().copied().collect();
-        let sums = spent.windows(steps.min(spent.len()).max(1)).map(|of| of.iter().sum::<f64>());
+        let sums = spent
+            .windows(steps.min(spent.len()).max(1))
+            .map(|of| of.iter().sum::<f64>());
         sums.fold(0.0, f64::max) / (whole * (window_s + burst_s))
     }
 }
@@ -175,7 +222,7 @@
     /// By time in steps: spent, and what an all-knowing divider would have: all that is wanted up to the whole.
     pub spent: f64,
     pub could: f64,
-    plain: BTreeMap<usize, Bucket>,
+    plain: BTreeMap<usize, TokenBucket>,
 }
 
 impl Work {
@@ -206,11 +253,20 @@
 
     /// What one may spend a second at present.
     pub fn may(&mut self, at: usize) -> f64 {
-        let now = Moment::from_secs(self.mesh.now);
+        let now = Timestamp::from_secs(self.mesh.now);
         if self.way != Way::Leases {
-            return if self.mesh.peer(at).is_some() { self.rate(at) } else { 0.0 };
+            return if self.mesh.peer(at).is_some() {
+                self.rate(at)
+            } else {
+                0.0
+            };
         }
-        self.mesh.peer(at).map_or(0.0, |part| part.shares.core().may_spend(part.clock(now), 0).units())
+        self.mesh.peer(at).map_or(0.0, |part| {
+            part.quotas
+                .participant()
+                .spendable_rate(part.clock(now), 0)
+                .units()
+        })
     }
 
     pub fn sum(&mut self) -> f64 {
@@ -245,27 +301,35 @@
 
     /// One piece of work at one gateway, if its part has room for it.
     fn take(&mut self, at: usize, piece: f64) -> bool {
-        let (now, rate) = (Moment::from_secs(self.mesh.now), self.rate(at));
+        let (now, rate) = (Timestamp::from_secs(self.mesh.now), self.rate(at));
         if self.way == Way::Leases {
-            let Some(part) = self.mesh.peer_mut(at) else { return false };
+            let Some(part) = self.mesh.peer_mut(at) else {
+                return false;
+            };
             let local = part.clock(now);
-            part.shares.wants(local, 0, piece);
-            return part.shares.spend(local, 0, piece);
+            part.quotas.record_demand(local, 0, piece);
+            return part.quotas.try_spend(local, 0, piece);
         }
         let secs = self.mesh.now;
-        let bucket = self.plain.entry(at).or_insert_with(|| Bucket::empty(secs, rate, BURST_S));
-        bucket.cut(rate);
-        bucket.fill(secs);
-        let owes = bucket.owes(piece);
+        let bucket = self
+            .plain
+            .entry(at)
+            .or_insert_with(|| TokenBucket::empty(secs, rate, BURST_S));
+        bucket.set_rate(rate);
+        bucket.refill(secs);
+        let owes = bucket.covers(piece);
         if owes {
-            bucket.pay(piece);
+            bucket.withdraw(piece);
         }
         owes
     }
 
     /// Spent of what could have been since the last call.
     pub fn in_use(&mut self) -> f64 {
-        let (spent, could) = (std::mem::take(&mut self.spent), std::mem::take(&mut self.could));
+        let (spent, could) = (
+            std::mem::take(&mut self.spent),
+            std::mem::take(&mut self.could),
+        );
         spent / could.max(1e-9)
     }
 }
@@ -287,9 +351,14 @@
 
 /// All wants some times the whole, spread unevenly: the first of them wants most.
 fn uneven(count: usize, whole: f64, times: f64) -> Vec<f64> {
-    let weights: Vec<f64> = (0..count).map(|at| 1.0 / (1.0 + at as f64).powf(0.7)).collect();
+    let weights: Vec<f64> = (0..count)
+        .map(|at| 1.0 / (1.0 + at as f64).powf(0.7))
+        .collect();
     let all: f64 = weights.iter().sum();
-    weights.into_iter().map(|of| of / all * whole * times).collect()
+    weights
+        .into_iter()
+        .map(|of| of / all * whole * times)
+        .collect()
 }
 
 /// A way through one situation, by name.
@@ -308,7 +377,9 @@
             for turn in 0..4 {
                 let hot = (turn * 7 + 1) % count;
                 let rest = WHOLE * 0.13 / (count - 1).max(1) as f64;
-                work.wants = (0..count).map(|at| if at == hot { WHOLE * 1.17 } else { rest }).collect();
+                work.wants = (0..count)
+                    .map(|at| if at == hot { WHOLE * 1.17 } else { rest })
+                    .collect();
                 work.run(10.0);
             }
         }
@@ -322,7 +393,9 @@
         }
         "half killed" => {
             // A majority of the voters lives.
-            (0..count).filter(|at| at % 2 == 1).for_each(|at| work.mesh.kill(at));
+            (0..count)
+                .filter(|at| at % 2 == 1)
+                .for_each(|at| work.mesh.kill(at));
             work.wants.iter_mut().for_each(|wants| *wants *= 2.0);
             work.run(30.0);
         }
@@ -357,7 +430,11 @@
 
 /// Seconds until all that can be had is out again: after one more joined, after one left in order, after one was killed.
 pub fn times(count: usize, seed: u64) -> [Option<f64>; 3] {
-    let mut work = Work::new(parts(count + 1, seed, terms(count + 1)), Way::Leases, count + 1);
+    let mut work = Work::new(
+        parts(count + 1, seed, terms(count + 1)),
+        Way::Leases,
+        count + 1,
+    );
     (0..count).for_each(|at| work.mesh.start(at));
     work.wants = uneven(count + 1, WHOLE, 1.3);
     work.run(20.0);
@@ -389,4 +466,11 @@
     [joined, left, out(&mut work, count - 1)]
 }
 
-pub const SITUATIONS: [&str; 6] = ["steady", "moving", "partition", "half killed", "in turn", "lossy"];
+pub const SITUATIONS: [&str; 6] = [
+    "steady",
+    "moving",
+    "partition",
+    "half killed",
+    "in turn",
+    "lossy",
+];
--- a/crates/lab/src/play.rs
+++ b/crates/simulator/src/play.rs
@@ -17,9 +17,9 @@
 use std::collections::BTreeMap;
 
 use admission::interface::*;
-use queues::Directory;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
+use scheduler::QueueResolver;
 
 use self::connections::Connections;
 use self::coordination::Usage;
@@ -35,7 +35,7 @@
 use crate::mesh::Mesh;
 use crate::parts::Part;
 use crate::rules::Rules;
-use crate::scenario::{Budgets, Kind, Product, Scenario, Trouble};
+use crate::scenario::{Budgets, ClassSpec, Kind, Scenario, Trouble};
 
 /// Keeps the random stream of the run apart from those of the clients.
 const RUN_SEED: u64 = 0x5eed;
@@ -61,7 +61,7 @@
     connections: Connections,
     /// By engine: the part of its answers that is lost.
     lost_answers: Vec<f64>,
-    health_mesh: Option<Mesh<fleet::Gateway>>,
+    health_mesh: Option<Mesh<membership::Node>>,
     lease_mesh: Option<Mesh<Part>>,
     /// By gateway and tenant: what its queues had used when budgets were last divided.
     usage: Vec<Vec<Usage>>,
@@ -82,12 +82,12 @@
 /// A kind of query, by its number.
 struct QueryClass<'a> {
     name: &'a str,
-    settings: &'a Product,
+    settings: &'a ClassSpec,
 }
 
 #[derive(Clone, Copy)]
 struct ListEntry {
-    stage: Stage,
+    stage: EngineStage,
     started_s: Option<f64>,
 }
 
@@ -105,8 +105,8 @@
     pub took_s: f64,
 }
 
-fn moment(secs: f64) -> Moment {
-    Moment::from_secs(secs)
+fn moment(secs: f64) -> Timestamp {
+    Timestamp::from_secs(secs)
 }
 
 impl<'a> Emulation<'a> {
@@ -116,17 +116,28 @@
     /// The scenario's queues, traffic or script cannot be used.
     pub fn new(scenario: &'a Scenario, policy: Policy, seed: u64) -> Result<Self, String> {
         let site_terms = scenario.terms()?;
-        let directory = site_terms.as_ref().map(Directory::new);
-        let requests = requests::draw(scenario, directory.as_ref(), seed)?;
+        let resolver = site_terms.as_ref().map(QueueResolver::new);
+        let requests = requests::draw(scenario, resolver.as_ref(), seed)?;
         let mut rng = Pcg64Mcg::seed_from_u64(seed ^ RUN_SEED);
         let queue_terms = gateway_terms(scenario, site_terms.as_ref());
         let lease_mesh = coordination::lease_mesh(scenario, site_terms.as_ref(), seed);
-        let fronts = FrontFactory { scenario, policy, queue_terms };
+        let fronts = FrontFactory {
+            scenario,
+            policy,
+            queue_terms,
+        };
         let gateways = new_gateways(scenario, &fronts, seed, &mut rng);
         let tenants = tenants(scenario, site_terms.as_ref());
-        let classes: Vec<_> =
-            scenario.product.iter().map(|(name, settings)| QueryClass { name, settings }).collect();
-        let figures = Figures { policy: policy.name().into(), seed, ..Figures::default() };
+        let classes: Vec<_> = scenario
+            .class
+            .iter()
+            .map(|(name, settings)| QueryClass { name, settings })
+            .collect();
+        let figures = Figures {
+            policy: policy.name().into(),
+            seed,
+            ..Figures::default()
+        };
         let engines = scenario.engines.count;
         let mut emulation = Emulation {
             scenario,
@@ -139,8 +150,16 @@
             tenants,
             fronts,
             gateways,
-            engines: (0..engines).map(|_| Engine::new(scenario.engines.clone())).collect(),
-            listed: vec![ListEntry { stage: Stage::Ready, started_s: None }; engines],
+            engines: (0..engines)
+                .map(|_| Engine::new(scenario.engines.clone()))
+                .collect(),
+            listed: vec![
+                ListEntry {
+                    stage: EngineStage::Ready,
+                    started_s: None
+                };
+                engines
+            ],
             connections: Connections::new(engines, scenario.engines.idle_s),
             lost_answers: vec![0.0; engines],
             health_mesh: coordination::health_mesh(scenario, seed),
@@ -176,7 +195,11 @@
 
     /// Runs to the end: until the last request that can be answered has been.
     pub fn run(mut self) -> Outcome {
-        let deadlines_s = self.scenario.product.values().map(|class| class.hard_limit_ms / 1e3);
+        let deadlines_s = self
+            .scenario
+            .class
+            .values()
+            .map(|class| class.hard_limit_ms / 1e3);
         let longest_s = deadlines_s.fold(0.0, f64::max);
         let end_s = self.scenario.seconds + longest_s + END_SLACK_S;
         while let Some((at_s, event)) = self.events.pop()
@@ -193,7 +216,10 @@
     fn handle(&mut self, event: Event) {
         match event {
             Event::Request(index) => self.submit(index),
-            Event::GatewayTick { gateway, generation } => {
+            Event::GatewayTick {
+                gateway,
+                generation,
+            } => {
                 if self.gateways[gateway].tick_generation == generation {
                     self.tick_gateway(gateway);
                 }
@@ -203,16 +229,25 @@
                     self.tick_engine(engine);
                 }
             }
-            Event::Progress { engine, statement, attempt } => {
+            Event::Progress {
+                engine,
+                statement,
+                attempt,
+            } => {
                 self.report_progress(engine, statement, attempt);
             }
             Event::AttemptTimeout { statement, attempt } => {
-                self.end_attempt(statement, attempt, News::TimedOut);
+                self.end_attempt(statement, attempt, AttemptEvent::TimedOut);
             }
             Event::AttemptError { statement, attempt } => {
-                self.end_attempt(statement, attempt, News::Error);
+                self.end_attempt(statement, attempt, AttemptEvent::Error);
             }
-            Event::EngineListed { gateway, engine, stage, started_s } => {
+            Event::EngineListed {
+                gateway,
+                engine,
+                stage,
+                started_s,
+            } => {
                 self.send_list_change(gateway, engine, stage, started_s);
             }
             Event::FaultBegins(index) => self.apply_fault(index, true),
@@ -233,15 +268,23 @@
 }
 
 /// The queues of one gateway: the file's budgets are of all gateways together.
-fn gateway_terms(scenario: &Scenario, site_terms: Option<&queues::Terms>) -> Option<queues::Terms> {
+fn gateway_terms(
+    scenario: &Scenario,
+    site_terms: Option<&scheduler::Config>,
+) -> Option<scheduler::Config> {
     let share = match scenario.budgets {
         Budgets::Guess => 1.0 / scenario.gateways as f64,
         Budgets::Even | Budgets::Leases => 1.0,
     };
-    site_terms.map(|terms| terms.part(share))
+    site_terms.map(|terms| terms.scaled(share))
 }
 
-fn new_gateways(scenario: &Scenario, fronts: &FrontFactory, seed: u64, rng: &mut Pcg64Mcg) -> Vec<Gateway> {
+fn new_gateways(
+    scenario: &Scenario,
+    fronts: &FrontFactory,
+    seed: u64,
+    rng: &mut Pcg64Mcg,
+) -> Vec<Gateway> {
     let longest_delay_s = scenario.list_delay_ms / 1e3;
     let gateways = (0..scenario.gateways).map(|gateway| {
         let list_delay_s = longest_delay_s * rng.random_range(LEAST_LIST_DELAY..1.0);
@@ -251,11 +294,16 @@
 }
 
 /// The scenario's tenants, with what its queues guarantee them.
-fn tenants(scenario: &Scenario, site_terms: Option<&queues::Terms>) -> Vec<Tenant> {
+fn tenants(scenario: &Scenario, site_terms: Option<&scheduler::Config>) -> Vec<Tenant> {
     let tenant = |name: &String| {
-        let settings = site_terms.and_then(|terms| terms.members.iter().find(|of| of.name == *name));
-        let (budget, weight) = settings.map_or((0.0, 1.0), |of| (of.claim.budget, of.claim.weight));
-        Tenant { name: name.clone(), budget, weight }
+        let settings =
+            site_terms.and_then(|terms| terms.tenants.iter().find(|of| of.name == *name));
+        let (budget, weight) = settings.map_or((0.0, 1.0), |of| (of.share.budget, of.share.weight));
+        Tenant {
+            name: name.clone(),
+            budget,
+            weight,
+        }
     };
     scenario.traffic.keys().map(tenant).collect()
 }
--- a/crates/lab/src/play/coordination.rs
+++ b/crates/simulator/src/play/coordination.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use admission::interface::*;
-use queues::Hall;
+use scheduler::Scheduler;
 
 use super::events::Event;
 use super::{Emulation, moment};
@@ -20,21 +20,25 @@
 pub(super) type Usage = (f64, f64);
 
 /// The mesh in which gateways exchange engine health, where the scenario has one.
-pub(super) fn health_mesh(scenario: &Scenario, seed: u64) -> Option<Mesh<fleet::Gateway>> {
+pub(super) fn health_mesh(scenario: &Scenario, seed: u64) -> Option<Mesh<membership::Node>> {
     if !scenario.fleet {
         return None;
     }
-    Some(mesh::gateways(scenario.gateways, seed, fleet::Terms::default()))
+    Some(mesh::gateways(
+        scenario.gateways,
+        seed,
+        membership::Config::default(),
+    ))
 }
 
 /// The mesh in which gateways lease tenants' budgets, where the scenario divides them so.
 pub(super) fn lease_mesh(
     scenario: &Scenario,
-    queue_terms: Option<&queues::Terms>,
+    queue_terms: Option<&scheduler::Config>,
     seed: u64,
 ) -> Option<Mesh<Part>> {
     let queue_terms = queue_terms.filter(|_| scenario.budgets == Budgets::Leases)?;
-    let lease_terms = parts::members(&queue_terms.members, scenario.gateways);
+    let lease_terms = parts::members(&queue_terms.tenants, scenario.gateways);
     Some(parts::parts(scenario.gateways, seed, lease_terms))
 }
 
@@ -58,16 +62,22 @@
     /// Gateways tell each other of engines they ejected, and hear of those that others ejected.
     pub(super) fn exchange_health(&mut self) {
         let now = moment(self.now_s);
-        let mesh_now = now + Span::from_secs(MESH_HEAD_START_S);
-        let Some(mesh) = &mut self.health_mesh else { return };
+        let mesh_now = now + TimeDelta::from_secs(MESH_HEAD_START_S);
+        let Some(mesh) = &mut self.health_mesh else {
+            return;
+        };
         mesh.run(self.now_s + MESH_HEAD_START_S);
         for (index, gateway) in self.gateways.iter_mut().enumerate() {
-            let Some(peer) = mesh.peer_mut(index) else { continue };
-            let Some(hall) = gateway.front.hall() else { continue };
-            let ejections = own_ejections(hall);
+            let Some(peer) = mesh.peer_mut(index) else {
+                continue;
+            };
+            let Some(scheduler) = gateway.front.scheduler() else {
+                continue;
+            };
+            let ejections = own_ejections(scheduler);
             publish_ejections(peer, mesh_now, &gateway.published_ejections, &ejections);
             gateway.published_ejections = ejections;
-            hall.told_doubts(now, &heard_doubts(peer, mesh_now));
+            scheduler.on_outlier_gossip(now, &heard_doubts(peer, mesh_now));
         }
         self.schedule(self.now_s + EXCHANGE_PERIOD_S, Event::ExchangeHealth);
     }
@@ -87,75 +97,114 @@
 
     fn divide_evenly(&mut self) {
         let now = moment(self.now_s);
-        let Some(terms) = &self.fronts.queue_terms else { return };
+        let Some(terms) = &self.fronts.queue_terms else {
+            return;
+        };
         let share = 1.0 / self.gateways.len() as f64;
-        let rates: Vec<_> = terms.members.iter().map(|tenant| Some(tenant.claim.budget * share)).collect();
+        let rates: Vec<_> = terms
+            .tenants
+            .iter()
+            .map(|tenant| Some(tenant.share.budget * share))
+            .collect();
         for gateway in &mut self.gateways {
-            if let Some(hall) = gateway.front.hall() {
-                hall.lease(now, &rates);
+            if let Some(scheduler) = gateway.front.scheduler() {
+                scheduler.set_leased_budgets(now, &rates);
             }
         }
     }
 
     fn lease_budgets(&mut self) {
         let now = moment(self.now_s);
-        let mesh_now = now + Span::from_secs(MESH_HEAD_START_S);
-        let Some(mesh) = &mut self.lease_mesh else { return };
+        let mesh_now = now + TimeDelta::from_secs(MESH_HEAD_START_S);
+        let Some(mesh) = &mut self.lease_mesh else {
+            return;
+        };
         mesh.run(self.now_s + MESH_HEAD_START_S);
         for (index, gateway) in self.gateways.iter_mut().enumerate() {
-            let Some(hall) = gateway.front.hall() else { continue };
-            let Some(part) = mesh.peer_mut(index) else { continue };
-            let usage = hall.flows();
+            let Some(scheduler) = gateway.front.scheduler() else {
+                continue;
+            };
+            let Some(part) = mesh.peer_mut(index) else {
+                continue;
+            };
+            let usage: Vec<(f64, f64)> = scheduler
+                .tenant_usage()
+                .into_iter()
+                .map(|tenant| (tenant.demanded, tenant.spent))
+                .collect();
             let rates = leased_rates(part, mesh_now, &self.usage[index], &usage);
             self.usage[index] = usage;
-            hall.lease(now, &rates);
+            scheduler.set_leased_budgets(now, &rates);
         }
     }
 }
 
 /// Engines that a gateway ejected on what it saw itself, and when each ejection ends.
-fn own_ejections(hall: &Hall) -> BTreeMap<EngineId, Moment> {
-    let own = hall.health().filter(|health| !health.on_hearsay);
-    own.filter_map(|health| Some((health.id, health.benched_until?))).collect()
+fn own_ejections(scheduler: &Scheduler) -> BTreeMap<EngineId, Timestamp> {
+    let own = scheduler.health().filter(|health| !health.by_gossip);
+    own.filter_map(|health| Some((health.id, health.ejected_until?)))
+        .collect()
 }
 
 /// Tells the others of new or longer ejections, and of those that are over.
 fn publish_ejections(
-    peer: &mut fleet::Gateway,
-    mesh_now: Moment,
-    published: &BTreeMap<EngineId, Moment>,
-    ejections: &BTreeMap<EngineId, Moment>,
+    peer: &mut membership::Node,
+    mesh_now: Timestamp,
+    published: &BTreeMap<EngineId, Timestamp>,
+    ejections: &BTreeMap<EngineId, Timestamp>,
 ) {
     for (id, until) in ejections {
         if published.get(id).is_none_or(|told| told < until) {
-            peer.saw(mesh_now, &id.0.to_string(), fleet::EngineWord::Bad);
+            peer.report_engine(
+                mesh_now,
+                &id.0.to_string(),
+                membership::EngineStatus::Failing,
+            );
         }
     }
     for id in published.keys().filter(|id| !ejections.contains_key(id)) {
-        peer.saw(mesh_now, &id.0.to_string(), fleet::EngineWord::Back);
+        peer.report_engine(
+            mesh_now,
+            &id.0.to_string(),
+            membership::EngineStatus::Recovered,
+        );
     }
 }
 
 /// Doubts about engines that a gateway heard from others, in the time of the run.
-fn heard_doubts(peer: &mut fleet::Gateway, mesh_now: Moment) -> Vec<EngineDoubt> {
-    let head_start = Span::from_secs(MESH_HEAD_START_S);
-    let run_time = |mesh_time: Moment| mesh_time + (Span::ZERO - head_start);
-    let heard = peer.doubted(mesh_now).into_iter().filter_map(|doubt| {
-        let id = EngineId(doubt.engine.parse().ok()?);
-        Some(EngineDoubt { id, seen: run_time(doubt.seen), until: run_time(doubt.until) })
-    });
+fn heard_doubts(peer: &mut membership::Node, mesh_now: Timestamp) -> Vec<OutlierReport> {
+    let head_start = TimeDelta::from_secs(MESH_HEAD_START_S);
+    let run_time = |mesh_time: Timestamp| mesh_time + (TimeDelta::ZERO - head_start);
+    let heard = peer
+        .engine_outliers(mesh_now)
+        .into_iter()
+        .filter_map(|doubt| {
+            let id = EngineId(doubt.engine.parse().ok()?);
+            Some(OutlierReport {
+                id,
+                seen: run_time(doubt.seen),
+                until: run_time(doubt.until),
+            })
+        });
     heard.collect()
 }
 
 /// Books a gateway's usage since the last time, and returns the rate it may spend for each tenant.
-fn leased_rates(part: &mut Part, mesh_now: Moment, before: &[Usage], usage: &[Usage]) -> Vec<Option<f64>> {
+fn leased_rates(
+    part: &mut Part,
+    mesh_now: Timestamp,
+    before: &[Usage],
+    usage: &[Usage],
+) -> Vec<Option<f64>> {
     let local_now = part.clock(mesh_now);
     let mut rates = Vec::new();
     for (tenant, (wanted, paid)) in usage.iter().enumerate() {
         let (wanted_before, paid_before) = before.get(tenant).copied().unwrap_or_default();
-        part.shares.wants(local_now, tenant, wanted - wanted_before);
-        part.shares.spent(local_now, tenant, paid - paid_before);
-        rates.push(Some(part.shares.rate(local_now, tenant)));
+        part.quotas
+            .record_demand(local_now, tenant, wanted - wanted_before);
+        part.quotas
+            .record_spent(local_now, tenant, paid - paid_before);
+        rates.push(Some(part.quotas.rate(local_now, tenant)));
     }
     rates
 }
--- a/crates/lab/src/play/requests.rs
+++ b/crates/simulator/src/play/requests.rs
@@ -1,11 +1,11 @@
 //! Clients' requests of one run, drawn before anything is decided, so that every policy meets the same ones.
 
-use queues::{DeskId, Directory};
 use rand::{RngExt, SeedableRng};
 use rand_distr::{Distribution, Exp, StandardNormal};
 use rand_pcg::Pcg64Mcg;
+use scheduler::{QueueResolver, SubQueueId};
 
-use crate::scenario::{Kind, Product, Scenario, Trouble};
+use crate::scenario::{ClassSpec, Kind, Scenario, Trouble};
 
 /// Keeps the random streams of one seed apart from those of the next.
 const SEED_STRIDE: u64 = 1_000_003;
@@ -19,7 +19,7 @@
 pub(super) struct Request {
     pub(super) arrival_s: f64,
     pub(super) tenant: usize,
-    pub(super) queue: DeskId,
+    pub(super) queue: SubQueueId,
     pub(super) class: usize,
     /// The gateway that its client is connected to.
     pub(super) gateway: usize,
@@ -35,7 +35,7 @@
 /// All requests of a run, in the order of their arrival.
 pub(super) fn draw(
     scenario: &Scenario,
-    directory: Option<&Directory>,
+    resolver: Option<&QueueResolver>,
     seed: u64,
 ) -> Result<Vec<Request>, String> {
     let mut floods = scenario.troubles()?;
@@ -46,12 +46,17 @@
     let mut streams = 0;
     for (tenant, (tenant_name, traffic_by_queue)) in scenario.traffic.iter().enumerate() {
         for (queue_name, traffic) in traffic_by_queue {
-            let found = directory.map(|known| known.find(Some(tenant_name), Some(queue_name), None).desk);
-            let queue = found.unwrap_or(DeskId(queues));
+            let found = resolver.map(|known| {
+                known
+                    .resolve(Some(tenant_name), Some(queue_name), None)
+                    .sub_queue
+            });
+            let queue = found.unwrap_or(SubQueueId(queues));
             queues += 1;
-            for (class, (class_name, settings)) in scenario.product.iter().enumerate() {
+            for (class, (class_name, settings)) in scenario.class.iter().enumerate() {
                 streams += 1;
-                let mut rng = Pcg64Mcg::seed_from_u64(seed.wrapping_mul(SEED_STRIDE).wrapping_add(streams));
+                let mut rng =
+                    Pcg64Mcg::seed_from_u64(seed.wrapping_mul(SEED_STRIDE).wrapping_add(streams));
                 let floods = floods.iter().map(|(_, flood)| flood);
                 let source = Source {
                     scenario,
@@ -61,7 +66,9 @@
                     class,
                     settings,
                     usual_per_s: traffic.per_s.get(class_name).copied().unwrap_or(0.0),
-                    floods: floods.filter(|flood| concerns(flood, tenant_name, class_name)).collect(),
+                    floods: floods
+                        .filter(|flood| concerns(flood, tenant_name, class_name))
+                        .collect(),
                 };
                 source.draw(&mut rng, &mut requests)?;
             }
@@ -74,7 +81,7 @@
 /// Whether a flood raises the traffic of this tenant and query class.
 fn concerns(flood: &Trouble, tenant: &str, class: &str) -> bool {
     flood.member.as_ref().is_none_or(|name| name == tenant)
-        && flood.product.as_ref().is_none_or(|name| name == class)
+        && flood.class.as_ref().is_none_or(|name| name == class)
 }
 
 /// The requests of one query class in one queue of a tenant.
@@ -82,9 +89,9 @@
     scenario: &'a Scenario,
     gateways: &'a GatewayPreference,
     tenant: usize,
-    queue: DeskId,
+    queue: SubQueueId,
     class: usize,
-    settings: &'a Product,
+    settings: &'a ClassSpec,
     usual_per_s: f64,
     floods: Vec<&'a Trouble>,
 }
@@ -103,7 +110,8 @@
                 return Ok(());
             }
             let request = self.request(now_s, rng);
-            let rate_per_s = self.rate_under(self.floods.iter().filter(|flood| lasts(flood, now_s)));
+            let rate_per_s =
+                self.rate_under(self.floods.iter().filter(|flood| lasts(flood, now_s)));
             // Thinned after all draws, so that the usual traffic is the same with and without a flood.
             if rng.random::<f64>() * peak_per_s < rate_per_s {
                 requests.push(request);
@@ -113,7 +121,9 @@
 
     /// Requests a second while these floods last.
     fn rate_under<'f>(&self, floods: impl Iterator<Item = &'f &'f Trouble>) -> f64 {
-        floods.fold(self.usual_per_s, |most, flood| most.max(self.usual_per_s * flood.times))
+        floods.fold(self.usual_per_s, |most, flood| {
+            most.max(self.usual_per_s * flood.times)
+        })
     }
 
     /// One request; the order of the draws is part of what a seed means.
@@ -126,7 +136,8 @@
         let order_key = (settings.keys > 0).then(|| rng.random_range(0..settings.keys.max(1)));
         let spread = settings.cpu_spread;
         let cpu_s = settings.cpu_ms / 1e3 * (spread * cost - spread * spread / 2.0).exp();
-        let bias = TABLE_GROUP_BIAS[table_group as usize % TABLE_GROUP_BIAS.len()] * settings.estimate_times;
+        let bias = TABLE_GROUP_BIAS[table_group as usize % TABLE_GROUP_BIAS.len()]
+            * settings.estimate_times;
         Request {
             arrival_s,
             tenant: self.tenant,
--- a/crates/lab/src/play/statements.rs
+++ b/crates/simulator/src/play/statements.rs
@@ -1,9 +1,9 @@
 //! Statements at gateways: from a client's request to an answer, a rejection or a failure.
 
 use admission::interface::*;
-use dispatch::{Pick, Wants};
-use queues::{DeskId, Wait};
+use dispatch::{Decision, StatementRequest};
 use rand::RngExt;
+use scheduler::{FinishedWait, SubQueueId};
 
 use super::events::Event;
 use super::requests::Request;
@@ -31,7 +31,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Attempt {
     pub(super) engine: usize,
-    pub(super) number: RelayNo,
+    pub(super) number: AttemptNumber,
     pub(super) sent_s: f64,
 }
 
@@ -40,14 +40,17 @@
     pub(super) fn submit(&mut self, index: usize) {
         let request = self.requests[index].clone();
         if request.tries_left == self.scenario.client_tries {
-            self.measurements.record_demand(self.now_s, request.tenant, request.cpu_s);
+            self.measurements
+                .record_demand(self.now_s, request.tenant, request.cpu_s);
         }
         self.requests[index].tries_left -= 1;
         let gateway = self.serving_gateway(request.gateway);
         let id = self.accept(index, gateway);
         let wants = self.wants(&request);
-        let pick = self.gateways[gateway].front.pick(moment(self.now_s), id, request.queue, &wants);
-        if pick == Pick::Held {
+        let pick = self.gateways[gateway]
+            .front
+            .pick(moment(self.now_s), id, request.queue, &wants);
+        if pick == Decision::Queued {
             self.record_plain_estimates(gateway, id, request.queue, request.class);
         }
         self.apply_pick(id, pick);
@@ -59,7 +62,13 @@
         let request = &self.requests[index];
         let class = self.classes[request.class].settings;
         let id = StatementId(self.statements.len() as u64);
-        let seen = Seen::new(gateway, request.deadline_s, class.unrepeatable, request.order_key, class.zone);
+        let seen = Seen::new(
+            gateway,
+            request.deadline_s,
+            class.unrepeatable,
+            request.order_key,
+            class.zone,
+        );
         self.statements.push(Statement {
             request: index,
             gateway,
@@ -72,26 +81,41 @@
         id
     }
 
-    fn wants(&self, request: &Request) -> Wants {
-        Wants {
-            product: ProductId(request.class),
+    fn wants(&self, request: &Request) -> StatementRequest {
+        StatementRequest {
+            class: ClassId(request.class),
             tenant: TenantId(request.tenant),
-            group: GroupId(request.table_group),
-            estimate: Some(Span::from_secs(request.estimate_s)),
+            group: TableGroupId(request.table_group),
+            estimate: Some(TimeDelta::from_secs(request.estimate_s)),
             memory_mb: self.classes[request.class].settings.memory_mb,
             key: request.order_key.map(OrderKey),
-            marked: true,
-            budget: Span::from_secs(request.deadline_s - self.now_s),
+            has_idempotency_key: true,
+            budget: TimeDelta::from_secs(request.deadline_s - self.now_s),
         }
     }
 
     /// Notes what the plain estimators say of a statement that came to wait.
-    fn record_plain_estimates(&mut self, gateway: usize, id: StatementId, queue: DeskId, class: usize) {
+    fn record_plain_estimates(
+        &mut self,
+        gateway: usize,
+        id: StatementId,
+        queue: SubQueueId,
+        class: usize,
+    ) {
         let gateway = &mut self.gateways[gateway];
-        let Some(hall) = gateway.front.hall() else { return };
-        let Some(status) = hall.statement(moment(self.now_s), id) else { return };
-        let history = gateway.wait_history.get(&(queue.0, class)).copied().unwrap_or_default();
-        self.plain_estimates.insert(id, history.estimates(status.ahead));
+        let Some(scheduler) = gateway.front.scheduler() else {
+            return;
+        };
+        let Some(status) = scheduler.statement_status(moment(self.now_s), id) else {
+            return;
+        };
+        let history = gateway
+            .wait_history
+            .get(&(queue.0, class))
+            .copied()
+            .unwrap_or_default();
+        self.plain_estimates
+            .insert(id, history.estimates(status.ahead));
     }
 
     /// A gateway looks at its waiting statements and releases those that are due.
@@ -104,8 +128,9 @@
         for wait in &waits {
             self.record_wait(gateway, wait);
         }
-        if let Some(hall) = self.gateways[gateway].front.hall() {
-            self.measurements.record_passed(hall.longest_passed().secs());
+        if let Some(scheduler) = self.gateways[gateway].front.scheduler() {
+            self.measurements
+                .record_passed(scheduler.longest_passed_over().secs());
         }
         for (id, pick) in tick.due {
             self.apply_pick(id, pick);
@@ -114,34 +139,37 @@
     }
 
     /// Notes a wait that ended beside what was estimated of it.
-    fn record_wait(&mut self, gateway: usize, wait: &Wait) {
-        let (queue, class) = (wait.desk.0, wait.product.0);
-        let real_s = wait.real.secs();
+    fn record_wait(&mut self, gateway: usize, wait: &FinishedWait) {
+        let (queue, class) = (wait.sub_queue.0, wait.class.0);
+        let real_s = wait.actual.secs();
         self.measurements.estimates.push(Told {
             at: self.now_s,
             gateway,
             desk: queue,
-            product: class,
-            told: wait.told.wait.secs(),
-            p90: wait.told.p90.secs(),
+            class,
+            told: wait.estimated.median.secs(),
+            p90: wait.estimated.p90.secs(),
             real: real_s,
             plain: self.plain_estimates.remove(&wait.id).unwrap_or_default(),
         });
-        let history = self.gateways[gateway].wait_history.entry((queue, class)).or_default();
+        let history = self.gateways[gateway]
+            .wait_history
+            .entry((queue, class))
+            .or_default();
         history.record(self.now_s, real_s);
     }
 
-    fn apply_pick(&mut self, id: StatementId, pick: Pick) {
+    fn apply_pick(&mut self, id: StatementId, pick: Decision) {
         match pick {
-            Pick::Held => {}
-            Pick::Relay(order) => self.send_attempt(id, order),
-            Pick::Deny { come_back } => self.reject(id, come_back),
-            Pick::Scrap => self.fail(id),
+            Decision::Queued => {}
+            Decision::Forward(order) => self.send_attempt(id, order),
+            Decision::Reject { retry_after } => self.reject(id, retry_after),
+            Decision::Fail => self.fail(id),
         }
     }
 
     /// Rejects a statement; its client asks again if it has tries and time left.
-    pub(super) fn reject(&mut self, id: StatementId, retry_after: Option<Span>) {
+    pub(super) fn reject(&mut self, id: StatementId, retry_after: Option<TimeDelta>) {
         self.plain_estimates.remove(&id);
         self.rules.answered(self.now_s, id.0, true);
         let statement = &mut self.statements[id.0 as usize];
@@ -150,7 +178,8 @@
         self.measurements.figures.denied += 1;
         self.measurements.figures.denied_at_once += u64::from(at_once);
         let jitter = self.rng.random_range(1.0..1.2);
-        let retry_s = self.now_s + retry_after.map_or(DEFAULT_RETRY_AFTER_S, Span::secs) * jitter;
+        let retry_s =
+            self.now_s + retry_after.map_or(DEFAULT_RETRY_AFTER_S, TimeDelta::secs) * jitter;
         let index = statement.request;
         let request = &self.requests[index];
         if request.tries_left > 0 && retry_s < request.deadline_s - LEAST_TIME_LEFT_S {
--- a/crates/lab/src/scenario.rs
+++ b/crates/simulator/src/scenario.rs
@@ -19,13 +19,13 @@
 pub struct Scenario {
     pub seconds: f64,
     pub gateways: usize,
-    /// Times a client asks in all, within its hard limit, as long as it is denied.
+    /// Times a client asks in all, within its deadline, as long as it is rejected.
     #[serde(default = "one")]
     pub client_tries: u32,
-    /// List news reach each gateway this late at most.
+    /// Endpoint updates reach each gateway this late at most.
     #[serde(default = "two_seconds")]
     pub list_delay_ms: f64,
-    /// Members are allowed this many times their usual statements a second; none: no allowances.
+    /// Members are allowed this many times their usual statements a second; none: no quotas.
     pub allowance_times: Option<f64>,
     /// Gateways know each other, and share what they see of engines.
     #[serde(default)]
@@ -40,12 +40,13 @@
     #[serde(default)]
     pub idle_untold: bool,
     pub engines: Engines,
-    pub product: BTreeMap<String, Product>,
+    #[serde(rename = "product")]
+    pub class: BTreeMap<String, ClassSpec>,
     /// By member, then desk.
     pub traffic: BTreeMap<String, BTreeMap<String, Traffic>>,
     #[serde(default)]
     pub script: BTreeMap<String, Several<Trouble>>,
-    pub queues: Option<operator::QueuesBlock>,
+    pub queues: Option<operator_config::QueuesBlock>,
 }
 
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
@@ -105,7 +106,7 @@
 
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Product {
+pub struct ClassSpec {
     pub cpu_ms: f64,
     /// Of the logarithm of the CPU.
     pub cpu_spread: f64,
@@ -117,11 +118,14 @@
     pub threads: f64,
     pub quoted_ms: f64,
     #[serde(default)]
-    pub quoted_stretch: f64,
+    #[serde(rename = "quoted_stretch")]
+    pub latency_objective_stretch: f64,
     pub hard_limit_ms: f64,
-    pub gain: f64,
+    #[serde(rename = "gain")]
+    pub priority_weight: f64,
     #[serde(default)]
-    pub late_gain: f64,
+    #[serde(rename = "late_gain")]
+    pub late_priority_weight: f64,
     #[serde(default = "eight")]
     pub table_groups: u32,
     #[serde(default)]
@@ -144,7 +148,7 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Traffic {
-    /// Statements a second by product, over all gateways.
+    /// Statements a second by query class, over all gateways.
     pub per_s: BTreeMap<String, f64>,
 }
 
@@ -177,7 +181,8 @@
     pub share: f64,
     /// Of a flood: which traffic; all of it where not named.
     pub member: Option<String>,
-    pub product: Option<String>,
+    #[serde(rename = "product")]
+    pub class: Option<String>,
     /// How many times the traffic, or how many times slower.
     #[serde(default = "one_thread")]
     pub times: f64,
@@ -235,12 +240,17 @@
     /// The file, over that which its `base` names beside it.
     pub fn value(path: &Path) -> Result<hcl::Value, ScenarioError> {
         let name = path.display().to_string();
-        let text = std::fs::read_to_string(path).map_err(|e| ScenarioError::Unreadable(name.clone(), e))?;
+        let text = std::fs::read_to_string(path)
+            .map_err(|e| ScenarioError::Unreadable(name.clone(), e))?;
         let mut file: hcl::Value =
             hcl::from_str(&text).map_err(|e| ScenarioError::Form(name.clone(), e.to_string()))?;
-        let base = file.as_object_mut().and_then(|fields| fields.shift_remove("base"));
+        let base = file
+            .as_object_mut()
+            .and_then(|fields| fields.shift_remove("base"));
         let Some(base) = base else { return Ok(file) };
-        let base = base.as_str().ok_or_else(|| ScenarioError::Form(name, "base: no file's name".into()))?;
+        let base = base
+            .as_str()
+            .ok_or_else(|| ScenarioError::Form(name, "base: no file's name".into()))?;
         let mut whole = Self::value(&path.with_file_name(base))?;
         lay_over(&mut whole, file);
         Ok(whole)
@@ -250,15 +260,24 @@
         let scenario: Scenario = hcl::from_str(text).map_err(|e| e.to_string())?;
         for (member, desks) in &scenario.traffic {
             for (desk, traffic) in desks {
-                if let Some(unknown) = traffic.per_s.keys().find(|name| !scenario.product.contains_key(*name))
+                if let Some(unknown) = traffic
+                    .per_s
+                    .keys()
+                    .find(|name| !scenario.class.contains_key(*name))
                 {
                     return Err(format!("traffic {member} {desk}: no product {unknown}"));
                 }
             }
         }
         let troubles = scenario.troubles()?;
-        let engine = troubles.iter().flat_map(|(_, t)| &t.engines).find(|at| **at >= scenario.engines.count);
-        let gateway = troubles.iter().flat_map(|(_, t)| &t.gateways).find(|at| **at >= scenario.gateways);
+        let engine = troubles
+            .iter()
+            .flat_map(|(_, t)| &t.engines)
+            .find(|at| **at >= scenario.engines.count);
+        let gateway = troubles
+            .iter()
+            .flat_map(|(_, t)| &t.gateways)
+            .find(|at| **at >= scenario.gateways);
         if let Some(gateway) = gateway {
             return Err(format!("script: no gateway {gateway}"));
         }
@@ -276,7 +295,11 @@
             at = below.ok_or_else(|| format!("no field {path}"))?;
         }
         let whole = value.fract() == 0.0;
-        *at = if whole { hcl::Value::from(value as i64) } else { hcl::Value::from(value) };
+        *at = if whole {
+            hcl::Value::from(value as i64)
+        } else {
+            hcl::Value::from(value)
+        };
         Self::parse(&hcl::to_string(&file).map_err(|e| e.to_string())?)
     }
 
@@ -299,19 +322,29 @@
             };
             match several {
                 Several::One(trouble) => all.push((kind, trouble.clone())),
-                Several::Many(troubles) => all.extend(troubles.iter().map(|trouble| (kind, trouble.clone()))),
+                Several::Many(troubles) => {
+                    all.extend(troubles.iter().map(|trouble| (kind, trouble.clone())))
+                }
             }
         }
         for (_, trouble) in &mut all {
             let (engines, gateways) = (trouble.engine_range, trouble.gateway_range);
-            trouble.engines.extend(engines.into_iter().flat_map(|(from, to)| from..to));
-            trouble.gateways.extend(gateways.into_iter().flat_map(|(from, to)| from..to));
+            trouble
+                .engines
+                .extend(engines.into_iter().flat_map(|(from, to)| from..to));
+            trouble
+                .gateways
+                .extend(gateways.into_iter().flat_map(|(from, to)| from..to));
         }
         Ok(all)
     }
 
-    pub fn terms(&self) -> Result<Option<queues::Terms>, String> {
-        let Some(block) = self.queues.clone() else { return Ok(None) };
-        block.terms().map_err(|fault| format!("{}: {}", fault.path.join("."), fault.why))
+    pub fn terms(&self) -> Result<Option<scheduler::Config>, String> {
+        let Some(block) = self.queues.clone() else {
+            return Ok(None);
+        };
+        block
+            .check()
+            .map_err(|fault| format!("{}: {}", fault.path.join("."), fault.why))
     }
 }
--- a/crates/lab/tests/fleet.rs
+++ b/crates/simulator/tests/fleet.rs
@@ -2,18 +2,19 @@
 
 use std::collections::BTreeSet;
 
-use admission::interface::{Moment, Span};
-use fleet::letter;
-use fleet::{
-    EngineNews, EngineWord, Gateway, Incarnation, Life, Name, Place, Record, Ring, Standing, State, Terms,
+use admission::interface::{TimeDelta, Timestamp};
+use membership::message;
+use membership::{
+    BootId, Config, EngineReport, EngineStatus, Incarnation, KeyRing, Locality, MemberState, Name,
+    Node, NodeSetup, Record, ViewState,
 };
-use lab::mesh::{self, KEY, Mesh, address, gateways, name};
+use simulator::mesh::{self, KEY, Mesh, address, gateways, name};
 
-fn started(count: usize, seed: u64) -> Mesh<Gateway> {
-    started_by(count, seed, Terms::default())
+fn started(count: usize, seed: u64) -> Mesh<Node> {
+    started_by(count, seed, Config::default())
 }
 
-fn started_by(count: usize, seed: u64, terms: Terms) -> Mesh<Gateway> {
+fn started_by(count: usize, seed: u64, terms: Config) -> Mesh<Node> {
     let mut mesh = gateways(count, seed, terms);
     mesh.start_all();
     let joined = mesh.settle(120.0);
@@ -24,12 +25,19 @@
     mesh
 }
 
-fn standings(mesh: &Mesh<Gateway>) -> BTreeSet<String> {
-    mesh.lives().iter().filter_map(|at| Some(mesh.peer(*at)?.standing().to_string())).collect()
+fn standings(mesh: &Mesh<Node>) -> BTreeSet<String> {
+    mesh.lives()
+        .iter()
+        .filter_map(|at| Some(mesh.peer(*at)?.view_state().to_string()))
+        .collect()
 }
 
-fn deaths(mesh: &Mesh<Gateway>) -> Vec<mesh::Death> {
-    mesh.deaths.iter().copied().filter(|death| death.false_one).collect()
+fn deaths(mesh: &Mesh<Node>) -> Vec<mesh::Death> {
+    mesh.deaths
+        .iter()
+        .copied()
+        .filter(|death| death.false_one)
+        .collect()
 }
 
 #[test]
@@ -48,7 +56,7 @@
             mesh.lives()
                 .iter()
                 .filter(|at| !mesh::is_together(&mesh, **at))
-                .map(|at| (at, mesh.peer(*at).unwrap().about()))
+                .map(|at| (at, mesh.peer(*at).unwrap().view_summary()))
                 .take(3)
                 .collect::<Vec<_>>()
         );
@@ -57,7 +65,7 @@
 
 #[test]
 fn three_hundred_join_within_a_second() {
-    let mut mesh = gateways(300, 2, Terms::default());
+    let mut mesh = gateways(300, 2, Config::default());
     mesh.start(0);
     for at in 1..300 {
         mesh.run(at as f64 / 300.0);
@@ -72,8 +80,12 @@
 #[test]
 fn partitions_in_two_and_in_three_are_named_and_heal() {
     type Side = fn(usize) -> usize;
-    let cases: [(usize, Side); 4] =
-        [(20, |at| at % 4 / 3), (21, |at| at % 3), (20, |at| at / 15), (100, |at| at % 4 / 3)];
+    let cases: [(usize, Side); 4] = [
+        (20, |at| at % 4 / 3),
+        (21, |at| at % 3),
+        (20, |at| at / 15),
+        (100, |at| at % 4 / 3),
+    ];
     for (count, side) in cases {
         let mut mesh = started(count, 3);
         mesh.cut(|a, b| side(a) != side(b));
@@ -81,30 +93,37 @@
         for at in mesh.lives() {
             let own = (0..count).filter(|other| side(*other) == side(at)).count();
             let gateway = mesh.peer(at).unwrap();
-            assert_eq!(gateway.size(), own, "{at} of {count}");
-            let assumed = gateway.assumed();
+            assert_eq!(gateway.fleet_size(), own, "{at} of {count}");
+            let assumed = gateway.assumptions();
             if own * 2 < count {
-                assert_eq!(gateway.standing().name(), "cut off", "{at} of {count}");
+                assert_eq!(gateway.view_state().name(), "cut off", "{at} of {count}");
                 assert!(
-                    assumed.at_most == count
-                        && assumed.at_least == own
-                        && !assumed.engine_news
-                        && !assumed.may_agree
+                    assumed.max_size == count
+                        && assumed.min_size == own
+                        && !assumed.engine_reports_count
+                        && !assumed.may_vote
                 );
             } else {
-                assert_eq!(gateway.standing().name(), "together", "{at} of {count}");
+                assert_eq!(gateway.view_state().name(), "together", "{at} of {count}");
             }
         }
         assert_eq!(deaths(&mesh), [], "{count}");
         mesh.heal();
         let before = mesh.sent.clone();
         let settled = mesh.settle(90.0);
-        assert!(settled.is_some(), "{count}: not healed, {:?}", standings(&mesh));
+        assert!(
+            settled.is_some(),
+            "{count}: not healed, {:?}",
+            standings(&mesh)
+        );
         // No storm: no more a second than the stated bound.
         let seconds = settled.unwrap().max(1.0);
         for (after, before) in mesh.sent.iter().zip(before) {
             let pace = (after.0 - before.0) as f64 / seconds;
-            assert!(pace < 60.0, "{count}: {pace} datagrams a second while healing");
+            assert!(
+                pace < 60.0,
+                "{count}: {pace} datagrams a second while healing"
+            );
         }
         mesh.run(mesh.now + 20.0);
         assert!(mesh::together(&mesh), "{count}: {:?}", standings(&mesh));
@@ -119,7 +138,11 @@
     assert!(mesh.settle(30.0).is_some());
     mesh.cut(|a, b| (a < 8) != (b < 8));
     mesh.run(mesh.now + 60.0);
-    assert!(mesh.lives().iter().all(|at| mesh.peer(*at).unwrap().size() <= 5));
+    assert!(
+        mesh.lives()
+            .iter()
+            .all(|at| mesh.peer(*at).unwrap().fleet_size() <= 5)
+    );
     mesh.heal();
     assert!(mesh.settle(90.0).is_some(), "{:?}", standings(&mesh));
 }
@@ -134,7 +157,11 @@
     // Nobody hears g1, which hears all: it is taken off, and comes back.
     mesh.cut(|a, _| a == 1);
     mesh.run(mesh.now + 60.0);
-    assert!(mesh.lives().iter().all(|at| *at == 1 || mesh.peer(*at).unwrap().size() == 19));
+    assert!(
+        mesh.lives()
+            .iter()
+            .all(|at| *at == 1 || mesh.peer(*at).unwrap().fleet_size() == 19)
+    );
     mesh.heal();
     assert!(mesh.settle(60.0).is_some(), "{:?}", standings(&mesh));
     // Neighbours only reach neighbours: whoever is two away is asked for through the one between.
@@ -142,7 +169,11 @@
     mesh.cut(|a, b| a.abs_diff(b) > 1);
     mesh.run(mesh.now + 60.0);
     mesh.heal();
-    assert!(mesh.settle(60.0).is_some(), "nobody who lives stays dead: {:?}", standings(&mesh));
+    assert!(
+        mesh.settle(60.0).is_some(),
+        "nobody who lives stays dead: {:?}",
+        standings(&mesh)
+    );
 }
 
 #[test]
@@ -152,50 +183,65 @@
     mesh.run(mesh.now + 5.0);
     mesh.wake(7);
     assert!(mesh.settle(30.0).is_some(), "{:?}", standings(&mesh));
-    let suspected = |mesh: &Mesh<Gateway>| [3, 7].map(|at| mesh.peer(at).unwrap().tally.probes_failed);
+    let suspected =
+        |mesh: &Mesh<Node>| [3, 7].map(|at| mesh.peer(at).unwrap().metrics.probes_failed);
     let before = suspected(&mesh);
     mesh.slow(3, 0.3);
     mesh.run(mesh.now + 60.0);
     let by = |at: usize| mesh.deaths.iter().filter(|death| death.by == at).count();
     assert_eq!((by(7), by(3)), (0, 0), "{:?}", mesh.deaths);
-    let others: Vec<_> = mesh.deaths.iter().filter(|death| ![3, 7].contains(&death.of)).collect();
+    let others: Vec<_> = mesh
+        .deaths
+        .iter()
+        .filter(|death| ![3, 7].contains(&death.of))
+        .collect();
     assert!(others.is_empty(), "{others:?}");
     for at in [3, 7] {
-        assert!(mesh.peer(at).unwrap().tally.stood_still > 0);
+        assert!(mesh.peer(at).unwrap().metrics.loop_stalls > 0);
     }
-    assert_eq!(suspected(&mesh), before, "suspected others for its own slowness");
+    assert_eq!(
+        suspected(&mesh),
+        before,
+        "suspected others for its own slowness"
+    );
 }
 
-/// Each letter of the liar's own, under its key and counter, with lies beside what it says.
+/// Each message of the liar's own, under its key and counter, with lies beside what it says.
 fn forged(bytes: &mut Vec<u8>, count: usize) {
-    let (ring, lab) = (Ring::new(&KEY, &[]).unwrap(), Name::new("lab").unwrap());
-    let Ok(mut letter) = letter::open(&ring, &lab, bytes) else { return };
-    let number = letter.counter;
+    let (ring, lab) = (KeyRing::new(&KEY, &[]).unwrap(), Name::new("lab").unwrap());
+    let Ok(mut message) = message::open(&ring, &lab, bytes) else {
+        return;
+    };
+    let number = message.counter;
     let record = |name: Name, at, state, incarnation| Record {
         name,
-        life: Life(number),
+        boot_id: BootId(number),
         incarnation: Incarnation(incarnation),
         address: address(at),
-        place: Place::default(),
+        locality: Locality::default(),
         state,
     };
-    letter.records = (0..9)
+    message.records = (0..9)
         .map(|at| {
             let of = (number as usize * 9 + at) % count;
             let ghost = Name::new(&format!("ghost-{number}-{at}")).unwrap();
             match at % 5 {
-                0 => record(name(of), of, State::Dead, 2),
-                1 => record(name(of), of, State::Dead, u32::MAX),
-                2 => record(ghost, 1000 + number as usize % 1000, State::Alive, 1),
-                3 => record(name(of), of, State::Left, 9),
+                0 => record(name(of), of, MemberState::Dead, 2),
+                1 => record(name(of), of, MemberState::Dead, u32::MAX),
+                2 => record(ghost, 1000 + number as usize % 1000, MemberState::Alive, 1),
+                3 => record(name(of), of, MemberState::Left, 9),
                 // At the liar's own address, under another's name.
-                _ => record(name(of), 5, State::Alive, 5000),
+                _ => record(name(of), 5, MemberState::Alive, 5000),
             }
         })
         .collect();
-    let bad = |at| EngineNews { engine: format!("e-{at}"), word: EngineWord::Bad, age_ms: 0 };
-    letter.engines = (0..12).map(bad).collect();
-    *bytes = letter::seal(&ring, &letter);
+    let bad = |at| EngineReport {
+        engine: format!("e-{at}"),
+        status: EngineStatus::Failing,
+        age_ms: 0,
+    };
+    message.engine_reports = (0..12).map(bad).collect();
+    *bytes = message::seal(&ring, &message);
 }
 
 #[test]
@@ -216,19 +262,29 @@
                 &mesh.deaths[..mesh.deaths.len().min(5)]
             );
         }
-        let now = Moment::from_secs(mesh.now);
+        let now = Timestamp::from_secs(mesh.now);
         for at in mesh.lives() {
             let gateway = mesh.peer_mut(at).unwrap();
-            assert_eq!(gateway.size(), count, "{at}");
+            assert_eq!(gateway.fleet_size(), count, "{at}");
             assert!(gateway.table_len() <= 1024);
-            assert_eq!(gateway.doubted(now), [], "{at} doubts engines on one word");
-            assert!(gateway.own().incarnation < Incarnation(10_000), "{:?}", gateway.own());
+            assert_eq!(
+                gateway.engine_outliers(now),
+                [],
+                "{at} doubts engines on one word"
+            );
+            assert!(
+                gateway.local_record().incarnation < Incarnation(10_000),
+                "{:?}",
+                gateway.local_record()
+            );
         }
         mesh.liar = None;
         mesh.run(mesh.now + 60.0);
         assert!(mesh.agreed());
         assert!(
-            mesh.lives().iter().all(|at| mesh.peer(*at).unwrap().table_len() == count - 1),
+            mesh.lives()
+                .iter()
+                .all(|at| mesh.peer(*at).unwrap().table_len() == count - 1),
             "ghosts are gone"
         );
     }
@@ -237,18 +293,28 @@
 #[test]
 fn engines_are_doubted_on_two_independent_words_and_not_on_one() {
     let mut mesh = started(20, 9);
-    let now = Moment::from_secs(mesh.now);
-    mesh.peer_mut(4).unwrap().saw(now, "e-1", EngineWord::Bad);
+    let now = Timestamp::from_secs(mesh.now);
+    mesh.peer_mut(4)
+        .unwrap()
+        .report_engine(now, "e-1", EngineStatus::Failing);
     mesh.run(mesh.now + 3.0);
-    let doubting = |mesh: &mut Mesh<Gateway>, engine: &str| {
-        let now = Moment::from_secs(mesh.now);
+    let doubting = |mesh: &mut Mesh<Node>, engine: &str| {
+        let now = Timestamp::from_secs(mesh.now);
         (0..20)
-            .filter(|at| mesh.peer_mut(*at).unwrap().doubted(now).iter().any(|doubt| doubt.engine == engine))
+            .filter(|at| {
+                mesh.peer_mut(*at)
+                    .unwrap()
+                    .engine_outliers(now)
+                    .iter()
+                    .any(|doubt| doubt.engine == engine)
+            })
             .count()
     };
     assert_eq!(doubting(&mut mesh, "e-1"), 0);
-    let now = Moment::from_secs(mesh.now);
-    mesh.peer_mut(9).unwrap().saw(now, "e-1", EngineWord::Bad);
+    let now = Timestamp::from_secs(mesh.now);
+    mesh.peer_mut(9)
+        .unwrap()
+        .report_engine(now, "e-1", EngineStatus::Failing);
     mesh.run(mesh.now + 3.0);
     assert!(doubting(&mut mesh, "e-1") >= 18);
     // It leaves with its evidence.
@@ -276,14 +342,18 @@
 
 #[test]
 fn seeds_that_name_nobody_alive_leave_a_gateway_alone_until_one_comes() {
-    let mut mesh = gateways(5, 11, Terms::default());
+    let mut mesh = gateways(5, 11, Config::default());
     mesh.start(3);
     mesh.start(4);
     mesh.run(20.0);
-    assert!([3, 4].iter().all(|at| *mesh.peer(*at).unwrap().standing() == Standing::Alone));
+    assert!(
+        [3, 4]
+            .iter()
+            .all(|at| *mesh.peer(*at).unwrap().view_state() == ViewState::Isolated)
+    );
     mesh.start(1);
     assert!(mesh.settle(30.0).is_some());
-    assert_eq!(mesh.peer(3).unwrap().size(), 3);
+    assert_eq!(mesh.peer(3).unwrap().fleet_size(), 3);
 }
 
 #[test]
@@ -296,11 +366,17 @@
         mesh.run(mesh.now + 60.0);
         // Stated: under one a gateway and hour.
         let false_ones = mesh.false_deaths();
-        assert!(false_ones * 60 <= count, "{count}: {false_ones} in a minute");
+        assert!(
+            false_ones * 60 <= count,
+            "{count}: {false_ones} in a minute"
+        );
         mesh.faults = mesh::Faults::default();
         assert!(mesh.settle(60.0).is_some(), "{:?}", standings(&mesh));
-        let repeated: u64 =
-            mesh.lives().iter().map(|at| mesh.peer(*at).unwrap().tally.refused_repeated).sum();
+        let repeated: u64 = mesh
+            .lives()
+            .iter()
+            .map(|at| mesh.peer(*at).unwrap().metrics.rejected_replayed)
+            .sum();
         assert!(repeated > 0);
     }
 }
@@ -312,8 +388,12 @@
     for (signs, other) in [(old, Some(new)), (new, Some(old)), (new, None)] {
         for at in 0..20 {
             let others: Vec<[u8; 32]> = other.into_iter().collect();
-            let ring = Ring::new(&signs, &others).unwrap();
-            mesh.peer_mut(at).unwrap().change((0..3).map(address).collect(), ring, Terms::default());
+            let ring = KeyRing::new(&signs, &others).unwrap();
+            mesh.peer_mut(at).unwrap().reconfigure(
+                (0..3).map(address).collect(),
+                ring,
+                Config::default(),
+            );
             mesh.run(mesh.now + 3.0);
         }
     }
@@ -323,30 +403,43 @@
 
 #[test]
 fn two_processes_with_one_name_end_with_one_in_the_fleet() {
-    let mut mesh: Mesh<Gateway> = Mesh::new(6, 14, |at, now, life| {
-        let ring = Ring::new(&KEY, &[]).unwrap();
+    let mut mesh: Mesh<Node> = Mesh::new(6, 14, |at, now, life| {
+        let ring = KeyRing::new(&KEY, &[]).unwrap();
         // The last has the name of the one before it, at another address.
         let own = name(at.min(4));
         let seeds = (0..3).map(address).collect();
-        Gateway::new(
+        Node::new(
             now,
-            Name::new("lab").unwrap(),
-            own,
-            address(at),
-            Place::default(),
-            seeds,
-            ring,
-            Terms::default(),
-            at as u64 * 100 + u64::from(life),
+            NodeSetup {
+                fleet: Name::new("lab").unwrap(),
+                name: own,
+                address: address(at),
+                locality: Locality::default(),
+                seeds,
+                key_ring: ring,
+                config: Config::default(),
+                rng_seed: at as u64 * 100 + u64::from(life),
+            },
         )
     });
     mesh.start_all();
     mesh.run(60.0);
-    let held: BTreeSet<_> =
-        (0..4).map(|at| mesh.peer(at).unwrap().held(&name(4)).unwrap().record.address).collect();
+    let held: BTreeSet<_> = (0..4)
+        .map(|at| {
+            mesh.peer(at)
+                .unwrap()
+                .member(&name(4))
+                .unwrap()
+                .record
+                .address
+        })
+        .collect();
     assert_eq!(held.len(), 1, "all hold the same one: {held:?}");
-    let incarnations = [4, 5].map(|at| mesh.peer(at).unwrap().own().incarnation);
-    assert!(incarnations.iter().all(|of| *of < Incarnation(100)), "{incarnations:?}");
+    let incarnations = [4, 5].map(|at| mesh.peer(at).unwrap().local_record().incarnation);
+    assert!(
+        incarnations.iter().all(|of| *of < Incarnation(100)),
+        "{incarnations:?}"
+    );
 }
 
 #[test]
@@ -355,27 +448,47 @@
         let mut mesh = started(count, 15);
         let (before, from) = (mesh.sent.clone(), mesh.now);
         mesh.run(from + 20.0);
-        let each =
-            mesh.sent.iter().zip(before).map(|(after, before)| {
-                ((after.0 - before.0) as f64 / 20.0, (after.1 - before.1) as f64 / 20.0)
-            });
-        each.fold((0.0f64, 0.0f64), |most, of| (most.0.max(of.0), most.1.max(of.1)))
+        let each = mesh.sent.iter().zip(before).map(|(after, before)| {
+            (
+                (after.0 - before.0) as f64 / 20.0,
+                (after.1 - before.1) as f64 / 20.0,
+            )
+        });
+        each.fold((0.0f64, 0.0f64), |most, of| {
+            (most.0.max(of.0), most.1.max(of.1))
+        })
     };
     let (few, many) = (pace(20), pace(300));
-    assert!(few.0 < 10.0 && many.0 < 10.0, "{few:?}, {many:?} datagrams and bytes a second");
+    assert!(
+        few.0 < 10.0 && many.0 < 10.0,
+        "{few:?}, {many:?} datagrams and bytes a second"
+    );
     assert!(many.1 < 9000.0, "{many:?}");
 }
 
 #[test]
 fn a_leave_is_no_failure_and_leaves_nothing_behind_after_its_time() {
-    let keep_gone = Span::from_secs(20.0);
-    let mut mesh = started_by(20, 16, Terms { keep_gone, ..Terms::default() });
+    let dead_retention = TimeDelta::from_secs(20.0);
+    let mut mesh = started_by(
+        20,
+        16,
+        Config {
+            dead_retention,
+            ..Config::default()
+        },
+    );
     mesh.leave(8);
     assert!(mesh.settle(10.0).is_some(), "{:?}", standings(&mesh));
     assert!(
         mesh.deaths.is_empty()
-            && (0..20).filter(|at| *at != 8).all(|at| mesh.peer(at).unwrap().tally.suspected == 0)
+            && (0..20)
+                .filter(|at| *at != 8)
+                .all(|at| mesh.peer(at).unwrap().metrics.suspected == 0)
     );
     mesh.run(mesh.now + 40.0);
-    assert!(mesh.lives().iter().all(|at| mesh.peer(*at).unwrap().held(&name(8)).is_none()));
+    assert!(
+        mesh.lives()
+            .iter()
+            .all(|at| mesh.peer(*at).unwrap().member(&name(8)).is_none())
+    );
 }
--- a/crates/lab/tests/mass.rs
+++ b/crates/simulator/tests/mass.rs
@@ -3,21 +3,24 @@
 
 use std::path::Path;
 
-use lab::figures::Figures;
-use lab::front::Policy;
-use lab::play::Play;
-use lab::scenario::Scenario;
+use simulator::figures::Figures;
+use simulator::front::Policy;
+use simulator::play::Play;
+use simulator::scenario::Scenario;
 
 fn scenario(name: &str) -> Scenario {
-    let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/lab");
+    let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/simulator");
     Scenario::read(&folder.join(format!("{name}.hcl"))).unwrap()
 }
 
 fn play(scenario: &Scenario, seed: u64) -> Figures {
-    Play::new(scenario, Policy::OneLine, seed).unwrap().run().figures
+    Play::new(scenario, Policy::OneLine, seed)
+        .unwrap()
+        .run()
+        .figures
 }
 
-/// Service over the whole day, handshakes a relay, connections at one engine: none may be worse.
+/// Service over the whole day, handshakes an attempt, connections at one engine: none may be worse.
 #[test]
 fn each_day_of_the_whole_fleet_keeps_its_rules_and_its_service() {
     for (name, service, handshakes, connections) in [
@@ -30,8 +33,12 @@
     ] {
         let figures = play(&scenario(name), 1);
         assert_eq!(figures.rules_broken, 0, "{name}: {:?}", figures.rules);
-        assert!(figures.service >= service, "{name}: service {}", figures.service);
-        let share = figures.handshakes as f64 / figures.relays as f64;
+        assert!(
+            figures.service >= service,
+            "{name}: service {}",
+            figures.service
+        );
+        let share = figures.handshakes as f64 / figures.attempts as f64;
         assert!(share <= handshakes, "{name}: {share} handshakes a relay");
         assert!(
             figures.most_connections <= connections,
@@ -55,8 +62,13 @@
     // Connections still end when idle; only the decisions do not know.
     untold.idle_untold = true;
     let untold = play(&untold, 3);
-    let share = |of: &Figures| of.handshakes as f64 / of.relays as f64;
-    assert!(share(&untold) > 5.0 * share(&told), "{} untold, {} told", share(&untold), share(&told));
+    let share = |of: &Figures| of.handshakes as f64 / of.attempts as f64;
+    assert!(
+        share(&untold) > 5.0 * share(&told),
+        "{} untold, {} told",
+        share(&untold),
+        share(&told)
+    );
 }
 
 /// A third of the engines hang before 222 gateways that see little each: told by others, few lose a statement.
@@ -66,7 +78,13 @@
     let with = play(&knowing, 1);
     knowing.fleet = false;
     let without = play(&knowing, 1);
-    assert_eq!((with.rules_broken, without.rules_broken), (0, 0), "{:?} {:?}", with.rules, without.rules);
+    assert_eq!(
+        (with.rules_broken, without.rules_broken),
+        (0, 0),
+        "{:?} {:?}",
+        with.rules,
+        without.rules
+    );
     assert!(
         with.timed_out * 3 < without.timed_out * 2,
         "{} with, {} without",
--- a/crates/wirehost/src/host.rs
+++ b/crates/wirehost/src/host.rs
@@ -1,265 +1,129 @@
-//! Decodes each instance's events into calls of its `Dispatch`, and encodes what comes back.
+//! Hosts the instances of one process: gives each its events, and collects what goes back.
 
 use std::collections::BTreeMap;
 
-use admission::interface::*;
-use dispatch::{Dispatch, Pick, Verdict, Wants};
-use settings::{Settings, SettingsError, Way};
+use admission::interface::{
+    CellId, EngineId, EngineInfo, EngineStage, LocationId, MachineId, Timestamp,
+};
 
-use crate::frames::{Batch, Fields, FrameError, Reply};
-
-/// One instance: it shares nothing with the others of the process.
-struct Gateway {
-    dispatch: Dispatch,
-    products: usize,
-    bills: bool,
-    fields: Vec<String>,
-    alarm: Option<Moment>,
-    tag: u64,
-}
+use crate::action::Action;
+use crate::frames::{Batch, EventCode, Fields, FrameError, Reply, StageCode};
+use crate::instance::{Event, Instance};
 
 /// All instances of this process, and the numbered lists that the wire shares among their events.
 #[derive(Default)]
 pub struct Host {
-    gateways: BTreeMap<u16, Gateway>,
-    lists: BTreeMap<u8, Vec<EngineFact>>,
+    instances: BTreeMap<u16, Instance>,
+    lists: BTreeMap<u8, Vec<EngineInfo>>,
 }
 
+/// The actions of each instance that had an event in the batch.
+type Actions = BTreeMap<u16, Vec<Action>>;
+
 impl Host {
+    /// Answers one batch.
+    ///
+    /// # Errors
+    ///
+    /// Where a record has a code that the wire does not have, or a range outside the tail.
     pub fn answer(&mut self, batch: &Batch) -> Result<Reply, FrameError> {
-        let now = Moment::from_secs(batch.clock);
-        let mut replies: BTreeMap<u16, Vec<Action>> = BTreeMap::new();
+        let now = Timestamp::from_secs(batch.clock);
+        let mut actions = Actions::new();
         for (record, fields) in batch.records() {
-            let (code, id) = (fields.u8(0), fields.u16(1));
-            match code {
-                120 => {
-                    let entries = batch.entries(record, fields.range(2))?;
-                    let facts = entries.map(|e| engine_fact(batch, record, e)).collect::<Result<_, _>>()?;
-                    self.lists.insert(fields.u8(1), facts);
-                }
-                10 => {
-                    let text = batch.text(record, fields.range(11))?;
-                    let actions = replies.entry(id).or_default();
-                    actions.clear();
-                    match Gateway::new(&text, fields.u64(3)) {
-                        Ok(gateway) => drop(self.gateways.insert(id, gateway)),
-                        Err(error) => {
-                            self.gateways.remove(&id);
-                            actions.push(Action::Panic(error.to_string()));
-                        }
-                    }
-                }
-                100 => {
-                    self.gateways.remove(&id);
-                    replies.remove(&id);
-                }
-                20 | 30 | 40 | 50 | 60 | 70 | 80 | 90 | 110 => {
-                    let Some(gateway) = self.gateways.get_mut(&id) else { continue };
-                    let actions = replies.entry(id).or_default();
-                    gateway.event(batch, record, fields, now, &self.lists, actions)?;
-                }
-                _ => return Err(batch.unknown(record, "event code", code.into())),
-            }
+            let event = Event {
+                batch,
+                record,
+                fields,
+                now,
+            };
+            self.handle(&event, &mut actions)?;
         }
         let mut reply = Reply::default();
-        for (id, mut actions) in replies {
-            if let Some(gateway) = self.gateways.get_mut(&id) {
-                gateway.ask_line(now, &mut actions);
+        for (gateway, mut actions) in actions {
+            if let Some(instance) = self.instances.get_mut(&gateway) {
+                instance.end_turn(now, &mut actions);
+            }
+            for action in &actions {
+                action.write(gateway, &mut reply);
             }
-            actions.iter().for_each(|action| action.write(id, &mut reply));
         }
         Ok(reply)
     }
-}
-
-/// What goes back for one instance, until a power-off in the same batch voids it.
-enum Action {
-    Attempt(StatementId, EngineId, Option<Span>),
-    PushBack(StatementId, Option<Span>),
-    Surrender(StatementId),
-    Stop(StatementId, RelayNo),
-    Remind(Span, u64),
-    Test(EngineId),
-    List(ListAsk),
-    Tune(StatementId, u8),
-    Panic(String),
-}
-
-impl Action {
-    fn write(&self, gateway: u16, reply: &mut Reply) {
-        let secs = |span: &Option<Span>| span.map_or(0.0, Span::secs);
-        match self {
-            Action::Attempt(s, engine, limit) => reply.attempt(gateway, s.0, engine.0, secs(limit)),
-            Action::PushBack(s, come_back) => reply.push_back(gateway, s.0, secs(come_back)),
-            Action::Surrender(s) => reply.surrender(gateway, s.0),
-            Action::Stop(s, relay) => reply.stop_attempt(gateway, s.0, relay.0),
-            Action::Remind(wait, tag) => reply.remind(gateway, wait.secs(), *tag),
-            Action::Test(engine) => reply.test(gateway, engine.0),
-            Action::List(ListAsk::Subscribe) => reply.watch(gateway),
-            Action::List(ListAsk::Whole) => reply.snapshot(gateway),
-            Action::Tune(s, rank) => reply.tune(gateway, s.0, 0.0, *rank),
-            Action::Panic(text) => reply.panic(gateway, text),
-        }
-    }
-}
-
-impl Gateway {
-    fn new(text: &str, seed: u64) -> Result<Self, SettingsError> {
-        let settings = Settings::from_lines(text);
-        Ok(Gateway {
-            dispatch: Dispatch::new(settings.policy(seed, Way(Span::ZERO))?),
-            products: settings.products(),
-            bills: settings.bills()?,
-            fields: settings.report_fields(),
-            alarm: None,
-            tag: 0,
-        })
-    }
 
-    fn event(
-        &mut self,
-        batch: &Batch,
-        record: usize,
-        fields: Fields<'_>,
-        now: Moment,
-        lists: &BTreeMap<u8, Vec<EngineFact>>,
-        actions: &mut Vec<Action>,
-    ) -> Result<(), FrameError> {
-        let id = StatementId(fields.u64(3));
-        let mut report = |this: &mut Self, at: usize, news: News, latency_s: f64, settled: bool| {
-            let (relay, latency) = (RelayNo(fields.u16(at)), Span::from_secs(latency_s));
-            match this.dispatch.report(now, id, relay, news, latency, settled) {
-                Verdict::Nothing => {}
-                Verdict::Cancel(relay) => actions.push(Action::Stop(id, relay)),
-                Verdict::Deny { come_back } => actions.push(Action::PushBack(id, come_back)),
-                Verdict::Scrap => actions.push(Action::Surrender(id)),
+    fn handle(&mut self, event: &Event<'_>, actions: &mut Actions) -> Result<(), FrameError> {
+        let fields = event.fields;
+        let code = EventCode::from_code(fields.u8(0))
+            .ok_or_else(|| event.unknown("event code", fields.u8(0).into()))?;
+        let gateway = fields.u16(1);
+        match code {
+            EventCode::Roster => self.read_list(event)?,
+            EventCode::Attach => self.attach(event, actions.entry(gateway).or_default())?,
+            EventCode::PowerOff => {
+                self.instances.remove(&gateway);
+                actions.remove(&gateway);
             }
-        };
-        match fields.u8(0) {
-            20 => {
-                let sheet = fields.u8(3);
-                let listed =
-                    || lists.get(&sheet).cloned().ok_or_else(|| batch.unknown(record, "list", sheet.into()));
-                let news = match fields.u8(4) {
-                    0 => ListNews::Changes(listed()?),
-                    1 | 2 => ListNews::Whole(listed()?),
-                    3 => ListNews::Failed,
-                    form => return Err(batch.unknown(record, "list form", form.into())),
-                };
-                self.dispatch.told_list(now, &news);
-            }
-            30 => {
-                let product = usize::from(fields.u8(46));
-                if product >= self.products {
-                    return Err(batch.unknown(record, "product", product as u64));
+            EventCode::Targets
+            | EventCode::WorkItem
+            | EventCode::Started
+            | EventCode::Done
+            | EventCode::Vanished
+            | EventCode::Timer
+            | EventCode::Pong
+            | EventCode::Message
+            | EventCode::Note => {
+                if let Some(instance) = self.instances.get_mut(&gateway) {
+                    let actions = actions.entry(gateway).or_default();
+                    instance.handle(code, event, &self.lists, actions)?;
                 }
-                self.taken(now, id, fields, actions);
-            }
-            40 => report(self, 23, News::Streaming, fields.f64(11), false),
-            110 => {
-                let news = if fields.u8(21) == 1 { News::Progress(fields.f32(13)) } else { News::Strained };
-                report(self, 11, news, 0.0, false);
             }
-            50 => {
-                let (cpu, steps) = (fields.u32(27) >> 12, fields.u32(27) & 0xfff);
-                let cpu = (self.bills && cpu > 0).then(|| Span::from_secs(f64::from(cpu) / 1e3));
-                let memory_mb = (self.bills && steps > 0).then(|| f64::from(steps) * 4.0);
-                let news = match fields.u8(17) {
-                    10 => News::Completed { cpu, memory_mb },
-                    20 => News::Error,
-                    30 => News::TurnedAway,
-                    40 => News::TimedOut,
-                    50 => News::Unreachable,
-                    60 => News::Reset,
-                    70 => News::Cancelled,
-                    80 => News::NeverSent,
-                    code => return Err(batch.unknown(record, "outcome", code.into())),
-                };
-                self.load(EngineId(fields.u32(13)), fields, 31);
-                report(self, 11, news, fields.f64(18), fields.u8(26) != 0);
-            }
-            60 => self.dispatch.gone(id),
-            70 if fields.u64(3) == self.tag => self.alarm = None,
-            80 => self.load(EngineId(fields.u32(3)), fields, 16),
-            _ => {}
         }
         Ok(())
     }
 
-    fn taken(&mut self, now: Moment, id: StatementId, fields: Fields<'_>, actions: &mut Vec<Action>) {
-        let told = fields.u8(11) & 1 != 0;
-        let wants = Wants {
-            product: ProductId(fields.u8(46).into()),
-            tenant: TenantId(fields.u16(36).into()),
-            group: GroupId(fields.f32(24) as u32),
-            estimate: Some(Span::from_secs(fields.f64(38))).filter(|cpu| told && *cpu > Span::ZERO),
-            memory_mb: Some(fields.f32(12)).filter(|mb| mb.is_finite()).unwrap_or(0.0),
-            key: Some(OrderKey(fields.u64(28))).filter(|key| key.0 != 0),
-            marked: true,
-            budget: Span::from_secs(fields.f64(16)),
-        };
-        let pick = self.dispatch.pick(now, id, &wants);
-        picked(id, &pick, actions);
-    }
-
-    fn ask_line(&mut self, now: Moment, actions: &mut Vec<Action>) {
-        let tick = self.dispatch.tick(now);
-        tick.due.iter().for_each(|(id, pick)| picked(*id, pick, actions));
-        actions.extend(tick.probe.iter().map(|engine| Action::Test(*engine)));
-        actions.extend(tick.list.map(Action::List));
-        let due = now + tick.wait;
-        if self.alarm.is_none_or(|alarm| due < alarm) {
-            self.alarm = Some(due);
-            self.tag += 1;
-            actions.push(Action::Remind(tick.wait, self.tag));
-        }
+    fn read_list(&mut self, event: &Event<'_>) -> Result<(), FrameError> {
+        let fields = event.fields;
+        let entries = event.batch.entries(event.record, fields.range(2))?;
+        let engines: Result<Vec<EngineInfo>, FrameError> =
+            entries.map(|entry| engine_info(event, entry)).collect();
+        self.lists.insert(fields.u8(1), engines?);
+        Ok(())
     }
 
-    fn load(&mut self, engine: EngineId, fields: Fields<'_>, at: usize) {
-        let told = usize::from(fields.u8(at)).min(4).min(self.fields.len());
-        let mut report = LoadReport::default();
-        for (place, name) in self.fields[..told].iter().enumerate() {
-            let value = Some(fields.f32(at + 1 + 4 * place)).filter(|value| value.is_finite());
-            match name.as_str() {
-                "q" => report.waiting = value,
-                "busy" => report.busy = value,
-                "x0" => report.memory = value,
-                "x1" => report.disks = value,
-                _ => {}
+    /// Begins an instance anew. What the earlier one of its number did in this batch is void.
+    fn attach(&mut self, event: &Event<'_>, actions: &mut Vec<Action>) -> Result<(), FrameError> {
+        let fields = event.fields;
+        let gateway = fields.u16(1);
+        let settings = event.batch.text(event.record, fields.range(11))?;
+        actions.clear();
+        match Instance::new(&settings, fields.u64(3)) {
+            Ok(instance) => {
+                self.instances.insert(gateway, instance);
+            }
+            Err(error) => {
+                self.instances.remove(&gateway);
+                actions.push(Action::Panic(error.to_string()));
             }
         }
-        if told > 0 {
-            self.dispatch.told_load(engine, &report);
-        }
-    }
-}
-
-fn picked(id: StatementId, pick: &Pick, actions: &mut Vec<Action>) {
-    match *pick {
-        Pick::Relay(order) => {
-            let rank = order.rank.filter(|_| order.rank_changed);
-            actions.extend(rank.map(|rank| Action::Tune(id, rank)));
-            actions.push(Action::Attempt(id, order.engine, order.limit));
-        }
-        Pick::Held => {}
-        Pick::Deny { come_back } => actions.push(Action::PushBack(id, come_back)),
-        Pick::Scrap => actions.push(Action::Surrender(id)),
+        Ok(())
     }
 }
 
-fn engine_fact(batch: &Batch, record: usize, entry: Fields<'_>) -> Result<EngineFact, FrameError> {
-    Ok(EngineFact {
+fn engine_info(event: &Event<'_>, entry: Fields<'_>) -> Result<EngineInfo, FrameError> {
+    let stage = match StageCode::from_code(entry.u8(12)) {
+        Some(StageCode::Gone) => EngineStage::Removed,
+        Some(StageCode::Ready) => EngineStage::Ready,
+        Some(StageCode::Draining) => EngineStage::Draining,
+        None => return Err(event.unknown("engine stage", entry.u8(12).into())),
+    };
+    let started_s = entry.f64(15);
+    let is_started_told = started_s.is_finite() && started_s > 0.0;
+    Ok(EngineInfo {
         id: EngineId(entry.u32(0)),
         scale: entry.f32(4),
         location: LocationId(entry.u16(8)),
         machine: MachineId(entry.u16(10)),
-        stage: match entry.u8(12) {
-            0 => Stage::Gone,
-            1 => Stage::Ready,
-            2 => Stage::Draining,
-            stage => return Err(batch.unknown(record, "engine stage", stage.into())),
-        },
+        stage,
         cell: CellId(entry.u16(13)),
-        started: Some(entry.f64(15)).filter(|at| at.is_finite() && *at > 0.0).map(Moment::from_secs),
+        started: is_started_told.then(|| Timestamp::from_secs(started_s)),
     })
 }
