--- a/crates/membership/src/anti_entropy.rs
+++ b/crates/membership/src/anti_entropy.rs
@@ -88,16 +88,16 @@
 
 /// Bytes of an answer that were paid for in advance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Payment {
+pub(crate) enum Reservation {
     Request,
     Response,
 }
 
-impl Payment {
+impl Reservation {
     fn bytes(self) -> f64 {
         match self {
-            Payment::Request => REQUEST_BYTES,
-            Payment::Response => RESPONSE_BYTES,
+            Reservation::Request => REQUEST_BYTES,
+            Reservation::Response => RESPONSE_BYTES,
         }
     }
 }
@@ -142,7 +142,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct AntiEntropy {
     /// When the next exchange is due.
-    pub(crate) next: Timestamp,
+    pub(crate) next_exchange: Timestamp,
     /// Behind whom the next page goes on.
     pub(crate) page_cursor: Option<Name>,
     page_requests: RateLimiter,
@@ -161,7 +161,7 @@
     /// The first exchange is due then; with traffic limits its bytes are bounded.
     pub(crate) fn new(first: Timestamp, limits: Option<&TrafficLimits>) -> Self {
         AntiEntropy {
-            next: first,
+            next_exchange: first,
             page_cursor: None,
             page_requests: RateLimiter::new(PAGE_REQUESTS_PER_S),
             budget: budget(limits),
@@ -187,19 +187,19 @@
     }
 
     /// Pays for a request or a response in advance. False: the budget is used up.
-    pub(crate) fn try_pay(&mut self, now: Timestamp, payment: Payment) -> bool {
-        self.is_free(payment) || self.budget.try_spend(now, payment.bytes())
+    pub(crate) fn try_reserve(&mut self, now: Timestamp, reservation: Reservation) -> bool {
+        self.is_free(reservation) || self.budget.try_spend(now, reservation.bytes())
     }
 
     /// Without traffic limits answers are given whatever they take.
-    fn is_free(&self, payment: Payment) -> bool {
-        payment == Payment::Response && !self.is_limited
+    fn is_free(&self, reservation: Reservation) -> bool {
+        reservation == Reservation::Response && !self.is_limited
     }
 
     /// A datagram that was paid for took so many bytes: what it did not take comes back.
-    pub(crate) fn settle(&mut self, payment: Payment, bytes: usize) {
-        if !self.is_free(payment) {
-            self.budget.spend(bytes as f64 - payment.bytes());
+    pub(crate) fn settle(&mut self, reservation: Reservation, bytes: usize) {
+        if !self.is_free(reservation) {
+            self.budget.spend(bytes as f64 - reservation.bytes());
         }
     }
 
@@ -323,7 +323,7 @@
     }
 
     /// One host told all up to this fingerprint.
-    pub(crate) fn told_until(&mut self, until: Fingerprint) {
+    pub(crate) fn fingerprints_compared(&mut self, until: Fingerprint) {
         self.fingerprint_cursor.told_until(until);
     }
 
--- a/crates/membership/src/dissemination.rs
+++ b/crates/membership/src/dissemination.rs
@@ -79,7 +79,7 @@
 
     /// Names of so many updates, the least told first, by name among equals.
     #[must_use]
-    pub fn least_told(&self, count: usize) -> Vec<Name> {
+    pub fn least_transmitted(&self, count: usize) -> Vec<Name> {
         let mut names: Vec<(u32, &Name)> = self
             .remaining
             .iter()
@@ -95,7 +95,7 @@
     }
 
     /// An update was told once, by this node or by another.
-    pub fn told(&mut self, name: &Name) {
+    pub fn mark_transmitted(&mut self, name: &Name) {
         let Some(remaining) = self.remaining.get_mut(name) else {
             return;
         };
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -74,7 +74,7 @@
 
 impl Incarnation {
     /// None beyond is believed, so that a refutation always has room.
-    pub const LAST: Incarnation = Incarnation(u32::MAX / 2);
+    pub const MAX: Incarnation = Incarnation(u32::MAX / 2);
 
     /// The next higher one.
     #[must_use]
--- a/crates/membership/src/member_entry.rs
+++ b/crates/membership/src/member_entry.rs
@@ -155,7 +155,7 @@
     /// Whether this is in the fleet in another boot than a node that answered, which the answer does not replace: it is not
     /// above what is held or, at another address, waits until nobody answers at the first, or any process could take a name
     /// that is in use.
-    pub(crate) fn is_above_boot_of(&self, other: &Record) -> bool {
+    pub(crate) fn rejects_boot_of(&self, other: &Record) -> bool {
         let is_other_boot = self.record.boot_id != other.boot_id;
         let is_not_above =
             other.incarnation <= self.record.incarnation || other.address != self.record.address;
--- a/crates/membership/src/name_conflict.rs
+++ b/crates/membership/src/name_conflict.rs
@@ -42,7 +42,7 @@
 
     /// Whether it may rise above another boot's incarnation now. Step by step, or one Byzantine node's word would use the
     /// range up.
-    pub fn may_rise(&mut self, now: Timestamp) -> bool {
+    pub fn may_raise_incarnation(&mut self, now: Timestamp) -> bool {
         self.rises.try_take(now)
     }
 
@@ -56,7 +56,7 @@
     }
 
     /// The other process answered a probe: it is there. A node whose view never converged gives way.
-    pub fn confirmed(&mut self, now: Timestamp, rng: &mut Pcg64Mcg) {
+    pub fn conflict_confirmed(&mut self, now: Timestamp, rng: &mut Pcg64Mcg) {
         self.probed = None;
         if !self.has_converged {
             let lasts = TimeDelta::from_secs(WITHDRAWAL_S * (0.5 + rng.random::<f64>()));
--- a/crates/membership/src/node/anti_entropy.rs
+++ b/crates/membership/src/node/anti_entropy.rs
@@ -4,7 +4,7 @@
 
 use super::Node;
 use super::send::Recipient;
-use crate::anti_entropy::{ExchangeKind, Payment};
+use crate::anti_entropy::{ExchangeKind, Reservation};
 use crate::member::{Name, Record};
 use crate::message::{self, Body, MAX_TABLE_PART_BYTES};
 use crate::probe_round::sample_one;
@@ -62,7 +62,7 @@
 impl Node {
     /// Exchanges tables with a member by chance, if that is due.
     pub(super) fn exchange_tables(&mut self, now: Timestamp) {
-        if self.anti_entropy.next > now {
+        if self.anti_entropy.next_exchange > now {
             return;
         }
         if self.has_traffic_limits() {
@@ -84,7 +84,7 @@
 
     fn schedule_exchange(&mut self, now: Timestamp, periods: f64) {
         let pause_s = self.config.probe_period.secs() * periods * self.jitter();
-        self.anti_entropy.next = now + TimeDelta::from_secs(pause_s);
+        self.anti_entropy.next_exchange = now + TimeDelta::from_secs(pause_s);
     }
 
     /// Periods until the next exchange of pages.
@@ -113,7 +113,7 @@
 
     /// Compares tables with a member by chance: not with the one whose answer is waited for.
     pub(super) fn begin_comparison(&mut self, now: Timestamp) {
-        if !self.try_pay_exchange(now, Payment::Request) {
+        if !self.try_reserve_exchange(now, Reservation::Request) {
             return;
         }
         let pending_peer = self.anti_entropy.pending_peer();
@@ -132,7 +132,7 @@
             ExchangeKind::Digests => self.send_digests(now, &peer),
             ExchangeKind::Fingerprints => self.send_fingerprints(now, &peer),
         }
-        self.settle_payment(Payment::Request);
+        self.settle_reservation(Reservation::Request);
     }
 
     /// Goes on comparing at once where tables still differ, as long as bytes were saved.
@@ -174,18 +174,22 @@
     }
 
     /// Pays for an exchange in advance. False: the budget is used up.
-    pub(super) fn try_pay_exchange(&mut self, now: Timestamp, payment: Payment) -> bool {
-        let is_paid = self.anti_entropy.try_pay(now, payment);
-        if !is_paid {
+    pub(super) fn try_reserve_exchange(
+        &mut self,
+        now: Timestamp,
+        reservation: Reservation,
+    ) -> bool {
+        let is_reserved = self.anti_entropy.try_reserve(now, reservation);
+        if !is_reserved {
             self.metrics.limited_exchange += 1;
         }
-        is_paid
+        is_reserved
     }
 
     /// The last datagram out was paid for in advance: what it did not take comes back.
-    pub(super) fn settle_payment(&mut self, payment: Payment) {
+    pub(super) fn settle_reservation(&mut self, reservation: Reservation) {
         if let Some(datagram) = self.datagrams.last() {
-            self.anti_entropy.settle(payment, datagram.bytes.len());
+            self.anti_entropy.settle(reservation, datagram.bytes.len());
         }
     }
 }
--- a/crates/membership/src/node/digest_exchange.rs
+++ b/crates/membership/src/node/digest_exchange.rs
@@ -7,7 +7,7 @@
 use super::Node;
 use super::anti_entropy::TablePart;
 use super::send::Recipient;
-use crate::anti_entropy::{DigestRequest, Payment};
+use crate::anti_entropy::{DigestRequest, Reservation};
 use crate::member::Record;
 use crate::message::{Body, Nonce};
 use crate::table_digest::{BucketDigest, BucketRange};
@@ -59,7 +59,7 @@
         };
         self.metrics.digest_requests_answered += 1;
         self.send(now, &Recipient::of(from), body, differing.records);
-        self.settle_payment(Payment::Response);
+        self.settle_reservation(Reservation::Response);
     }
 
     /// Records of the buckets that differ, from the first on as far as they fit. Of a bucket that does not fit alone, some
--- a/crates/membership/src/node/fingerprint_exchange.rs
+++ b/crates/membership/src/node/fingerprint_exchange.rs
@@ -9,7 +9,7 @@
 use super::Node;
 use super::anti_entropy::{MAX_CANDIDATES, TablePart};
 use super::send::Recipient;
-use crate::anti_entropy::{FingerprintRequest, Payment};
+use crate::anti_entropy::{FingerprintRequest, Reservation};
 use crate::member::{MemberState, Record};
 use crate::member_entry::MemberEntry;
 use crate::message::{Body, Nonce};
@@ -87,7 +87,7 @@
         };
         self.metrics.fingerprint_requests_answered += 1;
         self.send(now, &Recipient::of(sender), body, unlisted.records);
-        self.settle_payment(Payment::Response);
+        self.settle_reservation(Reservation::Response);
     }
 
     /// What is held beside fingerprints that another node sent, and of these what has gone, as far as it fits.
@@ -143,7 +143,7 @@
         let differ_little =
             is_told_in_full && is_nearly_equal && self.table.candidate_count() <= MAX_CANDIDATES;
         self.anti_entropy.set_tables_differ_little(differ_little);
-        self.anti_entropy.told_until(until);
+        self.anti_entropy.fingerprints_compared(until);
         if !differ_little {
             self.continue_comparison(now);
         }
--- a/crates/membership/src/node/gossip.rs
+++ b/crates/membership/src/node/gossip.rs
@@ -23,7 +23,7 @@
             self.add_acked(now, from);
             return;
         };
-        if entry.is_above_boot_of(from) {
+        if entry.rejects_boot_of(from) {
             // The node hears of the earlier boot with this node's answer, and rises.
             return;
         }
@@ -51,7 +51,7 @@
         }
         self.member_changed(now, &from.name);
         // It may know more than the seed by which it came.
-        self.anti_entropy.next = now;
+        self.anti_entropy.next_exchange = now;
     }
 
     /// A node's own record, from its own address: believed of a member that is held at that address, else verified.
@@ -156,7 +156,7 @@
             .table
             .get(&update.name)
             .map_or(Incarnation(0), |entry| entry.record.incarnation);
-        let is_in_range = update.incarnation <= Incarnation::LAST;
+        let is_in_range = update.incarnation <= Incarnation::MAX;
         is_in_range && update.incarnation.ahead_of(held) <= MAX_INCARNATION_LEAP
     }
 
@@ -195,7 +195,7 @@
         self.table.withdraw_witness(&witness.name, &update.name);
         if is_equal {
             // Others tell it too.
-            self.dissemination.told(&update.name);
+            self.dissemination.mark_transmitted(&update.name);
         }
         true
     }
--- a/crates/membership/src/node/probing.rs
+++ b/crates/membership/src/node/probing.rs
@@ -76,9 +76,9 @@
             ProbePurpose::Member(name) if self.probe_retries.contains(name) => {
                 let direct = TimeDelta::from_secs(direct.secs() / multiplier.sqrt());
                 let total = TimeDelta::from_secs(direct.secs() * 2.0);
-                ProbeTimeouts { direct, total }.times(multiplier)
+                ProbeTimeouts { direct, total }.scaled_by(multiplier)
             }
-            _ => plain.times(multiplier),
+            _ => plain.scaled_by(multiplier),
         }
     }
 
@@ -148,7 +148,7 @@
                 self.probe_retries.clear(&name);
                 continue;
             }
-            self.probe_retries.started(&name);
+            self.probe_retries.mark_started(&name);
             self.metrics.probes_repeated += 1;
             self.probe_member(now, &name);
         }
--- a/crates/membership/src/node/receive.rs
+++ b/crates/membership/src/node/receive.rs
@@ -6,7 +6,7 @@
 
 use super::send::ReceivedPayload;
 use super::{Node, acks::ProbeAnswer};
-use crate::anti_entropy::Payment;
+use crate::anti_entropy::Reservation;
 use crate::engine_gossip::{EngineReport, MAX_REPORTS_PER_MESSAGE};
 use crate::member::{Incarnation, MemberState, Record};
 use crate::member_entry::MemberEntry;
@@ -104,7 +104,7 @@
     }
 
     fn check_incarnation(&mut self, message: &Message) -> Result<(), RejectReason> {
-        if message.from.incarnation > Incarnation::LAST {
+        if message.from.incarnation > Incarnation::MAX {
             self.metrics.implausible_incarnations += 1;
             return Err(RejectReason::Malformed);
         }
@@ -144,8 +144,8 @@
             Body::PageRequest { .. }
             | Body::DigestRequest { .. }
             | Body::FingerprintRequest { .. } => {
-                self.request_limits.try_give_table_part(now)
-                    && self.try_pay_exchange(now, Payment::Response)
+                self.request_limits.try_answer_table_request(now)
+                    && self.try_reserve_exchange(now, Reservation::Response)
             }
             _ => true,
         };
@@ -186,7 +186,7 @@
             }
             return;
         }
-        self.views.hear(now, view);
+        self.views.receive_view(now, view);
         for record in records {
             self.take_update(now, from, record);
         }
--- a/crates/membership/src/node/refutation.rs
+++ b/crates/membership/src/node/refutation.rs
@@ -21,7 +21,7 @@
         // Only this node raises its incarnation: a number far above it is no honest node's.
         let leap = held.incarnation.ahead_of(self.local.incarnation);
         let is_too_far = is_same_boot && leap > MAX_LOCAL_LEAP;
-        if held.incarnation >= Incarnation::LAST || is_too_far {
+        if held.incarnation >= Incarnation::MAX || is_too_far {
             self.metrics.implausible_incarnations += 1;
             return;
         }
@@ -46,7 +46,7 @@
     /// where it is said to be.
     fn take_other_boot(&mut self, now: Timestamp, other: &Record) {
         let is_above = other.incarnation >= self.local.incarnation;
-        if is_above && self.name_conflict.may_rise(now) {
+        if is_above && self.name_conflict.may_raise_incarnation(now) {
             let reachable = Incarnation(
                 self.local
                     .incarnation
@@ -78,7 +78,7 @@
             return;
         };
         if self.take_conflict_ack(source, nonce) {
-            self.name_conflict.confirmed(now, &mut self.rng);
+            self.name_conflict.conflict_confirmed(now, &mut self.rng);
             self.emit(Event::NameConflict {
                 other: other.boot_id,
             });
--- a/crates/membership/src/node/send.rs
+++ b/crates/membership/src/node/send.rs
@@ -165,7 +165,7 @@
         let mut remaining = max_bytes;
         // A message holds a few; of hundreds only these are looked at.
         let max_updates = remaining / MIN_RECORD_BYTES + 1;
-        for name in self.dissemination.least_told(max_updates) {
+        for name in self.dissemination.least_transmitted(max_updates) {
             let Some(entry) = self.table.get(&name).filter(|entry| entry.confirmed) else {
                 self.dissemination.remove(&name);
                 continue;
@@ -176,7 +176,7 @@
             }
             remaining -= size;
             message.records.push(entry.record.clone());
-            self.dissemination.told(&name);
+            self.dissemination.mark_transmitted(&name);
         }
         max_bytes - remaining
     }
--- a/crates/membership/src/outstanding_probes.rs
+++ b/crates/membership/src/outstanding_probes.rs
@@ -59,7 +59,7 @@
 impl ProbeTimeouts {
     /// Both times as many times as long.
     #[must_use]
-    pub(crate) fn times(self, factor: f64) -> ProbeTimeouts {
+    pub(crate) fn scaled_by(self, factor: f64) -> ProbeTimeouts {
         ProbeTimeouts {
             direct: TimeDelta::from_secs(self.direct.secs() * factor),
             total: TimeDelta::from_secs(self.total.secs() * factor),
--- a/crates/membership/src/probe_retries.rs
+++ b/crates/membership/src/probe_retries.rs
@@ -87,7 +87,7 @@
     }
 
     /// The repeat of this member's probe is sent.
-    pub fn started(&mut self, name: &Name) {
+    pub fn mark_started(&mut self, name: &Name) {
         if let Some(retry) = self.retries.get_mut(name) {
             retry.due = None;
         }
--- a/crates/membership/src/request_limits.rs
+++ b/crates/membership/src/request_limits.rs
@@ -44,7 +44,7 @@
     }
 
     /// Whether a part of the table is given out.
-    pub(crate) fn try_give_table_part(&mut self, now: Timestamp) -> bool {
+    pub(crate) fn try_answer_table_request(&mut self, now: Timestamp) -> bool {
         self.table_parts.try_take(now)
     }
 }
--- a/crates/membership/src/view_tracker.rs
+++ b/crates/membership/src/view_tracker.rs
@@ -51,7 +51,7 @@
     }
 
     /// A member told its view.
-    pub(crate) fn hear(&mut self, now: Timestamp, view: View) {
+    pub(crate) fn receive_view(&mut self, now: Timestamp, view: View) {
         self.heard.push_back(HeardView { heard: now, view });
         if self.heard.len() > MAX_HEARD {
             self.heard.pop_front();
--- a/crates/membership/tests/dissemination.rs
+++ b/crates/membership/tests/dissemination.rs
@@ -19,12 +19,12 @@
     for number in [2, 0, 1] {
         queue.enqueue(&name(number), 2);
     }
-    queue.told(&name(0));
-    assert_eq!(queue.least_told(2), [name(1), name(2)]);
-    queue.told(&name(0));
+    queue.mark_transmitted(&name(0));
+    assert_eq!(queue.least_transmitted(2), [name(1), name(2)]);
+    queue.mark_transmitted(&name(0));
     assert!(!queue.contains(&name(0)));
     queue.remove(&name(1));
-    assert_eq!(queue.least_told(9), [name(2)]);
+    assert_eq!(queue.least_transmitted(9), [name(2)]);
 }
 
 #[test]
@@ -34,7 +34,7 @@
     for number in 0..128 {
         queue.enqueue(&name(number), 9);
     }
-    queue.told(&name(77));
+    queue.mark_transmitted(&name(77));
     queue.enqueue(&name(500), 9);
     assert!(!queue.contains(&name(77)));
     assert!(queue.contains(&name(500)));
@@ -42,5 +42,5 @@
     for number in 0..200 {
         unlimited.enqueue(&name(number), 9);
     }
-    assert_eq!(unlimited.least_told(1000).len(), 200);
+    assert_eq!(unlimited.least_transmitted(1000).len(), 200);
 }
--- a/crates/membership/tests/golden.rs
+++ b/crates/membership/tests/golden.rs
@@ -241,7 +241,7 @@
             "alive_highest",
             Record {
                 boot_id: BootId(u64::MAX),
-                incarnation: Incarnation::LAST,
+                incarnation: Incarnation::MAX,
                 address: "255.255.255.255:65535".parse().unwrap(),
                 ..sender()
             },
--- a/crates/membership/tests/probe_retries.rs
+++ b/crates/membership/tests/probe_retries.rs
@@ -19,7 +19,7 @@
         let outcome = retries.probe_failed(now(), &name(1), 3);
         assert_eq!(outcome, FailureOutcome::Retry);
         assert_eq!(retries.due(now()), [name(1)]);
-        retries.started(&name(1));
+        retries.mark_started(&name(1));
         assert_eq!(retries.next_due(), None, "that probe runs");
     }
     let outcome = retries.probe_failed(now(), &name(1), 3);
