--- a/crates/admission/src/policy/mod.rs
+++ b/crates/admission/src/policy/mod.rs
@@ -1,7 +1,7 @@
 //! Every decision, table and tuned value of laurelhitch. [`Policy`] is called like a client library, on one thread:
 //!
 //! - [`Policy::place`]: where to send a statement, or not yet, or never;
-//! - [`Policy::after`]: what to do after something happened to an attempt;
+//! - [`Policy::on_attempt_report`]: what to do after something happened to an attempt;
 //! - [`Policy::end_turn`]: what is due at the end of a turn, and when the next one is;
 //! - notifications (`on_*`): what is learned of engines, other gateways and quotas.
 //!
--- a/crates/admission/src/policy/outcome.rs
+++ b/crates/admission/src/policy/outcome.rs
@@ -38,7 +38,7 @@
     /// # Panics
     ///
     /// Where the statement's class is none of the configured ones.
-    pub fn after(
+    pub fn on_attempt_report(
         &mut self,
         now: Timestamp,
         statement: &Statement,
--- a/crates/admission/tests/decisions.rs
+++ b/crates/admission/tests/decisions.rs
@@ -408,7 +408,10 @@
             answered,
         };
         self.completed += usize::from(matches!(event, AttemptEvent::Completed { .. }));
-        match self.policy.after(at(self.now), &held.s, &outcome) {
+        match self
+            .policy
+            .on_attempt_report(at(self.now), &held.s, &outcome)
+        {
             NextStep::Continue => {}
             NextStep::Cancel(_) => self.outcome(id, AttemptEvent::Cancelled),
             NextStep::Requeue => held.s.waiting_since = at(self.now),
@@ -850,7 +853,7 @@
         latency: span(0.01),
         answered: false,
     };
-    Some(policy.after(at(now), s, &outcome))
+    Some(policy.on_attempt_report(at(now), s, &outcome))
 }
 
 fn fresh(id: u64, now: f64) -> Statement {
@@ -949,7 +952,7 @@
                 latency: span(0.01),
                 answered: !sick,
             };
-            policy.after(at(now), &s, &outcome);
+            policy.on_attempt_report(at(now), &s, &outcome);
         }
         assert_eq!(used > 40, stays, "{used} of 200");
     }
@@ -977,7 +980,7 @@
                     latency: span(0.1),
                     answered: true,
                 };
-                policy.after(at(now), &s, &outcome);
+                policy.on_attempt_report(at(now), &s, &outcome);
             }
             for n in 0..each_10_ms {
                 let mut s = fresh(u64::from(step * 10 + n), now);
@@ -1023,7 +1026,7 @@
                     memory_mb: None,
                 };
                 let (attempt, latency) = (AttemptNumber(0), span(latency));
-                policy.after(
+                policy.on_attempt_report(
                     at(now),
                     &s,
                     &AttemptReport {
@@ -1092,7 +1095,7 @@
             latency: span(0.01),
             answered: true,
         };
-        policy.after(at(now + 0.1), &s, &outcome);
+        policy.on_attempt_report(at(now + 0.1), &s, &outcome);
         policy.end_turn(at(now + 0.2), 0);
         now += 0.5;
     }
@@ -1150,7 +1153,7 @@
             latency: span(0.01),
             answered: false,
         };
-        policy.after(at(1000.0), &s, &outcome);
+        policy.on_attempt_report(at(1000.0), &s, &outcome);
         matches!(policy.place(at(1000.0), &s), Placement::Send { .. })
     });
     again.count()
--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -210,7 +210,7 @@
             latency,
             answered: answered || open.answered,
         };
-        let next = self.policy.after(now, &open.statement, &report);
+        let next = self.policy.on_attempt_report(now, &open.statement, &report);
         let follow_up = self.follow(now, id, next);
         self.close_if_done(id);
         follow_up
