--- a/crates/membership/src/anti_entropy.rs
+++ b/crates/membership/src/anti_entropy.rs
@@ -1,8 +1,9 @@
-//! Where this node is in exchanging its table with others'.
+//! The state of anti-entropy, the periodic exchange of the member table with other nodes.
 //!
-//! Without traffic limits whole tables are asked for by pages. With them tables are compared: by digests of buckets where
-//! they differ by little, by fingerprints of records where they differ by much, and by pages now and then where the other
-//! side knows no comparison.
+//! Without traffic limits, a node requests whole tables page by page. With traffic limits, it
+//! compares tables: by bucket digests if they differ little, and by record fingerprints if they
+//! differ much. If comparisons stay unanswered, it also requests pages now and then, because nodes
+//! of older versions do not support comparisons.
 
 use std::net::SocketAddr;
 
@@ -16,23 +17,27 @@
 use crate::table_digest::{BUCKETS, BucketDigest, BucketRange, Fingerprint, MAX_FINGERPRINTS};
 use crate::traffic_limits::TrafficLimits;
 
-/// Bytes that a node may save up: nearly what a newcomer's comparisons with a table of some 1,900 nodes take.
-const BURST_BYTES: f64 = 16_000.0;
-/// Bytes that one page, or one answer to a comparison, comes to at most.
+/// The capacity of the byte budget. It nearly covers the comparisons that a new node needs to learn
+/// a table of about 1,900 nodes.
+const BUDGET_CAPACITY_BYTES: f64 = 16_000.0;
+/// The number of bytes reserved for a response: the maximum size of one page or of one answer to a
+/// comparison.
 const RESPONSE_BYTES: f64 = 1_100.0;
-/// Bytes that one comparison comes to at most.
+/// The number of bytes reserved for a request: the maximum size of one comparison.
 const REQUEST_BYTES: f64 = 500.0;
-/// Saved bytes above which the next comparison follows an answer at once.
-const IMMEDIATE_REQUEST_BYTES: f64 = 4.0 * RESPONSE_BYTES;
-/// Pages that are asked for a second: a fleet whose views differ must not talk of nothing else.
+/// The number of available bytes above which the next comparison immediately follows an answer.
+const MIN_BYTES_TO_CONTINUE: f64 = 4.0 * RESPONSE_BYTES;
+/// The maximum rate of page requests. It keeps table exchanges from dominating the traffic of a
+/// fleet whose views differ.
 const PAGE_REQUESTS_PER_S: f64 = 4.0;
-/// Comparisons without an answer after which every other exchange asks for pages: older versions know no comparison.
-const UNANSWERED_BEFORE_PAGES: u32 = 3;
-/// Comparisons of the same buckets, or hosts asked from one fingerprint on, before the next ones: what differs is vouched
-/// for by two.
-const REPEATS: u32 = 2;
-
-/// The request that waits for an answer.
+/// The number of unanswered comparisons after which every other exchange requests pages instead,
+/// because older versions do not support comparisons.
+const MAX_UNANSWERED_COMPARISONS: u32 = 3;
+/// How often a range is compared before the cursor moves on. Two answers are needed, because a
+/// difference takes effect only once two nodes vouch for it.
+const COMPARISONS_PER_RANGE: u32 = 2;
+
+/// The comparison that is waiting for an answer.
 #[derive(Clone, Debug)]
 struct PendingRequest {
     nonce: Nonce,
@@ -40,28 +45,29 @@
     content: RequestContent,
 }
 
-/// What was sent with a request.
+/// The contents of a comparison.
 #[derive(Clone, Debug)]
 enum RequestContent {
     Digests(DigestRequest),
     Fingerprints(FingerprintRequest),
 }
 
-/// Digests that were sent.
+/// The digests that were sent in a request.
 #[derive(Clone, Debug)]
 pub(crate) struct DigestRequest {
     pub(crate) range: BucketRange,
     pub(crate) digests: Vec<BucketDigest>,
 }
 
-/// Fingerprints that were sent, in their order.
+/// The fingerprints that were sent in a request, in ascending order.
 #[derive(Clone, Debug)]
 pub(crate) struct FingerprintRequest {
     pub(crate) fingerprints: Vec<Fingerprint>,
 }
 
 impl FingerprintRequest {
-    /// Up to where it asks: its last fingerprint, or the end of all where it names fewer than it could.
+    /// Returns the end of the requested range, inclusive: the last fingerprint if the list is full,
+    /// or else the highest possible one.
     pub(crate) fn end(&self) -> Fingerprint {
         let is_full = self.fingerprints.len() >= MAX_FINGERPRINTS;
         match self.fingerprints.last() {
@@ -70,7 +76,7 @@
         }
     }
 
-    /// Whether a fingerprint was named and its bit is set in an answer.
+    /// Returns whether a fingerprint was listed and its bit is set in the answer.
     pub(crate) fn is_held(&self, fingerprint: Fingerprint, held: u64) -> bool {
         self.fingerprints
             .binary_search(&fingerprint)
@@ -78,7 +84,7 @@
     }
 }
 
-/// What to send in an exchange.
+/// The kind of message that begins an exchange.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ExchangeKind {
     Page,
@@ -86,7 +92,7 @@
     Fingerprints,
 }
 
-/// Bytes of an answer that were paid for in advance.
+/// The kind of datagram that bytes are reserved for before its size is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Reservation {
     Request,
@@ -102,48 +108,48 @@
     }
 }
 
-/// The buckets that are compared now.
+/// The range of buckets that is being compared.
 #[derive(Clone, Copy, Debug, Default)]
 struct DigestCursor {
-    /// The first of them; `None`: one by chance.
+    /// The first bucket of the range, or `None` to start at a random bucket.
     first: Option<usize>,
     comparisons: u32,
 }
 
 impl DigestCursor {
-    fn compared(&mut self, next: usize, is_equal: bool) {
+    fn advance(&mut self, next: usize, is_equal: bool) {
         self.comparisons += 1;
-        if is_equal || self.comparisons >= REPEATS {
+        if is_equal || self.comparisons >= COMPARISONS_PER_RANGE {
             self.first = Some(next);
             self.comparisons = 0;
         }
     }
 }
 
-/// The fingerprint from which on records are listed now.
+/// The range of fingerprints that is being compared.
 #[derive(Clone, Copy, Debug, Default)]
 struct FingerprintCursor {
-    /// `None`: one by chance.
+    /// The start of the range, or `None` to start at a random fingerprint.
     from: Option<Fingerprint>,
-    hosts: u32,
+    responses: u32,
 }
 
 impl FingerprintCursor {
-    fn told_until(&mut self, until: Fingerprint) {
-        self.hosts += 1;
-        if self.hosts >= REPEATS {
-            self.hosts = 0;
+    fn advance(&mut self, until: Fingerprint) {
+        self.responses += 1;
+        if self.responses >= COMPARISONS_PER_RANGE {
+            self.responses = 0;
             self.from = Some(until.next());
         }
     }
 }
 
-/// Where this node is in exchanging its table with others'.
+/// The state of a node's table exchanges.
 #[derive(Clone, Debug)]
 pub(crate) struct AntiEntropy {
     /// When the next exchange is due.
     pub(crate) next_exchange: Timestamp,
-    /// Behind whom the next page goes on.
+    /// The name after which the next page starts, or `None` for the first page.
     pub(crate) page_cursor: Option<Name>,
     page_requests: RateLimiter,
     budget: ByteBudget,
@@ -151,14 +157,15 @@
     pending: Option<PendingRequest>,
     digest_cursor: DigestCursor,
     fingerprint_cursor: FingerprintCursor,
-    /// Tables lately differed by so little that digests tell it for fewer bytes than fingerprints.
+    /// Whether tables recently differed so little that digests need fewer bytes than fingerprints.
     tables_differ_little: bool,
-    unanswered: u32,
+    unanswered_requests: u32,
     exchanges: u32,
 }
 
 impl AntiEntropy {
-    /// The first exchange is due then; with traffic limits its bytes are bounded.
+    /// Creates the initial state. The first exchange is due at `first`, and `limits` bounds the
+    /// bytes of all exchanges.
     pub(crate) fn new(first: Timestamp, limits: Option<&TrafficLimits>) -> Self {
         AntiEntropy {
             next_exchange: first,
@@ -170,57 +177,60 @@
             digest_cursor: DigestCursor::default(),
             fingerprint_cursor: FingerprintCursor::default(),
             tables_differ_little: false,
-            unanswered: 0,
+            unanswered_requests: 0,
             exchanges: 0,
         }
     }
 
-    /// Other limits from now on.
+    /// Replaces the traffic limits.
     pub(crate) fn set_limits(&mut self, limits: Option<&TrafficLimits>) {
         self.budget = budget(limits);
         self.is_limited = limits.is_some();
     }
 
-    /// Whether one more page may be asked for.
+    /// Returns whether the rate limit allows another page request, and counts it.
     pub(crate) fn may_request_page(&mut self, now: Timestamp) -> bool {
         self.page_requests.try_take(now)
     }
 
-    /// Pays for a request or a response in advance. False: the budget is used up.
+    /// Reserves the bytes of a request or a response. Returns false if the budget is exhausted.
     pub(crate) fn try_reserve(&mut self, now: Timestamp, reservation: Reservation) -> bool {
-        self.is_free(reservation) || self.budget.try_spend(now, reservation.bytes())
+        self.is_exempt(reservation) || self.budget.try_spend(now, reservation.bytes())
     }
 
-    /// Without traffic limits answers are given whatever they take.
-    fn is_free(&self, reservation: Reservation) -> bool {
+    /// Returns whether this kind of datagram is exempt from the budget. Without traffic limits,
+    /// responses are.
+    fn is_exempt(&self, reservation: Reservation) -> bool {
         reservation == Reservation::Response && !self.is_limited
     }
 
-    /// A datagram that was paid for took so many bytes: what it did not take comes back.
+    /// Replaces a reservation by the actual size of the datagram, so that unused bytes return to
+    /// the budget.
     pub(crate) fn settle(&mut self, reservation: Reservation, bytes: usize) {
-        if !self.is_free(reservation) {
+        if !self.is_exempt(reservation) {
             self.budget.spend(bytes as f64 - reservation.bytes());
         }
     }
 
-    /// Whether so many bytes are saved that the next comparison may follow at once.
+    /// Returns whether enough bytes are available for the next comparison to follow immediately.
     pub(crate) fn may_continue(&mut self, now: Timestamp) -> bool {
-        self.budget.available(now) >= IMMEDIATE_REQUEST_BYTES
+        self.budget.available(now) >= MIN_BYTES_TO_CONTINUE
     }
 
-    /// Whom the pending request went to.
+    /// Returns the address that the pending request was sent to, or `None` if no request is
+    /// pending.
     pub(crate) fn pending_peer(&self) -> Option<SocketAddr> {
         self.pending.as_ref().map(|pending| pending.peer)
     }
 
-    /// Begins an exchange: the pending request, if any, stays unanswered.
+    /// Begins an exchange and returns its kind. A pending request counts as unanswered.
     pub(crate) fn begin(&mut self) -> ExchangeKind {
         if self.pending.take().is_some() {
-            self.unanswered += 1;
+            self.unanswered_requests += 1;
         }
         self.exchanges = self.exchanges.wrapping_add(1);
         let is_page_turn = self.exchanges.is_multiple_of(2);
-        if self.unanswered >= UNANSWERED_BEFORE_PAGES && is_page_turn {
+        if self.unanswered_requests >= MAX_UNANSWERED_COMPARISONS && is_page_turn {
             ExchangeKind::Page
         } else if self.tables_differ_little {
             ExchangeKind::Digests
@@ -229,7 +239,7 @@
         }
     }
 
-    /// The buckets to compare now.
+    /// Returns the buckets to compare next.
     pub(crate) fn next_buckets(&mut self, rng: &mut Pcg64Mcg) -> BucketRange {
         let first = self
             .digest_cursor
@@ -239,7 +249,7 @@
         BucketRange::of_request(first)
     }
 
-    /// The fingerprint to list from now.
+    /// Returns the fingerprint at which the next list starts.
     pub(crate) fn next_fingerprint(&mut self, rng: &mut Pcg64Mcg) -> Fingerprint {
         let from = self
             .fingerprint_cursor
@@ -249,7 +259,7 @@
         from
     }
 
-    /// Digests were sent.
+    /// Records that a digest request was sent to a peer.
     pub(crate) fn digests_sent(&mut self, nonce: Nonce, peer: SocketAddr, request: DigestRequest) {
         self.pending = Some(PendingRequest {
             nonce,
@@ -258,7 +268,7 @@
         });
     }
 
-    /// Fingerprints were sent.
+    /// Records that a fingerprint request was sent to a peer.
     pub(crate) fn fingerprints_sent(
         &mut self,
         nonce: Nonce,
@@ -272,7 +282,8 @@
         });
     }
 
-    /// The digests that an answer is to; `None`: it answers nothing that waits.
+    /// Removes and returns the digest request that a response answers, or `None` if the response
+    /// answers no pending request.
     pub(crate) fn take_digest_request(
         &mut self,
         nonce: Nonce,
@@ -281,13 +292,14 @@
         let is_digests =
             |pending: &mut PendingRequest| matches!(pending.content, RequestContent::Digests(_));
         let pending = self.pending.take_if(is_digests)?;
-        match self.answered(pending, nonce, peer)? {
+        match self.match_response(pending, nonce, peer)? {
             RequestContent::Digests(request) => Some(request),
             RequestContent::Fingerprints(_) => None,
         }
     }
 
-    /// The fingerprints that an answer is to; `None`: it answers nothing that waits.
+    /// Removes and returns the fingerprint request that a response answers, or `None` if the
+    /// response answers no pending request.
     pub(crate) fn take_fingerprint_request(
         &mut self,
         nonce: Nonce,
@@ -297,14 +309,15 @@
             matches!(pending.content, RequestContent::Fingerprints(_))
         };
         let pending = self.pending.take_if(is_fingerprints)?;
-        match self.answered(pending, nonce, peer)? {
+        match self.match_response(pending, nonce, peer)? {
             RequestContent::Fingerprints(request) => Some(request),
             RequestContent::Digests(_) => None,
         }
     }
 
-    /// The request's content, if the answer is to it: whoever gives it knows comparisons.
-    fn answered(
+    /// Returns the contents of the request if nonce and peer match. The answer also shows that
+    /// nodes support comparisons, so the count of unanswered requests is reset.
+    fn match_response(
         &mut self,
         pending: PendingRequest,
         nonce: Nonce,
@@ -313,21 +326,22 @@
         if pending.nonce != nonce || pending.peer != peer {
             return None;
         }
-        self.unanswered = 0;
+        self.unanswered_requests = 0;
         Some(pending.content)
     }
 
-    /// Buckets were compared; `next` is the first of those that follow.
+    /// Records the result of comparing a range of buckets. `next` is the first bucket after the
+    /// range.
     pub(crate) fn buckets_compared(&mut self, next: usize, is_equal: bool) {
-        self.digest_cursor.compared(next, is_equal);
+        self.digest_cursor.advance(next, is_equal);
     }
 
-    /// One host told all up to this fingerprint.
+    /// Records that a peer answered for all fingerprints up to `until`, inclusive.
     pub(crate) fn fingerprints_compared(&mut self, until: Fingerprint) {
-        self.fingerprint_cursor.told_until(until);
+        self.fingerprint_cursor.advance(until);
     }
 
-    /// Whether tables lately differed by little.
+    /// Sets whether tables recently differed little.
     pub(crate) fn set_tables_differ_little(&mut self, differ_little: bool) {
         self.tables_differ_little = differ_little;
     }
@@ -335,5 +349,5 @@
 
 fn budget(limits: Option<&TrafficLimits>) -> ByteBudget {
     let limits = limits.cloned().unwrap_or_default();
-    ByteBudget::new(limits.exchange_bytes_per_s, BURST_BYTES)
+    ByteBudget::new(limits.exchange_bytes_per_s, BUDGET_CAPACITY_BYTES)
 }
--- a/crates/membership/src/config.rs
+++ b/crates/membership/src/config.rs
@@ -1,45 +1,52 @@
-//! Times and limits of the protocol, with their defaults.
+//! The configuration of the protocol and its defaults.
 
 use admission::interface::TimeDelta;
 
 use crate::traffic_limits::TrafficLimits;
 
-/// Times and limits of the protocol.
+/// The timing and the limits of the protocol.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Config {
-    /// SWIM's protocol period: one member is probed in each.
+    /// SWIM's protocol period, in which one member is probed.
     pub probe_period: TimeDelta,
-    /// How long a direct probe waits for its ack before others are asked for indirect probes.
+    /// How long a direct probe waits for its ack before other members are asked for indirect
+    /// probes.
     pub probe_timeout: TimeDelta,
-    /// Members asked for an indirect probe of one that did not answer.
+    /// The number of members that are asked for an indirect probe.
     pub indirect_probes: usize,
-    /// Hosts that may be Byzantine, or wrong together: gossip counts from one more witness on.
+    /// The number of hosts that may be Byzantine or may be wrong together. A claim takes effect
+    /// once one more host than this makes it.
     pub max_byzantine: usize,
-    /// Shortest time from suspicion to death in periods, for ten members; more for more, less the more agree.
+    /// The minimum suspicion time-out for ten members, in protocol periods. The time-out grows with
+    /// the logarithm of the fleet's size.
     pub suspicion_multiplier: f64,
-    /// The longest such time, as a multiple of the shortest.
+    /// The maximum suspicion time-out, as a multiple of the minimum. The time-out shrinks towards
+    /// the minimum as more hosts agree.
     pub max_suspicion_factor: f64,
-    /// Members in the table at most, whatever others claim.
+    /// The maximum number of members in the table, no matter how many others report.
     pub max_members: usize,
-    /// Members that are dead or left are forgotten after this.
+    /// How long dead members and members that left stay in the table.
     pub dead_retention: TimeDelta,
-    /// Pings answered a second: of members, and again as many of all others.
+    /// The maximum number of pings answered per second. The limit applies to members and,
+    /// separately, to all other senders.
     pub answers_per_s: f64,
-    /// Parts of the table given out a second.
+    /// The maximum number of table pages and comparison responses sent per second.
     pub pages_per_s: f64,
-    /// Messages a second that tell of engines.
+    /// The maximum number of messages sent per second in a broadcast of engine reports.
     pub engine_reports_per_s: f64,
-    /// Direct probes after gossip that run at once, without traffic limits.
+    /// The maximum number of concurrent direct probes that verify gossip. Applies only without
+    /// traffic limits.
     pub max_direct_probes: usize,
-    /// A view smaller than this part of the last one that was agreed on is partitioned.
+    /// The fraction of the last converged fleet below which this node counts as partitioned.
     pub partition_threshold: f64,
-    /// Partitioned for so long, the smaller fleet is taken for the whole.
+    /// How long a partition lasts before its members accept the smaller fleet as the whole fleet.
     pub partition_acceptance: TimeDelta,
-    /// View states change no sooner, but to partitioned.
+    /// The minimum time between two changes of the view state. A change to partitioned is not
+    /// delayed.
     pub min_view_state_duration: TimeDelta,
-    /// How long a report of an engine counts.
+    /// How long an engine report counts.
     pub engine_report_lifetime: TimeDelta,
-    /// Limits on what a large fleet sends; `None`: the plain protocol.
+    /// Limits on the traffic of a large fleet, or `None` for the plain protocol.
     pub traffic_limits: Option<TrafficLimits>,
 }
 
@@ -68,7 +75,8 @@
 }
 
 impl Config {
-    /// Independent witnesses that gossip needs: among so many at least one is not Byzantine.
+    /// Returns how many independent witnesses a claim needs. At least one of that many is not
+    /// Byzantine.
     #[must_use]
     pub fn required_witnesses(&self) -> usize {
         self.max_byzantine + 1
--- a/crates/membership/src/dissemination.rs
+++ b/crates/membership/src/dissemination.rs
@@ -1,4 +1,4 @@
-//! SWIM's infection-style dissemination: updates that go on the back of other messages.
+//! SWIM's infection-style dissemination: membership updates are piggybacked on other messages.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -9,29 +9,30 @@
 use crate::rate_limiter::ByteBudget;
 use crate::traffic_limits::TrafficLimits;
 
-/// An update is told this many times the logarithm of the fleet's size.
+/// An update is transmitted this many times the binary logarithm of the fleet's size.
 pub(crate) const RETRANSMIT_MULTIPLIER: f64 = 3.0;
-/// Updates that wait to be told at most, with traffic limits; the one told most often makes room.
+/// The maximum number of queued updates under traffic limits. A new update evicts the one that was
+/// transmitted most often.
 const MAX_UPDATES: usize = 128;
-/// Seconds of gossip that may be saved up, with traffic limits.
+/// How many seconds' worth of gossip bytes the budget holds under traffic limits.
 const BURST_S: f64 = 2.0;
 
-/// How many times an update is told to a fleet of so many.
+/// Returns how many times an update is transmitted in a fleet of this size.
 #[must_use]
 pub fn transmissions(fleet_size: usize) -> u32 {
     (RETRANSMIT_MULTIPLIER * (fleet_size as f64).log2().ceil()) as u32
 }
 
-/// Members whose record is to be told on, and how often still.
+/// The members whose record is being disseminated, and how many transmissions each has left.
 #[derive(Clone, Debug)]
 pub struct DisseminationQueue {
     remaining: BTreeMap<Name, u32>,
-    /// Bytes that updates may take; none: as many as fit.
+    /// The budget for the bytes of updates, or `None` if they may fill a message.
     budget: Option<ByteBudget>,
 }
 
 impl DisseminationQueue {
-    /// An empty queue; with traffic limits its bytes are bounded.
+    /// Creates an empty queue. With traffic limits, the bytes of updates are bounded.
     #[must_use]
     pub fn new(limits: Option<&TrafficLimits>) -> Self {
         DisseminationQueue {
@@ -40,44 +41,45 @@
         }
     }
 
-    /// Other limits from now on; the updates stay.
+    /// Replaces the traffic limits and keeps the queued updates.
     pub fn set_limits(&mut self, limits: Option<&TrafficLimits>) {
         self.budget = budget(limits);
     }
 
-    /// Tells a member's record so many times from now on.
+    /// Queues the record of a member for this many transmissions.
     pub fn enqueue(&mut self, name: &Name, transmissions: u32) {
         self.remaining.insert(name.clone(), transmissions);
         if self.budget.is_some() && self.remaining.len() > MAX_UPDATES {
-            self.evict();
+            self.evict_most_transmitted();
         }
     }
 
-    /// Drops the update that was told most often.
-    fn evict(&mut self) {
-        let most_told = self
+    /// Removes the update with the fewest transmissions left.
+    fn evict_most_transmitted(&mut self) {
+        let most_transmitted = self
             .remaining
             .iter()
             .min_by_key(|(_, remaining)| **remaining)
             .map(|(name, _)| name.clone());
-        if let Some(name) = most_told {
+        if let Some(name) = most_transmitted {
             self.remaining.remove(&name);
         }
     }
 
-    /// Whether this member's record is being told.
+    /// Returns whether the record of this member is queued.
     #[must_use]
     pub fn contains(&self, name: &Name) -> bool {
         self.remaining.contains_key(name)
     }
 
-    /// Nothing is to be told.
+    /// Returns whether the queue is empty.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.remaining.is_empty()
     }
 
-    /// Names of so many updates, the least told first, by name among equals.
+    /// Returns the members of up to `count` updates, ordered by most transmissions left and then by
+    /// name.
     #[must_use]
     pub fn least_transmitted(&self, count: usize) -> Vec<Name> {
         let mut names: Vec<(u32, &Name)> = self
@@ -85,7 +87,7 @@
             .iter()
             .map(|(name, remaining)| (*remaining, name))
             .collect();
-        // The map has them by name, and the sort keeps that order among equals.
+        // The map is ordered by name, and the stable sort keeps that order among equals.
         names.sort_by_key(|(remaining, _)| Reverse(*remaining));
         names
             .into_iter()
@@ -94,7 +96,7 @@
             .collect()
     }
 
-    /// An update was told once, by this node or by another.
+    /// Counts one transmission of an update, by this node or by another one.
     pub fn mark_transmitted(&mut self, name: &Name) {
         let Some(remaining) = self.remaining.get_mut(name) else {
             return;
@@ -105,18 +107,18 @@
         }
     }
 
-    /// Drops an update.
+    /// Removes an update.
     pub fn remove(&mut self, name: &Name) {
         self.remaining.remove(name);
     }
 
-    /// Bytes that updates may take now; `None`: as many as fit.
+    /// Returns how many bytes updates may take now, or `None` if they may fill the message.
     pub fn available_bytes(&mut self, now: Timestamp) -> Option<usize> {
         let budget = self.budget.as_mut()?;
         Some(budget.available(now).max(0.0) as usize)
     }
 
-    /// Updates took so many bytes.
+    /// Subtracts the bytes that updates took from the budget.
     pub fn spend_bytes(&mut self, bytes: usize) {
         if let Some(budget) = &mut self.budget {
             budget.spend(bytes as f64);
--- a/crates/membership/src/engine_gossip.rs
+++ b/crates/membership/src/engine_gossip.rs
@@ -1,5 +1,6 @@
-//! Reports of engines: who saw what of which engine, and how long ago. A report counts once as many independent nodes make
-//! it as may be Byzantine, and one more. It ejects no engine by itself: see [`EngineGossip::outliers`].
+//! Engine reports: which node observed which status of an engine, and how long ago. A report takes
+//! effect once `max_byzantine + 1` independent hosts make it, and even then it does not eject an
+//! engine by itself: see [`EngineGossip::outliers`].
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::IpAddr;
@@ -10,45 +11,48 @@
 use crate::config::Config;
 use crate::member::Name;
 
-/// Engines of which reports are kept at most: a Byzantine node's list is cut, the oldest report first.
+/// The maximum number of engines for which reports are kept. It bounds what a Byzantine node can
+/// add; the engine with the oldest report is evicted first.
 const MAX_ENGINES: usize = 1024;
-/// Witnesses kept of one engine, the latest.
+/// The maximum number of witnesses kept for one engine. The latest ones are kept.
 const MAX_WITNESSES: usize = 16;
-/// Reports that go with one message at most.
+/// The maximum number of reports in one message.
 pub const MAX_REPORTS_PER_MESSAGE: usize = 16;
-/// Bytes of an engine's name at most.
+/// The maximum length of an engine's name, in bytes.
 const MAX_ENGINE_NAME_LENGTH: usize = 64;
-/// The same observation is worth telling again after this.
-const REPEAT_AFTER_S: f64 = 1.0;
+/// How long an unchanged observation is not broadcast again, in seconds.
+const REPEAT_INTERVAL_S: f64 = 1.0;
 
-/// What a node saw of an engine.
+/// The status of an engine as a node observed it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum EngineStatus {
-    /// It failed, rejected, or fell silent: the node lost statements to it.
+    /// The engine failed, rejected a statement or stopped responding, and the node lost statements
+    /// to it.
     Failing,
-    /// It completed again for a node that had lost some.
+    /// The engine completed a statement again, for a node that had lost some.
     Recovered,
 }
 
-/// A report as it goes over the wire. Engines go by their name in the endpoint list, since numbers are each gateway's own.
+/// A report on the wire. It identifies an engine by its name in the endpoint list, because each
+/// gateway numbers engines on its own.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineReport {
-    /// The engine's name in the endpoint list.
+    /// The name of the engine in the endpoint list.
     pub engine: String,
-    /// What was seen of it.
+    /// The observed status.
     pub status: EngineStatus,
-    /// How long ago, in milliseconds.
+    /// The age of the observation, in milliseconds.
     pub age_ms: u32,
 }
 
-/// What this node saw of an engine itself.
+/// What this node itself observed of an engine.
 #[derive(Clone, Copy, Debug)]
 struct Observation {
     status: EngineStatus,
     seen: Timestamp,
 }
 
-/// What another node reported of an engine.
+/// What another node reported about an engine.
 #[derive(Clone, Copy, Debug)]
 struct WitnessReport {
     status: EngineStatus,
@@ -59,15 +63,15 @@
 /// An engine that enough other nodes lost statements to.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineOutlier {
-    /// The engine's name in the endpoint list.
+    /// The name of the engine in the endpoint list.
     pub engine: String,
-    /// What was seen there was seen no later than this.
+    /// The time of the evidence. At least one honest witness lost statements at this time or later.
     pub seen: Timestamp,
-    /// It says nothing any more from here on.
+    /// When the evidence expires.
     pub until: Timestamp,
 }
 
-/// Reports of engines, of this node and of others.
+/// The engine reports of this node and of others.
 #[derive(Clone, Debug, Default)]
 pub struct EngineGossip {
     local: BTreeMap<String, Observation>,
@@ -75,7 +79,8 @@
 }
 
 impl EngineGossip {
-    /// Takes in what this node saw itself. True: it is new, and others may want to know soon.
+    /// Records an observation of this node. Returns true if it is new, in which case other nodes
+    /// should be told soon.
     pub fn observe(&mut self, now: Timestamp, engine: &str, status: EngineStatus) -> bool {
         if !is_engine_name(engine) {
             return false;
@@ -86,11 +91,11 @@
             remove_oldest(&mut self.local, |observation| observation.seen);
         }
         before.is_none_or(|before| {
-            before.status != status || (now - before.seen).secs() > REPEAT_AFTER_S
+            before.status != status || (now - before.seen).secs() > REPEAT_INTERVAL_S
         })
     }
 
-    /// Takes in a known node's report; of one node the latest evidence holds.
+    /// Records the report of a known node. Only the latest evidence of each node is kept.
     pub fn receive(&mut self, now: Timestamp, witness: &Name, host: IpAddr, report: &EngineReport) {
         if !is_engine_name(&report.engine) {
             return;
@@ -115,7 +120,7 @@
         }
     }
 
-    /// Drops evidence that is older than it counts.
+    /// Drops expired evidence.
     pub fn expire(&mut self, now: Timestamp, config: &Config) {
         let fresh = |seen: Timestamp| now - seen < config.engine_report_lifetime;
         self.local.retain(|_, observation| fresh(observation.seen));
@@ -125,8 +130,9 @@
         self.reported.retain(|_, witnesses| !witnesses.is_empty());
     }
 
-    /// Engines that as many independent nodes as needed lost statements to. One host is one witness, since whoever holds a
-    /// host may run many nodes there. Own evidence of the engine at work outweighs what is older.
+    /// Returns the engines that enough independent nodes lost statements to. Nodes on one host
+    /// count as one witness, because whoever controls a host can run many nodes there. If this node
+    /// itself saw the engine recover, older reports are ignored.
     #[must_use]
     pub fn outliers(&self, config: &Config) -> Vec<EngineOutlier> {
         self.reported
@@ -136,14 +142,14 @@
     }
 
     fn outlier(&self, engine: &str, config: &Config) -> Option<EngineOutlier> {
-        let need = config.required_witnesses();
-        let recovered_here = self
+        let required = config.required_witnesses();
+        let last_recovered_locally = self
             .local
             .get(engine)
             .filter(|observation| observation.status == EngineStatus::Recovered)
             .map(|observation| observation.seen);
         let is_newer =
-            |report: &&WitnessReport| recovered_here.is_none_or(|seen| report.seen > seen);
+            |report: &&WitnessReport| last_recovered_locally.is_none_or(|seen| report.seen > seen);
         let reports = self.reported.get(engine)?.values().filter(is_newer);
         let mut failing: BTreeMap<IpAddr, Timestamp> = BTreeMap::new();
         let mut recovered: BTreeSet<IpAddr> = BTreeSet::new();
@@ -160,13 +166,14 @@
                 }
             }
         }
-        if recovered.len() >= need {
+        if recovered.len() >= required {
             failing.retain(|_, seen| Some(*seen) > last_recovered);
         }
         let mut times: Vec<Timestamp> = failing.into_values().collect();
         times.sort();
-        // With so many newer ones beside it, at least one of the witnesses at or after this time is not Byzantine.
-        let index = times.len().checked_sub(need)?;
+        // At least `required` hosts reported a failure at this time or later, so at least one of
+        // them is not Byzantine.
+        let index = times.len().checked_sub(required)?;
         let seen = *times.get(index)?;
         Some(EngineOutlier {
             engine: engine.to_owned(),
@@ -175,15 +182,16 @@
         })
     }
 
-    /// Reports that go with a message, the latest first: own observations, and outliers by enough others' reports, never
-    /// fresher than their evidence.
+    /// Returns the reports to include in a message, the latest first: this node's own observations,
+    /// and outliers that other nodes reported. A forwarded report is never dated later than its
+    /// evidence.
     #[must_use]
     pub fn to_send(&self, now: Timestamp, config: &Config) -> Vec<EngineReport> {
         let local = self
             .local
             .iter()
             .map(|(engine, observation)| (engine.clone(), *observation));
-        let by_others = self
+        let from_others = self
             .outliers(config)
             .into_iter()
             .filter(|outlier| !self.local.contains_key(&outlier.engine))
@@ -194,7 +202,7 @@
                 };
                 (outlier.engine, observation)
             });
-        let mut all: Vec<(String, Observation)> = local.chain(by_others).collect();
+        let mut all: Vec<(String, Observation)> = local.chain(from_others).collect();
         all.sort_by(|(engine, observation), (other_engine, other)| {
             let latest_first = other.seen.cmp(&observation.seen);
             latest_first.then_with(|| engine.cmp(other_engine))
@@ -214,7 +222,7 @@
     !engine.is_empty() && engine.len() <= MAX_ENGINE_NAME_LENGTH
 }
 
-/// Removes the entry with the least time; of several, the first by name.
+/// Removes the entry with the smallest time and, among equals, the one with the smallest key.
 fn remove_oldest<K: Ord + Clone, V, T: Ord>(entries: &mut BTreeMap<K, V>, time: impl Fn(&V) -> T) {
     let oldest = entries
         .iter()
@@ -225,7 +233,7 @@
     }
 }
 
-/// Whole milliseconds, as ages go over the wire.
+/// Converts an age to whole milliseconds, the unit of ages on the wire.
 fn whole_millis(age: TimeDelta) -> u32 {
     (age.secs() * 1e3).clamp(0.0, f64::from(u32::MAX)) as u32
 }
--- a/crates/membership/src/keys.rs
+++ b/crates/membership/src/keys.rs
@@ -1,4 +1,5 @@
-//! Keys of the fleet: several are accepted, one signs, so that a key changes in service without losing anybody.
+//! The keys of the fleet. A node accepts several keys and signs with one of them, so that keys can
+//! be rotated while the fleet is running.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -7,39 +8,40 @@
 use sha2::Sha256;
 use thiserror::Error;
 
-/// Accepted keys at most, the signing one among them.
+/// The maximum number of accepted keys, including the signing key.
 pub const MAX_KEYS: usize = 8;
-/// Bytes of the authentication tag that are sent: a forger has one chance in 2^128 a datagram.
+/// The length of the truncated authentication tag, in bytes. A forged datagram passes with a
+/// probability of 2^-128.
 pub const TAG_BYTES: usize = 16;
-/// Bytes of a key.
+/// The length of a key, in bytes.
 pub const KEY_BYTES: usize = 32;
 
-/// Names the signing key in each datagram, so that a foreign one is rejected without computing its tag. It follows from
-/// the key alone.
+/// Identifies the signing key in each datagram, so that a datagram signed with an unknown key is
+/// rejected without computing its tag. The id is derived from the key alone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct KeyId(pub [u8; 4]);
 
-/// Why keys make no [`KeyRing`].
+/// Why a set of keys cannot form a [`KeyRing`].
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum KeyError {
-    /// No key signs.
+    /// There is no signing key.
     #[error("no key signs")]
     NoSigningKey,
-    /// There are so many keys.
+    /// There are more than [`MAX_KEYS`] keys. Holds their number.
     #[error("{0} keys: at most {MAX_KEYS}")]
     TooMany(usize),
 }
 
-/// Why an authentication tag does not hold.
+/// Why an authentication tag is not valid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TagError {
-    /// The key is not accepted here.
+    /// The key is not accepted.
     UnknownKey,
-    /// The tag is not that of these bytes.
+    /// The tag does not match the data.
     Mismatch,
 }
 
-/// The accepted keys, and which of them signs.
+/// The accepted keys, one of which signs.
 #[derive(Clone)]
 pub struct KeyRing {
     accepted: BTreeMap<KeyId, Hmac<Sha256>>,
@@ -47,7 +49,7 @@
 }
 
 impl fmt::Debug for KeyRing {
-    /// The keys themselves are not shown.
+    /// Shows only the ids of the keys, never the keys themselves.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("KeyRing")
             .field("accepted", &self.accepted.keys())
@@ -60,7 +62,7 @@
     Hmac::<Sha256>::new_from_slice(key).expect("HMAC takes keys of any length")
 }
 
-/// The id of a key.
+/// Returns the id of a key.
 #[must_use]
 pub fn key_id(key: &[u8; KEY_BYTES]) -> KeyId {
     let mut hash = keyed_hash(key);
@@ -70,10 +72,10 @@
 }
 
 impl KeyRing {
-    /// Accepts the signing key and the others.
+    /// Creates a key ring that signs with one key and accepts that key and the others.
     ///
     /// # Errors
-    /// There are more than [`MAX_KEYS`].
+    /// Fails if there are more than [`MAX_KEYS`] keys.
     pub fn new(signing: &[u8; KEY_BYTES], others: &[[u8; KEY_BYTES]]) -> Result<Self, KeyError> {
         if others.len() >= MAX_KEYS {
             return Err(KeyError::TooMany(others.len() + 1));
@@ -85,18 +87,18 @@
         })
     }
 
-    /// The key that signs.
+    /// Returns the id of the signing key.
     #[must_use]
     pub fn signing_key(&self) -> KeyId {
         self.signing
     }
 
-    /// All keys that are accepted, in the order of their ids.
+    /// Returns the ids of all accepted keys, in ascending order.
     pub fn accepted_keys(&self) -> impl Iterator<Item = KeyId> {
         self.accepted.keys().copied()
     }
 
-    /// The authentication tag of these parts in a row, by the signing key.
+    /// Computes the authentication tag of the concatenated parts with the signing key.
     #[must_use]
     pub fn authentication_tag(&self, parts: &[&[u8]]) -> [u8; TAG_BYTES] {
         let mut hash = self.accepted[&self.signing].clone();
@@ -107,10 +109,10 @@
         std::array::from_fn(|index| hash[index])
     }
 
-    /// Checks a tag of these parts in a row, in constant time.
+    /// Verifies the tag of the concatenated parts in constant time.
     ///
     /// # Errors
-    /// The key is not accepted, or the tag is another.
+    /// Fails if the key is not accepted or the tag does not match.
     pub fn verify(&self, key: KeyId, parts: &[&[u8]], tag: &[u8]) -> Result<(), TagError> {
         let mut hash = self.accepted.get(&key).ok_or(TagError::UnknownKey)?.clone();
         for part in parts {
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,12 +1,17 @@
-//! Which gateways there are, who has failed, and what may be assumed while they disagree or are partitioned. The protocol is
-//! SWIM with Lifeguard's local health awareness, and gossip that tolerates Byzantine nodes. Pure: datagrams and time in;
-//! datagrams, events and the time of the next step out. Chance comes from a given seed. Nothing here does I/O.
+//! Fleet membership: which gateways exist, which of them have failed, and what a gateway may assume
+//! while views differ or the fleet is partitioned. The protocol is SWIM with Lifeguard's local
+//! health awareness and Byzantine-tolerant gossip.
 //!
-//! Gossip of one node alone moves nothing: what a node hears of a third one counts once as many independent witnesses say
-//! it as may be Byzantine, and one more, or once the node has probed for itself. See docs/notes/fleet.md.
+//! The crate performs no I/O. Its inputs are datagrams and the current time; its outputs are
+//! datagrams, events and the time at which the next step is due. All randomness comes from the seed
+//! that the caller passes in.
 //!
-//! [`Node`] composes the parts: each other module has one part of its state, and each module of [`node`] one flow of the
-//! protocol.
+//! Gossip from a single node never changes the state of a third one. A claim takes effect once
+//! `max_byzantine + 1` independent witnesses make it, or once this node has verified it with a
+//! probe of its own. See docs/notes/fleet.md.
+//!
+//! [`Node`] is the entry point. Each module of [`node`] implements one flow of the protocol; the
+//! other modules each hold one part of the node's state.
 
 mod anti_entropy;
 mod config;
--- a/crates/membership/src/local_health.rs
+++ b/crates/membership/src/local_health.rs
@@ -1,29 +1,29 @@
-//! Lifeguard's local health: how far this node can trust its own time-outs.
+//! Lifeguard's local health score: how far this node can trust its own time-outs.
 
-/// The highest score.
+/// The maximum score, at which time-outs are nine times as long.
 const MAX_SCORE: u32 = 8;
 
-/// Lifeguard's local health multiplier. A node that does badly itself, by its loop or its network, stretches its time-outs
-/// before it suspects others.
+/// The score behind Lifeguard's local health multiplier. A node whose own event loop or network is
+/// slow lengthens its time-outs before it suspects others.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct LocalHealth {
-    /// Zero: it is well.
+    /// Zero means healthy.
     score: u32,
 }
 
 impl LocalHealth {
-    /// The factor by which time-outs are stretched: 1 to 9.
+    /// Returns the factor by which time-outs are multiplied, from 1 to 9.
     #[must_use]
     pub(crate) fn multiplier(self) -> f64 {
         1.0 + f64::from(self.score)
     }
 
-    /// A probe was answered.
+    /// Lowers the score, because a probe was answered.
     pub(crate) fn improve(&mut self) {
         self.score = self.score.saturating_sub(1);
     }
 
-    /// The loop was late, or relays that should have answered did not.
+    /// Raises the score, because the event loop was late or relays did not answer.
     pub(crate) fn degrade(&mut self) {
         self.score = (self.score + 1).min(MAX_SCORE);
     }
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -1,4 +1,4 @@
-//! What a node says of itself and others: name, boot, incarnation, address and state.
+//! The record of a member: its name, boot id, incarnation, address, locality and state.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -6,16 +6,16 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// Characters of a name at most.
+/// The maximum length of a name, in characters.
 const MAX_NAME_LENGTH: usize = 32;
 
-/// A node's name, the same after a restart: 1 to 32 letters, digits, dots, underscores and hyphens. Fleets, zones and
-/// regions have names of the same form.
+/// The name of a node, which stays the same across restarts. It has 1 to 32 ASCII letters, digits,
+/// dots, underscores and hyphens. Fleets, zones and regions use names of the same form.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Name(String);
 
-/// A text that is no [`Name`].
+/// The error for a text that is not a valid [`Name`]. It holds the rejected text.
 #[derive(Debug, Error, PartialEq, Eq)]
 #[error("'{0}' is no name of 1 to 32 letters, digits, dots, underscores and hyphens")]
 pub struct InvalidName(String);
@@ -47,72 +47,80 @@
 }
 
 impl Name {
-    /// A name of this text.
+    /// Creates a name from a text.
     ///
     /// # Errors
-    /// The text is empty, too long, or has a character that names do not have.
+    /// Fails when the text is empty, is too long, or contains a character that is not allowed in
+    /// names.
     pub fn new(text: &str) -> Result<Self, InvalidName> {
         Name::try_from(text.to_owned())
     }
 
-    /// The name as text.
+    /// Returns the name as text.
     #[must_use]
     pub fn as_str(&self) -> &str {
         &self.0
     }
 }
 
-/// One process of a node, from its start to its end. Drawn at random at the start, so that a restart under the same name,
-/// or a second process with it, is told apart without a clock.
+/// Identifies one process of a node, from its start to its end. The id is drawn at random at the
+/// start, so that a restart or a second process under the same name can be told apart without a
+/// clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct BootId(pub u64);
 
-/// SWIM's incarnation number: of two records of one name, the higher is newer. Only the node itself raises it, to refute;
-/// it starts at one whatever the clock says, and rises above whatever others still hold of an earlier boot.
+/// SWIM's incarnation number. Of two records with the same name, the one with the higher
+/// incarnation is newer.
+///
+/// Only the node itself raises its incarnation, in order to refute. It starts at 1, regardless of
+/// the clock, and raises it above any incarnation that others still hold from an earlier boot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Incarnation(pub u32);
 
 impl Incarnation {
-    /// None beyond is believed, so that a refutation always has room.
+    /// The highest incarnation that is accepted from other nodes. The numbers above it are left
+    /// free, so that a refutation can always raise the incarnation further.
     pub const MAX: Incarnation = Incarnation(u32::MAX / 2);
 
-    /// The next higher one.
+    /// Returns the next higher incarnation.
     #[must_use]
     pub fn next(self) -> Incarnation {
         Incarnation(self.0.saturating_add(1))
     }
 
-    /// How far this one is above another; zero where it is not.
+    /// Returns how far this incarnation is above the other one, or zero if it is not above it.
     #[must_use]
     pub fn ahead_of(self, other: Incarnation) -> u32 {
         self.0.saturating_sub(other.0)
     }
 }
 
-/// Where a node stands.
+/// The location of a node.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Locality {
-    /// The zone, where it is configured.
+    /// The zone, or `None` if none is configured.
     pub zone: Option<Name>,
-    /// The region, where it is configured.
+    /// The region, or `None` if none is configured.
     pub region: Option<Name>,
 }
 
-/// State of a member, from best to worst: of two records with one incarnation the worse one holds until it is refuted.
+/// The state of a member, ordered from best to worst. Of two records with the same incarnation, the
+/// worse state takes precedence until the member refutes it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum MemberState {
-    /// It answers.
+    /// The member answers probes.
     Alive,
-    /// It did not answer, and may still refute.
+    /// The member did not answer a probe and may still refute the suspicion.
     Suspect,
-    /// It did not refute in time.
+    /// The member did not refute the suspicion in time.
     Dead,
-    /// It said that it leaves.
+    /// The member announced that it is leaving.
     Left,
 }
 
 impl MemberState {
-    /// It may be there: it counts in the fleet's size.
+    /// Returns whether the member may still be running. Such members count towards the size of the
+    /// fleet.
     #[must_use]
     pub fn is_present(self) -> bool {
         matches!(self, MemberState::Alive | MemberState::Suspect)
@@ -130,19 +138,20 @@
     }
 }
 
-/// What one node holds of another, or says of itself. The order of the fields is their order on the wire.
+/// What a node knows about another node, or announces about itself. The order of the fields is
+/// their order on the wire.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Record {
-    /// Its name.
+    /// The name of the node.
     pub name: Name,
-    /// Its process.
+    /// The boot id of the node's process.
     pub boot_id: BootId,
-    /// Its incarnation.
+    /// The incarnation of the node.
     pub incarnation: Incarnation,
-    /// Where it is reached, which need not be where it is bound.
+    /// The address at which others reach the node, which may differ from the address it binds to.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// The location of the node.
     pub locality: Locality,
-    /// Its state.
+    /// The state of the node.
     pub state: MemberState,
 }
--- a/crates/membership/src/member_entry.rs
+++ b/crates/membership/src/member_entry.rs
@@ -1,4 +1,5 @@
-//! What a node holds of one other: its record, who vouches for what, and since when.
+//! The state that a node keeps about one other member: its record, what witnesses claim about it,
+//! and when that was learnt.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{IpAddr, SocketAddr};
@@ -9,30 +10,31 @@
 use crate::replay_window::ReplayWindow;
 use crate::table_digest::{Fingerprint, IdentityHash, RecordHashes};
 
-/// Witnesses kept of one member, the latest.
+/// The maximum number of witnesses kept for one member. The latest ones are kept.
 const MAX_WITNESSES: usize = 8;
-/// How long a witness counts in suspicions.
+/// How long a witness counts, in seconds.
 pub(crate) const WITNESS_LIFETIME_S: f64 = 20.0;
-/// Direct probes without an answer before a candidate is dropped.
+/// The number of unanswered direct probes after which a candidate is dropped.
 const MAX_FAILED_PROBES: u8 = 2;
 
-/// What another node said of a member.
+/// A claim by another node about a member.
 #[derive(Clone, Debug)]
 pub struct Witness {
-    /// What it said.
+    /// The record that the witness reported.
     pub record: Record,
-    /// When it said so.
+    /// When the report arrived.
     pub heard: Timestamp,
-    /// From which host.
+    /// The host that the report came from.
     pub host: IpAddr,
 }
 
-/// Since when a member is suspected.
+/// A pending suspicion of a member.
 #[derive(Clone, Copy, Debug)]
 pub struct Suspicion {
-    /// When the time to refute began.
+    /// The start of the time in which the member can refute the suspicion.
     pub began: Timestamp,
-    /// It began anew since a partition may have ended; once for each suspicion, so that nobody puts deaths off for good.
+    /// Whether the suspicion was restarted because a partition may have ended. A suspicion is
+    /// restarted only once, so that no node can postpone a death indefinitely.
     pub restarted: bool,
 }
 
@@ -45,14 +47,14 @@
     }
 }
 
-/// Which message counters of a member's present boot came.
+/// The replay window for the boot that a member last sent from.
 #[derive(Clone, Copy, Debug)]
 struct BootReplayWindow {
     boot_id: BootId,
     window: ReplayWindow,
 }
 
-/// A fingerprint, and of which record it is.
+/// A cached fingerprint, with the fields of the record that it was computed from.
 #[derive(Clone, Copy, Debug)]
 struct CachedFingerprint {
     boot_id: BootId,
@@ -61,29 +63,31 @@
     fingerprint: Fingerprint,
 }
 
-/// An identity hash, and of which boot it is.
+/// A cached identity hash, with the boot id that it was computed from.
 #[derive(Clone, Copy, Debug)]
 struct CachedIdentity {
     boot_id: BootId,
     hash: IdentityHash,
 }
 
-/// What this node holds of one other.
+/// The state that this node keeps about one other member.
 #[derive(Clone, Debug)]
 pub struct MemberEntry {
-    /// What is held to be so.
+    /// The record that this node currently holds for the member.
     pub record: Record,
-    /// It answered here, or enough witnesses vouch for it. Else it is a candidate, and no part of the fleet.
+    /// Whether the member answered this node or enough witnesses vouch for it. An unconfirmed
+    /// member is a candidate and does not belong to the fleet.
     pub confirmed: bool,
     /// When the record last changed.
     pub changed: Timestamp,
-    /// When it last answered this node itself.
+    /// When the member last answered a probe of this node, or `None` if it never did.
     pub last_ack: Option<Timestamp>,
-    /// Set while it is suspected.
+    /// The pending suspicion, or `None` while the member is not suspected.
     pub suspicion: Option<Suspicion>,
-    /// When it was last taken back after it had been declared dead.
+    /// When the member last came back after it had been declared dead, or `None` if it never did.
     pub revived: Option<Timestamp>,
-    /// What others said of it, where that is not what is held.
+    /// The latest claims of other nodes that may differ from the record held here, by the name of
+    /// the witness.
     pub witnesses: BTreeMap<Name, Witness>,
     failed_probes: u8,
     replay: BootReplayWindow,
@@ -117,31 +121,33 @@
         }
     }
 
-    /// It counts in the fleet's size.
+    /// Returns whether the member counts towards the size of the fleet.
     #[must_use]
     pub fn is_in_fleet(&self) -> bool {
         self.confirmed && self.record.state.is_present()
     }
 
-    /// Gossip says that it is there, on too few witnesses for it to be in the fleet.
+    /// Returns whether the member is known from gossip only, with too few witnesses to join the
+    /// fleet.
     #[must_use]
     pub fn is_candidate(&self) -> bool {
         !self.confirmed && self.record.state.is_present()
     }
 
-    /// It is in the fleet, and not suspected.
+    /// Returns whether the member is in the fleet and not suspected.
     #[must_use]
     pub fn is_alive(&self) -> bool {
         self.confirmed && self.record.state == MemberState::Alive
     }
 
-    /// The record as others may be told of it; none where it is unconfirmed, or suspected.
+    /// Returns the record if it may be sent to others in a table exchange, or `None` if it is
+    /// unconfirmed or suspected.
     pub(crate) fn settled_record(&self) -> Option<&Record> {
         let is_settled = self.confirmed && self.record.state != MemberState::Suspect;
         is_settled.then_some(&self.record)
     }
 
-    /// Whether a message counter of this boot is new; it counts as seen from now on.
+    /// Returns whether a message counter of this boot is new, and marks it as seen.
     pub(crate) fn accept_counter(&mut self, boot_id: BootId, counter: u64) -> bool {
         if self.replay.boot_id != boot_id {
             self.replay = BootReplayWindow {
@@ -152,9 +158,11 @@
         self.replay.window.accept(counter)
     }
 
-    /// Whether this is in the fleet in another boot than a node that answered, which the answer does not replace: it is not
-    /// above what is held or, at another address, waits until nobody answers at the first, or any process could take a name
-    /// that is in use.
+    /// Returns whether an ack from another boot must not replace this record.
+    ///
+    /// That is the case while this member is in the fleet and the other record is not newer or has
+    /// another address. A new address is accepted only after the old one has stopped answering;
+    /// otherwise any process could take over a name that is in use.
     pub(crate) fn rejects_boot_of(&self, other: &Record) -> bool {
         let is_other_boot = self.record.boot_id != other.boot_id;
         let is_not_above =
@@ -162,7 +170,8 @@
         is_other_boot && is_not_above && self.is_in_fleet()
     }
 
-    /// It answered this node itself: its own record is held, at an incarnation no lower than before in the same boot.
+    /// Applies an ack that the member sent to this node. The member's own record replaces the one
+    /// held here, but within one boot the incarnation never decreases.
     pub(crate) fn take_ack(&mut self, now: Timestamp, from: &Record) {
         self.last_ack = Some(now);
         self.failed_probes = 0;
@@ -180,13 +189,14 @@
         self.suspicion = None;
     }
 
-    /// A direct probe of it came to nothing. True: it is a candidate that was probed often enough, and is dropped.
+    /// Counts an unanswered direct probe. Returns true if the entry is a candidate that reached the
+    /// limit and must be dropped.
     pub(crate) fn probe_unanswered(&mut self) -> bool {
         self.failed_probes += 1;
         !self.confirmed && self.failed_probes >= MAX_FAILED_PROBES
     }
 
-    /// Hashes of the record held now.
+    /// Returns the hashes of the current record.
     pub(crate) fn hashes(&mut self) -> RecordHashes {
         RecordHashes {
             identity: self.identity_hash(),
@@ -223,7 +233,7 @@
         self.identity.hash
     }
 
-    /// Whether any witness says something worse of this boot, or something newer.
+    /// Returns whether any witness claims a worse state for this boot, or a newer incarnation.
     #[must_use]
     pub fn is_disputed(&self) -> bool {
         self.witnesses
@@ -231,7 +241,7 @@
             .any(|witness| self.is_disputed_by(&witness.record))
     }
 
-    /// Whether a record says something worse of the boot held here, or something newer.
+    /// Returns whether a record has a worse state for the boot held here, or a newer incarnation.
     #[must_use]
     pub fn is_disputed_by(&self, other: &Record) -> bool {
         let is_same_boot = other.boot_id == self.record.boot_id;
@@ -239,7 +249,8 @@
         is_worse || other.incarnation > self.record.incarnation
     }
 
-    /// Keeps what a node says of this member, in place of what it said before and, where there are too many, of the oldest.
+    /// Stores a node's claim about this member. It replaces the node's previous claim or, if the
+    /// limit is reached, the oldest claim.
     pub(crate) fn add_witness(&mut self, name: &Name, witness: Witness) {
         if self.witnesses.len() >= MAX_WITNESSES && !self.witnesses.contains_key(name) {
             let oldest = self
@@ -254,35 +265,38 @@
         self.witnesses.insert(name.clone(), witness);
     }
 
-    /// Hosts of the fresh witnesses whose record is of this kind; several nodes of one host are one witness.
+    /// Returns the hosts of the recent witnesses whose record matches the predicate. Several nodes
+    /// on one host count as one witness.
     #[must_use]
     pub fn witness_hosts(
         &self,
         now: Timestamp,
-        is_of_kind: impl Fn(&Record) -> bool,
+        predicate: impl Fn(&Record) -> bool,
     ) -> BTreeSet<IpAddr> {
         self.witnesses
             .values()
             .filter(|witness| (now - witness.heard).secs() < WITNESS_LIFETIME_S)
-            .filter(|witness| is_of_kind(&witness.record))
+            .filter(|witness| predicate(&witness.record))
             .map(|witness| witness.host)
             .collect()
     }
 
-    /// The record that at least `need` hosts vouch for, if any: of one boot and address, at an incarnation that so many
-    /// reach, so that a single witness moves neither.
+    /// Returns the record that at least `required` hosts vouch for, or `None` if there is none.
+    ///
+    /// The hosts must agree on the boot and the address. The incarnation of the result is one that
+    /// at least `required` of them reach, so that a single witness can change neither.
     #[must_use]
     pub fn vouched_record(
         &self,
         now: Timestamp,
         lifetime: TimeDelta,
-        need: usize,
-        is_of_kind: impl Fn(&Record) -> bool,
+        required: usize,
+        predicate: impl Fn(&Record) -> bool,
     ) -> Option<Record> {
         let witnesses = self
             .witnesses
             .values()
-            .filter(|witness| now - witness.heard < lifetime && is_of_kind(&witness.record));
+            .filter(|witness| now - witness.heard < lifetime && predicate(&witness.record));
         let mut claims: BTreeMap<(BootId, SocketAddr), BTreeMap<IpAddr, &Record>> = BTreeMap::new();
         for witness in witnesses {
             let claim = (witness.record.boot_id, witness.record.address);
@@ -294,14 +308,16 @@
         }
         claims
             .into_values()
-            .filter(|by_host| by_host.len() >= need)
-            .filter_map(|by_host| reached_by(need, by_host.into_values().collect()))
+            .filter(|by_host| by_host.len() >= required)
+            .filter_map(|by_host| highest_reached_by(required, by_host.into_values().collect()))
             .max_by_key(|record| record.incarnation)
     }
 }
 
-/// The record with the highest incarnation that so many of these reach.
-fn reached_by(need: usize, mut records: Vec<&Record>) -> Option<Record> {
+/// Returns the record with the highest incarnation that at least `required` of the records reach.
+fn highest_reached_by(required: usize, mut records: Vec<&Record>) -> Option<Record> {
     records.sort_by_key(|record| std::cmp::Reverse(record.incarnation));
-    records.get(need.max(1) - 1).map(|record| (*record).clone())
+    records
+        .get(required.max(1) - 1)
+        .map(|record| (*record).clone())
 }
--- a/crates/membership/src/member_table.rs
+++ b/crates/membership/src/member_table.rs
@@ -1,4 +1,4 @@
-//! All members that a node holds, in the order of their names.
+//! The table of all members that a node knows, ordered by name.
 
 use std::collections::BTreeMap;
 use std::ops::Bound::{Excluded, Unbounded};
@@ -12,56 +12,57 @@
     BucketDigest, BucketRange, Fingerprint, IdentityHash, RecordHashes, bucket_digests,
 };
 
-/// How long a candidate stays.
+/// How long a candidate is kept, in seconds.
 const CANDIDATE_LIFETIME_S: f64 = 30.0;
-/// The same where candidates are retained for longer.
+/// How long a candidate is kept under [`CandidateRetention::Long`], in seconds.
 const LONG_CANDIDATE_LIFETIME_S: f64 = 90.0;
-/// How long a candidate's witness counts where candidates are retained for longer.
+/// How long a witness of a candidate counts under [`CandidateRetention::Long`], in seconds.
 const LONG_WITNESS_LIFETIME_S: f64 = 60.0;
 
-/// How long candidates, and what is said of them, are kept.
+/// How long candidates and the claims about them are kept.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CandidateRetention {
-    /// As what is said of members.
+    /// Witnesses of candidates count for as long as witnesses of confirmed members.
     Plain,
-    /// For longer: with traffic limits their witnesses come seldom.
+    /// Candidates and their witnesses are kept longer, because traffic limits make witnesses rare.
     Long,
 }
 
-/// Whether a record is added on enough evidence, or on gossip alone.
+/// Whether a record is added as a confirmed member or as a candidate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Evidence {
-    /// The node answered itself.
+    /// The node itself answered a probe.
     Confirmed,
-    /// Others speak of it, or it speaks of itself without having been probed.
+    /// Other nodes reported the node, or the node sent a message without having been probed.
     Gossip,
 }
 
-/// One member as operators see it.
+/// The view of one member that operators see.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MemberSummary {
-    /// What is held of it.
+    /// The record that this node holds for the member.
     pub record: Record,
-    /// It is no mere candidate.
+    /// Whether the member is confirmed, rather than a candidate.
     pub confirmed: bool,
     /// When the record last changed.
     pub changed: Timestamp,
-    /// When it last answered this node itself.
+    /// When the member last answered a probe of this node, or `None` if it never did.
     pub last_ack: Option<Timestamp>,
 }
 
-/// All members that a node holds, without itself.
+/// All members that a node knows, except the node itself.
 #[derive(Clone, Debug)]
 pub struct MemberTable {
     max_members: usize,
     retention: CandidateRetention,
     entries: BTreeMap<Name, MemberEntry>,
-    /// Computed when it is asked for, until the fleet changes.
+    /// The cached view, or `None` if it has to be computed again because the fleet may have
+    /// changed.
     view: Option<View>,
 }
 
 impl MemberTable {
-    /// An empty table of at most so many members.
+    /// Creates an empty table that holds at most `max_members` members.
     #[must_use]
     pub fn new(max_members: usize, retention: CandidateRetention) -> Self {
         MemberTable {
@@ -72,18 +73,18 @@
         }
     }
 
-    /// Keeps candidates for so long from now on.
+    /// Changes how long candidates are kept.
     pub fn set_candidate_retention(&mut self, retention: CandidateRetention) {
         self.retention = retention;
     }
 
-    /// How long a witness of a confirmed member counts.
+    /// Returns how long a witness of a confirmed member counts.
     #[must_use]
     pub fn witness_lifetime(&self) -> TimeDelta {
         TimeDelta::from_secs(WITNESS_LIFETIME_S)
     }
 
-    /// How long a witness of a candidate counts.
+    /// Returns how long a witness of a candidate counts.
     #[must_use]
     pub fn candidate_witness_lifetime(&self) -> TimeDelta {
         TimeDelta::from_secs(match self.retention {
@@ -99,29 +100,33 @@
         }
     }
 
-    /// What is held of one member.
+    /// Returns the entry of a member, or `None` if the member is unknown.
     #[must_use]
     pub fn get(&self, name: &Name) -> Option<&MemberEntry> {
         self.entries.get(name)
     }
 
-    /// For whatever may change who is in the fleet: the view is computed anew.
+    /// Returns an entry for a change that may add a member to the fleet or remove one. Invalidates
+    /// the cached view.
     pub fn get_mut(&mut self, name: &Name) -> Option<&mut MemberEntry> {
         self.view = None;
         self.entries.get_mut(name)
     }
 
-    /// For what does not change who is in the fleet.
+    /// Returns an entry for a change that affects neither the members of the fleet nor their boots.
+    /// Keeps the cached view.
     pub fn get_mut_keeping_view(&mut self, name: &Name) -> Option<&mut MemberEntry> {
         self.entries.get_mut(name)
     }
 
-    /// This node's own record changed, or a member's by [`MemberTable::get_mut_keeping_view`]: the view is computed anew.
+    /// Invalidates the cached view. Call it when this node's own record changes, or after a change
+    /// through [`MemberTable::get_mut_keeping_view`] that affects the fleet after all.
     pub fn invalidate_view(&mut self) {
         self.view = None;
     }
 
-    /// Adds a record. Candidates make room for confirmed members, never the other way round. False: there is no room.
+    /// Adds a record, and returns false if there is no room. A confirmed member may evict a
+    /// candidate; a candidate evicts nobody.
     pub fn add(&mut self, now: Timestamp, record: Record, evidence: Evidence) -> bool {
         let is_confirmed = evidence == Evidence::Confirmed;
         if self.entries.len() >= self.max_members {
@@ -137,7 +142,8 @@
         true
     }
 
-    /// The one with the fewest witnesses; of several, the one that changed first.
+    /// Returns the candidate to evict: the one with the fewest witnesses and, among equals, the one
+    /// that changed first.
     fn weakest_candidate(&self) -> Option<Name> {
         self.entries
             .iter()
@@ -146,43 +152,43 @@
             .map(|(name, _)| name.clone())
     }
 
-    /// Members held in all, candidates among them.
+    /// Returns the number of known members, including candidates.
     #[must_use]
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// No member is held.
+    /// Returns whether no member is known.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// All that are held, in the order of their names.
+    /// Returns all known members, including candidates, ordered by name.
     pub fn iter(&self) -> impl Iterator<Item = &MemberEntry> {
         self.entries.values()
     }
 
-    /// Those in the fleet, in the order of their names.
+    /// Returns the members of the fleet, ordered by name.
     pub fn fleet(&self) -> impl Iterator<Item = &MemberEntry> {
         self.iter().filter(|entry| entry.is_in_fleet())
     }
 
-    /// Records of those in the fleet that are not suspected.
+    /// Returns the records of the members of the fleet that are not suspected.
     pub fn alive(&self) -> impl Iterator<Item = &Record> {
         self.iter()
             .filter(|entry| entry.is_alive())
             .map(|entry| &entry.record)
     }
 
-    /// Records of those that are suspected.
+    /// Returns the records of the suspected members.
     pub fn suspects(&self) -> impl Iterator<Item = &Record> {
         self.fleet()
             .map(|entry| &entry.record)
             .filter(|record| record.state == MemberState::Suspect)
     }
 
-    /// Names of those in the fleet.
+    /// Returns the names of the members of the fleet.
     #[must_use]
     pub fn fleet_names(&self) -> Vec<Name> {
         self.fleet()
@@ -190,13 +196,14 @@
             .collect()
     }
 
-    /// Those that gossip tells of and that are not in the fleet yet.
+    /// Returns the number of candidates.
     #[must_use]
     pub fn candidate_count(&self) -> usize {
         self.iter().filter(|entry| entry.is_candidate()).count()
     }
 
-    /// Confirmed members behind a name, in their order.
+    /// Returns the confirmed members whose name sorts after `name`, in order. `None` starts with
+    /// the first member.
     pub fn confirmed_after(&self, name: Option<&Name>) -> impl Iterator<Item = &MemberEntry> {
         let start = name.map_or(Unbounded, Excluded);
         self.entries
@@ -205,41 +212,43 @@
             .filter(|entry| entry.confirmed)
     }
 
-    /// Whether a confirmed member of this name is held at this address.
+    /// Returns whether a confirmed member with the name of this record is known at the address of
+    /// this record.
     #[must_use]
     pub fn is_confirmed_at(&self, record: &Record) -> bool {
         self.get(&record.name)
             .is_some_and(|entry| entry.confirmed && entry.record.address == record.address)
     }
 
-    /// Whether this member is in the fleet.
+    /// Returns whether a member is in the fleet.
     #[must_use]
     pub fn is_in_fleet(&self, name: &Name) -> bool {
         self.get(name).is_some_and(MemberEntry::is_in_fleet)
     }
 
-    /// Suspicions that stand.
+    /// Returns all pending suspicions.
     pub fn suspicions_mut(&mut self) -> impl Iterator<Item = &mut Suspicion> {
         self.entries
             .values_mut()
             .filter_map(|entry| entry.suspicion.as_mut())
     }
 
-    /// Keeps what a node says of a member that is held.
+    /// Stores a node's claim about a member. Does nothing if the member is unknown.
     pub fn add_witness(&mut self, node: &Name, witness: Witness) {
         if let Some(entry) = self.entries.get_mut(&witness.record.name) {
             entry.add_witness(node, witness);
         }
     }
 
-    /// Drops what a node said of a member: it says what is held by now.
+    /// Removes a node's claim about a member, because the node now agrees with the record held
+    /// here.
     pub fn withdraw_witness(&mut self, node: &Name, subject: &Name) {
         if let Some(entry) = self.entries.get_mut(subject) {
             entry.witnesses.remove(node);
         }
     }
 
-    /// A direct probe came to nothing. A candidate that never answers is dropped.
+    /// Counts an unanswered direct probe, and drops a candidate that has not answered repeatedly.
     pub fn probe_unanswered(&mut self, name: &Name) {
         let Some(entry) = self.entries.get_mut(name) else {
             return;
@@ -249,7 +258,8 @@
         }
     }
 
-    /// Drops members that were dead or left for so long, old candidates, and old witnesses. Returns the members dropped.
+    /// Drops members that have been dead or left for `dead_retention`, expired candidates and
+    /// expired witnesses. Returns the names of the confirmed members that were dropped.
     pub fn expire(&mut self, now: Timestamp, dead_retention: TimeDelta) -> Vec<Name> {
         let candidate_lifetime_s = self.candidate_lifetime_s();
         let stays = |entry: &MemberEntry| {
@@ -277,13 +287,13 @@
     }
 
     fn expire_witnesses(&mut self, now: Timestamp) {
-        let of_members = self.witness_lifetime();
-        let of_candidates = self.candidate_witness_lifetime();
+        let member_witness_lifetime = self.witness_lifetime();
+        let candidate_witness_lifetime = self.candidate_witness_lifetime();
         for entry in self.entries.values_mut() {
             let lifetime = if entry.confirmed {
-                of_members
+                member_witness_lifetime
             } else {
-                of_candidates
+                candidate_witness_lifetime
             };
             entry
                 .witnesses
@@ -291,8 +301,8 @@
         }
     }
 
-    /// The view of the fleet with this node in it: the same for all that hold the same nodes in the same boots, whatever
-    /// the order in which they came to hold them. Suspects still count.
+    /// Returns the view of the fleet, including this node. It depends only on the names and boots
+    /// of the members, not on the order in which they were added. Suspected members are included.
     pub fn view(&mut self, local: &Record) -> View {
         if let Some(view) = self.view {
             return view;
@@ -312,7 +322,7 @@
         view
     }
 
-    /// Digests of some buckets over the fleet with this node in it.
+    /// Returns the digests of a range of buckets, computed over the fleet and this node.
     pub(crate) fn fleet_digests(
         &mut self,
         range: BucketRange,
@@ -321,7 +331,8 @@
         self.digests(range, local, MemberEntry::is_in_fleet)
     }
 
-    /// Digests of some buckets over the fleet with this node in it, and over candidates.
+    /// Returns the digests of a range of buckets, computed over the fleet, this node and the
+    /// candidates.
     pub(crate) fn digests_with_candidates(
         &mut self,
         range: BucketRange,
@@ -336,12 +347,12 @@
         &mut self,
         range: BucketRange,
         local: &Record,
-        is_counted: impl Fn(&MemberEntry) -> bool,
+        is_included: impl Fn(&MemberEntry) -> bool,
     ) -> Vec<BucketDigest> {
         let members = self
             .entries
             .values_mut()
-            .filter(|entry| is_counted(entry))
+            .filter(|entry| is_included(entry))
             .map(MemberEntry::hashes);
         let local_hashes = is_alive(local).then(|| RecordHashes {
             identity: IdentityHash::new(local),
@@ -350,7 +361,8 @@
         bucket_digests(range, members.chain(local_hashes))
     }
 
-    /// All that are held from one fingerprint to another, in the order of their fingerprints.
+    /// Returns all entries whose fingerprint is between `from` and `until`, both inclusive, ordered
+    /// by fingerprint.
     pub(crate) fn in_fingerprint_range(
         &mut self,
         from: Fingerprint,
@@ -367,18 +379,19 @@
         found
     }
 
-    /// Fingerprints of this node and of the members that count, in their order.
+    /// Returns the fingerprints between `from` and `until`, both inclusive, of this node and of the
+    /// members that `is_included` accepts, in ascending order.
     pub(crate) fn fingerprints(
         &mut self,
         from: Fingerprint,
         until: Fingerprint,
         local: &Record,
-        is_counted: impl Fn(&MemberEntry) -> bool,
+        is_included: impl Fn(&MemberEntry) -> bool,
     ) -> Vec<Fingerprint> {
         let mut fingerprints: Vec<Fingerprint> = self
             .in_fingerprint_range(from, until)
             .into_iter()
-            .filter(|(_, entry)| is_counted(entry))
+            .filter(|(_, entry)| is_included(entry))
             .map(|(fingerprint, _)| fingerprint)
             .collect();
         let local_fingerprint = Fingerprint::new(local);
@@ -389,7 +402,8 @@
         fingerprints
     }
 
-    /// All that are held in some buckets, each with its bucket, counted from the range's first.
+    /// Returns all entries in a range of buckets, each with the position of its bucket relative to
+    /// the start of the range.
     pub(crate) fn in_buckets(&mut self, range: BucketRange) -> Vec<(usize, &MemberEntry)> {
         let mut placed = Vec::new();
         for entry in self.entries.values_mut() {
--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -1,4 +1,5 @@
-//! Datagrams: a version, the id of the signing key, an authentication tag, and a message behind it.
+//! Datagrams. Each consists of a version, the id of the signing key, an authentication tag and the
+//! encoded message.
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
@@ -8,188 +9,208 @@
 use crate::member::{Name, Record};
 use crate::table_digest::{BucketDigest, FingerprintBytes};
 
-/// Version of the datagram's layout.
+/// The version of the datagram layout.
 pub const VERSION: u8 = 1;
-/// No datagram is longer, so that none is cut into fragments on any usual link.
+/// The maximum length of a datagram, in bytes. Datagrams of this size are not fragmented on common
+/// links.
 pub const MAX_DATAGRAM_BYTES: usize = 1200;
-/// Bytes of records that a part of a table has at most: the rest of the datagram is for what goes along.
+/// The maximum size of the records in one page or table response, in bytes. The rest of the
+/// datagram is left for the message itself and for gossip.
 pub(crate) const MAX_TABLE_PART_BYTES: usize = MAX_DATAGRAM_BYTES * 3 / 4;
-/// Version and key id.
+/// The size of the version and the key id, in bytes.
 const PREFIX_BYTES: usize = 1 + 4;
 const HEADER_BYTES: usize = PREFIX_BYTES + TAG_BYTES;
-/// Bytes that the lengths of the lists of records and reports may grow by.
+/// The number of bytes reserved for the length prefixes of the records and the engine reports,
+/// which grow with the lists.
 const LENGTH_RESERVE_BYTES: usize = 4;
 
 /// Why a datagram is rejected.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RejectReason {
-    /// No datagram has this length.
+    /// The length of the datagram is not valid.
     #[error("too long or too short")]
     Length,
-    /// Its layout is of another version.
+    /// The datagram uses another version of the layout.
     #[error("of another version")]
     Version,
-    /// It is signed by a key that is not accepted.
+    /// The datagram is signed with a key that is not accepted.
     #[error("by a key that is not accepted here")]
     UnknownKey,
-    /// Its authentication tag does not match.
+    /// The authentication tag does not match.
     #[error("its code does not hold")]
     AuthenticationTag,
-    /// It has no valid message.
+    /// The datagram does not contain a valid message.
     #[error("it cannot be read")]
     Malformed,
-    /// It is of a fleet of another name.
+    /// The sender belongs to another fleet.
     #[error("of another fleet")]
     OtherFleet,
-    /// It came before.
+    /// The message counter was seen before, or is too old to tell.
     #[error("it came before")]
     Replayed,
-    /// Its sender advertises another address than it came from.
+    /// The sender advertises another address than the one that the datagram came from.
     #[error("from another address than it says")]
     SourceAddress,
-    /// It answers no request of this node.
+    /// The datagram answers no request of this node.
     #[error("an answer to nothing that was asked")]
     Unsolicited,
-    /// More came than are answered.
+    /// The sender exceeds the rate at which requests are answered.
     #[error("too many from there")]
     RateLimited,
-    /// Another process sent it under this node's name.
+    /// Another process sent the datagram under this node's name.
     #[error("under this gateway's own name")]
     OwnName,
 }
 
-/// A random number that only the one asked at its address can know.
+/// A random number that only the node at the requested address can know. It ties an answer to its
+/// request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Nonce(pub u64);
 
-/// What a message is for. The order of variants and fields is their order on the wire.
+/// The purpose of a message and its data. The order of the variants and fields is their order on
+/// the wire.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Body {
-    /// A probe: answer with [`Body::Ack`].
+    /// A probe, which the receiver answers with [`Body::Ack`].
     Ping(Nonce),
     /// The answer to a ping.
     Ack(Nonce),
-    /// A request for an indirect probe: ping the target, and pass on whether it answered.
+    /// A request for an indirect probe: the receiver pings the target and reports whether it
+    /// answered.
     IndirectPing {
-        /// Of the request, and of its answer.
+        /// The nonce of the request, repeated in its answer.
         nonce: Nonce,
-        /// Whom to ping.
+        /// The record of the node to ping.
         target: Box<Record>,
     },
     /// The target of an indirect probe answered.
     IndirectAck(Nonce),
-    /// The target of an indirect probe did not answer its relay, which is well itself.
+    /// The target of an indirect probe did not answer the relay. The nack shows that the relay
+    /// itself is healthy.
     IndirectNack(Nonce),
-    /// Asks for the part of the table behind this name; none: for the first part.
+    /// A request for the next page of the receiver's table.
     PageRequest {
-        /// The last name of the part before.
+        /// The last name on the previous page, or `None` for the first page.
         after: Option<Name>,
     },
-    /// A part of the table: its records stand among the message's.
+    /// A page of the table. Its records are in [`Message::records`].
     Page {
-        /// The name behind which it goes on; none: this is the last part.
+        /// The name after which the next page starts, or `None` if this is the last page.
         next: Option<Name>,
     },
-    /// Nothing but the gossip that goes along.
+    /// A message that only carries gossip.
     Gossip,
-    /// Bytes of another subsystem, to be handed over.
+    /// Data of another subsystem, passed on unchanged to the receiver's application.
     Payload(Vec<u8>),
-    /// Digests of some buckets of the sender's table: asks for what differs in the receiver's.
+    /// Digests of a range of buckets of the sender's table. The receiver answers with the records
+    /// that differ in its own table.
     DigestRequest {
-        /// Of the request, and of its answer.
+        /// The nonce of the request, repeated in its answer.
         nonce: Nonce,
-        /// The first bucket.
+        /// The index of the first bucket.
         first_bucket: u8,
-        /// Digests of this bucket and those that follow.
+        /// The digests of the first bucket and of those that follow it.
         digests: Vec<BucketDigest>,
     },
-    /// Which buckets are equal; records of the others stand among the message's.
+    /// The result of a digest comparison. The records of the differing buckets are in
+    /// [`Message::records`].
     DigestResponse {
-        /// Of the request.
+        /// The nonce of the request.
         nonce: Nonce,
-        /// A bit for each bucket of the request from the lowest on: it is equal.
+        /// One bit for each bucket of the request, starting with the lowest bit. A set bit means
+        /// that the bucket is equal.
         equal: u32,
-        /// As many buckets from the first on are equal or told in full.
+        /// The number of buckets, counted from the first, that are equal or whose records are all
+        /// in this message.
         covered: u8,
     },
-    /// Fingerprints of all records of the sender's table from one on, in their order, up to the last: asks for what the
-    /// receiver holds there beside them. Fewer than [`crate::table_digest::MAX_FINGERPRINTS`]: up to the end of all.
+    /// The sorted fingerprints of the records in the sender's table, starting at `from`. The
+    /// receiver answers with the records that it holds in that range and that are not listed.
+    ///
+    /// The range ends at the last fingerprint. If there are fewer than
+    /// [`crate::table_digest::MAX_FINGERPRINTS`], it extends to the highest possible fingerprint.
     FingerprintRequest {
-        /// Of the request, and of its answer.
+        /// The nonce of the request, repeated in its answer.
         nonce: Nonce,
-        /// The fingerprint from which on the table is listed.
+        /// The start of the range, inclusive.
         from: u64,
-        /// The fingerprints.
+        /// The fingerprints in ascending order.
         fingerprints: Vec<FingerprintBytes>,
     },
-    /// Which fingerprints are held; what is held beside them stands among the message's records, as far as it fits.
+    /// The answer to a list of fingerprints. Records that were not listed are in
+    /// [`Message::records`], as far as they fit.
     FingerprintResponse {
-        /// Of the request.
+        /// The nonce of the request.
         nonce: Nonce,
-        /// A bit for each fingerprint of the request from the lowest on: it is held.
+        /// One bit for each fingerprint of the request, starting with the lowest bit. A set bit
+        /// means that the sender holds the record.
         held: u64,
-        /// Up to this fingerprint all is told.
+        /// The fingerprint up to which the answer is complete, inclusive.
         until: u64,
     },
 }
 
-/// A view of the fleet in short: two that agree hold the same nodes in the same boots.
+/// A summary of a node's view of the fleet. Two equal views contain the same nodes in the same
+/// boots.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct View {
-    /// Hash over names and boots.
+    /// A hash over the names and boots of the nodes.
     pub digest: u64,
-    /// Nodes in the fleet.
+    /// The number of nodes in the fleet.
     pub size: u16,
 }
 
 /// A message from one node to another. The order of the fields is their order on the wire.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Message {
-    /// The fleet of the sender.
+    /// The fleet that the sender belongs to.
     pub fleet: Name,
     /// The sender's own record.
     pub from: Record,
-    /// Rises with each message of a boot.
+    /// A counter that increases with each message of a boot, used to detect replays.
     pub counter: u64,
     /// The sender's view.
     pub view: View,
-    /// What the message is for.
+    /// The purpose of the message and its data.
     pub body: Body,
-    /// Records that belong to the body, and updates of gossip.
+    /// The records that belong to the body, followed by gossip updates.
     pub records: Vec<Record>,
-    /// Reports of engines.
+    /// The sender's engine reports.
     pub engine_reports: Vec<EngineReport>,
 }
 
-/// The bytes of a message on the wire. A message is made to fit, see [`remaining_bytes`].
+/// Encodes and signs a message. The caller keeps the message within the size limit, see
+/// [`remaining_bytes`].
 ///
 /// # Panics
-/// Never: all values of a message can be encoded.
+/// Never: every message can be encoded.
 #[must_use]
 pub fn seal(key_ring: &KeyRing, message: &Message) -> Vec<u8> {
-    let body = postcard::to_allocvec(message).expect("plain values");
+    let body = postcard::to_allocvec(message).expect("messages can always be encoded");
     let prefix = [&[VERSION][..], &key_ring.signing_key().0].concat();
     let tag = key_ring.authentication_tag(&[&prefix, &body]);
     [&prefix[..], &tag, &body].concat()
 }
 
-/// Bytes that a value takes in a datagram.
+/// Returns the encoded size of a value in a datagram, in bytes.
 #[must_use]
 pub fn encoded_size(value: &impl Serialize) -> usize {
     postcard::to_allocvec(value).map_or(MAX_DATAGRAM_BYTES, |bytes| bytes.len())
 }
 
-/// Bytes that are left in the datagram of a message for more records and reports.
+/// Returns how many bytes are left in the datagram of a message for more records and engine
+/// reports.
 #[must_use]
 pub fn remaining_bytes(message: &Message) -> usize {
     let used = HEADER_BYTES + encoded_size(message) + LENGTH_RESERVE_BYTES;
     MAX_DATAGRAM_BYTES.saturating_sub(used)
 }
 
-/// The message of a datagram. Cheap checks come first: a flood of foreign datagrams costs a look at five bytes each.
+/// Verifies a datagram and decodes its message. The cheap checks run first, so that rejecting a
+/// flood of foreign datagrams costs a comparison of five bytes each.
 ///
 /// # Errors
-/// It is no datagram of this fleet; this is why.
+/// Fails with the reason why this is not a valid datagram of the fleet.
 pub fn open(key_ring: &KeyRing, fleet: &Name, bytes: &[u8]) -> Result<Message, RejectReason> {
     if bytes.len() <= HEADER_BYTES || bytes.len() > MAX_DATAGRAM_BYTES {
         return Err(RejectReason::Length);
@@ -206,9 +227,9 @@
             TagError::UnknownKey => RejectReason::UnknownKey,
             TagError::Mismatch => RejectReason::AuthenticationTag,
         })?;
-    let (message, unread) =
+    let (message, trailing) =
         postcard::take_from_bytes::<Message>(body).map_err(|_| RejectReason::Malformed)?;
-    if !unread.is_empty() {
+    if !trailing.is_empty() {
         return Err(RejectReason::Malformed);
     }
     if message.fleet != *fleet {
--- a/crates/membership/src/name_conflict.rs
+++ b/crates/membership/src/name_conflict.rs
@@ -1,4 +1,4 @@
-//! Two processes with one name: which of them stays in the fleet.
+//! Conflicts between two processes that use the same name: which of them stays in the fleet.
 
 use admission::interface::{TimeDelta, Timestamp};
 use rand::RngExt;
@@ -7,46 +7,52 @@
 use crate::member::BootId;
 use crate::rate_limiter::RateLimiter;
 
-/// A node that gives way to another of its name stays out of the fleet for half to one and a half of this.
-const WITHDRAWAL_S: f64 = 30.0;
-/// How often a node rises above another boot of its name, at most.
-const RISES_PER_S: f64 = 1.0;
+/// The mean time that a node stays out of the fleet after it lost a conflict, in seconds. The
+/// actual time is drawn at random between half of it and one and a half times it.
+const MEAN_WITHDRAWAL_S: f64 = 30.0;
+/// The maximum rate at which a node raises its incarnation above that of another boot of its name.
+const INCARNATION_RAISES_PER_S: f64 = 1.0;
 
-/// What this node knows of other processes with its name, and whether it gave way to one.
+/// What this node knows about other processes that use its name, and whether it has withdrawn in
+/// favour of one.
 #[derive(Clone, Debug)]
 pub struct NameConflict {
-    /// Another boot under this name that was asked whether it is there.
+    /// The other boot under this name that was probed last, or `None` if none was probed or the
+    /// last one answered.
     probed: Option<BootId>,
-    /// This node's view converged with others': who takes its name later gives way.
+    /// Whether this node's view has ever agreed with those of others. If so, it keeps its name, and
+    /// a later process withdraws.
     has_converged: bool,
     withdrawn_until: Option<Timestamp>,
-    rises: RateLimiter,
+    incarnation_raises: RateLimiter,
 }
 
 impl NameConflict {
-    /// No other process is known.
+    /// Creates the state without a conflict.
     #[must_use]
     pub fn new() -> Self {
         NameConflict {
             probed: None,
             has_converged: false,
             withdrawn_until: None,
-            rises: RateLimiter::new(RISES_PER_S),
+            incarnation_raises: RateLimiter::new(INCARNATION_RAISES_PER_S),
         }
     }
 
-    /// This node's view converged with others'.
+    /// Records that this node's view agreed with those of others.
     pub fn set_converged(&mut self) {
         self.has_converged = true;
     }
 
-    /// Whether it may rise above another boot's incarnation now. Step by step, or one Byzantine node's word would use the
-    /// range up.
+    /// Returns whether this node may raise its incarnation above that of another boot now, and
+    /// counts it. The rate is limited because a single Byzantine node could otherwise use up the
+    /// range of incarnations.
     pub fn may_raise_incarnation(&mut self, now: Timestamp) -> bool {
-        self.rises.try_take(now)
+        self.incarnation_raises.try_take(now)
     }
 
-    /// Whether another boot is to be probed: it was not the last one that was.
+    /// Returns whether another boot should be probed, which is the case unless it is the one that
+    /// was probed last.
     pub fn should_probe(&mut self, boot_id: BootId) -> bool {
         if self.probed == Some(boot_id) {
             return false;
@@ -55,22 +61,23 @@
         true
     }
 
-    /// The other process answered a probe: it is there. A node whose view never converged gives way.
+    /// Records that the other process answered a probe. If this node's view has never agreed with
+    /// others', it withdraws.
     pub fn conflict_confirmed(&mut self, now: Timestamp, rng: &mut Pcg64Mcg) {
         self.probed = None;
         if !self.has_converged {
-            let lasts = TimeDelta::from_secs(WITHDRAWAL_S * (0.5 + rng.random::<f64>()));
-            self.withdrawn_until = Some(now + lasts);
+            let duration = TimeDelta::from_secs(MEAN_WITHDRAWAL_S * (0.5 + rng.random::<f64>()));
+            self.withdrawn_until = Some(now + duration);
         }
     }
 
-    /// Whether this node gave way, and has not come back yet.
+    /// Returns whether this node has withdrawn and not yet returned.
     #[must_use]
     pub fn is_withdrawn(&self) -> bool {
         self.withdrawn_until.is_some()
     }
 
-    /// Comes back once the time is over. True: it is not.
+    /// Ends the withdrawal once its time is over. Returns whether this node is still withdrawn.
     pub fn stays_withdrawn(&mut self, now: Timestamp) -> bool {
         if self.withdrawn_until.is_some_and(|until| now < until) {
             return true;
--- a/crates/membership/src/outstanding_probes.rs
+++ b/crates/membership/src/outstanding_probes.rs
@@ -1,4 +1,4 @@
-//! Probes that wait for an ack.
+//! The probes that are waiting for an ack.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -8,18 +8,21 @@
 use crate::member::Name;
 use crate::message::Nonce;
 
-/// What a probe is for, and what follows where no ack comes.
+/// The reason for a probe, which determines what happens when no ack arrives.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum ProbePurpose {
-    /// Of a member, in turn or since something was heard of it: without an ack it is suspected.
+    /// The probe checks a member, in its turn or to verify a claim. Without an ack, the member is
+    /// suspected.
     Member(Name),
-    /// Of a node that gossip tells of: without an ack it is forgotten.
+    /// The probe verifies a node that is known from gossip. Without an ack, an unconfirmed node is
+    /// eventually dropped.
     Direct(Name),
-    /// Of a seed, or of a member that was dead or left, by its name: without an ack nothing follows.
+    /// The probe looks for a seed, or for a dead or departed member, whose name is given. Without
+    /// an ack, nothing happens.
     Rejoin(Option<Name>),
-    /// For another node that cannot reach the target.
+    /// The probe is sent on behalf of another node that cannot reach the target.
     Indirect {
-        /// The node that asked for it.
+        /// The node that requested the probe.
         requester: SocketAddr,
         /// The nonce of its request.
         nonce: Nonce,
@@ -27,7 +30,7 @@
 }
 
 impl ProbePurpose {
-    /// Whom it is for, where that is known.
+    /// Returns the name of the target, or `None` if it is unknown.
     #[must_use]
     pub(crate) fn target_name(&self) -> Option<&Name> {
         match self {
@@ -37,7 +40,7 @@
         }
     }
 
-    /// Whether the ack may come from a node of this name.
+    /// Returns whether a node of this name may send the ack.
     #[must_use]
     pub(crate) fn may_be_acked_by(&self, name: &Name) -> bool {
         match self {
@@ -47,17 +50,18 @@
     }
 }
 
-/// How long a probe waits.
+/// How long a probe waits for answers.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ProbeTimeouts {
-    /// For the ack of its target, before others are asked.
+    /// How long the probe waits for the target's ack before other members are asked for indirect
+    /// probes.
     pub(crate) direct: TimeDelta,
-    /// For any answer.
+    /// How long the probe waits for any answer.
     pub(crate) total: TimeDelta,
 }
 
 impl ProbeTimeouts {
-    /// Both times as many times as long.
+    /// Multiplies both time-outs by a factor.
     #[must_use]
     pub(crate) fn scaled_by(self, factor: f64) -> ProbeTimeouts {
         ProbeTimeouts {
@@ -67,25 +71,25 @@
     }
 }
 
-/// A probe that waits for an ack.
+/// A probe that is waiting for an ack.
 #[derive(Clone, Debug)]
 pub(crate) struct Probe {
-    /// What it is for.
+    /// The reason for the probe.
     pub(crate) purpose: ProbePurpose,
-    /// Where it was sent.
+    /// The address that the probe was sent to.
     pub(crate) target: SocketAddr,
-    /// When the next step is due: others are asked, or it has failed.
+    /// When the next step is due: asking for indirect probes, or giving up.
     pub(crate) due: Timestamp,
-    /// When it has failed.
+    /// When the probe fails.
     pub(crate) deadline: Timestamp,
-    /// Members asked for an indirect probe that have not answered.
+    /// The relays that were asked for an indirect probe and have not answered.
     pub(crate) relays: BTreeSet<SocketAddr>,
-    /// Relays that said that they are well and had no ack either.
+    /// The number of relays that reported that they got no ack either.
     pub(crate) nacks: usize,
 }
 
 impl Probe {
-    /// A probe that is sent now.
+    /// Creates a probe that is sent now.
     #[must_use]
     pub(crate) fn new(
         now: Timestamp,
@@ -109,40 +113,40 @@
     }
 }
 
-/// All probes that wait for an ack, by their nonces.
+/// All probes that are waiting for an ack, by their nonce.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct OutstandingProbes {
     probes: BTreeMap<Nonce, Probe>,
 }
 
 impl OutstandingProbes {
-    /// Adds one.
+    /// Adds a probe.
     pub(crate) fn insert(&mut self, nonce: Nonce, probe: Probe) {
         self.probes.insert(nonce, probe);
     }
 
-    /// The probe of a nonce.
+    /// Returns the probe with this nonce.
     #[must_use]
     pub(crate) fn get(&self, nonce: Nonce) -> Option<&Probe> {
         self.probes.get(&nonce)
     }
 
-    /// The probe of a nonce, to be changed.
+    /// Returns the probe with this nonce for a change.
     pub(crate) fn get_mut(&mut self, nonce: Nonce) -> Option<&mut Probe> {
         self.probes.get_mut(&nonce)
     }
 
-    /// Takes a probe out: it is over.
+    /// Removes and returns the probe with this nonce.
     pub(crate) fn remove(&mut self, nonce: Nonce) -> Option<Probe> {
         self.probes.remove(&nonce)
     }
 
-    /// Forgets all.
+    /// Removes all probes.
     pub(crate) fn clear(&mut self) {
         self.probes.clear();
     }
 
-    /// Whether a node of this name is being probed, in turn or directly.
+    /// Returns whether a member or direct probe of this node is outstanding.
     #[must_use]
     pub(crate) fn is_probing(&self, name: &Name) -> bool {
         self.probes.values().any(|probe| match &probe.purpose {
@@ -151,27 +155,27 @@
         })
     }
 
-    /// Direct probes of nodes that gossip tells of.
+    /// Returns the number of outstanding direct probes, which verify nodes known from gossip.
     #[must_use]
     pub(crate) fn direct_count(&self) -> usize {
         let is_direct = |probe: &&Probe| matches!(probe.purpose, ProbePurpose::Direct(_));
         self.probes.values().filter(is_direct).count()
     }
 
-    /// Indirect probes for other nodes.
+    /// Returns the number of probes outstanding on behalf of other nodes.
     #[must_use]
     pub(crate) fn indirect_count(&self) -> usize {
         let is_indirect = |probe: &&Probe| matches!(probe.purpose, ProbePurpose::Indirect { .. });
         self.probes.values().filter(is_indirect).count()
     }
 
-    /// When the next step of any is due.
+    /// Returns when the next step of any probe is due, or `None` if no probe is outstanding.
     #[must_use]
     pub(crate) fn next_due(&self) -> Option<Timestamp> {
         self.probes.values().map(|probe| probe.due).min()
     }
 
-    /// Probes whose next step is due, in the order of their nonces.
+    /// Returns the probes whose next step is due, ordered by nonce.
     #[must_use]
     pub(crate) fn due(&self, now: Timestamp) -> Vec<Nonce> {
         self.probes
--- a/crates/membership/src/probe_retries.rs
+++ b/crates/membership/src/probe_retries.rs
@@ -1,4 +1,4 @@
-//! With traffic limits: failed probes that are repeated before their targets are suspected.
+//! Retries of failed probes, which traffic limits require before a member is suspected.
 
 use std::collections::BTreeMap;
 
@@ -6,35 +6,37 @@
 
 use crate::member::Name;
 
-/// Members whose failed probe is being repeated, at most: of many that fail at once other nodes repeat as well.
-const MAX_MEMBERS: usize = 2;
+/// The maximum number of members whose probe is retried at the same time. If many members fail at
+/// once, other nodes retry the rest.
+const MAX_RETRIED_MEMBERS: usize = 2;
 
-/// A member whose probe failed.
+/// The retries of one member's probe.
 #[derive(Clone, Copy, Debug)]
 struct Retry {
-    /// Failed probes in a row.
+    /// The number of consecutive failed probes.
     failures: usize,
-    /// When it is probed again; `None` while that probe runs.
+    /// When the next retry is due, or `None` while a retry is outstanding.
     due: Option<Timestamp>,
 }
 
-/// What follows a failed probe.
+/// What to do after a failed probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailureOutcome {
-    /// It is repeated first, here or by other nodes.
+    /// The probe is retried first, by this node or by others.
     Retry,
-    /// It failed often enough.
+    /// The limit is reached, so the member is suspected.
     Suspect,
 }
 
-/// Members whose failed probe is repeated before anything is said of them.
+/// The members whose failed probe is being retried.
 #[derive(Clone, Debug, Default)]
 pub struct ProbeRetries {
     retries: BTreeMap<Name, Retry>,
 }
 
 impl ProbeRetries {
-    /// A probe of a member failed. It is suspected after as many repeats as `confirmations` says.
+    /// Records that a probe of a member failed. The member is suspected once `confirmations`
+    /// retries have failed as well.
     pub fn probe_failed(
         &mut self,
         now: Timestamp,
@@ -46,37 +48,38 @@
             self.clear(name);
             return FailureOutcome::Suspect;
         }
-        if self.retries.len() < MAX_MEMBERS || self.contains(name) {
+        if self.retries.len() < MAX_RETRIED_MEMBERS || self.contains(name) {
             let due = Some(now);
             self.retries.insert(name.clone(), Retry { failures, due });
         }
         FailureOutcome::Retry
     }
 
-    /// It answered, or needs no repeats any more.
+    /// Forgets the failures of a member, because it answered or no longer needs retries.
     pub fn clear(&mut self, name: &Name) {
         self.retries.remove(name);
     }
 
-    /// Whether probes of this member are being repeated.
+    /// Returns whether probes of this member are being retried.
     #[must_use]
     pub fn contains(&self, name: &Name) -> bool {
         self.retries.contains_key(name)
     }
 
-    /// Failed probes of this member in a row.
+    /// Returns the number of consecutive failed probes of this member, or `None` if none is being
+    /// retried.
     #[must_use]
     pub fn failures(&self, name: &Name) -> Option<usize> {
         self.retries.get(name).map(|retry| retry.failures)
     }
 
-    /// When the next repeat is due.
+    /// Returns when the next retry is due, or `None` if none is.
     #[must_use]
     pub fn next_due(&self) -> Option<Timestamp> {
         self.retries.values().filter_map(|retry| retry.due).min()
     }
 
-    /// Members whose repeat is due, in the order of their names.
+    /// Returns the members whose retry is due, ordered by name.
     #[must_use]
     pub fn due(&self, now: Timestamp) -> Vec<Name> {
         self.retries
@@ -86,7 +89,7 @@
             .collect()
     }
 
-    /// The repeat of this member's probe is sent.
+    /// Records that the retry of this member's probe was sent.
     pub fn mark_started(&mut self, name: &Name) {
         if let Some(retry) = self.retries.get_mut(name) {
             retry.due = None;
--- a/crates/membership/src/probe_round.rs
+++ b/crates/membership/src/probe_round.rs
@@ -6,14 +6,15 @@
 
 use crate::member::{Name, Record};
 
-/// SWIM's round-robin probing: the rest of a round in random order, so that each member is probed once a round.
+/// SWIM's round-robin probing: each round visits all members of the fleet once, in random order.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ProbeRound {
     remaining: Vec<Name>,
 }
 
 impl ProbeRound {
-    /// The next one in turn that is still in the fleet; a new round begins where one ends. `None`: the fleet is empty.
+    /// Returns the next member of the round that is still in the fleet, starting a new round after
+    /// the last one. Returns `None` if the fleet is empty.
     pub(crate) fn next(
         &mut self,
         fleet: impl Fn() -> Vec<Name>,
@@ -46,7 +47,7 @@
     }
 }
 
-/// A random sample of so many records, or all where there are fewer.
+/// Returns a random sample of `count` records, or all records if there are fewer.
 pub(crate) fn sample<'a>(
     records: impl Iterator<Item = &'a Record>,
     count: usize,
@@ -62,7 +63,7 @@
     records
 }
 
-/// One record by chance.
+/// Returns a random record, or `None` if there is none.
 pub(crate) fn sample_one<'a>(
     records: impl Iterator<Item = &'a Record>,
     rng: &mut Pcg64Mcg,
--- a/crates/membership/src/rate_limiter.rs
+++ b/crates/membership/src/rate_limiter.rs
@@ -1,8 +1,8 @@
-//! Token buckets: of actions, and of bytes.
+//! Token buckets that limit the rate of actions and of bytes.
 
 use admission::interface::Timestamp;
 
-/// Tokens that come back at a rate, one for each action; what is asked beyond them is not done.
+/// A token bucket in which each action takes one token.
 #[derive(Clone, Debug)]
 pub struct RateLimiter {
     per_s: f64,
@@ -11,7 +11,7 @@
 }
 
 impl RateLimiter {
-    /// A full bucket that holds the tokens of one second, and one at least.
+    /// Creates a full bucket. Its capacity is the tokens of one second, but at least one token.
     #[must_use]
     pub fn new(per_s: f64) -> Self {
         RateLimiter {
@@ -21,9 +21,9 @@
         }
     }
 
-    /// Takes a token. False: there is none.
+    /// Takes a token. Returns false if none is left.
     pub fn try_take(&mut self, now: Timestamp) -> bool {
-        let elapsed = since_refill(&mut self.refilled, now);
+        let elapsed = seconds_since_refill(&mut self.refilled, now);
         self.tokens = (self.tokens + elapsed * self.per_s).min(self.per_s.max(1.0));
         if self.tokens < 1.0 {
             return false;
@@ -33,7 +33,7 @@
     }
 }
 
-/// Bytes that come back at a rate, up to a capacity.
+/// A token bucket that counts bytes.
 #[derive(Clone, Debug)]
 pub struct ByteBudget {
     bytes_per_s: f64,
@@ -43,7 +43,7 @@
 }
 
 impl ByteBudget {
-    /// A full budget.
+    /// Creates a full budget.
     #[must_use]
     pub fn new(bytes_per_s: f64, capacity: f64) -> Self {
         ByteBudget {
@@ -54,19 +54,20 @@
         }
     }
 
-    /// Bytes that may be spent now.
+    /// Returns how many bytes may be spent now. The number is negative while the budget is
+    /// overdrawn.
     pub fn available(&mut self, now: Timestamp) -> f64 {
-        let elapsed = since_refill(&mut self.refilled, now);
+        let elapsed = seconds_since_refill(&mut self.refilled, now);
         self.available = (self.available + elapsed * self.bytes_per_s).min(self.capacity);
         self.available
     }
 
-    /// Spends bytes; a negative number gives some back.
+    /// Spends bytes without checking the budget. A negative number returns bytes to it.
     pub fn spend(&mut self, bytes: f64) {
         self.available -= bytes;
     }
 
-    /// Spends bytes if there are as many. False: there are fewer, and none is spent.
+    /// Spends bytes if enough are available. Otherwise spends nothing and returns false.
     pub fn try_spend(&mut self, now: Timestamp, bytes: f64) -> bool {
         if self.available(now) < bytes {
             return false;
@@ -76,8 +77,8 @@
     }
 }
 
-/// Seconds since the last refill, which is now from here on.
-fn since_refill(refilled: &mut Option<Timestamp>, now: Timestamp) -> f64 {
+/// Returns the seconds since the last refill, and sets the time of the last refill to now.
+fn seconds_since_refill(refilled: &mut Option<Timestamp>, now: Timestamp) -> f64 {
     let last = refilled.replace(now).unwrap_or(now);
     (now - last).secs().max(0.0)
 }
--- a/crates/membership/src/replay_window.rs
+++ b/crates/membership/src/replay_window.rs
@@ -1,25 +1,28 @@
-//! Protection against replayed datagrams.
+//! Detection of replayed datagrams.
 
-/// Counters below the highest one that are told apart; older ones are taken for replays.
-const WINDOW: u64 = 128;
+/// The number of counters below the highest one that are tracked. Older counters are treated as
+/// replays.
+const WINDOW_SIZE: u64 = 128;
 
-/// Which message counters of one boot came already: late ones are accepted once within a window, older ones not at all.
+/// The message counters that were received from one boot. A late counter is accepted once while it
+/// is within the window, and rejected below it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ReplayWindow {
     highest: u64,
-    /// A bit for each counter below the highest, the next lower one first.
+    /// One bit for each tracked counter below the highest one. The lowest bit is the next lower
+    /// counter.
     seen_below: u128,
 }
 
 impl ReplayWindow {
-    /// Whether this counter is new; it counts as seen from now on.
+    /// Returns whether a counter is new, and marks it as seen.
     pub fn accept(&mut self, counter: u64) -> bool {
         if counter > self.highest {
             self.advance(counter);
             return true;
         }
         let behind = self.highest - counter;
-        if behind == 0 || behind > WINDOW {
+        if behind == 0 || behind > WINDOW_SIZE {
             return false;
         }
         let bit = 1u128 << (behind - 1);
@@ -29,9 +32,9 @@
     }
 
     fn advance(&mut self, counter: u64) {
-        let steps = counter - self.highest;
-        self.seen_below = if steps < WINDOW {
-            self.seen_below << steps | 1 << (steps - 1)
+        let distance = counter - self.highest;
+        self.seen_below = if distance < WINDOW_SIZE {
+            self.seen_below << distance | 1 << (distance - 1)
         } else {
             0
         };
--- a/crates/membership/src/request_limits.rs
+++ b/crates/membership/src/request_limits.rs
@@ -1,50 +1,52 @@
-//! How many requests of others are answered.
+//! Rate limits for answering the requests of other nodes.
 
 use admission::interface::Timestamp;
 
 use crate::config::Config;
 use crate::rate_limiter::RateLimiter;
 
-/// Who sent a message, as far as it is known before the message counts.
+/// What is known about the sender before its message is processed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SenderStatus {
-    /// Nothing is held of its name.
+    /// No node with the sender's name is known.
     Unknown,
-    /// It is not in the fleet, or not at the address that is held of it.
+    /// The sender is not in the fleet, or its address is not the known one.
     Unconfirmed,
-    /// It is in the fleet, at the address that is held of it.
+    /// The sender is in the fleet and uses its known address.
     Member,
 }
 
-/// Rates at which requests are answered: whoever floods this node uses up no more than these.
+/// The rates at which requests are answered. They bound the resources that a flood of requests can
+/// use.
 #[derive(Clone, Debug)]
 pub(crate) struct RequestLimits {
     members: RateLimiter,
-    strangers: RateLimiter,
-    table_parts: RateLimiter,
+    non_members: RateLimiter,
+    table_responses: RateLimiter,
 }
 
 impl RequestLimits {
-    /// Full rates.
+    /// Creates limiters whose buckets are full.
     #[must_use]
     pub(crate) fn new(config: &Config) -> Self {
         RequestLimits {
             members: RateLimiter::new(config.answers_per_s),
-            strangers: RateLimiter::new(config.answers_per_s),
-            table_parts: RateLimiter::new(config.pages_per_s),
+            non_members: RateLimiter::new(config.answers_per_s),
+            table_responses: RateLimiter::new(config.pages_per_s),
         }
     }
 
-    /// Whether a ping, or a request for one, is answered.
+    /// Returns whether a ping or a request for an indirect probe may be answered, and counts it.
     pub(crate) fn try_answer_probe(&mut self, now: Timestamp, sender: SenderStatus) -> bool {
         match sender {
             SenderStatus::Member => self.members.try_take(now),
-            SenderStatus::Unknown | SenderStatus::Unconfirmed => self.strangers.try_take(now),
+            SenderStatus::Unknown | SenderStatus::Unconfirmed => self.non_members.try_take(now),
         }
     }
 
-    /// Whether a part of the table is given out.
+    /// Returns whether a table page or a comparison may be sent in response to a request, and
+    /// counts it.
     pub(crate) fn try_answer_table_request(&mut self, now: Timestamp) -> bool {
-        self.table_parts.try_take(now)
+        self.table_responses.try_take(now)
     }
 }
--- a/crates/membership/src/table_digest.rs
+++ b/crates/membership/src/table_digest.rs
@@ -1,27 +1,30 @@
-//! Digests of a table, so that two nodes exchange only what differs between their tables.
+//! Digests of the member table, which let two nodes exchange only the records that differ.
 //!
-//! A table is divided into buckets; a record's bucket follows from its name and boot. A bucket's digest is a truncated hash
-//! over the fingerprints of its records in their order: whoever says that two digests are equal vouches for each record of
-//! that bucket, and nobody can choose records that give the digest of others.
+//! The table is divided into buckets, and the name and boot id of a record determine its bucket.
+//! The digest of a bucket is a truncated hash over the sorted fingerprints of its records. A node
+//! that reports an equal digest therefore vouches for each record in the bucket, and nobody can
+//! choose records that produce the digest of other ones.
 
 use sha2::{Digest, Sha256};
 
 use crate::member::{MemberState, Record};
 
-/// Buckets of a table: some 15 records in each at 1,900 nodes.
+/// The number of buckets of a table. With 1,900 nodes, each bucket holds about 15 records.
 pub(crate) const BUCKETS: usize = 128;
-/// Buckets that one comparison covers.
+/// The number of buckets that one comparison covers.
 pub(crate) const BUCKETS_PER_REQUEST: usize = 32;
-/// Fingerprints that one request names at most, so that a bit for each fits in one number.
+/// The maximum number of fingerprints in one request. One bit for each of them fits in a `u64`.
 pub const MAX_FINGERPRINTS: usize = 56;
 
-/// Hash of one bucket, truncated to what nobody can find a second set of records for within an exchange's time.
+/// The hash of one bucket. It is truncated, but long enough that nobody can find a second set of
+/// records with the same hash during an exchange.
 pub type BucketDigest = [u8; 8];
 
-/// A fingerprint of a record on the wire.
+/// The fingerprint of a record on the wire.
 pub type FingerprintBytes = [u8; 8];
 
-/// Hash of a record's name and boot. Views are digested by it, and it says a record's bucket.
+/// The hash of a record's name and boot id. View digests are computed from it, and it determines
+/// the record's bucket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct IdentityHash(pub(crate) u64);
 
@@ -38,13 +41,14 @@
     }
 }
 
-/// Hash of all that a record says but its state, truncated to what nobody can find a second record for. Records have an
-/// order by it.
+/// The hash of all fields of a record except its state. It is truncated, but long enough that
+/// nobody can find a second record with the same hash. Fingerprint exchanges list records in this
+/// order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Fingerprint(pub(crate) u64);
 
 impl Fingerprint {
-    /// The highest one.
+    /// The highest possible fingerprint.
     pub(crate) const MAX: Fingerprint = Fingerprint(u64::MAX);
 
     pub(crate) fn new(record: &Record) -> Self {
@@ -53,7 +57,7 @@
             ..record.clone()
         };
         let mut hash = Sha256::new();
-        hash.update(postcard::to_allocvec(&without_state).expect("plain values"));
+        hash.update(postcard::to_allocvec(&without_state).expect("records can always be encoded"));
         Fingerprint(u64::from_be_bytes(truncate(hash)))
     }
 
@@ -65,7 +69,7 @@
         self.0.to_be_bytes()
     }
 
-    /// The next one, from the lowest again after the highest.
+    /// Returns the next fingerprint. The lowest one follows the highest one.
     pub(crate) fn next(self) -> Fingerprint {
         Fingerprint(self.0.wrapping_add(1))
     }
@@ -76,14 +80,14 @@
     std::array::from_fn(|index| hash[index])
 }
 
-/// A record's part in digests.
+/// The hashes of one record that a bucket digest is computed from.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RecordHashes {
     pub(crate) identity: IdentityHash,
     pub(crate) fingerprint: Fingerprint,
 }
 
-/// Buckets in a row, from `first` on and around the end.
+/// A range of consecutive buckets, which continues with the first bucket after the last one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct BucketRange {
     pub(crate) first: usize,
@@ -91,7 +95,7 @@
 }
 
 impl BucketRange {
-    /// The buckets of one request, from this one on.
+    /// Returns the range of a new request that starts at this bucket.
     pub(crate) fn of_request(first: usize) -> BucketRange {
         BucketRange {
             first,
@@ -99,36 +103,38 @@
         }
     }
 
-    /// The buckets that another node's request names; `None`: these are no buckets of a table.
+    /// Returns the range of a received request, or `None` if it is not valid.
     pub(crate) fn from_request(first_bucket: u8, count: usize) -> Option<BucketRange> {
         let first = usize::from(first_bucket);
         let is_valid = first < BUCKETS && (1..=BUCKETS_PER_REQUEST).contains(&count);
         is_valid.then_some(BucketRange { first, count })
     }
 
-    /// Which bucket of this range a record falls in, counted from the range's first.
+    /// Returns the position of a record's bucket in this range, or `None` if the bucket is outside
+    /// it.
     pub(crate) fn position(&self, identity: IdentityHash) -> Option<usize> {
         let position = (identity.bucket() + BUCKETS - self.first) % BUCKETS;
         (position < self.count).then_some(position)
     }
 
-    /// The bucket that comes so many behind the range's first.
+    /// Returns the bucket that is `count` positions after the first bucket of the range.
     pub(crate) fn bucket_after(&self, count: usize) -> usize {
         (self.first + count) % BUCKETS
     }
 }
 
-/// Digests of a range's buckets over these records. A suspicion changes no digest.
+/// Computes the digest of each bucket in a range. A suspicion does not change the digests, because
+/// fingerprints ignore the state.
 pub(crate) fn bucket_digests(
     range: BucketRange,
     records: impl Iterator<Item = RecordHashes>,
 ) -> Vec<BucketDigest> {
-    let mut placed: Vec<(usize, Fingerprint)> = records
+    let mut entries: Vec<(usize, Fingerprint)> = records
         .filter_map(|hashes| Some((range.position(hashes.identity)?, hashes.fingerprint)))
         .collect();
-    placed.sort_unstable();
+    entries.sort_unstable();
     let mut hashes = vec![Sha256::new(); range.count];
-    for (position, fingerprint) in placed {
+    for (position, fingerprint) in entries {
         hashes[position].update(fingerprint.to_bytes());
     }
     hashes.into_iter().map(truncate).collect()
--- a/crates/membership/src/traffic_limits.rs
+++ b/crates/membership/src/traffic_limits.rs
@@ -1,17 +1,20 @@
-//! Limits that keep the traffic of a large fleet flat, off unless set. See docs/notes/fleet.md.
+//! Limits that keep the traffic of each node constant as the fleet grows. They are off by default.
+//! See docs/notes/fleet.md.
 
-/// What one node spends on others, at most.
+/// The maximum traffic that one node generates for the protocol.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TrafficLimits {
-    /// Failed probes of one member in a row, after the first, before it is suspected.
+    /// The number of failed retries after which a member is suspected.
     pub confirmations: usize,
-    /// Of those that hear an update from too few witnesses, about so many verify it at once; the others wait.
+    /// The expected number of nodes that verify an update with too few witnesses at once. The other
+    /// nodes that hear it wait.
     pub verifiers: usize,
-    /// Direct probes begun in one period.
+    /// The maximum number of direct probes started in one protocol period.
     pub direct_probes: usize,
-    /// Bytes a second of gossip that messages carry.
+    /// The maximum rate of gossip in messages, in bytes per second.
     pub gossip_bytes_per_s: f64,
-    /// Bytes a second spent on anti-entropy, beyond what was saved up (16,000 bytes).
+    /// The maximum rate of anti-entropy traffic, in bytes per second. Unused bytes accumulate up to
+    /// 16,000.
     pub exchange_bytes_per_s: f64,
 }
 
--- a/crates/membership/src/verifications.rs
+++ b/crates/membership/src/verifications.rs
@@ -1,4 +1,5 @@
-//! Direct probes to come: of nodes of which too few witnesses spoke, or that spoke of themselves.
+//! Scheduled direct probes, which verify nodes with too few witnesses and nodes that introduced
+//! themselves.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -7,42 +8,43 @@
 
 use crate::member::Name;
 
-/// Direct probes a period of nodes that did not speak themselves, at most, with traffic limits.
-const MAX_GOSSIP_PROBES: usize = 2;
+/// The maximum number of direct probes per period that verify gossip, with traffic limits.
+const MAX_GOSSIP_VERIFICATIONS: usize = 2;
 
-/// What makes a node be verified.
+/// Why a node is verified.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum VerificationCause {
-    /// It spoke itself.
+    /// The node sent a message itself.
     OwnMessage,
-    /// Others spoke of it.
+    /// Other nodes reported the node.
     Gossip,
 }
 
-/// A direct probe to come.
+/// A scheduled direct probe.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Verification {
-    /// Where to.
+    /// The address to probe.
     pub(crate) address: SocketAddr,
-    /// When at the earliest.
+    /// The earliest time at which the probe is sent.
     pub(crate) due: Timestamp,
-    /// What it is for.
+    /// Why the node is verified.
     pub(crate) cause: VerificationCause,
 }
 
-/// Direct probes to come, by name.
+/// The scheduled direct probes, by the name of the node.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Verifications {
     pending: BTreeMap<Name, Verification>,
 }
 
 impl Verifications {
-    /// Sets the direct probe of one. True: none was to come.
+    /// Schedules the probe of a node, in place of a previous one. Returns true if none was
+    /// scheduled.
     pub(crate) fn schedule(&mut self, name: &Name, verification: Verification) -> bool {
         self.pending.insert(name.clone(), verification).is_none()
     }
 
-    /// Sets where one goes that is to come already. False: none is.
+    /// Changes the address of a scheduled probe. Returns false if none is scheduled.
     pub(crate) fn redirect(&mut self, name: &Name, address: SocketAddr) -> bool {
         let Some(verification) = self.pending.get_mut(name) else {
             return false;
@@ -51,17 +53,17 @@
         true
     }
 
-    /// Takes one out: it is sent, or not needed any more.
+    /// Removes and returns a scheduled probe, because it is sent or no longer needed.
     pub(crate) fn remove(&mut self, name: &Name) -> Option<Verification> {
         self.pending.remove(name)
     }
 
-    /// Keeps those of these names only.
+    /// Removes the probes of all nodes that the predicate rejects.
     pub(crate) fn retain(&mut self, is_kept: impl Fn(&Name) -> bool) {
         self.pending.retain(|name, _| is_kept(name));
     }
 
-    /// Those that are due, in the order of their names.
+    /// Returns the nodes whose probe is due, ordered by name.
     #[must_use]
     pub(crate) fn due(&self, now: Timestamp) -> Vec<Name> {
         self.pending
@@ -71,17 +73,18 @@
             .collect()
     }
 
-    /// Of these, at most so many, those that spoke themselves first; of gossip a few, since others verify it as well.
+    /// Returns at most `max` of the names. Nodes that sent a message themselves come first. Only a
+    /// few of the nodes known from gossip are included, because other members verify them as well.
     #[must_use]
     pub(crate) fn limit(&self, names: Vec<Name>, max: usize) -> Vec<Name> {
-        let spoke_itself = |name: &Name| {
+        let sent_message = |name: &Name| {
             self.pending
                 .get(name)
                 .is_some_and(|verification| verification.cause == VerificationCause::OwnMessage)
         };
         let (mut chosen, gossip): (Vec<Name>, Vec<Name>) =
-            names.into_iter().partition(spoke_itself);
-        chosen.extend(gossip.into_iter().take(MAX_GOSSIP_PROBES));
+            names.into_iter().partition(sent_message);
+        chosen.extend(gossip.into_iter().take(MAX_GOSSIP_VERIFICATIONS));
         chosen.truncate(max);
         chosen
     }
--- a/crates/membership/src/view_state.rs
+++ b/crates/membership/src/view_state.rs
@@ -1,4 +1,5 @@
-//! How far this node's view and the others' agree, and what may be assumed while they do or don't.
+//! The view state: how far the views of this node and of others agree, and what may be assumed
+//! about the fleet in each case.
 
 use std::fmt;
 
@@ -7,33 +8,34 @@
 use crate::config::Config;
 use crate::member::Name;
 
-/// Periods for which an own view must not have changed before it counts as agreed on.
+/// The number of protocol periods for which a view must stay unchanged before it counts as agreed
+/// on.
 const STABLE_PERIODS: f64 = 3.0;
 
-/// How far this node's view of the fleet and the others' agree. The texts of [`ViewState::name`] and of its display are
-/// shown to operators.
+/// How far this node's view of the fleet agrees with those of others. Operators see the texts of
+/// [`ViewState::name`] and of the `Display` implementation.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ViewState {
-    /// It never met another node.
+    /// The node has not met another node since its start.
     Isolated,
-    /// Its view is stable, and those it hears of are the same.
+    /// The node's view is stable, and the views that others sent recently are equal to it.
     Converged,
-    /// Views differ.
+    /// Views differ, or this node's view is not stable yet.
     Converging {
-        /// Members that are suspected here, as far as the difference is known.
+        /// The members that this node suspects, which may explain the difference.
         suspects: Vec<Name>,
     },
-    /// It reaches fewer than the configured part of the fleet that last converged.
+    /// The node reaches less than the configured fraction of the fleet that last converged.
     Partitioned {
-        /// The size of that fleet.
+        /// The size of the fleet that last converged.
         converged_size: usize,
     },
-    /// It was partitioned, and the views do not agree yet.
+    /// The node was partitioned, and views do not agree yet.
     Rejoining,
 }
 
 impl ViewState {
-    /// The state as operators and counters name it.
+    /// Returns the name of the state in operator output and counters.
     #[must_use]
     pub fn name(&self) -> &'static str {
         match self {
@@ -69,39 +71,40 @@
     }
 }
 
-/// What may be assumed of the fleet in a view state.
+/// What may be assumed about the fleet in a view state.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FleetAssumptions {
-    /// The fleet may be as large as this: a limit that must not be exceeded is divided by it.
+    /// The largest size that the fleet may have. A limit that must not be exceeded is divided by
+    /// this size.
     pub max_size: usize,
-    /// It may be as small as this: a minimum that must not be starved counts on no more.
+    /// The smallest size that the fleet may have. A guaranteed minimum is computed from this size.
     pub min_size: usize,
-    /// Whether what others report of engines counts.
+    /// Whether the engine reports of other nodes count.
     pub engine_reports_count: bool,
-    /// This node may take part in what the fleet decides together.
+    /// Whether this node may vote in decisions of the fleet.
     pub may_vote: bool,
 }
 
-/// What this node's view comes to, as the view state goes by it.
+/// The facts about this node's view that determine the view state.
 #[derive(Clone, Debug, Default)]
 pub struct ViewObservation {
-    /// Nodes in the fleet, this one among them.
+    /// The number of nodes in the fleet, including this one.
     pub size: usize,
-    /// Members that are suspected.
+    /// The members that are suspected.
     pub suspects: Vec<Name>,
-    /// Nodes that gossip tells of and that are not in the fleet yet.
+    /// The number of candidates, which are known from gossip and not yet in the fleet.
     pub candidates: usize,
-    /// Of the views heard lately, those that are the same.
+    /// The number of recently received views that equal this node's view.
     pub equal_views: usize,
-    /// Of the views heard lately, those that are not.
+    /// The number of recently received views that differ from this node's view.
     pub differing_views: usize,
-    /// Since when its own view has not changed.
+    /// When this node's view last changed. `None` means that the view is not stable.
     pub unchanged_since: Option<Timestamp>,
-    /// It met another node since its start.
+    /// Whether this node has met another node since its start.
     pub has_joined: bool,
 }
 
-/// The view state, and the sizes that the fleet had since it last converged.
+/// The view state, and the range of sizes that the fleet has had since it last converged.
 #[derive(Clone, Debug)]
 pub struct ViewStateMachine {
     state: ViewState,
@@ -112,7 +115,7 @@
 }
 
 impl ViewStateMachine {
-    /// Isolated from now on.
+    /// Creates the state machine in the isolated state.
     #[must_use]
     pub fn new(now: Timestamp) -> Self {
         ViewStateMachine {
@@ -124,19 +127,19 @@
         }
     }
 
-    /// The state now.
+    /// Returns the current state.
     #[must_use]
     pub fn state(&self) -> &ViewState {
         &self.state
     }
 
-    /// When the state last changed.
+    /// Returns when the state last changed.
     #[must_use]
     pub fn since(&self) -> Timestamp {
         self.since
     }
 
-    /// Takes in an observation. True: the state changed.
+    /// Updates the state from an observation. Returns whether the state changed.
     pub fn update(&mut self, now: Timestamp, observed: &ViewObservation, config: &Config) -> bool {
         self.max_size = self.max_size.max(observed.size + observed.candidates);
         self.min_size = self.min_size.min(observed.size);
@@ -150,9 +153,9 @@
             }
             return false;
         }
-        let is_recent = now - self.since < config.min_view_state_duration;
-        let may_wait = !next.is_partitioned() && self.state != ViewState::Isolated;
-        if is_recent && may_wait {
+        let changed_recently = now - self.since < config.min_view_state_duration;
+        let can_be_delayed = !next.is_partitioned() && self.state != ViewState::Isolated;
+        if changed_recently && can_be_delayed {
             return false;
         }
         if next == ViewState::Converged || accepts_partition {
@@ -197,8 +200,9 @@
         self.min_size = size;
     }
 
-    /// What may be assumed in this state. Each value is the safe one of its use: divided by the larger fleet, a limit is
-    /// not exceeded; counting on the smaller one, a minimum is not starved.
+    /// Returns what may be assumed in the current state. Each size is the safe choice for its use:
+    /// a limit divided by the larger size is not exceeded, and a minimum computed from the smaller
+    /// size is met.
     #[must_use]
     pub fn assumptions(&self, size: usize) -> FleetAssumptions {
         let max_size = self.max_size.max(self.converged_size).max(size);
@@ -222,7 +226,8 @@
                 engine_reports_count: true,
                 may_vote: true,
             },
-            // Those it reaches may be cut off from the same engines: their reports say nothing for the rest.
+            // The nodes that are still reachable may be cut off from the same engines, so their
+            // reports say nothing about the other nodes.
             ViewState::Partitioned { .. } => FleetAssumptions {
                 max_size,
                 min_size,
@@ -239,13 +244,13 @@
     }
 }
 
-/// The own view is stable, nobody is suspected, and no other view differs. With no other node left, a view agrees with
-/// itself.
+/// Returns whether this node's view is stable, no member is suspected and no received view differs.
+/// A node that is alone in its fleet agrees with itself.
 fn views_agree(now: Timestamp, observed: &ViewObservation, config: &Config) -> bool {
     let stable_after = TimeDelta::from_secs(config.probe_period.secs() * STABLE_PERIODS);
     let is_stable = observed
         .unchanged_since
         .is_some_and(|since| now - since >= stable_after);
-    let has_equal = observed.equal_views > 0 || observed.size == 1;
-    is_stable && has_equal && observed.differing_views == 0 && observed.suspects.is_empty()
+    let is_shared = observed.equal_views > 0 || observed.size == 1;
+    is_stable && is_shared && observed.differing_views == 0 && observed.suspects.is_empty()
 }
--- a/crates/membership/src/view_tracker.rs
+++ b/crates/membership/src/view_tracker.rs
@@ -1,4 +1,4 @@
-//! The own view over time, views heard from others, and the view state that follows.
+//! This node's view over time, the views received from others, and the resulting view state.
 
 use std::collections::VecDeque;
 
@@ -8,58 +8,61 @@
 use crate::message::View;
 use crate::view_state::{FleetAssumptions, ViewObservation, ViewState, ViewStateMachine};
 
-/// Views heard that are kept, the latest.
-const MAX_HEARD: usize = 64;
-/// Periods for which a heard view counts.
-const HEARD_PERIODS: f64 = 4.0;
+/// The maximum number of received views that are kept. The latest ones are kept.
+const MAX_RECEIVED_VIEWS: usize = 64;
+/// How long a received view counts, in protocol periods.
+const RECEIVED_VIEW_PERIODS: f64 = 4.0;
 
-/// A view that another node told.
+/// A view that another node sent.
 #[derive(Clone, Copy, Debug)]
-struct HeardView {
-    heard: Timestamp,
+struct ReceivedView {
+    received_at: Timestamp,
     view: View,
 }
 
-/// Views heard since the own view last changed.
+/// The comparison of this node's view with the views received since it last changed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct ViewComparison {
-    /// Those that equal the own view.
+    /// The number of received views that equal this node's view.
     pub(crate) equal: usize,
-    /// Those that differ from it.
+    /// The number of received views that differ from this node's view.
     pub(crate) differing: usize,
 }
 
-/// The own view over time, and how it compares with others'.
+/// This node's view over time, and the views received from others.
 #[derive(Clone, Debug)]
 pub(crate) struct ViewTracker {
     local: View,
     local_since: Timestamp,
-    heard: VecDeque<HeardView>,
+    received: VecDeque<ReceivedView>,
     machine: ViewStateMachine,
 }
 
 impl ViewTracker {
-    /// No view was heard yet.
+    /// Creates a tracker without received views.
     #[must_use]
     pub(crate) fn new(now: Timestamp) -> Self {
         ViewTracker {
             local: View::default(),
             local_since: now,
-            heard: VecDeque::new(),
+            received: VecDeque::new(),
             machine: ViewStateMachine::new(now),
         }
     }
 
-    /// A member told its view.
+    /// Records the view that a member sent.
     pub(crate) fn receive_view(&mut self, now: Timestamp, view: View) {
-        self.heard.push_back(HeardView { heard: now, view });
-        if self.heard.len() > MAX_HEARD {
-            self.heard.pop_front();
+        self.received.push_back(ReceivedView {
+            received_at: now,
+            view,
+        });
+        if self.received.len() > MAX_RECEIVED_VIEWS {
+            self.received.pop_front();
         }
     }
 
-    /// Compares the own view, which may have changed, with those heard lately. What was heard before its last change says
-    /// nothing of the view that stands now.
+    /// Compares this node's current view with the views received recently. Views received before
+    /// this node's view last changed are ignored, because they say nothing about the current one.
     pub(crate) fn compare(
         &mut self,
         now: Timestamp,
@@ -70,13 +73,17 @@
             self.local = local;
             self.local_since = now;
         }
-        let lifetime_s = config.probe_period.secs() * HEARD_PERIODS;
-        self.heard
-            .retain(|heard| (now - heard.heard).secs() <= lifetime_s);
+        let lifetime_s = config.probe_period.secs() * RECEIVED_VIEW_PERIODS;
+        self.received
+            .retain(|received| (now - received.received_at).secs() <= lifetime_s);
         let since = self.local_since;
         let mut comparison = ViewComparison::default();
-        for heard in self.heard.iter().filter(|heard| heard.heard >= since) {
-            if heard.view == local {
+        for received in self
+            .received
+            .iter()
+            .filter(|received| received.received_at >= since)
+        {
+            if received.view == local {
                 comparison.equal += 1;
             } else {
                 comparison.differing += 1;
@@ -85,19 +92,19 @@
         comparison
     }
 
-    /// Since when the own view has not changed.
+    /// Returns when this node's view last changed.
     #[must_use]
     pub(crate) fn unchanged_since(&self) -> Timestamp {
         self.local_since
     }
 
-    /// How long the own view has not changed.
+    /// Returns how long this node's view has been unchanged.
     #[must_use]
     pub(crate) fn unchanged_for(&self, now: Timestamp) -> TimeDelta {
         now - self.local_since
     }
 
-    /// Takes in an observation. True: the view state changed.
+    /// Updates the view state from an observation. Returns whether the state changed.
     pub(crate) fn update(
         &mut self,
         now: Timestamp,
@@ -107,36 +114,37 @@
         self.machine.update(now, observed, config)
     }
 
-    /// The view state now.
+    /// Returns the current view state.
     #[must_use]
     pub(crate) fn state(&self) -> &ViewState {
         self.machine.state()
     }
 
-    /// When the view state last changed.
+    /// Returns when the view state last changed.
     #[must_use]
     pub(crate) fn state_since(&self) -> Timestamp {
         self.machine.since()
     }
 
-    /// What may be assumed of a fleet of this size.
+    /// Returns what may be assumed about the fleet, given its current size.
     #[must_use]
     pub(crate) fn assumptions(&self, size: usize) -> FleetAssumptions {
         self.machine.assumptions(size)
     }
 
-    /// Views heard, and those of them that differ from the own one, for diagnostics.
+    /// Returns a diagnostic text with the number of received views and of those that differ from
+    /// this node's view.
     #[must_use]
     pub(crate) fn summary(&self) -> String {
         let since = self.local_since;
         let differing = self
-            .heard
+            .received
             .iter()
-            .filter(|heard| heard.heard >= since && heard.view != self.local)
+            .filter(|received| received.received_at >= since && received.view != self.local)
             .count();
         format!(
-            "{differing} of {} views heard differ, unchanged since {since:?}",
-            self.heard.len()
+            "{differing} of {} received views differ from the local view, which is unchanged since {since:?}",
+            self.received.len()
         )
     }
 }
--- a/crates/membership/tests/dissemination.rs
+++ b/crates/membership/tests/dissemination.rs
@@ -1,4 +1,4 @@
-//! Which updates are told next, and for how long.
+//! The order in which updates are disseminated, and how often each is transmitted.
 
 use membership::dissemination::{DisseminationQueue, transmissions};
 use membership::{Name, TrafficLimits};
@@ -8,13 +8,13 @@
 }
 
 #[test]
-fn an_update_is_told_three_times_the_logarithm_of_the_fleet_s_size() {
+fn transmissions_are_three_times_the_rounded_up_binary_logarithm_of_the_fleet_size() {
     let counts = [2, 3, 16, 17, 1900].map(transmissions);
     assert_eq!(counts, [3, 6, 12, 15, 33]);
 }
 
 #[test]
-fn the_least_told_comes_first_and_an_update_leaves_once_it_was_told_often_enough() {
+fn the_least_transmitted_update_comes_first_and_is_removed_after_its_last_transmission() {
     let mut queue = DisseminationQueue::new(None);
     for number in [2, 0, 1] {
         queue.enqueue(&name(number), 2);
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn with_traffic_limits_the_update_told_most_often_makes_room() {
+fn with_traffic_limits_a_full_queue_evicts_the_most_transmitted_update() {
     let limits = TrafficLimits::default();
     let mut queue = DisseminationQueue::new(Some(&limits));
     for number in 0..128 {
--- a/crates/membership/tests/golden.rs
+++ b/crates/membership/tests/golden.rs
@@ -1,12 +1,15 @@
-//! Bytes and texts of the fleet as they were recorded: a datagram of each kind of message, records, news of engines, and
-//! the words shown for refusals, states and standings.
+//! Golden tests for the wire format and for texts that operators see: a datagram of each kind,
+//! records, engine reports, and the texts of reject reasons, member states and view states.
 //!
-//! The layouts are positional: a field or variant has no name on the wire, only its place. One that moves, comes between
-//! or leaves makes gateways of two builds misread each other, which breaks a restart of one gateway after another. So
-//! names in the code may change, and these bytes may not. Words are recorded since metrics, logs and operators go by them.
+//! The wire layout is positional: a field or variant is identified by its position, not by its
+//! name. If one is moved, inserted or removed, gateways of two builds misread each other, and a
+//! rolling restart fails. Names in the code may therefore change, but these bytes may not. The
+//! texts are recorded because metrics, logs and operators depend on them.
 //!
-//! A deliberate change is recorded anew by `GOLDEN_RECORD=1 cargo test -p laurelhitch-membership --test golden`, and committed
-//! with its reason; a plain run only compares. Each line of a file is a name and the bytes in hexadecimal digits.
+//! After a deliberate change, record the files again with `GOLDEN_RECORD=1 cargo test -p
+//! laurelhitch-membership --test golden`, and commit them with the reason for the change. Without
+//! the variable, the tests only compare. Each line of a file holds a name and the bytes in
+//! hexadecimal.
 
 use std::collections::BTreeSet;
 use std::path::Path;
@@ -17,46 +20,50 @@
     RejectReason, ViewState,
 };
 
-/// Compares what is made today with what was recorded, each name, each byte and their order, and hands back what was
-/// recorded. With `GOLDEN_RECORD=1` it writes the file first.
-fn compare(file: &str, made: &[(&str, Vec<u8>)]) -> Vec<Vec<u8>> {
+/// Compares the names, the bytes and their order with the recorded file, and returns the recorded
+/// bytes. With `GOLDEN_RECORD=1`, the file is written first.
+fn compare(file: &str, actual: &[(&str, Vec<u8>)]) -> Vec<Vec<u8>> {
     let path = Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("tests/golden")
         .join(file);
-    let line = |(name, bytes): &(&str, Vec<u8>)| {
+    let format_line = |(name, bytes): &(&str, Vec<u8>)| {
         let hex: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
         format!("{name} {hex}\n")
     };
-    let lines: Vec<String> = made.iter().map(line).collect();
-    if std::env::var("GOLDEN_RECORD").is_ok_and(|word| word == "1") {
+    let lines: Vec<String> = actual.iter().map(format_line).collect();
+    if std::env::var("GOLDEN_RECORD").is_ok_and(|value| value == "1") {
         std::fs::create_dir_all(path.parent().unwrap()).unwrap();
         std::fs::write(&path, lines.concat()).unwrap();
     }
     let recorded =
         std::fs::read_to_string(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()));
     let recorded: Vec<&str> = recorded.split_inclusive('\n').collect();
-    let names: BTreeSet<&str> = made.iter().map(|(name, _)| *name).collect();
-    assert_eq!(names.len(), made.len(), "{file}: a name twice");
-    for (made, recorded) in lines.iter().zip(&recorded) {
+    let names: BTreeSet<&str> = actual.iter().map(|(name, _)| *name).collect();
+    assert_eq!(names.len(), actual.len(), "{file}: a name is used twice");
+    for (actual, recorded) in lines.iter().zip(&recorded) {
         assert_eq!(
-            made, recorded,
-            "{file}: made today on the left, recorded on the right"
+            actual, recorded,
+            "{file}: the current output (left) differs from the golden file (right)"
         );
     }
-    assert_eq!(lines.len(), recorded.len(), "{file}: as many lines");
-    let bytes = |line: &&str| {
+    assert_eq!(
+        lines.len(),
+        recorded.len(),
+        "{file}: the number of lines differs"
+    );
+    let parse_bytes = |line: &&str| {
         let (_, hex) = line.trim_end().split_once(' ').unwrap();
-        let byte = |at: usize| u8::from_str_radix(&hex[at..at + 2], 16).unwrap();
+        let byte = |index: usize| u8::from_str_radix(&hex[index..index + 2], 16).unwrap();
         (0..hex.len()).step_by(2).map(byte).collect()
     };
-    recorded.iter().map(bytes).collect()
+    recorded.iter().map(parse_bytes).collect()
 }
 
 fn name(text: &str) -> Name {
     Name::new(text).unwrap()
 }
 
-fn ring() -> KeyRing {
+fn key_ring() -> KeyRing {
     KeyRing::new(&[0x11; 32], &[[0x22; 32], [0x33; 32]]).unwrap()
 }
 
@@ -150,8 +157,9 @@
     ]
 }
 
-/// Without a wildcard: a variant that comes needs a line here, and one of its own above.
-fn plain_word(body: &Body) -> &'static str {
+/// Returns the name of a message kind in the golden file. There is no wildcard, so a new variant
+/// needs a name here and an example in [`bodies`].
+fn golden_name(body: &Body) -> &'static str {
     match body {
         Body::Ping(_) => "ping",
         Body::Ack(_) => "ack",
@@ -172,31 +180,37 @@
 }
 
 #[test]
-fn datagrams_of_each_kind_keep_their_bytes_and_are_read_back() {
+fn datagrams_of_each_kind_match_the_golden_bytes_and_decode() {
     let messages: Vec<Message> = bodies().into_iter().map(message).collect();
-    let made: Vec<(&str, Vec<u8>)> = messages
+    let actual: Vec<(&str, Vec<u8>)> = messages
         .iter()
-        .map(|message| (plain_word(&message.body), seal(&ring(), message)))
+        .map(|message| (golden_name(&message.body), seal(&key_ring(), message)))
         .collect();
-    let recorded = compare("datagrams.txt", &made);
+    let recorded = compare("datagrams.txt", &actual);
     for (message, bytes) in messages.iter().zip(&recorded) {
-        assert_eq!(open(&ring(), &name("harbour"), bytes).as_ref(), Ok(message));
+        assert_eq!(
+            open(&key_ring(), &name("harbour"), bytes).as_ref(),
+            Ok(message)
+        );
     }
 }
 
 #[test]
-fn a_datagram_with_neither_records_nor_news_keeps_its_bytes() {
-    let bare = Message {
+fn a_datagram_without_records_and_engine_reports_matches_the_golden_bytes() {
+    let empty = Message {
         records: vec![],
         engine_reports: vec![],
         ..message(Body::Ping(Nonce(u64::MAX)))
     };
-    let recorded = compare("datagram_bare.txt", &[("ping_bare", seal(&ring(), &bare))]);
-    assert_eq!(open(&ring(), &name("harbour"), &recorded[0]), Ok(bare));
+    let recorded = compare(
+        "datagram_bare.txt",
+        &[("ping_bare", seal(&key_ring(), &empty))],
+    );
+    assert_eq!(open(&key_ring(), &name("harbour"), &recorded[0]), Ok(empty));
 }
 
 #[test]
-fn records_of_each_state_place_and_address_keep_their_bytes() {
+fn records_of_each_state_locality_and_address_family_match_the_golden_bytes() {
     let records = [
         ("alive_zone_region_ipv4", sender()),
         ("suspect_region_ipv6", other()),
@@ -247,19 +261,19 @@
             },
         ),
     ];
-    let made: Vec<(&str, Vec<u8>)> = records
+    let actual: Vec<(&str, Vec<u8>)> = records
         .iter()
         .map(|(name, record)| (*name, postcard::to_allocvec(record).unwrap()))
         .collect();
-    let recorded = compare("records.txt", &made);
+    let recorded = compare("records.txt", &actual);
     for ((_, record), bytes) in records.iter().zip(&recorded) {
         assert_eq!(&postcard::from_bytes::<Record>(bytes).unwrap(), record);
     }
 }
 
 #[test]
-fn news_of_engines_of_each_kind_keep_their_bytes() {
-    let news = [
+fn engine_reports_of_each_status_match_the_golden_bytes() {
+    let reports = [
         (
             "bad",
             EngineReport {
@@ -277,81 +291,86 @@
             },
         ),
     ];
-    let made: Vec<(&str, Vec<u8>)> = news
+    let actual: Vec<(&str, Vec<u8>)> = reports
         .iter()
-        .map(|(name, news)| (*name, postcard::to_allocvec(news).unwrap()))
+        .map(|(name, report)| (*name, postcard::to_allocvec(report).unwrap()))
         .collect();
-    let recorded = compare("engine_news.txt", &made);
-    for ((_, news), bytes) in news.iter().zip(&recorded) {
-        assert_eq!(&postcard::from_bytes::<EngineReport>(bytes).unwrap(), news);
+    let recorded = compare("engine_news.txt", &actual);
+    for ((_, report), bytes) in reports.iter().zip(&recorded) {
+        assert_eq!(
+            &postcard::from_bytes::<EngineReport>(bytes).unwrap(),
+            report
+        );
     }
 }
 
 #[test]
-fn what_is_shown_of_refusals_keeps_its_words() {
-    let shown = |refused: RejectReason| refused.to_string().into_bytes();
-    let made = [
-        ("size", shown(RejectReason::Length)),
-        ("version", shown(RejectReason::Version)),
-        ("key", shown(RejectReason::UnknownKey)),
-        ("code", shown(RejectReason::AuthenticationTag)),
-        ("form", shown(RejectReason::Malformed)),
-        ("foreign", shown(RejectReason::OtherFleet)),
-        ("repeated", shown(RejectReason::Replayed)),
-        ("address", shown(RejectReason::SourceAddress)),
-        ("unasked", shown(RejectReason::Unsolicited)),
-        ("many", shown(RejectReason::RateLimited)),
-        ("own_name", shown(RejectReason::OwnName)),
+fn texts_of_reject_reasons_match_the_golden_file() {
+    let text = |reason: RejectReason| reason.to_string().into_bytes();
+    let actual = [
+        ("size", text(RejectReason::Length)),
+        ("version", text(RejectReason::Version)),
+        ("key", text(RejectReason::UnknownKey)),
+        ("code", text(RejectReason::AuthenticationTag)),
+        ("form", text(RejectReason::Malformed)),
+        ("foreign", text(RejectReason::OtherFleet)),
+        ("repeated", text(RejectReason::Replayed)),
+        ("address", text(RejectReason::SourceAddress)),
+        ("unasked", text(RejectReason::Unsolicited)),
+        ("many", text(RejectReason::RateLimited)),
+        ("own_name", text(RejectReason::OwnName)),
     ];
-    compare("refused.txt", &made);
+    compare("refused.txt", &actual);
 }
 
 #[test]
-fn what_is_shown_of_states_keeps_its_words() {
-    let shown = |state: MemberState| state.to_string().into_bytes();
-    let made = [
-        ("alive", shown(MemberState::Alive)),
-        ("suspect", shown(MemberState::Suspect)),
-        ("dead", shown(MemberState::Dead)),
-        ("left", shown(MemberState::Left)),
+fn texts_of_member_states_match_the_golden_file() {
+    let text = |state: MemberState| state.to_string().into_bytes();
+    let actual = [
+        ("alive", text(MemberState::Alive)),
+        ("suspect", text(MemberState::Suspect)),
+        ("dead", text(MemberState::Dead)),
+        ("left", text(MemberState::Left)),
     ];
-    compare("states.txt", &made);
+    compare("states.txt", &actual);
 }
 
 #[test]
-fn what_is_shown_of_standings_keeps_its_words() {
-    let over = vec![name("gate-a"), name("gate-b")];
-    let shown = |standing: ViewState| standing.to_string().into_bytes();
-    let named = |standing: ViewState| standing.name().as_bytes().to_vec();
-    let made = [
-        ("alone_name", named(ViewState::Isolated)),
-        ("alone_shown", shown(ViewState::Isolated)),
-        ("together_name", named(ViewState::Converged)),
-        ("together_shown", shown(ViewState::Converged)),
+fn texts_of_view_states_match_the_golden_file() {
+    let suspected = vec![name("gate-a"), name("gate-b")];
+    let text = |view_state: ViewState| view_state.to_string().into_bytes();
+    let state_name = |view_state: ViewState| view_state.name().as_bytes().to_vec();
+    let actual = [
+        ("alone_name", state_name(ViewState::Isolated)),
+        ("alone_shown", text(ViewState::Isolated)),
+        ("together_name", state_name(ViewState::Converged)),
+        ("together_shown", text(ViewState::Converged)),
         (
             "unsettled_name",
-            named(ViewState::Converging {
-                suspects: over.clone(),
+            state_name(ViewState::Converging {
+                suspects: suspected.clone(),
             }),
         ),
         (
             "unsettled_shown",
-            shown(ViewState::Converging { suspects: over }),
+            text(ViewState::Converging {
+                suspects: suspected,
+            }),
         ),
         (
             "unsettled_over_none_shown",
-            shown(ViewState::Converging { suspects: vec![] }),
+            text(ViewState::Converging { suspects: vec![] }),
         ),
         (
             "cut_off_name",
-            named(ViewState::Partitioned { converged_size: 12 }),
+            state_name(ViewState::Partitioned { converged_size: 12 }),
         ),
         (
             "cut_off_shown",
-            shown(ViewState::Partitioned { converged_size: 12 }),
+            text(ViewState::Partitioned { converged_size: 12 }),
         ),
-        ("rejoining_name", named(ViewState::Rejoining)),
-        ("rejoining_shown", shown(ViewState::Rejoining)),
+        ("rejoining_name", state_name(ViewState::Rejoining)),
+        ("rejoining_shown", text(ViewState::Rejoining)),
     ];
-    compare("standings.txt", &made);
+    compare("standings.txt", &actual);
 }
--- a/crates/membership/tests/probe_retries.rs
+++ b/crates/membership/tests/probe_retries.rs
@@ -1,4 +1,4 @@
-//! Failed probes that are repeated before suspicion.
+//! Retries of failed probes before a member is suspected.
 
 use admission::interface::Timestamp;
 use membership::Name;
@@ -13,14 +13,14 @@
 }
 
 #[test]
-fn a_member_is_suspected_after_as_many_repeats_as_are_configured() {
+fn a_member_is_suspected_after_the_configured_number_of_retries() {
     let mut retries = ProbeRetries::default();
     for _ in 0..3 {
         let outcome = retries.probe_failed(now(), &name(1), 3);
         assert_eq!(outcome, FailureOutcome::Retry);
         assert_eq!(retries.due(now()), [name(1)]);
         retries.mark_started(&name(1));
-        assert_eq!(retries.next_due(), None, "that probe runs");
+        assert_eq!(retries.next_due(), None, "the retry is still outstanding");
     }
     let outcome = retries.probe_failed(now(), &name(1), 3);
     assert_eq!(outcome, FailureOutcome::Suspect);
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn an_answer_in_between_begins_the_count_anew() {
+fn an_answer_resets_the_failure_count() {
     let mut retries = ProbeRetries::default();
     let _ = retries.probe_failed(now(), &name(1), 3);
     let _ = retries.probe_failed(now(), &name(1), 3);
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn of_many_that_fail_at_once_two_are_repeated_here() {
+fn at_most_two_members_are_retried_at_once() {
     let mut retries = ProbeRetries::default();
     for number in 0..5 {
         let outcome = retries.probe_failed(now(), &name(number), 3);
--- a/crates/membership/tests/replay_window.rs
+++ b/crates/membership/tests/replay_window.rs
@@ -1,9 +1,9 @@
-//! Which message counters of a sender were seen before.
+//! Detection of message counters that were received before.
 
 use membership::replay_window::ReplayWindow;
 
 #[test]
-fn each_counter_counts_once_within_the_window() {
+fn each_counter_is_accepted_once_within_the_window() {
     let mut window = ReplayWindow::default();
     for (counter, is_new) in [
         (1, true),
@@ -18,6 +18,6 @@
         (5, false),
         (200, false),
     ] {
-        assert_eq!(window.accept(counter), is_new, "{counter}");
+        assert_eq!(window.accept(counter), is_new, "counter {counter}");
     }
 }
--- a/crates/membership/tests/traffic_limits.rs
+++ b/crates/membership/tests/traffic_limits.rs
@@ -1,4 +1,5 @@
-//! With traffic limits: probes that are repeated before suspicion, updates that only a few verify, and tables that are compared.
+//! The protocol with traffic limits: probe retries before suspicion, deferred verification, and
+//! table comparisons.
 
 use std::net::SocketAddr;
 
@@ -36,31 +37,33 @@
     }
 }
 
-/// May change a datagram on its way, from one to another; emptied, it is lost.
-type Meddler = Box<dyn FnMut(usize, usize, &mut Vec<u8>)>;
+/// Intercepts a datagram from one node to another, both given by index. Clearing the bytes drops
+/// the datagram.
+type Interceptor = Box<dyn FnMut(usize, usize, &mut Vec<u8>)>;
 
-/// Gateways on a network that loses a part of all datagrams; `None`: it was killed.
-struct World {
+/// A simulated network of gateways that loses a fraction of all datagrams. A node is `None` after
+/// it was killed.
+struct Network {
     now: f64,
-    lost: f64,
-    all: Vec<Option<Node>>,
+    loss_rate: f64,
+    nodes: Vec<Option<Node>>,
     rng: Pcg64Mcg,
-    meddler: Option<Meddler>,
+    interceptor: Option<Interceptor>,
 }
 
-impl World {
-    fn new(count: usize, seed: u64, config_of: impl Fn(usize) -> Config) -> World {
+impl Network {
+    fn new(count: usize, seed: u64, config_of: impl Fn(usize) -> Config) -> Network {
         let make = |number| {
             let (locality, seeds) = (Locality::default(), vec![address(0), address(1)]);
             let seed = seed * 1000 + number as u64;
-            let own = (name(number), address(number));
+            let identity = (name(number), address(number));
             let now = Timestamp::from_secs(0.0);
             Some(Node::new(
                 now,
                 NodeSetup {
                     fleet: fleet_name(),
-                    name: own.0,
-                    address: own.1,
+                    name: identity.0,
+                    address: identity.1,
                     locality,
                     seeds,
                     key_ring: key_ring(),
@@ -69,13 +72,13 @@
                 },
             ))
         };
-        let all = (0..count).map(make).collect();
-        World {
+        let nodes = (0..count).map(make).collect();
+        Network {
             now: 0.0,
-            lost: 0.0,
-            all,
+            loss_rate: 0.0,
+            nodes,
             rng: Pcg64Mcg::seed_from_u64(seed),
-            meddler: None,
+            interceptor: None,
         }
     }
 
@@ -84,20 +87,21 @@
         while self.now < until {
             self.now += STEP_S;
             let now = Timestamp::from_secs(self.now);
-            for from in 0..self.all.len() {
-                let Some(sender) = &mut self.all[from] else {
+            for from in 0..self.nodes.len() {
+                let Some(sender) = &mut self.nodes[from] else {
                     continue;
                 };
                 if sender.due() <= now {
                     sender.turn(now);
                 }
                 for mut datagram in sender.take_datagrams() {
-                    let to = (0..self.all.len()).find(|to| address(*to) == datagram.to);
-                    if let Some((meddler, to)) = self.meddler.as_mut().zip(to) {
-                        meddler(from, to, &mut datagram.bytes);
+                    let to = (0..self.nodes.len()).find(|to| address(*to) == datagram.to);
+                    if let Some((interceptor, to)) = self.interceptor.as_mut().zip(to) {
+                        interceptor(from, to, &mut datagram.bytes);
                     }
-                    let lost = self.rng.random::<f64>() < self.lost || datagram.bytes.is_empty();
-                    let receiver = to.filter(|_| !lost).and_then(|to| self.all[to].as_mut());
+                    let lost =
+                        self.rng.random::<f64>() < self.loss_rate || datagram.bytes.is_empty();
+                    let receiver = to.filter(|_| !lost).and_then(|to| self.nodes[to].as_mut());
                     if let Some(receiver) = receiver {
                         let _ = receiver.receive(now, address(from), &datagram.bytes);
                     }
@@ -106,20 +110,21 @@
         }
     }
 
-    fn living(&self) -> impl Iterator<Item = &Node> {
-        self.all.iter().flatten()
+    fn running(&self) -> impl Iterator<Item = &Node> {
+        self.nodes.iter().flatten()
     }
 
-    fn agreed(&self) -> bool {
-        let living = self.living().count();
-        self.living().all(|node| node.fleet_size() == living)
+    fn has_converged(&self) -> bool {
+        let running = self.running().count();
+        self.running().all(|node| node.fleet_size() == running)
     }
 
-    /// Seconds until all agree.
-    fn settle(&mut self, within: f64) -> Option<f64> {
+    /// Runs until all nodes agree on the fleet, and returns how many seconds that took. Returns
+    /// `None` if it takes longer than `within`.
+    fn converge(&mut self, within: f64) -> Option<f64> {
         let began = self.now;
         while self.now < began + within {
-            if self.agreed() {
+            if self.has_converged() {
                 return Some(self.now - began);
             }
             self.run(0.1);
@@ -127,98 +132,119 @@
         None
     }
 
-    fn sum(&self, of: impl Fn(&Node) -> u64) -> u64 {
-        self.living().map(of).sum()
+    fn sum(&self, metric: impl Fn(&Node) -> u64) -> u64 {
+        self.running().map(metric).sum()
     }
 }
 
 #[test]
-fn a_third_lost_raises_few_suspicions_only_where_failed_probes_are_repeated() {
-    /// Suspicions and deaths of 24 gateways in a minute.
-    fn troubles(seed: u64, confirmations: usize) -> (u64, u64) {
+fn retries_prevent_most_suspicions_when_a_third_of_the_datagrams_is_lost() {
+    /// Returns the number of suspicions and of deaths among 24 gateways during one minute of packet
+    /// loss.
+    fn count_suspicions_and_deaths(seed: u64, confirmations: usize) -> (u64, u64) {
         let limits = TrafficLimits {
             confirmations,
             ..TrafficLimits::default()
         };
-        let mut world = World::new(24, seed, |_| config(Some(limits.clone())));
-        assert!(world.settle(30.0).is_some());
-        let before = world.sum(|node| node.metrics.suspected);
-        world.lost = 1.0 / 3.0;
-        world.run(60.0);
+        let mut network = Network::new(24, seed, |_| config(Some(limits.clone())));
+        assert!(network.converge(30.0).is_some());
+        let before = network.sum(|node| node.metrics.suspected);
+        network.loss_rate = 1.0 / 3.0;
+        network.run(60.0);
         (
-            world.sum(|node| node.metrics.suspected) - before,
-            world.sum(|node| node.metrics.declared_dead),
+            network.sum(|node| node.metrics.suspected) - before,
+            network.sum(|node| node.metrics.declared_dead),
         )
     }
     for seed in 1..=5 {
-        let (repeated, died) = troubles(seed, TrafficLimits::default().confirmations);
+        let (with_retries, died) =
+            count_suspicions_and_deaths(seed, TrafficLimits::default().confirmations);
         assert!(
-            repeated <= 24,
-            "seed {seed}: {repeated} suspicions of 24 gateways in a minute"
+            with_retries <= 24,
+            "seed {seed}: {with_retries} suspicions among 24 gateways in one minute"
         );
         assert_eq!(died, 0, "seed {seed}");
-        let (at_once, _) = troubles(seed, 0);
+        let (without_retries, _) = count_suspicions_and_deaths(seed, 0);
         assert!(
-            at_once > repeated * 10,
-            "switched off it would show: {at_once}, {repeated}"
+            without_retries > with_retries * 10,
+            "seed {seed}: {without_retries} suspicions without retries, {with_retries} with them"
         );
     }
 }
 
 #[test]
-fn three_and_sixty_start_lose_one_and_settle_by_the_same_code() {
+fn fleets_of_3_and_60_nodes_converge_after_the_start_and_after_a_death() {
     for count in [3, 60] {
-        let mut world = World::new(count, 2, |_| config(Some(TrafficLimits::default())));
-        assert!(world.settle(60.0).is_some(), "{count} start");
-        world.run(15.0);
-        world.all[count - 1] = None;
-        assert!(world.settle(60.0).is_some(), "{count}, one dead");
-        assert_eq!(world.sum(|node| node.metrics.false_deaths), 0, "{count}");
+        let mut network = Network::new(count, 2, |_| config(Some(TrafficLimits::default())));
+        assert!(
+            network.converge(60.0).is_some(),
+            "{count} nodes do not converge after the start"
+        );
+        network.run(15.0);
+        network.nodes[count - 1] = None;
+        assert!(
+            network.converge(60.0).is_some(),
+            "{count} nodes do not converge after a death"
+        );
+        assert_eq!(
+            network.sum(|node| node.metrics.false_deaths),
+            0,
+            "{count} nodes"
+        );
     }
 }
 
 #[test]
-fn nodes_with_traffic_limits_and_without_understand_each_other() {
-    let mut world = World::new(40, 3, |number| {
+fn nodes_with_and_without_traffic_limits_interoperate() {
+    let mut network = Network::new(40, 3, |number| {
         config((number % 2 == 0).then(TrafficLimits::default))
     });
-    assert!(world.settle(60.0).is_some(), "start");
-    world.run(15.0);
-    (10..15).for_each(|number| world.all[number] = None);
-    assert!(world.settle(60.0).is_some(), "five dead");
-    world.lost = 1.0 / 3.0;
-    world.run(60.0);
-    world.lost = 0.0;
-    assert!(world.settle(60.0).is_some(), "after a third was lost");
+    assert!(
+        network.converge(60.0).is_some(),
+        "no convergence after the start"
+    );
+    network.run(15.0);
+    (10..15).for_each(|number| network.nodes[number] = None);
+    assert!(
+        network.converge(60.0).is_some(),
+        "no convergence after five deaths"
+    );
+    network.loss_rate = 1.0 / 3.0;
+    network.run(60.0);
+    network.loss_rate = 0.0;
+    assert!(
+        network.converge(60.0).is_some(),
+        "no convergence after the packet loss"
+    );
 }
 
-/// A message of one gateway, made by hand, with a record beside it.
-fn told(by: &Record, counter: u64, of: Record) -> Vec<u8> {
-    let (fleet, from, view) = (fleet_name(), by.clone(), View::default());
+/// Returns a signed gossip datagram that carries one record.
+fn gossip_datagram(sender: &Record, counter: u64, record: Record) -> Vec<u8> {
+    let (fleet, from, view) = (fleet_name(), sender.clone(), View::default());
     let message = Message {
         fleet,
         from,
         counter,
         view,
         body: Body::Gossip,
-        records: vec![of],
+        records: vec![record],
         engine_reports: vec![],
     };
     message::seal(&key_ring(), &message)
 }
 
 #[test]
-fn of_all_that_hear_one_witness_only_some_probe_at_once() {
-    let probing = |limits: Option<TrafficLimits>| {
-        let mut world = World::new(40, 4, |_| config(limits.clone()));
-        assert!(world.settle(60.0).is_some());
-        world.run(60.0);
-        let witness = world.all[5].as_ref().unwrap().local_record().clone();
-        let subject = world.all[6].as_ref().unwrap().local_record().clone();
-        let now = Timestamp::from_secs(world.now);
-        let before = world.sum(|node| node.metrics.probes);
-        for node in world
-            .all
+fn only_some_nodes_verify_a_claim_by_one_witness_immediately() {
+    let count_probes = |limits: Option<TrafficLimits>| {
+        let mut network = Network::new(40, 4, |_| config(limits.clone()));
+        assert!(network.converge(60.0).is_some());
+        network.run(60.0);
+        let witness = network.nodes[5].as_ref().unwrap().local_record().clone();
+        let subject = network.nodes[6].as_ref().unwrap().local_record().clone();
+        let now = Timestamp::from_secs(network.now);
+        let before = network.sum(|node| node.metrics.probes);
+        for node in network
+            .nodes
             .iter_mut()
             .flatten()
             .filter(|node| node.local_record().name != witness.name)
@@ -227,81 +253,99 @@
                 state: MemberState::Suspect,
                 ..subject.clone()
             };
-            node.receive(now, witness.address, &told(&witness, 1 << 40, suspect))
-                .unwrap();
+            node.receive(
+                now,
+                witness.address,
+                &gossip_datagram(&witness, 1 << 40, suspect),
+            )
+            .unwrap();
         }
-        world.run(2.0);
-        world.sum(|node| node.metrics.probes) - before
+        network.run(2.0);
+        network.sum(|node| node.metrics.probes) - before
     };
-    // 40 gateways probe some 80 in two seconds; each that verifies adds one.
-    let (few, all) = (probing(Some(TrafficLimits::default())), probing(None));
-    assert!(few + 15 < all, "{few} probes with limits, {all} without");
+    // 40 gateways send about 80 probes in two seconds. Each immediate verification adds one.
+    let (limited, unlimited) = (
+        count_probes(Some(TrafficLimits::default())),
+        count_probes(None),
+    );
+    assert!(
+        limited + 15 < unlimited,
+        "{limited} probes with limits, {unlimited} without"
+    );
 }
 
 #[test]
-fn gossip_and_table_pages_keep_to_their_bytes() {
-    let bytes = |limits: Option<TrafficLimits>| {
-        let mut world = World::new(60, 5, |_| config(limits.clone()));
-        assert!(world.settle(60.0).is_some());
-        world.run(60.0);
-        let before = world.sum(|node| node.metrics.sent_bytes);
-        world.run(60.0);
-        (world.sum(|node| node.metrics.sent_bytes) - before) as f64 / 60.0 / 60.0
+fn gossip_and_table_exchanges_stay_within_their_byte_budgets() {
+    let bytes_per_s = |limits: Option<TrafficLimits>| {
+        let mut network = Network::new(60, 5, |_| config(limits.clone()));
+        assert!(network.converge(60.0).is_some());
+        network.run(60.0);
+        let before = network.sum(|node| node.metrics.sent_bytes);
+        network.run(60.0);
+        (network.sum(|node| node.metrics.sent_bytes) - before) as f64 / 60.0 / 60.0
     };
-    let (bounded, plain) = (bytes(Some(TrafficLimits::default())), bytes(None));
-    // Equal views exchange no tables.
+    let (limited, unlimited) = (
+        bytes_per_s(Some(TrafficLimits::default())),
+        bytes_per_s(None),
+    );
+    // Nodes with equal views do not exchange tables.
     assert!(
-        bounded < 600.0 && bounded < plain * 0.8,
-        "{bounded} bytes a second at rest, {plain} without"
+        limited < 600.0 && limited < unlimited * 0.8,
+        "{limited} bytes per second and node with limits, {unlimited} without"
     );
-    let mut world = World::new(60, 6, |_| {
+    let mut network = Network::new(60, 6, |_| {
         config(Some(TrafficLimits {
             gossip_bytes_per_s: 200.0,
             ..TrafficLimits::default()
         }))
     });
     assert!(
-        world.settle(200.0).is_some(),
-        "a narrow budget delays, no more"
+        network.converge(200.0).is_some(),
+        "a small gossip budget must only delay convergence"
     );
-    assert!(world.sum(|node| node.metrics.limited_gossip) > 0);
+    assert!(network.sum(|node| node.metrics.limited_gossip) > 0);
 }
 
 #[test]
-fn a_partitioned_node_keeps_its_table_and_knows_how_old_it_is() {
-    let mut world = World::new(5, 7, |_| config(Some(TrafficLimits::default())));
-    assert!(world.settle(30.0).is_some());
-    world.run(15.0);
+fn a_partitioned_node_keeps_its_table_and_knows_when_it_last_heard_from_others() {
+    let mut network = Network::new(5, 7, |_| config(Some(TrafficLimits::default())));
+    assert!(network.converge(30.0).is_some());
+    network.run(15.0);
     assert_eq!(
-        world.all[0].as_ref().unwrap().view_state().name(),
+        network.nodes[0].as_ref().unwrap().view_state().name(),
         "together"
     );
-    let at = Timestamp::from_secs(world.now);
-    (1..5).for_each(|number| world.all[number] = None);
-    world.run(90.0);
-    let left = world.all[0].as_ref().unwrap();
-    let heard = left.last_heard().expect("it heard of others");
-    assert!((heard - at).secs().abs() < 3.0);
-    assert_eq!((left.table_len(), left.view_state().name()), (4, "cut off"));
+    let partitioned_at = Timestamp::from_secs(network.now);
+    (1..5).for_each(|number| network.nodes[number] = None);
+    network.run(90.0);
+    let survivor = network.nodes[0].as_ref().unwrap();
+    let heard = survivor
+        .last_heard()
+        .expect("the node has heard from others");
+    assert!((heard - partitioned_at).secs().abs() < 3.0);
+    assert_eq!(
+        (survivor.table_len(), survivor.view_state().name()),
+        (4, "cut off")
+    );
 }
 
 #[test]
-fn a_bucket_that_is_equal_in_another_table_vouches_for_its_candidates() {
-    let mut world = World::new(60, 8, |_| config(Some(TrafficLimits::default())));
-    assert!(world.settle(90.0).is_some());
-    assert!(world.sum(|node| node.metrics.vouched_by_digest) > 0);
+fn an_equal_bucket_digest_vouches_for_candidates() {
+    let mut network = Network::new(60, 8, |_| config(Some(TrafficLimits::default())));
+    assert!(network.converge(90.0).is_some());
+    assert!(network.sum(|node| node.metrics.vouched_by_digest) > 0);
 }
 
-/// One that never was there, told by a single host.
-fn invented() -> Record {
-    let (life, incarnation) = (membership::BootId(7), membership::Incarnation(1));
+/// A record of a member that does not exist, which only a single host reports.
+fn fabricated_record() -> Record {
+    let (boot, incarnation) = (membership::BootId(7), membership::Incarnation(1));
     let (name, address) = (
         Name::new("g999").unwrap(),
         SocketAddr::from(([10, 0, 0, 200], 7946)),
     );
     Record {
         name,
-        boot_id: life,
+        boot_id: boot,
         incarnation,
         address,
         locality: Locality::default(),
@@ -310,39 +354,40 @@
 }
 
 #[test]
-fn a_byzantine_host_in_comparisons_brings_nobody_in_and_takes_nobody_off() {
+fn forged_digest_responses_neither_add_nor_remove_members() {
     const BYZANTINE: usize = 9;
-    let mut world = World::new(10, 9, |_| config(Some(TrafficLimits::default())));
-    assert!(world.settle(60.0).is_some());
-    world.run(10.0);
-    world.meddler = Some(Box::new(|from, _, bytes| {
+    let mut network = Network::new(10, 9, |_| config(Some(TrafficLimits::default())));
+    assert!(network.converge(60.0).is_some());
+    network.run(10.0);
+    network.interceptor = Some(Box::new(|from, _, bytes| {
         if from != BYZANTINE {
             return;
         }
         let mut message = message::open(&key_ring(), &fleet_name(), bytes).unwrap();
-        // Its table agrees with every other, the one it invented among it, and its view with none, so that it is compared.
+        // The Byzantine node claims that all buckets are equal, including the one of the record it
+        // invented. Its view equals no other, so that the other nodes compare tables with it.
         if let Body::DigestResponse { equal, .. } = &mut message.body {
             *equal = u32::MAX;
         }
         message.view = View { digest: 1, size: 3 };
-        message.records = vec![invented()];
+        message.records = vec![fabricated_record()];
         *bytes = message::seal(&key_ring(), &message);
     }));
-    let compared = |world: &World| world.sum(|node| node.metrics.digest_requests_sent);
-    let before = compared(&world);
-    world.run(120.0);
+    let compared = |network: &Network| network.sum(|node| node.metrics.digest_requests_sent);
+    let before = compared(&network);
+    network.run(120.0);
     assert!(
-        compared(&world) > before,
-        "nothing was compared with the Byzantine node"
+        compared(&network) > before,
+        "no table was compared with the Byzantine node"
     );
-    for node in world
-        .living()
+    for node in network
+        .running()
         .filter(|node| node.local_record().name != name(BYZANTINE))
     {
-        let held = node.member(&invented().name);
+        let held = node.member(&fabricated_record().name);
         assert!(
             held.is_none_or(|held| !held.confirmed),
-            "{} believes one host",
+            "{} confirmed a member that only one host reported",
             node.local_record().name
         );
         assert_eq!(node.fleet_size(), 10, "{}", node.local_record().name);
@@ -350,10 +395,11 @@
 }
 
 #[test]
-fn nodes_that_know_no_comparison_still_give_their_tables() {
-    let mut world = World::new(40, 10, |_| config(Some(TrafficLimits::default())));
-    // Every other one is of an older version: it refuses what it cannot read, and so asks nothing of the kind.
-    world.meddler = Some(Box::new(|from, to, bytes| {
+fn nodes_without_comparison_support_still_exchange_pages() {
+    let mut network = Network::new(40, 10, |_| config(Some(TrafficLimits::default())));
+    // Nodes with an even number behave like an older version: comparisons that they send or receive
+    // are dropped.
+    network.interceptor = Some(Box::new(|from, to, bytes| {
         let message = message::open(&key_ring(), &fleet_name(), bytes).unwrap();
         let compares = matches!(
             message.body,
@@ -366,25 +412,31 @@
             bytes.clear();
         }
     }));
-    assert!(world.settle(120.0).is_some(), "start");
-    world.all[7] = None;
-    assert!(world.settle(60.0).is_some(), "one dead");
+    assert!(
+        network.converge(120.0).is_some(),
+        "no convergence after the start"
+    );
+    network.nodes[7] = None;
+    assert!(
+        network.converge(60.0).is_some(),
+        "no convergence after one death"
+    );
 }
 
 #[test]
-fn digest_requests_that_name_no_buckets_of_a_table_are_rejected() {
-    let mut world = World::new(3, 11, |_| config(Some(TrafficLimits::default())));
-    assert!(world.settle(30.0).is_some());
-    let by = world.all[1].as_ref().unwrap().local_record().clone();
-    let now = Timestamp::from_secs(world.now);
-    for (at, (first, buckets)) in [(128, 4), (0, 0), (0, 33)].into_iter().enumerate() {
+fn digest_requests_with_invalid_bucket_ranges_are_rejected() {
+    let mut network = Network::new(3, 11, |_| config(Some(TrafficLimits::default())));
+    assert!(network.converge(30.0).is_some());
+    let sender = network.nodes[1].as_ref().unwrap().local_record().clone();
+    let now = Timestamp::from_secs(network.now);
+    for (index, (first, buckets)) in [(128, 4), (0, 0), (0, 33)].into_iter().enumerate() {
         let body = Body::DigestRequest {
             nonce: message::Nonce(1),
             first_bucket: first,
             digests: vec![[0; 8]; buckets],
         };
-        let (fleet, from, view) = (fleet_name(), by.clone(), View::default());
-        let counter = (1 << 40) + at as u64;
+        let (fleet, from, view) = (fleet_name(), sender.clone(), View::default());
+        let counter = (1 << 40) + index as u64;
         let message = Message {
             fleet,
             from,
@@ -394,24 +446,27 @@
             records: vec![],
             engine_reports: vec![],
         };
-        let receiver = world.all[0].as_mut().unwrap();
-        let rejected = receiver.receive(now, by.address, &message::seal(&key_ring(), &message));
+        let receiver = network.nodes[0].as_mut().unwrap();
+        let rejected = receiver.receive(now, sender.address, &message::seal(&key_ring(), &message));
         assert_eq!(
             rejected,
             Err(membership::RejectReason::Malformed),
-            "{first}, {buckets}"
+            "first bucket {first}, {buckets} buckets"
         );
-        assert_eq!(receiver.metrics.rejected_malformed, at as u64 + 1);
+        assert_eq!(receiver.metrics.rejected_malformed, index as u64 + 1);
     }
-    world.run(5.0);
-    assert!(world.agreed(), "nothing else is lost by it");
+    network.run(5.0);
+    assert!(
+        network.has_converged(),
+        "an invalid request must not disturb the fleet"
+    );
 }
 
 #[test]
-fn fingerprint_requests_that_name_too_many_are_rejected_and_a_byzantine_answer_brings_nobody_in() {
+fn oversized_fingerprint_requests_are_rejected_and_forged_responses_add_no_member() {
     const BYZANTINE: usize = 9;
-    let mut world = World::new(10, 12, |_| config(Some(TrafficLimits::default())));
-    world.meddler = Some(Box::new(|from, _, bytes| {
+    let mut network = Network::new(10, 12, |_| config(Some(TrafficLimits::default())));
+    network.interceptor = Some(Box::new(|from, _, bytes| {
         if from != BYZANTINE {
             return;
         }
@@ -419,25 +474,28 @@
         if let Body::FingerprintResponse { held, .. } = &mut message.body {
             *held = u64::MAX;
         }
-        message.records.push(invented());
+        message.records.push(fabricated_record());
         *bytes = message::seal(&key_ring(), &message);
     }));
-    assert!(world.settle(60.0).is_some(), "start");
-    world.run(60.0);
-    assert!(world.sum(|node| node.metrics.fingerprint_requests_sent) > 0);
-    for node in world
-        .living()
+    assert!(
+        network.converge(60.0).is_some(),
+        "no convergence after the start"
+    );
+    network.run(60.0);
+    assert!(network.sum(|node| node.metrics.fingerprint_requests_sent) > 0);
+    for node in network
+        .running()
         .filter(|node| node.local_record().name != name(BYZANTINE))
     {
         assert!(
-            node.member(&invented().name)
+            node.member(&fabricated_record().name)
                 .is_none_or(|held| !held.confirmed),
             "{}",
             node.local_record().name
         );
     }
-    let by = world.all[1].as_ref().unwrap().local_record().clone();
-    let (fleet, from, view) = (fleet_name(), by.clone(), View::default());
+    let sender = network.nodes[1].as_ref().unwrap().local_record().clone();
+    let (fleet, from, view) = (fleet_name(), sender.clone(), View::default());
     let body = Body::FingerprintRequest {
         nonce: message::Nonce(1),
         from: 0,
@@ -452,53 +510,61 @@
         records: vec![],
         engine_reports: vec![],
     };
-    let receiver = world.all[0].as_mut().unwrap();
+    let receiver = network.nodes[0].as_mut().unwrap();
     let rejected = receiver.receive(
-        Timestamp::from_secs(world.now),
-        by.address,
+        Timestamp::from_secs(network.now),
+        sender.address,
         &message::seal(&key_ring(), &message),
     );
     assert_eq!(rejected, Err(membership::RejectReason::Malformed));
 }
 
-/// The fleet that tells one of its gateways that a living one is dead, by four hosts, while the two don't reach each other;
-/// 35 others have really gone, so that calling those that have gone does not find the one that lives soon.
+/// A fleet in which four hosts tell one gateway, the observer, that a running gateway, the subject,
+/// is dead, while the two cannot reach each other. 35 other gateways are really dead, so that
+/// rejoin probes of departed members do not reach the subject soon.
 struct FalseDeath {
-    world: World,
+    network: Network,
     subject: Record,
 }
 
 impl FalseDeath {
-    const WRONG: usize = 7;
+    const OBSERVER: usize = 7;
     const SUBJECT: usize = 20;
 
     fn new(seed: u64) -> FalseDeath {
-        let mut world = World::new(70, seed, |_| config(Some(TrafficLimits::default())));
-        assert!(world.settle(90.0).is_some(), "start");
-        world.run(30.0);
-        (35..70).for_each(|number| world.all[number] = None);
-        assert!(world.settle(120.0).is_some(), "35 dead");
-        let subject = world.all[Self::SUBJECT]
+        let mut network = Network::new(70, seed, |_| config(Some(TrafficLimits::default())));
+        assert!(
+            network.converge(90.0).is_some(),
+            "no convergence after the start"
+        );
+        network.run(30.0);
+        (35..70).for_each(|number| network.nodes[number] = None);
+        assert!(
+            network.converge(120.0).is_some(),
+            "no convergence after 35 deaths"
+        );
+        let subject = network.nodes[Self::SUBJECT]
             .as_ref()
             .unwrap()
             .local_record()
             .clone();
-        FalseDeath { world, subject }
+        FalseDeath { network, subject }
     }
 
-    /// `vouched`: helpers of the wrong one may say that the subject answers them.
-    fn tell(&mut self, vouched: bool) {
+    /// Starts to inject the reports of the death. `relays_may_ack` says whether relays may tell the
+    /// observer that the subject answers them.
+    fn inject_death_reports(&mut self, relays_may_ack: bool) {
         let subject = self.subject.clone();
-        self.world.meddler = Some(Box::new(move |from, to, bytes| {
+        self.network.interceptor = Some(Box::new(move |from, to, bytes| {
             let pair = (from, to);
-            if pair == (Self::WRONG, Self::SUBJECT) || pair == (Self::SUBJECT, Self::WRONG) {
+            if pair == (Self::OBSERVER, Self::SUBJECT) || pair == (Self::SUBJECT, Self::OBSERVER) {
                 return bytes.clear();
             }
-            if to != Self::WRONG {
+            if to != Self::OBSERVER {
                 return;
             }
             let mut message = message::open(&key_ring(), &fleet_name(), bytes).unwrap();
-            if matches!(message.body, Body::IndirectAck(_)) && !vouched {
+            if matches!(message.body, Body::IndirectAck(_)) && !relays_may_ack {
                 return bytes.clear();
             }
             message.records.retain(|record| record.name != subject.name);
@@ -515,53 +581,57 @@
         }));
     }
 
-    /// The subject answers again, and says nothing of itself.
-    fn end(&mut self) {
-        self.world.meddler = Some(Box::new(|from, to, bytes| {
+    /// Stops the injection. The subject now answers the observer, but sends it nothing of its own
+    /// accord.
+    fn stop_injection(&mut self) {
+        self.network.interceptor = Some(Box::new(|from, to, bytes| {
             let message = message::open(&key_ring(), &fleet_name(), bytes).unwrap();
-            if (from, to) == (Self::SUBJECT, Self::WRONG) && !matches!(message.body, Body::Ack(_)) {
+            if (from, to) == (Self::SUBJECT, Self::OBSERVER)
+                && !matches!(message.body, Body::Ack(_))
+            {
                 bytes.clear();
             }
         }));
     }
 
-    fn holds_dead(&self) -> bool {
-        let wrong = self.world.all[Self::WRONG].as_ref().unwrap();
-        wrong.member(&name(Self::SUBJECT)).unwrap().record.state == MemberState::Dead
+    fn observer_holds_dead(&self) -> bool {
+        let observer = self.network.nodes[Self::OBSERVER].as_ref().unwrap();
+        observer.member(&name(Self::SUBJECT)).unwrap().record.state == MemberState::Dead
     }
 
-    /// Whether it holds the subject for dead at some time in these seconds.
-    fn comes_to_hold_dead(&mut self, seconds: usize) -> bool {
+    /// Runs for this many seconds, and returns whether the observer declares the subject dead in
+    /// that time.
+    fn observer_declares_dead_within(&mut self, seconds: usize) -> bool {
         (0..seconds).any(|_| {
-            self.world.run(1.0);
-            self.holds_dead()
+            self.network.run(1.0);
+            self.observer_holds_dead()
         })
     }
 }
 
 #[test]
-fn a_false_death_that_one_node_alone_holds_is_mended_by_comparing_tables() {
+fn comparing_tables_corrects_a_false_death_held_by_one_node() {
     for seed in 13..17 {
         let mut case = FalseDeath::new(seed);
-        case.tell(false);
+        case.inject_death_reports(false);
         assert!(
-            case.comes_to_hold_dead(120),
-            "seed {seed}: it never holds the subject for dead"
+            case.observer_declares_dead_within(120),
+            "seed {seed}: the observer never declares the subject dead"
         );
-        case.end();
-        case.world.run(30.0);
+        case.stop_injection();
+        case.network.run(30.0);
         assert!(
-            !case.holds_dead(),
-            "seed {seed}: the others hold it for alive, and were compared with"
+            !case.observer_holds_dead(),
+            "seed {seed}: comparing tables did not correct the false death"
         );
     }
 }
 
 #[test]
-fn a_suspect_whom_another_reaches_is_not_declared_dead() {
+fn a_suspect_that_a_relay_reaches_is_not_declared_dead() {
     for seed in 13..17 {
         let mut case = FalseDeath::new(seed);
-        case.tell(true);
-        assert!(!case.comes_to_hold_dead(120), "seed {seed}");
+        case.inject_death_reports(true);
+        assert!(!case.observer_declares_dead_within(120), "seed {seed}");
     }
 }
--- a/crates/membership/tests/view_state.rs
+++ b/crates/membership/tests/view_state.rs
@@ -1,4 +1,4 @@
-//! The view state by what is observed.
+//! The transitions of the view state.
 
 use admission::interface::Timestamp;
 use membership::view_state::{ViewObservation, ViewStateMachine};
@@ -8,8 +8,8 @@
     Timestamp::from_secs(secs)
 }
 
-/// A stable view of so many nodes that others share.
-fn shared(size: usize) -> ViewObservation {
+/// An observation of a stable view of `size` nodes that other nodes share.
+fn agreed_view(size: usize) -> ViewObservation {
     ViewObservation {
         size,
         equal_views: 3,
@@ -19,16 +19,16 @@
     }
 }
 
-/// Converged on so many nodes, 10 s after the start.
+/// A state machine that converged on `size` nodes, 10 s after the start.
 fn converged(size: usize) -> ViewStateMachine {
     let mut machine = ViewStateMachine::new(at(0.0));
-    assert!(machine.update(at(10.0), &shared(size), &Config::default()));
+    assert!(machine.update(at(10.0), &agreed_view(size), &Config::default()));
     assert_eq!(*machine.state(), ViewState::Converged);
     machine
 }
 
 #[test]
-fn a_node_that_met_nobody_is_isolated() {
+fn a_node_that_has_met_no_other_node_is_isolated() {
     let mut machine = ViewStateMachine::new(at(0.0));
     let observed = ViewObservation {
         size: 1,
@@ -40,12 +40,12 @@
 }
 
 #[test]
-fn a_suspect_ends_agreement_no_sooner_than_the_state_may_change() {
+fn a_suspect_ends_convergence_after_the_minimum_state_duration() {
     let mut machine = converged(10);
     let suspects = vec![Name::new("g1").unwrap()];
     let observed = ViewObservation {
         suspects: suspects.clone(),
-        ..shared(10)
+        ..agreed_view(10)
     };
     assert!(!machine.update(at(11.0), &observed, &Config::default()));
     assert!(machine.update(at(12.0), &observed, &Config::default()));
@@ -53,35 +53,35 @@
 }
 
 #[test]
-fn fewer_than_half_are_partitioned_at_once_and_accepted_as_the_fleet_after_their_time() {
+fn less_than_half_the_fleet_is_partitioned_at_once_and_accepted_after_the_configured_time() {
     let config = Config::default();
     let mut machine = converged(10);
-    assert!(machine.update(at(10.5), &shared(4), &config));
+    assert!(machine.update(at(10.5), &agreed_view(4), &config));
     assert_eq!(
         *machine.state(),
         ViewState::Partitioned { converged_size: 10 }
     );
-    let assumed = machine.assumptions(4);
-    assert_eq!((assumed.max_size, assumed.min_size), (10, 4));
-    assert!(!assumed.may_vote && !assumed.engine_reports_count);
-    assert!(!machine.update(at(130.0), &shared(4), &config));
-    assert!(machine.update(at(130.5), &shared(4), &config));
+    let assumptions = machine.assumptions(4);
+    assert_eq!((assumptions.max_size, assumptions.min_size), (10, 4));
+    assert!(!assumptions.may_vote && !assumptions.engine_reports_count);
+    assert!(!machine.update(at(130.0), &agreed_view(4), &config));
+    assert!(machine.update(at(130.5), &agreed_view(4), &config));
     assert_eq!(*machine.state(), ViewState::Converged);
     assert_eq!(machine.assumptions(4).max_size, 4);
 }
 
 #[test]
-fn a_partitioned_node_that_finds_the_others_rejoins_before_it_converges() {
+fn a_partitioned_node_that_reaches_the_others_rejoins_before_it_converges() {
     let config = Config::default();
     let mut machine = converged(10);
-    assert!(machine.update(at(10.5), &shared(3), &config));
+    assert!(machine.update(at(10.5), &agreed_view(3), &config));
     let differing = ViewObservation {
         differing_views: 1,
-        ..shared(10)
+        ..agreed_view(10)
     };
     assert!(machine.update(at(20.0), &differing, &config));
     assert_eq!(*machine.state(), ViewState::Rejoining);
     assert!(!machine.assumptions(10).may_vote);
-    assert!(machine.update(at(30.0), &shared(10), &config));
+    assert!(machine.update(at(30.0), &agreed_view(10), &config));
     assert_eq!(*machine.state(), ViewState::Converged);
 }
