--- a/crates/membership/src/node/acks.rs
+++ b/crates/membership/src/node/acks.rs
@@ -1,4 +1,4 @@
-//! Answers to probes: acks of their targets, and acks and nacks of indirect-probe relays.
+//! Answers to probes: acks from probe targets, and acks and nacks from indirect-probe relays.
 
 use std::net::SocketAddr;
 
@@ -9,20 +9,21 @@
 use crate::message::{Body, Message, Nonce, RejectReason};
 use crate::outstanding_probes::ProbePurpose;
 
-/// What a message answers.
+/// How a message answers a probe of this node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ProbeAnswer {
-    /// Nothing: it is no answer to a probe.
+    /// The message does not answer a probe.
     None,
-    /// The sender was probed, and answered this node itself.
+    /// The sender is the target of a probe and answered it directly.
     Ack,
-    /// The sender was asked for an indirect probe.
+    /// The sender is a relay and reports the result of an indirect probe.
     Relayed,
 }
 
 impl Node {
-    /// Takes in an answer to a probe, from where it was sent to.
-    pub(super) fn take_probe_answer(
+    /// Handles a message that may answer a probe. Fails if the message is an answer that no
+    /// outstanding probe expects from `source`.
+    pub(super) fn handle_probe_answer(
         &mut self,
         now: Timestamp,
         source: SocketAddr,
@@ -30,22 +31,22 @@
     ) -> Result<ProbeAnswer, RejectReason> {
         match message.body {
             Body::Ack(nonce) => {
-                self.take_ack(now, source, message, nonce)?;
+                self.handle_ack(now, source, message, nonce)?;
                 Ok(ProbeAnswer::Ack)
             }
             Body::IndirectAck(nonce) => {
-                self.take_indirect_ack(now, source, nonce)?;
+                self.handle_indirect_ack(now, source, nonce)?;
                 Ok(ProbeAnswer::Relayed)
             }
             Body::IndirectNack(nonce) => {
-                self.take_indirect_nack(source, nonce)?;
+                self.handle_indirect_nack(source, nonce)?;
                 Ok(ProbeAnswer::Relayed)
             }
             _ => Ok(ProbeAnswer::None),
         }
     }
 
-    fn take_ack(
+    fn handle_ack(
         &mut self,
         now: Timestamp,
         source: SocketAddr,
@@ -53,10 +54,10 @@
         nonce: Nonce,
     ) -> Result<(), RejectReason> {
         let from = &message.from;
-        let is_answer = self.probes.get(nonce).is_some_and(|probe| {
+        let is_expected = self.probes.get(nonce).is_some_and(|probe| {
             probe.target == source && probe.purpose.may_be_acked_by(&from.name)
         });
-        if !is_answer {
+        if !is_expected {
             return Err(RejectReason::Unsolicited);
         }
         match self.probes.remove(nonce).map(|probe| probe.purpose) {
@@ -68,18 +69,18 @@
             _ => {}
         }
         self.verifications.remove(&from.name);
-        self.take_direct_ack(now, from);
+        self.handle_direct_ack(now, from);
         Ok(())
     }
 
-    /// A relay reached the target.
-    fn take_indirect_ack(
+    /// Handles a relay's report that the target answered.
+    fn handle_indirect_ack(
         &mut self,
         now: Timestamp,
         source: SocketAddr,
         nonce: Nonce,
     ) -> Result<(), RejectReason> {
-        self.take_relay(source, nonce)?;
+        self.remove_relay(source, nonce)?;
         if let Some(probe) = self.probes.remove(nonce)
             && let ProbePurpose::Member(name) = probe.purpose
         {
@@ -88,17 +89,23 @@
         Ok(())
     }
 
-    /// A relay did not reach the target, and is well itself.
-    fn take_indirect_nack(&mut self, source: SocketAddr, nonce: Nonce) -> Result<(), RejectReason> {
-        self.take_relay(source, nonce)?;
+    /// Handles a relay's report that the target did not answer. The report shows that the relay and
+    /// the path to it are healthy.
+    fn handle_indirect_nack(
+        &mut self,
+        source: SocketAddr,
+        nonce: Nonce,
+    ) -> Result<(), RejectReason> {
+        self.remove_relay(source, nonce)?;
         if let Some(probe) = self.probes.get_mut(nonce) {
             probe.nacks += 1;
         }
         Ok(())
     }
 
-    /// Only those that were asked for an indirect probe may answer it, once each.
-    fn take_relay(&mut self, source: SocketAddr, nonce: Nonce) -> Result<(), RejectReason> {
+    /// Removes a relay from those that still owe an answer to a probe, so that each relay answers
+    /// once. Fails if the probe is unknown or `source` is not such a relay.
+    fn remove_relay(&mut self, source: SocketAddr, nonce: Nonce) -> Result<(), RejectReason> {
         let probe = self
             .probes
             .get_mut(nonce)
--- a/crates/membership/src/node/anti_entropy.rs
+++ b/crates/membership/src/node/anti_entropy.rs
@@ -1,4 +1,5 @@
-//! Anti-entropy: when this node exchanges its table with another's, and exchanges of whole pages.
+//! Anti-entropy: the schedule on which this node reconciles its member table with those of others,
+//! and the exchange of whole pages of the table.
 
 use admission::interface::{TimeDelta, Timestamp};
 
@@ -9,22 +10,24 @@
 use crate::message::{self, Body, MAX_TABLE_PART_BYTES};
 use crate::probe_round::sample_one;
 
-/// Periods between exchanges of pages while views agree.
+/// Probe periods between page exchanges while all views agree.
 const PAGE_PERIODS: f64 = 10.0;
-/// The same while views differ.
+/// Probe periods between page exchanges while views differ.
 const DIFFERING_PAGE_PERIODS: f64 = 3.0;
-/// The same while a table was received in part.
+/// Probe periods until the next page is requested while a table has been received only in part.
 const NEXT_PAGE_PERIODS: f64 = 1.0;
-/// Periods between comparisons, as far as the budget goes.
+/// Probe periods between table comparisons, if the byte budget permits them.
 const COMPARISON_PERIODS: f64 = 1.0;
-/// Candidates above which tables are compared: fewer are left to gossip.
+/// Number of candidates above which tables are compared. Fewer are left for gossip to resolve.
 pub(super) const MAX_CANDIDATES: usize = 8;
-/// Periods for which an own view must not have changed before a differing one is taken for more than gossip under way.
+/// Probe periods for which the local view must be unchanged before a differing view counts as a
+/// real difference rather than as gossip that is still in flight.
 const STABLE_PERIODS: f64 = 3.0;
 
-/// Records that go with an answer, as many as a part of a table may have.
+/// Records of the table that one message carries, up to [`MAX_TABLE_PART_BYTES`].
 pub(super) struct TablePart {
     pub(super) records: Vec<Record>,
+    /// Bytes that are left for more records.
     remaining: usize,
 }
 
@@ -36,7 +39,7 @@
         }
     }
 
-    /// Adds a record. False: it does not fit.
+    /// Adds a record. Returns false if it does not fit.
     pub(super) fn try_push(&mut self, record: &Record) -> bool {
         let size = message::encoded_size(record);
         if size > self.remaining {
@@ -47,7 +50,7 @@
         true
     }
 
-    /// Adds all of these or, where they do not fit together, none.
+    /// Adds all the records. Returns false and adds none if they do not fit together.
     pub(super) fn try_push_all(&mut self, records: &[Record]) -> bool {
         let size: usize = records.iter().map(message::encoded_size).sum();
         if size > self.remaining {
@@ -60,7 +63,7 @@
 }
 
 impl Node {
-    /// Exchanges tables with a member by chance, if that is due.
+    /// Starts an exchange with a random member, if one is due.
     pub(super) fn exchange_tables(&mut self, now: Timestamp) {
         if self.anti_entropy.next > now {
             return;
@@ -87,7 +90,7 @@
         self.anti_entropy.next = now + TimeDelta::from_secs(pause_s);
     }
 
-    /// Periods until the next exchange of pages.
+    /// Probe periods until the next page exchange.
     fn page_periods(&mut self, now: Timestamp) -> f64 {
         let views = self.compare_views(now);
         if self.anti_entropy.page_cursor.is_some() {
@@ -99,7 +102,8 @@
         }
     }
 
-    /// Whether tables are to be compared: there are many candidates, or views differ and gossip had its time.
+    /// Whether to compare tables: there are many candidates, or views differ although gossip had
+    /// time to spread, or most of the views heard differ from the local one.
     fn should_compare(&mut self, now: Timestamp) -> bool {
         let views = self.compare_views(now);
         if self.table.candidate_count() > MAX_CANDIDATES {
@@ -111,7 +115,7 @@
         views.differing > 0 && (is_stable || is_minority)
     }
 
-    /// Compares tables with a member by chance: not with the one whose answer is waited for.
+    /// Compares tables with a random member other than the one whose response is still pending.
     pub(super) fn begin_comparison(&mut self, now: Timestamp) {
         if !self.try_pay_exchange(now, Payment::Request) {
             return;
@@ -135,20 +139,21 @@
         self.settle_payment(Payment::Request);
     }
 
-    /// Goes on comparing at once where tables still differ, as long as bytes were saved.
+    /// Starts the next comparison at once, without waiting for the next period, if enough of the
+    /// byte budget has accumulated.
     pub(super) fn continue_comparison(&mut self, now: Timestamp) {
         if self.anti_entropy.may_continue(now) {
             self.begin_comparison(now);
         }
     }
 
-    /// Asks for the page behind the last one that came.
+    /// Requests the page that follows the last one received.
     fn request_page(&mut self, now: Timestamp, peer: &Recipient) {
         let after = self.anti_entropy.page_cursor.clone();
         self.send(now, peer, Body::PageRequest { after }, Vec::new());
     }
 
-    /// Gives a part of the table out. Suspects are left out: gossip tells of them.
+    /// Sends a page of the table. Suspects are omitted, since gossip spreads them.
     pub(super) fn send_page(&mut self, now: Timestamp, to: &Record, after: Option<&Name>) {
         let mut part = TablePart::new();
         let mut next = None;
@@ -163,17 +168,19 @@
         self.send(now, &recipient, Body::Page { next }, part.records);
     }
 
-    /// A page came: the next one is asked for at once; with traffic limits it waits for the next exchange.
-    pub(super) fn request_next_page(&mut self, now: Timestamp, from: &Record, next: Option<Name>) {
+    /// Handles a received page. The next page is requested at once; with traffic limits, it is
+    /// requested at a later exchange.
+    pub(super) fn handle_page(&mut self, now: Timestamp, from: &Record, next: Option<Name>) {
         let has_more = next.is_some();
         self.anti_entropy.page_cursor = next;
-        let may_follow = has_more && !self.has_traffic_limits();
-        if may_follow && self.anti_entropy.may_request_page(now) {
+        let requests_next = has_more && !self.has_traffic_limits();
+        if requests_next && self.anti_entropy.may_request_page(now) {
             self.request_page(now, &Recipient::of(from));
         }
     }
 
-    /// Pays for an exchange in advance. False: the budget is used up.
+    /// Charges an exchange to the byte budget in advance. Returns false if the budget does not
+    /// suffice.
     pub(super) fn try_pay_exchange(&mut self, now: Timestamp, payment: Payment) -> bool {
         let is_paid = self.anti_entropy.try_pay(now, payment);
         if !is_paid {
@@ -182,7 +189,7 @@
         is_paid
     }
 
-    /// The last datagram out was paid for in advance: what it did not take comes back.
+    /// Corrects the advance charge for the last queued datagram to its actual size.
     pub(super) fn settle_payment(&mut self, payment: Payment) {
         if let Some(datagram) = self.datagrams.last() {
             self.anti_entropy.settle(payment, datagram.bytes.len());
--- a/crates/membership/src/node/digest_exchange.rs
+++ b/crates/membership/src/node/digest_exchange.rs
@@ -1,5 +1,7 @@
-//! With traffic limits, where tables differ by little: they are compared by the digests of some buckets, and only what
-//! differs is exchanged. A bucket that is equal in both tables vouches for all of it at once.
+//! Table comparison by bucket digests, used with traffic limits while tables differ only slightly.
+//! The requester sends the digests of some buckets; the responder says which of them are equal and
+//! sends its records of the others. An equal digest makes the responder a witness of every record
+//! in that bucket.
 
 use admission::interface::Timestamp;
 use rand::RngExt;
@@ -12,14 +14,15 @@
 use crate::message::{Body, Nonce};
 use crate::table_digest::{BucketDigest, BucketRange};
 
-/// Records of the buckets that differ, as far as they fit.
+/// Records of the buckets that differ, as many as fit in one message.
 struct DifferingRecords {
     records: Vec<Record>,
-    /// Buckets from the first on that are equal or told in full.
+    /// The number of leading buckets of the range that need no further comparison.
     covered: u8,
 }
 
 impl Node {
+    /// Sends a peer the digests of the next buckets to compare.
     pub(super) fn send_digests(&mut self, now: Timestamp, peer: &Recipient) {
         let range = self.anti_entropy.next_buckets(&mut self.rng);
         let digests = self.table.digests_with_candidates(range, &self.local);
@@ -35,7 +38,9 @@
         self.send(now, peer, body, Vec::new());
     }
 
-    /// Another node's digests: says which of these buckets are equal here, and what is held in the others.
+    /// Answers another node's digests with the set of buckets that are equal here and the local
+    /// records of the others. `equal` on the wire has a bit for each bucket of the range, the
+    /// lowest first.
     pub(super) fn answer_digests(
         &mut self,
         now: Timestamp,
@@ -62,8 +67,9 @@
         self.settle_payment(Payment::Response);
     }
 
-    /// Records of the buckets that differ, from the first on as far as they fit. Of a bucket that does not fit alone, some
-    /// by chance.
+    /// Collects the records of the differing buckets in order, as many whole buckets as fit. If not
+    /// even the first of them fits, a random part of it is taken, and it counts as covered so that
+    /// the comparison moves on.
     fn differing_records(&mut self, range: BucketRange, equal: u32) -> DifferingRecords {
         let mut buckets: Vec<Vec<Record>> = vec![Vec::new(); range.count];
         for (position, entry) in self.table.in_buckets(range) {
@@ -99,8 +105,9 @@
         }
     }
 
-    /// The answer to digests of this node: buckets that are equal vouch for those in them that are not in the fleet yet.
-    pub(super) fn take_digest_response(
+    /// Handles the response to this node's digests. The sender becomes a witness of the candidates
+    /// in the equal buckets.
+    pub(super) fn handle_digest_response(
         &mut self,
         now: Timestamp,
         from: &Record,
@@ -117,7 +124,7 @@
         let is_all_equal = equal_count >= range.count;
         self.anti_entropy
             .set_tables_differ_little(2 * equal_count >= range.count);
-        self.vouch_equal_buckets(now, from, &request, equal);
+        self.add_witness_for_equal_buckets(now, from, &request, equal);
         let covered = usize::from(covered).clamp(1, range.count);
         self.anti_entropy
             .buckets_compared(range.bucket_after(covered), is_all_equal);
@@ -126,7 +133,8 @@
         }
     }
 
-    fn vouch_equal_buckets(
+    /// Adds the sender as a witness of every candidate in a bucket that is equal in both tables.
+    fn add_witness_for_equal_buckets(
         &mut self,
         now: Timestamp,
         from: &Record,
@@ -137,10 +145,11 @@
             return;
         }
         let range = request.range;
-        // What came meanwhile may have changed a bucket: it was not compared as it is now.
-        let present = self.table.digests_with_candidates(range, &self.local);
+        // Messages received since the request may have changed a bucket. The response says nothing
+        // about its present content, so only unchanged buckets count.
+        let current_digests = self.table.digests_with_candidates(range, &self.local);
         let is_vouched = |position: usize| {
-            is_equal(equal, position) && present[position] == request.digests[position]
+            is_equal(equal, position) && current_digests[position] == request.digests[position]
         };
         let vouched: Vec<Record> = self
             .table
@@ -149,11 +158,11 @@
             .filter(|(position, entry)| entry.is_candidate() && is_vouched(*position))
             .map(|(_, entry)| entry.record.clone())
             .collect();
-        self.add_vouched(now, from, vouched);
+        self.add_witness_for(now, from, vouched);
     }
 }
 
-/// Whether a bucket's bit is set.
+/// Whether the bit of the bucket at `position` is set.
 fn is_equal(equal: u32, position: usize) -> bool {
     equal >> position & 1 == 1
 }
--- a/crates/membership/src/node/engine_reports.rs
+++ b/crates/membership/src/node/engine_reports.rs
@@ -1,4 +1,5 @@
-//! Reports of engines: told to all others at a bounded rate, and what enough of them report.
+//! Engine reports: this node's own observations, broadcast to all members at a bounded rate, and
+//! the outliers that follow from the reports of others.
 
 use admission::interface::Timestamp;
 use rand::seq::SliceRandom;
@@ -9,7 +10,8 @@
 use crate::message::Body;
 
 impl Node {
-    /// Takes in what this gateway saw of an engine. Others, who may be spared the same loss, are told at a bounded rate.
+    /// Records what this gateway observed of an engine. A new observation is broadcast at a bounded
+    /// rate, so that other gateways can avoid losing statements to the same engine.
     pub fn report_engine(&mut self, now: Timestamp, engine: &str, status: EngineStatus) {
         let is_new = self.engines.observe(now, engine, status);
         if is_new && !self.engine_broadcast.is_running() {
@@ -19,7 +21,8 @@
         }
     }
 
-    /// Engines that enough others lost statements to, as far as the view state lets their reports count.
+    /// Engines to which enough other nodes lost statements. Empty while the view state does not let
+    /// reports from others count.
     #[must_use]
     pub fn engine_outliers(&mut self, now: Timestamp) -> Vec<EngineOutlier> {
         self.engines.expire(now, &self.config);
@@ -30,7 +33,7 @@
         }
     }
 
-    /// Tells reports of engines to those who are still to be told.
+    /// Sends engine reports to the remaining recipients of a broadcast, as the rate permits.
     pub(super) fn broadcast_engine_reports(&mut self, now: Timestamp) {
         if !self.engine_broadcast.is_due(now) {
             return;
--- a/crates/membership/src/node/event.rs
+++ b/crates/membership/src/node/event.rs
@@ -1,33 +1,34 @@
-//! What a node tells whoever runs it.
+//! Events that a node reports to the program that runs it.
 
 use admission::interface::TimeDelta;
 
 use crate::member::{BootId, Incarnation, MemberState, Name};
 use crate::view_state::ViewState;
 
-/// What a node tells whoever runs it.
+/// An event that a node reports to the program that runs it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// The record that is held of another node changed.
+    /// The record of another node changed.
     MemberChanged {
         /// The other node.
         name: Name,
-        /// Its state.
+        /// Its new state.
         state: MemberState,
-        /// Its incarnation.
+        /// Its incarnation after the change.
         incarnation: Incarnation,
     },
-    /// Another node has been dead or left for long: nothing of it is kept.
+    /// A member was removed from the table after it had been dead or left for the retention time.
     MemberForgotten(Name),
     /// The view state changed to this one.
     ViewStateChanged(ViewState),
-    /// Others held this node for suspect, dead or left; it refuted at this incarnation.
+    /// Another node reported this one as suspect, dead or left, and this node refuted it with this
+    /// incarnation.
     Refuted(Incarnation),
-    /// This node's loop was late by so much.
+    /// The loop that runs this node was late by this much.
     LoopStalled(TimeDelta),
-    /// Another process has this name and answers.
+    /// Another process uses this node's name and answered a probe.
     NameConflict {
-        /// The other process.
+        /// The boot id of the other process.
         other: BootId,
     },
 }
--- a/crates/membership/src/node/evidence.rs
+++ b/crates/membership/src/node/evidence.rs
@@ -1,4 +1,5 @@
-//! Byzantine-tolerant gossip: what enough independent witnesses say of a node is held; what fewer say is verified.
+//! Byzantine-tolerant gossip: a claim about a node is adopted once enough independent witnesses
+//! make it. With fewer witnesses, this node verifies it by a direct probe.
 
 use std::net::SocketAddr;
 
@@ -8,51 +9,56 @@
 use crate::member::{MemberState, Name, Record};
 use crate::member_entry::{MemberEntry, Witness};
 
-/// What follows from the witnesses of a member.
-enum Judgement {
-    /// Enough say something newer.
+/// What the witnesses of a member establish about it.
+enum Verdict {
+    /// Enough witnesses report this newer record.
     Newer(Record),
-    /// Enough say that it left.
+    /// Enough witnesses report that the member left.
     Left,
-    /// Enough say that it failed.
+    /// Enough witnesses report that the member failed.
     Failed,
-    /// Too few say something else: the member is verified at this address.
-    Unclear(SocketAddr),
-    /// Nothing.
+    /// Some witnesses contradict the held record, but too few. The member is to be verified at this
+    /// address.
+    Unproven(SocketAddr),
+    /// No witness contradicts the held record.
     None,
 }
 
 impl Node {
-    /// Holds what enough independent witnesses say of a node, and has it verified where fewer do.
-    pub(super) fn weigh(&mut self, now: Timestamp, name: &Name) {
+    /// Adopts what enough independent witnesses say of a node, or schedules its verification if
+    /// they are too few.
+    pub(super) fn evaluate_witnesses(&mut self, now: Timestamp, name: &Name) {
         let Some(entry) = self.table.get(name) else {
             return;
         };
         if !entry.confirmed {
-            self.weigh_candidate(now, name);
+            self.evaluate_candidate(now, name);
             return;
         }
-        // Nearly all that is heard of a member is what is held of it; weighing witnesses costs many times this look.
+        // Almost all gossip about a member agrees with the held record, and this check is much
+        // cheaper than counting witnesses.
         if !entry.is_disputed() {
             return;
         }
-        match self.judge(now, entry) {
-            Judgement::Newer(record) => self.replace_record(now, record),
-            Judgement::Left => self.set_left(now, name),
-            Judgement::Failed => self.suspect(now, name),
-            Judgement::Unclear(address) => self.verify_unvouched(now, name, address),
-            Judgement::None => {}
+        match self.verdict_on(now, entry) {
+            Verdict::Newer(record) => self.replace_record(now, record),
+            Verdict::Left => self.set_left(now, name),
+            Verdict::Failed => self.suspect(now, name),
+            Verdict::Unproven(address) => self.schedule_unvouched_verification(now, name, address),
+            Verdict::None => {}
         }
     }
 
-    fn judge(&self, now: Timestamp, entry: &MemberEntry) -> Judgement {
-        let need = self.config.required_witnesses();
+    /// Determines what the witnesses of a confirmed member establish. Reports that it failed or
+    /// left count only if they concern the boot that is held.
+    fn verdict_on(&self, now: Timestamp, entry: &MemberEntry) -> Verdict {
+        let required = self.config.required_witnesses();
         let held = &entry.record;
         let is_newer =
             |said: &Record| said.state == MemberState::Alive && said.incarnation > held.incarnation;
         let lifetime = self.table.witness_lifetime();
-        if let Some(newer) = entry.vouched_record(now, lifetime, need, is_newer) {
-            return Judgement::Newer(newer);
+        if let Some(newer) = entry.vouched_record(now, lifetime, required, is_newer) {
+            return Verdict::Newer(newer);
         }
         let is_same_boot =
             |said: &Record| said.boot_id == held.boot_id && said.incarnation >= held.incarnation;
@@ -63,10 +69,10 @@
         let worse = entry.witness_hosts(now, says_worse).len();
         let is_in_fleet = entry.is_in_fleet();
         let is_alive = is_in_fleet && held.state == MemberState::Alive;
-        if is_in_fleet && left >= need {
-            Judgement::Left
-        } else if is_alive && worse >= need {
-            Judgement::Failed
+        if is_in_fleet && left >= required {
+            Verdict::Left
+        } else if is_alive && worse >= required {
+            Verdict::Failed
         } else if newer > 0 || is_alive && worse > 0 {
             let said_newer = entry
                 .witnesses
@@ -74,9 +80,9 @@
                 .rev()
                 .map(|witness| &witness.record)
                 .find(|said| is_newer(said));
-            Judgement::Unclear(said_newer.unwrap_or(held).address)
+            Verdict::Unproven(said_newer.unwrap_or(held).address)
         } else {
-            Judgement::None
+            Verdict::None
         }
     }
 
@@ -88,18 +94,19 @@
         self.member_changed(now, name);
     }
 
-    /// A node that is not in the fleet yet: enough witnesses bring it in.
-    fn weigh_candidate(&mut self, now: Timestamp, name: &Name) {
+    /// Brings a candidate into the fleet if enough witnesses agree on its record, or schedules its
+    /// verification.
+    fn evaluate_candidate(&mut self, now: Timestamp, name: &Name) {
         let Some(entry) = self.table.get(name) else {
             return;
         };
-        let need = self.config.required_witnesses();
+        let required = self.config.required_witnesses();
         let address = entry.record.address;
         let lifetime = self.table.candidate_witness_lifetime();
         let is_present = |said: &Record| said.state.is_present();
-        let vouched = entry.vouched_record(now, lifetime, need, is_present);
+        let vouched = entry.vouched_record(now, lifetime, required, is_present);
         let Some(vouched) = vouched else {
-            self.verify_unvouched(now, name, address);
+            self.schedule_unvouched_verification(now, name, address);
             return;
         };
         if let Some(entry) = self.table.get_mut(name) {
@@ -114,8 +121,13 @@
         self.member_changed(now, name);
     }
 
-    /// A node vouches for these records as they are held here.
-    pub(super) fn add_vouched(&mut self, now: Timestamp, witness: &Record, records: Vec<Record>) {
+    /// Adds a node as a witness of records that it holds exactly as this node does.
+    pub(super) fn add_witness_for(
+        &mut self,
+        now: Timestamp,
+        witness: &Record,
+        records: Vec<Record>,
+    ) {
         for record in records {
             let name = record.name.clone();
             self.metrics.vouched_by_digest += 1;
@@ -127,7 +139,7 @@
                     host: witness.address.ip(),
                 },
             );
-            self.weigh(now, &name);
+            self.evaluate_witnesses(now, &name);
         }
     }
 }
--- a/crates/membership/src/node/fingerprint_exchange.rs
+++ b/crates/membership/src/node/fingerprint_exchange.rs
@@ -1,5 +1,7 @@
-//! With traffic limits, where tables differ by much: fingerprints of some records are sent to another node, which says which
-//! of them it holds as well, and what it holds beside them. What it holds as well it vouches for.
+//! Table comparison by record fingerprints, used with traffic limits while tables differ
+//! substantially. The requester lists the fingerprints of its records in a range; the responder
+//! says which of them it holds as well, and sends the records of that range that the requester
+//! lacks. The responder becomes a witness of the records that both hold.
 
 use std::collections::BTreeSet;
 
@@ -15,20 +17,22 @@
 use crate::message::{Body, Nonce};
 use crate::table_digest::{Fingerprint, FingerprintBytes, MAX_FINGERPRINTS};
 
-/// Records that only one side holds at most, in tables that differ by little.
-const MAX_UNSHARED: usize = 4;
-/// Members that left lately are told to whoever lists another part of the same fingerprints: their last record has a
-/// fingerprint of its own.
-const LEFT_LATELY_S: f64 = 120.0;
+/// Maximum number of listed records that the responder lacks for tables to count as nearly equal.
+const MAX_UNSHARED_RECORDS: usize = 4;
+/// For this many seconds the record of a member that left is sent whether or not it is listed.
+/// Leaving raises the incarnation and so changes the fingerprint, so that the record which the
+/// requester still holds may lie outside the listed range.
+const RECENTLY_LEFT_S: f64 = 120.0;
 
-/// What is held beside fingerprints that another node sent, as far as it fits.
+/// Records that differ from another node's list of fingerprints, as many as fit in one message.
 struct UnlistedRecords {
     records: Vec<Record>,
-    /// Up to this fingerprint all is told.
+    /// The fingerprint up to which the records are complete.
     until: Fingerprint,
 }
 
 impl Node {
+    /// Sends a peer the fingerprints of the next range of records to compare.
     pub(super) fn send_fingerprints(&mut self, now: Timestamp, peer: &Recipient) {
         let from = self.anti_entropy.next_fingerprint(&mut self.rng);
         let mut fingerprints =
@@ -53,7 +57,9 @@
         self.send(now, peer, body, Vec::new());
     }
 
-    /// Another node's fingerprints: says which of them are held here, and what is held beside them.
+    /// Answers another node's list of fingerprints: which of them this node holds, and its records
+    /// that differ from the list. `held` on the wire has a bit for each fingerprint, the lowest
+    /// first.
     pub(super) fn answer_fingerprints(
         &mut self,
         now: Timestamp,
@@ -90,7 +96,8 @@
         self.settle_payment(Payment::Response);
     }
 
-    /// What is held beside fingerprints that another node sent, and of these what has gone, as far as it fits.
+    /// Collects, in the order of fingerprints, the records that differ from another node's list, as
+    /// many as fit: members that are not listed, and listed ones that have died or left.
     fn unlisted_records(
         &mut self,
         now: Timestamp,
@@ -103,9 +110,9 @@
         let mut until = from;
         for (fingerprint, entry) in self.table.in_fingerprint_range(from, end) {
             let is_listed = listed.contains(&fingerprint);
-            let is_told = entry.is_in_fleet() != is_listed || left_lately(now, entry);
+            let is_included = entry.is_in_fleet() != is_listed || left_recently(now, entry);
             if let Some(record) = entry.settled_record()
-                && is_told
+                && is_included
                 && !part.try_push(record)
             {
                 return UnlistedRecords {
@@ -121,8 +128,8 @@
         }
     }
 
-    /// The answer to fingerprints of this node.
-    pub(super) fn take_fingerprint_response(
+    /// Handles the response to this node's list of fingerprints.
+    pub(super) fn handle_fingerprint_response(
         &mut self,
         now: Timestamp,
         from: &Record,
@@ -136,12 +143,12 @@
         let Some(request) = request else {
             return;
         };
-        self.vouch_held(now, from, &request, held);
+        self.add_witness_for_held(now, from, &request, held);
         let held_count = held.count_ones() as usize;
-        let is_nearly_equal = request.fingerprints.len() <= held_count + MAX_UNSHARED;
-        let is_told_in_full = until >= request.end();
+        let is_nearly_equal = request.fingerprints.len() <= held_count + MAX_UNSHARED_RECORDS;
+        let is_complete = until >= request.end();
         let differ_little =
-            is_told_in_full && is_nearly_equal && self.table.candidate_count() <= MAX_CANDIDATES;
+            is_complete && is_nearly_equal && self.table.candidate_count() <= MAX_CANDIDATES;
         self.anti_entropy.set_tables_differ_little(differ_little);
         self.anti_entropy.told_until(until);
         if !differ_little {
@@ -149,7 +156,8 @@
         }
     }
 
-    fn vouch_held(
+    /// Adds the sender as a witness of every candidate that it holds as this node does.
+    fn add_witness_for_held(
         &mut self,
         now: Timestamp,
         from: &Record,
@@ -172,11 +180,12 @@
             })
             .map(|(_, entry)| entry.record.clone())
             .collect();
-        self.add_vouched(now, from, vouched);
+        self.add_witness_for(now, from, vouched);
     }
 }
 
-fn left_lately(now: Timestamp, entry: &MemberEntry) -> bool {
+/// Whether a member left within the last [`RECENTLY_LEFT_S`].
+fn left_recently(now: Timestamp, entry: &MemberEntry) -> bool {
     let has_left = entry.record.state == MemberState::Left;
-    has_left && (now - entry.changed).secs() < LEFT_LATELY_S
+    has_left && (now - entry.changed).secs() < RECENTLY_LEFT_S
 }
--- a/crates/membership/src/node/gossip.rs
+++ b/crates/membership/src/node/gossip.rs
@@ -1,4 +1,5 @@
-//! Records of other nodes: by their ack, in their own messages, and as updates of gossip.
+//! Records of other nodes, which arrive in the acks of their subjects, in other messages that their
+//! subjects send, and as gossip updates from third nodes.
 
 use admission::interface::Timestamp;
 
@@ -8,15 +9,18 @@
 use crate::member_entry::Witness;
 use crate::member_table::Evidence;
 
-/// An incarnation that is further ahead than this is no word of a node that lives as others do.
+/// Maximum distance by which an update's incarnation may exceed the held one. Members raise theirs
+/// in small steps, so a larger distance cannot come from an honest node.
 pub(super) const MAX_INCARNATION_LEAP: u32 = 100;
-/// Seconds after its return for which what a node says of others' failures is verified, and makes it no witness: it was cut
-/// off from them, and holds for dead whom it did not reach.
-const REVIVED_S: f64 = 120.0;
+/// For this many seconds after a member came back from the dead, its failure reports are verified
+/// and do not make it a witness: it was partitioned and regards the members that it could not reach
+/// as dead.
+const REVIVED_DISTRUST_S: f64 = 120.0;
 
 impl Node {
-    /// A node answered a probe of this one itself: that outweighs what anybody says.
-    pub(super) fn take_direct_ack(&mut self, now: Timestamp, from: &Record) {
+    /// Handles an ack that a node sent directly to this one, which overrides all gossip about that
+    /// node.
+    pub(super) fn handle_direct_ack(&mut self, now: Timestamp, from: &Record) {
         self.has_joined = true;
         self.probe_retries.clear(&from.name);
         let Some(entry) = self.table.get_mut_keeping_view(&from.name) else {
@@ -24,7 +28,8 @@
             return;
         };
         if entry.is_above_boot_of(from) {
-            // The node hears of the earlier boot with this node's answer, and rises.
+            // This node's acks to it carry the record of the other boot, above which it then raises
+            // its incarnation.
             return;
         }
         let was_confirmed = entry.confirmed;
@@ -34,14 +39,14 @@
         let was_dead = was_confirmed && before.state == MemberState::Dead;
         let is_alive = from.state == MemberState::Alive;
         if was_dead && before.boot_id == from.boot_id && is_alive {
-            self.note_false_death(now, &from.name);
+            self.handle_false_death(now, &from.name);
         }
         if is_changed {
             self.member_changed(now, &from.name);
         }
     }
 
-    /// A node that was not held yet.
+    /// Adds a node that acked a probe and was not in the table yet.
     fn add_acked(&mut self, now: Timestamp, from: &Record) {
         if !self.table.add(now, from.clone(), Evidence::Confirmed) {
             return;
@@ -50,16 +55,17 @@
             entry.last_ack = Some(now);
         }
         self.member_changed(now, &from.name);
-        // It may know more than the seed by which it came.
+        // The new node may know members that this node's seeds do not.
         self.anti_entropy.next = now;
     }
 
-    /// A node's own record, from its own address: believed of a member that is held at that address, else verified.
-    pub(super) fn take_own_record(&mut self, now: Timestamp, from: &Record) {
+    /// Handles the record that a node sends of itself from its own address. It is adopted if the
+    /// node is a member held at that address in that boot; otherwise the node is verified.
+    pub(super) fn handle_sender_record(&mut self, now: Timestamp, from: &Record) {
         let is_present = from.state.is_present();
         let Some(entry) = self.table.get_mut_keeping_view(&from.name) else {
             if is_present && self.table.add(now, from.clone(), Evidence::Gossip) {
-                self.verify_sender(now, from);
+                self.schedule_sender_verification(now, from);
             }
             return;
         };
@@ -67,7 +73,7 @@
             entry.record.boot_id == from.boot_id && entry.record.address == from.address;
         if !entry.confirmed || !is_same_process {
             if is_present {
-                self.verify_sender(now, from);
+                self.schedule_sender_verification(now, from);
             }
             return;
         }
@@ -76,15 +82,16 @@
             return;
         }
         match from.state {
-            MemberState::Left => self.take_leave(now, from),
+            MemberState::Left => self.handle_leave(now, from),
             _ if is_newer => self.replace_record(now, from.clone()),
-            // Something worse is held at this incarnation: it will hear of that, and rise.
-            _ => self.verify_sender(now, from),
+            // A worse state is held at this incarnation. The probe carries that record to the
+            // member, which refutes it.
+            _ => self.schedule_sender_verification(now, from),
         }
     }
 
-    /// A member says that it leaves.
-    fn take_leave(&mut self, now: Timestamp, from: &Record) {
+    /// Handles a member's own announcement that it leaves.
+    fn handle_leave(&mut self, now: Timestamp, from: &Record) {
         let Some(entry) = self.table.get_mut_keeping_view(&from.name) else {
             return;
         };
@@ -96,7 +103,7 @@
         self.member_changed(now, &from.name);
     }
 
-    /// Holds a newer record of a confirmed member in place of the one that is held.
+    /// Replaces the held record of a confirmed member with a newer one.
     pub(super) fn replace_record(&mut self, now: Timestamp, record: Record) {
         let name = record.name.clone();
         let Some(entry) = self.table.get_mut(&name) else {
@@ -107,15 +114,15 @@
         entry.record = record;
         entry.suspicion = None;
         if was_dead && is_same_boot {
-            self.note_false_death(now, &name);
+            self.handle_false_death(now, &name);
         }
         self.member_changed(now, &name);
     }
 
-    /// An update that a member told.
-    pub(super) fn take_update(&mut self, now: Timestamp, witness: &Record, update: Record) {
+    /// Handles a gossip update that a member sent.
+    pub(super) fn handle_update(&mut self, now: Timestamp, witness: &Record, update: Record) {
         if update.name == self.local.name {
-            self.take_record_of_self(now, &update);
+            self.handle_record_of_self(now, &update);
             return;
         }
         if update.name == witness.name {
@@ -130,11 +137,11 @@
             return;
         }
         if self.has_traffic_limits() {
-            if self.take_agreeing_update(now, witness, &update) {
+            if self.handle_agreeing_update(now, witness, &update) {
                 return;
             }
-            if self.was_witness_cut_off(now, witness, &update) {
-                self.verify_held(now, &update);
+            if self.is_failure_report_by_revived(now, witness, &update) {
+                self.verify_at_held_address(now, &update);
                 return;
             }
         }
@@ -147,10 +154,11 @@
                 host: witness.address.ip(),
             },
         );
-        self.weigh(now, &name);
+        self.evaluate_witnesses(now, &name);
     }
 
-    /// Members raise their incarnations step by step: none is at the end of the range, or far ahead of what is held.
+    /// Whether an honest node may have this incarnation: it is not at the end of the range, and not
+    /// more than [`MAX_INCARNATION_LEAP`] above the held one.
     fn is_plausible(&self, update: &Record) -> bool {
         let held = self
             .table
@@ -160,14 +168,23 @@
         is_in_range && update.incarnation.ahead_of(held) <= MAX_INCARNATION_LEAP
     }
 
+    /// Adds an unknown node as a candidate. Returns false if the update says that the node is gone,
+    /// or if the table is full.
     fn add_candidate(&mut self, now: Timestamp, update: &Record) -> bool {
         update.state.is_present() && self.table.add(now, update.clone(), Evidence::Gossip)
     }
 
-    /// With traffic limits: an update that agrees with what is held, or that tells of a member held alive that it rose
-    /// meanwhile, needs no witnesses and no probe. What its witness said before is withdrawn by it. False: it says something
-    /// else.
-    fn take_agreeing_update(&mut self, now: Timestamp, witness: &Record, update: &Record) -> bool {
+    /// Handles an update that does not contradict the held record, with traffic limits only: it is
+    /// equal, it reports a higher incarnation of a member that is alive here, or it reports a
+    /// member as gone that is gone here. Such an update needs no further witnesses and no probe,
+    /// and it withdraws what its witness said before. Returns false, and changes nothing, for any
+    /// other update.
+    fn handle_agreeing_update(
+        &mut self,
+        now: Timestamp,
+        witness: &Record,
+        update: &Record,
+    ) -> bool {
         let Some(entry) = self.table.get(&update.name).filter(|entry| entry.confirmed) else {
             return false;
         };
@@ -175,52 +192,60 @@
         let is_same_process = held.boot_id == update.boot_id && held.address == update.address;
         let says_alive = update.state == MemberState::Alive;
         let is_alive_in_both = held.state == MemberState::Alive && says_alive && is_same_process;
-        let is_gone_already = !entry.is_in_fleet()
+        let is_gone_in_both = !entry.is_in_fleet()
             && !says_alive
             && update.boot_id == held.boot_id
             && update.incarnation <= held.incarnation;
-        if entry.is_disputed_by(update) && !is_alive_in_both && !is_gone_already {
+        if entry.is_disputed_by(update) && !is_alive_in_both && !is_gone_in_both {
             return false;
         }
         let is_equal = held == update;
-        let is_dead_here_alone = held.state == MemberState::Dead
+        let is_dead_only_here = held.state == MemberState::Dead
             && says_alive
             && is_same_process
             && update.incarnation == held.incarnation;
-        if is_dead_here_alone {
-            // Nobody else tells the member that it is held for dead: a probe tells it, and it rises.
+        if is_dead_only_here {
+            // No other node will inform the member that it is considered dead here. A probe does,
+            // and the member then refutes it.
             let address = held.address;
-            self.verify_by_gossip(now, &update.name, address);
+            self.schedule_gossip_verification(now, &update.name, address);
         }
         self.table.withdraw_witness(&witness.name, &update.name);
         if is_equal {
-            // Others tell it too.
+            // Another node spreads the same update, so this one needs to send it once less.
             self.dissemination.told(&update.name);
         }
         true
     }
 
-    /// With traffic limits: whether this is word of a failure by a node that came back lately. Two of them would make each
-    /// member of the half that they did not reach suspect, all at once.
-    fn was_witness_cut_off(&self, now: Timestamp, witness: &Record, update: &Record) -> bool {
+    /// Whether a node that recently came back from the dead reports a failure. After a partition,
+    /// two such witnesses would suffice to make every member of the side that they did not reach
+    /// suspect at once.
+    fn is_failure_report_by_revived(
+        &self,
+        now: Timestamp,
+        witness: &Record,
+        update: &Record,
+    ) -> bool {
         let is_failure = matches!(update.state, MemberState::Suspect | MemberState::Dead);
         let revived = self
             .table
             .get(&witness.name)
             .and_then(|entry| entry.revived);
-        is_failure && revived.is_some_and(|revived| (now - revived).secs() < REVIVED_S)
+        is_failure && revived.is_some_and(|revived| (now - revived).secs() < REVIVED_DISTRUST_S)
     }
 
-    /// Verifies a member that an update speaks of, where it is held to be.
-    fn verify_held(&mut self, now: Timestamp, update: &Record) {
+    /// Schedules the verification of an update's subject at the held address, or at the address in
+    /// the update if the subject is unknown.
+    fn verify_at_held_address(&mut self, now: Timestamp, update: &Record) {
         let address = self
             .table
             .get(&update.name)
             .map_or(update.address, |entry| entry.record.address);
-        self.verify_unvouched(now, &update.name, address);
+        self.schedule_unvouched_verification(now, &update.name, address);
     }
 
-    /// The record that is held of a member changed: it is told on.
+    /// Handles a change of a member's held record: emits an event and disseminates the record.
     pub(super) fn member_changed(&mut self, now: Timestamp, name: &Name) {
         let Some(entry) = self.table.get_mut(name) else {
             return;
@@ -237,7 +262,7 @@
         });
     }
 
-    /// Tells a member's record with the next messages.
+    /// Queues a member's record to be piggybacked on the next messages.
     fn disseminate(&mut self, name: &Name) {
         if !self.has_traffic_limits() {
             let count = transmissions(self.fleet_size() + 1);
@@ -249,7 +274,8 @@
             .get(name)
             .is_some_and(|entry| entry.record.state == MemberState::Dead);
         if is_dead && self.dissemination.contains(name) {
-            // It is being told as suspected: from now on it is told as dead, as often as was left.
+            // The member is already queued, usually as suspect. The remaining transmissions carry
+            // its current state, which is dead.
             return;
         }
         let count = transmissions(self.table.len() + 2);
--- a/crates/membership/src/node/indirect_probes.rs
+++ b/crates/membership/src/node/indirect_probes.rs
@@ -1,4 +1,5 @@
-//! SWIM's indirect probes: other members try a target that did not answer, before anything is said of it.
+//! SWIM's indirect probes: other members probe a target that did not answer, before it is
+//! suspected.
 
 use std::net::SocketAddr;
 
@@ -11,7 +12,7 @@
 use crate::probe_round::sample;
 
 impl Node {
-    /// Asks so many relays to probe a member that did not answer.
+    /// Asks `relay_count` random members to probe a member that did not answer.
     pub(super) fn request_indirect_probes(
         &mut self,
         now: Timestamp,
@@ -41,9 +42,10 @@
         }
     }
 
-    /// How many relays are asked. With traffic limits, for a failed probe that is repeated all are asked the last time only,
-    /// and before that one every second time: repeats cost less, and whoever a third node reaches is not suspected. For a
-    /// suspect one is asked each time.
+    /// The number of relays to ask, which is the configured number unless traffic limits are set.
+    /// With traffic limits, a probe of a suspect asks one relay. For any other member, the first
+    /// probe and the last retry ask all relays, and every second retry in between asks one: retries
+    /// stay cheap, and a member that a third node reaches is still not suspected.
     pub(super) fn relay_count(&self, name: &Name) -> usize {
         let all = self.config.indirect_probes;
         let Some(limits) = &self.config.traffic_limits else {
--- a/crates/membership/src/node/mod.rs
+++ b/crates/membership/src/node/mod.rs
@@ -1,5 +1,10 @@
-//! One node of the fleet: datagrams and time in; datagrams, events and the time of the next step out. The struct stands
-//! here; each module beside it has one flow of the protocol.
+//! One node of the membership protocol, as a state machine without I/O. It takes received datagrams
+//! and the current time, and produces datagrams to send, events, and the time of its next step.
+//! This file defines the struct; each submodule implements one flow of the protocol.
+//!
+//! A *candidate* is a node that gossip mentions and that is not a confirmed member yet. It joins
+//! the fleet once it acks a direct probe or enough independent *witnesses*, which are members whose
+//! gossip mentions it, agree on its record.
 
 mod acks;
 mod anti_entropy;
@@ -51,40 +56,41 @@
 use send::Recipient;
 pub use send::{MAX_PAYLOAD_BYTES, ReceivedPayload};
 
-/// Members that are told by this node itself that it leaves.
+/// Maximum number of members that a leaving node notifies directly.
 const MAX_LEAVE_MESSAGES: usize = 64;
-/// Events that wait to be taken.
+/// Maximum number of events that are buffered until [`Node::take_events`] is called.
 const MAX_EVENTS: usize = 256;
-/// Seconds from the start to the first rejoin probes.
-const FIRST_REJOIN_S: f64 = 0.01;
+/// Delay in seconds from the start of the node to its first rejoin probes.
+const FIRST_REJOIN_DELAY_S: f64 = 0.01;
 
-/// Bytes to send, and where to.
+/// A datagram to send.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Datagram {
-    /// Where to.
+    /// The destination address.
     pub to: SocketAddr,
-    /// The bytes.
+    /// The sealed message.
     pub bytes: Vec<u8>,
 }
 
-/// What a node is made of.
+/// The parameters with which a node starts.
 #[derive(Clone, Debug)]
 pub struct NodeSetup {
-    /// The fleet that it belongs to.
+    /// The fleet that the node belongs to.
     pub fleet: Name,
-    /// Its name.
+    /// The name of the node.
     pub name: Name,
-    /// Where others reach it.
+    /// The address that the node advertises to others.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// The zone and region of the node.
     pub locality: Locality,
-    /// Where other nodes may be reached at the start.
+    /// Addresses of nodes through which this node joins the fleet.
     pub seeds: Vec<SocketAddr>,
-    /// Keys of the fleet.
+    /// The fleet's keys for message authentication.
     pub key_ring: KeyRing,
-    /// Times and limits.
+    /// Durations and limits of the protocol.
     pub config: Config,
-    /// For all that goes by chance, the boot id among it: another one for each start.
+    /// Seed of the random number generator, which also draws the boot id. It must differ between
+    /// any two starts.
     pub rng_seed: u64,
 }
 
@@ -97,7 +103,7 @@
     seeds: Vec<SocketAddr>,
     /// This node's own record.
     local: Record,
-    /// Of the messages sent.
+    /// Counter of the last message sent, by which receivers detect replays.
     message_counter: u64,
     rng: Pcg64Mcg,
     table: MemberTable,
@@ -115,19 +121,19 @@
     views: ViewTracker,
     name_conflict: NameConflict,
     request_limits: RequestLimits,
-    /// It met another node since its start.
+    /// Whether this node has confirmed any other node since its start.
     has_joined: bool,
-    /// When it last heard from one in the fleet.
+    /// When this node last received a message from a member of the fleet.
     last_heard: Option<Timestamp>,
     payloads: Vec<ReceivedPayload>,
     datagrams: Vec<Datagram>,
     events: Vec<Event>,
-    /// Counts since the start.
+    /// Counters since the start.
     pub metrics: Metrics,
 }
 
 impl Node {
-    /// A node that starts now.
+    /// Creates a node that starts at `now`.
     #[must_use]
     pub fn new(now: Timestamp, setup: NodeSetup) -> Self {
         let config = setup.config;
@@ -141,7 +147,7 @@
             locality: setup.locality,
             state: MemberState::Alive,
         };
-        // Nodes that start together do not probe in step.
+        // A random offset keeps nodes that start together from probing at the same times.
         let offset_s = config.probe_period.secs() * rng.random::<f64>();
         let first_period = now + TimeDelta::from_secs(offset_s);
         Node {
@@ -158,7 +164,7 @@
             probe_retries: ProbeRetries::default(),
             local_health: LocalHealth::default(),
             verifications: Verifications::default(),
-            rejoin: RejoinSchedule::new(now + TimeDelta::from_secs(FIRST_REJOIN_S)),
+            rejoin: RejoinSchedule::new(now + TimeDelta::from_secs(FIRST_REJOIN_DELAY_S)),
             dissemination: DisseminationQueue::new(limits),
             anti_entropy: AntiEntropy::new(first_period, limits),
             engines: EngineGossip::default(),
@@ -176,13 +182,13 @@
         }
     }
 
-    /// This node's own record, as it tells it to others.
+    /// This node's own record, as it sends it to others.
     #[must_use]
     pub fn local_record(&self) -> &Record {
         &self.local
     }
 
-    /// Other seeds, keys, times and limits from now on; no member is forgotten for it.
+    /// Replaces the seeds, the keys and the configuration. The member table is kept.
     pub fn reconfigure(&mut self, seeds: Vec<SocketAddr>, key_ring: KeyRing, config: Config) {
         self.request_limits = RequestLimits::new(&config);
         self.engine_broadcast.set_rate(&config);
@@ -198,31 +204,32 @@
         self.config = config;
     }
 
-    /// Datagrams to be sent.
+    /// Removes and returns the datagrams that are ready to be sent.
     #[must_use]
     pub fn take_datagrams(&mut self) -> Vec<Datagram> {
         std::mem::take(&mut self.datagrams)
     }
 
-    /// What happened since the last call; what came beyond 256 events is lost.
+    /// Removes and returns the events since the last call. Events beyond the first 256 are dropped.
     #[must_use]
     pub fn take_events(&mut self) -> Vec<Event> {
         std::mem::take(&mut self.events)
     }
 
-    /// When it last heard from another node of the fleet: how old its table is while it is partitioned.
+    /// When this node last received a message from a member of the fleet, or `None` if it never
+    /// has. During a partition this tells the age of its member table.
     #[must_use]
     pub fn last_heard(&self) -> Option<Timestamp> {
         self.last_heard
     }
 
-    /// Nodes in the fleet as this one holds it, itself among them.
+    /// The number of nodes in the fleet according to this node, including itself.
     #[must_use]
     pub fn fleet_size(&self) -> usize {
         1 + self.table.fleet().count()
     }
 
-    /// All other nodes that are held, candidates among them, in the order of their names.
+    /// All other nodes in the member table, including candidates, ordered by name.
     pub fn members(&self) -> impl Iterator<Item = MemberSummary> {
         self.table.iter().map(|entry| MemberSummary {
             record: entry.record.clone(),
@@ -232,19 +239,20 @@
         })
     }
 
-    /// What is held of another node.
+    /// The table entry of another node, or `None` if the node is unknown.
     #[must_use]
     pub fn member(&self, name: &Name) -> Option<&MemberEntry> {
         self.table.get(name)
     }
 
-    /// Nodes held in all, candidates among them.
+    /// The number of entries in the member table, including candidates.
     #[must_use]
     pub fn table_len(&self) -> usize {
         self.table.len()
     }
 
-    /// It leaves, and says so: others take it off at once and suspect nothing.
+    /// Leaves the fleet and announces it, so that other nodes remove this node at once instead of
+    /// suspecting it first.
     pub fn leave(&mut self, now: Timestamp) {
         self.local.state = MemberState::Left;
         self.local.incarnation = self.local.incarnation.next();
@@ -269,13 +277,14 @@
         self.config.traffic_limits.is_some()
     }
 
-    /// A factor about one, so that nodes do not fall into step.
+    /// A random factor between 0.9 and 1.1 that keeps the periods of nodes from synchronizing.
     fn jitter(&mut self) -> f64 {
         0.9 + 0.2 * self.rng.random::<f64>()
     }
 }
 
-/// With traffic limits witnesses of candidates come seldom.
+/// Selects the longer retention with traffic limits, under which a candidate's witnesses arrive too
+/// rarely for the plain one.
 fn candidate_retention(config: &Config) -> CandidateRetention {
     match config.traffic_limits {
         Some(_) => CandidateRetention::Long,
--- a/crates/membership/src/node/probing.rs
+++ b/crates/membership/src/node/probing.rs
@@ -1,4 +1,4 @@
-//! Probes of members, in turn and repeated, and what follows where no ack comes.
+//! Probes of members: the round-robin schedule, retries, and the consequences of a missing ack.
 
 use std::net::SocketAddr;
 
@@ -14,7 +14,7 @@
 use crate::probe_round::sample_one;
 
 impl Node {
-    /// Probes the next member of the round.
+    /// Probes the next member of the current round.
     pub(super) fn probe_next(&mut self, now: Timestamp) {
         let table = &self.table;
         let next = self.probe_round.next(
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Probes a member, unless it is being probed.
+    /// Probes a member, unless a probe of it is outstanding.
     pub(super) fn probe_member(&mut self, now: Timestamp, name: &Name) {
         if self.probes.is_probing(name) {
             return;
@@ -39,8 +39,8 @@
         self.send_probe(now, ProbePurpose::Member(name.clone()), address);
     }
 
-    /// With traffic limits, one suspect is probed each period, by one relay as well: an ack clears it, and the ping tells it
-    /// that it is suspected.
+    /// Probes a random suspect once a period, with traffic limits only. An ack clears the
+    /// suspicion, and the ping informs the member that it is suspected.
     pub(super) fn probe_suspect(&mut self, now: Timestamp) {
         if !self.has_traffic_limits() {
             return;
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Sends a ping, and waits for its ack.
+    /// Sends a ping and registers the probe as outstanding.
     pub(super) fn send_probe(&mut self, now: Timestamp, purpose: ProbePurpose, target: SocketAddr) {
         let recipient = Recipient::new(target, purpose.target_name().cloned());
         let timeouts = self.probe_timeouts(&purpose);
@@ -61,8 +61,9 @@
         self.send(now, &recipient, Body::Ping(nonce), Vec::new());
     }
 
-    /// How long a probe waits, stretched by this node's own health. A probe that is repeated has no whole period; and a node
-    /// that doubts itself stretches it by the root only, or one that all others left would take minutes to say so.
+    /// The time-outs of a probe, stretched by the local health multiplier. A retry waits for less
+    /// than a probe period and is stretched only by the square root of the multiplier; otherwise a
+    /// node whose peers are all gone would take minutes to report it.
     fn probe_timeouts(&self, purpose: &ProbePurpose) -> ProbeTimeouts {
         let multiplier = self.local_health.multiplier();
         let direct = self.config.probe_timeout;
@@ -71,7 +72,7 @@
             total: self.config.probe_period,
         };
         match purpose {
-            // The requester waits for it no longer than its own health says.
+            // The requester's wait depends on its own health, not on that of this relay.
             ProbePurpose::Indirect { .. } => plain,
             ProbePurpose::Member(name) if self.probe_retries.contains(name) => {
                 let direct = TimeDelta::from_secs(direct.secs() / multiplier.sqrt());
@@ -82,7 +83,8 @@
         }
     }
 
-    /// Does the next step of a probe that has no ack yet: others are asked, or it has failed.
+    /// Advances a probe without an ack: asks relays for indirect probes, or ends the probe as
+    /// failed.
     pub(super) fn advance_probe(&mut self, now: Timestamp, nonce: Nonce) {
         let Some(probe) = self.probes.get(nonce) else {
             return;
@@ -100,7 +102,7 @@
         self.finish_probe(now, nonce);
     }
 
-    /// No ack came in time.
+    /// Ends a probe that received no ack in time.
     fn finish_probe(&mut self, now: Timestamp, nonce: Nonce) {
         let Some(probe) = self.probes.remove(nonce) else {
             return;
@@ -108,11 +110,12 @@
         match probe.purpose {
             ProbePurpose::Member(name) => {
                 self.metrics.probes_failed += 1;
-                // Relays that are well say so: with no nack either, the fault may be here.
+                // A healthy relay that gets no ack sends a nack. If no relay did, the fault may be
+                // local.
                 if !probe.relays.is_empty() && probe.nacks == 0 {
                     self.local_health.degrade();
                 }
-                self.probe_failed(now, &name);
+                self.handle_probe_failure(now, &name);
             }
             ProbePurpose::Direct(name) => self.table.probe_unanswered(&name),
             ProbePurpose::Rejoin(_) => {}
@@ -123,8 +126,9 @@
         }
     }
 
-    /// A probe of a member failed: with traffic limits it is repeated before the member is suspected.
-    fn probe_failed(&mut self, now: Timestamp, name: &Name) {
+    /// Handles a failed probe of a member. With traffic limits, the probe is retried before the
+    /// member is suspected.
+    fn handle_probe_failure(&mut self, now: Timestamp, name: &Name) {
         let Some(limits) = &self.config.traffic_limits else {
             self.suspect(now, name);
             return;
@@ -140,8 +144,8 @@
         }
     }
 
-    /// Repeats failed probes that are due.
-    pub(super) fn repeat_probes(&mut self, now: Timestamp) {
+    /// Sends the retries of failed probes that are due.
+    pub(super) fn retry_probes(&mut self, now: Timestamp) {
         for name in self.probe_retries.due(now) {
             let is_alive = self.table.get(&name).is_some_and(|entry| entry.is_alive());
             if !is_alive {
--- a/crates/membership/src/node/receive.rs
+++ b/crates/membership/src/node/receive.rs
@@ -1,4 +1,5 @@
-//! Messages in: the chain of checks by which they are rejected, and whom they then go on to.
+//! Received messages: the checks that may reject a message, and the handlers that it is passed on
+//! to.
 
 use std::net::SocketAddr;
 
@@ -14,14 +15,14 @@
 use crate::request_limits::SenderStatus;
 use crate::table_digest::{BucketRange, MAX_FINGERPRINTS};
 
-/// Payloads of other subsystems that wait to be taken.
+/// Maximum number of payloads that are buffered until [`Node::take_payloads`] is called.
 const MAX_PAYLOADS: usize = 256;
 
 impl Node {
-    /// Takes in a datagram that came from an address.
+    /// Handles a datagram that arrived from the address `source`.
     ///
     /// # Errors
-    /// It was rejected; this is why, and it was counted.
+    /// Returns the reason if the datagram is rejected. The metrics count each reason.
     pub fn receive(
         &mut self,
         now: Timestamp,
@@ -33,6 +34,7 @@
         result
     }
 
+    /// Runs all checks on a datagram, then handles its message.
     fn accept(
         &mut self,
         now: Timestamp,
@@ -47,25 +49,25 @@
         let sender = self.check_replay(&message, source)?;
         check_form(&message.body)?;
         self.check_rate(now, sender, &message.body)?;
-        let answer = self.take_probe_answer(now, source, &message)?;
+        let answer = self.handle_probe_answer(now, source, &message)?;
         if answer != ProbeAnswer::Ack {
-            self.take_own_record(now, &message.from);
+            self.handle_sender_record(now, &message.from);
         }
         if sender == SenderStatus::Unknown {
-            self.note_counter(&message);
+            self.mark_counter_seen(&message);
         }
-        self.handle(now, source, message)
+        self.handle_message(now, source, message)
     }
 
-    /// Gives gossip and the body to those that they are for.
-    fn handle(
+    /// Passes the gossip and the body of an accepted message to their handlers.
+    fn handle_message(
         &mut self,
         now: Timestamp,
         source: SocketAddr,
         message: Message,
     ) -> Result<(), RejectReason> {
         let from = message.from;
-        self.take_gossip(
+        self.handle_gossip(
             now,
             &from,
             message.view,
@@ -73,15 +75,16 @@
             &message.engine_reports,
         );
         match message.body {
-            Body::Payload(payload) => self.take_payload(source, from, payload),
+            Body::Payload(payload) => self.handle_payload(source, from, payload),
             body => {
-                self.reply(now, &from, body);
+                self.handle_body(now, &from, body);
                 Ok(())
             }
         }
     }
 
-    /// This node gave way to another process of its name: it takes part in nothing.
+    /// Rejects all messages while this node has withdrawn in favour of another process with its
+    /// name.
     fn check_not_withdrawn(&self) -> Result<(), RejectReason> {
         if self.name_conflict.is_withdrawn() {
             return Err(RejectReason::OwnName);
@@ -89,7 +92,8 @@
         Ok(())
     }
 
-    /// A message under this node's own name may be of another process.
+    /// Rejects a message that bears this node's own name, after checking whether another process
+    /// with the same name sent it.
     fn check_name(
         &mut self,
         now: Timestamp,
@@ -99,10 +103,11 @@
         if message.from.name != self.local.name {
             return Ok(());
         }
-        self.take_message_under_own_name(now, source, message);
+        self.handle_message_under_own_name(now, source, message);
         Err(RejectReason::OwnName)
     }
 
+    /// Rejects a sender whose incarnation is beyond the valid range.
     fn check_incarnation(&mut self, message: &Message) -> Result<(), RejectReason> {
         if message.from.incarnation > Incarnation::LAST {
             self.metrics.implausible_incarnations += 1;
@@ -111,6 +116,7 @@
         Ok(())
     }
 
+    /// Rejects a message whose counter was seen before, and determines the status of its sender.
     fn check_replay(
         &mut self,
         message: &Message,
@@ -130,14 +136,14 @@
         }
     }
 
-    /// Requests are answered at a bounded rate.
+    /// Rejects a request that exceeds the rate at which requests of its kind are answered.
     fn check_rate(
         &mut self,
         now: Timestamp,
         sender: SenderStatus,
         body: &Body,
     ) -> Result<(), RejectReason> {
-        let is_within = match body {
+        let is_allowed = match body {
             Body::Ping(_) | Body::IndirectPing { .. } => {
                 self.request_limits.try_answer_probe(now, sender)
             }
@@ -149,22 +155,24 @@
             }
             _ => true,
         };
-        if is_within {
+        if is_allowed {
             Ok(())
         } else {
             Err(RejectReason::RateLimited)
         }
     }
 
-    /// The sender came into the table by this message: its counter is seen from now on.
-    fn note_counter(&mut self, message: &Message) {
+    /// Marks a message's counter as seen if its handling has added the sender to the table, since
+    /// the replay check found no entry to do so.
+    fn mark_counter_seen(&mut self, message: &Message) {
         if let Some(entry) = self.table.get_mut_keeping_view(&message.from.name) {
             entry.accept_counter(message.from.boot_id, message.counter);
         }
     }
 
-    /// Gossip counts from members only.
-    fn take_gossip(
+    /// Handles the view, the records and the engine reports of a message. They are ignored unless
+    /// the sender is a member, except for a record of this node itself.
+    fn handle_gossip(
         &mut self,
         now: Timestamp,
         from: &Record,
@@ -177,18 +185,19 @@
             self.last_heard = Some(now);
         }
         if !is_member || from.state != MemberState::Alive {
-            // A newcomer that is not known yet may still hold an old record of this node: refuting it costs nothing.
-            let of_this_node = records
+            // An unconfirmed sender may hold an outdated record of this node. Refuting it is
+            // harmless, whoever sent it.
+            let record_of_self = records
                 .into_iter()
                 .find(|record| record.name == self.local.name);
-            if let Some(record) = of_this_node {
-                self.take_record_of_self(now, &record);
+            if let Some(record) = record_of_self {
+                self.handle_record_of_self(now, &record);
             }
             return;
         }
         self.views.hear(now, view);
         for record in records {
-            self.take_update(now, from, record);
+            self.handle_update(now, from, record);
         }
         for report in engine_reports.iter().take(MAX_REPORTS_PER_MESSAGE) {
             self.engines
@@ -196,18 +205,19 @@
         }
     }
 
-    /// A payload of another subsystem counts from a member in this boot at its own address.
-    fn take_payload(
+    /// Buffers a payload for another subsystem if the sender is a member with the held boot id and
+    /// address and the buffer has room.
+    fn handle_payload(
         &mut self,
         source: SocketAddr,
         from: Record,
         payload: Vec<u8>,
     ) -> Result<(), RejectReason> {
-        let is_sender = |entry: &MemberEntry| {
+        let is_from_member = |entry: &MemberEntry| {
             let is_same = entry.record.boot_id == from.boot_id && entry.record.address == source;
             entry.is_in_fleet() && is_same
         };
-        let is_member = self.table.get(&from.name).is_some_and(is_sender);
+        let is_member = self.table.get(&from.name).is_some_and(is_from_member);
         if !is_member || self.payloads.len() >= MAX_PAYLOADS {
             return Err(RejectReason::RateLimited);
         }
@@ -220,7 +230,7 @@
     }
 }
 
-/// A message comes from the address that its sender advertises.
+/// Rejects a message that did not come from the address that its sender advertises.
 fn check_source(message: &Message, source: SocketAddr) -> Result<(), RejectReason> {
     if message.from.address != source {
         return Err(RejectReason::SourceAddress);
@@ -228,7 +238,8 @@
     Ok(())
 }
 
-/// Comparisons name buckets of a table, and no more fingerprints than there is a bit for.
+/// Rejects a table comparison with an invalid range of buckets, or with more fingerprints than the
+/// response has bits for.
 fn check_form(body: &Body) -> Result<(), RejectReason> {
     let is_valid = match body {
         Body::DigestRequest {
--- a/crates/membership/src/node/refutation.rs
+++ b/crates/membership/src/node/refutation.rs
@@ -1,4 +1,5 @@
-//! What others say of this node itself: refutation, an earlier boot, and a second process of its name.
+//! Records that others hold of this node itself: refutation of wrong states, records of an earlier
+//! boot, and conflicts with a second process of the same name.
 
 use std::net::SocketAddr;
 
@@ -10,60 +11,65 @@
 use crate::message::{Body, Message, Nonce};
 use crate::outstanding_probes::ProbePurpose;
 
-/// How far ahead of its own incarnation a node believes others to be: it knows how far it rose, and some more is for what
-/// others were made to hold.
-const MAX_LOCAL_LEAP: u32 = 16;
+/// Maximum distance above its own incarnation at which a node accepts a record of its own boot.
+/// Only the node itself raises its incarnation; the margin allows for values that a Byzantine node
+/// spread.
+const MAX_SELF_INCARNATION_LEAP: u32 = 16;
 
 impl Node {
-    /// What another node holds of this one: worse than it is, or another boot of it.
-    pub(super) fn take_record_of_self(&mut self, now: Timestamp, held: &Record) {
+    /// Handles a record that another node holds of this one. It is refuted if its state is wrong,
+    /// and checked for a name conflict if it is of another boot.
+    pub(super) fn handle_record_of_self(&mut self, now: Timestamp, held: &Record) {
         let is_same_boot = held.boot_id == self.local.boot_id;
-        // Only this node raises its incarnation: a number far above it is no honest node's.
+        // Only this node raises its incarnation, so no honest node reports one far above it.
         let leap = held.incarnation.ahead_of(self.local.incarnation);
-        let is_too_far = is_same_boot && leap > MAX_LOCAL_LEAP;
-        if held.incarnation >= Incarnation::LAST || is_too_far {
+        let is_leap_too_large = is_same_boot && leap > MAX_SELF_INCARNATION_LEAP;
+        if held.incarnation >= Incarnation::LAST || is_leap_too_large {
             self.metrics.implausible_incarnations += 1;
             return;
         }
         if !is_same_boot {
-            self.take_other_boot(now, held);
+            self.handle_other_boot(now, held);
             return;
         }
         let is_wrong = held.state != MemberState::Alive && self.local.state == MemberState::Alive;
         if is_wrong && held.incarnation >= self.local.incarnation {
-            self.rise_above(held.incarnation);
+            self.raise_incarnation_above(held.incarnation);
             self.metrics.refutations += 1;
             self.emit(Event::Refuted(self.local.incarnation));
         }
     }
 
-    fn rise_above(&mut self, incarnation: Incarnation) {
+    /// Sets this node's incarnation to the one after `incarnation`.
+    fn raise_incarnation_above(&mut self, incarnation: Incarnation) {
         self.local.incarnation = incarnation.next();
         self.table.invalidate_view();
     }
 
-    /// Another boot under this name: an earlier one, above which this one rises, or a second process, which would answer
-    /// where it is said to be.
-    fn take_other_boot(&mut self, now: Timestamp, other: &Record) {
+    /// Handles a record of another boot under this node's name. Against an earlier boot, this node
+    /// raises its incarnation. Since the record may also be of a second running process, its
+    /// address is probed if it differs from this node's.
+    fn handle_other_boot(&mut self, now: Timestamp, other: &Record) {
         let is_above = other.incarnation >= self.local.incarnation;
         if is_above && self.name_conflict.may_rise(now) {
-            let reachable = Incarnation(
+            let highest_plausible = Incarnation(
                 self.local
                     .incarnation
                     .0
                     .saturating_add(MAX_INCARNATION_LEAP),
             );
-            self.rise_above(other.incarnation.min(reachable));
+            self.raise_incarnation_above(other.incarnation.min(highest_plausible));
         }
-        let may_be_there = other.address != self.local.address && other.state.is_present();
-        if may_be_there && self.name_conflict.should_probe(other.boot_id) {
+        let may_be_running = other.address != self.local.address && other.state.is_present();
+        if may_be_running && self.name_conflict.should_probe(other.boot_id) {
             self.send_probe(now, ProbePurpose::Rejoin(None), other.address);
         }
     }
 
-    /// A message under this node's own name. A process that answers a probe at its address is there as well: a node whose
-    /// view converged with others' stays, one that comes later gives way for a time by chance.
-    pub(super) fn take_message_under_own_name(
+    /// Handles a message under this node's own name. A process that answers a probe at its address
+    /// proves the conflict. A node whose view has converged with others then stays; one that has
+    /// not converged yet withdraws for a random time.
+    pub(super) fn handle_message_under_own_name(
         &mut self,
         now: Timestamp,
         source: SocketAddr,
@@ -74,10 +80,10 @@
             return;
         }
         let Body::Ack(nonce) = message.body else {
-            self.take_other_boot(now, other);
+            self.handle_other_boot(now, other);
             return;
         };
-        if self.take_conflict_ack(source, nonce) {
+        if self.consume_conflict_ack(source, nonce) {
             self.name_conflict.confirmed(now, &mut self.rng);
             self.emit(Event::NameConflict {
                 other: other.boot_id,
@@ -85,15 +91,16 @@
         }
     }
 
-    /// Whether an ack is to a probe that went to its source, which is over by it.
-    fn take_conflict_ack(&mut self, source: SocketAddr, nonce: Nonce) -> bool {
-        let is_answer = self
+    /// Removes the outstanding probe that an ack answers. Returns false if no such probe went to
+    /// `source`.
+    fn consume_conflict_ack(&mut self, source: SocketAddr, nonce: Nonce) -> bool {
+        let is_expected = self
             .probes
             .get(nonce)
             .is_some_and(|probe| probe.target == source);
-        if is_answer {
+        if is_expected {
             self.probes.remove(nonce);
         }
-        is_answer
+        is_expected
     }
 }
--- a/crates/membership/src/node/rejoin.rs
+++ b/crates/membership/src/node/rejoin.rs
@@ -1,5 +1,5 @@
-//! Rejoin probes: of seeds that are not in the fleet, and of members that were dead or left. By them two halves of a fleet
-//! that took each other for dead find each other again.
+//! Rejoin probes: probes of seeds that are not in the fleet, and of members that are dead or left.
+//! They reunite the two sides of a partition that declared each other dead.
 
 use std::net::SocketAddr;
 
@@ -10,19 +10,21 @@
 use crate::outstanding_probes::ProbePurpose;
 use crate::probe_round::sample_one;
 
-/// Periods between rejoin probes.
+/// Probe periods between rejoin probes.
 const REJOIN_PERIODS: f64 = 3.0;
-/// With traffic limits seeds are probed this many times as rarely at most, after as many attempts without having met
-/// anybody.
+/// Maximum factor by which the pause between rejoin probes grows, with traffic limits, until the
+/// node has met another one. The factor is the number of attempts so far.
 const MAX_BACKOFF: u32 = 5;
-/// Seeds that are probed at once by a node that has met nobody.
-const SEEDS_AT_START: usize = 3;
+/// Number of seeds that a node probes at once, without traffic limits, until it has met another
+/// node.
+const SEEDS_PER_ATTEMPT: usize = 3;
 
-/// When rejoin probes are due.
+/// The schedule of rejoin probes.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RejoinSchedule {
+    /// When the next rejoin probes are due.
     pub(super) next: Timestamp,
-    /// Attempts so far.
+    /// The number of attempts since the start.
     attempts: u32,
 }
 
@@ -36,7 +38,7 @@
 }
 
 impl Node {
-    /// Sends rejoin probes if they are due.
+    /// Sends rejoin probes, if they are due.
     pub(super) fn rejoin(&mut self, now: Timestamp) {
         if self.rejoin.next > now {
             return;
@@ -47,7 +49,8 @@
         self.probe_departed(now);
     }
 
-    /// How many times rarer seeds are probed: with traffic limits, the more often nobody answered.
+    /// The factor by which the pause between rejoin probes is extended. With traffic limits, it
+    /// grows with each attempt until this node has met another one.
     fn rejoin_backoff(&self) -> f64 {
         if self.has_joined || !self.has_traffic_limits() {
             return 1.0;
@@ -55,6 +58,7 @@
         f64::from(self.rejoin.attempts.clamp(1, MAX_BACKOFF))
     }
 
+    /// Probes random seeds that are not the address of this node or of a member.
     fn probe_seeds(&mut self, now: Timestamp) {
         let is_known = |address: &SocketAddr| {
             self.table
@@ -68,16 +72,21 @@
             .copied()
             .collect();
         seeds.shuffle(&mut self.rng);
-        let is_patient = self.has_joined || self.has_traffic_limits();
-        seeds.truncate(if is_patient { 1 } else { SEEDS_AT_START });
+        let probes_single_seed = self.has_joined || self.has_traffic_limits();
+        seeds.truncate(if probes_single_seed {
+            1
+        } else {
+            SEEDS_PER_ATTEMPT
+        });
         self.rejoin.attempts = self.rejoin.attempts.saturating_add(1);
         for seed in seeds {
             self.send_probe(now, ProbePurpose::Rejoin(None), seed);
         }
     }
 
-    /// Probes a member that was dead or left. It is told what is held of it, above which it rises: taken back at the old
-    /// incarnation, it would be suspected again on the word of others that still hold it for dead.
+    /// Probes a random member that is dead or left. The probe carries the held record, above which
+    /// the member raises its incarnation. If it came back at its old incarnation, gossip from nodes
+    /// that still consider it dead would make it suspect again.
     fn probe_departed(&mut self, now: Timestamp) {
         let departed = self
             .table
--- a/crates/membership/src/node/reply.rs
+++ b/crates/membership/src/node/reply.rs
@@ -1,4 +1,5 @@
-//! Requests of other nodes, and the answers to this node's exchanges.
+//! Dispatch of message bodies: requests from other nodes, and responses to this node's table
+//! exchanges.
 
 use admission::interface::Timestamp;
 
@@ -9,19 +10,19 @@
 use crate::outstanding_probes::ProbePurpose;
 use crate::table_digest::{BucketRange, Fingerprint};
 
-/// Indirect probes that run for others at once.
+/// Maximum number of concurrent indirect probes on behalf of other nodes.
 const MAX_INDIRECT_PROBES: usize = 16;
 
 impl Node {
-    /// Does what a message asks for.
-    pub(super) fn reply(&mut self, now: Timestamp, from: &Record, body: Body) {
+    /// Handles the body of a message. Answers to probes and payloads are handled elsewhere.
+    pub(super) fn handle_body(&mut self, now: Timestamp, from: &Record, body: Body) {
         match body {
-            Body::Ping(nonce) => self.acknowledge(now, from, nonce),
+            Body::Ping(nonce) => self.send_ack(now, from, nonce),
             Body::IndirectPing { nonce, target } => {
-                self.probe_for_another(now, from, nonce, &target);
+                self.run_indirect_probe(now, from, nonce, &target);
             }
             Body::PageRequest { after } => self.send_page(now, from, after.as_ref()),
-            Body::Page { next } => self.request_next_page(now, from, next),
+            Body::Page { next } => self.handle_page(now, from, next),
             Body::DigestRequest {
                 nonce,
                 first_bucket,
@@ -35,14 +36,14 @@
                 nonce,
                 equal,
                 covered,
-            } => self.take_digest_response(now, from, nonce, equal, covered),
+            } => self.handle_digest_response(now, from, nonce, equal, covered),
             Body::FingerprintRequest {
                 nonce,
                 from: first,
                 fingerprints,
             } => self.answer_fingerprints(now, from, nonce, Fingerprint(first), &fingerprints),
             Body::FingerprintResponse { nonce, held, until } => {
-                self.take_fingerprint_response(now, from, nonce, held, Fingerprint(until));
+                self.handle_fingerprint_response(now, from, nonce, held, Fingerprint(until));
             }
             Body::Ack(_)
             | Body::IndirectAck(_)
@@ -52,10 +53,10 @@
         }
     }
 
-    /// Answers a ping. Where an earlier boot of the sender is still held, the ack carries that record: the sender rises
-    /// above it, to be taken for the present one.
-    fn acknowledge(&mut self, now: Timestamp, from: &Record, nonce: Nonce) {
-        let earlier_boot = self
+    /// Answers a ping. If this node still holds a record of another boot of the sender, the ack
+    /// carries it, so that the sender can raise its incarnation above it and replace that record.
+    fn send_ack(&mut self, now: Timestamp, from: &Record, nonce: Nonce) {
+        let other_boot = self
             .table
             .get(&from.name)
             .filter(|entry| entry.confirmed)
@@ -65,11 +66,13 @@
             now,
             &Recipient::of(from),
             Body::Ack(nonce),
-            earlier_boot.into_iter().collect(),
+            other_boot.into_iter().collect(),
         );
     }
 
-    fn probe_for_another(
+    /// Probes a target on behalf of a node that cannot reach it. The request is ignored if too many
+    /// such probes are outstanding, or if the target is not confirmed at that address here.
+    fn run_indirect_probe(
         &mut self,
         now: Timestamp,
         requester: &Record,
--- a/crates/membership/src/node/send.rs
+++ b/crates/membership/src/node/send.rs
@@ -1,4 +1,4 @@
-//! Messages out: each carries the sender, its view, and as much gossip as fits.
+//! Sent messages: each carries the sender's record, its view, and as much gossip as fits.
 
 use std::net::SocketAddr;
 
@@ -8,29 +8,31 @@
 use crate::member::{BootId, MemberState, Name, Record};
 use crate::message::{self, Body, Message};
 
-/// The longest payload of another subsystem: beside it a message has room for its sender and a refutation.
+/// Maximum length in bytes of a payload. It leaves room in the message for the sender's record and
+/// for a record that the recipient may refute.
 pub const MAX_PAYLOAD_BYTES: usize = 850;
-/// No record takes fewer bytes in a message.
+/// Lower bound on the encoded size of a record.
 const MIN_RECORD_BYTES: usize = 16;
-/// One report of an engine takes at most this part of what is left of a message.
-const REPORT_PART: usize = 3;
+/// One engine report takes at most this fraction (one third) of the bytes left in a message.
+const ENGINE_REPORT_DIVISOR: usize = 3;
 
-/// Bytes of another subsystem, from a member in this boot at its own address.
+/// A payload for another subsystem, received from a member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReceivedPayload {
-    /// Who sent it.
+    /// The name of the sender.
     pub from: Name,
-    /// The sender's process.
+    /// The boot id of the sender.
     pub boot_id: BootId,
-    /// The bytes.
+    /// The bytes of the payload.
     pub payload: Vec<u8>,
 }
 
-/// Where a message goes.
+/// The recipient of a message.
 #[derive(Clone, Debug)]
 pub(super) struct Recipient {
     pub(super) address: SocketAddr,
-    /// Whose address it is, where that is known: it is told first what is held of it.
+    /// The name of the node at that address, if known. The message then carries the record that is
+    /// held of it, in case it needs to refute it.
     name: Option<Name>,
 }
 
@@ -49,8 +51,9 @@
 }
 
 impl Node {
-    /// Sends bytes of another subsystem to a member. False: it is not in the fleet, or they are longer than
-    /// [`MAX_PAYLOAD_BYTES`].
+    /// Sends a payload of another subsystem to a member. Returns false, and sends nothing, if `to`
+    /// is not in the fleet, the payload is longer than [`MAX_PAYLOAD_BYTES`], or this node has
+    /// withdrawn because of a name conflict.
     pub fn send_payload(&mut self, now: Timestamp, to: &Name, payload: Vec<u8>) -> bool {
         let may_send = payload.len() <= MAX_PAYLOAD_BYTES && !self.name_conflict.is_withdrawn();
         let member = self.table.get(to).filter(|entry| entry.is_in_fleet());
@@ -64,13 +67,14 @@
         true
     }
 
-    /// Bytes of other subsystems that came.
+    /// Removes and returns the payloads received since the last call.
     #[must_use]
     pub fn take_payloads(&mut self) -> Vec<ReceivedPayload> {
         std::mem::take(&mut self.payloads)
     }
 
-    /// Sends a message with these records, and with gossip as far as it fits.
+    /// Queues a message with the given records, filled up with engine reports and gossip as far as
+    /// they fit.
     pub(super) fn send(
         &mut self,
         now: Timestamp,
@@ -79,8 +83,9 @@
         mut records: Vec<Record>,
     ) {
         self.message_counter += 1;
-        // What is held of the recipient comes first: only it can refute that.
-        records.extend(self.unfavourable_record(recipient));
+        // The held record of the recipient takes precedence over gossip: only the recipient can
+        // refute it.
+        records.extend(self.record_to_refute(recipient));
         let mut message = Message {
             fleet: self.fleet.clone(),
             from: self.local.clone(),
@@ -107,14 +112,16 @@
         });
     }
 
-    /// What is held of the recipient, where it is not alive.
-    fn unfavourable_record(&self, recipient: &Recipient) -> Option<Record> {
+    /// The held record of the recipient if it is confirmed and not alive, so that the recipient can
+    /// refute it.
+    fn record_to_refute(&self, recipient: &Recipient) -> Option<Record> {
         let entry = self.table.get(recipient.name.as_ref()?)?;
-        let is_unfavourable = entry.confirmed && entry.record.state != MemberState::Alive;
-        is_unfavourable.then(|| entry.record.clone())
+        let is_refutable = entry.confirmed && entry.record.state != MemberState::Alive;
+        is_refutable.then(|| entry.record.clone())
     }
 
-    /// Adds reports of engines, each within a third of what is left; returns the bytes that are left.
+    /// Adds engine reports while each takes at most a third of the remaining bytes. Returns the
+    /// bytes that are left.
     fn add_engine_reports(
         &self,
         now: Timestamp,
@@ -123,7 +130,7 @@
     ) -> usize {
         for report in self.engines.to_send(now, &self.config) {
             let size = message::encoded_size(&report);
-            if size * REPORT_PART > remaining {
+            if size * ENGINE_REPORT_DIVISOR > remaining {
                 break;
             }
             remaining -= size;
@@ -132,7 +139,8 @@
         remaining
     }
 
-    /// With traffic limits no gossip is spent on a node that probably does not receive it.
+    /// Whether the recipient is likely to receive the message. With traffic limits, no gossip is
+    /// spent on a node that is not alive or whose probe is being retried.
     fn seems_reachable(&self, recipient: &Recipient) -> bool {
         let Some(name) = &recipient.name else {
             return true;
@@ -147,7 +155,7 @@
         is_alive && !self.probe_retries.contains(name)
     }
 
-    /// Adds updates of gossip: as many as fit, and with traffic limits as the budget has bytes for.
+    /// Adds gossip updates: as many as fit and, with traffic limits, as the byte budget permits.
     fn add_gossip(&mut self, now: Timestamp, message: &mut Message, remaining: usize) {
         let Some(budget) = self.dissemination.available_bytes(now) else {
             self.add_updates(message, remaining);
@@ -160,10 +168,10 @@
         self.dissemination.spend_bytes(spent);
     }
 
-    /// Adds as many updates as fit into so many bytes; returns the bytes that they take.
+    /// Adds as many gossip updates as fit into `max_bytes`. Returns the bytes that they take.
     fn add_updates(&mut self, message: &mut Message, max_bytes: usize) -> usize {
         let mut remaining = max_bytes;
-        // A message holds a few; of hundreds only these are looked at.
+        // A message holds only a few updates, so at most that many are taken from a long queue.
         let max_updates = remaining / MIN_RECORD_BYTES + 1;
         for name in self.dissemination.least_told(max_updates) {
             let Some(entry) = self.table.get(&name).filter(|entry| entry.confirmed) else {
--- a/crates/membership/src/node/suspicion.rs
+++ b/crates/membership/src/node/suspicion.rs
@@ -1,4 +1,5 @@
-//! Suspicion: how it begins, how it is cleared, and when it ends in death.
+//! Suspicion: how it begins, how it is cleared, and when it expires and the member is declared
+//! dead.
 
 use admission::interface::Timestamp;
 
@@ -6,22 +7,24 @@
 use crate::member::{MemberState, Name, Record};
 use crate::member_entry::{MemberEntry, Suspicion};
 
-/// Suspicion ends sooner with each host that agrees, up to so many.
+/// Number of agreeing hosts beyond which the suspicion time-out does not shrink further.
 const MAX_AGREEING_HOSTS: f64 = 3.0;
-/// The time to refute is no shorter than in a fleet of so many.
+/// The suspicion time-out of a smaller fleet is computed as for a fleet of this size.
 const MIN_FLEET_SIZE: f64 = 10.0;
 
-/// Lifeguard's dynamic suspicion time-out: how long a suspect has to refute.
+/// Lifeguard's dynamic suspicion time-out: the time that a suspect has to refute the suspicion.
 #[derive(Clone, Copy, Debug)]
 struct SuspicionTimeouts {
+    /// The time-out in seconds with [`MAX_AGREEING_HOSTS`] or more agreeing hosts.
     min_s: f64,
+    /// The time-out in seconds without any agreeing host.
     max_s: f64,
-    /// By which this node's own health stretches them.
+    /// The factor by which the local health stretches the time-out.
     stretch: f64,
 }
 
 impl SuspicionTimeouts {
-    /// Seconds to refute where so many hosts agree.
+    /// The time-out in seconds if `agreeing_hosts` hosts confirm the suspicion.
     fn timeout_s(&self, agreeing_hosts: usize) -> f64 {
         let agreeing = (agreeing_hosts as f64).min(MAX_AGREEING_HOSTS);
         let reduction =
@@ -31,7 +34,7 @@
 }
 
 impl Node {
-    /// Suspects a member that is alive.
+    /// Marks a member that is alive as suspect.
     pub(super) fn suspect(&mut self, now: Timestamp, name: &Name) {
         let Some(entry) = self.table.get_mut(name) else {
             return;
@@ -45,7 +48,7 @@
         self.member_changed(now, name);
     }
 
-    /// Others reach a member.
+    /// Marks a member as alive after a relay reported that it answered.
     pub(super) fn clear_suspicion(&mut self, now: Timestamp, name: &Name) {
         self.probe_retries.clear(name);
         let Some(entry) = self.table.get_mut(name) else {
@@ -58,9 +61,10 @@
         }
     }
 
-    /// A member that was declared dead is back. With traffic limits the suspicions that stand begin anew: a partition may
-    /// have ended, and those suspected since then have had no time to refute.
-    pub(super) fn note_false_death(&mut self, now: Timestamp, name: &Name) {
+    /// Handles the return of a member that was declared dead. With traffic limits, each outstanding
+    /// suspicion restarts once: a partition may just have ended, and suspects on its other side had
+    /// no time to refute.
+    pub(super) fn handle_false_death(&mut self, now: Timestamp, name: &Name) {
         self.metrics.false_deaths += 1;
         if !self.has_traffic_limits() {
             return;
@@ -78,7 +82,7 @@
         }
     }
 
-    /// Declares suspects dead that did not refute in time.
+    /// Declares those suspects dead that did not refute in time.
     pub(super) fn expire_suspicions(&mut self, now: Timestamp) {
         let timeouts = self.suspicion_timeouts();
         let dead: Vec<Name> = self
@@ -97,6 +101,7 @@
         }
     }
 
+    /// The time-outs for the present fleet size and local health.
     fn suspicion_timeouts(&self) -> SuspicionTimeouts {
         let config = &self.config;
         let fleet_size = (self.fleet_size() as f64).max(MIN_FLEET_SIZE);
@@ -109,7 +114,8 @@
     }
 }
 
-/// Whether a suspect had its time to refute: the less, the more independent hosts agree.
+/// Whether the time of a suspect to refute is over. It is shorter the more independent hosts agree
+/// that the member failed.
 fn has_expired(now: Timestamp, entry: &MemberEntry, timeouts: SuspicionTimeouts) -> bool {
     let Some(suspicion) = entry.suspicion else {
         return false;
--- a/crates/membership/src/node/timers.rs
+++ b/crates/membership/src/node/timers.rs
@@ -1,28 +1,32 @@
-//! What is due in a turn of the loop, and once a protocol period.
+//! The timers of a node: the work of one turn of the event loop, and that of one protocol period.
 
 use admission::interface::{TimeDelta, Timestamp};
 
 use super::{Event, Node};
 
-/// Part of a probe's time-out by which the loop may be late before this node doubts itself.
-const STALL_TIMEOUT_PART: f64 = 0.5;
-/// The least lateness that counts as a stall, in seconds.
+/// Fraction of the probe time-out by which the loop may be late before it counts as stalled.
+const STALL_TIMEOUT_FRACTION: f64 = 0.5;
+/// Delay in seconds up to which the loop never counts as stalled.
 const MIN_STALL_S: f64 = 0.05;
 
 impl Node {
-    /// When [`Node::turn`] is due next.
+    /// The time at which [`Node::turn`] is due next.
     #[must_use]
     pub fn due(&self) -> Timestamp {
-        let always = self.next_period.min(self.rejoin.next);
-        let sometimes = [
+        let earliest_fixed = self.next_period.min(self.rejoin.next);
+        let optional_timers = [
             self.probes.next_due(),
             self.engine_broadcast.next_due(),
             self.probe_retries.next_due(),
         ];
-        sometimes.into_iter().flatten().fold(always, Timestamp::min)
+        optional_timers
+            .into_iter()
+            .flatten()
+            .fold(earliest_fixed, Timestamp::min)
     }
 
-    /// Does all that is due. Call it once [`Node::due`] has come, after all datagrams that came were handed in.
+    /// Performs all work that is due. Call it once the time [`Node::due`] has been reached, after
+    /// passing all received datagrams to [`Node::receive`].
     pub fn turn(&mut self, now: Timestamp) {
         self.check_stall(now);
         if self.name_conflict.stays_withdrawn(now) {
@@ -34,7 +38,7 @@
         for nonce in self.probes.due(now) {
             self.advance_probe(now, nonce);
         }
-        self.repeat_probes(now);
+        self.retry_probes(now);
         self.rejoin(now);
         if self.next_period <= now {
             let period_s = self.config.probe_period.secs() * self.jitter();
@@ -44,10 +48,13 @@
         self.broadcast_engine_reports(now);
     }
 
-    /// A loop that stood still judges nobody by it: what came meanwhile is read by now; what did not, nobody can tell.
+    /// Detects that the loop was late. Datagrams that arrived during the stall have been handled by
+    /// now, but a missing ack proves nothing. All outstanding probes are therefore dropped, and
+    /// suspicions are extended by the delay.
     fn check_stall(&mut self, now: Timestamp) {
         let late = now - self.due();
-        let allowed_s = (self.config.probe_timeout.secs() * STALL_TIMEOUT_PART).max(MIN_STALL_S);
+        let allowed_s =
+            (self.config.probe_timeout.secs() * STALL_TIMEOUT_FRACTION).max(MIN_STALL_S);
         if late <= TimeDelta::from_secs(allowed_s) {
             return;
         }
@@ -60,7 +67,7 @@
         }
     }
 
-    /// One protocol period.
+    /// Performs the work of one protocol period.
     fn run_period(&mut self, now: Timestamp) {
         self.expire_suspicions(now);
         for name in self.table.expire(now, self.config.dead_retention) {
--- a/crates/membership/src/node/verification.rs
+++ b/crates/membership/src/node/verification.rs
@@ -1,4 +1,5 @@
-//! Direct probes of nodes of which too few witnesses spoke, or that spoke of themselves.
+//! Verification by direct probes of nodes that too few witnesses vouch for, or that introduced
+//! themselves.
 
 use std::net::SocketAddr;
 
@@ -12,12 +13,13 @@
 use crate::outstanding_probes::ProbePurpose;
 use crate::verifications::{Verification, VerificationCause};
 
-/// Periods that those who do not verify at once wait for more witnesses: so many, and by chance up to as many again.
+/// Probe periods for which a node that defers a verification waits for more witnesses, before a
+/// random addition of up to as many again.
 const DEFERRAL_PERIODS: f64 = 10.0;
 
 impl Node {
-    /// Verifies a node that spoke itself, with the next period.
-    pub(super) fn verify_sender(&mut self, now: Timestamp, from: &Record) {
+    /// Schedules the verification of a node that sent a message itself, for the next period.
+    pub(super) fn schedule_sender_verification(&mut self, now: Timestamp, from: &Record) {
         let verification = Verification {
             address: from.address,
             due: now,
@@ -26,16 +28,24 @@
         self.verifications.schedule(&from.name, verification);
     }
 
-    /// Verifies a node of which too few witnesses spoke, and counts it the first time.
-    pub(super) fn verify_unvouched(&mut self, now: Timestamp, name: &Name, address: SocketAddr) {
-        if self.verify_by_gossip(now, name, address) {
+    /// Schedules the verification of a node with too few witnesses, and counts it if none was
+    /// scheduled.
+    pub(super) fn schedule_unvouched_verification(
+        &mut self,
+        now: Timestamp,
+        name: &Name,
+        address: SocketAddr,
+    ) {
+        if self.schedule_gossip_verification(now, name, address) {
             self.metrics.unvouched += 1;
         }
     }
 
-    /// Verifies a node that others speak of: with the next period, or with traffic limits later by chance, when enough
-    /// others had time to verify it. True: it was not being verified.
-    pub(super) fn verify_by_gossip(
+    /// Schedules the verification of a node that gossip mentions, for the next period. With traffic
+    /// limits, only a random few of the nodes that receive an update do so; the others defer it, to
+    /// give those few time to spread the result. Returns true if no verification was scheduled
+    /// before.
+    pub(super) fn schedule_gossip_verification(
         &mut self,
         now: Timestamp,
         name: &Name,
@@ -56,7 +66,7 @@
             return false;
         }
         let verifiers = limits.verifiers as f64;
-        let is_verifier = self.rng.random::<f64>() * self.expected_hearers() < verifiers;
+        let is_verifier = self.rng.random::<f64>() * self.expected_recipients() < verifiers;
         let periods = DEFERRAL_PERIODS * (1.0 + self.rng.random::<f64>());
         if !is_verifier {
             let deferral_s = periods * self.config.probe_period.secs();
@@ -67,20 +77,21 @@
         true
     }
 
-    /// Nodes that one which tells an update reaches.
-    fn expected_hearers(&self) -> f64 {
+    /// The number of nodes that are expected to receive an update from one node.
+    fn expected_recipients(&self) -> f64 {
         let others = self.table.len().max(1) as f64;
         (RETRANSMIT_MULTIPLIER * (others + 2.0).log2().ceil()).min(others)
     }
 
-    /// The record that is held of a node changed: with traffic limits, what was to be verified was settled by others.
+    /// Cancels the verification of a node whose record has changed, with traffic limits, since the
+    /// change settles it.
     pub(super) fn drop_settled_verification(&mut self, name: &Name) {
         if self.has_traffic_limits() && self.verifications.remove(name).is_some() {
             self.metrics.verifications_unneeded += 1;
         }
     }
 
-    /// Sends the direct probes that are due, in random order, as far as limits go.
+    /// Sends the direct probes that are due, in random order, as many as the limits allow.
     pub(super) fn send_verifications(&mut self, now: Timestamp) {
         let mut names = self.verifications.due(now);
         names.shuffle(&mut self.rng);
@@ -96,6 +107,7 @@
         }
     }
 
+    /// Sends direct probes without traffic limits, as many as may be outstanding at a time.
     fn send_plain_verifications(&mut self, now: Timestamp, names: Vec<Name>) {
         for name in names {
             if self.probes.direct_count() >= self.config.max_direct_probes {
@@ -107,33 +119,38 @@
         }
     }
 
+    /// Sends one direct probe with traffic limits, unless witnesses have settled the matter
+    /// meanwhile.
     fn send_limited_verification(&mut self, now: Timestamp, name: &Name) {
         let Some(verification) = self.take_verification(name) else {
             return;
         };
-        if self.is_unsettled(name) {
+        if self.needs_verification(name) {
             self.send_verification(now, name.clone(), verification);
         } else {
             self.metrics.verifications_unneeded += 1;
         }
     }
 
-    /// Takes a verification out; `None`: the node is being probed already, or is not held.
+    /// Removes the pending verification of a node. Returns `None` if there is none, or if it is
+    /// obsolete because the node is unknown or a probe of it is outstanding.
     fn take_verification(&mut self, name: &Name) -> Option<Verification> {
         let verification = self.verifications.remove(name)?;
         let is_wanted = self.table.get(name).is_some() && !self.probes.is_probing(name);
         is_wanted.then_some(verification)
     }
 
-    /// Whether too few witnesses spoke of a node, and nothing was learnt since.
-    fn is_unsettled(&self, name: &Name) -> bool {
+    /// Whether a node is not alive here, or a witness still disputes its record.
+    fn needs_verification(&self, name: &Name) -> bool {
         self.table
             .get(name)
             .is_some_and(|entry| !entry.is_alive() || entry.is_disputed())
     }
 
-    /// A member at its address gets a probe in which others are asked too before it is suspected. Without limits these are
-    /// not counted: under loss they are many, and counted alone, seeds of a starting fleet stay suspect for too long.
+    /// Sends a verification. A member at its held address gets a regular probe, which asks relays
+    /// before the member is suspected; any other node gets a direct probe. Only the latter count
+    /// towards `max_direct_probes`: regular probes are many under packet loss, and counting them
+    /// would leave the seeds of a starting fleet suspect for too long.
     fn send_verification(&mut self, now: Timestamp, name: Name, verification: Verification) {
         let address = verification.address;
         let is_member = self
--- a/crates/membership/src/node/view.rs
+++ b/crates/membership/src/node/view.rs
@@ -1,4 +1,5 @@
-//! How this node's view and those it hears of go together.
+//! Comparison of this node's view of the fleet with the views of others, and the view state that
+//! follows.
 
 use admission::interface::Timestamp;
 
@@ -7,11 +8,11 @@
 use crate::view_state::{FleetAssumptions, ViewObservation, ViewState};
 use crate::view_tracker::ViewComparison;
 
-/// Suspects that a view state names at most.
+/// Maximum number of suspects that a view state names.
 const MAX_NAMED_SUSPECTS: usize = 8;
 
 impl Node {
-    /// How far the views of the fleet agree.
+    /// The current view state: how far this node's view agrees with those of others.
     #[must_use]
     pub fn view_state(&self) -> &ViewState {
         self.views.state()
@@ -23,35 +24,35 @@
         self.views.state_since()
     }
 
-    /// What may be assumed of the fleet now.
+    /// What may be assumed about the fleet in the current view state.
     #[must_use]
     pub fn assumptions(&self) -> FleetAssumptions {
         self.views.assumptions(self.fleet_size())
     }
 
-    /// This node's view in short.
+    /// This node's view of the fleet, as a digest and a size.
     #[must_use]
     pub fn view(&mut self) -> View {
         self.table.view(&self.local)
     }
 
-    /// What the view state rests on, for whoever looks into one that lasts.
+    /// The data behind the view state as text, for diagnosing a state that persists.
     #[must_use]
     pub fn view_summary(&self) -> String {
         let suspects = self.table.suspects().count();
         format!("{suspects} suspected, {}", self.views.summary())
     }
 
-    /// Compares the own view with those heard lately.
+    /// Compares this node's view with the views heard recently.
     pub(super) fn compare_views(&mut self, now: Timestamp) -> ViewComparison {
         let view = self.view();
         self.views.compare(now, view, &self.config)
     }
 
-    /// Looks at the view state anew.
+    /// Re-evaluates the view state and emits an event if it changed.
     pub(super) fn update_view_state(&mut self, now: Timestamp) {
-        let observed = self.observe_view(now);
-        if !self.views.update(now, &observed, &self.config) {
+        let observation = self.observe_view(now);
+        if !self.views.update(now, &observation, &self.config) {
             return;
         }
         self.metrics.view_state_changes += 1;
@@ -62,6 +63,7 @@
         self.emit(Event::ViewStateChanged(state));
     }
 
+    /// Collects what the view state depends on.
     fn observe_view(&mut self, now: Timestamp) -> ViewObservation {
         let comparison = self.compare_views(now);
         let suspects = self
