--- a/crates/membership/tests/node_lifetime.rs
+++ b/crates/membership/tests/node_lifetime.rs
@@ -1,5 +1,6 @@
-//! One node as two others see it, over the very code: whatever is lost, repeated, stopped or restarted in every
-//! order, once the network is well again nobody who lives and refutes stays dead.
+//! Model checking of three real nodes over every sequence of faults: lost or replayed messages,
+//! partitions, and pauses and restarts of the first node. Once the network is healthy again, no
+//! live node that refutes may remain dead in the tables of the others.
 
 use std::hash::{Hash, Hasher};
 use std::net::SocketAddr;
@@ -10,60 +11,62 @@
 use stateright::{Checker, Model, Property};
 
 const KEY: [u8; 32] = [7; 32];
+/// Simulated seconds between turns of the nodes.
 const STEP_S: f64 = 0.05;
-/// Longer than it takes three to hold a silent one for dead.
+/// Seconds per phase. It exceeds the time in which a fleet of three declares a silent node dead.
 const PHASE_S: f64 = 9.0;
-/// The same with traffic limits, where a failed probe is repeated first.
+/// Seconds per phase with traffic limits, where a failed probe is retried before suspicion.
 const LIMITED_PHASE_S: f64 = 16.0;
-/// Two calls to those that had gone, and time to tell.
-const WELL_S: f64 = 25.0;
+/// Seconds of a healthy network before the check. They cover two rejoin probes of departed members
+/// and the spread of the result.
+const RECOVERY_S: f64 = 25.0;
 
-/// What goes on for a while; the first node is the one that is looked at.
+/// A condition of the network or of the first node, which is the one under test, for one phase.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Phase {
-    Well,
-    /// Nothing of the first is heard.
-    Mute,
-    /// Nothing comes to the first.
-    Deaf,
-    /// The second and third do not reach each other.
-    Apart,
-    /// The first reaches the second alone.
-    Half,
-    /// Everything comes twice, once a phase late.
-    Repeated,
-    /// The first stands still.
-    Stopped,
-    /// The first is killed and starts again.
+    Healthy,
+    /// All messages from the first node are lost.
+    OutboundLost,
+    /// All messages to the first node are lost.
+    InboundLost,
+    /// All messages between the second and the third node are lost.
+    OthersPartitioned,
+    /// All messages between the first and the third node are lost.
+    OneLinkLost,
+    /// The first 64 messages are delivered a second time, when the next phase begins.
+    Replayed,
+    /// The first node does not run and receives nothing.
+    Paused,
+    /// The first node is killed and started again.
     Restarted,
 }
 
 const PHASES: [Phase; 8] = [
-    Phase::Well,
-    Phase::Mute,
-    Phase::Deaf,
-    Phase::Apart,
-    Phase::Half,
-    Phase::Repeated,
-    Phase::Stopped,
+    Phase::Healthy,
+    Phase::OutboundLost,
+    Phase::InboundLost,
+    Phase::OthersPartitioned,
+    Phase::OneLinkLost,
+    Phase::Replayed,
+    Phase::Paused,
     Phase::Restarted,
 ];
 
-fn at(number: usize) -> SocketAddr {
+fn address_of(number: usize) -> SocketAddr {
     SocketAddr::from(([10, 0, 0, number as u8], 7946))
 }
 
-fn node(number: usize, now: f64, life: u64, is_limited: bool) -> Node {
+fn node(number: usize, now: f64, restarts: u64, is_limited: bool) -> Node {
     let (fleet, ring) = (Name::new("test").unwrap(), KeyRing::new(&KEY, &[]).unwrap());
     let name = Name::new(&format!("g{number}")).unwrap();
-    let seeds = vec![at(1), at(2)];
-    let seed = number as u64 + life * 100;
+    let seeds = vec![address_of(1), address_of(2)];
+    let seed = number as u64 + restarts * 100;
     Node::new(
         Timestamp::from_secs(now),
         NodeSetup {
             fleet,
             name,
-            address: at(number),
+            address: address_of(number),
             locality: Locality::default(),
             seeds,
             key_ring: ring,
@@ -77,81 +80,87 @@
 }
 
 #[derive(Clone, Debug)]
-struct World {
+struct Simulation {
     now: f64,
-    all: Vec<Node>,
-    /// To come once more, later.
-    later: Vec<(usize, usize, Vec<u8>)>,
-    life: u64,
-    /// The seeded fault: what the first says once it has refuted is lost.
-    refutes: bool,
+    nodes: Vec<Node>,
+    /// Messages to deliver again when the next phase begins: sender, recipient and bytes.
+    replays: Vec<(usize, usize, Vec<u8>)>,
+    restarts: u64,
+    /// If false, a fault is injected: all messages that the first node sends after it has refuted
+    /// are lost.
+    delivers_refutations: bool,
     is_limited: bool,
 }
 
-impl World {
-    fn new(refutes: bool, is_limited: bool) -> World {
-        let all = (0..3)
+impl Simulation {
+    fn new(delivers_refutations: bool, is_limited: bool) -> Simulation {
+        let nodes = (0..3)
             .map(|number| node(number, 0.0, 0, is_limited))
             .collect();
-        let mut world = World {
+        let mut simulation = Simulation {
             now: 0.0,
-            all,
-            later: Vec::new(),
-            life: 0,
-            refutes,
+            nodes,
+            replays: Vec::new(),
+            restarts: 0,
+            delivers_refutations,
             is_limited,
         };
-        world.run(Phase::Well, 15.0);
-        world
+        simulation.run(Phase::Healthy, 15.0);
+        simulation
     }
 
-    fn run(&mut self, phase: Phase, lasts: f64) {
+    fn run(&mut self, phase: Phase, duration_s: f64) {
         if phase == Phase::Restarted {
-            self.life += 1;
-            self.all[0] = node(0, self.now, self.life, self.is_limited);
+            self.restarts += 1;
+            self.nodes[0] = node(0, self.now, self.restarts, self.is_limited);
         }
-        for (from, to, bytes) in std::mem::take(&mut self.later) {
-            let _ = self.all[to].receive(Timestamp::from_secs(self.now), at(from), &bytes);
+        for (from, to, bytes) in std::mem::take(&mut self.replays) {
+            let _ =
+                self.nodes[to].receive(Timestamp::from_secs(self.now), address_of(from), &bytes);
         }
-        let until = self.now + lasts;
+        let until = self.now + duration_s;
         while self.now < until {
             self.now += STEP_S;
             let now = Timestamp::from_secs(self.now);
             for from in 0..3 {
-                if from == 0 && phase == Phase::Stopped {
+                if from == 0 && phase == Phase::Paused {
                     continue;
                 }
-                if self.all[from].due() <= now {
-                    self.all[from].turn(now);
+                if self.nodes[from].due() <= now {
+                    self.nodes[from].turn(now);
                 }
-                for datagram in self.all[from].take_datagrams() {
-                    let Some(to) = (0..3).find(|to| at(*to) == datagram.to) else {
+                for datagram in self.nodes[from].take_datagrams() {
+                    let Some(to) = (0..3).find(|to| address_of(*to) == datagram.to) else {
                         continue;
                     };
                     let lost = match phase {
-                        Phase::Mute => from == 0,
-                        Phase::Deaf => to == 0,
-                        Phase::Apart => from != 0 && to != 0,
-                        Phase::Half => (from, to) == (0, 2) || (from, to) == (2, 0),
-                        Phase::Stopped => to == 0,
+                        Phase::OutboundLost => from == 0,
+                        Phase::InboundLost => to == 0,
+                        Phase::OthersPartitioned => from != 0 && to != 0,
+                        Phase::OneLinkLost => (from, to) == (0, 2) || (from, to) == (2, 0),
+                        Phase::Paused => to == 0,
                         _ => false,
                     };
-                    if lost || !self.refutes && from == 0 && refuted(&datagram.bytes) {
+                    if lost
+                        || !self.delivers_refutations
+                            && from == 0
+                            && is_sent_after_refutation(&datagram.bytes)
+                    {
                         continue;
                     }
-                    if phase == Phase::Repeated && self.later.len() < 64 {
-                        self.later.push((from, to, datagram.bytes.clone()));
+                    if phase == Phase::Replayed && self.replays.len() < 64 {
+                        self.replays.push((from, to, datagram.bytes.clone()));
                     }
-                    let _ = self.all[to].receive(now, at(from), &datagram.bytes);
+                    let _ = self.nodes[to].receive(now, address_of(from), &datagram.bytes);
                 }
             }
         }
     }
 
-    /// All three hold each other, in the lives that they live.
-    fn whole(&self) -> bool {
-        self.all.iter().all(|holder| {
-            self.all
+    /// Whether each node holds the others as members, with their current boot ids.
+    fn is_converged(&self) -> bool {
+        self.nodes.iter().all(|holder| {
+            self.nodes
                 .iter()
                 .filter(|held| held.local_record().name != holder.local_record().name)
                 .all(|held| {
@@ -164,60 +173,63 @@
     }
 }
 
-fn refuted(bytes: &[u8]) -> bool {
+/// Whether the sender of a message has raised its incarnation since its start.
+fn is_sent_after_refutation(bytes: &[u8]) -> bool {
     let ring = KeyRing::new(&KEY, &[]).unwrap();
     let message = message::open(&ring, &Name::new("test").unwrap(), bytes).unwrap();
     message.from.incarnation.0 > 1
 }
 
-/// Told apart by what went on: nothing else goes into it.
+/// A state of the model. States are identified by their phases alone, since the simulation is
+/// deterministic.
 #[derive(Clone, Debug)]
-struct State {
+struct ModelState {
     phases: Vec<Phase>,
-    world: World,
+    simulation: Simulation,
 }
 
-impl PartialEq for State {
+impl PartialEq for ModelState {
     fn eq(&self, other: &Self) -> bool {
         self.phases == other.phases
     }
 }
 
-impl Eq for State {}
+impl Eq for ModelState {}
 
-impl Hash for State {
+impl Hash for ModelState {
     fn hash<H: Hasher>(&self, state: &mut H) {
         self.phases.hash(state);
     }
 }
 
-struct Lives {
-    refutes: bool,
+struct LifetimeModel {
+    delivers_refutations: bool,
     is_limited: bool,
+    /// The number of phases in the longest sequence that is checked.
     phases: usize,
 }
 
-impl Model for Lives {
-    type State = State;
+impl Model for LifetimeModel {
+    type State = ModelState;
     type Action = Phase;
 
-    fn init_states(&self) -> Vec<State> {
-        vec![State {
+    fn init_states(&self) -> Vec<ModelState> {
+        vec![ModelState {
             phases: Vec::new(),
-            world: World::new(self.refutes, self.is_limited),
+            simulation: Simulation::new(self.delivers_refutations, self.is_limited),
         }]
     }
 
-    fn actions(&self, state: &State, actions: &mut Vec<Phase>) {
+    fn actions(&self, state: &ModelState, actions: &mut Vec<Phase>) {
         if state.phases.len() < self.phases {
             actions.extend(PHASES);
         }
     }
 
-    fn next_state(&self, last: &State, phase: Phase) -> Option<State> {
+    fn next_state(&self, last: &ModelState, phase: Phase) -> Option<ModelState> {
         let mut state = last.clone();
         state.phases.push(phase);
-        state.world.run(
+        state.simulation.run(
             phase,
             if self.is_limited {
                 LIMITED_PHASE_S
@@ -230,41 +242,43 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::<Self>::always("nobody who lives and refutes stays dead", |_, state| {
-                let mut world = state.world.clone();
-                world.run(Phase::Well, WELL_S);
-                world.whole()
+            Property::<Self>::always("no live node that refutes stays dead", |_, state| {
+                let mut simulation = state.simulation.clone();
+                simulation.run(Phase::Healthy, RECOVERY_S);
+                simulation.is_converged()
             }),
             Property::<Self>::sometimes(
-                "the first is taken for dead while it lives",
+                "the first node is declared dead while it is alive",
                 |_, state| {
                     let name = Name::new("g0").unwrap();
-                    state.world.all[1..]
-                        .iter()
-                        .any(|by| by.member(&name).is_some_and(|held| !held.is_in_fleet()))
-                },
-            ),
-            Property::<Self>::always(
-                "incarnations rise by what was refuted, no more",
-                |_, state| {
-                    state
-                        .world
-                        .all
-                        .iter()
-                        .all(|node| node.local_record().incarnation.0 < 200)
+                    state.simulation.nodes[1..].iter().any(|observer| {
+                        observer
+                            .member(&name)
+                            .is_some_and(|held| !held.is_in_fleet())
+                    })
                 },
             ),
+            Property::<Self>::always("incarnations rise only by refutation", |_, state| {
+                state
+                    .simulation
+                    .nodes
+                    .iter()
+                    .all(|node| node.local_record().incarnation.0 < 200)
+            }),
         ]
     }
 }
 
-fn search(refutes: bool, phases: usize) -> (usize, bool) {
-    search_with(refutes, phases, false)
+/// Checks all sequences of up to `phases` phases without traffic limits, as [`check_with`] does.
+fn check(delivers_refutations: bool, phases: usize) -> (usize, bool) {
+    check_with(delivers_refutations, phases, false)
 }
 
-fn search_with(refutes: bool, phases: usize, is_limited: bool) -> (usize, bool) {
-    let checker = Lives {
-        refutes,
+/// Checks all sequences of up to `phases` phases. Returns the number of states, and whether a live
+/// node that refutes stayed dead in any of them.
+fn check_with(delivers_refutations: bool, phases: usize, is_limited: bool) -> (usize, bool) {
+    let checker = LifetimeModel {
+        delivers_refutations,
         is_limited,
         phases,
     }
@@ -272,33 +286,33 @@
     .threads(4)
     .spawn_bfs()
     .join();
-    if refutes {
+    if delivers_refutations {
         checker.assert_properties();
     }
     let found = checker
-        .discovery("nobody who lives and refutes stays dead")
+        .discovery("no live node that refutes stays dead")
         .is_some();
     (checker.unique_state_count(), found)
 }
 
 #[test]
-fn in_every_order_of_four_troubles_nobody_who_lives_stays_dead() {
-    assert_eq!(search(true, 4), (1 + 8 + 64 + 512 + 4096, false));
+fn live_nodes_rejoin_after_any_four_phases() {
+    assert_eq!(check(true, 4), (1 + 8 + 64 + 512 + 4096, false));
 }
 
 #[test]
-fn in_every_order_of_three_troubles_nobody_stays_dead_with_traffic_limits_either() {
-    assert_eq!(search_with(true, 3, true), (1 + 8 + 64 + 512, false));
+fn live_nodes_rejoin_after_any_three_phases_with_traffic_limits() {
+    assert_eq!(check_with(true, 3, true), (1 + 8 + 64 + 512, false));
 }
 
 #[test]
-fn the_search_finds_a_refutation_that_is_dropped() {
-    assert!(search(false, 2).1);
+fn the_check_finds_lost_refutations() {
+    assert!(check(false, 2).1);
 }
 
-/// `cargo test -p laurelhitch-membership --release -- --ignored`.
+/// Takes long; run it with `cargo test -p laurelhitch-membership --release -- --ignored`.
 #[test]
 #[ignore = "long"]
-fn the_same_for_five() {
-    assert!(!search(true, 5).1);
+fn live_nodes_rejoin_after_any_five_phases() {
+    assert!(!check(true, 5).1);
 }
