--- a/crates/membership/src/node/anti_entropy.rs
+++ b/crates/membership/src/node/anti_entropy.rs
@@ -5,7 +5,7 @@
 
 use super::Node;
 use super::send::Recipient;
-use crate::anti_entropy::{ExchangeKind, Payment};
+use crate::anti_entropy::{ExchangeKind, Reservation};
 use crate::member::{Name, Record};
 use crate::message::{self, Body, MAX_TABLE_PART_BYTES};
 use crate::probe_round::sample_one;
@@ -65,7 +65,7 @@
 impl Node {
     /// Starts an exchange with a random member, if one is due.
     pub(super) fn exchange_tables(&mut self, now: Timestamp) {
-        if self.anti_entropy.next > now {
+        if self.anti_entropy.next_exchange > now {
             return;
         }
         if self.has_traffic_limits() {
@@ -87,7 +87,7 @@
 
     fn schedule_exchange(&mut self, now: Timestamp, periods: f64) {
         let pause_s = self.config.probe_period.secs() * periods * self.jitter();
-        self.anti_entropy.next = now + TimeDelta::from_secs(pause_s);
+        self.anti_entropy.next_exchange = now + TimeDelta::from_secs(pause_s);
     }
 
     /// Probe periods until the next page exchange.
@@ -117,7 +117,7 @@
 
     /// Compares tables with a random member other than the one whose response is still pending.
     pub(super) fn begin_comparison(&mut self, now: Timestamp) {
-        if !self.try_pay_exchange(now, Payment::Request) {
+        if !self.try_reserve_exchange(now, Reservation::Request) {
             return;
         }
         let pending_peer = self.anti_entropy.pending_peer();
@@ -136,7 +136,7 @@
             ExchangeKind::Digests => self.send_digests(now, &peer),
             ExchangeKind::Fingerprints => self.send_fingerprints(now, &peer),
         }
-        self.settle_payment(Payment::Request);
+        self.settle_reservation(Reservation::Request);
     }
 
     /// Starts the next comparison at once, without waiting for the next period, if enough of the
@@ -179,20 +179,24 @@
         }
     }
 
-    /// Charges an exchange to the byte budget in advance. Returns false if the budget does not
+    /// Reserves the bytes of an exchange in the byte budget. Returns false if the budget does not
     /// suffice.
-    pub(super) fn try_pay_exchange(&mut self, now: Timestamp, payment: Payment) -> bool {
-        let is_paid = self.anti_entropy.try_pay(now, payment);
-        if !is_paid {
+    pub(super) fn try_reserve_exchange(
+        &mut self,
+        now: Timestamp,
+        reservation: Reservation,
+    ) -> bool {
+        let is_reserved = self.anti_entropy.try_reserve(now, reservation);
+        if !is_reserved {
             self.metrics.limited_exchange += 1;
         }
-        is_paid
+        is_reserved
     }
 
-    /// Corrects the advance charge for the last queued datagram to its actual size.
-    pub(super) fn settle_payment(&mut self, payment: Payment) {
+    /// Corrects the reservation for the last queued datagram to its actual size.
+    pub(super) fn settle_reservation(&mut self, reservation: Reservation) {
         if let Some(datagram) = self.datagrams.last() {
-            self.anti_entropy.settle(payment, datagram.bytes.len());
+            self.anti_entropy.settle(reservation, datagram.bytes.len());
         }
     }
 }
--- a/crates/membership/src/node/fingerprint_exchange.rs
+++ b/crates/membership/src/node/fingerprint_exchange.rs
@@ -11,7 +11,7 @@
 use super::Node;
 use super::anti_entropy::{MAX_CANDIDATES, TablePart};
 use super::send::Recipient;
-use crate::anti_entropy::{FingerprintRequest, Payment};
+use crate::anti_entropy::{FingerprintRequest, Reservation};
 use crate::member::{MemberState, Record};
 use crate::member_entry::MemberEntry;
 use crate::message::{Body, Nonce};
@@ -93,7 +93,7 @@
         };
         self.metrics.fingerprint_requests_answered += 1;
         self.send(now, &Recipient::of(sender), body, unlisted.records);
-        self.settle_payment(Payment::Response);
+        self.settle_reservation(Reservation::Response);
     }
 
     /// Collects, in the order of fingerprints, the records that differ from another node's list, as
@@ -150,7 +150,7 @@
         let differ_little =
             is_complete && is_nearly_equal && self.table.candidate_count() <= MAX_CANDIDATES;
         self.anti_entropy.set_tables_differ_little(differ_little);
-        self.anti_entropy.told_until(until);
+        self.anti_entropy.fingerprints_compared(until);
         if !differ_little {
             self.continue_comparison(now);
         }
--- a/crates/membership/src/node/gossip.rs
+++ b/crates/membership/src/node/gossip.rs
@@ -27,7 +27,7 @@
             self.add_acked(now, from);
             return;
         };
-        if entry.is_above_boot_of(from) {
+        if entry.rejects_boot_of(from) {
             // This node's acks to it carry the record of the other boot, above which it then raises
             // its incarnation.
             return;
@@ -56,7 +56,7 @@
         }
         self.member_changed(now, &from.name);
         // The new node may know members that this node's seeds do not.
-        self.anti_entropy.next = now;
+        self.anti_entropy.next_exchange = now;
     }
 
     /// Handles the record that a node sends of itself from its own address. It is adopted if the
@@ -164,7 +164,7 @@
             .table
             .get(&update.name)
             .map_or(Incarnation(0), |entry| entry.record.incarnation);
-        let is_in_range = update.incarnation <= Incarnation::LAST;
+        let is_in_range = update.incarnation <= Incarnation::MAX;
         is_in_range && update.incarnation.ahead_of(held) <= MAX_INCARNATION_LEAP
     }
 
@@ -213,7 +213,7 @@
         self.table.withdraw_witness(&witness.name, &update.name);
         if is_equal {
             // Another node spreads the same update, so this one needs to send it once less.
-            self.dissemination.told(&update.name);
+            self.dissemination.mark_transmitted(&update.name);
         }
         true
     }
--- a/crates/membership/src/node/receive.rs
+++ b/crates/membership/src/node/receive.rs
@@ -7,7 +7,7 @@
 
 use super::send::ReceivedPayload;
 use super::{Node, acks::ProbeAnswer};
-use crate::anti_entropy::Payment;
+use crate::anti_entropy::Reservation;
 use crate::engine_gossip::{EngineReport, MAX_REPORTS_PER_MESSAGE};
 use crate::member::{Incarnation, MemberState, Record};
 use crate::member_entry::MemberEntry;
@@ -109,7 +109,7 @@
 
     /// Rejects a sender whose incarnation is beyond the valid range.
     fn check_incarnation(&mut self, message: &Message) -> Result<(), RejectReason> {
-        if message.from.incarnation > Incarnation::LAST {
+        if message.from.incarnation > Incarnation::MAX {
             self.metrics.implausible_incarnations += 1;
             return Err(RejectReason::Malformed);
         }
@@ -150,8 +150,8 @@
             Body::PageRequest { .. }
             | Body::DigestRequest { .. }
             | Body::FingerprintRequest { .. } => {
-                self.request_limits.try_give_table_part(now)
-                    && self.try_pay_exchange(now, Payment::Response)
+                self.request_limits.try_answer_table_request(now)
+                    && self.try_reserve_exchange(now, Reservation::Response)
             }
             _ => true,
         };
@@ -195,7 +195,7 @@
             }
             return;
         }
-        self.views.hear(now, view);
+        self.views.receive_view(now, view);
         for record in records {
             self.handle_update(now, from, record);
         }
--- a/crates/membership/src/node/refutation.rs
+++ b/crates/membership/src/node/refutation.rs
@@ -24,7 +24,7 @@
         // Only this node raises its incarnation, so no honest node reports one far above it.
         let leap = held.incarnation.ahead_of(self.local.incarnation);
         let is_leap_too_large = is_same_boot && leap > MAX_SELF_INCARNATION_LEAP;
-        if held.incarnation >= Incarnation::LAST || is_leap_too_large {
+        if held.incarnation >= Incarnation::MAX || is_leap_too_large {
             self.metrics.implausible_incarnations += 1;
             return;
         }
@@ -51,7 +51,7 @@
     /// address is probed if it differs from this node's.
     fn handle_other_boot(&mut self, now: Timestamp, other: &Record) {
         let is_above = other.incarnation >= self.local.incarnation;
-        if is_above && self.name_conflict.may_rise(now) {
+        if is_above && self.name_conflict.may_raise_incarnation(now) {
             let highest_plausible = Incarnation(
                 self.local
                     .incarnation
@@ -84,7 +84,7 @@
             return;
         };
         if self.consume_conflict_ack(source, nonce) {
-            self.name_conflict.confirmed(now, &mut self.rng);
+            self.name_conflict.conflict_confirmed(now, &mut self.rng);
             self.emit(Event::NameConflict {
                 other: other.boot_id,
             });
