--- a/crates/membership/tests/node_lifetime.rs
+++ b/crates/membership/tests/node_lifetime.rs
@@ -251,11 +251,9 @@
                 "the first node is declared dead while it is alive",
                 |_, state| {
                     let name = Name::new("g0").unwrap();
-                    state.simulation.nodes[1..].iter().any(|observer| {
-                        observer
-                            .member(&name)
-                            .is_some_and(|held| !held.is_in_fleet())
-                    })
+                    state.simulation.nodes[1..]
+                        .iter()
+                        .any(|node| node.member(&name).is_some_and(|held| !held.is_in_fleet()))
                 },
             ),
             Property::<Self>::always("incarnations rise only by refutation", |_, state| {
