--- a/crates/admission/src/interface.rs
+++ b/crates/admission/src/interface.rs
@@ -176,7 +176,7 @@
     /// Engines divide their cores by the priorities that statements carry.
     pub priorities_honored: bool,
     /// Connections to engines end when idle for so long, and opening one costs; none where not told.
-    pub idle: Option<TimeDelta>,
+    pub idle_timeout: Option<TimeDelta>,
 }
 
 /// What an engine can do after its start.
--- a/crates/admission/src/policy/send.rs
+++ b/crates/admission/src/policy/send.rs
@@ -31,7 +31,7 @@
             fleet: FleetCapacity::new(&self.fleet_totals, &self.engines, &needs),
             needs,
             slow_start: self.slow_start_limits(),
-            idle_timeout: self.fleet.idle,
+            idle_timeout: self.fleet.idle_timeout,
         };
         selection.select(&self.engines, &mut self.rng)
     }
@@ -85,7 +85,7 @@
             reservations.reserve(needs.priority, threads, needs.memory_mb);
         }
         engine.slow_start.charge(needs.usual_s);
-        engine.count_attempt(now, self.fleet.idle);
+        engine.count_attempt(now, self.fleet.idle_timeout);
         let latency_ratio = engine.reservations.latency.current().unwrap_or(1.0);
         let interval = self.fleet.progress_interval;
         let due_s = first_sign_due_s(interval, predicted_s, latency_ratio, threads);
--- a/crates/admission/tests/decisions.rs
+++ b/crates/admission/tests/decisions.rs
@@ -78,9 +78,9 @@
     policy_linked(None, can_cancel, peers, seed, classes, retry_budget)
 }
 
-/// `idle`: how long engines keep connections without work.
+/// `idle_timeout`: how long engines keep connections without work.
 fn policy_linked(
-    idle: Option<TimeDelta>,
+    idle_timeout: Option<TimeDelta>,
     can_cancel: bool,
     peers: f64,
     seed: u64,
@@ -94,7 +94,7 @@
         memory_mb,
         progress_interval,
         priorities_honored: true,
-        idle,
+        idle_timeout,
     };
     let slow_start = SlowStart {
         initial_share: 0.3,
--- a/crates/dispatch/src/decision.rs
+++ b/crates/dispatch/src/decision.rs
@@ -42,7 +42,7 @@
     /// The priority differs from that of the statement's attempt before.
     pub priority_changed: bool,
     /// A repeat that has not left by then must not leave any more; none: there is no such time.
-    pub leave_by: Option<Timestamp>,
+    pub send_by: Option<Timestamp>,
     /// The CPU that it is charged until its outcome tells.
     pub charge: TimeDelta,
     /// The statement had an attempt before.
--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -368,7 +368,7 @@
         let statement = &mut open.statement;
         let number = AttemptNumber(statement.attempts.len() as u16);
         // Told by the attempts before this one.
-        let leave_by = self.policy.repeat_until(statement);
+        let send_by = self.policy.repeat_until(statement);
         let is_retry = !statement.attempts.is_empty();
         let priority_changed = priority.is_some() && priority != open.priority;
         open.priority = priority.or(open.priority);
@@ -382,7 +382,7 @@
             }),
             priority,
             priority_changed,
-            leave_by,
+            send_by,
             charge: attempt.charge,
             is_retry,
             outlier_probe: attempt.outlier_probe,
--- a/crates/dispatch/tests/cold_engine.rs
+++ b/crates/dispatch/tests/cold_engine.rs
@@ -71,7 +71,7 @@
         memory_mb: Vec::new(),
         progress_interval: None,
         priorities_honored: false,
-        idle: None,
+        idle_timeout: None,
     };
     let retry_policy = RetryPolicy {
         max_attempts: 3,
--- a/crates/dispatch/tests/random.rs
+++ b/crates/dispatch/tests/random.rs
@@ -59,7 +59,7 @@
         memory_mb,
         progress_interval: Some(span(0.5)),
         priorities_honored: true,
-        idle: None,
+        idle_timeout: None,
     };
     let max_retry_after = Some(span(0.5));
     let retry_policy = RetryPolicy {
@@ -201,7 +201,7 @@
                     until.is_none_or(|until| self.now < until),
                     "{id:?}: past its window"
                 );
-                assert_eq!(order.leave_by, until.map(Timestamp::from_secs), "{id:?}");
+                assert_eq!(order.send_by, until.map(Timestamp::from_secs), "{id:?}");
                 assert_eq!(usize::from(order.attempt.0), seen.attempts);
                 assert!(order.due <= Timestamp::from_secs(seen.deadline));
                 seen.attempts += 1;
--- a/crates/gateway/src/service/attempts.rs
+++ b/crates/gateway/src/service/attempts.rs
@@ -133,7 +133,7 @@
             text: &statement.text,
             deadline,
             priority: order.priority,
-            send_by: order.leave_by,
+            send_by: order.send_by,
             avoid: &statement.connections,
         };
         let connection = self.engines.send(now, &outgoing, &mut self.counters);
--- a/crates/scheduler/tests/scheduler.rs
+++ b/crates/scheduler/tests/scheduler.rs
@@ -46,7 +46,7 @@
         cores: vec![4.0],
         memory_mb: vec![1000.0],
         progress_interval: Some(span(0.5)),
-        idle: None,
+        idle_timeout: None,
         priorities_honored: true,
     };
     let max_retry_after = Some(span(0.5));
--- a/crates/settings/src/fleet.rs
+++ b/crates/settings/src/fleet.rs
@@ -12,7 +12,7 @@
             memory_mb: self.numbers("Extra.MemoryByKindMb")?,
             progress_interval: self.positive_duration("Extra.ProgressPaceS")?,
             priorities_honored: self.flag("Extra.RanksHeeded")?,
-            idle: self.positive_duration("Limits.ConnIdleS")?,
+            idle_timeout: self.positive_duration("Limits.ConnIdleS")?,
         })
     }
 
--- a/crates/simulator/src/play/deployment.rs
+++ b/crates/simulator/src/play/deployment.rs
@@ -109,7 +109,7 @@
         memory_mb: vec![engines.memory_mb],
         progress_interval: Some(TimeDelta::from_secs(engines.note_ms / 1e3)),
         priorities_honored: false,
-        idle: engines
+        idle_timeout: engines
             .idle_s
             .filter(|_| !scenario.idle_untold)
             .map(TimeDelta::from_secs),
