--- a/crates/admission/tests/decisions.rs
+++ b/crates/admission/tests/decisions.rs
@@ -452,7 +452,10 @@
             answered,
         };
         self.completed += usize::from(matches!(event, AttemptEvent::Completed { .. }));
-        match self.policy.after(at(self.now), &open.statement, &report) {
+        match self
+            .policy
+            .on_attempt_report(at(self.now), &open.statement, &report)
+        {
             NextStep::Continue => {}
             NextStep::Cancel(_) => self.report(id, AttemptEvent::Cancelled),
             NextStep::Requeue => open.statement.waiting_since = at(self.now),
@@ -475,12 +478,7 @@
             .statements
             .values()
             .filter(in_flight)
-            .map(|open| {
-                (
-                    open.statement.id,
-                    open.statement.attempts.last().unwrap().engine,
-                )
-            })
+            .map(|o| (o.statement.id, o.statement.attempts.last().unwrap().engine))
             .collect();
         for (id, engine) in in_flight {
             match (bad(engine), silent) {
@@ -695,9 +693,10 @@
             caller.answer_in_flight(|id| id == EngineId(1) && step < 400, silent);
         }
         let sends_between = |from: f64, to: f64| {
-            let sends = caller.sends.iter().filter(|send| {
-                send.0 == EngineId(1) && send.1 > 1000.0 + from && send.1 < 1000.0 + to
-            });
+            let sends = caller
+                .sends
+                .iter()
+                .filter(|s| s.0 == EngineId(1) && s.1 > 1000.0 + from && s.1 < 1000.0 + to);
             sends.count()
         };
         assert!(
@@ -835,7 +834,7 @@
 }
 
 /// A caller at one of 400 gateways, whose share of an engine is less than one thread.
-fn one_of_400_gateways(seed: u64, engine_count: u32, started: Option<f64>) -> CheckedCaller {
+fn small_gateway(seed: u64, engine_count: u32, started: Option<f64>) -> CheckedCaller {
     let engines: Vec<EngineInfo> = (0..engine_count).map(|id| engine(id, started)).collect();
     let mut caller = CheckedCaller::new(seed, vec![class(Effect::Idempotent)], &engines, None);
     caller.policy = policy_with_peers(400.0, seed, &caller.classes, None);
@@ -850,7 +849,7 @@
     for seed in 0..20 {
         // 100 engines of 8 cores among 400 gateways give each gateway 2 cores, which is 4 threads
         // at the widest limit. One thread per engine would be 100.
-        let sent = sent_at_once(&mut one_of_400_gateways(seed, 100, None), 0, 4.0, 50);
+        let sent = sent_at_once(&mut small_gateway(seed, 100, None), 0, 4.0, 50);
         assert!((3..=5).contains(&sent), "{sent}");
     }
 }
@@ -861,7 +860,7 @@
     // seconds.
     let mut sent_by_second = [0; 9];
     for seed in 0..400 {
-        let mut caller = one_of_400_gateways(seed, 1, Some(1000.0));
+        let mut caller = small_gateway(seed, 1, Some(1000.0));
         for sent in &mut sent_by_second {
             caller.now += 1.0;
             let before = caller.sends.len();
@@ -882,9 +881,8 @@
 
 #[test]
 fn gateways_that_see_the_same_list_choose_different_engines() {
-    let first = |seed| {
-        send(&mut one_of_400_gateways(seed, 50, None), 0, 0.1).map(|(_, attempt)| attempt.engine)
-    };
+    let first =
+        |seed| send(&mut small_gateway(seed, 50, None), 0, 0.1).map(|(_, attempt)| attempt.engine);
     let chosen: std::collections::BTreeSet<_> = (0..50).filter_map(first).collect();
     assert!(chosen.len() > 15, "{}", chosen.len());
 }
@@ -942,7 +940,7 @@
         latency: seconds(0.01),
         answered: false,
     };
-    Some(policy.after(at(now), statement, &report))
+    Some(policy.on_attempt_report(at(now), statement, &report))
 }
 
 fn new_statement(id: u64, now: f64) -> Statement {
@@ -1053,7 +1051,7 @@
                 latency: seconds(0.01),
                 answered: !is_reset,
             };
-            policy.after(at(now), &statement, &report);
+            policy.on_attempt_report(at(now), &statement, &report);
         }
         assert_eq!(used > 40, stays_in_use, "{used} of 200");
     }
@@ -1082,7 +1080,7 @@
                     latency: seconds(0.1),
                     answered: true,
                 };
-                policy.after(at(now), &statement, &report);
+                policy.on_attempt_report(at(now), &statement, &report);
             }
             for n in 0..arrivals_per_10_ms {
                 let mut statement = new_statement(u64::from(step * 10 + n), now);
@@ -1132,7 +1130,7 @@
                     memory_mb: None,
                 };
                 let (attempt, latency) = (AttemptNumber(0), seconds(latency));
-                policy.after(
+                policy.on_attempt_report(
                     at(now),
                     &statement,
                     &AttemptReport {
@@ -1209,7 +1207,7 @@
             latency: seconds(0.01),
             answered: true,
         };
-        policy.after(at(now + 0.1), &statement, &report);
+        policy.on_attempt_report(at(now + 0.1), &statement, &report);
         policy.end_turn(at(now + 0.2), 0);
         now += 0.5;
     }
@@ -1268,7 +1266,7 @@
             latency: seconds(0.01),
             answered: false,
         };
-        policy.after(at(1000.0), &statement, &report);
+        policy.on_attempt_report(at(1000.0), &statement, &report);
         matches!(policy.place(at(1000.0), &statement), Placement::Send { .. })
     });
     retried.count()
