--- a/crates/membership/src/dissemination.rs
+++ b/crates/membership/src/dissemination.rs
@@ -9,7 +9,8 @@
 use crate::rate_limiter::ByteBudget;
 use crate::traffic_limits::TrafficLimits;
 
-/// An update is transmitted this many times the binary logarithm of the fleet's size.
+/// The number of transmissions of an update is this factor times the binary logarithm of the
+/// fleet's size, which is rounded up.
 pub(crate) const RETRANSMIT_MULTIPLIER: f64 = 3.0;
 /// The maximum number of queued updates under traffic limits. A new update evicts the one that was
 /// transmitted most often.
--- a/crates/membership/src/engine_broadcast.rs
+++ b/crates/membership/src/engine_broadcast.rs
@@ -10,7 +10,7 @@
 /// by zero.
 const MIN_MESSAGES_PER_S: f64 = 0.1;
 
-/// The members that have not received the current broadcast, and when the next one is due.
+/// The members that have not received the current broadcast yet, and when the next message is due.
 #[derive(Clone, Debug)]
 pub(crate) struct EngineBroadcast {
     recipients: Vec<Name>,
--- a/crates/membership/src/engine_gossip.rs
+++ b/crates/membership/src/engine_gossip.rs
@@ -20,7 +20,7 @@
 pub const MAX_REPORTS_PER_MESSAGE: usize = 16;
 /// The maximum length of an engine's name, in bytes.
 const MAX_ENGINE_NAME_LENGTH: usize = 64;
-/// How long an unchanged observation is not broadcast again, in seconds.
+/// The interval after which an unchanged observation is broadcast again, in seconds.
 const REPEAT_INTERVAL_S: f64 = 1.0;
 
 /// The status of an engine as a node observed it.
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -6,7 +6,7 @@
 //! datagrams, events and the time at which the next step is due. All randomness comes from the seed
 //! that the caller passes in.
 //!
-//! Gossip from a single node never changes the state of a third one. A claim takes effect once
+//! What a single node claims about another one has no effect by itself. A claim takes effect once
 //! `max_byzantine + 1` independent witnesses make it, or once this node has verified it with a
 //! probe of its own. See docs/notes/fleet.md.
 //!
--- a/crates/membership/src/member_entry.rs
+++ b/crates/membership/src/member_entry.rs
@@ -47,7 +47,7 @@
     }
 }
 
-/// The replay window for the boot that a member last sent from.
+/// The replay window for the boot that a member's latest message came from.
 #[derive(Clone, Copy, Debug)]
 struct BootReplayWindow {
     boot_id: BootId,
@@ -165,9 +165,9 @@
     /// otherwise any process could take over a name that is in use.
     pub(crate) fn rejects_boot_of(&self, other: &Record) -> bool {
         let is_other_boot = self.record.boot_id != other.boot_id;
-        let is_not_above =
+        let cannot_replace =
             other.incarnation <= self.record.incarnation || other.address != self.record.address;
-        is_other_boot && is_not_above && self.is_in_fleet()
+        is_other_boot && cannot_replace && self.is_in_fleet()
     }
 
     /// Applies an ack that the member sent to this node. The member's own record replaces the one
--- a/crates/membership/src/member_table.rs
+++ b/crates/membership/src/member_table.rs
@@ -37,7 +37,7 @@
     Gossip,
 }
 
-/// The view of one member that operators see.
+/// The information about one member that operators see.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MemberSummary {
     /// The record that this node holds for the member.
@@ -248,7 +248,7 @@
         }
     }
 
-    /// Counts an unanswered direct probe, and drops a candidate that has not answered repeatedly.
+    /// Counts an unanswered direct probe, and drops a candidate that left several unanswered.
     pub fn probe_unanswered(&mut self, name: &Name) {
         let Some(entry) = self.entries.get_mut(name) else {
             return;
@@ -262,7 +262,7 @@
     /// expired witnesses. Returns the names of the confirmed members that were dropped.
     pub fn expire(&mut self, now: Timestamp, dead_retention: TimeDelta) -> Vec<Name> {
         let candidate_lifetime_s = self.candidate_lifetime_s();
-        let stays = |entry: &MemberEntry| {
+        let is_kept = |entry: &MemberEntry| {
             let age = now - entry.changed;
             if entry.confirmed {
                 entry.record.state.is_present() || age < dead_retention
@@ -273,11 +273,11 @@
         let count = self.entries.len();
         let mut dropped_members = Vec::new();
         self.entries.retain(|name, entry| {
-            let stays = stays(entry);
-            if entry.confirmed && !stays {
+            let is_kept = is_kept(entry);
+            if entry.confirmed && !is_kept {
                 dropped_members.push(name.clone());
             }
-            stays
+            is_kept
         });
         if self.entries.len() != count {
             self.view = None;
@@ -405,13 +405,13 @@
     /// Returns all entries in a range of buckets, each with the position of its bucket relative to
     /// the start of the range.
     pub(crate) fn in_buckets(&mut self, range: BucketRange) -> Vec<(usize, &MemberEntry)> {
-        let mut placed = Vec::new();
+        let mut positioned = Vec::new();
         for entry in self.entries.values_mut() {
             if let Some(position) = range.position(entry.identity_hash()) {
-                placed.push((position, &*entry));
+                positioned.push((position, &*entry));
             }
         }
-        placed
+        positioned
     }
 }
 
--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -45,7 +45,7 @@
     /// The sender belongs to another fleet.
     #[error("of another fleet")]
     OtherFleet,
-    /// The message counter was seen before, or is too old to tell.
+    /// The message counter was seen before or is older than the replay window.
     #[error("it came before")]
     Replayed,
     /// The sender advertises another address than the one that the datagram came from.
@@ -54,7 +54,7 @@
     /// The datagram answers no request of this node.
     #[error("an answer to nothing that was asked")]
     Unsolicited,
-    /// The sender exceeds the rate at which requests are answered.
+    /// Requests exceed the rate at which this node answers them.
     #[error("too many from there")]
     RateLimited,
     /// Another process sent the datagram under this node's name.
@@ -102,8 +102,8 @@
     Gossip,
     /// Data of another subsystem, passed on unchanged to the receiver's application.
     Payload(Vec<u8>),
-    /// Digests of a range of buckets of the sender's table. The receiver answers with the records
-    /// that differ in its own table.
+    /// Digests of a range of buckets of the sender's table. The receiver answers which buckets are
+    /// equal in its own table, and sends its records of the other ones.
     DigestRequest {
         /// The nonce of the request, repeated in its answer.
         nonce: Nonce,
--- a/crates/membership/src/metrics.rs
+++ b/crates/membership/src/metrics.rs
@@ -42,7 +42,7 @@
         "Datagrams rejected because the sender advertises another address.",
     rejected_unsolicited, "refused_unasked": "Datagrams rejected because they answer no request.",
     rejected_rate_limited, "refused_many":
-        "Datagrams rejected because the sender exceeds the rate limit for requests.",
+        "Datagrams rejected because requests exceed the rate limit.",
     rejected_own_name, "refused_own_name":
         "Datagrams rejected because another process sent them under this node's name.",
     implausible_incarnations, "beyond":
--- a/crates/membership/src/name_conflict.rs
+++ b/crates/membership/src/name_conflict.rs
@@ -10,7 +10,7 @@
 /// The mean time that a node stays out of the fleet after it lost a conflict, in seconds. The
 /// actual time is drawn at random between half of it and one and a half times it.
 const MEAN_WITHDRAWAL_S: f64 = 30.0;
-/// The maximum rate at which a node raises its incarnation above that of another boot of its name.
+/// How often per second a node may raise its incarnation above that of another boot of its name.
 const INCARNATION_RAISES_PER_S: f64 = 1.0;
 
 /// What this node knows about other processes that use its name, and whether it has withdrawn in
--- a/crates/membership/src/traffic_limits.rs
+++ b/crates/membership/src/traffic_limits.rs
@@ -6,8 +6,8 @@
 pub struct TrafficLimits {
     /// The number of failed retries after which a member is suspected.
     pub confirmations: usize,
-    /// The expected number of nodes that verify an update with too few witnesses at once. The other
-    /// nodes that hear it wait.
+    /// The expected number of nodes that immediately verify an update with too few witnesses. The
+    /// other nodes that receive it wait.
     pub verifiers: usize,
     /// The maximum number of direct probes started in one protocol period.
     pub direct_probes: usize,
--- a/crates/membership/src/view_state.rs
+++ b/crates/membership/src/view_state.rs
@@ -177,8 +177,8 @@
             return ViewState::Isolated;
         }
         let threshold = self.converged_size as f64 * config.partition_threshold;
-        let is_small = (observed.size as f64) < threshold;
-        if is_small && !accepts_partition {
+        let is_below_threshold = (observed.size as f64) < threshold;
+        if is_below_threshold && !accepts_partition {
             return ViewState::Partitioned {
                 converged_size: self.converged_size,
             };
--- a/crates/membership/tests/golden.rs
+++ b/crates/membership/tests/golden.rs
@@ -6,10 +6,10 @@
 //! rolling restart fails. Names in the code may therefore change, but these bytes may not. The
 //! texts are recorded because metrics, logs and operators depend on them.
 //!
-//! After a deliberate change, record the files again with `GOLDEN_RECORD=1 cargo test -p
-//! laurelhitch-membership --test golden`, and commit them with the reason for the change. Without
-//! the variable, the tests only compare. Each line of a file holds a name and the bytes in
-//! hexadecimal.
+//! After a deliberate change, record the files again with
+//! `GOLDEN_RECORD=1 cargo test -p laurelhitch-membership --test golden`,
+//! and commit them with the reason for the change. Without the variable, the tests only compare.
+//! Each line of a file holds a name and the bytes in hexadecimal.
 
 use std::collections::BTreeSet;
 use std::path::Path;
--- a/crates/membership/tests/traffic_limits.rs
+++ b/crates/membership/tests/traffic_limits.rs
@@ -44,7 +44,7 @@
 /// A simulated network of gateways that loses a fraction of all datagrams. A node is `None` after
 /// it was killed.
 struct Network {
-    now: f64,
+    now_s: f64,
     loss_rate: f64,
     nodes: Vec<Option<Node>>,
     rng: Pcg64Mcg,
@@ -53,7 +53,7 @@
 
 impl Network {
     fn new(count: usize, seed: u64, config_of: impl Fn(usize) -> Config) -> Network {
-        let make = |number| {
+        let new_node = |number| {
             let (locality, seeds) = (Locality::default(), vec![address(0), address(1)]);
             let seed = seed * 1000 + number as u64;
             let identity = (name(number), address(number));
@@ -72,9 +72,9 @@
                 },
             ))
         };
-        let nodes = (0..count).map(make).collect();
+        let nodes = (0..count).map(new_node).collect();
         Network {
-            now: 0.0,
+            now_s: 0.0,
             loss_rate: 0.0,
             nodes,
             rng: Pcg64Mcg::seed_from_u64(seed),
@@ -83,10 +83,10 @@
     }
 
     fn run(&mut self, seconds: f64) {
-        let until = self.now + seconds;
-        while self.now < until {
-            self.now += STEP_S;
-            let now = Timestamp::from_secs(self.now);
+        let end_s = self.now_s + seconds;
+        while self.now_s < end_s {
+            self.now_s += STEP_S;
+            let now = Timestamp::from_secs(self.now_s);
             for from in 0..self.nodes.len() {
                 let Some(sender) = &mut self.nodes[from] else {
                     continue;
@@ -120,12 +120,12 @@
     }
 
     /// Runs until all nodes agree on the fleet, and returns how many seconds that took. Returns
-    /// `None` if it takes longer than `within`.
-    fn converge(&mut self, within: f64) -> Option<f64> {
-        let began = self.now;
-        while self.now < began + within {
+    /// `None` if it takes longer than `timeout_s`.
+    fn converge(&mut self, timeout_s: f64) -> Option<f64> {
+        let start_s = self.now_s;
+        while self.now_s < start_s + timeout_s {
             if self.has_converged() {
-                return Some(self.now - began);
+                return Some(self.now_s - start_s);
             }
             self.run(0.1);
         }
@@ -157,13 +157,13 @@
         )
     }
     for seed in 1..=5 {
-        let (with_retries, died) =
+        let (with_retries, deaths) =
             count_suspicions_and_deaths(seed, TrafficLimits::default().confirmations);
         assert!(
             with_retries <= 24,
             "seed {seed}: {with_retries} suspicions among 24 gateways in one minute"
         );
-        assert_eq!(died, 0, "seed {seed}");
+        assert_eq!(deaths, 0, "seed {seed}");
         let (without_retries, _) = count_suspicions_and_deaths(seed, 0);
         assert!(
             without_retries > with_retries * 10,
@@ -241,7 +241,7 @@
         network.run(60.0);
         let witness = network.nodes[5].as_ref().unwrap().local_record().clone();
         let subject = network.nodes[6].as_ref().unwrap().local_record().clone();
-        let now = Timestamp::from_secs(network.now);
+        let now = Timestamp::from_secs(network.now_s);
         let before = network.sum(|node| node.metrics.probes);
         for node in network
             .nodes
@@ -315,14 +315,14 @@
         network.nodes[0].as_ref().unwrap().view_state().name(),
         "together"
     );
-    let partitioned_at = Timestamp::from_secs(network.now);
+    let partitioned_at = Timestamp::from_secs(network.now_s);
     (1..5).for_each(|number| network.nodes[number] = None);
     network.run(90.0);
     let survivor = network.nodes[0].as_ref().unwrap();
-    let heard = survivor
+    let last_heard = survivor
         .last_heard()
         .expect("the node has heard from others");
-    assert!((heard - partitioned_at).secs().abs() < 3.0);
+    assert!((last_heard - partitioned_at).secs().abs() < 3.0);
     assert_eq!(
         (survivor.table_len(), survivor.view_state().name()),
         (4, "cut off")
@@ -373,11 +373,12 @@
         message.records = vec![fabricated_record()];
         *bytes = message::seal(&key_ring(), &message);
     }));
-    let compared = |network: &Network| network.sum(|node| node.metrics.digest_requests_sent);
-    let before = compared(&network);
+    let sent_digest_requests =
+        |network: &Network| network.sum(|node| node.metrics.digest_requests_sent);
+    let before = sent_digest_requests(&network);
     network.run(120.0);
     assert!(
-        compared(&network) > before,
+        sent_digest_requests(&network) > before,
         "no table was compared with the Byzantine node"
     );
     for node in network
@@ -401,14 +402,14 @@
     // are dropped.
     network.interceptor = Some(Box::new(|from, to, bytes| {
         let message = message::open(&key_ring(), &fleet_name(), bytes).unwrap();
-        let compares = matches!(
+        let is_comparison = matches!(
             message.body,
             Body::DigestRequest { .. }
                 | Body::DigestResponse { .. }
                 | Body::FingerprintRequest { .. }
                 | Body::FingerprintResponse { .. }
         );
-        if compares && (from % 2 == 0 || to % 2 == 0) {
+        if is_comparison && (from % 2 == 0 || to % 2 == 0) {
             bytes.clear();
         }
     }));
@@ -428,7 +429,7 @@
     let mut network = Network::new(3, 11, |_| config(Some(TrafficLimits::default())));
     assert!(network.converge(30.0).is_some());
     let sender = network.nodes[1].as_ref().unwrap().local_record().clone();
-    let now = Timestamp::from_secs(network.now);
+    let now = Timestamp::from_secs(network.now_s);
     for (index, (first, buckets)) in [(128, 4), (0, 0), (0, 33)].into_iter().enumerate() {
         let body = Body::DigestRequest {
             nonce: message::Nonce(1),
@@ -512,7 +513,7 @@
     };
     let receiver = network.nodes[0].as_mut().unwrap();
     let rejected = receiver.receive(
-        Timestamp::from_secs(network.now),
+        Timestamp::from_secs(network.now_s),
         sender.address,
         &message::seal(&key_ring(), &message),
     );
@@ -556,8 +557,9 @@
     fn inject_death_reports(&mut self, relays_may_ack: bool) {
         let subject = self.subject.clone();
         self.network.interceptor = Some(Box::new(move |from, to, bytes| {
-            let pair = (from, to);
-            if pair == (Self::OBSERVER, Self::SUBJECT) || pair == (Self::SUBJECT, Self::OBSERVER) {
+            let route = (from, to);
+            if route == (Self::OBSERVER, Self::SUBJECT) || route == (Self::SUBJECT, Self::OBSERVER)
+            {
                 return bytes.clear();
             }
             if to != Self::OBSERVER {
@@ -612,16 +614,16 @@
 #[test]
 fn comparing_tables_corrects_a_false_death_held_by_one_node() {
     for seed in 13..17 {
-        let mut case = FalseDeath::new(seed);
-        case.inject_death_reports(false);
+        let mut scenario = FalseDeath::new(seed);
+        scenario.inject_death_reports(false);
         assert!(
-            case.observer_declares_dead_within(120),
+            scenario.observer_declares_dead_within(120),
             "seed {seed}: the observer never declares the subject dead"
         );
-        case.stop_injection();
-        case.network.run(30.0);
+        scenario.stop_injection();
+        scenario.network.run(30.0);
         assert!(
-            !case.observer_holds_dead(),
+            !scenario.observer_holds_dead(),
             "seed {seed}: comparing tables did not correct the false death"
         );
     }
@@ -630,8 +632,8 @@
 #[test]
 fn a_suspect_that_a_relay_reaches_is_not_declared_dead() {
     for seed in 13..17 {
-        let mut case = FalseDeath::new(seed);
-        case.inject_death_reports(true);
-        assert!(!case.observer_declares_dead_within(120), "seed {seed}");
+        let mut scenario = FalseDeath::new(seed);
+        scenario.inject_death_reports(true);
+        assert!(!scenario.observer_declares_dead_within(120), "seed {seed}");
     }
 }
