--- a/crates/membership/src/node/fingerprint_exchange.rs
+++ b/crates/membership/src/node/fingerprint_exchange.rs
@@ -1,7 +1,8 @@
 //! Table comparison by record fingerprints, used with traffic limits while tables differ
 //! substantially. The requester lists the fingerprints of its records in a range; the responder
-//! says which of them it holds as well, and sends the records of that range that the requester
-//! lacks. The responder becomes a witness of the records that both hold.
+//! says which of them it holds as well, and sends its records of that range that are missing from
+//! the list, or listed although they have died or left. The responder becomes a witness of the
+//! records that both hold.
 
 use std::collections::BTreeSet;
 
@@ -110,7 +111,7 @@
         let mut until = from;
         for (fingerprint, entry) in self.table.in_fingerprint_range(from, end) {
             let is_listed = listed.contains(&fingerprint);
-            let is_included = entry.is_in_fleet() != is_listed || left_recently(now, entry);
+            let is_included = entry.is_in_fleet() != is_listed || has_left_recently(now, entry);
             if let Some(record) = entry.settled_record()
                 && is_included
                 && !part.try_push(record)
@@ -185,7 +186,7 @@
 }
 
 /// Whether a member left within the last [`RECENTLY_LEFT_S`].
-fn left_recently(now: Timestamp, entry: &MemberEntry) -> bool {
-    let has_left = entry.record.state == MemberState::Left;
-    has_left && (now - entry.changed).secs() < RECENTLY_LEFT_S
+fn has_left_recently(now: Timestamp, entry: &MemberEntry) -> bool {
+    let is_left = entry.record.state == MemberState::Left;
+    is_left && (now - entry.changed).secs() < RECENTLY_LEFT_S
 }
--- a/crates/membership/src/node/probing.rs
+++ b/crates/membership/src/node/probing.rs
@@ -63,7 +63,7 @@
 
     /// The time-outs of a probe, stretched by the local health multiplier. A retry waits for less
     /// than a probe period and is stretched only by the square root of the multiplier; otherwise a
-    /// node whose peers are all gone would take minutes to report it.
+    /// node whose peers are all gone would take minutes to declare them failed.
     fn probe_timeouts(&self, purpose: &ProbePurpose) -> ProbeTimeouts {
         let multiplier = self.local_health.multiplier();
         let direct = self.config.probe_timeout;
--- a/crates/membership/src/node/send.rs
+++ b/crates/membership/src/node/send.rs
@@ -31,8 +31,8 @@
 #[derive(Clone, Debug)]
 pub(super) struct Recipient {
     pub(super) address: SocketAddr,
-    /// The name of the node at that address, if known. The message then carries the record that is
-    /// held of it, in case it needs to refute it.
+    /// The name of the node at that address, if known. A message then carries the
+    /// held record of that node if the node may need to refute it.
     name: Option<Name>,
 }
 
--- a/crates/membership/tests/byzantine.rs
+++ b/crates/membership/tests/byzantine.rs
@@ -230,8 +230,8 @@
         let until = now + 0.5;
         exchange_messages(&mut nodes, &mut now, until);
         for honest in &nodes[..HONEST_NODES] {
-            if let Err(what) = check_honest_node(honest, &nodes) {
-                return TestResult::error(what);
+            if let Err(violation) = check_honest_node(honest, &nodes) {
+                return TestResult::error(violation);
             }
         }
     }
