--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,19 +1,20 @@
-//! The control plane of one gateway: membership (`crates/membership`) and quota leases (`crates/quota`), composed. Pure:
-//! datagrams and time in; datagrams, events and the time of the next turn out. Nothing here does I/O.
+//! The control plane of one gateway, composed of membership (`crates/membership`) and quota leases
+//! (`crates/quota`). It performs no I/O: callers pass in datagrams and the time, and take out
+//! datagrams, events and the time of the next turn.
 //!
-//! | state | owner | bound | what empties it |
+//! | state | owner | bound | emptied by |
 //! | --- | --- | --- | --- |
 //! | the view of other gateways | [`Node`] | see `membership` | see `membership` |
 //! | the lease and, at the leader, the lease ledger | [`quota::FleetQuotas`] | see `quota` | see `quota` |
 //! | lease messages received and not yet processed | [`Node`] | see `membership` | each turn |
-//! | lease messages to be sent | none: handed to membership at once | | |
+//! | lease messages to be sent | none: passed to membership at once | | |
 //! | datagrams to be sent | [`Node`] | see `membership` | [`ControlPlane::take_datagrams`] |
 //!
-//! [`ControlPlane`] owns no state of its own but one counter. It decides the order: membership first, then the lease
-//! messages that it carried, then those that answer them.
+//! [`ControlPlane`] itself owns only a counter. It determines the order of a turn: first
+//! membership, then the received lease messages, then the lease messages to be sent.
 //!
-//! The gateway's process and the bare members of the process harness both drive this type over a UDP socket, so that what
-//! the harness measures is what a gateway runs.
+//! The gateway process and the membership-only processes of the process harness drive this type
+//! over a UDP socket, so the harness measures the code that a gateway runs.
 
 mod quota_owner;
 
@@ -25,35 +26,39 @@
 
 pub use quota_owner::QuotaOwner;
 
-/// The two clocks of one gateway, read once for a turn.
+/// The readings of the gateway's two clocks for one turn.
 #[derive(Clone, Copy, Debug)]
 pub struct ClockReadings {
-    /// The clock of the event loop, which membership goes by.
+    /// The clock of the event loop, which membership uses.
     pub now: Timestamp,
-    /// The steady clock: nobody sets it and it runs on while the machine sleeps. Leases expire by it.
+    /// The steady clock, which nobody sets and which keeps running while the machine sleeps. Leases
+    /// expire by it.
     pub steady: Timestamp,
 }
 
-/// What is left of the datagrams that had arrived at the socket before a turn.
+/// The state of the socket's receive queue before a turn.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReceiveQueue {
-    /// All were handed in.
+    /// All datagrams that had arrived were passed in.
     Drained,
-    /// Some may wait to be read: no other gateway is suspected for an answer that is not in yet.
+    /// Some datagrams may still be waiting. Membership does not run its timers in this turn, so
+    /// that no gateway is suspected while its answer is waiting to be read.
     Pending,
 }
 
-/// Membership, and quota leases where budgets are shared by all gateways. `Q` is [`quota::FleetQuotas`] itself or the
-/// caller's own type around it.
+/// Membership and, if budgets are shared by all gateways, quota leases. `Q` is
+/// [`quota::FleetQuotas`] itself or a type of the caller that contains it.
 pub struct ControlPlane<Q> {
     membership: Node,
     quota_owner: Option<Q>,
-    /// Lease messages dropped because membership does not hold their receiver to be alive.
+    /// The number of lease messages that were dropped because membership does not consider their
+    /// receiver alive.
     pub undelivered: u64,
 }
 
 impl<Q: QuotaOwner> ControlPlane<Q> {
-    /// A control plane without quota leases until [`ControlPlane::set_quota_owner`].
+    /// A control plane that takes no part in the lease protocol until
+    /// [`ControlPlane::set_quota_owner`] is called.
     #[must_use]
     pub fn new(membership: Node) -> Self {
         ControlPlane {
@@ -63,37 +68,37 @@
         }
     }
 
-    /// Takes part in the lease protocol from now on.
+    /// Sets the owner of the quotas, and takes part in the lease protocol from then on.
     pub fn set_quota_owner(&mut self, quota_owner: Q) {
         self.quota_owner = Some(quota_owner);
     }
 
-    /// This gateway's membership.
+    /// The membership state of this gateway.
     #[must_use]
     pub fn membership(&self) -> &Node {
         &self.membership
     }
 
-    /// This gateway's membership, to be changed.
+    /// The membership state of this gateway, for modification.
     pub fn membership_mut(&mut self) -> &mut Node {
         &mut self.membership
     }
 
-    /// What holds the quotas; none where no budget is shared.
+    /// The owner of the quotas, or `None` if no budget is shared.
     #[must_use]
     pub fn quota_owner(&self) -> Option<&Q> {
         self.quota_owner.as_ref()
     }
 
-    /// What holds the quotas, to be changed.
+    /// The owner of the quotas, for modification, or `None` if no budget is shared.
     pub fn quota_owner_mut(&mut self) -> Option<&mut Q> {
         self.quota_owner.as_mut()
     }
 
-    /// Takes in a datagram that came from an address.
+    /// Processes a datagram that arrived from `from`.
     ///
     /// # Errors
-    /// Why it is rejected; membership has counted it.
+    /// Returns why the datagram was rejected. Membership has counted the rejection already.
     pub fn receive(
         &mut self,
         now: Timestamp,
@@ -103,18 +108,19 @@
         self.membership.receive(now, from, bytes)
     }
 
-    /// When [`ControlPlane::turn`] is due next, by the clock of the event loop.
+    /// The time at which [`ControlPlane::turn`] is due next, by the clock of the event loop.
     #[must_use]
     pub fn next_wakeup(&self, clocks: ClockReadings) -> Timestamp {
         let membership = self.membership.due();
         let Some(owner) = &self.quota_owner else {
             return membership;
         };
-        let until_lease_step = owner.quotas().next_wakeup() - clocks.steady;
-        membership.min(clocks.now + until_lease_step.max(TimeDelta::ZERO))
+        let until_quota_tick = owner.quotas().next_wakeup() - clocks.steady;
+        membership.min(clocks.now + until_quota_tick.max(TimeDelta::ZERO))
     }
 
-    /// Does what is due and passes lease messages both ways.
+    /// Does everything that is due and passes lease messages between membership and the quotas.
+    /// While datagrams are waiting to be read, membership's own timers are postponed.
     pub fn turn(&mut self, clocks: ClockReadings, receive_queue: ReceiveQueue) {
         let is_due = self.membership.due() <= clocks.now;
         if is_due && receive_queue == ReceiveQueue::Drained {
@@ -154,7 +160,7 @@
         }
     }
 
-    /// Leaves the fleet in order: the lease is given back, and the other gateways are told.
+    /// Leaves the fleet: returns the lease and tells the other gateways.
     pub fn leave(&mut self, clocks: ClockReadings) {
         if let Some(owner) = &mut self.quota_owner {
             owner.quotas_mut().leave(clocks.steady);
@@ -163,7 +169,7 @@
         self.membership.leave(clocks.now);
     }
 
-    /// Datagrams to be sent, in this order.
+    /// Takes the datagrams that are to be sent, in this order.
     pub fn take_datagrams(&mut self) -> Vec<Datagram> {
         self.membership.take_datagrams()
     }
--- a/crates/control/src/quota_owner.rs
+++ b/crates/control/src/quota_owner.rs
@@ -1,13 +1,13 @@
-//! Access to the quotas of one gateway, whoever holds them.
+//! Access to the quotas of one gateway, independently of the type that contains them.
 
 use quota::FleetQuotas;
 
-/// [`FleetQuotas`], or a type that keeps them beside what it knows of their use.
+/// [`FleetQuotas`], or a type that contains it together with state of its own.
 pub trait QuotaOwner {
     /// The quotas.
     fn quotas(&self) -> &FleetQuotas;
 
-    /// The quotas, to be changed.
+    /// The quotas, for modification.
     fn quotas_mut(&mut self) -> &mut FleetQuotas;
 }
 
--- a/crates/quota/src/amount.rs
+++ b/crates/quota/src/amount.rs
@@ -1,4 +1,4 @@
-//! Fixed-point quantities, so that the parts of a budget sum to exactly what they were cut from.
+//! Fixed-point amounts, so that the shares of a budget sum exactly to the amount that was divided.
 
 use std::fmt;
 use std::iter::Sum;
@@ -6,22 +6,24 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Millionths of a unit in one unit of a budget.
+/// The number of millionths in one unit of a budget.
 const MILLIONTHS_PER_UNIT: f64 = 1e6;
 
-/// A rate of spending: millionths of a budget's unit, a second. Arithmetic saturates.
+/// A spending rate in millionths of a budget's unit per second. Arithmetic saturates instead of
+/// overflowing.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Amount(pub u64);
 
 impl Amount {
-    /// Nothing.
+    /// The zero amount.
     pub const ZERO: Amount = Amount(0);
-    /// The largest amount of a budget: sums over all gateways stay far from overflow.
+    /// The largest amount of one budget. Sums of it over all gateways stay far from overflow.
     pub const MAX: Amount = Amount(1 << 50);
 
-    /// Units a second, rounded down and cut to [`Amount::MAX`]. Negative values and NaN count as zero.
+    /// Converts units per second to an amount, rounded down and limited to [`Amount::MAX`].
+    /// Negative values and NaN become zero.
     #[must_use]
     pub fn from_units(units: f64) -> Self {
         let millionths = units * MILLIONTHS_PER_UNIT;
@@ -32,19 +34,19 @@
         }
     }
 
-    /// Units a second.
+    /// The amount in units per second.
     #[must_use]
     pub fn units(self) -> f64 {
         self.0 as f64 / MILLIONTHS_PER_UNIT
     }
 
-    /// The difference, or nothing where `other` is larger.
+    /// The difference of the two amounts, or zero if `other` is larger.
     #[must_use]
     pub fn saturating_sub(self, other: Amount) -> Amount {
         Amount(self.0.saturating_sub(other.0))
     }
 
-    /// This amount for each of `count` gateways.
+    /// The sum of this amount over `count` gateways.
     #[must_use]
     pub fn saturating_mul(self, count: usize) -> Amount {
         Amount(self.0.saturating_mul(count as u64))
@@ -71,7 +73,7 @@
 }
 
 impl fmt::Display for Amount {
-    /// In units a second.
+    /// Formats the amount in units per second.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}", self.units())
     }
--- a/crates/quota/src/clock_drift.rs
+++ b/crates/quota/src/clock_drift.rs
@@ -1,33 +1,37 @@
-//! Detects holders whose clocks drift further than the configuration allows, by comparing their clocks with the leader's.
+//! Detects holders whose clocks drift further than configured, by comparing their clocks with the
+//! leader's.
 
 use admission::interface::Timestamp;
 
 use crate::config::Config;
 use crate::message::{LeaseRequest, RequestId};
 
-/// Clocks are compared over at least this time, so that the time that messages take does not matter.
-const MIN_COMPARED_S: f64 = 15.0;
-/// The most renewal intervals between two requests of a holder, with their jitter.
+/// The shortest time, in seconds, over which clocks are compared. Over a shorter time the variation
+/// of message delays would outweigh the drift.
+const MIN_COMPARISON_S: f64 = 15.0;
+/// The longest time, in renewal intervals, between two requests of a holder, including jitter.
 const MAX_RENEWALS_BETWEEN_REQUESTS: f64 = 1.25;
 
-/// Both clocks at the receipt of one request.
+/// The readings of both clocks when one request is received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct ClockSample {
+    /// The leader's clock.
     leader: Timestamp,
+    /// The holder's clock in milliseconds, as the request reported it.
     holder_ms: u64,
 }
 
-/// A sample whose request is not yet known to be answered.
+/// A sample whose request is not yet known to have been answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct UnconfirmedSample {
     request: RequestId,
     clocks: ClockSample,
 }
 
-/// The comparison of one holder's clock with the leader's.
+/// A comparison of one holder's clock with the leader's.
 ///
-/// A sample counts once the holder's next request shows that it received the answer: its request then took no longer than
-/// the time between the two.
+/// A sample is used once the holder's next request shows that the holder received the answer. This
+/// bounds the delay of the sampled request by the time between the two requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct ClockComparison {
     baseline: Option<ClockSample>,
@@ -42,7 +46,8 @@
         self.exceeds_bound
     }
 
-    /// Takes in the clock that a request carries.
+    /// Records the clock reading of a request, and compares the clocks if the request confirms the
+    /// previous sample.
     pub fn observe(&mut self, now: Timestamp, request: &LeaseRequest, config: &Config) {
         let previous = self.unconfirmed.replace(UnconfirmedSample {
             request: request.request,
@@ -61,7 +66,7 @@
     fn compare(&mut self, sample: ClockSample, config: &Config) {
         let baseline = *self.baseline.get_or_insert(sample);
         let leader_s = (sample.leader - baseline.leader).secs();
-        if leader_s < MIN_COMPARED_S {
+        if leader_s < MIN_COMPARISON_S {
             return;
         }
         let holder_s = (sample.holder_ms as f64 - baseline.holder_ms as f64) / 1e3;
--- a/crates/quota/src/config.rs
+++ b/crates/quota/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration of the budgets and of the lease protocol, and its validation.
+//! The configuration of the budgets and of the lease protocol, with its validation.
 
 use admission::interface::TimeDelta;
 use membership::Name;
@@ -9,48 +9,51 @@
 use crate::amount::Amount;
 use crate::fault_injection::FaultInjection;
 
-/// The most budgets: a lease request for all of them fits into one datagram.
+/// The largest number of budgets. A lease request for all of them fits into one datagram.
 pub const MAX_BUDGETS: usize = 24;
-/// The most voters.
+/// The largest number of voters.
 pub const MAX_VOTERS: usize = 9;
 
-/// A term is at least so many renewal intervals long, so that a lost renewal of votes can be repeated.
+/// The shortest term, in renewal intervals. It leaves time to repeat a vote renewal that was lost.
 const MIN_RENEWALS_PER_TERM: f64 = 4.0;
-/// A lease outlasts a term by so many renewal intervals, so that a new leader is found before it expires.
-const RENEWALS_AFTER_TERM: f64 = 2.0;
+/// The shortest time, in renewal intervals, by which a lease must outlast a term, so that a new
+/// leader is found before the lease expires.
+const MIN_RENEWALS_AFTER_TERM: f64 = 2.0;
 
-/// What a budget bounds.
+/// The kind of resource use that a budget limits.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum BudgetKind {
-    /// Predicted CPU seconds a second of a tenant, by its name in the settings.
+    /// Predicted CPU seconds per second of the named tenant.
     Tenant(String),
-    /// Retries a second of a query class, by its name.
+    /// Retries per second of the named query class.
     Retries(String),
-    /// Probe attempts a second at ejected engines.
+    /// Probe attempts per second at ejected engines.
     OutlierProbes,
-    /// The part of the capacity of each engine in slow start; the whole is 1.
+    /// The fraction of the capacity of each engine in slow start, where 1 is the full capacity.
     SlowStart,
 }
 
-/// Identifies a budget in messages, whatever the order of the budgets in each gateway's file.
+/// Identifies a budget in messages, independently of the order of the budgets in each gateway's
+/// configuration.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct BudgetKey(pub u32);
 
-/// A rate of spending that all gateways share.
+/// A spending rate that all gateways share.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Budget {
-    /// What it bounds.
+    /// The kind of resource use that it limits.
     pub kind: BudgetKind,
-    /// What all gateways together may spend a second.
+    /// What all gateways together may spend per second.
     pub capacity: Amount,
-    /// The part of the capacity that each gateway may spend without a lease.
+    /// The guaranteed minimum: what each gateway may spend per second without a lease.
     pub guaranteed: Amount,
 }
 
 impl Budget {
-    /// The name that operators see. It is part of the protocol, since [`Budget::key`] derives from it.
+    /// The name that operators see. It is part of the protocol, because [`Budget::key`] is derived
+    /// from it.
     #[must_use]
     pub fn name(&self) -> String {
         match &self.kind {
@@ -72,7 +75,8 @@
         }
     }
 
-    /// The key by which messages name it: the first bytes of a hash of its name.
+    /// The key that identifies the budget in messages: the first four bytes of the SHA-256 hash of
+    /// its name.
     #[must_use]
     pub fn key(&self) -> BudgetKey {
         let hash = Sha256::digest(self.name().as_bytes());
@@ -80,48 +84,50 @@
     }
 }
 
-/// The budgets, who elects the leader, and the times of the protocol.
+/// The budgets, the voters and the durations of the protocol.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Config {
-    /// In the order of their names. Calls name a budget by its index here.
+    /// The budgets in the order of their names. Methods identify a budget by its index here.
     pub budgets: Vec<Budget>,
-    /// The gateways that elect the leader from among themselves: an odd number, in the order of their names.
+    /// The gateways that elect the leader from among themselves: an odd number of them, in the
+    /// order of their names.
     pub voters: Vec<Name>,
-    /// The most gateways that may run at once, suspended processes among them. Each has its guaranteed minimum.
+    /// The largest number of gateways that may run at once, including suspended processes. Each has
+    /// its guaranteed minimum.
     pub max_gateways: usize,
-    /// How long a lease lasts by the leader's clock.
+    /// The duration of a lease by the leader's clock.
     pub lease_duration: TimeDelta,
-    /// How long a vote lasts by the voter's clock.
+    /// The duration of a vote by the voter's clock.
     pub term_duration: TimeDelta,
-    /// How often leases and votes are renewed.
+    /// The interval at which leases and votes are renewed.
     pub renew_interval: TimeDelta,
-    /// Clocks run fast or slow by this many millionths at most.
+    /// The largest drift of any clock, fast or slow, in millionths.
     pub drift_ppm: u32,
-    /// What accrues in this time can be saved to be spent at once.
+    /// The burst time: a gateway saves at most what accrues in this time.
     pub burst: TimeDelta,
-    /// Mechanisms that the model search switches off; none in a gateway.
+    /// The safety mechanisms that the model search disables; a gateway disables none.
     pub fault_injection: FaultInjection,
 }
 
-/// Why a [`Config`] cannot be used.
+/// The reason why a [`Config`] is invalid.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum ConfigError {
     /// There is no budget, or there are more than [`MAX_BUDGETS`].
     #[error("no budget, or more than {MAX_BUDGETS}")]
     BudgetCount,
-    /// Two budgets have the same name or the same key.
+    /// Two budgets have the same name, or their names have the same key.
     #[error("{0} twice, or two names that cannot be told apart")]
     DuplicateBudget(String),
-    /// The guaranteed minimums of this many gateways sum to more than this budget's capacity.
+    /// The guaranteed minimums of this many gateways sum to more than the capacity of this budget.
     #[error("{0}: floors of {1} gateways are more than the whole")]
     GuaranteesExceedCapacity(String, usize),
-    /// The number of voters is even or more than [`MAX_VOTERS`], or a name stands twice.
+    /// The number of voters is even or larger than [`MAX_VOTERS`], or a voter is named twice.
     #[error("none, an even number, or more than {MAX_VOTERS}: a majority of an odd few chooses")]
     Voters,
-    /// A term is too short beside the renewal interval.
+    /// The term is too short for the renewal interval.
     #[error("at least four times as long as renewing")]
     TermTooShort,
-    /// A lease is too short beside a term.
+    /// The lease is too short for the term and the renewal interval.
     #[error(
         "a lease has to outlast a term and two renewals, or every change of steward leaves floors alone"
     )]
@@ -129,10 +135,11 @@
 }
 
 impl Config {
-    /// Checks that the parts agree with each other.
+    /// Checks that the budgets, the voters and the durations are valid and consistent with each
+    /// other.
     ///
     /// # Errors
-    /// The first part that does not.
+    /// Returns the first violation that is found.
     pub fn validate(&self) -> Result<(), ConfigError> {
         self.validate_budgets()?;
         self.validate_voters()?;
@@ -173,14 +180,16 @@
         if term_s < MIN_RENEWALS_PER_TERM * renew_s {
             return Err(ConfigError::TermTooShort);
         }
-        if self.lease_duration.secs() < term_s + RENEWALS_AFTER_TERM * renew_s {
+        if self.lease_duration.secs() < term_s + MIN_RENEWALS_AFTER_TERM * renew_s {
             return Err(ConfigError::LeaseTooShort);
         }
         Ok(())
     }
 
-    /// How long whoever received a promise may rely on it, by its own clock: the giver counts `duration` in full, and the
-    /// fastest clock of a giver must not be over before the slowest clock of a receiver.
+    /// How long the receiver of a vote or lease may rely on it by its own clock. The granting
+    /// gateway waits for the full `duration` by its own clock, so the result is short enough that
+    /// the slowest allowed receiver clock reaches it before the fastest allowed granting clock
+    /// reaches `duration`.
     #[must_use]
     pub fn shortened_by_drift(&self, duration: TimeDelta) -> TimeDelta {
         if self.fault_injection.ignore_drift {
@@ -190,37 +199,39 @@
         TimeDelta::from_secs(duration.secs() * (1.0 - drift) / (1.0 + drift))
     }
 
-    /// The time of so many renewal intervals.
+    /// The duration of `count` renewal intervals.
     #[must_use]
     pub fn renewals(&self, count: f64) -> TimeDelta {
         TimeDelta::from_secs(self.renew_interval.secs() * count)
     }
 
-    /// What can be leased of a capacity: all but the guaranteed minimum of every gateway that may run.
+    /// The part of a capacity that can be leased: all but the guaranteed minimums of the largest
+    /// number of gateways.
     #[must_use]
     pub fn leasable(&self, capacity: Amount, guaranteed: Amount) -> Amount {
         capacity.saturating_sub(guaranteed.saturating_mul(self.max_gateways))
     }
 
-    /// Votes that elect a leader.
+    /// The number of votes that elect a leader.
     #[must_use]
     pub fn majority(&self) -> usize {
         self.voters.len() / 2 + 1
     }
 
-    /// Whether a gateway of this name elects the leader, and may be it.
+    /// Whether the gateway of this name is a voter, which may vote and become the leader.
     #[must_use]
     pub fn is_voter(&self, name: &Name) -> bool {
         self.voters.contains(name)
     }
 
-    /// The index of the budget of this kind.
+    /// The index of the budget of this kind, or `None` if there is none.
     #[must_use]
     pub fn budget_index(&self, kind: &BudgetKind) -> Option<usize> {
         self.budgets.iter().position(|budget| budget.kind == *kind)
     }
 
-    /// For each budget here, in order, the index of the same budget in `old`.
+    /// For each budget in order, the index of the same budget in `old`, or `None` if `old` does not
+    /// contain it.
     #[must_use]
     pub fn indexes_in(&self, old: &Config) -> Vec<Option<usize>> {
         self.budgets
--- a/crates/quota/src/demand.rs
+++ b/crates/quota/src/demand.rs
@@ -1,28 +1,32 @@
-//! Estimates how much of a budget a gateway would spend a second, from what was wanted of it so far.
+//! Estimates a gateway's demand for a budget, in units per second, from the amounts that it
+//! requested so far.
 
 use admission::interface::Timestamp;
 
-/// The demand is averaged over the shortest of these times, in seconds, in which enough was wanted to tell: where work is
-/// dense a change is told soon, and where it is sparse chance does not move parts.
+/// The time constants, in seconds, of the moving averages. The estimate uses the shortest window
+/// that contains enough requests: frequent requests make a change visible soon, and sparse ones do
+/// not make the shares fluctuate at random.
 ///
-/// With 2 s alone, work that moved to another gateway found half of its budget there (0.51 in use). With 0.4 s alone, parts
-/// of 200 gateways jumped with single statements, and each cut took what was saved (service 0.77 in place of 0.81).
+/// A single 2 s window reacts too slowly: when load moved to another gateway, only 0.51 of the
+/// budget was in use there. A single 0.4 s window is too noisy: the shares of 200 gateways jumped
+/// with single statements, and each reduction discarded saved tokens (a service level of 0.77
+/// instead of 0.81).
 const WINDOWS_S: [f64; 4] = [0.4, 0.8, 3.0, 8.0];
-/// The window of [`WINDOWS_S`] that operators are shown.
-const SHOWN_WINDOW: usize = 2;
-/// An average tells if so many requests fall into its window.
-const MIN_REQUESTS: f64 = 8.0;
+/// The index in [`WINDOWS_S`] of the window that operators are shown.
+const STATUS_WINDOW_INDEX: usize = 2;
+/// The number of requests that a window must contain for its average to be used.
+const MIN_REQUESTS_IN_WINDOW: f64 = 8.0;
 
-/// Exponentially decaying averages of one window.
+/// The exponentially decaying averages of one window.
 #[derive(Clone, Copy, Debug, Default)]
 struct Averages {
-    /// Wanted a second, in the budget's unit, whether or not it could be had.
+    /// The requested amount per second in the budget's unit, whether or not it could be spent.
     amount_per_s: f64,
-    /// How often a second.
+    /// The number of requests per second.
     requests_per_s: f64,
 }
 
-/// The demand for one budget at one gateway.
+/// An estimate of the demand for one budget at one gateway.
 #[derive(Clone, Debug)]
 pub struct DemandEstimator {
     averages: [Averages; WINDOWS_S.len()],
@@ -30,7 +34,7 @@
 }
 
 impl DemandEstimator {
-    /// No demand yet.
+    /// An estimate of zero demand.
     #[must_use]
     pub fn new(now: Timestamp) -> Self {
         DemandEstimator {
@@ -39,7 +43,7 @@
         }
     }
 
-    /// So much is wanted now.
+    /// Records a request for `amount` units at `now`, whether or not they can be spent.
     pub fn record(&mut self, now: Timestamp, amount: f64) {
         let elapsed_s = (now - self.updated).secs().max(0.0);
         self.updated = self.updated.max(now);
@@ -51,12 +55,12 @@
         }
     }
 
-    /// Lets the averages decay until now.
+    /// Lets the averages decay until `now`.
     pub fn decay(&mut self, now: Timestamp) {
         self.record(now, 0.0);
     }
 
-    /// Replaces the estimate by a rate that is known otherwise.
+    /// Replaces the estimate with a rate that the caller determined by other means.
     pub fn set(&mut self, now: Timestamp, amount_per_s: f64) {
         self.averages = [Averages {
             amount_per_s,
@@ -65,19 +69,20 @@
         self.updated = now;
     }
 
-    /// The demand a second: of the shortest window that tells and the next longer one, the larger. A demand that rises is
-    /// seen soon, and a moment without work is not its end.
+    /// The estimated demand in units per second: the larger average of the shortest window that
+    /// contains enough requests and of the next longer one. A rising demand is thus visible soon,
+    /// and a short pause does not count as the end of the demand.
     #[must_use]
     pub fn per_second(&self) -> f64 {
-        let tells = |(averages, window_s): (&Averages, f64)| {
-            averages.requests_per_s * window_s >= MIN_REQUESTS
+        let has_enough_requests = |(averages, window_s): (&Averages, f64)| {
+            averages.requests_per_s * window_s >= MIN_REQUESTS_IN_WINDOW
         };
         let longest = WINDOWS_S.len() - 1;
         let shortest = self
             .averages
             .iter()
             .zip(WINDOWS_S)
-            .position(tells)
+            .position(has_enough_requests)
             .unwrap_or(longest);
         let next_longer = (shortest + 1).min(longest);
         self.averages[shortest..=next_longer]
@@ -86,10 +91,11 @@
             .fold(0.0, f64::max)
     }
 
-    /// What was wanted a second of late, for operators.
+    /// The average demand over the last few seconds in units per second, as shown to operators.
     #[must_use]
-    pub fn shown_per_second(&self, now: Timestamp) -> f64 {
+    pub fn recent_per_second(&self, now: Timestamp) -> f64 {
         let elapsed_s = (now - self.updated).secs().max(0.0);
-        self.averages[SHOWN_WINDOW].amount_per_s * (-elapsed_s / WINDOWS_S[SHOWN_WINDOW]).exp()
+        self.averages[STATUS_WINDOW_INDEX].amount_per_s
+            * (-elapsed_s / WINDOWS_S[STATUS_WINDOW_INDEX]).exp()
     }
 }
--- a/crates/quota/src/fault_injection.rs
+++ b/crates/quota/src/fault_injection.rs
@@ -1,19 +1,25 @@
-//! Fault injection for the model search (`tests/search.rs`): single safety mechanisms switched off, to see that the search
-//! finds what follows. A gateway always runs with [`FaultInjection::default`], which switches off none.
+//! Fault injection for the model search in `tests/search.rs`. It disables single safety mechanisms
+//! to verify that the search detects the resulting violation. A gateway always runs with
+//! [`FaultInjection::default`], which disables none.
 
-/// The safety mechanisms that are switched off.
+/// The safety mechanisms that are disabled.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct FaultInjection {
-    /// A new leader grants at once, without waiting out the leases of an earlier leader.
+    /// A new leader grants leases at once, without waiting for the leases of earlier leaders to
+    /// expire.
     pub skip_lease_wait: bool,
-    /// Leases go by a clock that others set. Only the caller, who hands in the time, heeds this one.
+    /// Leases are timed by a clock that can be set. Only the caller, which passes in the time,
+    /// evaluates this field.
     pub settable_clock: bool,
-    /// A holder goes on spending what a later grant took from it.
+    /// A holder keeps spending what a later grant took away from it.
     pub keep_revoked: bool,
-    /// A holder accepts the answer to an earlier request, and counts its lease from when the answer came.
+    /// A holder accepts the answer to an earlier request, and counts the lease duration from when
+    /// the answer arrived.
     pub accept_stale_grants: bool,
-    /// A voter that just started votes at once, though it may have promised its vote before the restart.
+    /// A voter that has just started votes at once, although it may have granted its vote before a
+    /// restart.
     pub skip_abstention: bool,
-    /// Leases and votes last for their full time, whatever clocks drift.
+    /// Leases and votes are relied on for their full duration, without an allowance for clock
+    /// drift.
     pub ignore_drift: bool,
 }
--- a/crates/quota/src/fleet_quotas.rs
+++ b/crates/quota/src/fleet_quotas.rs
@@ -1,5 +1,5 @@
-//! What one gateway may spend of the budgets that all gateways share: the lease protocol, and for each budget a token
-//! bucket that fills at the guaranteed minimum and the lease.
+//! The budgets that all gateways share, as one gateway spends them: the lease protocol, and one
+//! token bucket per budget whose rate is the guaranteed minimum plus the leased amount.
 
 use std::collections::BTreeMap;
 
@@ -13,27 +13,28 @@
 use crate::status::{BudgetStatus, Status};
 use crate::token_bucket::TokenBucket;
 
-/// The demand is reported this much larger, for what grows until the next lease. What nobody demands is spread over all
-/// holders anyway; a larger reserve would only lie idle where all is short: a quarter left 0.15 of the capacity unused.
+/// The factor by which the reported demand exceeds the estimate, to cover growth until the next
+/// lease. Capacity that nobody demands is distributed to all holders anyway, and a larger reserve
+/// lies idle when a budget is short: a factor of 1.25 left 0.15 of the capacity unused.
 const DEMAND_HEADROOM: f64 = 1.02;
 
-/// One budget at this gateway.
+/// The state of one budget at this gateway.
 #[derive(Clone, Debug)]
 struct BudgetAccount {
     bucket: TokenBucket,
     demand: DemandEstimator,
-    /// Units spent since the start.
+    /// The number of units spent since the start.
     spent: f64,
-    /// Units that accrued since the start.
+    /// The number of units that accrued since the start.
     accrued: f64,
-    /// How often [`FleetQuotas::try_spend`] found too little.
+    /// The number of times that [`FleetQuotas::try_spend`] was refused.
     rejected: u64,
 }
 
 impl BudgetAccount {
     fn new(now: Timestamp, rate: f64, burst: TimeDelta) -> Self {
         BudgetAccount {
-            bucket: TokenBucket::empty(clock_s(now), rate, burst.secs()),
+            bucket: TokenBucket::empty(clock_secs(now), rate, burst.secs()),
             demand: DemandEstimator::new(now),
             spent: 0.0,
             accrued: 0.0,
@@ -53,38 +54,42 @@
     }
 }
 
-/// Counts of messages since the start.
+/// Message counts since the start.
 #[derive(Clone, Debug, Default)]
 pub struct Metrics {
-    /// Messages sent.
+    /// The number of messages sent.
     pub sent: u64,
-    /// Messages received that counted.
+    /// The number of received messages that were accepted.
     pub accepted: u64,
-    /// Messages received that did not count, by reason.
+    /// The number of received messages that were rejected, by reason.
     pub rejected: BTreeMap<RejectReason, u64>,
 }
 
-/// The shared budgets of one gateway. Calls name a budget by its index in [`Config::budgets`].
+/// The shared budgets of one gateway. Methods identify a budget by its index in
+/// [`Config::budgets`].
 ///
-/// `now` is the gateway's own steady clock, which nobody sets and which runs on while the machine sleeps. It does not go
-/// back from one call to the next. Where something is spent it has to be read right there, not at the start of an event
-/// loop's turn: the lease may have expired in between.
+/// `now` is the gateway's own steady clock, which nobody sets and which keeps running while the
+/// machine sleeps. It must not go back from one call to the next. A caller that spends must read
+/// the clock right before the call rather than at the start of an event loop iteration, since the
+/// lease may have expired in between.
 #[derive(Clone, Debug)]
 pub struct FleetQuotas {
     participant: Participant,
     accounts: Vec<BudgetAccount>,
-    /// When demands are reported next: one that moved is told before the next renewal.
+    /// The time of the next demand report. Reports are more frequent than lease renewals, so that a
+    /// changed demand can make the next lease request due earlier.
     next_demand_report: Timestamp,
     metrics: Metrics,
 }
 
-/// Seconds on the steady clock.
-fn clock_s(time: Timestamp) -> f64 {
+/// Converts a time of the steady clock to seconds.
+fn clock_secs(time: Timestamp) -> f64 {
     (time - Timestamp::from_secs(0.0)).secs()
 }
 
 impl FleetQuotas {
-    /// The quotas of a gateway that starts now. `config` was validated; `seed` draws the jitter.
+    /// The quotas of a gateway that starts at `now`. `config` must have been validated, and `seed`
+    /// determines the jitter.
     #[must_use]
     pub fn new(now: Timestamp, id: HolderId, config: Config, seed: u64) -> Self {
         let participant = Participant::new(now, id, config, seed);
@@ -103,45 +108,45 @@
         }
     }
 
-    /// This gateway's part in the lease protocol.
+    /// The state of this gateway in the lease protocol.
     #[must_use]
     pub fn participant(&self) -> &Participant {
         &self.participant
     }
 
-    /// Counts of messages since the start.
+    /// Message counts since the start.
     #[must_use]
     pub fn metrics(&self) -> &Metrics {
         &self.metrics
     }
 
-    /// The index of a budget; none where it is not shared.
+    /// The index of a budget, or `None` if the configuration does not contain it.
     #[must_use]
     pub fn budget_index(&self, kind: &BudgetKind) -> Option<usize> {
         self.participant.config().budget_index(kind)
     }
 
-    /// Messages to be sent.
+    /// Takes the messages that are to be sent.
     pub fn take_outgoing(&mut self) -> Vec<Message> {
         let outgoing = self.participant.take_outgoing();
         self.metrics.sent += outgoing.len() as u64;
         outgoing
     }
 
-    /// Events since the last call.
+    /// Takes the events since the last call.
     pub fn take_events(&mut self) -> Vec<Event> {
         self.participant.take_events()
     }
 
-    /// When [`FleetQuotas::tick`] is due next.
+    /// The time at which [`FleetQuotas::tick`] is due next.
     #[must_use]
     pub fn next_wakeup(&self) -> Timestamp {
         self.participant.next_wakeup().min(self.next_demand_report)
     }
 
-    /// Does what is due by now.
+    /// Does everything that is due at `now`.
     pub fn tick(&mut self, now: Timestamp) {
-        self.settle(now);
+        self.refill_buckets(now);
         let until_next_report = self
             .participant
             .config()
@@ -149,31 +154,32 @@
         self.next_demand_report = now + until_next_report;
         self.report_demands(now);
         self.participant.tick(now);
-        self.settle(now);
+        self.refill_buckets(now);
     }
 
-    /// Takes in a message from a gateway that membership knows and authenticated.
+    /// Decodes and processes a message from a gateway that membership has authenticated.
     pub fn receive(&mut self, now: Timestamp, from: &HolderId, bytes: &[u8]) {
-        self.settle(now);
+        self.refill_buckets(now);
         let received =
             Payload::decode(bytes).and_then(|payload| self.participant.receive(now, from, payload));
         match received {
             Ok(()) => self.metrics.accepted += 1,
             Err(reason) => *self.metrics.rejected.entry(reason).or_default() += 1,
         }
-        self.settle(now);
+        self.refill_buckets(now);
     }
 
-    /// The gateway leaves: its lease goes back to the leader, and only its guaranteed minimums are left to spend.
+    /// Leaves the fleet: returns the lease, after which only the guaranteed minimums can be spent.
     pub fn leave(&mut self, now: Timestamp) {
-        self.settle(now);
+        self.refill_buckets(now);
         self.participant.leave(now);
-        self.settle(now);
+        self.refill_buckets(now);
     }
 
-    /// Changes the budgets, see [`Participant::reconfigure`]. Savings are cut where a rate falls; debts and counts stay.
+    /// Changes the budgets as described at [`Participant::reconfigure`]. Saved tokens are limited
+    /// to the new capacities; debts and counts stay.
     pub fn reconfigure(&mut self, now: Timestamp, config: Config) {
-        self.settle(now);
+        self.refill_buckets(now);
         let old_config = self.participant.config().clone();
         self.participant.reconfigure(now, config);
         let config = self.participant.config();
@@ -193,9 +199,9 @@
         }
     }
 
-    /// Fills each bucket at the rate that held up to the instant at which it changed: a lease that expired while this
-    /// process was suspended ended then, not now.
-    fn settle(&mut self, now: Timestamp) {
+    /// Refills each bucket up to `now` and sets its current rate. The leased rate counts only until
+    /// the lease expired, even if this process was suspended at that time.
+    fn refill_buckets(&mut self, now: Timestamp) {
         let expired = self
             .participant
             .lease_holder()
@@ -204,13 +210,13 @@
             .filter(|expires| *expires <= now);
         for (budget, account) in self.accounts.iter_mut().enumerate() {
             if let Some(expired) = expired
-                && clock_s(expired) > account.bucket.filled_until()
+                && clock_secs(expired) > account.bucket.filled_until()
             {
-                account.accrue_until(clock_s(expired));
+                account.accrue_until(clock_secs(expired));
                 let guaranteed = self.participant.config().budgets[budget].guaranteed;
                 account.bucket.set_rate(guaranteed.units());
             }
-            account.accrue_until(clock_s(now));
+            account.accrue_until(clock_secs(now));
             let rate = self.participant.spendable_rate(now, budget);
             account.bucket.set_rate(rate.units());
         }
@@ -226,9 +232,9 @@
         }
     }
 
-    /// Spends `amount` of a budget if it is there; whether it was.
+    /// Spends `amount` of a budget if the bucket covers it, and returns whether it did.
     pub fn try_spend(&mut self, now: Timestamp, budget: usize, amount: f64) -> bool {
-        self.settle(now);
+        self.refill_buckets(now);
         let account = &mut self.accounts[budget];
         if !account.bucket.covers(amount) {
             account.rejected += 1;
@@ -238,50 +244,52 @@
         true
     }
 
-    /// Whether `amount` of a budget could be spent now.
+    /// Whether `amount` of a budget could be spent at `now`.
     pub fn can_spend(&mut self, now: Timestamp, budget: usize, amount: f64) -> bool {
-        self.settle(now);
+        self.refill_buckets(now);
         self.accounts[budget].bucket.covers(amount)
     }
 
-    /// What may be spent of a budget a second, for callers that keep a bucket of their own by it. They report what they
-    /// spend by [`FleetQuotas::record_spent`].
+    /// What may be spent of a budget per second, for a caller that keeps its own bucket at this
+    /// rate. Such a caller reports what it spends with [`FleetQuotas::record_spent`].
     #[must_use]
     pub fn rate(&self, now: Timestamp, budget: usize) -> f64 {
         self.participant.spendable_rate(now, budget).units()
     }
 
-    /// `amount` of a budget was spent, whether or not it was there.
+    /// Records that `amount` of a budget was spent, whether or not the bucket covers it.
     pub fn record_spent(&mut self, now: Timestamp, budget: usize, amount: f64) {
-        self.settle(now);
+        self.refill_buckets(now);
         self.accounts[budget].spend(amount);
     }
 
-    /// `amount` of a budget is wanted, whether or not it can be had.
+    /// Records that `amount` of a budget is requested, whether or not it can be spent.
     pub fn record_demand(&mut self, now: Timestamp, budget: usize, amount: f64) {
         self.accounts[budget].demand.record(now, amount);
     }
 
-    /// Sets the demand for a budget a second, where it is known otherwise than by [`FleetQuotas::record_demand`].
+    /// Sets the demand for a budget in units per second, for a caller that determines it by other
+    /// means than [`FleetQuotas::record_demand`].
     pub fn set_demand(&mut self, now: Timestamp, budget: usize, amount_per_s: f64) {
         self.accounts[budget].demand.set(now, amount_per_s);
     }
 
-    /// What can be spent now in pieces of one unit: at least 1 where one piece can, otherwise 0.
+    /// The number of units that can be spent at `now` in steps of one unit: at least 1 if one unit
+    /// can be spent, and 0 otherwise.
     pub fn available_units(&mut self, now: Timestamp, budget: usize) -> f64 {
-        self.settle(now);
+        self.refill_buckets(now);
         let bucket = &self.accounts[budget].bucket;
         if bucket.covers(1.0) {
-            // A full bucket of a capacity below one unit still gives one, as a debt.
+            // A full bucket with a capacity below one unit still covers one, which leaves a debt.
             bucket.level().max(1.0)
         } else {
             0.0
         }
     }
 
-    /// All budgets as operators see them.
+    /// The status of all budgets as shown to operators.
     pub fn status(&mut self, now: Timestamp) -> Status {
-        self.settle(now);
+        self.refill_buckets(now);
         let participant = &self.participant;
         let lease = participant.lease_holder().lease(now);
         let budgets = participant
@@ -317,7 +325,7 @@
             guaranteed: budget.guaranteed,
             leased: participant.lease_holder().leased(now, index),
             lease_expires: lease.map(|lease| lease.expires),
-            wanted: account.demand.shown_per_second(now),
+            wanted: account.demand.recent_per_second(now),
             spent: account.spent,
             allowed: account.accrued,
             rejected: account.rejected,
--- a/crates/quota/src/leader.rs
+++ b/crates/quota/src/leader.rs
@@ -1,4 +1,4 @@
-//! A candidate or leader: the votes that it has, until when they make it the leader, and its lease ledger.
+//! The state of a candidate or leader: its votes with their expiration times, and its lease ledger.
 
 use std::collections::BTreeMap;
 
@@ -10,25 +10,28 @@
 use crate::lease_ledger::LeaseLedger;
 use crate::message::{HolderId, LeaseRequest, RequestId};
 
-/// The most vote requests whose answers are awaited: those of some rounds.
-const MAX_OUTSTANDING: usize = 4 * MAX_VOTERS;
+/// The largest number of vote requests that are remembered until they are answered, enough for
+/// several rounds.
+const MAX_OUTSTANDING_VOTE_REQUESTS: usize = 4 * MAX_VOTERS;
 
-/// A vote request that has no answer yet.
+/// A vote request that has not been answered yet.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct OutstandingVoteRequest {
     voter: Name,
     sent: Timestamp,
 }
 
-/// The state of a gateway that asks for votes or was elected.
+/// The state of a candidate or leader.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LeaderState {
-    /// The term that it asks votes for.
+    /// The term for which it requests votes.
     pub term: u64,
-    /// Until when each vote can be relied on: counted from before it was asked for, and shortened by clock drift.
+    /// The expiration time of each voter's vote, counted from when the vote was requested and
+    /// shortened by the clock drift bound.
     votes: BTreeMap<Name, Timestamp>,
     outstanding: BTreeMap<RequestId, OutstandingVoteRequest>,
-    elected: Option<Timestamp>,
+    /// The time of the first majority, or `None` for a candidate that has not been elected.
+    elected_at: Option<Timestamp>,
     ledger: LeaseLedger,
 }
 
@@ -40,24 +43,25 @@
             term,
             votes: BTreeMap::new(),
             outstanding: BTreeMap::new(),
-            elected: None,
+            elected_at: None,
             ledger: LeaseLedger::default(),
         }
     }
 
-    /// A vote request goes to a voter now.
+    /// Records that a vote request is sent to a voter at `now`. When too many requests are
+    /// outstanding, the oldest is forgotten.
     pub fn record_vote_request(&mut self, now: Timestamp, request: RequestId, voter: &Name) {
         let outstanding = OutstandingVoteRequest {
             voter: voter.clone(),
             sent: now,
         };
         self.outstanding.insert(request, outstanding);
-        while self.outstanding.len() > MAX_OUTSTANDING {
+        while self.outstanding.len() > MAX_OUTSTANDING_VOTE_REQUESTS {
             self.outstanding.pop_first();
         }
     }
 
-    /// Counts a vote, new or renewed. One that answers no outstanding request is ignored.
+    /// Counts a new or renewed vote. A vote that does not answer an outstanding request is ignored.
     pub fn record_vote(
         &mut self,
         now: Timestamp,
@@ -74,8 +78,8 @@
         let expires = outstanding.sent + config.shortened_by_drift(config.term_duration);
         let vote = self.votes.entry(voter.clone()).or_insert(expires);
         *vote = (*vote).max(expires);
-        if self.elected.is_none() && self.has_majority(now, config) {
-            self.elected = Some(now);
+        if self.elected_at.is_none() && self.has_majority(now, config) {
+            self.elected_at = Some(now);
         }
     }
 
@@ -84,20 +88,21 @@
         live_votes.count() >= config.majority()
     }
 
-    /// When it was elected, as long as it is the leader.
+    /// The time of the election, or `None` if the gateway is not the leader at `now`.
     #[must_use]
-    pub fn elected(&self, now: Timestamp, config: &Config) -> Option<Timestamp> {
-        self.elected.filter(|_| self.has_majority(now, config))
+    pub fn elected_at(&self, now: Timestamp, config: &Config) -> Option<Timestamp> {
+        self.elected_at.filter(|_| self.has_majority(now, config))
     }
 
-    /// It was elected and is not the leader any more: another may be, so that its ledger is void.
+    /// Whether the gateway was elected and has lost its majority since. Another gateway may have
+    /// been elected by then, so its ledger is void.
     #[must_use]
     pub fn is_deposed(&self, now: Timestamp, config: &Config) -> bool {
-        self.elected.is_some() && !self.has_majority(now, config)
+        self.elected_at.is_some() && !self.has_majority(now, config)
     }
 
-    /// What it leases to a holder from now on, by budget; none where it is not the leader, or the request is not to be
-    /// answered.
+    /// What a holder is leased in answer to a request, by budget. Returns `None` if the gateway is
+    /// not the leader at `now` or the request must not be answered.
     pub fn grant(
         &mut self,
         now: Timestamp,
@@ -105,18 +110,19 @@
         request: &LeaseRequest,
         config: &Config,
     ) -> Option<Vec<Amount>> {
-        let elected = self.elected(now, config)?;
-        // Until then, leases of an earlier leader may be in force that are not in the ledger.
+        let elected_at = self.elected_at(now, config)?;
+        // Before this time, leases of an earlier leader may be in force that the ledger does not
+        // contain.
         let ledger_complete_from = if config.fault_injection.skip_lease_wait {
-            elected
+            elected_at
         } else {
-            elected + config.lease_duration
+            elected_at + config.lease_duration
         };
         self.ledger
             .grant(now, holder, request, ledger_complete_from, config)
     }
 
-    /// The leases that it granted.
+    /// The ledger of granted leases.
     #[must_use]
     pub fn ledger(&self) -> &LeaseLedger {
         &self.ledger
--- a/crates/quota/src/lease_holder.rs
+++ b/crates/quota/src/lease_holder.rs
@@ -1,4 +1,4 @@
-//! The holder's side of the lease protocol: the lease that a gateway has, and the request that it waits to be answered.
+//! The holder's side of the lease protocol: the current lease and the outstanding request.
 
 use admission::interface::{TimeDelta, Timestamp};
 use membership::Name;
@@ -7,34 +7,35 @@
 use crate::config::{Budget, Config};
 use crate::message::{RejectReason, RequestId};
 
-/// After so many unanswered requests a holder looks for another leader.
-const MAX_UNANSWERED: u32 = 2;
+/// The number of unanswered requests after which a holder looks for another leader.
+const MAX_UNANSWERED_REQUESTS: u32 = 2;
 
-/// What a leader granted, by the holder's own order of budgets.
+/// A lease. Amounts are in the order of the budgets in the holder's own configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Lease {
-    /// The request that it was granted for.
+    /// The request that the grant answered.
     pub request: RequestId,
     /// The term of the leader that granted it.
     pub term: u64,
-    /// What may be spent a second beyond the guaranteed minimum, by budget.
+    /// What may be spent per second beyond the guaranteed minimum, by budget.
     pub amounts: Vec<Amount>,
-    /// By the holder's own steady clock, counted from when it sent the request.
+    /// The expiration time by the holder's own steady clock, counted from when the request was
+    /// sent.
     pub expires: Timestamp,
 }
 
-/// A grant as it was received, by the holder's own order of budgets.
+/// A received grant. Amounts are in the order of the budgets in the holder's own configuration.
 #[derive(Clone, Debug)]
 pub struct ReceivedGrant {
     /// The request that it answers.
     pub request: RequestId,
-    /// The leader's term.
+    /// The term of the leader that sent it.
     pub term: u64,
-    /// What is leased of each budget.
+    /// What is leased per second, by budget.
     pub amounts: Vec<Amount>,
 }
 
-/// A request that has no answer yet.
+/// A lease request that has not been answered yet.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct OutstandingRequest {
     sent: Timestamp,
@@ -47,16 +48,16 @@
     last_request: RequestId,
     outstanding: Option<OutstandingRequest>,
     lease: Option<Lease>,
-    /// The gateway that it takes for the leader.
+    /// The presumed leader, or `None` if none is known.
     pub leader: Option<Name>,
-    /// Requests to that leader without an answer.
+    /// The number of requests in a row that were not answered.
     unanswered: u32,
-    /// When the next request is due.
+    /// The time at which the next request is due.
     pub next_request: Timestamp,
 }
 
 impl LeaseHolder {
-    /// A holder without a lease.
+    /// A holder without a lease, whose first request is due at `first_request`.
     #[must_use]
     pub fn new(first_request: Timestamp) -> Self {
         LeaseHolder {
@@ -69,31 +70,33 @@
         }
     }
 
-    /// The lease that it has at `now`. Nothing but this comparison ends the lease of a process that was suspended.
+    /// The lease in force at `now`, or `None`. In a process that was suspended, only this
+    /// comparison reveals that the lease has expired.
     #[must_use]
     pub fn lease(&self, now: Timestamp) -> Option<&Lease> {
         self.lease.as_ref().filter(|lease| now < lease.expires)
     }
 
-    /// The last lease, expired or not.
+    /// The last lease, even if it has expired.
     #[must_use]
     pub fn last_lease(&self) -> Option<&Lease> {
         self.lease.as_ref()
     }
 
-    /// What is leased to it of a budget at `now`.
+    /// What is leased of a budget per second at `now`; zero without a lease in force.
     #[must_use]
     pub fn leased(&self, now: Timestamp, budget: usize) -> Amount {
         self.lease(now)
             .map_or(Amount::ZERO, |lease| lease.amounts[budget])
     }
 
-    /// The next request goes no later than this.
+    /// Makes the next request due at `latest` unless it is due earlier.
     pub fn request_no_later_than(&mut self, latest: Timestamp) {
         self.next_request = self.next_request.min(latest);
     }
 
-    /// A new request goes to this gateway. Answers to any earlier request are rejected from now on.
+    /// Records that a new request is sent to `to`, and returns its number. Answers to earlier
+    /// requests are rejected from now on.
     pub fn start_request(&mut self, now: Timestamp, to: Name) -> RequestId {
         self.last_request = self.last_request.next();
         if self.outstanding.is_some() {
@@ -103,16 +106,18 @@
         self.last_request
     }
 
-    /// Forgets a leader that leaves requests unanswered: any voter may know another.
+    /// Forgets a leader that did not answer several requests, so that the next request goes to any
+    /// voter.
     pub fn forget_silent_leader(&mut self) {
-        if self.unanswered >= MAX_UNANSWERED {
+        if self.unanswered >= MAX_UNANSWERED_REQUESTS {
             self.leader = None;
             self.unanswered = 0;
         }
     }
 
-    /// A voter that was asked names the leader as it knows it. Where that is news, or it knows none, the next request goes
-    /// after `retry_after` at the latest.
+    /// Handles a redirect from the voter that received the outstanding request; other redirects are
+    /// ignored. If the named leader is a different one, or none is named, the next request is due
+    /// at most `retry_after` from now.
     pub fn accept_redirect(
         &mut self,
         now: Timestamp,
@@ -135,11 +140,11 @@
         self.leader = leader;
     }
 
-    /// Replaces the lease by what was granted.
+    /// Replaces the current lease with a granted one.
     ///
     /// # Errors
-    /// [`RejectReason::Unsolicited`] where it does not answer the outstanding request, [`RejectReason::Stale`] where the
-    /// lease has expired on the way.
+    /// Returns [`RejectReason::Unsolicited`] if the grant does not answer the outstanding request,
+    /// and [`RejectReason::Stale`] if the lease expired in transit.
     pub fn accept_grant(
         &mut self,
         now: Timestamp,
@@ -148,7 +153,7 @@
         config: &Config,
     ) -> Result<(), RejectReason> {
         let sent = self
-            .answered_request_sent(now, from, grant.request, config)
+            .answered_request_sent_at(now, from, grant.request, config)
             .ok_or(RejectReason::Unsolicited)?;
         let expires = sent + config.shortened_by_drift(config.lease_duration);
         self.outstanding = None;
@@ -166,8 +171,9 @@
         Ok(())
     }
 
-    /// When the request was sent that a grant answers; none where it answers none that is outstanding.
-    fn answered_request_sent(
+    /// The time at which the answered request was sent, or `None` if the grant does not answer the
+    /// outstanding request.
+    fn answered_request_sent_at(
         &self,
         now: Timestamp,
         from: &Name,
@@ -185,14 +191,18 @@
         }
     }
 
+    /// The amounts of a new lease, limited to what this gateway's own configuration allows to be
+    /// leased.
     fn new_amounts(&self, now: Timestamp, granted: &[Amount], config: &Config) -> Vec<Amount> {
         if config.fault_injection.keep_revoked
             && let Some(lease) = self.lease(now)
         {
-            let both = lease.amounts.iter().zip(granted);
-            return both.map(|(held, granted)| *held.max(granted)).collect();
+            let held_and_granted = lease.amounts.iter().zip(granted);
+            return held_and_granted
+                .map(|(held, granted)| *held.max(granted))
+                .collect();
         }
-        // The leader's file may state a larger capacity than this gateway's own.
+        // The capacity in the leader's configuration may be larger than in this gateway's own.
         let budgets = granted.iter().zip(&config.budgets);
         budgets
             .map(|(amount, budget)| {
@@ -202,12 +212,13 @@
             .collect()
     }
 
-    /// It has no lease from now on.
+    /// Gives up the current lease.
     pub fn release(&mut self) {
         self.lease = None;
     }
 
-    /// Carries the lease over to changed budgets, no more of each than can be leased now.
+    /// Carries the lease over to changed budgets. Each amount is limited to what can be leased of
+    /// the budget under the new configuration.
     pub fn reconfigure(&mut self, old: &Config, new: &Config) {
         let Some(lease) = &mut self.lease else { return };
         let carried_over = |(budget, old_index): (&Budget, Option<usize>)| {
@@ -222,10 +233,10 @@
             .collect();
     }
 
-    /// Checks that the lease is within what can be leased of each budget.
+    /// Checks that the lease covers every budget and does not exceed what can be leased of it.
     ///
     /// # Panics
-    /// It is not.
+    /// Panics if either does not hold.
     pub fn check_invariants(&self, config: &Config) {
         let Some(lease) = &self.lease else { return };
         assert_eq!(
@@ -236,7 +247,7 @@
         for (amount, budget) in lease.amounts.iter().zip(&config.budgets) {
             assert!(
                 *amount <= config.leasable(budget.capacity, budget.guaranteed),
-                "a lease of {} exceeds what can be leased of it",
+                "the lease of budget {} exceeds its leasable amount",
                 budget.name()
             );
         }
--- a/crates/quota/src/lease_ledger/entry.rs
+++ b/crates/quota/src/lease_ledger/entry.rs
@@ -1,4 +1,4 @@
-//! What the leader's ledger holds of one holder.
+//! The leader's record of one holder.
 
 use admission::interface::Timestamp;
 
@@ -7,54 +7,63 @@
 use crate::config::Config;
 use crate::message::{BudgetDemand, LeaseRequest, RequestId};
 
-/// A holder that sent no request for so many renewal intervals has no demand. What it holds stays reserved until its lease
-/// expires.
+/// The number of renewal intervals without a request after which a holder's demand no longer
+/// counts. The amounts that it holds stay reserved until its lease expires.
 const IDLE_AFTER_RENEWALS: f64 = 2.5;
-/// A lease as the leader counts it.
+
+/// A lease that the leader has granted or taken over from an earlier leader.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct IssuedLease {
+    /// The lease request for which it was granted.
     pub(super) request: RequestId,
+    /// What is leased of each budget, in the order of the leader's configuration.
     pub(super) amounts: Vec<Amount>,
-    /// By the leader's clock: the holder's lease is over by then at the latest.
+    /// The time by the leader's clock at which the holder is certain to regard the lease as
+    /// expired, given the bound on clock drift.
     pub(super) expires: Timestamp,
 }
 
-/// What a holder's file says of a budget.
+/// The capacity and the guaranteed minimum of one budget in a holder's configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub(super) struct StatedBudget {
+pub(super) struct ConfiguredBudget {
     pub(super) capacity: Amount,
     pub(super) guaranteed: Amount,
 }
 
-/// What the leader knows of one holder. Vectors are by the leader's own order of budgets.
+/// The leader's record of one holder. Vectors have one element per budget, in the order of the
+/// leader's configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct LedgerEntry {
     pub(super) last_request: RequestId,
     pub(super) last_heard: Timestamp,
     pub(super) demands: Vec<Amount>,
-    pub(super) stated: Vec<StatedBudget>,
-    /// Leases that the holder may spend by: the one that it says it has, and the one on its way to it.
+    /// The budgets in the holder's configuration.
+    pub(super) budgets: Vec<ConfiguredBudget>,
+    /// The leases that the holder may be using: the one that it reported, and the one that was
+    /// granted in answer and may still be in transit.
     pub(super) leases: Vec<IssuedLease>,
     pub(super) clock: ClockComparison,
-    /// It returned its lease. The entry stays so that an earlier request of it that comes late is recognised.
-    pub(super) left: bool,
+    /// The holder has returned its lease. The entry is kept so that a delayed earlier request of
+    /// the same holder is recognized.
+    pub(super) has_left: bool,
 }
 
 impl LedgerEntry {
-    /// A holder that sends its first request.
+    /// The entry for a holder whose first request arrives at `now`.
     pub(super) fn new(now: Timestamp, first_request: RequestId) -> Self {
         LedgerEntry {
             last_request: first_request,
             last_heard: now,
             demands: Vec::new(),
-            stated: Vec::new(),
+            budgets: Vec::new(),
             leases: Vec::new(),
             clock: ClockComparison::default(),
-            left: false,
+            has_left: false,
         }
     }
 
-    /// Takes in a request and what it reports of each budget.
+    /// Records a request and what it reports of each budget, and drops the leases that the holder
+    /// can no longer use.
     pub(super) fn record_request(
         &mut self,
         now: Timestamp,
@@ -64,24 +73,25 @@
     ) {
         debug_assert!(
             request.request >= self.last_request,
-            "the numbers of a holder's requests rise"
+            "a holder's request numbers never decrease"
         );
         self.last_request = request.request;
         self.last_heard = now;
-        self.left = request.leaving;
+        self.has_left = request.leaving;
         self.clock.observe(now, request, config);
         self.demands = reported
             .iter()
             .map(|budget| budget.demand.min(Amount::MAX))
             .collect();
-        self.stated = reported
+        self.budgets = reported
             .iter()
-            .map(|budget| StatedBudget {
+            .map(|budget| ConfiguredBudget {
                 capacity: budget.capacity.min(Amount::MAX),
                 guaranteed: budget.guaranteed,
             })
             .collect();
-        // The holder accepts no grant any more but one for this request: all but the lease that it has are void.
+        // From now on the holder accepts only the grant that answers this request, so every lease
+        // but the one that it reported is void.
         self.leases
             .retain(|lease| now < lease.expires && Some(lease.request) == request.held_lease);
         if request.leaving {
@@ -89,7 +99,7 @@
         }
     }
 
-    /// The most that the holder may hold of a budget.
+    /// The largest amount of a budget that the holder may be using at `now`.
     pub(super) fn reserved(&self, now: Timestamp, budget: usize) -> Amount {
         let in_force = self.leases.iter().filter(|lease| now < lease.expires);
         in_force
@@ -98,20 +108,23 @@
             .unwrap_or(Amount::ZERO)
     }
 
+    /// The amount of a budget in the latest lease, or zero if there is none.
     pub(super) fn last_granted(&self, budget: usize) -> Amount {
         self.leases
             .last()
             .map_or(Amount::ZERO, |lease| lease.amounts[budget])
     }
 
-    /// What it stated of its budgets counts.
-    pub(super) fn is_current(&self, now: Timestamp, config: &Config) -> bool {
-        now - self.last_heard < config.lease_duration && !self.left
+    /// Whether the holder's configuration counts: it sent a request within one lease duration and
+    /// has not left.
+    pub(super) fn has_current_config(&self, now: Timestamp, config: &Config) -> bool {
+        now - self.last_heard < config.lease_duration && !self.has_left
     }
 
-    /// Its demand counts.
+    /// Whether the holder's demand counts: it sent a request recently, has not left, and its clock
+    /// is within the drift bound.
     pub(super) fn is_active(&self, now: Timestamp, config: &Config) -> bool {
-        let asked_lately = now - self.last_heard < config.renewals(IDLE_AFTER_RENEWALS);
-        asked_lately && !self.left && !self.clock.exceeds_bound()
+        let requested_recently = now - self.last_heard < config.renewals(IDLE_AFTER_RENEWALS);
+        requested_recently && !self.has_left && !self.clock.exceeds_bound()
     }
 }
--- a/crates/quota/src/lease_ledger/mod.rs
+++ b/crates/quota/src/lease_ledger/mod.rs
@@ -1,4 +1,5 @@
-//! The leader's ledger: what each holder may hold at most, and how much is left to lease to others.
+//! The leader's ledger: how much of each budget every holder may be using, and how much is left to
+//! lease.
 
 mod entry;
 
@@ -12,45 +13,47 @@
 use crate::max_min::max_min_fair;
 use crate::message::{BudgetDemand, HolderId, LeaseRequest, RequestId};
 
-use entry::{IssuedLease, LedgerEntry, StatedBudget};
+use entry::{ConfiguredBudget, IssuedLease, LedgerEntry};
 
-/// From one grant to the next, a holder's part falls to this fraction at most, so that a demand that comes and goes moves
-/// the parts of others slowly.
-const MAX_FALL_DIVISOR: u64 = 2;
-/// A holder is forgotten after so many lease durations without a request.
+/// From one grant to the next, a holder's share shrinks at most to its previous value divided by
+/// this number, so that a fluctuating demand changes the other holders' shares slowly.
+const MAX_DECREASE_DIVISOR: u64 = 2;
+/// The number of lease durations without a request after which a holder is removed.
 const FORGET_AFTER_LEASES: f64 = 2.0;
-/// The most holders, as a multiple of the gateways that may run: a restarted gateway is another holder.
-const HOLDERS_PER_GATEWAY: usize = 2;
+/// The largest number of ledger entries per gateway that may run. There can be more than one,
+/// because a restarted gateway is a new holder.
+const MAX_HOLDERS_PER_GATEWAY: usize = 2;
 
-/// Whether the ledger has every lease that is in force.
+/// Whether the ledger contains every lease that is in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Coverage {
+    /// The ledger contains every lease that is in force.
     Complete,
-    /// Leases of an earlier leader may be in force beside those in the ledger.
+    /// Leases of an earlier leader may be in force that the ledger does not contain.
     Partial,
 }
 
-/// What a holder has of one budget, as the leader knows it.
+/// The state of one budget at one holder, as the leader knows it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Holding {
     /// The holder.
     pub holder: HolderId,
-    /// What it last asked for, a second.
+    /// The demand that it last reported, per second.
     pub demand: Amount,
-    /// The most that it may hold.
+    /// The largest amount per second that it may be using.
     pub reserved: Amount,
-    /// When that is over; none where it has no lease.
+    /// The time at which the holder's last lease expires; `None` if it has no lease.
     pub expires: Option<Timestamp>,
-    /// Its file says otherwise of the budget than the leader's.
+    /// Whether the holder's configuration of the budget differs from the leader's.
     pub config_differs: bool,
 }
 
-/// A gateway whose file says otherwise of a budget than the leader's.
+/// A gateway whose configuration of a budget differs from the leader's.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct DifferingBudget {
-    /// The gateway.
+    /// The name of the gateway.
     pub gateway: Name,
-    /// The budget's index in the leader's configuration.
+    /// The index of the budget in the leader's configuration.
     pub budget: usize,
 }
 
@@ -61,11 +64,12 @@
 }
 
 impl LeaseLedger {
-    /// Records a request and what is leased for it, by budget; none where it is not to be answered: it came after a later
-    /// one, it returns a lease, or there are too many holders.
+    /// Records a request and returns what is leased in answer, by budget. Returns `None` if the
+    /// request must not be answered: it is older than one already recorded, it returns a lease, or
+    /// the ledger is full.
     ///
-    /// Before `complete_from`, leases of an earlier leader may be in force that are not in the ledger. Until then no part
-    /// grows: a holder is granted at most what it says it holds.
+    /// Before `complete_from`, leases of an earlier leader may be in force that the ledger does not
+    /// contain. Until then no share grows: a holder is granted at most what it reported to hold.
     pub fn grant(
         &mut self,
         now: Timestamp,
@@ -109,7 +113,7 @@
     fn accepts(&self, holder: &HolderId, request: &LeaseRequest, config: &Config) -> bool {
         match self.entries.get(holder) {
             Some(entry) => request.request > entry.last_request,
-            None => self.entries.len() < HOLDERS_PER_GATEWAY * config.max_gateways,
+            None => self.entries.len() < MAX_HOLDERS_PER_GATEWAY * config.max_gateways,
         }
     }
 
@@ -128,7 +132,8 @@
         entry.record_request(now, request, reported, config);
     }
 
-    /// Takes over the lease that a holder says it has of an earlier leader, within what can be leased.
+    /// Records the lease that a holder reports to have from an earlier leader, limited to what is
+    /// available.
     fn adopt_lease(
         &mut self,
         now: Timestamp,
@@ -169,27 +174,29 @@
         }
     }
 
-    /// The capacity of a budget that counts: the least of the leader's file and of the other voters' files.
+    /// The capacity of a budget in force: the smallest among the leader's and the other voters'
+    /// configurations.
     fn capacity_in_force(&self, now: Timestamp, budget: usize, config: &Config) -> Amount {
         self.entries
             .iter()
             .filter(|(holder, entry)| {
-                config.is_voter(&holder.name) && entry.is_current(now, config)
+                config.is_voter(&holder.name) && entry.has_current_config(now, config)
             })
-            .map(|(_, entry)| entry.stated[budget].capacity)
+            .map(|(_, entry)| entry.budgets[budget].capacity)
             .fold(config.budgets[budget].capacity, Amount::min)
     }
 
-    /// What all leases of a budget may sum to. Guaranteed minimums need no lease; where a holder's file states a larger one
-    /// than the leader's, the excess is taken off here.
+    /// The largest sum of all leases of a budget. Guaranteed minimums are excluded, since they need
+    /// no lease. If a holder is configured with a larger guaranteed minimum than the leader, the
+    /// excess is subtracted too.
     fn leasable(&self, now: Timestamp, budget: usize, config: &Config) -> Amount {
         let guaranteed = config.budgets[budget].guaranteed;
         let capacity = self.capacity_in_force(now, budget, config);
         let excess: Amount = self
             .entries
             .values()
-            .filter(|entry| entry.is_current(now, config))
-            .map(|entry| entry.stated[budget].guaranteed.saturating_sub(guaranteed))
+            .filter(|entry| entry.has_current_config(now, config))
+            .map(|entry| entry.budgets[budget].guaranteed.saturating_sub(guaranteed))
             .sum();
         config.leasable(capacity, guaranteed).saturating_sub(excess)
     }
@@ -222,26 +229,26 @@
             Coverage::Partial => available.min(entry.reserved(now, budget)),
         };
         let last_granted = entry.last_granted(budget);
-        // Where the capacity shrank, parts fall at once.
+        // If the capacity shrank, a share may fall by any amount at once.
         let capacity_shrank = reserved_by_others + last_granted > leasable;
         let lower_bound = if capacity_shrank {
             Amount::ZERO
         } else {
-            Amount(last_granted.0 / MAX_FALL_DIVISOR)
+            Amount(last_granted.0 / MAX_DECREASE_DIVISOR)
         };
         let amount = self
-            .fair_part(now, holder, budget, leasable, config)
+            .fair_share(now, holder, budget, leasable, config)
             .max(lower_bound)
             .min(upper_bound);
         debug_assert!(
             amount == Amount::ZERO || reserved_by_others + amount <= leasable,
-            "all leases of a budget sum to at most what can be leased of it"
+            "the leases of a budget never sum to more than its leasable amount"
         );
         amount
     }
 
-    /// The holder's part of a budget by the demands of all active holders.
-    fn fair_part(
+    /// The holder's max-min fair share of a budget, given the demands of all active holders.
+    fn fair_share(
         &self,
         now: Timestamp,
         holder: &HolderId,
@@ -258,23 +265,23 @@
             .iter()
             .map(|(_, entry)| entry.demands[budget])
             .collect();
-        let parts = max_min_fair(leasable, &demands);
+        let shares = max_min_fair(leasable, &demands);
         active
             .iter()
             .position(|(other, _)| *other == holder)
-            .map_or(Amount::ZERO, |index| parts[index])
+            .map_or(Amount::ZERO, |index| shares[index])
     }
 
-    /// Budgets of which current holders' files say otherwise than the leader's.
+    /// The budgets for which the configuration of a current holder differs from the leader's.
     #[must_use]
     pub fn differing_budgets(&self, now: Timestamp, config: &Config) -> BTreeSet<DifferingBudget> {
         let mut differing = BTreeSet::new();
         for (holder, entry) in &self.entries {
-            if !entry.is_current(now, config) {
+            if !entry.has_current_config(now, config) {
                 continue;
             }
             for budget in 0..config.budgets.len() {
-                if entry.stated[budget] != stated_by(config, budget) {
+                if entry.budgets[budget] != configured_budget(config, budget) {
                     differing.insert(DifferingBudget {
                         gateway: holder.name.clone(),
                         budget,
@@ -285,33 +292,33 @@
         differing
     }
 
-    /// Gateways whose clocks drift further than allowed. They are leased nothing.
+    /// The gateways whose clocks drift further than allowed. They are leased nothing.
     pub fn drifting_gateways(&self) -> impl Iterator<Item = &Name> {
         self.entries
             .iter()
-            .filter(|(_, entry)| entry.clock.exceeds_bound() && !entry.left)
+            .filter(|(_, entry)| entry.clock.exceeds_bound() && !entry.has_left)
             .map(|(holder, _)| &holder.name)
     }
 
-    /// What each holder has of a budget.
+    /// The state of a budget at every holder that has not left.
     #[must_use]
     pub fn holdings(&self, now: Timestamp, budget: usize, config: &Config) -> Vec<Holding> {
-        let own_statement = stated_by(config, budget);
+        let own_budget = configured_budget(config, budget);
         self.entries
             .iter()
-            .filter(|(_, entry)| !entry.left)
+            .filter(|(_, entry)| !entry.has_left)
             .map(|(holder, entry)| Holding {
                 holder: holder.clone(),
                 demand: entry.demands[budget],
                 reserved: entry.reserved(now, budget),
                 expires: entry.leases.iter().map(|lease| lease.expires).max(),
-                config_differs: entry.stated[budget] != own_statement,
+                config_differs: entry.budgets[budget] != own_budget,
             })
             .collect()
     }
 
-    /// Carries what is known over to changed budgets. Of a new budget nothing is demanded or leased, and it counts as
-    /// stated alike.
+    /// Carries the ledger over to changed budgets. For a new budget nothing is demanded or leased
+    /// yet, and every holder is assumed to have the same configuration as the leader.
     pub fn reconfigure(&mut self, old: &Config, new: &Config) {
         let old_indexes = new.indexes_in(old);
         let carry_over = |amounts: &[Amount]| -> Vec<Amount> {
@@ -322,12 +329,12 @@
         };
         for entry in self.entries.values_mut() {
             entry.demands = carry_over(&entry.demands);
-            entry.stated = old_indexes
+            entry.budgets = old_indexes
                 .iter()
                 .enumerate()
                 .map(|(budget, index)| match index {
-                    Some(index) => entry.stated[*index],
-                    None => stated_by(new, budget),
+                    Some(index) => entry.budgets[*index],
+                    None => configured_budget(new, budget),
                 })
                 .collect();
             for lease in &mut entry.leases {
@@ -336,19 +343,23 @@
         }
     }
 
-    /// Checks that what is known of each holder covers each budget.
+    /// Checks that the ledger is bounded and that every entry covers all budgets.
     ///
     /// # Panics
-    /// It does not.
+    /// Panics if either does not hold.
     pub fn check_invariants(&self, config: &Config) {
         let budgets = config.budgets.len();
         assert!(
-            self.entries.len() <= HOLDERS_PER_GATEWAY * config.max_gateways,
-            "the ledger is bounded"
+            self.entries.len() <= MAX_HOLDERS_PER_GATEWAY * config.max_gateways,
+            "the ledger holds at most MAX_HOLDERS_PER_GATEWAY entries per gateway"
         );
         for entry in self.entries.values() {
             assert_eq!(entry.demands.len(), budgets, "a demand for each budget");
-            assert_eq!(entry.stated.len(), budgets, "a statement of each budget");
+            assert_eq!(
+                entry.budgets.len(),
+                budgets,
+                "a configured budget for each budget"
+            );
             for lease in &entry.leases {
                 assert_eq!(lease.amounts.len(), budgets, "an amount for each budget");
             }
@@ -356,16 +367,18 @@
     }
 }
 
-fn stated_by(config: &Config, budget: usize) -> StatedBudget {
+/// The capacity and the guaranteed minimum of a budget in `config`.
+fn configured_budget(config: &Config, budget: usize) -> ConfiguredBudget {
     let budget = &config.budgets[budget];
-    StatedBudget {
+    ConfiguredBudget {
         capacity: budget.capacity,
         guaranteed: budget.guaranteed,
     }
 }
 
-/// What a request reports of each budget, by the leader's order. Of a budget that the holder's file lacks, nothing is
-/// demanded or held, and it counts as stated alike.
+/// What a request reports of each budget, in the order of the leader's configuration. For a budget
+/// that is missing from the request nothing is demanded or held, and the holder is assumed to have
+/// the same configuration as the leader.
 fn reported_budgets(request: &LeaseRequest, config: &Config) -> Vec<BudgetDemand> {
     let reported = |budget: &Budget| {
         let key = budget.key();
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -1,22 +1,28 @@
-//! Budgets that all gateways share, divided among them by leases: the leases of a budget never sum to more than its
-//! capacity. Pure: messages and time in; messages, events and the next wake-up time out. Nothing here does I/O.
+//! Budgets that all gateways share and divide among themselves by leases. The leases and guaranteed
+//! minimums of a budget never sum to more than its capacity. The crate performs no I/O: callers
+//! pass in messages and the time, and take out messages, events and the time of the next wake-up.
 //!
-//! The voters, an odd number of named gateways, elect a leader for a term. Every gateway is a holder: it asks the leader
-//! for a lease of what it needs, renews it, and may spend by it until it expires. Beside its lease each gateway has a
-//! guaranteed minimum of every budget.
+//! The voters, an odd number of named gateways, elect a leader for a term. Every gateway is a
+//! holder: it requests from the leader a lease that covers its demand, renews the lease, and may
+//! spend under it until the lease expires. In addition to its lease, each gateway has a guaranteed
+//! minimum of every budget.
 //!
-//! What may be spent rests on leases and on each gateway's own steady clock, not on which gateways are thought to be up:
-//! docs/notes/shares.md says why the sum holds through loss, partitions, kills and suspended processes.
+//! Spending depends on leases and on each gateway's own steady clock, not on which gateways
+//! membership considers alive. `docs/notes/shares.md` explains why the sum stays within the
+//! capacity through message loss, partitions, kills and suspended processes.
 //!
-//! | module | what it is |
+//! | module | content |
 //! | --- | --- |
-//! | [`fleet_quotas`] | what a gateway uses: spending, demand, messages in and out |
-//! | [`participant`] | one gateway's part in the protocol |
-//! | [`voter`], [`leader`], [`lease_ledger`], [`lease_holder`] | its roles |
+//! | [`fleet_quotas`] | the interface for a gateway: spending, demand, incoming and outgoing messages |
+//! | [`participant`] | the state machine of one gateway in the lease protocol |
+//! | [`voter`], [`leader`], [`lease_ledger`], [`lease_holder`] | the roles in the protocol |
 //! | [`message`] | the wire format |
-//! | [`max_min`] | how a capacity is divided by demand |
-//! | [`config`] | budgets, voters and times, validated |
-//! | [`fault_injection`] | for the model search alone |
+//! | [`max_min`] | the division of a capacity by demand |
+//! | [`clock_drift`] | the detection of holders whose clocks drift too far |
+//! | [`demand`], [`token_bucket`], [`amount`] | demand estimation, rate limiting, fixed-point amounts |
+//! | [`status`] | the status for operators |
+//! | [`config`] | the validated configuration of budgets, voters and durations |
+//! | [`fault_injection`] | disabled safety mechanisms, for the model search only |
 
 pub mod amount;
 pub mod clock_drift;
--- a/crates/quota/src/message.rs
+++ b/crates/quota/src/message.rs
@@ -1,6 +1,8 @@
-//! The messages of the lease protocol. Membership's datagrams carry them, authenticate them and drop repeats.
+//! The messages of the lease protocol. Membership carries them in its datagrams, authenticates them
+//! and drops duplicates.
 //!
-//! The encoding is positional: the order of variants and fields and the types of fields are the wire format.
+//! The encoding is positional: the order of variants and fields, and the types of fields, define
+//! the wire format.
 
 use membership::{BootId, Name};
 use serde::{Deserialize, Serialize};
@@ -9,133 +11,138 @@
 use crate::amount::Amount;
 use crate::config::{BudgetKey, MAX_BUDGETS};
 
-/// One process of a gateway. A restart is another holder, since it knows nothing of what the process before it held.
+/// One process of a gateway. A restarted gateway is a new holder, since it does not know what the
+/// previous process held.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct HolderId {
-    /// The gateway's name.
+    /// The name of the gateway.
     pub name: Name,
-    /// Which start of the gateway it is.
+    /// Distinguishes the processes of one gateway.
     pub boot_id: BootId,
 }
 
-/// Numbers a gateway's own requests in ascending order; an answer carries the number of its request.
+/// The number of a request. Each gateway numbers its own requests in ascending order, and an answer
+/// carries the number of its request.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct RequestId(pub u64);
 
 impl RequestId {
-    /// The number after this one.
+    /// The next higher number.
     #[must_use]
     pub fn next(self) -> RequestId {
         RequestId(self.0 + 1)
     }
 }
 
-/// A message and its receiver.
+/// A message with its receiver.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Message {
-    /// The receiver.
+    /// The name of the receiver.
     pub to: Name,
-    /// The content.
+    /// The content of the message.
     pub payload: Payload,
 }
 
 /// The content of a message.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Payload {
-    /// From a candidate or a leader to each voter.
+    /// A request from a candidate or leader to a voter for a new or renewed vote.
     VoteRequest(VoteRequest),
     /// A voter's answer to a vote request.
     Vote(Vote),
-    /// From a candidate or a leader that steps down: votes for it are void.
+    /// A notice from a candidate or leader that steps down: votes for it are void.
     StepDown {
         /// The term that it steps down from.
         term: u64,
     },
-    /// From a holder to the leader.
+    /// A request from a holder to the leader.
     LeaseRequest(LeaseRequest),
     /// The leader's answer to a lease request.
     LeaseGrant(LeaseGrant),
-    /// A voter's answer to a lease request, where it is not the leader.
+    /// A voter's answer to a lease request if the voter is not the leader.
     Redirect {
-        /// The leader as far as the voter knows.
+        /// The leader that the voter knows of, or `None` if it knows none.
         leader: Option<Name>,
     },
 }
 
-/// Asks a voter for its vote, or to renew it.
+/// A request for a voter's vote, or for its renewal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct VoteRequest {
-    /// The term that the vote is for.
+    /// The term for which the vote is requested.
     pub term: u64,
     /// The number of this request.
     pub request: RequestId,
 }
 
-/// Whether a voter votes for the candidate that asked.
+/// A voter's answer to a vote request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Vote {
     /// The vote request that it answers.
     pub request: RequestId,
-    /// The voter votes for the candidate until the term's time is over.
+    /// Whether the vote is granted. A granted vote lasts for one term duration.
     pub granted: bool,
     /// The highest term that the voter knows of.
     pub highest_term: u64,
 }
 
-/// What a holder reports of one budget when it asks for a lease.
+/// A holder's report on one budget in a lease request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct BudgetDemand {
-    /// The budget.
+    /// The key of the budget.
     pub budget: BudgetKey,
-    /// What the holder could spend a second beyond its guaranteed minimum.
+    /// What the holder could spend per second beyond its guaranteed minimum.
     pub demand: Amount,
-    /// What is leased to it now, by whichever leader.
+    /// What is leased to the holder per second, by the current or an earlier leader.
     pub held: Amount,
-    /// The budget's capacity by the holder's file, for comparison.
+    /// The budget's capacity in the holder's configuration, which the leader compares with its own.
     pub capacity: Amount,
-    /// The guaranteed minimum by the holder's file, for comparison.
+    /// The guaranteed minimum in the holder's configuration, which the leader compares with its
+    /// own.
     pub guaranteed: Amount,
 }
 
-/// Asks the leader for a lease, or to renew it.
+/// A request for a new or renewed lease, or the return of a lease.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LeaseRequest {
     /// The number of this request.
     pub request: RequestId,
-    /// The request whose grant is the lease that the holder has. It accepts no answer to an earlier request any more.
+    /// The request whose grant is the holder's current lease; `None` without a lease. Once it has
+    /// sent this request, the holder accepts no answer to an earlier one.
     pub held_lease: Option<RequestId>,
-    /// The holder leaves: it returns its lease and has stopped spending by it.
+    /// The holder returns its lease and no longer spends under it.
     pub leaving: bool,
-    /// The holder's steady clock in milliseconds, by which the leader checks its drift.
+    /// The holder's steady clock in milliseconds, with which the leader measures its drift.
     pub clock_ms: u64,
-    /// The holder's budgets.
+    /// The holder's report on each of its budgets.
     pub budgets: Vec<BudgetDemand>,
 }
 
 /// What is leased of one budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct GrantedAmount {
-    /// The budget.
+    /// The key of the budget.
     pub budget: BudgetKey,
-    /// What may be spent a second beyond the guaranteed minimum.
+    /// What may be spent per second beyond the guaranteed minimum.
     pub amount: Amount,
 }
 
-/// A lease for the time of [`crate::Config::lease_duration`] from when the holder sent its request.
+/// The grant of a lease. The lease lasts for [`crate::Config::lease_duration`] from when the holder
+/// sent its request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LeaseGrant {
     /// The lease request that it answers.
     pub request: RequestId,
-    /// The leader's term.
+    /// The term of the leader that sent it.
     pub term: u64,
-    /// What is leased of each budget of the leader.
+    /// What is leased of each budget in the leader's configuration.
     pub amounts: Vec<GrantedAmount>,
 }
 
 impl LeaseGrant {
-    /// What is leased of a budget; nothing of one that it does not name.
+    /// What is leased of a budget per second; zero for a budget that the grant does not contain.
     #[must_use]
     pub fn amount_of(&self, budget: BudgetKey) -> Amount {
         let granted = self.amounts.iter().find(|granted| granted.budget == budget);
@@ -143,39 +150,41 @@
     }
 }
 
-/// Why a message was rejected.
+/// The reason why a message was rejected.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum RejectReason {
-    /// It cannot be decoded, or holds more budgets than there can be.
+    /// The payload cannot be decoded, or it contains more budgets than allowed.
     #[error("cannot be read")]
     Malformed,
-    /// Its sender or its receiver is no voter.
+    /// The message requires its sender or its receiver to be a voter, and that gateway is not one.
     #[error("from one that is no voter")]
     NotAVoter,
-    /// It answers no outstanding request.
+    /// The message does not answer an outstanding request.
     #[error("an answer to nothing that was asked")]
     Unsolicited,
-    /// It is older than one already accepted, or came after its lease had expired.
+    /// The request is no newer than one that was already recorded, or the granted lease expired in
+    /// transit.
     #[error("older than one before it")]
     Stale,
 }
 
 impl Payload {
-    /// The bytes to be sent.
+    /// Encodes the payload.
     ///
     /// # Panics
-    /// Never: encoding plain values into memory does not fail.
+    /// Never panics: the encoding of plain values into memory cannot fail.
     #[must_use]
     pub fn encode(&self) -> Vec<u8> {
         postcard::to_allocvec(self).expect("plain values encode")
     }
 
-    /// The payload that these bytes are, all of them.
+    /// Decodes a payload, which must take up all of `bytes`.
     ///
     /// # Errors
-    /// [`RejectReason::Malformed`].
+    /// Returns [`RejectReason::Malformed`] if the bytes are not exactly one payload or contain more
+    /// than [`MAX_BUDGETS`] budgets.
     pub fn decode(bytes: &[u8]) -> Result<Self, RejectReason> {
-        let (payload, rest) =
+        let (payload, remaining) =
             postcard::take_from_bytes::<Payload>(bytes).map_err(|_| RejectReason::Malformed)?;
         let budgets = match &payload {
             Payload::LeaseRequest(request) => request.budgets.len(),
@@ -185,7 +194,7 @@
             | Payload::StepDown { .. }
             | Payload::Redirect { .. } => 0,
         };
-        if budgets > MAX_BUDGETS || !rest.is_empty() {
+        if budgets > MAX_BUDGETS || !remaining.is_empty() {
             return Err(RejectReason::Malformed);
         }
         Ok(payload)
--- a/crates/quota/src/participant/election.rs
+++ b/crates/quota/src/participant/election.rs
@@ -1,4 +1,4 @@
-//! The election of the leader: asking for votes, voting, and stepping down.
+//! Leader election: vote requests, votes and stepping down.
 
 use admission::interface::Timestamp;
 use membership::Name;
@@ -9,25 +9,28 @@
 use crate::splitmix::splitmix64_unit;
 use crate::voter::Voter;
 
-/// A candidate that was not elected after so many rounds of vote requests steps down, so that its votes are free.
+/// The number of vote request rounds without a majority after which a candidate steps down, which
+/// releases the votes that it holds.
 const MAX_VOTE_ROUNDS: u32 = 3;
-/// Renewal intervals between the times at which two voters become candidates, and before a redirected holder asks again.
+/// The delay, in renewal intervals, between the times at which consecutive voters become
+/// candidates. It is also the longest delay after which a holder that was redirected sends its next
+/// request.
 pub(super) const STAGGER_RENEWALS: f64 = 0.5;
-/// Renewal intervals between two rounds of vote requests.
+/// The number of renewal intervals between two rounds of vote requests.
 const RENEWALS_BETWEEN_VOTE_ROUNDS: f64 = 1.0;
-/// Renewal intervals after stepping down before the gateway may be a candidate again: the first and a random part of the
-/// second.
+/// The shortest time, in renewal intervals, between stepping down and the next candidacy.
 const MIN_BACKOFF_RENEWALS: f64 = 1.0;
+/// The range of the random delay, in renewal intervals, that is added to [`MIN_BACKOFF_RENEWALS`].
 const BACKOFF_JITTER_RENEWALS: f64 = 2.0;
-/// Sets the counter of the backoff's jitter apart from others of the same seed.
-const BACKOFF_JITTER_MASK: u64 = 0x5a5a;
+/// Keeps the random numbers of the backoff jitter apart from other random numbers of the same seed.
+const BACKOFF_JITTER_SALT: u64 = 0x5a5a;
 
 impl Participant {
-    /// Becomes a candidate, renews its votes, or gives up, as is due.
+    /// Becomes a candidate, renews the votes or steps down, whichever is due at `now`.
     pub(super) fn tick_election(&mut self, now: Timestamp) {
         let Some(voter) = &self.voter else { return };
         if self.leadership.is_none() {
-            if now >= self.candidate_from(voter) {
+            if now >= self.candidacy_due(voter) {
                 self.leadership = Some(LeaderState::candidate(voter.highest_term() + 1));
                 self.vote_rounds = 0;
                 self.request_votes(now);
@@ -44,9 +47,10 @@
         }
     }
 
-    /// When it becomes a candidate, unless it votes for another before. Voters do so one after the other, in the order of
-    /// their names, so that they don't split the votes.
-    pub(super) fn candidate_from(&self, voter: &Voter) -> Timestamp {
+    /// The time at which this gateway becomes a candidate unless it votes for another gateway
+    /// first. The voters' times are staggered in the order of their names so that they do not split
+    /// the votes.
+    pub(super) fn candidacy_due(&self, voter: &Voter) -> Timestamp {
         let rank = self
             .config
             .voters
@@ -54,17 +58,19 @@
             .position(|name| *name == self.id.name)
             .unwrap_or(0);
         let position = rank as f64 + splitmix64_unit(self.seed, voter.highest_term());
-        self.renewals_after(voter.free_from(), STAGGER_RENEWALS * position)
+        self.renewals_after(voter.vote_available_from(), STAGGER_RENEWALS * position)
             .max(self.next_vote_round)
     }
 
-    /// The candidate that it voted for, where that is another gateway.
-    pub(super) fn voted_for_another(&self, now: Timestamp) -> Option<&Name> {
+    /// The candidate that holds this gateway's vote, or `None` if the vote is free or held by this
+    /// gateway itself.
+    pub(super) fn other_candidate_voted_for(&self, now: Timestamp) -> Option<&Name> {
         let candidate = self.voter.as_ref()?.voted_for(now)?;
         (candidate.name != self.id.name).then_some(&candidate.name)
     }
 
-    /// Asks all voters for their votes, itself first-hand.
+    /// Requests votes from all voters. This gateway's own vote is granted directly, without a
+    /// message.
     fn request_votes(&mut self, now: Timestamp) {
         self.next_vote_round = self.renewals_after(now, RENEWALS_BETWEEN_VOTE_ROUNDS);
         self.vote_rounds += 1;
@@ -78,14 +84,14 @@
                 leadership.record_vote_request(now, request, &voter);
             }
             if voter == self.id.name {
-                self.vote_for_itself(now, term, request);
+                self.vote_for_self(now, term, request);
             } else {
                 self.send(&voter, Payload::VoteRequest(VoteRequest { term, request }));
             }
         }
     }
 
-    fn vote_for_itself(&mut self, now: Timestamp, term: u64, request: RequestId) {
+    fn vote_for_self(&mut self, now: Timestamp, term: u64, request: RequestId) {
         let Some(voter) = &mut self.voter else { return };
         if voter.grant_vote(now, &self.id, term, &self.config) {
             let name = self.id.name.clone();
@@ -103,12 +109,14 @@
         if !was_leader && self.is_leader(now) {
             self.vote_rounds = 0;
             self.record_event(Event::BecameLeader { term });
-            // It is a holder too, and need not wait until its own request is due.
+            // The new leader needs a lease of its own, so it requests one at once instead of at its
+            // next renewal.
             self.holder.request_no_later_than(now);
         }
     }
 
-    /// It is neither leader nor candidate any more. Those who voted for it may vote for another at once.
+    /// Ends the candidacy or leadership and tells the other voters, so that they may vote for
+    /// another candidate at once.
     pub(super) fn step_down(&mut self, now: Timestamp) {
         let Some(leadership) = self.leadership.take() else {
             return;
@@ -122,7 +130,7 @@
         if let Some(voter) = &mut self.voter {
             voter.release(now, &self.id, term);
         }
-        let jitter = splitmix64_unit(self.seed, term ^ BACKOFF_JITTER_MASK);
+        let jitter = splitmix64_unit(self.seed, term ^ BACKOFF_JITTER_SALT);
         let backoff = MIN_BACKOFF_RENEWALS + BACKOFF_JITTER_RENEWALS * jitter;
         self.next_vote_round = self.renewals_after(now, backoff);
     }
@@ -158,8 +166,9 @@
         }
     }
 
-    /// A voter knows of a higher term: this gateway asks for votes of the next one. Whoever voted for it renews its vote
-    /// under a higher term.
+    /// Handles a denied vote. The voter knows of `highest_term`, so the candidacy moves on to the
+    /// term after it; voters that already voted for this gateway renew their votes for the higher
+    /// term.
     fn on_vote_denied(&mut self, highest_term: u64) {
         let Some(voter) = &mut self.voter else { return };
         voter.observe_term(highest_term);
@@ -167,7 +176,10 @@
         if let Some(leadership) = &mut self.leadership
             && leadership.term <= highest_term
         {
-            debug_assert!(leadership.term <= next_term, "terms never fall");
+            debug_assert!(
+                leadership.term <= next_term,
+                "a candidacy never moves to a lower term"
+            );
             leadership.term = next_term;
         }
     }
--- a/crates/quota/src/participant/event.rs
+++ b/crates/quota/src/participant/event.rs
@@ -1,38 +1,41 @@
-//! What a gateway's log is told of the lease protocol.
+//! Events of the lease protocol that a gateway writes to its log.
 
 use membership::Name;
 
-/// The most events kept until they are taken; later ones are dropped.
+/// The largest number of events that are kept until the caller takes them. Further events are
+/// dropped.
 pub(super) const MAX_EVENTS: usize = 64;
 
-/// A change that operators want to know of.
+/// A change of state that operators need to know of.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
     /// This gateway was elected leader.
     BecameLeader {
-        /// Its term.
+        /// The term for which it was elected.
         term: u64,
     },
-    /// It is not the leader any more.
+    /// This gateway is no longer the leader.
     LostLeadership,
-    /// It has a lease, and had none before.
+    /// This gateway received a lease and held none before.
     LeaseAcquired {
         /// The leader that granted it.
         leader: Name,
     },
-    /// Its lease expired without renewal: it has its guaranteed minimums alone.
+    /// This gateway's lease expired without a renewal, so that only its guaranteed minimums remain.
     LeaseExpired,
-    /// Files of some gateways say otherwise of these budgets than the leader's own.
+    /// The configurations of some gateways differ from the leader's in these budgets. Only the
+    /// leader records this event.
     ConfigsDiffer(Vec<ConfigDifference>),
-    /// The clocks of these gateways drift further than allowed: they have their guaranteed minimums alone.
+    /// The clocks of these gateways drift further than allowed, so that only their guaranteed
+    /// minimums remain. Only the leader records this event.
     ClocksDrift(Vec<Name>),
 }
 
-/// A gateway whose file says otherwise of a budget than the leader's.
+/// A gateway whose configuration of a budget differs from the leader's.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ConfigDifference {
-    /// The gateway.
+    /// The name of the gateway.
     pub gateway: Name,
-    /// The budget's name.
+    /// The name of the budget.
     pub budget: String,
 }
--- a/crates/quota/src/participant/leasing.rs
+++ b/crates/quota/src/participant/leasing.rs
@@ -1,4 +1,4 @@
-//! Requesting, granting and accepting leases.
+//! Lease requests and grants, from the holder's and the leader's side.
 
 use admission::interface::Timestamp;
 use membership::Name;
@@ -14,32 +14,36 @@
 };
 use crate::splitmix::splitmix64_unit;
 
-/// Renewal intervals between two lease requests, and the random part on top.
+/// The shortest time, in renewal intervals, between two regular lease requests.
 const MIN_REQUEST_RENEWALS: f64 = 0.9;
+/// The range of the random delay, in renewal intervals, that is added to [`MIN_REQUEST_RENEWALS`].
 const REQUEST_JITTER_RENEWALS: f64 = 0.2;
-/// Sets the counter of the request's jitter apart from others of the same seed.
-const REQUEST_JITTER_MASK: u64 = 0xa5a5;
-/// The most gateways that one event names.
-const MAX_NAMED: usize = 8;
+/// Keeps the random numbers of the request jitter apart from other random numbers of the same seed.
+const REQUEST_JITTER_SALT: u64 = 0xa5a5;
+/// The largest number of entries in one event.
+const MAX_ENTRIES_PER_EVENT: usize = 8;
 
-/// Why a lease request is sent.
+/// The purpose of a lease request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RequestPurpose {
+    /// Requests a new lease or renews the current one.
     Renew,
+    /// Returns the current lease.
     Return,
 }
 
 impl Participant {
-    /// The next lease request goes sooner than with the next renewal: parts move.
+    /// Makes the next lease request due earlier, because a demand or a share has changed.
     pub(super) fn request_lease_soon(&mut self) {
         let earliest = self.renewals_after(self.last_lease_request, MIN_RENEWALS_BETWEEN_REQUESTS);
         self.holder.request_no_later_than(earliest);
     }
 
-    /// Asks the leader for a lease; where none is known, any voter, who may know it.
+    /// Requests a lease from the leader. If no leader is known, the request goes to a random other
+    /// voter, which may redirect it.
     pub(super) fn request_lease(&mut self, now: Timestamp) {
         self.holder.forget_silent_leader();
-        let jitter = splitmix64_unit(self.seed, self.request_counter.0 ^ REQUEST_JITTER_MASK);
+        let jitter = splitmix64_unit(self.seed, self.request_counter.0 ^ REQUEST_JITTER_SALT);
         let renewals = MIN_REQUEST_RENEWALS + REQUEST_JITTER_RENEWALS * jitter;
         self.holder.next_request = self.renewals_after(now, renewals);
         self.request_counter = self.request_counter.next();
@@ -59,12 +63,12 @@
             .iter()
             .filter(|name| **name != self.id.name)
             .collect();
-        let drawn = splitmix64_unit(self.seed, self.request_counter.0);
-        let index = (drawn * others.len() as f64) as usize;
+        let random_unit = splitmix64_unit(self.seed, self.request_counter.0);
+        let index = (random_unit * others.len() as f64) as usize;
         others.get(index).map(|name| (*name).clone())
     }
 
-    /// Returns its lease, and tells the leader, if another gateway is.
+    /// Gives up the lease and, if another gateway is the leader, tells it so.
     pub(super) fn return_lease(&mut self, now: Timestamp) {
         self.holder.release();
         let leader = self
@@ -90,7 +94,7 @@
             budgets,
         };
         if *to == self.id.name {
-            self.grant_to_itself(now, &request);
+            self.grant_to_self(now, &request);
         } else {
             self.send(to, Payload::LeaseRequest(request));
         }
@@ -111,7 +115,7 @@
             .collect()
     }
 
-    fn grant_to_itself(&mut self, now: Timestamp, request: &LeaseRequest) {
+    fn grant_to_self(&mut self, now: Timestamp, request: &LeaseRequest) {
         let id = self.id.clone();
         let Some(amounts) = self.grant_lease(now, &id, request) else {
             return;
@@ -121,7 +125,8 @@
             term: self.leader_term(),
             amounts,
         };
-        // It answers the request made just now, and can be neither unsolicited nor stale.
+        // The grant answers the request that was recorded just now, so it can be neither
+        // unsolicited nor stale.
         let _ = self.accept_grant(now, &id.name, &grant);
     }
 
@@ -131,8 +136,9 @@
             .map_or(0, |leadership| leadership.term)
     }
 
-    /// As the leader, decides what a holder may hold, and reports what it learned of the holders; none where the request is
-    /// not to be answered.
+    /// Decides, as the leader, what `holder` is leased of each budget, and records events about
+    /// holders whose configuration differs or whose clock drifts. Returns `None` if this gateway is
+    /// not the leader or the request must not be answered.
     fn grant_lease(
         &mut self,
         now: Timestamp,
@@ -145,7 +151,7 @@
             .ledger()
             .differing_budgets(now, &self.config)
             .into_iter()
-            .take(MAX_NAMED)
+            .take(MAX_ENTRIES_PER_EVENT)
             .map(|differing| ConfigDifference {
                 gateway: differing.gateway,
                 budget: self.config.budgets[differing.budget].name(),
@@ -154,7 +160,7 @@
         let drifting: Vec<Name> = leadership
             .ledger()
             .drifting_gateways()
-            .take(MAX_NAMED)
+            .take(MAX_ENTRIES_PER_EVENT)
             .cloned()
             .collect();
         self.report_differences(differences);
@@ -185,16 +191,16 @@
         let before = self.leased_amounts(now);
         self.holder.accept_grant(now, from, grant, &self.config)?;
         let after = self.leased_amounts(now);
-        let parts_move = before
+        let share_changed = before
             .iter()
             .zip(&after)
             .zip(&self.demands)
-            .any(|((before, after), demand)| part_moves(*before, *after, *demand));
-        if parts_move {
+            .any(|((before, after), demand)| is_significant_change(*before, *after, *demand));
+        if share_changed {
             self.request_lease_soon();
         }
-        if !self.had_lease {
-            self.had_lease = true;
+        if !self.lease_reported {
+            self.lease_reported = true;
             self.record_event(Event::LeaseAcquired {
                 leader: from.clone(),
             });
@@ -243,12 +249,13 @@
         Ok(())
     }
 
-    /// Names the leader to a holder that asked this voter.
+    /// Answers a lease request that reached a voter instead of the leader, by naming the leader if
+    /// this voter knows it.
     fn redirect(&mut self, now: Timestamp, holder: &Name) -> Result<(), RejectReason> {
         if self.voter.is_none() {
             return Err(RejectReason::NotAVoter);
         }
-        let leader = self.voted_for_another(now).cloned();
+        let leader = self.other_candidate_voted_for(now).cloned();
         self.send(holder, Payload::Redirect { leader });
         Ok(())
     }
@@ -280,9 +287,10 @@
     }
 }
 
-/// Whether a part changed so much that the next request should go soon: a part that fell is free for others once this
-/// gateway reports it, and one that rose and is still short may rise on.
-fn part_moves(before: Amount, after: Amount, demand: Amount) -> bool {
+/// Whether a share changed enough for the next request to be sent early. A share that fell is free
+/// for other gateways only once this gateway reports that it holds less. A share that rose and is
+/// still below the demand may rise further.
+fn is_significant_change(before: Amount, after: Amount, demand: Amount) -> bool {
     let significant = Amount((before.0 as f64 * SIGNIFICANT_CHANGE) as u64);
     let fell = after + significant < before;
     let rose = after > before + significant;
--- a/crates/quota/src/participant/mod.rs
+++ b/crates/quota/src/participant/mod.rs
@@ -1,5 +1,6 @@
-//! One gateway's part in the lease protocol: voter, candidate or leader, and holder of a lease. The model search runs on
-//! this type; what is spent by its leases is in [`crate::fleet_quotas`].
+//! The state machine of one gateway in the lease protocol: it holds a lease, and as a voter it also
+//! votes and may become a candidate and the leader. The model search runs on this type;
+//! [`crate::fleet_quotas`] tracks what is spent under the leases.
 
 mod election;
 mod event;
@@ -20,52 +21,59 @@
 
 pub use event::{ConfigDifference, Event};
 
-/// Where demands or parts move, the next lease request goes sooner, but no sooner than this many renewal intervals after
-/// the last.
+/// The shortest time, in renewal intervals, from one lease request to an early one that is sent
+/// because a demand or a share has changed.
 pub(crate) const MIN_RENEWALS_BETWEEN_REQUESTS: f64 = 0.25;
-/// A demand or a part moved if it changed by this fraction of what it was.
+/// The relative change of a demand or a share that counts as significant.
 const SIGNIFICANT_CHANGE: f64 = 0.25;
-/// The first lease request goes at a random time within this many renewal intervals.
+/// The first lease request is sent at a random time within this many renewal intervals of the
+/// start.
 const FIRST_REQUEST_WITHIN_RENEWALS: f64 = 0.2;
-/// A gateway that has left does nothing; callers that ask when it is due are told a time far off.
+/// The time from the next lease request to the wake-up that is reported for a gateway that has left
+/// the fleet. Such a gateway has nothing to do, so the time is merely long.
 const WAKEUP_AFTER_LEAVING: TimeDelta = TimeDelta::from_micros(3_600_000_000);
 
-/// One gateway's state.
+/// The state of one gateway in the lease protocol.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Participant {
     id: HolderId,
     config: Config,
     seed: u64,
-    /// Only where the configuration names this gateway as a voter.
+    /// `None` unless the configuration names this gateway as a voter.
     voter: Option<Voter>,
-    /// Only while it asks for votes or is the leader.
+    /// `None` unless this gateway is a candidate or the leader.
     leadership: Option<LeaderState>,
     holder: LeaseHolder,
-    /// What it would spend beyond its guaranteed minimums, by budget.
+    /// The current demand beyond the guaranteed minimum, by budget.
     demands: Vec<Amount>,
-    /// The same as in the last lease request.
+    /// The demands that the last lease request reported, by budget.
     reported_demands: Vec<Amount>,
     last_lease_request: Timestamp,
-    /// Numbers its vote requests, and draws the jitter of its lease requests.
+    /// Counts vote requests and lease requests. It numbers the vote requests and provides the
+    /// jitter of the lease requests.
     request_counter: RequestId,
-    /// When it may ask for votes next.
+    /// The earliest time of the next round of vote requests.
     next_vote_round: Timestamp,
-    /// Rounds of vote requests since it became a candidate or was elected.
+    /// The number of vote request rounds since this gateway became a candidate or was elected.
     vote_rounds: u32,
     has_left: bool,
-    /// It has a lease as far as events tell.
-    had_lease: bool,
-    /// As the last event told.
+    /// Whether the last lease event was [`Event::LeaseAcquired`] rather than
+    /// [`Event::LeaseExpired`].
+    lease_reported: bool,
+    /// The differences in the last [`Event::ConfigsDiffer`].
     reported_differences: Vec<ConfigDifference>,
-    /// As the last event told.
+    /// The gateways in the last [`Event::ClocksDrift`].
     reported_drifting: Vec<Name>,
     outgoing: Vec<Message>,
     events: Vec<Event>,
 }
 
 impl Participant {
-    /// A gateway that starts now. `config` was validated. `now` is the gateway's own steady clock, which nobody sets and
-    /// which runs on while the machine sleeps; so in all calls.
+    /// The state of a gateway that starts at `now`. `config` must have been validated, and `seed`
+    /// determines the jitter.
+    ///
+    /// In all methods `now` is this gateway's own steady clock, which nobody sets and which keeps
+    /// running while the machine sleeps.
     #[must_use]
     pub fn new(now: Timestamp, id: HolderId, config: Config, seed: u64) -> Self {
         let voter = config.is_voter(&id.name).then(|| Voter::new(now, &config));
@@ -83,7 +91,7 @@
             next_vote_round: now,
             vote_rounds: 0,
             has_left: false,
-            had_lease: false,
+            lease_reported: false,
             reported_differences: Vec::new(),
             reported_drifting: Vec::new(),
             outgoing: Vec::new(),
@@ -93,7 +101,7 @@
         }
     }
 
-    /// This process.
+    /// The name and boot ID of this gateway process.
     #[must_use]
     pub fn id(&self) -> &HolderId {
         &self.id
@@ -105,70 +113,75 @@
         &self.config
     }
 
-    /// Its side as a holder.
+    /// This gateway's state as a holder.
     #[must_use]
     pub fn lease_holder(&self) -> &LeaseHolder {
         &self.holder
     }
 
-    /// Messages to be sent.
+    /// Takes the messages that are to be sent.
     pub fn take_outgoing(&mut self) -> Vec<Message> {
         std::mem::take(&mut self.outgoing)
     }
 
-    /// Events since the last call.
+    /// Takes the events since the last call.
     pub fn take_events(&mut self) -> Vec<Event> {
         std::mem::take(&mut self.events)
     }
 
-    /// What it may spend of a budget a second now: its guaranteed minimum and its lease.
+    /// What this gateway may spend of a budget per second at `now`: the guaranteed minimum plus the
+    /// leased amount.
     #[must_use]
     pub fn spendable_rate(&self, now: Timestamp, budget: usize) -> Amount {
         self.config.budgets[budget].guaranteed + self.holder.leased(now, budget)
     }
 
-    /// What it would spend of a budget a second beyond its guaranteed minimum.
+    /// Sets what this gateway would spend of a budget per second beyond its guaranteed minimum. A
+    /// significant change makes the next lease request due earlier.
     pub fn set_demand(&mut self, budget: usize, demand: Amount) {
         self.demands[budget] = demand;
         let reported = self.reported_demands[budget];
         let change = reported.0.abs_diff(demand.0) as f64;
-        // Measured against the guaranteed minimum too, or the first statement after a pause would count as a move.
-        let basis = reported + self.config.budgets[budget].guaranteed;
-        if change > basis.0 as f64 * SIGNIFICANT_CHANGE {
+        // The baseline includes the guaranteed minimum; without it, the first statement after an
+        // idle period would count as a significant change.
+        let baseline = reported + self.config.budgets[budget].guaranteed;
+        if change > baseline.0 as f64 * SIGNIFICANT_CHANGE {
             self.request_lease_soon();
         }
     }
 
-    /// Whether it is the leader now.
+    /// Whether this gateway is the leader at `now`.
     #[must_use]
     pub fn is_leader(&self, now: Timestamp) -> bool {
         self.leader_state(now).is_some()
     }
 
-    /// Its state as the leader, as long as it is.
+    /// The leader's state, or `None` if this gateway is not the leader at `now`.
     #[must_use]
     pub fn leader_state(&self, now: Timestamp) -> Option<&LeaderState> {
         let leadership = self.leadership.as_ref()?;
-        leadership.elected(now, &self.config).map(|_| leadership)
+        leadership.elected_at(now, &self.config).map(|_| leadership)
     }
 
-    /// The gateway that it takes for the leader: itself, the one that it voted for, or the one that others named.
+    /// The presumed leader: this gateway, the candidate that it voted for, or the gateway that
+    /// another voter named. `None` if no leader is known.
     #[must_use]
     pub fn leader(&self, now: Timestamp) -> Option<&Name> {
         if self.is_leader(now) {
             return Some(&self.id.name);
         }
-        self.voted_for_another(now).or(self.holder.leader.as_ref())
+        self.other_candidate_voted_for(now)
+            .or(self.holder.leader.as_ref())
     }
 
-    /// When [`Participant::tick`] is due next.
+    /// The time at which [`Participant::tick`] is due next.
     #[must_use]
     pub fn next_wakeup(&self) -> Timestamp {
         if self.has_left {
             return self.holder.next_request + WAKEUP_AFTER_LEAVING;
         }
         let mut next = self.holder.next_request;
-        if self.had_lease
+        if self.lease_reported
             && let Some(lease) = self.holder.last_lease()
         {
             next = next.min(lease.expires);
@@ -176,27 +189,28 @@
         if let Some(voter) = &self.voter {
             next = next.min(match self.leadership {
                 Some(_) => self.next_vote_round,
-                None => self.candidate_from(voter),
+                None => self.candidacy_due(voter),
             });
         }
         next
     }
 
-    /// Does what is due by now.
+    /// Does everything that is due at `now`.
     pub fn tick(&mut self, now: Timestamp) {
         if self.has_left {
             return;
         }
-        self.expire(now);
+        self.end_expired_state(now);
         self.tick_election(now);
         if now >= self.holder.next_request {
             self.request_lease(now);
         }
     }
 
-    /// Ends what time alone has ended. First of all in every call, so that a process that was suspended acts on nothing
-    /// old.
-    fn expire(&mut self, now: Timestamp) {
+    /// Ends a leadership or a lease that has expired. Every public method that changes the state at
+    /// a given time calls this first, so that a process that was suspended does not act on expired
+    /// state.
+    fn end_expired_state(&mut self, now: Timestamp) {
         let is_deposed = self
             .leadership
             .as_ref()
@@ -205,16 +219,16 @@
             self.leadership = None;
             self.record_event(Event::LostLeadership);
         }
-        if self.had_lease && self.holder.lease(now).is_none() {
-            self.had_lease = false;
+        if self.lease_reported && self.holder.lease(now).is_none() {
+            self.lease_reported = false;
             self.record_event(Event::LeaseExpired);
         }
     }
 
-    /// Takes in a message from a gateway that membership knows and authenticated.
+    /// Processes a message from a gateway that membership has authenticated.
     ///
     /// # Errors
-    /// The message changed nothing.
+    /// Returns why the message was rejected, in which case it was not acted on.
     pub fn receive(
         &mut self,
         now: Timestamp,
@@ -224,8 +238,8 @@
         if self.has_left {
             return Ok(());
         }
-        self.expire(now);
-        // Any gateway may request a lease; all else comes from voters alone.
+        self.end_expired_state(now);
+        // Any gateway may request a lease; all other messages come from voters only.
         let is_lease_request = matches!(payload, Payload::LeaseRequest(_));
         if !is_lease_request && !self.config.is_voter(&from.name) {
             return Err(RejectReason::NotAVoter);
@@ -249,20 +263,21 @@
         }
     }
 
-    /// The gateway leaves: it returns its lease and, as a leader, frees its votes for another. Its guaranteed minimums stay
-    /// its own until it has ended.
+    /// Leaves the fleet: returns the lease and, as the leader, releases the votes. The guaranteed
+    /// minimums remain available until the process ends.
     pub fn leave(&mut self, now: Timestamp) {
-        self.expire(now);
+        self.end_expired_state(now);
         self.return_lease(now);
         self.step_down(now);
         self.has_left = true;
     }
 
-    /// Changes the budgets, the renewal interval and the burst. Leases carry over by the budgets' names. Promises that
-    /// others rely on stay as they were given: the voters, the durations, the drift and the number of gateways keep the
-    /// values of the start.
+    /// Changes the budgets, the renewal interval and the burst; leases are carried over by the
+    /// names of the budgets. The voters, the durations, the drift and the number of gateways keep
+    /// their values from the start, because other gateways rely on leases and votes that were
+    /// granted under them.
     pub fn reconfigure(&mut self, now: Timestamp, config: Config) {
-        self.expire(now);
+        self.end_expired_state(now);
         let config = Config {
             lease_duration: self.config.lease_duration,
             term_duration: self.config.term_duration,
@@ -285,10 +300,10 @@
             .collect();
     }
 
-    /// Checks what holds at every instant of this gateway's state.
+    /// Checks the invariants of this gateway's state.
     ///
     /// # Panics
-    /// It does not hold.
+    /// Panics if an invariant does not hold.
     pub fn check_invariants(&self) {
         let budgets = self.config.budgets.len();
         assert_eq!(self.demands.len(), budgets, "a demand for each budget");
@@ -305,7 +320,7 @@
         let highest_term = self.voter.as_ref().map(Voter::highest_term);
         assert!(
             highest_term.is_some_and(|highest| leadership.term <= highest + 1),
-            "only a voter is a candidate, for the next term at most"
+            "only a voter is a candidate, and its term is at most one above the highest known"
         );
     }
 
--- a/crates/quota/src/splitmix.rs
+++ b/crates/quota/src/splitmix.rs
@@ -1,10 +1,12 @@
-//! The finalizer of SplitMix64 (Steele, Lea, Flood, *Fast Splittable Pseudorandom Number Generators*, OOPSLA 2014): jitter
-//! that is the same for the same inputs and needs no state beside them.
+//! The finalizer of SplitMix64 (Steele, Lea and Flood, *Fast Splittable Pseudorandom Number
+//! Generators*, OOPSLA 2014). It provides jitter that depends only on its arguments and needs no
+//! stored state.
 
-/// Multiplies the counter, so that consecutive ones differ in all bits.
+/// The odd constant of SplitMix64 by which the counter is multiplied, so that consecutive counters
+/// differ in many bits.
 const GOLDEN_GAMMA: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// A pseudorandom number between 0 and 1, evenly distributed over counters.
+/// A pseudorandom number between 0 and 1, uniformly distributed over the counters of one seed.
 #[must_use]
 pub(crate) fn splitmix64_unit(seed: u64, counter: u64) -> f64 {
     let mut mixed = seed ^ counter.wrapping_mul(GOLDEN_GAMMA);
--- a/crates/quota/src/status.rs
+++ b/crates/quota/src/status.rs
@@ -1,4 +1,4 @@
-//! The quotas of a gateway as operators see them.
+//! The status of a gateway's quotas, as shown to operators.
 
 use admission::interface::Timestamp;
 use membership::Name;
@@ -6,44 +6,45 @@
 use crate::amount::Amount;
 use crate::lease_ledger::Holding;
 
-/// One budget at one gateway.
+/// The status of one budget at one gateway.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BudgetStatus {
-    /// The budget's name.
+    /// The name of the budget.
     pub budget: String,
-    /// Its unit.
+    /// The unit of the budget.
     pub unit: &'static str,
-    /// What all gateways together may spend a second.
+    /// What all gateways together may spend per second.
     pub capacity: Amount,
-    /// What this gateway may spend a second without a lease.
+    /// What this gateway may spend per second without a lease.
     pub guaranteed: Amount,
-    /// What is leased to it beyond that.
+    /// What this gateway is leased per second beyond the guaranteed minimum.
     pub leased: Amount,
-    /// When the lease expires; none where it has none.
+    /// The time at which the lease expires; `None` without a lease.
     pub lease_expires: Option<Timestamp>,
-    /// Wanted a second of late, whether or not it could be had.
+    /// The recent demand in units per second, whether or not it could be spent.
     pub wanted: f64,
-    /// Spent since the start, in units.
+    /// The number of units spent since the start.
     pub spent: f64,
-    /// What could have been spent since the start, in units.
+    /// The number of units that could have been spent since the start.
     pub allowed: f64,
-    /// How often it was wanted and not there.
+    /// The number of attempts to spend that were refused since the start because too little was
+    /// available.
     pub rejected: u64,
-    /// At the leader: what each holder has. Empty elsewhere.
+    /// The state of the budget at each holder if this gateway is the leader, and empty otherwise.
     pub holdings: Vec<Holding>,
 }
 
-/// All budgets at one gateway.
+/// The status of all budgets at one gateway.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Status {
-    /// This gateway.
+    /// The name of this gateway.
     pub gateway: Name,
-    /// The gateway that it takes for the leader.
+    /// The presumed leader; `None` if no leader is known.
     pub leader: Option<Name>,
-    /// It is the leader itself.
+    /// Whether this gateway is the leader.
     pub is_leader: bool,
-    /// The term of the leader whose lease it has.
+    /// The term of the leader that granted the current lease; `None` without a lease.
     pub term: Option<u64>,
-    /// In the configuration's order.
+    /// The status of each budget, in the order of the configuration.
     pub budgets: Vec<BudgetStatus>,
 }
--- a/crates/quota/src/voter.rs
+++ b/crates/quota/src/voter.rs
@@ -1,14 +1,16 @@
-//! A voter: it promises its vote to one candidate at a time, until the promise expires by its own clock.
+//! A voter. It promises its vote to one candidate at a time, and the promise expires by the voter's
+//! own clock.
 
 use admission::interface::Timestamp;
 
 use crate::config::Config;
 use crate::message::HolderId;
 
-/// A term further ahead than this of all that were heard of is not taken over: it cannot come from a correct voter.
+/// The largest difference between a received term and the highest known one. A term further ahead
+/// cannot come from a correct voter and is ignored.
 const MAX_TERM_LEAD: u64 = 1 << 20;
 
-/// The vote that a voter has given.
+/// The vote that was granted last.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Promise {
     candidate: HolderId,
@@ -19,14 +21,15 @@
 /// The state of a voter.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Voter {
-    /// It may have promised its vote before a restart, and nothing is kept on disk: it gives no vote until then.
+    /// No vote is granted before this time. Votes are not stored on disk, so a restarted voter
+    /// waits until any vote from before the restart has expired.
     abstains_until: Timestamp,
     promise: Option<Promise>,
     highest_term: u64,
 }
 
 impl Voter {
-    /// A voter that starts now.
+    /// The state of a voter that starts at `now`.
     #[must_use]
     pub fn new(now: Timestamp, config: &Config) -> Self {
         let abstains_until = if config.fault_injection.skip_abstention {
@@ -41,13 +44,14 @@
         }
     }
 
-    /// The highest term heard of. Terms rise, so that a holder can tell the later of two leaders.
+    /// The highest known term. Terms only rise, which tells a holder which of two leaders is the
+    /// later one.
     #[must_use]
     pub fn highest_term(&self) -> u64 {
         self.highest_term
     }
 
-    /// Another voter knows of this term.
+    /// Records a term that another voter reported. An implausibly high one is ignored.
     pub fn observe_term(&mut self, term: u64) {
         if self.is_plausible(term) {
             self.highest_term = self.highest_term.max(term);
@@ -58,23 +62,25 @@
         term <= self.highest_term + MAX_TERM_LEAD
     }
 
-    /// The candidate that has its vote now.
+    /// The candidate to which the vote is promised at `now`, or `None` if the vote is free.
     #[must_use]
     pub fn voted_for(&self, now: Timestamp) -> Option<&HolderId> {
         let promise = self.promise.as_ref()?;
         (now < promise.expires).then_some(&promise.candidate)
     }
 
-    /// When it may vote for another candidate, itself among them.
+    /// The time from which the vote can be given to another candidate, which may be this gateway
+    /// itself.
     #[must_use]
-    pub fn free_from(&self) -> Timestamp {
+    pub fn vote_available_from(&self) -> Timestamp {
         match &self.promise {
             Some(promise) => promise.expires.max(self.abstains_until),
             None => self.abstains_until,
         }
     }
 
-    /// Gives or renews its vote; whether it does. The vote lasts for [`Config::term_duration`].
+    /// Grants or renews the vote for a candidate, and returns whether it was granted. The vote
+    /// lasts for [`Config::term_duration`] from `now`.
     pub fn grant_vote(
         &mut self,
         now: Timestamp,
@@ -91,23 +97,26 @@
             .is_some_and(|promise| promise.candidate == *candidate && promise.term <= term);
         if !renews {
             let promised_to_another = self.voted_for(now).is_some();
-            // Grants of a term that was used before may still be on their way.
+            // Grants from an earlier use of the term may still be in transit.
             let term_used = term <= self.highest_term;
             if promised_to_another || term_used {
                 return false;
             }
         }
-        self.promise_to(now, candidate, term, config);
+        self.record_promise(now, candidate, term, config);
         true
     }
 
-    fn promise_to(&mut self, now: Timestamp, candidate: &HolderId, term: u64, config: &Config) {
+    fn record_promise(&mut self, now: Timestamp, candidate: &HolderId, term: u64, config: &Config) {
         if let Some(promise) = &self.promise {
             debug_assert!(
                 promise.candidate == *candidate || promise.expires <= now,
-                "one promise at a time"
+                "a vote is promised to one candidate at a time"
+            );
+            debug_assert!(
+                promise.term <= term,
+                "the term of the promise never decreases"
             );
-            debug_assert!(promise.term <= term, "the terms of promises never fall");
         }
         self.highest_term = self.highest_term.max(term);
         self.promise = Some(Promise {
@@ -117,8 +126,8 @@
         });
     }
 
-    /// A candidate steps down from a term: a promise to it of that term or before is void. One of a later term was given
-    /// after that, and stands.
+    /// Releases the vote of a candidate that steps down from `term`. A vote for a later term was
+    /// granted after the candidate stepped down, so it stays in force.
     pub fn release(&mut self, now: Timestamp, candidate: &HolderId, term: u64) {
         if let Some(promise) = &mut self.promise
             && promise.candidate == *candidate
--- a/crates/quota/tests/golden.rs
+++ b/crates/quota/tests/golden.rs
@@ -1,12 +1,14 @@
-//! Bytes and texts of shared budgets as they were recorded: one of each message that gateways exchange, the names,
-//! units and keys of budgets, and the texts shown for rejections and for a configuration that contradicts itself.
+//! Golden tests of the wire format and of the texts of shared budgets: one payload of each kind,
+//! the names, units and keys of budgets, and the texts of rejections and configuration errors.
 //!
-//! The layouts are positional: a field or variant has no name on the wire, only its place. One that moves, comes between
-//! or leaves makes gateways of two builds misread each other, which breaks a restart of one gateway after another. So
-//! names in the code may change, and these bytes may not. A budget's key follows from its name, so that name stays too.
+//! The encoding is positional: fields and variants have no names on the wire. If one moves, is
+//! added between others or is removed, gateways of two builds misread each other, which breaks
+//! rolling restarts. Identifiers in the code may therefore change, but these bytes may not. A
+//! budget's key is derived from its name, so the name must stay as well.
 //!
-//! A deliberate change is recorded anew by `GOLDEN_RECORD=1 cargo test -p laurelhitch-quota --test golden`, and committed
-//! with its reason; a plain run only compares. Each line of a file is a name and the bytes in hexadecimal digits.
+//! `GOLDEN_RECORD=1 cargo test -p laurelhitch-quota --test golden` records a deliberate change,
+//! whose reason belongs in the commit message. Without that variable, the tests only compare. Each
+//! line of a golden file has an entry name and the bytes in hexadecimal digits.
 
 use std::collections::BTreeSet;
 use std::path::Path;
@@ -17,9 +19,9 @@
     Amount, Budget, BudgetKey, BudgetKind, ConfigError, HolderId, Payload, RejectReason, RequestId,
 };
 
-/// Compares what is made today with what was recorded, each name, each byte and their order, and hands back what was
-/// recorded. With `GOLDEN_RECORD=1` it writes the file first.
-fn compare(file: &str, made: &[(&str, Vec<u8>)]) -> Vec<Vec<u8>> {
+/// Compares the current entries with the recorded ones, including their names and order, and
+/// returns the recorded bytes. With `GOLDEN_RECORD=1` it writes the file first.
+fn compare(file: &str, actual: &[(&str, Vec<u8>)]) -> Vec<Vec<u8>> {
     let path = Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("tests/golden")
         .join(file);
@@ -27,7 +29,7 @@
         let hex: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
         format!("{name} {hex}\n")
     };
-    let lines: Vec<String> = made.iter().map(line).collect();
+    let lines: Vec<String> = actual.iter().map(line).collect();
     if std::env::var("GOLDEN_RECORD").is_ok_and(|word| word == "1") {
         std::fs::create_dir_all(path.parent().unwrap()).unwrap();
         std::fs::write(&path, lines.concat()).unwrap();
@@ -35,15 +37,23 @@
     let recorded =
         std::fs::read_to_string(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()));
     let recorded: Vec<&str> = recorded.split_inclusive('\n').collect();
-    let names: BTreeSet<&str> = made.iter().map(|(name, _)| *name).collect();
-    assert_eq!(names.len(), made.len(), "{file}: a name twice");
-    for (made, recorded) in lines.iter().zip(&recorded) {
+    let names: BTreeSet<&str> = actual.iter().map(|(name, _)| *name).collect();
+    assert_eq!(
+        names.len(),
+        actual.len(),
+        "{file}: an entry name occurs twice"
+    );
+    for (actual, recorded) in lines.iter().zip(&recorded) {
         assert_eq!(
-            made, recorded,
-            "{file}: made today on the left, recorded on the right"
+            actual, recorded,
+            "{file}: the current output (left) differs from the recorded one (right)"
         );
     }
-    assert_eq!(lines.len(), recorded.len(), "{file}: as many lines");
+    assert_eq!(
+        lines.len(),
+        recorded.len(),
+        "{file}: the number of entries differs from the recorded one"
+    );
     let bytes = |line: &&str| {
         let (_, hex) = line.trim_end().split_once(' ').unwrap();
         let byte = |at: usize| u8::from_str_radix(&hex[at..at + 2], 16).unwrap();
@@ -127,7 +137,8 @@
     ]
 }
 
-/// Without a wildcard: a variant that comes needs a line here, and one of its own above.
+/// The match has no wildcard, so that a new variant does not compile without a label here. It needs
+/// an example in `payloads` too.
 fn label(payload: &Payload) -> &'static str {
     match payload {
         Payload::VoteRequest(_) => "vote_request",
@@ -148,20 +159,20 @@
 }
 
 #[test]
-fn messages_of_each_kind_keep_their_bytes_and_are_decoded_again() {
+fn payloads_match_their_golden_bytes_and_round_trip() {
     let payloads = payloads();
-    let made: Vec<(&str, Vec<u8>)> = payloads
+    let actual: Vec<(&str, Vec<u8>)> = payloads
         .iter()
         .map(|payload| (label(payload), payload.encode()))
         .collect();
-    let recorded = compare("words.txt", &made);
+    let recorded = compare("words.txt", &actual);
     for (payload, bytes) in payloads.iter().zip(&recorded) {
         assert_eq!(Payload::decode(bytes).as_ref(), Ok(payload));
     }
 }
 
 #[test]
-fn the_holder_of_a_lease_keeps_its_bytes() {
+fn holder_id_matches_its_golden_bytes_and_round_trips() {
     let holder = HolderId {
         name: name("gate-a"),
         boot_id: BootId(0x0102_0304_0506_0708),
@@ -177,7 +188,7 @@
 }
 
 #[test]
-fn budgets_keep_their_names_units_and_keys() {
+fn budget_names_units_and_keys_match_golden_file() {
     let budget = |kind: BudgetKind| Budget {
         kind,
         capacity: Amount(1_000_000),
@@ -190,7 +201,7 @@
     let budget_name = |budget: &Budget| budget.name().into_bytes();
     let unit = |budget: &Budget| budget.unit().as_bytes().to_vec();
     let key = |budget: &Budget| budget.key().0.to_be_bytes().to_vec();
-    let made = [
+    let actual = [
         ("member_name", budget_name(&tenant)),
         ("member_unit", unit(&tenant)),
         ("member_mark", key(&tenant)),
@@ -204,25 +215,25 @@
         ("cold_unit", unit(&slow_start)),
         ("cold_mark", key(&slow_start)),
     ];
-    compare("budgets.txt", &made);
+    compare("budgets.txt", &actual);
 }
 
 #[test]
-fn what_is_shown_of_rejections_keeps_its_words() {
+fn reject_reason_texts_match_golden_file() {
     let shown = |reason: RejectReason| reason.to_string().into_bytes();
-    let made = [
+    let actual = [
         ("form", shown(RejectReason::Malformed)),
         ("no_voter", shown(RejectReason::NotAVoter)),
         ("unasked", shown(RejectReason::Unsolicited)),
         ("old", shown(RejectReason::Stale)),
     ];
-    compare("refused.txt", &made);
+    compare("refused.txt", &actual);
 }
 
 #[test]
-fn what_is_shown_of_a_faulty_config_keeps_its_words() {
+fn config_error_texts_match_golden_file() {
     let shown = |error: ConfigError| error.to_string().into_bytes();
-    let made = [
+    let actual = [
         ("budgets", shown(ConfigError::BudgetCount)),
         (
             "twice",
@@ -236,17 +247,17 @@
         ("short", shown(ConfigError::TermTooShort)),
         ("lease", shown(ConfigError::LeaseTooShort)),
     ];
-    compare("terms_errors.txt", &made);
+    compare("terms_errors.txt", &actual);
 }
 
 #[test]
-fn what_is_shown_of_amounts_keeps_its_digits() {
+fn formatted_amounts_match_golden_file() {
     let shown = |amount: Amount| amount.to_string().into_bytes();
-    let made = [
+    let actual = [
         ("none", shown(Amount::ZERO)),
         ("a_millionth", shown(Amount(1))),
         ("one_and_a_half", shown(Amount(1_500_000))),
         ("most", shown(Amount::MAX)),
     ];
-    compare("amounts.txt", &made);
+    compare("amounts.txt", &actual);
 }
--- a/crates/quota/tests/random.rs
+++ b/crates/quota/tests/random.rs
@@ -1,44 +1,46 @@
-//! Random fleets of up to fifty gateways with random faults: the sum is checked after every step.
+//! Random faults in random fleets of up to fifty gateways. After every step the test checks that
+//! the sum of what all gateways may spend stays within the capacity.
 
 mod world;
 
 use quota::{Amount, FaultInjection};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use world::{DRIFT_PPM, Delivery, World, config, healthy};
+use world::{DRIFT_PPM, Delivery, World, config, healthy_network};
 
 const STEPS: usize = 60;
-const STEP_LASTS_S: f64 = 0.7;
-const WHOLE_PPM: u64 = 1_000_000;
+const STEP_DURATION_S: f64 = 0.7;
+const CAPACITY_PPM: u64 = 1_000_000;
 const THREADS: u64 = 4;
 
-/// The network between the gateways, as faults left it.
+/// The state of the network between the gateways.
 struct Network {
-    /// Gateways of different groups do not reach each other.
+    /// The group of each gateway. Gateways of different groups cannot reach each other.
     groups: Vec<usize>,
-    /// Part of the messages lost.
-    lost: f64,
-    /// Messages take up to this time.
+    /// The probability that a message is lost.
+    loss_probability: f64,
+    /// The longest delay of a message, in seconds.
     max_delay_s: f64,
-    /// Part of the messages that arrive twice.
-    repeated: f64,
+    /// The probability that a message arrives a second time.
+    duplicate_probability: f64,
 }
 
 impl Network {
     fn heal(&mut self) {
-        self.lost = 0.0;
+        self.loss_probability = 0.0;
         self.max_delay_s = 0.01;
-        self.repeated = 0.0;
+        self.duplicate_probability = 0.0;
     }
 
     fn deliver(&self, from: usize, to: usize, rng: &mut Pcg64Mcg) -> Delivery {
-        let lost = self.groups[from] != self.groups[to] || rng.random::<f64>() < self.lost;
-        let is_repeated = rng.random::<f64>() < self.repeated;
-        let repeated_after_s = is_repeated.then(|| rng.random::<f64>() * 8.0);
+        let lost =
+            self.groups[from] != self.groups[to] || rng.random::<f64>() < self.loss_probability;
+        let is_duplicated = rng.random::<f64>() < self.duplicate_probability;
+        let duplicate_after_s = is_duplicated.then(|| rng.random::<f64>() * 8.0);
         Delivery {
             lost,
             delay_s: rng.random::<f64>() * self.max_delay_s,
-            repeated_after_s,
+            duplicate_after_s,
         }
     }
 }
@@ -55,7 +57,7 @@
     World::new(count, config, |gateway| fast_ppm[gateway])
 }
 
-/// Applies the fault of this number to a gateway or to the network.
+/// Applies the fault with this number to a gateway or to the network.
 fn apply(fault: u32, gateway: usize, world: &mut World, network: &mut Network, rng: &mut Pcg64Mcg) {
     match fault {
         0 => world.kill(gateway),
@@ -66,7 +68,7 @@
         2 => world.gateways[gateway].suspended = true,
         3 => resume_all(world),
         4 => {
-            world.leave(gateway, &mut healthy);
+            world.leave(gateway, &mut healthy_network);
             world.start(gateway);
         }
         5 => {
@@ -76,9 +78,9 @@
         }
         6 => network.groups.fill(0),
         7 => {
-            network.lost = rng.random::<f64>() * 0.5;
+            network.loss_probability = rng.random::<f64>() * 0.5;
             network.max_delay_s = rng.random::<f64>() * 3.0;
-            network.repeated = 0.5;
+            network.duplicate_probability = 0.5;
         }
         8 => network.heal(),
         9 => {
@@ -96,19 +98,19 @@
     }
 }
 
-/// Runs one fleet.
+/// Runs one fleet through random faults and recovery.
 ///
 /// # Errors
-/// What went wrong with it.
+/// Returns a description of the first violation, with the seed and the faults that led to it.
 fn run_fleet(seed: u64) -> Result<(), String> {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut world = random_world(&mut rng);
     let count = world.gateways.len();
     let mut network = Network {
         groups: vec![0; count],
-        lost: 0.0,
+        loss_probability: 0.0,
         max_delay_s: 0.01,
-        repeated: 0.0,
+        duplicate_probability: 0.0,
     };
     world.start_all();
     let mut applied = Vec::new();
@@ -117,31 +119,31 @@
         let fault = rng.random_range(0..12u32);
         apply(fault, gateway, &mut world, &mut network, &mut rng);
         applied.push((fault, gateway));
-        world.run(STEP_LASTS_S, 0.1, &mut |from, to| {
+        world.run(STEP_DURATION_S, 0.1, &mut |from, to| {
             network.deliver(from, to, &mut rng)
         });
-        if world.worst_sum_ppm > WHOLE_PPM || world.most_leaders > 1 {
+        if world.max_sum_ppm > CAPACITY_PPM || world.max_leaders > 1 {
             return Err(format!(
-                "seed {seed}, step {step} of {count} gateways, {} voters: {} ppm, {} leaders, after {applied:?}",
+                "seed {seed}, step {step} of {count} gateways, {} voters: largest sum {} ppm of the capacity, {} simultaneous leaders, faults {applied:?}",
                 world.config.voters.len(),
-                world.worst_sum_ppm,
-                world.most_leaders
+                world.max_sum_ppm,
+                world.max_leaders
             ));
         }
     }
     recover(&mut world);
     let utilization = [world.utilization(0), world.utilization(1)];
-    let is_underused = utilization.iter().any(|part| *part < 0.999);
-    if world.worst_sum_ppm > WHOLE_PPM || is_underused {
+    let is_underused = utilization.iter().any(|fraction| *fraction < 0.999);
+    if world.max_sum_ppm > CAPACITY_PPM || is_underused {
         return Err(format!(
-            "seed {seed}: {utilization:?} in use in the end of {count}, {} ppm",
-            world.worst_sum_ppm
+            "seed {seed}: utilization {utilization:?} after recovery of {count} gateways, largest sum {} ppm of the capacity",
+            world.max_sum_ppm
         ));
     }
     Ok(())
 }
 
-/// All gateways run on a healthy network.
+/// Starts or resumes all gateways and runs them on a healthy network.
 fn recover(world: &mut World) {
     resume_all(world);
     for gateway in 0..world.gateways.len() {
@@ -149,7 +151,7 @@
             world.start(gateway);
         }
     }
-    world.run(20.0, 0.1, &mut healthy);
+    world.run(20.0, 0.1, &mut healthy_network);
 }
 
 fn run_fleets(first_seed: u64, fleets_per_thread: u64) {
@@ -170,13 +172,13 @@
 }
 
 #[test]
-fn random_fleets_never_exceed_the_capacity_and_use_all_of_it_in_the_end() {
+fn random_fleets_stay_within_the_capacity_and_recover_full_utilization() {
     run_fleets(0, 10);
 }
 
-/// `cargo test -p laurelhitch-quota --release --test random -- --ignored`.
+/// Takes long; run it with `cargo test -p laurelhitch-quota --release --test random -- --ignored`.
 #[test]
 #[ignore = "long"]
-fn two_thousand_random_fleets_never_exceed_the_capacity() {
+fn two_thousand_random_fleets_stay_within_the_capacity_and_recover() {
     run_fleets(100_000, 500);
 }
--- a/crates/quota/tests/search.rs
+++ b/crates/quota/tests/search.rs
@@ -1,5 +1,6 @@
-//! Three gateways and two budgets, through every order of faults: what all may spend at one instant never exceeds the
-//! capacity, and once the faults are over all of it can be spent again. The gateways run the crate's own code.
+//! A model search over all sequences of faults for three gateways and two budgets. It verifies that
+//! the sum of what all gateways may spend never exceeds the capacity, and that the full capacity
+//! can be spent again after the faults. The gateways run the crate's own code.
 
 mod world;
 
@@ -7,39 +8,41 @@
 
 use quota::{Amount, FaultInjection};
 use stateright::{Checker, Model, Property};
-use world::{DRIFT_PPM, Delivery, World, config, healthy};
+use world::{DRIFT_PPM, Delivery, World, config, healthy_network};
 
-/// What happens during one step of the search. The first gateway is the first to be elected leader.
+/// What happens during one step of the search. The first gateway is the one that is elected leader
+/// first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Fault {
     None,
-    /// The first gateway neither receives nor sends.
+    /// The first gateway neither sends nor receives messages.
     FirstIsolated,
-    /// Nothing that the first sends arrives.
+    /// Messages from the first gateway are lost.
     FirstCannotSend,
-    /// Nothing that is sent to the first arrives.
+    /// Messages to the first gateway are lost.
     FirstCannotReceive,
-    /// The second neither receives nor sends.
+    /// The second gateway neither sends nor receives messages.
     SecondIsolated,
-    /// The first and the third do not reach each other.
-    FirstAndThirdCut,
-    /// The same, and the second is killed and starts again.
-    FirstAndThirdCutSecondRestarts,
-    /// Messages take up to almost a lease, and overtake each other.
+    /// Messages between the first and the third gateway are lost.
+    FirstAndThirdPartitioned,
+    /// Messages between the first and the third gateway are lost, and the second is killed and
+    /// restarted.
+    FirstAndThirdPartitionedSecondRestarts,
+    /// Messages are delayed by up to 2.9 s, which is longer than a term, and overtake each other.
     Delays,
-    /// Each message arrives once more during the next fault.
-    Repeats,
-    /// The first is suspended, and finds all that came meanwhile when it goes on.
+    /// Each message arrives a second time during the next fault.
+    Duplicates,
+    /// The first gateway is suspended, and receives the waiting messages when it continues.
     FirstSuspended,
-    /// The first is killed and starts again.
+    /// The first gateway is killed and restarted.
     FirstRestarts,
-    /// The second is killed and starts again.
+    /// The second gateway is killed and restarted.
     SecondRestarts,
-    /// The first leaves in order and starts again.
+    /// The first gateway leaves in an orderly way and is restarted.
     FirstLeaves,
-    /// The demands move from each gateway to another.
+    /// Each gateway takes over the demands of the next one.
     DemandsMove,
-    /// The second's clock is set back by some seconds.
+    /// The clock of the second gateway is set back by 4 s.
     SecondClockSetBack,
 }
 
@@ -49,10 +52,10 @@
     Fault::FirstCannotSend,
     Fault::FirstCannotReceive,
     Fault::SecondIsolated,
-    Fault::FirstAndThirdCut,
-    Fault::FirstAndThirdCutSecondRestarts,
+    Fault::FirstAndThirdPartitioned,
+    Fault::FirstAndThirdPartitionedSecondRestarts,
     Fault::Delays,
-    Fault::Repeats,
+    Fault::Duplicates,
     Fault::FirstSuspended,
     Fault::FirstRestarts,
     Fault::SecondRestarts,
@@ -60,21 +63,21 @@
     Fault::DemandsMove,
     Fault::SecondClockSetBack,
 ];
-/// Longer than a term, shorter than a lease.
-const FAULT_LASTS_S: f64 = 3.4;
+/// The duration of one fault, longer than a term and shorter than a lease.
+const FAULT_DURATION_S: f64 = 3.4;
 const STEP_S: f64 = 0.1;
-/// Until the first leader was elected and every lease has settled.
-const START_S: f64 = 12.0;
-/// A term, an election, a lease and some renewals.
+/// The time in which the first leader is elected and all leases settle.
+const WARM_UP_S: f64 = 12.0;
+/// The time for recovery after the faults: a term, an election, a lease and some renewals.
 const RECOVERY_S: f64 = 16.0;
 const CLOCK_SET_BACK_US: i64 = 4_000_000;
-/// Delays during [`Fault::Delays`], in turn.
+/// The message delays during [`Fault::Delays`], used in turn.
 const DELAYS_S: [f64; 3] = [2.9, 0.4, 1.6];
-const USUAL_DELAY_S: f64 = 0.01;
-const REPEATED_AFTER_S: f64 = 3.9;
-/// Recovered where this part of what can be spent may be spent.
-const RECOVERED: f64 = 0.999;
-const WHOLE_PPM: u64 = 1_000_000;
+const NORMAL_DELAY_S: f64 = 0.01;
+const DUPLICATE_AFTER_S: f64 = 3.9;
+/// The smallest fraction in use of the spendable capacity that counts as recovered.
+const MIN_RECOVERED_UTILIZATION: f64 = 0.999;
+const CAPACITY_PPM: u64 = 1_000_000;
 
 fn is_lost(fault: Fault, from: usize, to: usize) -> bool {
     match fault {
@@ -82,7 +85,7 @@
         Fault::FirstCannotSend => from == 0,
         Fault::FirstCannotReceive => to == 0,
         Fault::SecondIsolated => from == 1 || to == 1,
-        Fault::FirstAndThirdCut | Fault::FirstAndThirdCutSecondRestarts => {
+        Fault::FirstAndThirdPartitioned | Fault::FirstAndThirdPartitionedSecondRestarts => {
             matches!((from, to), (0, 2) | (2, 0))
         }
         _ => false,
@@ -95,12 +98,12 @@
         messages += 1;
         let delay_s = match fault {
             Fault::Delays => DELAYS_S[messages % DELAYS_S.len()],
-            _ => USUAL_DELAY_S,
+            _ => NORMAL_DELAY_S,
         };
         Delivery {
             lost: is_lost(fault, from, to),
             delay_s,
-            repeated_after_s: (fault == Fault::Repeats).then_some(REPEATED_AFTER_S),
+            duplicate_after_s: (fault == Fault::Duplicates).then_some(DUPLICATE_AFTER_S),
         }
     };
     match fault {
@@ -109,7 +112,7 @@
             world.kill(0);
             world.start(0);
         }
-        Fault::SecondRestarts | Fault::FirstAndThirdCutSecondRestarts => {
+        Fault::SecondRestarts | Fault::FirstAndThirdPartitionedSecondRestarts => {
             world.kill(1);
             world.start(1);
         }
@@ -118,7 +121,7 @@
             world.start(0);
         }
         Fault::DemandsMove => rotate_demands(world),
-        Fault::SecondClockSetBack => world.gateways[1].clock_set_by_us -= CLOCK_SET_BACK_US,
+        Fault::SecondClockSetBack => world.gateways[1].clock_step_us -= CLOCK_SET_BACK_US,
         _ => {}
     }
     world.run(duration_s, STEP_S, &mut network);
@@ -137,7 +140,8 @@
     }
 }
 
-/// A state is the faults that led to it: the same faults lead to the same world.
+/// A state of the search, identified by the sequence of faults that led to it, since the same
+/// faults always lead to the same world.
 #[derive(Clone, Debug)]
 struct State {
     faults: Vec<Fault>,
@@ -160,21 +164,21 @@
 
 struct QuotaModel {
     fault_injection: FaultInjection,
-    /// How many faults follow each other.
+    /// The number of faults in a sequence.
     depth: usize,
-    /// By how much each clock runs fast, within the bound of the configuration.
+    /// The number of millionths by which each clock runs fast, within the configured drift bound.
     fast_ppm: [i64; 3],
 }
 
-const WITHIN_CAPACITY: &str = "never more than the capacity";
-const ONE_LEADER: &str = "one leader at most";
+const WITHIN_CAPACITY: &str = "the sum never exceeds the capacity";
+const ONE_LEADER: &str = "there is at most one leader";
 const RECOVERS: &str =
-    "after the faults all of the capacity can be spent, and each has its guaranteed minimum";
+    "after the faults the full capacity can be spent and every gateway has its guaranteed minimum";
 
-/// Whether the gateways can spend all that they could at most, once the faults are over.
+/// Whether the gateways can spend the full capacity again once the faults are over.
 fn recovers(state: &State) -> bool {
     let mut world = state.world.clone();
-    world.run(RECOVERY_S, STEP_S, &mut healthy);
+    world.run(RECOVERY_S, STEP_S, &mut healthy_network);
     let budgets = 0..world.config.budgets.len();
     let has_guaranteed = |gateway: usize| {
         let participant = world.gateways[gateway].participant.as_ref().unwrap();
@@ -184,10 +188,10 @@
         })
     };
     let all_have_guaranteed = world.running().all(has_guaranteed);
-    let within_capacity = world.worst_sum_ppm <= WHOLE_PPM;
+    let within_capacity = world.max_sum_ppm <= CAPACITY_PPM;
     let all_in_use = budgets
         .clone()
-        .all(|budget| world.utilization(budget) > RECOVERED);
+        .all(|budget| world.utilization(budget) > MIN_RECOVERED_UTILIZATION);
     all_have_guaranteed && within_capacity && all_in_use
 }
 
@@ -207,12 +211,12 @@
         let config = config(3, 3, self.fault_injection);
         let mut world = World::new(3, config, |gateway| self.fast_ppm[gateway]);
         world.start_all();
-        // One demands all, one some, one nothing.
+        // One gateway demands more than its share, one demands some, and one demands nothing.
         for (gateway, demand) in [20.0, 4.0, 0.0].into_iter().enumerate() {
             world.gateways[gateway].demands =
                 vec![Amount::from_units(demand), Amount::from_units(demand / 3.0)];
         }
-        world.run(START_S, STEP_S, &mut healthy);
+        world.run(WARM_UP_S, STEP_S, &mut healthy_network);
         vec![State {
             faults: Vec::new(),
             world,
@@ -228,16 +232,16 @@
     fn next_state(&self, last: &State, fault: Fault) -> Option<State> {
         let mut state = last.clone();
         state.faults.push(fault);
-        apply(&mut state.world, fault, FAULT_LASTS_S);
+        apply(&mut state.world, fault, FAULT_DURATION_S);
         Some(state)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::<Self>::always(WITHIN_CAPACITY, |_, state| {
-                state.world.worst_sum_ppm <= WHOLE_PPM
+                state.world.max_sum_ppm <= CAPACITY_PPM
             }),
-            Property::<Self>::always(ONE_LEADER, |_, state| state.world.most_leaders <= 1),
+            Property::<Self>::always(ONE_LEADER, |_, state| state.world.max_leaders <= 1),
             Property::<Self>::always(RECOVERS, |_, state| recovers(state)),
             Property::<Self>::sometimes("the leader changes", |_, state| {
                 let leaders = state.world.leaders();
@@ -252,7 +256,7 @@
 
 struct SearchResult {
     states: usize,
-    violated: Vec<&'static str>,
+    violations: Vec<&'static str>,
 }
 
 fn search(fault_injection: FaultInjection, depth: usize, fast_ppm: [i64; 3]) -> SearchResult {
@@ -262,79 +266,79 @@
         fast_ppm,
     };
     let checker = model.checker().threads(4).spawn_bfs().join();
-    let mut violated = Vec::new();
+    let mut violations = Vec::new();
     for name in [WITHIN_CAPACITY, ONE_LEADER, RECOVERS] {
         if let Some(path) = checker.discovery(name) {
             println!("{name}: {:?}", path.into_actions());
-            violated.push(name);
+            violations.push(name);
         }
     }
     SearchResult {
         states: checker.unique_state_count(),
-        violated,
+        violations,
     }
 }
 
-/// Clocks as far apart as the configuration allows, the leader's fast.
+/// The largest allowed clock drift, with a fast clock at the first leader.
 const LEADER_FAST: [i64; 3] = [DRIFT_PPM, -DRIFT_PPM, DRIFT_PPM];
-/// The same, the leader's slow.
+/// The largest allowed clock drift, with a slow clock at the first leader.
 const LEADER_SLOW: [i64; 3] = [-DRIFT_PPM, DRIFT_PPM, DRIFT_PPM];
 
 #[test]
-fn in_every_order_of_three_faults_the_sum_stays_within_the_capacity() {
+fn every_sequence_of_three_faults_keeps_the_sum_within_the_capacity() {
     let states = 1 + 15 + 225 + 3375;
     for fast_ppm in [[0; 3], LEADER_FAST, [-DRIFT_PPM, DRIFT_PPM, 0]] {
         let result = search(FaultInjection::default(), 3, fast_ppm);
         assert_eq!(result.states, states, "{fast_ppm:?}");
-        assert_eq!(result.violated, Vec::<&str>::new(), "{fast_ppm:?}");
+        assert_eq!(result.violations, Vec::<&str>::new(), "{fast_ppm:?}");
     }
 }
 
 #[test]
-fn the_search_finds_each_mechanism_that_is_switched_off() {
-    let none = FaultInjection::default();
+fn search_detects_each_disabled_safety_mechanism() {
+    let no_fault_injection = FaultInjection::default();
     for (fault_injection, name) in [
         (
             FaultInjection {
                 skip_lease_wait: true,
-                ..none
+                ..no_fault_injection
             },
-            "no wait after a change of leader",
+            "a new leader does not wait for earlier leases to expire",
         ),
         (
             FaultInjection {
                 settable_clock: true,
-                ..none
+                ..no_fault_injection
             },
-            "a lease by a clock that others set",
+            "leases are timed by a clock that can be set",
         ),
         (
             FaultInjection {
                 keep_revoked: true,
-                ..none
+                ..no_fault_injection
             },
-            "what a grant took goes on being spent",
+            "a holder keeps spending what a later grant took away",
         ),
         (
             FaultInjection {
                 accept_stale_grants: true,
-                ..none
+                ..no_fault_injection
             },
-            "an answer to an earlier request counts",
+            "a holder accepts the answer to an earlier request",
         ),
         (
             FaultInjection {
                 skip_abstention: true,
-                ..none
+                ..no_fault_injection
             },
-            "a voter that restarted votes at once",
+            "a restarted voter votes without abstaining",
         ),
         (
             FaultInjection {
                 ignore_drift: true,
-                ..none
+                ..no_fault_injection
             },
-            "leases and votes of one length by every clock",
+            "lease and vote durations ignore clock drift",
         ),
     ] {
         let clocks = [LEADER_FAST, [0; 3], LEADER_SLOW];
@@ -342,26 +346,30 @@
             .into_iter()
             .flat_map(|depth| clocks.map(|fast_ppm| (depth, fast_ppm)));
         let found = searches.into_iter().find_map(|(depth, fast_ppm)| {
-            let violated = search(fault_injection, depth, fast_ppm).violated;
-            println!("{name}: {violated:?}");
-            violated.first().copied()
+            let violations = search(fault_injection, depth, fast_ppm).violations;
+            println!("{name}: {violations:?}");
+            violations.first().copied()
         });
-        assert!(found.is_some(), "{name} is not found");
+        assert!(
+            found.is_some(),
+            "the search found no violation although {name}"
+        );
     }
 }
 
-/// `cargo test -p laurelhitch-quota --release --test search -- --ignored --nocapture`.
+/// Takes long; run it with `cargo test -p laurelhitch-quota --release --test search -- --ignored
+/// --nocapture`.
 #[test]
 #[ignore = "long"]
-fn in_every_order_of_four_faults_the_sum_stays_within_the_capacity() {
+fn every_sequence_of_four_faults_keeps_the_sum_within_the_capacity() {
     for fast_ppm in [[0; 3], LEADER_FAST] {
-        let began = std::time::Instant::now();
+        let started = std::time::Instant::now();
         let result = search(FaultInjection::default(), 4, fast_ppm);
         println!(
             "{fast_ppm:?}: {} states in {:.0} s",
             result.states,
-            began.elapsed().as_secs_f64()
+            started.elapsed().as_secs_f64()
         );
-        assert_eq!(result.violated, Vec::<&str>::new());
+        assert_eq!(result.violations, Vec::<&str>::new());
     }
 }
--- a/crates/quota/tests/token_bucket.rs
+++ b/crates/quota/tests/token_bucket.rs
@@ -1,4 +1,4 @@
-//! Token buckets whose rates move from one to another.
+//! Token buckets that share one budget while parts of its rate move between them.
 
 use quickcheck::{Gen, QuickCheck};
 use quota::TokenBucket;
@@ -9,16 +9,17 @@
 const BURST_S: f64 = 2.0;
 const STEP_S: f64 = 0.1;
 
-/// Moves a random part of a rate between four buckets at every step and spends at random; whether what was spent in any
-/// window is within the whole rate and its burst.
-fn moving_rates_stay_within_the_burst(seed: u64) -> bool {
+/// Moves a random part of the rate from one of four buckets to another at every step and spends
+/// random amounts. Returns whether the spending in every window stayed within the total rate plus
+/// the burst.
+fn spending_stays_within_burst_while_rates_move(seed: u64) -> bool {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut rates = [CAPACITY_PER_S / 4.0; 4];
     let mut buckets = rates.map(|rate| TokenBucket::empty(0.0, rate, BURST_S));
     let mut spent = Vec::new();
     for step in 1..400 {
         let now = f64::from(step) * STEP_S;
-        // One gives before another takes.
+        // The rate is taken from one bucket before it is added to another.
         let (from, to) = (rng.random_range(0..4usize), rng.random_range(0..4usize));
         let moved = rates[from] * rng.random::<f64>();
         for bucket in &mut buckets {
@@ -28,13 +29,13 @@
         buckets[from].set_rate(rates[from]);
         rates[to] += moved;
         buckets[to].set_rate(rates[to]);
-        spent.push(spend_at_random(&mut buckets, &mut rng));
+        spent.push(spend_random_amounts(&mut buckets, &mut rng));
     }
     let within_burst = [1usize, 5, 20, 100].into_iter().all(|steps| {
-        let most = CAPACITY_PER_S * (steps as f64 * STEP_S + BURST_S) + 1e-6;
+        let max_spent = CAPACITY_PER_S * (steps as f64 * STEP_S + BURST_S) + 1e-6;
         spent
             .windows(steps)
-            .all(|window| window.iter().sum::<f64>() <= most)
+            .all(|window| window.iter().sum::<f64>() <= max_spent)
     });
     let within_capacity = buckets
         .iter()
@@ -42,8 +43,9 @@
     within_burst && within_capacity
 }
 
-/// Spends only what is saved: a debt for one amount larger than the capacity is allowed beyond the burst.
-fn spend_at_random(buckets: &mut [TokenBucket], rng: &mut Pcg64Mcg) -> f64 {
+/// Spends random amounts, but only from saved tokens, since the debt for an amount larger than the
+/// capacity may exceed the burst.
+fn spend_random_amounts(buckets: &mut [TokenBucket], rng: &mut Pcg64Mcg) -> f64 {
     let mut spent = 0.0;
     for bucket in buckets {
         let amount = rng.random::<f64>() * 3.0;
@@ -56,20 +58,20 @@
 }
 
 #[test]
-fn what_is_spent_in_any_window_is_within_the_rate_and_its_burst_while_rates_move() {
+fn spending_in_any_window_stays_within_rate_and_burst_while_rates_move() {
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(100, 7))
         .tests(200)
-        .quickcheck(moving_rates_stay_within_the_burst as fn(u64) -> bool);
+        .quickcheck(spending_stays_within_burst_while_rates_move as fn(u64) -> bool);
 }
 
 #[test]
-fn debts_stay_when_the_rate_changes_and_savings_do_not_grow_with_it() {
+fn rate_changes_keep_the_debt_and_add_no_tokens() {
     let mut bucket = TokenBucket::empty(0.0, 1.0, 2.0);
     bucket.refill(2.0);
     assert!(
         bucket.covers(5.0),
-        "one larger than the capacity goes when the bucket is full"
+        "a full bucket covers an amount larger than its capacity"
     );
     bucket.withdraw(5.0);
     for rate in [0.1, 4.0, 0.0, 1.0] {
--- a/crates/quota/tests/voter.rs
+++ b/crates/quota/tests/voter.rs
@@ -1,4 +1,4 @@
-//! A voter's promises.
+//! The rules by which a voter grants and releases its vote.
 
 mod world;
 
@@ -14,7 +14,7 @@
     }
 }
 
-/// A voter that has abstained for long enough, the time, and its configuration.
+/// A voter whose abstention after the start has ended, with the current time and the configuration.
 fn free_voter() -> (Voter, Timestamp, Config) {
     let config = world::config(3, 3, FaultInjection::default());
     let started = Timestamp::from_secs(10.0);
@@ -23,18 +23,18 @@
 }
 
 #[test]
-fn a_voter_that_just_started_abstains_for_a_term() {
+fn new_voter_abstains_for_one_term() {
     let config = world::config(3, 3, FaultInjection::default());
     let started = Timestamp::from_secs(10.0);
     let mut voter = Voter::new(started, &config);
     let almost_a_term = config.term_duration - TimeDelta::from_micros(1);
     let too_early = started + almost_a_term;
     assert!(!voter.grant_vote(too_early, &candidate(0), 1, &config));
-    assert!(voter.grant_vote(voter.free_from(), &candidate(0), 1, &config));
+    assert!(voter.grant_vote(voter.vote_available_from(), &candidate(0), 1, &config));
 }
 
 #[test]
-fn a_vote_is_promised_to_one_candidate_until_it_expires_or_is_released() {
+fn vote_is_exclusive_until_it_expires_or_is_released() {
     let (mut voter, now, config) = free_voter();
     assert!(voter.grant_vote(now, &candidate(0), 1, &config));
     assert!(!voter.grant_vote(now, &candidate(1), 2, &config));
@@ -49,12 +49,12 @@
 }
 
 #[test]
-fn terms_rise_and_implausible_ones_are_ignored() {
+fn used_and_implausible_terms_are_rejected() {
     let (mut voter, now, config) = free_voter();
     voter.observe_term(5);
     assert!(
         !voter.grant_vote(now, &candidate(0), 5, &config),
-        "a used term"
+        "the term was already used"
     );
     voter.observe_term(u64::MAX);
     assert!(!voter.grant_vote(now, &candidate(0), u64::MAX, &config));
--- a/crates/quota/tests/world/mod.rs
+++ b/crates/quota/tests/world/mod.rs
@@ -1,17 +1,19 @@
-//! Gateways with clocks of their own and faults between them: the crate's own code, in simulated time. After every step the
-//! sum of what all gateways may spend is checked, suspended ones among them.
+//! A simulation of gateways that run the crate's own code, with clocks of their own and faults
+//! between them. After each delivered message and each gateway's turn, it sums what all running
+//! gateways may spend, including suspended ones.
 #![allow(dead_code)] // Each test file uses a part of it.
 
 use admission::interface::{TimeDelta, Timestamp};
 use membership::{BootId, Name};
 use quota::{Amount, Budget, BudgetKind, Config, FaultInjection, HolderId, Participant, Payload};
 
-/// Far beyond what clocks do, so that a search finds what drift breaks.
+/// The largest clock drift, far beyond that of real clocks so that the search finds errors caused
+/// by drift.
 pub(crate) const DRIFT_PPM: i64 = 100_000;
-/// Part of each capacity that is guaranteed to the gateways.
-const GUARANTEED_PART: f64 = 0.2;
-/// Messages to a gateway that is not there are dropped after this time.
-const UNDELIVERABLE_AFTER_US: i64 = 30_000_000;
+/// The fraction of each capacity that is guaranteed to the gateways.
+const GUARANTEED_FRACTION: f64 = 0.2;
+/// Messages that a suspended gateway has not received by this time after their arrival are dropped.
+const UNDELIVERED_RETENTION_US: i64 = 30_000_000;
 
 pub(crate) fn name(gateway: usize) -> Name {
     Name::new(&format!("g{gateway:02}")).unwrap()
@@ -25,7 +27,7 @@
     let budget = |kind: BudgetKind, capacity: f64| Budget {
         kind,
         capacity: Amount::from_units(capacity),
-        guaranteed: Amount::from_units(capacity * GUARANTEED_PART / max_gateways as f64),
+        guaranteed: Amount::from_units(capacity * GUARANTEED_FRACTION / max_gateways as f64),
     };
     let config = Config {
         budgets: vec![
@@ -47,36 +49,38 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Gateway {
-    /// None while its process does not run.
+    /// `None` while the gateway's process is not running.
     pub participant: Option<Participant>,
-    /// Millionths by which its clock runs fast.
+    /// The number of millionths by which the gateway's clock runs fast.
     pub fast_ppm: i64,
     pub suspended: bool,
-    /// By how much its clock was set, where it is one that can be set.
-    pub clock_set_by_us: i64,
-    pub starts: u64,
-    /// What it demands of each budget beyond its guaranteed minimum.
+    /// The offset by which the gateway's clock was set, which counts only with
+    /// [`FaultInjection::settable_clock`].
+    pub clock_step_us: i64,
+    pub start_count: u64,
+    /// The demand for each budget beyond the guaranteed minimum.
     pub demands: Vec<Amount>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct InFlight {
-    /// In real time.
+    /// The arrival time in simulated real time, which no gateway's clock shows exactly.
     arrives_us: i64,
-    /// Of two that arrive at one time, the one sent first is delivered first.
+    /// Messages with the same arrival time are delivered in the order in which they were sent.
     sequence: u64,
     from: HolderId,
     to: usize,
     bytes: Vec<u8>,
 }
 
-/// What becomes of a message between two gateways.
+/// How the network treats one message.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Delivery {
     pub lost: bool,
     pub delay_s: f64,
-    /// A second copy arrives so much later.
-    pub repeated_after_s: Option<f64>,
+    /// The time after the first copy at which a second copy arrives, or `None` if there is no
+    /// second copy. The second copy arrives even if the first is lost.
+    pub duplicate_after_s: Option<f64>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -86,10 +90,10 @@
     in_flight: Vec<InFlight>,
     last_sequence: u64,
     pub config: Config,
-    /// The largest sum of what all may spend, in millionths of the capacity.
-    pub worst_sum_ppm: u64,
-    /// The most leaders at one instant, suspended ones among them.
-    pub most_leaders: usize,
+    /// The largest sum of spendable rates at any time, in millionths of the capacity.
+    pub max_sum_ppm: u64,
+    /// The largest number of simultaneous leaders, including suspended ones.
+    pub max_leaders: usize,
 }
 
 impl World {
@@ -99,8 +103,8 @@
             participant: None,
             fast_ppm: fast_ppm(index),
             suspended: false,
-            clock_set_by_us: 0,
-            starts: 0,
+            clock_step_us: 0,
+            start_count: 0,
             demands: demands.clone(),
         };
         let gateways = (0..count).map(gateway).collect();
@@ -110,8 +114,8 @@
             in_flight: Vec::new(),
             last_sequence: 0,
             config,
-            worst_sum_ppm: 0,
-            most_leaders: 0,
+            max_sum_ppm: 0,
+            max_leaders: 0,
         }
     }
 
@@ -119,27 +123,27 @@
         self.now_us as f64 / 1e6
     }
 
-    /// The gateway's own steady clock.
+    /// The time of the gateway's own steady clock.
     pub(crate) fn clock(&self, index: usize) -> Timestamp {
         let gateway = &self.gateways[index];
         let rate = 1.0 + gateway.fast_ppm as f64 / 1e6;
-        let set_by_s = if self.config.fault_injection.settable_clock {
-            gateway.clock_set_by_us as f64 / 1e6
+        let clock_step_s = if self.config.fault_injection.settable_clock {
+            gateway.clock_step_us as f64 / 1e6
         } else {
             0.0
         };
-        Timestamp::from_secs(1000.0 + 1000.0 * index as f64 + self.now_s() * rate + set_by_s)
+        Timestamp::from_secs(1000.0 + 1000.0 * index as f64 + self.now_s() * rate + clock_step_s)
     }
 
     pub(crate) fn start(&mut self, index: usize) {
         let now = self.clock(index);
         let gateway = &mut self.gateways[index];
-        gateway.starts += 1;
+        gateway.start_count += 1;
         let id = HolderId {
             name: name(index),
-            boot_id: BootId(gateway.starts * 100 + index as u64),
+            boot_id: BootId(gateway.start_count * 100 + index as u64),
         };
-        let seed = index as u64 * 7919 + gateway.starts;
+        let seed = index as u64 * 7919 + gateway.start_count;
         gateway.participant = Some(Participant::new(now, id, self.config.clone(), seed));
         gateway.suspended = false;
     }
@@ -198,7 +202,7 @@
             if !delivery.lost {
                 delays_s.push(delivery.delay_s);
             }
-            if let Some(later_s) = delivery.repeated_after_s {
+            if let Some(later_s) = delivery.duplicate_after_s {
                 delays_s.push(delivery.delay_s + later_s);
             }
             for delay_s in delays_s {
@@ -214,21 +218,21 @@
         }
     }
 
-    /// One step of time. What comes for a suspended gateway waits for it.
+    /// Advances the time by one step. Messages for a suspended gateway wait until it continues.
     pub(crate) fn step(&mut self, step_s: f64, network: &mut impl FnMut(usize, usize) -> Delivery) {
         self.now_us += (step_s * 1e6) as i64;
-        while let Some(message) = self.take_arrived() {
+        while let Some(message) = self.take_next_arrived() {
             self.deliver(&message, network);
         }
         for index in 0..self.gateways.len() {
             self.tick(index, network);
         }
-        let drop_before = self.now_us - UNDELIVERABLE_AFTER_US;
+        let drop_before = self.now_us - UNDELIVERED_RETENTION_US;
         self.in_flight
             .retain(|message| message.arrives_us > drop_before);
     }
 
-    fn take_arrived(&mut self) -> Option<InFlight> {
+    fn take_next_arrived(&mut self) -> Option<InFlight> {
         let (index, _) = self
             .in_flight
             .iter()
@@ -245,11 +249,11 @@
         let Some(participant) = &mut self.gateways[message.to].participant else {
             return;
         };
-        let payload = Payload::decode(&message.bytes).expect("as it was encoded");
-        // Faults make some of them stale or unsolicited.
+        let payload = Payload::decode(&message.bytes).expect("an encoded payload can be decoded");
+        // Faults make some messages stale or unsolicited, so a rejection is expected.
         let _ = participant.receive(now, &message.from, payload);
         self.send_outgoing(message.to, network);
-        self.check();
+        self.check_and_record();
     }
 
     fn tick(&mut self, index: usize, network: &mut impl FnMut(usize, usize) -> Delivery) {
@@ -268,7 +272,7 @@
             participant.tick(now);
             self.send_outgoing(index, network);
         }
-        self.check();
+        self.check_and_record();
     }
 
     pub(crate) fn run(
@@ -283,7 +287,8 @@
         }
     }
 
-    /// What all that run may spend of a budget, each by its own clock as it would read it now.
+    /// The sum of what the running gateways may spend of a budget, each by its own clock at this
+    /// instant.
     pub(crate) fn spendable_sum(&self, budget: usize) -> Amount {
         self.running()
             .map(|index| {
@@ -293,33 +298,35 @@
             .sum()
     }
 
-    /// Checks each gateway's own invariants, and records the worst of those of all together.
-    fn check(&mut self) {
+    /// Checks the invariants of each gateway, and records the largest sum and the largest number of
+    /// leaders.
+    fn check_and_record(&mut self) {
         for gateway in &self.gateways {
             if let Some(participant) = &gateway.participant {
                 participant.check_invariants();
             }
         }
-        self.most_leaders = self.most_leaders.max(self.leaders().len());
+        self.max_leaders = self.max_leaders.max(self.leaders().len());
         for budget in 0..self.config.budgets.len() {
             let sum = self.spendable_sum(budget).0;
             let capacity = self.config.budgets[budget].capacity.0;
-            self.worst_sum_ppm = self.worst_sum_ppm.max(sum * 1_000_000 / capacity);
+            self.max_sum_ppm = self.max_sum_ppm.max(sum * 1_000_000 / capacity);
         }
     }
 
-    /// Gateways whose process runs, suspended ones among them.
+    /// The gateways whose process is running, including suspended ones.
     pub(crate) fn running(&self) -> impl Iterator<Item = usize> {
         (0..self.gateways.len()).filter(|index| self.gateways[*index].participant.is_some())
     }
 
-    /// The part in use of what those that run could have: all but the guaranteed minimums of the others.
+    /// The fraction in use of what the running gateways could spend, which is the capacity without
+    /// the guaranteed minimums of the other gateways.
     pub(crate) fn utilization(&self, budget: usize) -> f64 {
         let sum = self.spendable_sum(budget);
         let budget = &self.config.budgets[budget];
         let not_running = self.config.max_gateways - self.running().count();
-        let unreachable = budget.guaranteed.saturating_mul(not_running);
-        sum.0 as f64 / budget.capacity.saturating_sub(unreachable).0 as f64
+        let not_running_guaranteed = budget.guaranteed.saturating_mul(not_running);
+        sum.0 as f64 / budget.capacity.saturating_sub(not_running_guaranteed).0 as f64
     }
 
     pub(crate) fn leaders(&self) -> Vec<usize> {
@@ -332,7 +339,7 @@
 }
 
 /// A network without faults.
-pub(crate) fn healthy(_: usize, _: usize) -> Delivery {
+pub(crate) fn healthy_network(_: usize, _: usize) -> Delivery {
     Delivery {
         delay_s: 0.01,
         ..Delivery::default()
