--- a/crates/quota/src/lease_holder.rs
+++ b/crates/quota/src/lease_holder.rs
@@ -106,7 +106,7 @@
         self.last_request
     }
 
-    /// Forgets a leader that did not answer several requests, so that the next request goes to any
+    /// Forgets a leader that did not answer several requests, so that the next request may go to any
     /// voter.
     pub fn forget_silent_leader(&mut self) {
         if self.unanswered >= MAX_UNANSWERED_REQUESTS {
--- a/crates/quota/src/message.rs
+++ b/crates/quota/src/message.rs
@@ -129,8 +129,8 @@
     pub amount: Amount,
 }
 
-/// The grant of a lease. The lease lasts for [`crate::Config::lease_duration`] from when the holder
-/// sent its request.
+/// The grant of a lease. The lease lasts for [`crate::Config::lease_duration`], less an allowance
+/// for clock drift, from when the holder sent its request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LeaseGrant {
     /// The lease request that it answers.
@@ -175,7 +175,7 @@
     /// Never panics: the encoding of plain values into memory cannot fail.
     #[must_use]
     pub fn encode(&self) -> Vec<u8> {
-        postcard::to_allocvec(self).expect("plain values encode")
+        postcard::to_allocvec(self).expect("encoding plain values into memory cannot fail")
     }
 
     /// Decodes a payload, which must take up all of `bytes`.
--- a/crates/quota/tests/world/mod.rs
+++ b/crates/quota/tests/world/mod.rs
@@ -1,14 +1,14 @@
 //! A simulation of gateways that run the crate's own code, with clocks of their own and faults
 //! between them. After each delivered message and each gateway's turn, it sums what all running
 //! gateways may spend, including suspended ones.
-#![allow(dead_code)] // Each test file uses a part of it.
+#![allow(dead_code)] // Each test file uses only some of these items.
 
 use admission::interface::{TimeDelta, Timestamp};
 use membership::{BootId, Name};
 use quota::{Amount, Budget, BudgetKind, Config, FaultInjection, HolderId, Participant, Payload};
 
-/// The largest clock drift, far beyond that of real clocks so that the search finds errors caused
-/// by drift.
+/// The largest clock drift in millionths. It is far beyond that of real clocks, so that the tests
+/// find errors caused by drift.
 pub(crate) const DRIFT_PPM: i64 = 100_000;
 /// The fraction of each capacity that is guaranteed to the gateways.
 const GUARANTEED_FRACTION: f64 = 0.2;
