--- a/crates/membership/tests/byzantine.rs
+++ b/crates/membership/tests/byzantine.rs
@@ -134,11 +134,11 @@
             RejectReason::Unsolicited,
         ),
     ];
-    for (bytes, rejected) in cases {
+    for (bytes, reason) in cases {
         assert_eq!(
             local.receive(timestamp(1.0), addr(2), &bytes),
-            Err(rejected),
-            "{rejected}"
+            Err(reason),
+            "{reason}"
         );
     }
     let conflict = message::seal(&key_ring(), &message_of(second_process(), 1, Body::Gossip));
