--- a/crates/scheduler/src/backlog.rs
+++ b/crates/scheduler/src/backlog.rs
@@ -1,4 +1,5 @@
-//! How much waits in each sub-queue and in all, and which sub-queue has the most waiting for what it is guaranteed.
+//! The amount of waiting work in each sub-queue and in total, and the sub-queue with the highest
+//! load for its budget.
 
 use std::collections::BTreeSet;
 
@@ -7,25 +8,28 @@
 use crate::frontier::ResourceNeed;
 use crate::treap::Work;
 
-/// A sub-queue's load is weighed by a budget of at least this: one without a budget must not always weigh most.
+/// The smallest budget, in CPU seconds per second, used to compute a load. Without it, a sub-queue
+/// without a budget would always have the highest load.
 const MIN_BUDGET: f64 = 0.01;
 
-/// Waiting CPU seconds for each CPU second a second of budget: the time that it would take to release them.
+/// The load of a sub-queue: the time in seconds that its budget would take to release the waiting
+/// CPU seconds.
 pub(crate) fn load(waiting_cpu: f64, budget: f64) -> f64 {
     waiting_cpu / budget.max(MIN_BUDGET)
 }
 
-/// Whether one more statement of this need stays within the limit. Into an empty queue any goes.
+/// Whether one more statement with this need stays within the limit. An empty queue accepts any
+/// statement.
 pub(crate) fn fits(limit: QueueLimit, waiting: Work, need: ResourceNeed) -> bool {
     let within_limit = waiting.statements < limit.statements && waiting.cpu + need.cpu <= limit.cpu;
     waiting.statements == 0 || within_limit
 }
 
-/// Sums of the statements that stand in class queues.
+/// Sums over the statements in the class queues.
 pub(crate) struct Backlog {
     total: Work,
     sub_queues: Vec<Work>,
-    /// Sub-queues where something waits.
+    /// The sub-queues with waiting statements, ordered by load.
     by_load: BTreeSet<(FloatKey, SubQueueId)>,
 }
 
@@ -46,7 +50,8 @@
         self.sub_queues[sub_queue.index()]
     }
 
-    /// Adds a statement. `budget`: the sub-queue's at present.
+    /// Adds a statement. `budget` is the current budget of the sub-queue, in CPU seconds per
+    /// second.
     pub(crate) fn add(&mut self, sub_queue: SubQueueId, cpu: f64, budget: f64) {
         let waiting = &mut self.sub_queues[sub_queue.index()];
         if waiting.statements > 0 {
@@ -61,7 +66,8 @@
         self.total.cpu += cpu;
     }
 
-    /// Takes a statement off. `budget`: the sub-queue's at present.
+    /// Subtracts a statement. `budget` is the current budget of the sub-queue, in CPU seconds per
+    /// second.
     pub(crate) fn subtract(&mut self, sub_queue: SubQueueId, cpu: f64, budget: f64) {
         let waiting = &mut self.sub_queues[sub_queue.index()];
         let key = FloatKey::new(load(waiting.cpu, budget));
@@ -74,13 +80,13 @@
         subtract(&mut self.total, cpu);
     }
 
-    /// The sub-queue with the most load, and its load.
+    /// The highest load and its sub-queue, or `None` if nothing waits.
     pub(crate) fn heaviest(&self) -> Option<(f64, SubQueueId)> {
         let (load, sub_queue) = self.by_load.last()?;
         Some((load.value(), *sub_queue))
     }
 
-    /// Sub-queues where something waits, the most load first.
+    /// The sub-queues with waiting statements, highest load first.
     pub(crate) fn heaviest_first(&self) -> impl Iterator<Item = SubQueueId> {
         self.by_load.iter().rev().map(|(_, sub_queue)| *sub_queue)
     }
@@ -88,7 +94,7 @@
 
 fn subtract(waiting: &mut Work, cpu: f64) {
     waiting.statements -= 1;
-    // Sums of floats leave a remainder.
+    // Rounding errors accumulate in the sum, so an empty queue is reset to exactly zero.
     waiting.cpu = if waiting.statements == 0 {
         0.0
     } else {
--- a/crates/scheduler/src/charges.rs
+++ b/crates/scheduler/src/charges.rs
@@ -1,4 +1,4 @@
-//! What released statements are charged until their outcomes are known.
+//! The charges of released statements until their outcomes are known.
 
 use std::collections::BTreeMap;
 
@@ -7,16 +7,16 @@
 use crate::config::SubQueueId;
 use crate::tenant_tree::{ChargeFunding, SubQueueMoves};
 
-/// What one released statement is charged.
+/// The charge of one released statement.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Charge {
     pub(crate) sub_queue: SubQueueId,
-    /// CPU seconds.
+    /// The charged CPU seconds.
     pub(crate) cpu: f64,
     pub(crate) funding: ChargeFunding,
 }
 
-/// The charges of statements without a last outcome.
+/// The charges of statements whose final outcome is not known yet.
 #[derive(Debug, Default)]
 pub(crate) struct OpenCharges {
     by_statement: BTreeMap<StatementId, Charge>,
@@ -35,7 +35,8 @@
         self.by_statement.remove(&id)
     }
 
-    /// Sets a charge to what the statement cost; the charge before.
+    /// Sets a charge to the actual cost of the statement, in CPU seconds. Returns the previous
+    /// charge, or `None` if there is none.
     pub(crate) fn settle(&mut self, id: StatementId, cpu: f64) -> Option<Charge> {
         let charge = self.by_statement.get_mut(&id)?;
         let before = *charge;
@@ -43,7 +44,7 @@
         Some(before)
     }
 
-    /// Charges follow their sub-queues into another configuration.
+    /// Moves the charges to the sub-queues of a new configuration.
     pub(crate) fn relocate(&mut self, moves: &SubQueueMoves) {
         for charge in self.by_statement.values_mut() {
             charge.sub_queue = moves.target(charge.sub_queue);
--- a/crates/scheduler/src/class_queues.rs
+++ b/crates/scheduler/src/class_queues.rs
@@ -1,4 +1,5 @@
-//! The waiting statements of each sub-queue by query class, in the order of release, and what found no capacity.
+//! The waiting statements of each sub-queue by query class, in release order, and the needs that
+//! found no capacity.
 
 use admission::interface::QueuePosition;
 
@@ -6,14 +7,15 @@
 use crate::frontier::{CapacityFrontier, ResourceNeed};
 use crate::treap::{QueuedStatement, TreapArena, TreapRoot, Work};
 
-/// What a statement would be released on: its tenant's budget, or capacity that others leave.
+/// How a statement would be paid for: from its own budget, or with capacity that other tenants
+/// leave.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Claim {
     WithinBudget,
     Borrowing,
 }
 
-/// What found no capacity in this round, of one class.
+/// The needs of one class that found no capacity in this round.
 #[derive(Clone, Debug, Default)]
 struct ClassFrontiers {
     within_budget: CapacityFrontier,
@@ -24,9 +26,9 @@
 pub(crate) struct ClassQueues {
     classes: usize,
     arena: TreapArena,
-    /// By sub-queue, then by class.
+    /// The roots by sub-queue, then by class.
     roots: Vec<Vec<TreapRoot>>,
-    /// By class.
+    /// The frontiers by class.
     frontiers: Vec<ClassFrontiers>,
 }
 
@@ -40,8 +42,8 @@
         }
     }
 
-    /// Empty queues for other sub-queues. Nothing may wait in the old ones.
-    pub(crate) fn relayout(&mut self, sub_queues: usize) {
+    /// Replaces the queues by empty ones for a new set of sub-queues. The old queues must be empty.
+    pub(crate) fn replace_sub_queues(&mut self, sub_queues: usize) {
         debug_assert!(self.roots.iter().flatten().all(|root| root.is_empty()));
         self.roots = vec![vec![TreapRoot::default(); self.classes]; sub_queues];
     }
@@ -75,8 +77,11 @@
         self.arena.first(self.roots[sub_queue.index()][class])
     }
 
-    /// The first statements of a sub-queue's class queues, by class.
-    pub(crate) fn firsts(&self, sub_queue: SubQueueId) -> impl Iterator<Item = QueuedStatement> {
+    /// The first statement of each class queue of a sub-queue that is not empty.
+    pub(crate) fn first_of_each_class(
+        &self,
+        sub_queue: SubQueueId,
+    ) -> impl Iterator<Item = QueuedStatement> {
         self.roots[sub_queue.index()]
             .iter()
             .filter_map(|root| self.arena.first(*root))
@@ -91,7 +96,7 @@
             .max()
     }
 
-    /// The work before a position in a class queue.
+    /// The work ahead of a position in a class queue.
     pub(crate) fn ahead(
         &self,
         sub_queue: SubQueueId,
@@ -115,7 +120,7 @@
             .map(|found| found.position)
     }
 
-    /// The first statement of a sub-queue that may have capacity within budget, over all classes.
+    /// The first statement of a sub-queue, over all classes, that may have capacity within budget.
     pub(crate) fn first_of_any_class(&self, sub_queue: SubQueueId) -> Option<QueuePosition> {
         (0..self.classes)
             .filter_map(|class| self.first_with_capacity(sub_queue, class, Claim::WithinBudget))
@@ -130,7 +135,8 @@
         }
     }
 
-    /// An offer of this need found no capacity. Where there is none within budget, there is none to borrow.
+    /// Records an offer that found no capacity. A need without capacity within budget has none for
+    /// borrowing either.
     pub(crate) fn record_no_capacity(&mut self, class: usize, claim: Claim, need: ResourceNeed) {
         let frontiers = &mut self.frontiers[class];
         frontiers.borrowing.record(need);
@@ -139,14 +145,14 @@
         }
     }
 
-    /// Nothing more of this class is offered in this round.
+    /// Rules out all further offers of a class in this round.
     pub(crate) fn close_class(&mut self, class: usize) {
         let frontiers = &mut self.frontiers[class];
         frontiers.borrowing.close();
         frontiers.within_budget.close();
     }
 
-    /// Forgets what found no capacity: a new round begins.
+    /// Begins a new round by clearing the frontiers of all classes.
     pub(crate) fn reopen_classes(&mut self) {
         for frontiers in &mut self.frontiers {
             for frontier in [&mut frontiers.within_budget, &mut frontiers.borrowing] {
--- a/crates/scheduler/src/config.rs
+++ b/crates/scheduler/src/config.rs
@@ -1,9 +1,10 @@
-//! What the operator configures of tenant queues: plain values, checked before they come here.
+//! The configuration of the tenant queues as plain values. The caller must have validated them.
 
 use admission::interface::TimeDelta;
 use ipnet::IpNet;
 
-/// A sub-queue, numbered over all tenants in the order of [`Config::tenants`]: statements wait in these.
+/// A sub-queue. Its number counts the sub-queues of all tenants in the order of
+/// [`Config::tenants`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SubQueueId(pub u32);
 
@@ -13,8 +14,8 @@
     }
 }
 
-/// A tenant's queue, by its index in [`Config::tenants`]. It is no `admission::interface::TenantId`: that is an index
-/// into the settings' tenants, and only their names say which of the two belong together.
+/// A tenant, by its index in [`Config::tenants`]. It differs from `admission::interface::TenantId`,
+/// which is an index into the tenants of the settings; the two are matched by name only.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct TenantQueueId(pub(crate) u32);
 
@@ -24,64 +25,66 @@
     }
 }
 
-/// A part of the capacity: what is guaranteed, and how what others leave is divided.
+/// A share of the capacity: a guaranteed part, and a weight for dividing what others leave unused.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CapacityShare {
-    /// Predicted CPU seconds a second. Zero: nothing is guaranteed, only what others leave is used.
+    /// The guaranteed capacity, in predicted CPU seconds per second. With zero, only unused
+    /// capacity of others is available.
     pub budget: f64,
-    /// Part of what others leave, beside the others' weights.
+    /// The weight by which unused capacity is divided among those that borrow.
     pub weight: f64,
 }
 
 /// One sub-queue of a tenant: the operator's `desk` block.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SubQueueConfig {
-    /// Its name, as statements give it.
+    /// The name by which statements refer to it.
     pub name: String,
-    /// Its part of its tenant's capacity.
+    /// Its share of the capacity of its tenant.
     pub share: CapacityShare,
-    /// Statements of clients in these networks wait here unless they name a sub-queue.
+    /// The client networks whose statements wait here by default, if they name no sub-queue.
     pub networks: Vec<IpNet>,
 }
 
 /// One tenant: the operator's `member` block.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TenantConfig {
-    /// Its name, as statements give it.
+    /// The name by which statements refer to it.
     pub name: String,
-    /// Its part of the capacity.
+    /// Its share of the total capacity.
     pub share: CapacityShare,
-    /// At least one; the first is the default one.
+    /// Its sub-queues, at least one. The first one is the default.
     pub sub_queues: Vec<SubQueueConfig>,
 }
 
-/// How much may wait.
+/// A limit on the amount of waiting work.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QueueLimit {
-    /// Statements.
+    /// The maximum number of statements.
     pub statements: u32,
-    /// Predicted CPU seconds.
+    /// The maximum sum of predicted CPU seconds.
     pub cpu: f64,
 }
 
-/// The tenants, their shares and the bounds of what waits.
+/// The tenants, their shares and the limits on waiting work.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Config {
-    /// At least one; the first takes the statements of no known tenant.
+    /// The tenants, at least one. The first one gets the statements without a known tenant.
     pub tenants: Vec<TenantConfig>,
-    /// How long a sub-queue's first statement may be passed over by those of others before it goes ahead of them.
+    /// How long a sub-queue may be passed over in favor of others before it takes precedence over
+    /// them.
     pub ageing: TimeDelta,
-    /// An unused budget accumulates over this time at most.
+    /// The maximum time over which unused budget accumulates.
     pub burst: TimeDelta,
-    /// Bound of each sub-queue.
+    /// The limit of each sub-queue.
     pub sub_queue_limit: QueueLimit,
-    /// Bound of all sub-queues together.
+    /// The limit of all sub-queues together.
     pub total_limit: QueueLimit,
 }
 
 impl Config {
-    /// The configuration of one of several gateways that each see this fraction of the traffic: budgets are scaled,
-    /// limits are each gateway's own.
+    /// The configuration for one of several gateways that each receive this fraction of the
+    /// traffic. Budgets are scaled; limits are not, since they apply to each gateway separately.
     #[must_use]
     pub fn scaled(&self, fraction: f64) -> Config {
         let mut config = self.clone();
@@ -94,7 +97,7 @@
         config
     }
 
-    /// How many sub-queues all tenants have.
+    /// The number of sub-queues of all tenants.
     #[must_use]
     pub fn sub_queue_count(&self) -> usize {
         self.tenants
--- a/crates/scheduler/src/float_key.rs
+++ b/crates/scheduler/src/float_key.rs
@@ -1,12 +1,12 @@
 //! Non-negative floats as keys of ordered collections.
 
-/// A float of at least zero, ordered by its value. A negative one counts as zero.
+/// A non-negative float, ordered by value. A negative value is replaced by zero.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct FloatKey(u64);
 
 impl FloatKey {
     pub(crate) fn new(value: f64) -> Self {
-        // The bits of non-negative floats sort as their values do.
+        // The bit patterns of non-negative floats have the same order as their values.
         FloatKey(value.max(0.0).to_bits())
     }
 
--- a/crates/scheduler/src/frontier.rs
+++ b/crates/scheduler/src/frontier.rs
@@ -1,6 +1,7 @@
-//! What is known to have no capacity now, so that the same need is not offered in vain again.
+//! The needs known to lack capacity at present, so that the same need is not offered again without
+//! success.
 
-/// What of a statement bears on whether there is capacity for it.
+/// The resource need of a statement, which determines whether there is capacity for it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ResourceNeed {
     /// Predicted CPU seconds.
@@ -9,47 +10,48 @@
     pub memory_mb: f64,
 }
 
-/// The least needs of one query class that found no capacity in this round. Within a class capacity only shrinks with
-/// the need, so all that need as much or more of both have none either, until something changes.
+/// The smallest needs of one query class that found no capacity in this round. Within a class, a
+/// larger need never has more capacity. So a need that is at least as large in both resources as a
+/// recorded one has no capacity either, until something changes.
 #[derive(Clone, Debug, Default)]
 pub struct CapacityFrontier {
-    least: Vec<ResourceNeed>,
-    vain_offers: usize,
+    smallest_needs: Vec<ResourceNeed>,
+    failed_offers: usize,
 }
 
 impl CapacityFrontier {
-    /// After so many vain offers the class is left alone until the next round.
-    const MAX_VAIN_OFFERS: usize = 64;
+    /// The number of failed offers after which the class is closed until the next round.
+    const MAX_FAILED_OFFERS: usize = 64;
 
-    /// An offer of this need found no capacity.
+    /// Records that an offer with this need found no capacity.
     pub fn record(&mut self, need: ResourceNeed) {
-        self.vain_offers += 1;
-        self.least
+        self.failed_offers += 1;
+        self.smallest_needs
             .retain(|known| known.cpu < need.cpu || known.memory_mb < need.memory_mb);
-        self.least.push(need);
+        self.smallest_needs.push(need);
     }
 
-    /// Rules out everything in this round, whatever it needs.
+    /// Rules out every need for the rest of this round.
     pub fn close(&mut self) {
-        self.vain_offers = Self::MAX_VAIN_OFFERS;
+        self.failed_offers = Self::MAX_FAILED_OFFERS;
     }
 
-    /// Everything is ruled out.
+    /// Whether every need is ruled out.
     #[must_use]
     pub fn is_closed(&self) -> bool {
-        self.vain_offers >= Self::MAX_VAIN_OFFERS
+        self.failed_offers >= Self::MAX_FAILED_OFFERS
     }
 
-    /// Nothing is ruled out.
+    /// Whether no need is ruled out.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.vain_offers == 0
+        self.failed_offers == 0
     }
 
-    /// Whether no recorded need rules this one out. It does not heed [`CapacityFrontier::is_closed`].
+    /// Whether no recorded need rules this one out. This ignores [`CapacityFrontier::is_closed`].
     #[must_use]
     pub fn may_have_capacity(&self, need: ResourceNeed) -> bool {
-        self.least
+        self.smallest_needs
             .iter()
             .all(|known| need.cpu < known.cpu || need.memory_mb < known.memory_mb)
     }
--- a/crates/scheduler/src/histogram.rs
+++ b/crates/scheduler/src/histogram.rs
@@ -1,6 +1,7 @@
-//! A histogram that forgets, bounded whatever it sees.
+//! A histogram of fixed size whose values decay.
 
-/// Counts of positive values in buckets that grow by a tenth each; older values weigh ever less.
+/// Counts of positive values in exponential buckets. The weight of a value decays as more values
+/// are recorded.
 #[derive(Clone, Debug)]
 pub(crate) struct DecayingHistogram {
     counts: Vec<f64>,
@@ -8,19 +9,19 @@
 }
 
 impl DecayingHistogram {
-    /// Ratio of a bucket's bounds.
+    /// The ratio of the bounds of a bucket.
     const GROWTH: f64 = 1.1;
-    /// Lower bound of the first bucket; smaller values count there.
-    const LOWEST: f64 = 1e-3;
-    /// Larger values than the last bucket's bound, about a thousand, count there.
+    /// The lower bound of the first bucket, which also counts smaller values.
+    const FIRST_BUCKET_BOUND: f64 = 1e-3;
+    /// The number of buckets. The last one ends at about 1000 and also counts larger values.
     const BUCKETS: usize = 145;
-    /// About so many of the last values count.
-    const MEMORY: f64 = 300.0;
-    /// Without so many values no quantile is given.
+    /// The approximate number of recent values that determine the quantiles.
+    const EFFECTIVE_VALUES: f64 = 300.0;
+    /// The number of values below which no quantile is returned.
     const MIN_TOTAL: f64 = 12.0;
-    /// The counts are scaled down when their total passes this ...
+    /// The counts are scaled down when their total exceeds this value.
     const RESCALE_ABOVE: f64 = 1e12;
-    /// ... by this.
+    /// The divisor by which the counts are then scaled down.
     const RESCALE_DIVISOR: f64 = 1e9;
 
     pub(crate) fn new() -> Self {
@@ -31,10 +32,10 @@
     }
 
     pub(crate) fn record(&mut self, value: f64) {
-        let ratio = value.max(Self::LOWEST) / Self::LOWEST;
+        let ratio = value.max(Self::FIRST_BUCKET_BOUND) / Self::FIRST_BUCKET_BOUND;
         let bucket = (ratio.ln() / Self::GROWTH.ln()) as usize;
-        // Growing increments have the same effect as decaying all counts.
-        let increment = (self.total / Self::MEMORY).max(1.0);
+        // Increasing the increment has the same effect as decaying all counts.
+        let increment = (self.total / Self::EFFECTIVE_VALUES).max(1.0);
         self.counts[bucket.min(Self::BUCKETS - 1)] += increment;
         self.total += increment;
         if self.total > Self::RESCALE_ABOVE {
@@ -45,7 +46,7 @@
         }
     }
 
-    /// The value that this fraction of those seen lies under; none until enough were seen.
+    /// The quantile at this fraction, or `None` until enough values were recorded.
     pub(crate) fn quantile(&self, fraction: f64) -> Option<f64> {
         if self.total < Self::MIN_TOTAL {
             return None;
@@ -61,7 +62,7 @@
         } else {
             0.5
         };
-        Some(Self::LOWEST * Self::GROWTH.powf(bucket as f64 + within_bucket))
+        Some(Self::FIRST_BUCKET_BOUND * Self::GROWTH.powf(bucket as f64 + within_bucket))
     }
 }
 
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -1,12 +1,15 @@
-//! Waiting statements by tenant and sub-queue, ahead of the decision module: which is offered next, within which
-//! budgets, for how long at most, and how long a wait will be. Time is handed in; nothing here does I/O.
+//! Queues for the statements that wait ahead of the decision module, by tenant and sub-queue. They
+//! decide which statement is offered next, which budget pays for it, how long it may wait, and how
+//! long its wait is expected to take. The caller passes the time in; nothing here does I/O.
 //!
-//! [`Scheduler`] is the entry point. It stands before `dispatch::Dispatcher` and has its calls; [`TenantQueues`] holds
-//! what waits, [`QueueResolver`] finds where a statement is to wait.
+//! [`Scheduler`] is the entry point: it wraps `dispatch::Dispatcher` and has the same methods.
+//! [`TenantQueues`] holds the waiting statements, and [`QueueResolver`] finds the sub-queue in
+//! which a statement waits.
 //!
-//! A tenant here is the operator's `member` block, known by its name and its index in [`Config::tenants`]; a sub-queue
-//! ([`SubQueueId`]) is a `desk` block of it. `admission::interface::TenantId` is another number: an index into the
-//! settings' tenants. Only the names say which of the two belong together.
+//! In this crate, a tenant is the operator's `member` block, identified by its name and its index
+//! in [`Config::tenants`], and a sub-queue ([`SubQueueId`]) is a `desk` block inside it.
+//! `admission::interface::TenantId` is a different number, an index into the tenants of the
+//! settings; the two are matched by name only.
 
 mod backlog;
 mod charges;
--- a/crates/scheduler/src/metrics.rs
+++ b/crates/scheduler/src/metrics.rs
@@ -2,35 +2,37 @@
 
 use crate::waiting::FinishedWait;
 
-/// An estimate is accurate within this part of the wait ...
-const ACCURATE_PART: f64 = 0.2;
-/// ... or within this many seconds.
-const ACCURATE_S: f64 = 0.02;
+/// An estimate is accurate if its error is at most this fraction of the wait.
+const ACCURATE_FRACTION: f64 = 0.2;
+/// It is also accurate if its error is at most this many seconds.
+const ACCURATE_WITHIN_S: f64 = 0.02;
 
-/// What happened in the queues, in numbers that only grow. Each statement that was received has one end: the sum of
-/// `rejected_at_entry`, `evicted`, `released`, `rejected_while_waiting` and `client_left`, once nothing waits.
+/// Counters of the events in the queues. Each received statement ends in exactly one way: once
+/// nothing waits, `received` equals the sum of `rejected_at_entry`, `evicted`, `released`,
+/// `rejected_while_waiting` and `client_left`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Metrics {
-    /// Statements that came to the queues.
+    /// Statements that arrived at the queues.
     pub received: u64,
-    /// Rejected at entry: no room for them, or too long a wait.
+    /// Statements rejected at entry, for lack of room or because their estimated wait was too long.
     pub rejected_at_entry: u64,
-    /// Rejected while waiting, for a statement with the better claim.
+    /// Statements rejected while waiting, in favor of one with a stronger claim.
     pub evicted: u64,
-    /// Sent to an engine out of the queues.
+    /// Statements sent from the queues to an engine.
     pub released: u64,
-    /// Rejected by the decision module while waiting.
+    /// Statements that the decision module rejected while they waited.
     pub rejected_while_waiting: u64,
-    /// Their clients left while they waited.
+    /// Statements whose clients left while they waited.
     pub client_left: u64,
     /// Offers that found no capacity.
     pub offers_without_capacity: u64,
-    /// Of the released, those whose estimate at entry came within a fifth, or 20 ms, of the wait.
+    /// Released statements whose estimated median at entry was within a fifth, or within 20 ms, of
+    /// the actual wait.
     pub accurate_estimates: u64,
 }
 
 impl Metrics {
-    /// A statement was released after this wait; none: it is not known to have waited.
+    /// Counts a statement released after this wait. `None` means that its wait is unknown.
     pub(crate) fn record_release(&mut self, wait: Option<&FinishedWait>) {
         self.released += 1;
         if wait.is_some_and(is_accurate) {
@@ -41,5 +43,5 @@
 
 fn is_accurate(wait: &FinishedWait) -> bool {
     let error_s = (wait.estimated.median - wait.actual).secs().abs();
-    error_s <= (ACCURATE_PART * wait.actual.secs()).max(ACCURATE_S)
+    error_s <= (ACCURATE_FRACTION * wait.actual.secs()).max(ACCURATE_WITHIN_S)
 }
--- a/crates/scheduler/src/passed_over.rs
+++ b/crates/scheduler/src/passed_over.rs
@@ -1,4 +1,4 @@
-//! How long the first statement of each sub-queue has been passed over by those of others.
+//! How long each sub-queue with waiting statements has been passed over in favor of others.
 
 use std::collections::BTreeSet;
 
@@ -6,11 +6,11 @@
 
 use crate::config::SubQueueId;
 
-/// Since when each sub-queue where something waits has had no release.
+/// The time since which each sub-queue with waiting statements has had no release.
 pub(crate) struct PassedOver {
-    /// By sub-queue; none: nothing waits there.
+    /// The time by sub-queue; `None` if nothing waits there.
     since: Vec<Option<Timestamp>>,
-    /// The longest passed over first.
+    /// The same times in order, the longest passed over first.
     by_time: BTreeSet<(Timestamp, SubQueueId)>,
     longest: TimeDelta,
 }
@@ -24,26 +24,26 @@
         }
     }
 
-    /// Other sub-queues, in which nothing waits yet.
-    pub(crate) fn relayout(&mut self, sub_queues: usize) {
+    /// Replaces the sub-queues by new ones, in which nothing waits yet.
+    pub(crate) fn replace_sub_queues(&mut self, sub_queues: usize) {
         self.since = vec![None; sub_queues];
         self.by_time.clear();
     }
 
-    /// Something waits in a sub-queue that was empty.
+    /// Records that an empty sub-queue has its first waiting statement.
     pub(crate) fn start(&mut self, now: Timestamp, sub_queue: SubQueueId) {
         self.since[sub_queue.index()] = Some(now);
         self.by_time.insert((now, sub_queue));
     }
 
-    /// A sub-queue is empty now.
+    /// Records that a sub-queue has become empty.
     pub(crate) fn stop(&mut self, sub_queue: SubQueueId) {
         if let Some(since) = self.since[sub_queue.index()].take() {
             self.by_time.remove(&(since, sub_queue));
         }
     }
 
-    /// A statement of the sub-queue was released: what still waits there is passed over from now on.
+    /// Restarts the measurement after a release from the sub-queue, if more statements wait there.
     pub(crate) fn restart(&mut self, now: Timestamp, sub_queue: SubQueueId) {
         if self.since[sub_queue.index()].is_some() {
             self.stop(sub_queue);
@@ -51,22 +51,22 @@
         }
     }
 
-    /// Since when a sub-queue has been passed over.
+    /// The time since which a sub-queue has been passed over, or `None` if nothing waits there.
     pub(crate) fn since(&self, sub_queue: SubQueueId) -> Option<Timestamp> {
         self.since[sub_queue.index()]
     }
 
-    /// Sub-queues where something waits, the longest passed over first.
+    /// The sub-queues with waiting statements, the longest passed over first.
     pub(crate) fn longest_first(&self) -> impl Iterator<Item = (Timestamp, SubQueueId)> {
         self.by_time.iter().copied()
     }
 
-    /// A sub-queue was passed over for so long.
+    /// Records that a sub-queue has been passed over for this time.
     pub(crate) fn record(&mut self, duration: TimeDelta) {
         self.longest = self.longest.max(duration);
     }
 
-    /// The longest that was recorded.
+    /// The longest recorded time.
     pub(crate) fn longest(&self) -> TimeDelta {
         self.longest
     }
--- a/crates/scheduler/src/rank.rs
+++ b/crates/scheduler/src/rank.rs
@@ -1,4 +1,4 @@
-//! The order among the children of a tenant, and among all tenants, for one query class.
+//! The order among the sub-queues of a tenant, and among all tenants, for one query class.
 
 use std::collections::BTreeSet;
 
@@ -6,16 +6,17 @@
 
 use crate::float_key::FloatKey;
 
-/// What a tenant or sub-queue is ranked by among its siblings.
+/// The key by which a tenant or sub-queue is ranked among its siblings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RankKey {
-    /// Its budget covers its first statement, which stands here.
+    /// Its budget covers its first statement, which has this position.
     WithinBudget(QueuePosition),
-    /// It can only borrow; its virtual time.
+    /// Its budget does not cover its first statement, so it can only borrow. Contains its virtual
+    /// time.
     Borrowing(FloatKey),
 }
 
-/// Siblings with waiting statements of one query class, by their rank keys.
+/// The siblings with waiting statements of one query class, ordered by their rank keys.
 #[derive(Clone, Debug)]
 pub(crate) struct Ranks<Id> {
     within_budget: BTreeSet<(QueuePosition, Id)>,
@@ -30,7 +31,8 @@
         }
     }
 
-    /// Moves a sibling from its current rank to the new one; none: nothing of the class waits there.
+    /// Moves a sibling from its current rank key to a new one. `None` stands for a sibling without
+    /// waiting statements of the class.
     pub(crate) fn replace(&mut self, id: Id, current: &mut Option<RankKey>, new: Option<RankKey>) {
         if *current == new {
             return;
@@ -56,7 +58,8 @@
         *current = new;
     }
 
-    /// The sibling whose turn it is: the earliest first statement within budget, else the one that borrowed least.
+    /// The first sibling: the one within budget with the earliest first statement, otherwise the
+    /// one that borrowed least.
     pub(crate) fn first(&self) -> Option<Id> {
         if let Some((_, id)) = self.within_budget.first() {
             return Some(*id);
@@ -68,12 +71,12 @@
         !self.within_budget.is_empty()
     }
 
-    /// Siblings within budget, the earliest first statement first.
+    /// The siblings within budget, ordered by the position of their first statements.
     pub(crate) fn within_budget(&self) -> impl Iterator<Item = (QueuePosition, Id)> {
         self.within_budget.iter().copied()
     }
 
-    /// Siblings that can only borrow, the least virtual time first.
+    /// The siblings that can only borrow, ordered by virtual time.
     pub(crate) fn borrowing(&self) -> impl Iterator<Item = (FloatKey, Id)> {
         self.borrowing.iter().copied()
     }
--- a/crates/scheduler/src/rate.rs
+++ b/crates/scheduler/src/rate.rs
@@ -1,11 +1,12 @@
-//! How fast waiting work is released.
+//! The rate at which waiting work is released.
 
 use admission::interface::Timestamp;
 
-/// Estimates the rate at which work leaves a queue, in CPU seconds a second.
+/// Estimates the rate at which work leaves a queue, in CPU seconds per second.
 ///
-/// It learns CPU seconds released for each core second during which something waited. Counted by core, a change of
-/// capacity shows in the same turn, long before the releases themselves would tell.
+/// It measures the CPU seconds released per core second during which something waited. Because the
+/// measure is per core, a change of the number of cores affects the estimate in the same turn, long
+/// before the releases themselves would show it.
 #[derive(Clone, Debug)]
 pub(crate) struct RateEstimator {
     released_cpu: f64,
@@ -15,16 +16,18 @@
 }
 
 impl RateEstimator {
-    /// Time constant of the decay while something waits. Older releases tell of other traffic; with a shorter one,
-    /// single large statements would make the rate jump.
+    /// Time constant of the decay while something waits, in seconds. Older releases reflect
+    /// different traffic. With a shorter time constant, single large statements would make the rate
+    /// jump.
     const DECAY_S: f64 = 2.0;
-    /// Time constant while nothing waits: such time tells nothing, so the memory fades slowly.
+    /// Time constant of the decay while nothing waits, in seconds. Idle time carries no
+    /// information, so observations decay slowly.
     const IDLE_DECAY_S: f64 = 10.0 * Self::DECAY_S;
-    /// Seconds of waiting that weigh as much as the prior rate.
+    /// The waiting time in seconds whose observations weigh as much as the prior rate.
     const PRIOR_S: f64 = 0.3;
-    /// Cores are taken to be at least this many.
+    /// The smallest number of cores used for the weight of the prior.
     const MIN_CORES: f64 = 1e-3;
-    /// Least divisor of a rate.
+    /// The smallest divisor of a rate, in core seconds.
     const MIN_CORE_SECONDS: f64 = 1e-9;
 
     pub(crate) fn new(now: Timestamp) -> Self {
@@ -36,7 +39,7 @@
         }
     }
 
-    /// Accounts for the time up to now, which passed with so many cores.
+    /// Accounts for the time up to `now`, during which this number of cores was available.
     pub(crate) fn advance(&mut self, now: Timestamp, cores: f64) {
         let elapsed = (now - self.updated).secs().max(0.0);
         if elapsed == 0.0 {
@@ -56,26 +59,27 @@
         }
     }
 
-    /// Something waits from now on.
+    /// Records that statements wait from now on.
     pub(crate) fn start_waiting(&mut self, now: Timestamp, cores: f64) {
         self.advance(now, cores);
         self.waiting = true;
     }
 
-    /// Nothing waits any more.
+    /// Records that no statement waits any more.
     pub(crate) fn stop_waiting(&mut self, now: Timestamp, cores: f64) {
         self.advance(now, cores);
         self.waiting = false;
     }
 
-    /// A statement that had waited was released.
+    /// Records the release of a statement that had waited.
     pub(crate) fn record_release(&mut self, now: Timestamp, cores: f64, cpu: f64) {
         self.advance(now, cores);
         self.released_cpu += cpu;
     }
 
-    /// CPU seconds a second with so many cores. `prior`: the likely rate while little was seen here; without it, one
-    /// large statement that waits for its capacity would read as a queue that never moves.
+    /// The estimated rate with this number of cores, in CPU seconds per second. `prior` is the
+    /// assumed rate while few observations exist. Without it, a single large statement that waits
+    /// for capacity would look like a queue that never moves.
     pub(crate) fn rate(&mut self, now: Timestamp, cores: f64, prior: f64) -> f64 {
         self.advance(now, cores);
         let prior_core_seconds = Self::PRIOR_S * cores.max(Self::MIN_CORES);
@@ -83,7 +87,7 @@
         (released / (self.core_seconds + prior_core_seconds) * cores).max(0.0)
     }
 
-    /// As [`RateEstimator::rate`] without a prior; none until enough was seen.
+    /// Like [`RateEstimator::rate`] without a prior. `None` until there are enough observations.
     pub(crate) fn observed(&mut self, now: Timestamp, cores: f64) -> Option<f64> {
         self.advance(now, cores);
         if self.core_seconds < Self::PRIOR_S * cores.max(Self::MIN_CORES) {
--- a/crates/scheduler/src/refill.rs
+++ b/crates/scheduler/src/refill.rs
@@ -1,4 +1,4 @@
-//! When budgets will cover again what they do not cover now.
+//! Timers for the time at which a budget covers a first statement again.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,7 +13,7 @@
     Tenant(TenantQueueId),
 }
 
-/// At most one timer for each node, by the time at which it fires.
+/// At most one timer for each node, ordered by expiry.
 #[derive(Debug, Default)]
 pub(crate) struct RefillTimers {
     by_time: BTreeSet<(Timestamp, TreeNode)>,
@@ -21,7 +21,7 @@
 }
 
 impl RefillTimers {
-    /// Sets a node's timer in place of the one it had; none: it needs no timer.
+    /// Replaces the timer of a node. With `None`, the node has no timer.
     pub(crate) fn set(&mut self, node: TreeNode, time: Option<Timestamp>) {
         let current = self.by_node.get(&node).copied();
         if current == time {
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Removes the first timer that has fired by now.
+    /// Removes and returns the first timer that has expired, or `None` if there is none.
     pub(crate) fn pop_due(&mut self, now: Timestamp) -> Option<TreeNode> {
         let (time, node) = *self.by_time.first()?;
         if time > now {
--- a/crates/scheduler/src/resolver.rs
+++ b/crates/scheduler/src/resolver.rs
@@ -1,4 +1,4 @@
-//! Finds the sub-queue of a statement by the names it carries or by its client's network.
+//! Finds the sub-queue of a statement by the names it carries or by the network of its client.
 
 use std::collections::BTreeMap;
 use std::net::IpAddr;
@@ -8,23 +8,23 @@
 
 use crate::config::{Config, SubQueueConfig, SubQueueId};
 
-/// Where a statement waits.
+/// The result of [`QueueResolver::resolve`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Resolved {
-    /// The sub-queue that was found.
+    /// The sub-queue in which the statement waits.
     pub sub_queue: SubQueueId,
-    /// False: the statement named a tenant or sub-queue that is not configured.
+    /// Whether every tenant and sub-queue that the statement named is configured.
     pub known: bool,
 }
 
-/// Resolves names and networks to sub-queues; of several networks the longest prefix wins.
+/// Resolves names and networks to sub-queues. If several networks match, the longest prefix wins.
 #[derive(Default)]
 pub struct QueueResolver {
     tenant_by_name: BTreeMap<String, usize>,
     tenants: Vec<TenantEntry>,
 }
 
-/// One tenant's sub-queues.
+/// The sub-queues of one tenant.
 struct TenantEntry {
     default: SubQueueId,
     by_name: BTreeMap<String, SubQueueId>,
@@ -33,7 +33,7 @@
 }
 
 impl QueueResolver {
-    /// A resolver for these tenants.
+    /// Creates a resolver for the tenants of this configuration.
     #[must_use]
     pub fn new(config: &Config) -> Self {
         let mut resolver = QueueResolver::default();
@@ -50,8 +50,10 @@
         resolver
     }
 
-    /// The sub-queue for a statement. A known name decides; without a named sub-queue the client's network does, then
-    /// the tenant's default. Without a known tenant it is the first tenant's.
+    /// Finds the sub-queue of a statement. A known sub-queue name takes precedence. A statement
+    /// that names no sub-queue is matched by the network of its client. Otherwise it gets the
+    /// default sub-queue of its tenant. A statement without a known tenant belongs to the first
+    /// tenant.
     #[must_use]
     pub fn resolve(
         &self,
@@ -104,7 +106,8 @@
         }
     }
 
-    /// The sub-queue of the longest network that holds the address. An IPv4 address may come mapped into IPv6.
+    /// The sub-queue with the longest network prefix that contains the address. IPv4 addresses
+    /// mapped to IPv6 are matched as IPv4.
     fn by_network(&self, client: IpAddr) -> Option<SubQueueId> {
         let v4 = match client {
             IpAddr::V4(address) => Some(address),
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -1,8 +1,9 @@
-//! The scheduler: `dispatch::Dispatcher` with queues ahead of it, called as the dispatcher is.
+//! The scheduler: `dispatch::Dispatcher` with queues ahead of it, called in the same way.
 //!
-//! The decision module takes a statement when it comes, so that it sees all demand; the statement waits here, and is
-//! offered when its turn comes. An offer that finds no capacity is withdrawn at once, so that the dispatcher's own queue
-//! stays short and its longest wait never ends one. Without queues all is passed on unchanged.
+//! The decision module registers every statement on arrival, so that it sees the whole demand. The
+//! statement then waits here and is offered to the module when its turn comes. An offer that finds
+//! no capacity is withdrawn at once: this keeps the dispatcher's own queue short, so that its
+//! maximum wait never ends a statement. Without queues, every call goes straight to the dispatcher.
 
 use admission::interface::{
     AttemptEvent, AttemptNumber, EndpointUpdate, EngineHealth, EngineId, Forecast, LoadReport,
@@ -21,27 +22,29 @@
 use crate::wait_estimate::WaitEstimate;
 use crate::waiting::FinishedWait;
 
-/// How far the wait of one statement is.
+/// How far the wait of one statement has progressed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WaitProgress {
-    /// Waited so far.
+    /// The time the statement has waited so far.
     pub waited: TimeDelta,
-    /// The wait still ahead of it.
+    /// The estimated rest of the wait.
     pub remaining: WaitEstimate,
 }
 
-/// The decisions of one gateway, with queues ahead of them where these are on.
+/// The scheduling decisions of one gateway, with queues ahead of the dispatcher if they are
+/// enabled.
 pub struct Scheduler {
     dispatcher: Dispatcher,
     queues: Option<TenantQueues>,
-    /// Rejections of evicted statements; emptied by the next tick.
+    /// Rejections of evicted statements, which the next tick returns.
     evictions: Vec<(StatementId, Decision)>,
     finished_waits: Vec<FinishedWait>,
     metrics: Metrics,
 }
 
 impl Scheduler {
-    /// A scheduler before this dispatcher. `queues`: none to pass all on.
+    /// Creates a scheduler around `dispatcher`. With `queues` set to `None`, every call goes
+    /// straight to the dispatcher.
     #[must_use]
     pub fn new(dispatcher: Dispatcher, queues: Option<TenantQueues>) -> Self {
         Scheduler {
@@ -53,7 +56,8 @@
         }
     }
 
-    /// Takes a statement. With queues it waits, or is rejected at once; without, it is as [`Dispatcher::pick`].
+    /// Accepts a statement. With queues, the statement is queued or rejected at once; without
+    /// queues, this is [`Dispatcher::pick`].
     pub fn pick(
         &mut self,
         now: Timestamp,
@@ -92,7 +96,8 @@
         self.evictions.push((eviction.id, rejection));
     }
 
-    /// As [`Dispatcher::report`]; the tenant is charged what the outcome tells.
+    /// Calls [`Dispatcher::report`] and corrects the charge of the tenant by what the event reveals
+    /// about the cost.
     pub fn report(
         &mut self,
         now: Timestamp,
@@ -106,7 +111,7 @@
             .dispatcher
             .report(now, id, attempt, event, latency, answered);
         if let Some(queues) = &mut self.queues {
-            queues.settle(now, id, cost(event));
+            queues.settle(now, id, attempt_cpu_s(event));
             if !self.dispatcher.contains(id) {
                 queues.close_charge(id);
             }
@@ -114,7 +119,7 @@
         follow_up
     }
 
-    /// Offers what waits, as far as there is capacity.
+    /// Offers the waiting statements to the decision module as long as there is capacity.
     pub fn tick(&mut self, now: Timestamp) -> Tick {
         let Some(queues) = &mut self.queues else {
             return self.dispatcher.tick(now);
@@ -142,8 +147,9 @@
         }
     }
 
-    /// The client of a statement with no attempt in flight left: what to answer, should anybody still read.
-    /// [`Decision::Queued`]: the statement is not open.
+    /// Rejects a statement whose client left while no attempt was in flight. The returned decision
+    /// holds the answer to send if the connection is still read. It is [`Decision::Queued`] if the
+    /// statement is not open.
     pub fn reject_abandoned(
         &mut self,
         now: Timestamp,
@@ -158,7 +164,7 @@
         decision
     }
 
-    /// As [`Dispatcher::client_left`].
+    /// Calls [`Dispatcher::client_left`] and removes the statement from the queues.
     pub fn client_left(&mut self, now: Timestamp, id: StatementId) {
         self.dispatcher.client_left(id);
         self.stop_waiting(now, id);
@@ -177,40 +183,40 @@
         }
     }
 
-    /// As [`Dispatcher::on_endpoint_update`].
+    /// Calls [`Dispatcher::on_endpoint_update`].
     pub fn on_endpoint_update(&mut self, now: Timestamp, update: &EndpointUpdate) {
         self.dispatcher.on_endpoint_update(now, update);
     }
 
-    /// As [`Dispatcher::on_load_report`].
+    /// Calls [`Dispatcher::on_load_report`].
     pub fn on_load_report(&mut self, engine: EngineId, report: &LoadReport) {
         self.dispatcher.on_load_report(engine, report);
     }
 
-    /// As [`Dispatcher::on_outlier_gossip`].
+    /// Calls [`Dispatcher::on_outlier_gossip`].
     pub fn on_outlier_gossip(&mut self, now: Timestamp, reports: &[OutlierReport]) {
         self.dispatcher.on_outlier_gossip(now, reports);
     }
 
-    /// As [`Dispatcher::on_quota`].
+    /// Calls [`Dispatcher::on_quota`].
     pub fn on_quota(&mut self, grant: QuotaGrant) {
         self.dispatcher.on_quota(grant);
     }
 
-    /// As [`Dispatcher::traffic_share`].
+    /// Calls [`Dispatcher::traffic_share`].
     #[must_use]
     pub fn traffic_share(&self) -> f64 {
         self.dispatcher.traffic_share()
     }
 
-    /// As [`TenantQueues::set_leased_budgets`]; nothing without queues.
+    /// Calls [`TenantQueues::set_leased_budgets`]; without queues it does nothing.
     pub fn set_leased_budgets(&mut self, now: Timestamp, budgets: &[Option<f64>]) {
         if let Some(queues) = &mut self.queues {
             queues.set_leased_budgets(now, budgets);
         }
     }
 
-    /// As [`TenantQueues::usage`]; empty without queues.
+    /// Returns [`TenantQueues::usage`], or an empty list without queues.
     #[must_use]
     pub fn tenant_usage(&self) -> Vec<TenantUsage> {
         match &self.queues {
@@ -219,17 +225,17 @@
         }
     }
 
-    /// As [`Dispatcher::health`].
+    /// Calls [`Dispatcher::health`].
     pub fn health(&self) -> impl Iterator<Item = EngineHealth> {
         self.dispatcher.health()
     }
 
-    /// As [`Dispatcher::engines`].
+    /// Calls [`Dispatcher::engines`].
     pub fn engines(&self) -> impl Iterator<Item = EngineView> {
         self.dispatcher.engines()
     }
 
-    /// As [`Dispatcher::drain_by`], for what waits too.
+    /// Calls [`Dispatcher::drain_by`] and applies the same deadline to the queues.
     pub fn drain_by(&mut self, deadline: Timestamp) {
         self.dispatcher.drain_by(deadline);
         if let Some(queues) = &mut self.queues {
@@ -237,32 +243,33 @@
         }
     }
 
-    /// As [`TenantQueues::reconfigure`]; nothing without queues.
+    /// Calls [`TenantQueues::reconfigure`]; without queues it does nothing.
     pub fn reconfigure(&mut self, now: Timestamp, config: Config) {
         if let Some(queues) = &mut self.queues {
             queues.reconfigure(now, config);
         }
     }
 
-    /// The counters.
+    /// Returns a snapshot of the counters.
     #[must_use]
     pub fn metrics(&self) -> Metrics {
         self.metrics
     }
 
-    /// The waits that ended in the last tick, by release or by the decision module's rejection.
+    /// The waits that ended in the last tick, either by a release or by a rejection of the decision
+    /// module.
     #[must_use]
     pub fn finished_waits(&self) -> &[FinishedWait] {
         &self.finished_waits
     }
 
-    /// How many statements wait in the queues.
+    /// The number of statements that wait in the queues.
     #[must_use]
     pub fn waiting(&self) -> usize {
         self.queues.as_ref().map_or(0, TenantQueues::len)
     }
 
-    /// As [`TenantQueues::longest_passed_over`].
+    /// Returns [`TenantQueues::longest_passed_over`], or zero without queues.
     #[must_use]
     pub fn longest_passed_over(&self) -> TimeDelta {
         self.queues
@@ -270,7 +277,7 @@
             .map_or(TimeDelta::ZERO, TenantQueues::longest_passed_over)
     }
 
-    /// As [`TenantQueues::sub_queue_status`]; none without queues.
+    /// Returns [`TenantQueues::sub_queue_status`], or `None` without queues.
     pub fn sub_queue_status(
         &mut self,
         now: Timestamp,
@@ -280,12 +287,12 @@
         Some(queues.sub_queue_status(now, limit))
     }
 
-    /// As [`TenantQueues::statement_status`].
+    /// Returns [`TenantQueues::statement_status`], or `None` without queues.
     pub fn statement_status(&mut self, now: Timestamp, id: StatementId) -> Option<StatementStatus> {
         self.queues.as_mut()?.statement_status(now, id)
     }
 
-    /// How far a statement's wait is. None: it does not wait.
+    /// Returns how far the wait of a statement has progressed, or `None` if it does not wait.
     pub fn wait_progress(&mut self, now: Timestamp, id: StatementId) -> Option<WaitProgress> {
         let queues = self.queues.as_mut()?;
         Some(WaitProgress {
@@ -306,7 +313,8 @@
         id,
         sub_queue,
         class: request.class,
-        // Its deadline alone ranks it here: what its tenant may use is decided at release.
+        // The queues order statements by deadline alone. Whether the tenant is over its quota is
+        // decided at release.
         position: QueuePosition {
             over_quota: false,
             ..position
@@ -321,8 +329,9 @@
     }
 }
 
-/// CPU seconds that an attempt cost, where its event tells: none for one that did not run.
-fn cost(event: AttemptEvent) -> Option<f64> {
+/// The CPU seconds that an attempt cost: zero if it did not run, and `None` if the event does not
+/// reveal the cost.
+fn attempt_cpu_s(event: AttemptEvent) -> Option<f64> {
     match event {
         AttemptEvent::Completed { cpu, .. } => cpu.map(TimeDelta::secs),
         AttemptEvent::Rejected
--- a/crates/scheduler/src/tenant_queues/entry.rs
+++ b/crates/scheduler/src/tenant_queues/entry.rs
@@ -1,4 +1,4 @@
-//! Entry: a statement is taken into the queues, or rejected at once.
+//! Entry to the queues: a statement is queued or rejected at once.
 
 use admission::interface::{ClassId, OrderKey, QueuePosition, StatementId, TimeDelta, Timestamp};
 
@@ -7,65 +7,67 @@
 use crate::config::SubQueueId;
 use crate::frontier::ResourceNeed;
 use crate::wait_estimate::WaitEstimate;
-use crate::waiting::{EntryEstimate, Standing, WaitingStatement};
+use crate::waiting::{EntryEstimate, QueueState, WaitingStatement};
 
-/// A statement is rejected at entry when so many times its estimated 90th percentile would pass its latency objective.
-/// With less, under pressure all wait just long enough to be late: at the start of a due date 0.33 to 0.67 of the
-/// reports came in time where it was the deadline that counted, one time, and two times the 90th percentile.
+/// A statement is rejected at entry if this multiple of its estimated 90th percentile wait exceeds
+/// the time left until its latency objective. Under pressure, a factor of 1 lets statements wait
+/// just long enough to be late: at the start of a due date, where the deadline mattered, 0.33 of
+/// the reports came in time with a factor of 1 and 0.67 with a factor of 2.
 const P90_SAFETY_FACTOR: f64 = 2.0;
-/// A wait up to this is no reason to reject, in seconds.
+/// A statement is not rejected for an estimated wait up to this limit, in seconds.
 const ACCEPTABLE_WAIT_S: f64 = 0.05;
-/// A client rejected for its wait is told to come back after this part of the median at least.
-const MIN_RETRY_AFTER_PART: f64 = 0.5;
+/// A client rejected for its estimated wait is told to retry after at least this fraction of the
+/// median wait.
+const MIN_RETRY_AFTER_FRACTION: f64 = 0.5;
 
-/// A statement that comes to wait.
+/// A statement to queue.
 #[derive(Clone, Copy, Debug)]
 pub struct EnqueueRequest {
-    /// Its number.
+    /// The number of the statement.
     pub id: StatementId,
-    /// Where it is to wait; the last sub-queue in place of one that there is not.
+    /// The sub-queue in which it waits. An index beyond the last sub-queue stands for the last one.
     pub sub_queue: SubQueueId,
     /// Its query class.
     pub class: ClassId,
-    /// Its position among the others of its class queue.
+    /// Its position in its class queue.
     pub position: QueuePosition,
-    /// What it is predicted to need.
+    /// The resources it is predicted to need.
     pub need: ResourceNeed,
-    /// Released later, its answer comes after its latency objective.
+    /// The latest release time at which its answer still meets its latency objective.
     pub objective_until: Timestamp,
-    /// Released later, its answer is of no use.
+    /// The latest release time at which its answer is still useful.
     pub useful_until: Timestamp,
-    /// The key that orders it among others.
+    /// The order key; statements with the same key are released in the order in which they arrived.
     pub key: Option<OrderKey>,
 }
 
-/// What became of an [`EnqueueRequest`].
+/// The outcome for the statement of an [`EnqueueRequest`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum EnqueueOutcome {
-    /// It waits, by estimate for so long.
+    /// The statement waits; this is its estimated wait.
     Queued(WaitEstimate),
-    /// There is no room for it, or it would wait beyond its use.
+    /// There is no room for the statement, or it would wait too long to be answered in time.
     Rejected {
-        /// About so long until it would be taken.
+        /// The estimated time until such a statement would be accepted.
         retry_after: TimeDelta,
     },
 }
 
-/// A statement that was removed for one with the better claim, and is owed a rejection.
+/// A statement removed in favor of one with a stronger claim. The caller must reject it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Eviction {
-    /// The statement.
+    /// The number of the evicted statement.
     pub id: StatementId,
-    /// The wait that was still ahead of it.
+    /// The estimated rest of the wait that was still ahead of it.
     pub retry_after: TimeDelta,
 }
 
-/// What an [`EnqueueRequest`] led to.
+/// The result of an [`EnqueueRequest`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct EnqueueResult {
-    /// What became of the statement itself.
+    /// The outcome for the statement itself.
     pub outcome: EnqueueOutcome,
-    /// Statements that no longer wait.
+    /// Statements that were evicted to make room for it.
     pub evicted: Vec<Eviction>,
 }
 
@@ -79,17 +81,18 @@
 }
 
 impl TenantQueues {
-    /// Whether a statement of this cost that comes now would wait for what other tenants leave.
+    /// Whether a statement of this cost, in CPU seconds, would have to borrow capacity from other
+    /// tenants if it arrived now.
     pub fn would_borrow(&mut self, now: Timestamp, sub_queue: SubQueueId, cpu: f64) -> bool {
         self.tree.advance(now);
-        let sub_queue = self.tree.existing(sub_queue);
+        let sub_queue = self.tree.clamp_sub_queue(sub_queue);
         self.tree.claim(sub_queue, cpu) == Claim::Borrowing
     }
 
-    /// Takes a statement into its class queue, or rejects it.
+    /// Adds a statement to the queues, or rejects it.
     pub fn enqueue(&mut self, now: Timestamp, request: &EnqueueRequest) -> EnqueueResult {
         self.tree.advance(now);
-        let sub_queue = self.tree.existing(request.sub_queue);
+        let sub_queue = self.tree.clamp_sub_queue(request.sub_queue);
         self.forecaster
             .record_arrival(request.class.0, request.need.cpu);
         self.tree.record_demand(sub_queue, request.need.cpu);
@@ -98,7 +101,7 @@
             return EnqueueResult::rejected(retry_after);
         }
         let Some(evicted) = self.make_room(sub_queue, request.position, request.need) else {
-            return EnqueueResult::rejected(estimate.told.median);
+            return EnqueueResult::rejected(estimate.reported.median);
         };
         let evicted = evicted.into_iter().map(|(id, statement)| Eviction {
             id,
@@ -107,7 +110,7 @@
         let evicted = evicted.collect();
         self.admit(now, sub_queue, request, estimate);
         EnqueueResult {
-            outcome: EnqueueOutcome::Queued(estimate.told),
+            outcome: EnqueueOutcome::Queued(estimate.reported),
             evicted,
         }
     }
@@ -122,12 +125,13 @@
         let expected_s = self.expected_wait_s(sub_queue, class, request.position, request.need);
         EntryEstimate {
             expected_s,
-            told: self.forecaster.estimate(class, expected_s),
+            reported: self.forecaster.estimate(class, expected_s),
             from_observation: self.forecaster.has_observed(now, sub_queue, class),
         }
     }
 
-    /// A statement waits from now on. One whose order key has an earlier one is held until its turn.
+    /// Adds a statement to the waiting ones. It is held back as long as an earlier statement of its
+    /// order key waits.
     fn admit(
         &mut self,
         now: Timestamp,
@@ -144,7 +148,7 @@
             entered: now,
             useful_until: request.useful_until,
             estimate,
-            standing: Standing::Held,
+            state: QueueState::Held,
         };
         self.waiting.insert(request.id, statement);
         if let Some(key) = request.key {
@@ -153,7 +157,7 @@
         self.add_if_its_turn(request.id, request.key);
     }
 
-    /// A held statement is queued unless an earlier one of its order key waits.
+    /// Moves a held statement into its class queue unless an earlier one of its order key waits.
     pub(super) fn add_if_its_turn(&mut self, id: StatementId, key: Option<OrderKey>) {
         if key.is_none_or(|key| self.key_order.is_first(key, id)) {
             self.add_to_class_queue(id);
@@ -161,9 +165,11 @@
     }
 }
 
-/// The time after which to come back, if the statement would wait too long. An answer that comes late has cost another
-/// its place. Only what was observed rejects, not what is likely; and of a statement whose key's turn has to come first
-/// nothing is known.
+/// Returns the time after which the client should retry if the statement would wait too long, or
+/// `None` if it can be queued. A late answer has cost another statement its place. Only estimates
+/// based on observed releases lead to a rejection, not those based on a prior. Statements with an
+/// order key are never rejected here: nothing is known about how long the earlier ones of the key
+/// will take.
 fn reject_for_wait(
     now: Timestamp,
     request: &EnqueueRequest,
@@ -173,10 +179,10 @@
         return None;
     }
     let useful_s = (request.objective_until - now).secs();
-    let p90_s = estimate.told.p90.secs();
+    let p90_s = estimate.reported.p90.secs();
     if p90_s * P90_SAFETY_FACTOR <= useful_s.max(ACCEPTABLE_WAIT_S) {
         return None;
     }
-    let least_s = estimate.told.median.secs() * MIN_RETRY_AFTER_PART;
-    Some(TimeDelta::from_secs((p90_s - useful_s).max(least_s)))
+    let min_retry_s = estimate.reported.median.secs() * MIN_RETRY_AFTER_FRACTION;
+    Some(TimeDelta::from_secs((p90_s - useful_s).max(min_retry_s)))
 }
--- a/crates/scheduler/src/tenant_queues/eviction.rs
+++ b/crates/scheduler/src/tenant_queues/eviction.rs
@@ -1,4 +1,4 @@
-//! Eviction: room for a statement in the place of those with the worse claim.
+//! Eviction: making room for a statement by removing statements with a weaker claim.
 
 use admission::interface::{QueuePosition, StatementId};
 
@@ -6,15 +6,16 @@
 use crate::backlog::{fits, load};
 use crate::config::SubQueueId;
 use crate::frontier::ResourceNeed;
-use crate::waiting::{Standing, WaitingStatement};
+use crate::waiting::{QueueState, WaitingStatement};
 
-/// So many statements may be evicted for one that needs their room in CPU seconds.
+/// The maximum number of statements evicted for one that needs their room in CPU seconds.
 const MAX_EVICTIONS: usize = 16;
 
 impl TenantQueues {
-    /// Makes room for a statement in its sub-queue and in all: within one sub-queue those go that would be released
-    /// later, among sub-queues the last of the one with the most waiting for its budget. None: nobody's claim is worse,
-    /// and nobody goes.
+    /// Makes room for a statement in its sub-queue and in the queues as a whole. If the sub-queue
+    /// is full, the statements in it that would be released later are evicted. If the queues as a
+    /// whole are full, the last statement of the sub-queue with the highest load for its budget is
+    /// evicted. Returns `None`, without evicting anything, if no statement has a weaker claim.
     pub(super) fn make_room(
         &mut self,
         sub_queue: SubQueueId,
@@ -30,7 +31,9 @@
                 }
                 return None;
             };
-            let statement = self.take_out(victim.id).expect("stands in a class queue");
+            let statement = self
+                .detach(victim.id)
+                .expect("the victim is in a class queue");
             evicted.push((victim.id, statement));
         }
         Some(evicted)
@@ -46,7 +49,7 @@
         fits(limit, self.backlog.of(sub_queue), need)
     }
 
-    /// The statement that has to go first for this one.
+    /// The next statement to evict for the new one, or `None` if no statement has a weaker claim.
     fn victim(
         &self,
         sub_queue: SubQueueId,
@@ -61,8 +64,8 @@
             .filter(|last| last.deadline > position.deadline)
     }
 
-    /// The sub-queue with the most load, if it is another one with more than this one's, the new statement included.
-    /// None where this sub-queue itself is full.
+    /// The sub-queue with the highest load, if it is another one and its load exceeds that of
+    /// `sub_queue` with the new statement included. `None` if `sub_queue` itself is full.
     fn heavier_sub_queue(&self, sub_queue: SubQueueId, need: ResourceNeed) -> Option<SubQueueId> {
         if !self.sub_queue_has_room(sub_queue, need) {
             return None;
@@ -74,10 +77,10 @@
         is_heavier.then_some(heaviest)
     }
 
-    /// Takes an eviction back.
+    /// Undoes an eviction.
     fn restore(&mut self, id: StatementId, statement: WaitingStatement) {
         let held = WaitingStatement {
-            standing: Standing::Held,
+            state: QueueState::Held,
             ..statement
         };
         self.waiting.insert(id, held);
--- a/crates/scheduler/src/tenant_queues/mod.rs
+++ b/crates/scheduler/src/tenant_queues/mod.rs
@@ -1,14 +1,17 @@
-//! The waiting statements of all tenants, and which is offered next.
+//! The waiting statements of all tenants, and the order in which they are offered.
 //!
-//! Two levels: tenants have sub-queues, and statements wait in the class queues of these. Nothing here chooses an
-//! engine. `docs/notes/queues.md` tells the order and why it is so. Each part of the state is a type of its own:
+//! There are two levels: each tenant has sub-queues, and statements wait in the class queues of a
+//! sub-queue. Nothing here chooses an engine. `docs/notes/queues.md` describes the order and the
+//! reasons for it. Each part of the state has its own type:
 //!
-//! - `WaitingStatements`, the statements by number; `KeyOrder`, whose turn it is among those of one order key;
-//! - `ClassQueues`, their order of release; `Backlog`, how much waits; `PassedOver`, for how long in vain;
-//! - `TenantTree`, budgets and ranks; `OpenCharges`, what released statements are charged;
-//! - `WaitForecaster`, what estimates rest on.
+//! - `WaitingStatements` holds the statements by number, and `KeyOrder` the order among those with
+//!   the same order key.
+//! - `ClassQueues` holds the release order, `Backlog` the amount of waiting work, and `PassedOver`
+//!   the time that each sub-queue has gone without a release.
+//! - `TenantTree` holds budgets and ranks, and `OpenCharges` what released statements are charged.
+//! - `WaitForecaster` holds the observations behind the estimated waits.
 //!
-//! The modules below hold one operation each: entry with eviction, offers, reconfiguration and status.
+//! Each of the submodules holds one operation: entry, eviction, offers, reconfiguration and status.
 
 mod entry;
 mod eviction;
@@ -30,9 +33,9 @@
 use crate::passed_over::PassedOver;
 use crate::tenant_tree::{TenantTree, TenantUsage};
 use crate::wait_forecast::WaitForecaster;
-use crate::waiting::{FinishedWait, Standing, WaitingStatement, WaitingStatements};
+use crate::waiting::{FinishedWait, QueueState, WaitingStatement, WaitingStatements};
 
-/// Statements that wait before the decision module, by tenant, sub-queue and query class.
+/// The statements that wait ahead of the decision module, by tenant, sub-queue and query class.
 pub struct TenantQueues {
     config: Config,
     tree: TenantTree,
@@ -41,19 +44,21 @@
     passed_over: PassedOver,
     waiting: WaitingStatements,
     key_order: KeyOrder,
-    /// Keyed statements that found no capacity in this round: they may lack only their turn, and are queued again with
-    /// the next round.
+    /// Statements with an order key that found no capacity in this round. They may only have to
+    /// wait for an earlier one of their key, and return to their class queues in the next round.
     held_for_round: Vec<StatementId>,
     charges: OpenCharges,
     forecaster: WaitForecaster,
 }
 
 impl TenantQueues {
-    /// When a gateway ends, what waits is offered once more so long before.
+    /// How long before the shutdown deadline of a gateway the waiting statements are offered for
+    /// the last time, in seconds.
     const DRAIN_MARGIN_S: f64 = 0.05;
 
-    /// Empty queues. `classes`: how many query classes there are; `seed`: of the shape of the trees within, on which no
-    /// order depends. The configuration must have a tenant, and each tenant a sub-queue: other calls rely on it.
+    /// Creates empty queues for this number of query classes. `seed` determines the shape of the
+    /// internal treaps, which does not affect any order. The configuration must have at least one
+    /// tenant, and each tenant at least one sub-queue: the other methods rely on it.
     #[must_use]
     pub fn new(now: Timestamp, config: Config, classes: usize, seed: u64) -> Self {
         let tree = TenantTree::new(now, &config, classes);
@@ -72,39 +77,42 @@
         }
     }
 
-    /// How many statements wait.
+    /// The number of waiting statements.
     #[must_use]
     pub fn len(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Nothing waits.
+    /// Whether no statement waits.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Released statements whose last outcome is not known yet.
+    /// The number of released statements whose final outcome is not known yet.
     #[must_use]
     pub fn open_charges(&self) -> usize {
         self.charges.len()
     }
 
-    /// The longest that the first statement of any sub-queue has been passed over by one of the same query class.
+    /// The longest time for which any sub-queue has been passed over in favor of another one,
+    /// counting only releases of a query class of which it had statements waiting.
     #[must_use]
     pub fn longest_passed_over(&self) -> TimeDelta {
         self.passed_over.longest()
     }
 
-    /// What each tenant demanded and spent of its budget since the start, in the order of the configuration.
+    /// The demand of each tenant and what it spent from its budget since the start, in the order of
+    /// the configuration.
     pub fn usage(&self) -> impl Iterator<Item = TenantUsage> {
         self.tree.usage()
     }
 
-    /// Time goes on: accounts fill, and a new round of offers begins.
+    /// Advances the time, which refills the budgets, and begins a new round of offers.
     ///
-    /// `cores`: what the engines in use have, as this gateway's share; estimates follow it at once. `traffic_share`:
-    /// what this gateway carries, in even shares of all gateways' traffic; budgets follow it unless they are leased.
+    /// `cores` is this gateway's share of the cores of the engines in use; estimates follow a
+    /// change at once. `traffic_share` is this gateway's traffic as a multiple of an even share
+    /// among all gateways; budgets scale with it unless they are leased.
     pub fn begin_round(&mut self, now: Timestamp, cores: f64, traffic_share: f64) {
         self.tree.advance(now);
         self.tree.set_traffic_share(traffic_share);
@@ -119,15 +127,17 @@
         }
     }
 
-    /// Sets the budgets of tenants from now on, by their index in the configuration, in CPU seconds a second: this
-    /// gateway's lease of what is configured for all gateways together. Sub-queues' follow in proportion; one that is
-    /// not told stays. With the first lease nothing is saved.
+    /// Sets the budgets of the tenants, by their index in the configuration, in CPU seconds per
+    /// second. A budget is this gateway's lease of the budget configured for all gateways together.
+    /// The budgets of sub-queues change in proportion, and a tenant with `None` keeps its budget.
+    /// The first lease starts with no saved budget.
     pub fn set_leased_budgets(&mut self, now: Timestamp, budgets: &[Option<f64>]) {
         self.tree.advance(now);
         self.tree.set_leased_budgets(budgets, &self.class_queues);
     }
 
-    /// What an attempt of a released statement cost: CPU seconds where known, zero where it is known not to have run.
+    /// Corrects the charge of a released statement to what an attempt cost, in CPU seconds: zero if
+    /// the attempt is known not to have run, and `None` if its cost is unknown.
     pub fn settle(&mut self, now: Timestamp, id: StatementId, cpu: Option<f64>) {
         self.tree.advance(now);
         let Some(cpu) = cpu else { return };
@@ -139,7 +149,7 @@
         self.tree.rerank(charge.sub_queue, &self.class_queues);
     }
 
-    /// One more attempt of a statement that was released before: its tenant is charged for that, too.
+    /// Charges the tenant for another attempt of a statement that was already released.
     pub fn charge_retry(&mut self, now: Timestamp, id: StatementId, cpu: f64) {
         self.tree.advance(now);
         if let Some(charge) = self.charges.remove(id) {
@@ -147,28 +157,30 @@
         }
     }
 
-    /// A released statement has no further outcome.
+    /// Drops the charge of a released statement that has no further outcome.
     pub fn close_charge(&mut self, id: StatementId) {
         self.charges.remove(id);
     }
 
-    /// A statement was rejected, or its client left. None: it did not wait.
+    /// Removes a statement that was rejected or whose client left. Returns `None` if it did not
+    /// wait.
     pub fn remove(&mut self, now: Timestamp, id: StatementId) -> Option<FinishedWait> {
         self.tree.advance(now);
-        let statement = self.take_out(id)?;
+        let statement = self.detach(id)?;
         Some(statement.finish(now, id))
     }
 
-    /// Statements whose use has ended: they are to be offered once more.
+    /// Statements whose answers are no longer useful. They are to be offered one last time.
     #[must_use]
-    pub fn past_use(&self, now: Timestamp) -> Vec<QueuePosition> {
-        self.waiting.past_use(now)
+    pub fn past_useful_until(&self, now: Timestamp) -> Vec<QueuePosition> {
+        self.waiting.past_useful_until(now)
     }
 
-    /// The gateway ends then: nothing waits up to it without being offered once more.
+    /// Announces that the gateway shuts down at `deadline`: each statement that still waits shortly
+    /// before it is offered one last time.
     pub fn drain_by(&mut self, deadline: Timestamp) {
         let margin = TimeDelta::from_secs(-Self::DRAIN_MARGIN_S);
-        self.waiting.limit_use(deadline + margin);
+        self.waiting.limit_useful_until(deadline + margin);
     }
 
     fn charge(&mut self, id: StatementId, sub_queue: SubQueueId, cpu: f64) {
@@ -182,9 +194,9 @@
         self.tree.rerank(sub_queue, &self.class_queues);
     }
 
-    /// A held statement takes its place in its class queue.
+    /// Moves a held statement into its class queue.
     fn add_to_class_queue(&mut self, id: StatementId) {
-        let Some(statement) = self.waiting.set_standing(id, Standing::InQueue) else {
+        let Some(statement) = self.waiting.set_state(id, QueueState::InQueue) else {
             return;
         };
         let WaitingStatement {
@@ -212,15 +224,15 @@
         self.tree.rerank(sub_queue, &self.class_queues);
     }
 
-    /// A statement leaves its class queue, if it stands there.
+    /// Removes a statement from its class queue, if it is in it.
     fn remove_from_class_queue(&mut self, id: StatementId) {
         let Some(statement) = self.waiting.get(id).copied() else {
             return;
         };
-        if statement.standing == Standing::Held {
+        if statement.state == QueueState::Held {
             return;
         }
-        self.waiting.set_standing(id, Standing::Held);
+        self.waiting.set_state(id, QueueState::Held);
         let WaitingStatement {
             sub_queue,
             position,
@@ -246,8 +258,8 @@
         self.tree.rerank(sub_queue, &self.class_queues);
     }
 
-    /// Ends a statement's wait; the next of its order key is queued.
-    fn take_out(&mut self, id: StatementId) -> Option<WaitingStatement> {
+    /// Ends the wait of a statement and queues the next one of its order key.
+    fn detach(&mut self, id: StatementId) -> Option<WaitingStatement> {
         self.remove_from_class_queue(id);
         let statement = self.waiting.remove(id)?;
         if let Some(key) = statement.key
--- a/crates/scheduler/src/tenant_queues/offers.rs
+++ b/crates/scheduler/src/tenant_queues/offers.rs
@@ -1,27 +1,28 @@
-//! Offers: which statement the decision module is asked about next, and what its answer changes.
+//! Offers: which statement to offer to the decision module next, and what follows from its answer.
 
 use admission::interface::{QueuePosition, StatementId, TimeDelta, Timestamp};
 
 use super::TenantQueues;
 use crate::class_queues::Claim;
 use crate::config::SubQueueId;
-use crate::tenant_tree::MAX_SIBLINGS;
-use crate::waiting::{FinishedWait, Standing, WaitingStatement};
+use crate::tenant_tree::MAX_SIBLINGS_EXAMINED;
+use crate::waiting::{FinishedWait, QueueState, WaitingStatement};
 
-/// A statement to ask the decision module about.
+/// A statement to offer to the decision module.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Offer {
-    /// The statement, and where it stands.
+    /// The position of the statement, with its number.
     pub position: QueuePosition,
-    /// Its tenant's budget does not cover it: only spare capacity is for it.
+    /// The budget of its tenant does not cover the statement, so only spare capacity may be used.
     pub borrowed: bool,
 }
 
 impl TenantQueues {
-    /// The next statement to offer; none: nothing more in this round.
+    /// The next statement to offer, or `None` if there is nothing more to offer in this round.
     ///
-    /// First of sub-queues that were passed over for the ageing bound, then within budget by the earliest deadline,
-    /// then of the tenant that borrowed least by weight.
+    /// Sub-queues that were passed over for the ageing bound come first, then statements within
+    /// budget by the earliest deadline, then those of the tenant that borrowed least in relation to
+    /// its weight.
     #[must_use]
     pub fn next_offer(&self) -> Option<Offer> {
         if let Some(position) = self.first_aged() {
@@ -43,26 +44,29 @@
         })
     }
 
-    /// The first that may have capacity of the sub-queue that was passed over longest, beyond the ageing bound.
+    /// The first statement that may have capacity in the sub-queue that was passed over longest,
+    /// among those passed over for at least the ageing bound.
     fn first_aged(&self) -> Option<QueuePosition> {
         let now = self.tree.now();
         self.passed_over
             .longest_first()
-            .take(MAX_SIBLINGS)
+            .take(MAX_SIBLINGS_EXAMINED)
             .take_while(|(since, _)| *since + self.config.ageing <= now)
             .find_map(|(_, sub_queue)| self.class_queues.first_of_any_class(sub_queue))
     }
 
-    /// An offer found no capacity. `borrowed`: as in the [`Offer`]; `useful_until`: by the newest forecast.
+    /// Records that an offer found no capacity. `borrowed` is the value of the [`Offer`], and
+    /// `useful_until` comes from the latest forecast.
     pub fn no_capacity(&mut self, id: StatementId, borrowed: bool, useful_until: Timestamp) {
         let Some(statement) = self.waiting.set_useful_until(id, useful_until) else {
             return;
         };
-        if statement.standing == Standing::Held {
+        if statement.state == QueueState::Held {
             return;
         }
         if statement.key.is_some() {
-            // It may only have to wait for its turn, which says nothing of capacity.
+            // The statement may only have to wait for an earlier one of its key, which does not
+            // indicate a lack of capacity.
             self.remove_from_class_queue(id);
             self.held_for_round.push(id);
             return;
@@ -75,7 +79,8 @@
         };
         self.class_queues
             .record_no_capacity(class, claim, statement.need);
-        // Light statements would pass a heavy first one for ever: from here on capacity is saved up for it.
+        // Cheap statements could overtake an expensive first one forever. Closing the class for
+        // this round leaves the capacity to accumulate for it.
         if self.is_passed_over_twice_the_bound(statement.sub_queue) {
             self.class_queues.close_class(class);
         }
@@ -87,8 +92,8 @@
         since.is_some_and(|since| since + ageing + ageing <= self.tree.now())
     }
 
-    /// A statement goes to an engine: its wait is over, and its tenant is charged so many CPU seconds. None: it did not
-    /// wait.
+    /// Ends the wait of a statement that goes to an engine, and charges its tenant `charge` CPU
+    /// seconds. Returns `None` if the statement did not wait.
     pub fn release(
         &mut self,
         now: Timestamp,
@@ -96,7 +101,7 @@
         charge: f64,
     ) -> Option<FinishedWait> {
         self.tree.advance(now);
-        let statement = self.take_out(id)?;
+        let statement = self.detach(id)?;
         let wait = statement.finish(now, id);
         self.record_release(now, &statement, wait.actual);
         self.record_passed_over(now, &statement);
@@ -119,13 +124,14 @@
         }
     }
 
-    /// Notes the sub-queue that waits longest of those with statements of the same class.
+    /// Records how long the longest-waiting other sub-queue with statements of the same class has
+    /// been passed over.
     fn record_passed_over(&mut self, now: Timestamp, released: &WaitingStatement) {
         let class = released.class.0;
         let longest = self
             .passed_over
             .longest_first()
-            .take(MAX_SIBLINGS)
+            .take(MAX_SIBLINGS_EXAMINED)
             .find(|(_, sub_queue)| {
                 *sub_queue != released.sub_queue && !self.class_queues.is_empty(*sub_queue, class)
             });
--- a/crates/scheduler/src/tenant_queues/reconfigure.rs
+++ b/crates/scheduler/src/tenant_queues/reconfigure.rs
@@ -1,4 +1,4 @@
-//! Reconfiguration: another configuration is taken over with all that waits.
+//! Reconfiguration: applies another configuration while statements wait.
 
 use admission::interface::{StatementId, Timestamp};
 
@@ -6,51 +6,54 @@
 use crate::backlog::Backlog;
 use crate::config::Config;
 use crate::tenant_tree::SubQueueMoves;
-use crate::waiting::{Standing, WaitingStatement};
+use crate::waiting::{QueueState, WaitingStatement};
 
 impl TenantQueues {
-    /// Takes another configuration over. What waits goes to the sub-queue of the same names, else to its tenant's
-    /// default one, else to the first tenant's. Accounts of tenants and sub-queues that stay keep what they used.
+    /// Applies another configuration. A waiting statement moves to the sub-queue with the same
+    /// tenant and sub-queue name, otherwise to the default sub-queue of its tenant, otherwise to
+    /// that of the first tenant. Tenants and sub-queues that remain keep the state of their
+    /// accounts.
     pub fn reconfigure(&mut self, now: Timestamp, config: Config) {
         self.tree.advance(now);
-        // The order within each key stays as it is while all statements leave and come back.
+        // The order within each key must survive while all statements are removed and added again.
         let key_order = std::mem::take(&mut self.key_order);
-        let statements = self.take_out_all();
+        let statements = self.detach_all();
         let moves = self.tree.reconfigure(&config);
         self.config = config;
-        self.relayout(now, &moves);
+        self.replace_sub_queues(now, &moves);
         self.key_order = key_order;
         for (id, statement) in statements {
             self.relocate(id, statement, &moves);
         }
     }
 
-    /// Empties all queues; the statements in the order of their numbers.
-    fn take_out_all(&mut self) -> Vec<(StatementId, WaitingStatement)> {
+    /// Empties all queues and returns the statements in the order of their numbers.
+    fn detach_all(&mut self) -> Vec<(StatementId, WaitingStatement)> {
         let mut statements = Vec::with_capacity(self.waiting.len());
         for id in self.waiting.ids() {
-            if let Some(statement) = self.take_out(id) {
+            if let Some(statement) = self.detach(id) {
                 statements.push((id, statement));
             }
         }
         statements
     }
 
-    /// All that is kept by sub-queue is laid out for the new ones.
-    fn relayout(&mut self, now: Timestamp, moves: &SubQueueMoves) {
+    /// Rebuilds all state that is indexed by sub-queue for the new sub-queues.
+    fn replace_sub_queues(&mut self, now: Timestamp, moves: &SubQueueMoves) {
         let sub_queues = self.tree.sub_queue_count();
-        self.class_queues.relayout(sub_queues);
+        self.class_queues.replace_sub_queues(sub_queues);
         self.backlog = Backlog::new(sub_queues);
-        self.passed_over.relayout(sub_queues);
-        self.forecaster.relayout(now, sub_queues, moves.kept());
+        self.passed_over.replace_sub_queues(sub_queues);
+        self.forecaster
+            .replace_sub_queues(now, sub_queues, moves.kept());
         self.charges.relocate(moves);
     }
 
-    /// A statement that was taken out waits in its new sub-queue.
+    /// Adds a removed statement to its new sub-queue.
     fn relocate(&mut self, id: StatementId, statement: WaitingStatement, moves: &SubQueueMoves) {
         let moved = WaitingStatement {
             sub_queue: moves.target(statement.sub_queue),
-            standing: Standing::Held,
+            state: QueueState::Held,
             ..statement
         };
         self.waiting.insert(id, moved);
--- a/crates/scheduler/src/tenant_queues/status.rs
+++ b/crates/scheduler/src/tenant_queues/status.rs
@@ -1,4 +1,4 @@
-//! What is told of the queues: estimates and status.
+//! Estimated waits and the status of the queues.
 
 use admission::interface::{QueuePosition, StatementId, TimeDelta, Timestamp};
 
@@ -9,63 +9,64 @@
 use crate::wait_estimate::WaitEstimate;
 use crate::waiting::WaitingStatement;
 
-/// Later than any deadline, in seconds from now.
+/// An offset from now, in seconds, that is later than any deadline.
 const LAST_DEADLINE_S: f64 = 3e9;
 
 /// The state of one sub-queue.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SubQueueStatus {
-    /// The tenant's name.
+    /// The name of the tenant.
     pub tenant: String,
-    /// The sub-queue's name.
+    /// The name of the sub-queue.
     pub sub_queue: String,
-    /// Statements that wait.
+    /// The number of waiting statements.
     pub waiting: u32,
-    /// Predicted CPU seconds that wait.
+    /// The predicted CPU seconds of the waiting statements.
     pub waiting_cpu: f64,
-    /// Its budget, in predicted CPU seconds a second.
+    /// The budget, in predicted CPU seconds per second.
     pub budget: f64,
-    /// Predicted CPU seconds a second released of late while something waited; none: too little was seen.
+    /// The recent release rate while statements waited, in predicted CPU seconds per second. `None`
+    /// if too little was observed.
     pub rate: Option<f64>,
-    /// CPU seconds saved of the budget; negative: a debt.
+    /// The saved budget in CPU seconds; a negative value is a debt.
     pub saved: f64,
-    /// How long the oldest of its classes' first statements has waited.
+    /// The wait so far of the oldest among the first statements of the class queues.
     pub longest_wait: TimeDelta,
-    /// The estimate for one more typical statement, by query class.
+    /// The estimated wait of one more typical statement, by query class.
     pub next_waits: Vec<WaitEstimate>,
 }
 
 /// The state of one waiting statement.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StatementStatus {
-    /// The tenant's name.
+    /// The name of the tenant.
     pub tenant: String,
-    /// The sub-queue's name.
+    /// The name of the sub-queue.
     pub sub_queue: String,
-    /// Statements before it in its class queue.
+    /// The number of statements ahead of it in its class queue.
     pub ahead: u32,
-    /// How long it has waited.
+    /// The time it has waited so far.
     pub waited: TimeDelta,
-    /// The wait still ahead of it.
+    /// The estimated rest of its wait.
     pub remaining: WaitEstimate,
 }
 
 impl TenantQueues {
-    /// How long a statement has waited. None: it does not wait.
+    /// The time a statement has waited so far, or `None` if it does not wait.
     #[must_use]
     pub fn waited(&self, now: Timestamp, id: StatementId) -> Option<TimeDelta> {
         let statement = self.waiting.get(id)?;
         Some(now - statement.entered)
     }
 
-    /// The wait still ahead of a statement. None: it does not wait.
+    /// The estimated rest of the wait of a statement, or `None` if it does not wait.
     pub fn remaining_wait(&mut self, now: Timestamp, id: StatementId) -> Option<WaitEstimate> {
         self.tree.advance(now);
         let statement = *self.waiting.get(id)?;
         Some(self.estimate(&statement))
     }
 
-    /// The state of a statement. None: it does not wait.
+    /// The state of a statement, or `None` if it does not wait.
     pub fn statement_status(&mut self, now: Timestamp, id: StatementId) -> Option<StatementStatus> {
         let remaining = self.remaining_wait(now, id)?;
         let statement = self.waiting.get(id)?;
@@ -82,8 +83,8 @@
         })
     }
 
-    /// The state of `limit` sub-queues at most, in the order of the configuration. Those with the most load are taken
-    /// first, then the empty ones.
+    /// The state of up to `limit` sub-queues, in the order of the configuration. Sub-queues with
+    /// the highest load are selected first, then empty ones.
     pub fn sub_queue_status(&mut self, now: Timestamp, limit: usize) -> Vec<SubQueueStatus> {
         self.tree.advance(now);
         let mut shown: Vec<SubQueueId> = self.backlog.heaviest_first().take(limit).collect();
@@ -104,7 +105,7 @@
             .collect();
         let oldest = self
             .class_queues
-            .firsts(sub_queue)
+            .first_of_each_class(sub_queue)
             .map(|first| first.position.id)
             .min();
         let longest_wait = oldest.and_then(|id| self.waited(now, id));
@@ -122,7 +123,7 @@
         }
     }
 
-    /// The estimate for one more typical statement of a class, behind all others.
+    /// The estimated wait of one more typical statement of a class, behind all others.
     fn next_wait(&mut self, now: Timestamp, sub_queue: SubQueueId, class: usize) -> WaitEstimate {
         let last = QueuePosition {
             deadline: now + TimeDelta::from_secs(LAST_DEADLINE_S),
@@ -137,7 +138,7 @@
         self.forecaster.estimate(class, expected_s)
     }
 
-    /// The wait still ahead of a statement, whether it stands in its class queue or not.
+    /// The estimated rest of the wait of a statement, whether it is in its class queue or held.
     pub(super) fn estimate(&mut self, statement: &WaitingStatement) -> WaitEstimate {
         let WaitingStatement {
             sub_queue,
@@ -150,8 +151,9 @@
         self.forecaster.estimate(class.0, expected_s)
     }
 
-    /// Seconds until a statement at this position would leave, by the work ahead of it. Zero where nothing is ahead of
-    /// it and its need has not been found to lack capacity.
+    /// The expected time in seconds until a statement at this position is released, based on the
+    /// work ahead of it. Zero if the class queue is empty and no statement with the same or a
+    /// smaller need was found to lack capacity.
     pub(super) fn expected_wait_s(
         &mut self,
         sub_queue: SubQueueId,
--- a/crates/scheduler/src/tenant_tree.rs
+++ b/crates/scheduler/src/tenant_tree.rs
@@ -1,8 +1,10 @@
-//! Tenants and their sub-queues with their credit accounts, ranked at both levels by whose turn it is.
+//! Tenants and their sub-queues with their credit accounts, ranked at both levels by which is next.
 //!
-//! For each query class a sub-queue is ranked among those of its tenant, and the tenant among all: by its first
-//! statement where the budget covers it, else by what was borrowed. Ranks follow each change of a class queue or an
-//! account ([`TenantTree::rerank`]), and a timer ([`TenantTree::rerank_refilled`]) when a budget covers a cost again.
+//! For each query class, a sub-queue is ranked among those of its tenant, and a tenant among all
+//! tenants: by the position of its first statement if the budget covers it, otherwise by the amount
+//! borrowed. Ranks are updated after each change of a class queue or an account
+//! ([`TenantTree::rerank`]), and by a timer when a budget covers a first statement again
+//! ([`TenantTree::rerank_refilled`]).
 
 use std::collections::BTreeMap;
 
@@ -16,22 +18,24 @@
 use crate::refill::{RefillTimers, TreeNode};
 use crate::treap::QueuedStatement;
 
-/// How many siblings are looked at behind the first when the first has only statements without capacity.
-pub(crate) const MAX_SIBLINGS: usize = 64;
+/// The maximum number of siblings examined when the first ones have only statements without
+/// capacity.
+pub(crate) const MAX_SIBLINGS_EXAMINED: usize = 64;
 
-/// Least divisor of a fraction of budgets.
+/// The smallest divisor for a fraction of a budget.
 const MIN_BUDGET: f64 = 1e-9;
 
-/// What a tenant demanded and spent of its budget since the start, in predicted CPU seconds.
+/// The demand of a tenant and what it spent from its budget since the start, in predicted CPU
+/// seconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct TenantUsage {
-    /// CPU of the statements that came for it.
+    /// The predicted CPU seconds of the statements that arrived for the tenant.
     pub demanded: f64,
-    /// CPU paid from its budget.
+    /// The CPU seconds paid from its budget.
     pub spent: f64,
 }
 
-/// What one statement was charged to: its sub-queue's account and its tenant's.
+/// How the charge of one statement was paid at each of the two levels.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ChargeFunding {
     tenant: Funding,
@@ -42,47 +46,49 @@
     name: String,
     tenant: TenantQueueId,
     account: CreditAccount,
-    /// As configured, in CPU seconds a second.
+    /// The configured budget, in CPU seconds per second.
     configured_budget: f64,
-    /// Its rank among its tenant's sub-queues, by class; none: nothing of the class waits.
+    /// The rank among the sub-queues of its tenant, by class; `None` if no statement of the class
+    /// waits.
     rank_keys: Vec<Option<RankKey>>,
 }
 
 struct Tenant {
     name: String,
     account: CreditAccount,
-    /// As configured, in CPU seconds a second.
+    /// The configured budget, in CPU seconds per second.
     configured_budget: f64,
     sub_queues: Vec<SubQueueId>,
-    /// Its sub-queues, by class.
+    /// The ranks of its sub-queues, by class.
     ranks: Vec<Ranks<SubQueueId>>,
-    /// Its rank among all tenants, by class; none: nothing of the class waits.
+    /// The rank among all tenants, by class; `None` if no statement of the class waits.
     rank_keys: Vec<Option<RankKey>>,
-    /// The virtual time that the last of its sub-queues to borrow had before.
+    /// The highest virtual time that any of its sub-queues had just before it borrowed. A sub-queue
+    /// that becomes active starts from it.
     virtual_time: f64,
-    /// Sub-queues where something waits.
+    /// The number of sub-queues with waiting statements.
     active_sub_queues: u32,
-    /// Predicted CPU seconds that came for it since the start.
+    /// The predicted CPU seconds of the statements that arrived for it since the start.
     demanded: f64,
 }
 
-/// Where the sub-queues of an earlier configuration are now, by their earlier index.
+/// The new places of the sub-queues of an earlier configuration, by their earlier index.
 pub(crate) struct SubQueueMoves(Vec<SubQueueMove>);
 
 #[derive(Clone, Copy)]
 struct SubQueueMove {
     to: SubQueueId,
-    /// It is the sub-queue of the same names.
+    /// Whether the tenant and sub-queue names are unchanged.
     same: bool,
 }
 
 impl SubQueueMoves {
-    /// Where statements of an earlier sub-queue wait now.
+    /// The sub-queue in which statements of an earlier sub-queue wait now.
     pub(crate) fn target(&self, old: SubQueueId) -> SubQueueId {
         self.0[old.index()].to
     }
 
-    /// Sub-queues that there still are: their earlier and their new number.
+    /// The sub-queues that remain, each as its earlier and its new number.
     pub(crate) fn kept(&self) -> impl Iterator<Item = (SubQueueId, SubQueueId)> {
         let moves = self.0.iter().enumerate();
         moves
@@ -91,22 +97,25 @@
     }
 }
 
-/// The two levels of accounts above the class queues.
+/// The accounts of tenants and sub-queues, above the class queues.
 pub(crate) struct TenantTree {
     classes: usize,
     clock: BudgetClock,
     burst: TimeDelta,
-    /// Budgets are told as they change, for all gateways together: nothing here guesses its part of them.
+    /// Whether budgets are leased. A lease already is this gateway's part of the budget of all
+    /// gateways, so budgets are not scaled by its traffic share.
     leased: bool,
     tenants: Vec<Tenant>,
     sub_queues: Vec<SubQueue>,
-    /// All tenants, by class.
+    /// The ranks of all tenants, by class.
     ranks: Vec<Ranks<TenantQueueId>>,
-    /// The virtual time that the last tenant to borrow had before.
+    /// The highest virtual time that any tenant had just before it borrowed. A tenant that becomes
+    /// active starts from it.
     virtual_time: f64,
-    /// Of accounts that borrow, when their budgets cover their first statements again.
+    /// For each account that can only borrow, the time at which its budget covers its first
+    /// statement again.
     refills: RefillTimers,
-    /// All tenants' budgets together.
+    /// The sum of the budgets of all tenants, in CPU seconds per second.
     total_budget: f64,
 }
 
@@ -124,11 +133,11 @@
             refills: RefillTimers::default(),
             total_budget: 0.0,
         };
-        tree.lay_out(config);
+        tree.build(config);
         tree
     }
 
-    fn lay_out(&mut self, config: &Config) {
+    fn build(&mut self, config: &Config) {
         self.total_budget = config
             .tenants
             .iter()
@@ -168,17 +177,18 @@
         });
     }
 
-    /// Time goes on: budgets fill.
+    /// Advances the time, which refills the budgets.
     pub(crate) fn advance(&mut self, now: Timestamp) {
         self.clock.advance(now);
     }
 
-    /// The time that it was last advanced to.
+    /// The time of the last [`TenantTree::advance`].
     pub(crate) fn now(&self) -> Timestamp {
         self.clock.now()
     }
 
-    /// Budgets fill faster from now on while this gateway carries more than its share, unless they are leased.
+    /// Makes budgets refill faster while this gateway carries more than an even share of the
+    /// traffic, unless they are leased.
     pub(crate) fn set_traffic_share(&mut self, traffic_share: f64) {
         self.clock
             .set_speed(if self.leased { 1.0 } else { traffic_share });
@@ -188,22 +198,22 @@
         self.sub_queues.len()
     }
 
-    /// A sub-queue that there is: the last in place of one beyond it.
-    pub(crate) fn existing(&self, sub_queue: SubQueueId) -> SubQueueId {
+    /// Returns `sub_queue` if it exists, otherwise the last sub-queue.
+    pub(crate) fn clamp_sub_queue(&self, sub_queue: SubQueueId) -> SubQueueId {
         SubQueueId(sub_queue.0.min(self.sub_queues.len() as u32 - 1))
     }
 
-    /// The budget of a sub-queue at present, in CPU seconds a second.
+    /// The current budget of a sub-queue, in CPU seconds per second.
     pub(crate) fn budget(&self, sub_queue: SubQueueId) -> f64 {
         self.sub_queues[sub_queue.index()].account.share().budget
     }
 
-    /// The budget of a sub-queue as a fraction of all tenants' budgets.
+    /// The budget of a sub-queue as a fraction of the budgets of all tenants.
     pub(crate) fn budget_fraction(&self, sub_queue: SubQueueId) -> f64 {
         self.budget(sub_queue) / self.total_budget.max(MIN_BUDGET)
     }
 
-    /// CPU seconds that a sub-queue has saved of its budget; negative: a debt.
+    /// The CPU seconds that a sub-queue has saved from its budget; a negative value is a debt.
     pub(crate) fn balance(&mut self, sub_queue: SubQueueId) -> f64 {
         self.sub_queues[sub_queue.index()]
             .account
@@ -218,7 +228,7 @@
         &self.sub_queues[sub_queue.index()].name
     }
 
-    /// By tenant, in the order of the configuration.
+    /// The usage of each tenant, in the order of the configuration.
     pub(crate) fn usage(&self) -> impl Iterator<Item = TenantUsage> {
         self.tenants.iter().map(|tenant| TenantUsage {
             demanded: tenant.demanded,
@@ -226,13 +236,14 @@
         })
     }
 
-    /// A statement of this cost came.
+    /// Records the arrival of a statement of this cost.
     pub(crate) fn record_demand(&mut self, sub_queue: SubQueueId, cpu: f64) {
         let tenant = self.sub_queues[sub_queue.index()].tenant;
         self.tenants[tenant.index()].demanded += cpu;
     }
 
-    /// Whether a statement of this cost would take what other tenants leave, were it released now.
+    /// Whether a statement of this cost would be paid from its own budget or borrow from other
+    /// tenants if it were released now.
     pub(crate) fn claim(&mut self, sub_queue: SubQueueId, cpu: f64) -> Claim {
         let sub_queue = &mut self.sub_queues[sub_queue.index()];
         let tenant = &mut self.tenants[sub_queue.tenant.index()];
@@ -245,7 +256,7 @@
         }
     }
 
-    /// Something waits in a sub-queue that was empty.
+    /// Records that an empty sub-queue has its first waiting statement.
     pub(crate) fn activate(&mut self, sub_queue: SubQueueId) {
         let sub_queue = &mut self.sub_queues[sub_queue.index()];
         let tenant = &mut self.tenants[sub_queue.tenant.index()];
@@ -256,19 +267,21 @@
         tenant.active_sub_queues += 1;
     }
 
-    /// A sub-queue is empty now.
+    /// Records that a sub-queue has become empty.
     pub(crate) fn deactivate(&mut self, sub_queue: SubQueueId) {
         let tenant = self.sub_queues[sub_queue.index()].tenant;
         self.tenants[tenant.index()].active_sub_queues -= 1;
     }
 
-    /// Charges a released statement to its sub-queue and its tenant. The caller reranks.
+    /// Charges a released statement to its sub-queue and its tenant. The caller must rerank the
+    /// sub-queue.
     pub(crate) fn charge(&mut self, sub_queue: SubQueueId, cpu: f64) -> ChargeFunding {
         let clock = self.clock;
         let sub_queue = &mut self.sub_queues[sub_queue.index()];
         let tenant = &mut self.tenants[sub_queue.tenant.index()];
         let sub_queue_covers = sub_queue.account.covers(clock, cpu);
-        // What a sub-queue's budget covers its tenant's does, whatever that spent on its others.
+        // A cost that the budget of the sub-queue covers is also covered for the tenant, whatever
+        // the tenant spent on its other sub-queues.
         let tenant_covers = sub_queue_covers || tenant.account.covers(clock, cpu);
         let funding = ChargeFunding {
             tenant: funding(tenant_covers),
@@ -285,7 +298,8 @@
         funding
     }
 
-    /// Corrects an earlier charge by what its outcome cost beyond it; negative: less. The caller reranks.
+    /// Adds `cpu` CPU seconds to an earlier charge after its outcome is known; a negative value
+    /// refunds. The caller must rerank the sub-queue.
     pub(crate) fn correct(&mut self, sub_queue: SubQueueId, cpu: f64, funding: ChargeFunding) {
         let sub_queue = &mut self.sub_queues[sub_queue.index()];
         let tenant = &mut self.tenants[sub_queue.tenant.index()];
@@ -295,7 +309,8 @@
             .correct(self.clock, cpu, funding.sub_queue);
     }
 
-    /// Ranks what can now be released on budgets that have filled since.
+    /// Updates the ranks of accounts whose budgets have refilled enough to cover their first
+    /// statements.
     pub(crate) fn rerank_refilled(&mut self, queues: &ClassQueues) {
         while let Some(node) = self.refills.pop_due(self.clock.now()) {
             match node {
@@ -305,13 +320,14 @@
         }
     }
 
-    /// Ranks a sub-queue anew among its tenant's, class by class, and the tenant among all.
+    /// Updates the ranks of a sub-queue within its tenant and of the tenant among all tenants, for
+    /// each class.
     pub(crate) fn rerank(&mut self, id: SubQueueId, queues: &ClassQueues) {
         let clock = self.clock;
         let sub_queue = &mut self.sub_queues[id.index()];
         let tenant_id = sub_queue.tenant;
         let tenant = &mut self.tenants[tenant_id.index()];
-        // Alone it has no sibling to stand behind.
+        // A single sub-queue has no siblings to compete with.
         let is_only_child = tenant.sub_queues.len() == 1;
         let mut refill = None;
         for class in 0..self.classes {
@@ -349,16 +365,16 @@
         self.refills.set(TreeNode::Tenant(id), refill);
     }
 
-    /// The earliest first statement of all tenants within budget that may have capacity.
+    /// The earliest first statement within budget, over all tenants, that may have capacity.
     pub(crate) fn first_within_budget(&self, queues: &ClassQueues) -> Option<QueuePosition> {
         let mut best: Option<QueuePosition> = None;
         for (class, ranks) in self.ranks.iter().enumerate() {
-            for (position, tenant) in ranks.within_budget().take(MAX_SIBLINGS) {
+            for (position, tenant) in ranks.within_budget().take(MAX_SIBLINGS_EXAMINED) {
                 if best.is_some_and(|best| best <= position) {
                     break;
                 }
                 let found = self.first_of_tenant(tenant, class, Claim::WithinBudget, queues);
-                best = earlier(best, found);
+                best = min_option(best, found);
                 if best == Some(position) {
                     break;
                 }
@@ -371,20 +387,22 @@
     pub(crate) fn first_borrowing(&self, queues: &ClassQueues) -> Option<QueuePosition> {
         let mut best: Option<(FloatKey, QueuePosition)> = None;
         for (class, ranks) in self.ranks.iter().enumerate() {
-            let found = ranks
-                .borrowing()
-                .take(MAX_SIBLINGS)
-                .find_map(|(virtual_time, tenant)| {
-                    let position = self.first_of_tenant(tenant, class, Claim::Borrowing, queues)?;
-                    Some((virtual_time, position))
-                });
-            best = earlier(best, found);
+            let found =
+                ranks
+                    .borrowing()
+                    .take(MAX_SIBLINGS_EXAMINED)
+                    .find_map(|(virtual_time, tenant)| {
+                        let position =
+                            self.first_of_tenant(tenant, class, Claim::Borrowing, queues)?;
+                        Some((virtual_time, position))
+                    });
+            best = min_option(best, found);
         }
         best.map(|(_, position)| position)
     }
 
-    /// The first statement of a tenant and class that may have capacity: of its sub-queues within budget, else of the
-    /// others.
+    /// The first statement of a tenant and class that may have capacity: first from the sub-queues
+    /// within budget, then from the others.
     fn first_of_tenant(
         &self,
         tenant: TenantQueueId,
@@ -394,22 +412,23 @@
     ) -> Option<QueuePosition> {
         let ranks = &self.tenants[tenant.index()].ranks[class];
         let mut best: Option<QueuePosition> = None;
-        for (position, sub_queue) in ranks.within_budget().take(MAX_SIBLINGS) {
+        for (position, sub_queue) in ranks.within_budget().take(MAX_SIBLINGS_EXAMINED) {
             if best.is_some_and(|best| best <= position) {
                 break;
             }
-            best = earlier(best, queues.first_with_capacity(sub_queue, class, claim));
+            best = min_option(best, queues.first_with_capacity(sub_queue, class, claim));
         }
         best.or_else(|| {
             ranks
                 .borrowing()
-                .take(MAX_SIBLINGS)
+                .take(MAX_SIBLINGS_EXAMINED)
                 .find_map(|(_, sub_queue)| queues.first_with_capacity(sub_queue, class, claim))
         })
     }
 
-    /// Sets the leased budgets of tenants, by their index; their sub-queues' follow in proportion. One that is not told
-    /// stays. With the first lease nothing is saved: what is configured belongs to all gateways together.
+    /// Sets the leased budgets of the tenants, by index. The budgets of their sub-queues change in
+    /// proportion, and a tenant with `None` keeps its budget. The first lease empties all accounts,
+    /// since the savings under the configured budgets belong to all gateways together.
     pub(crate) fn set_leased_budgets(&mut self, budgets: &[Option<f64>], queues: &ClassQueues) {
         let is_first = !self.leased;
         self.leased = true;
@@ -449,12 +468,12 @@
         }
     }
 
-    /// Takes another configuration over. Accounts of tenants and sub-queues that stay, by name, keep what they used.
-    /// Nothing may wait.
+    /// Applies another configuration. Tenants and sub-queues that remain, by name, keep the state
+    /// of their accounts. No statement may wait during the call.
     pub(crate) fn reconfigure(&mut self, config: &Config) -> SubQueueMoves {
         let old_tenants = std::mem::take(&mut self.tenants);
         let old_sub_queues = std::mem::take(&mut self.sub_queues);
-        self.lay_out(config);
+        self.build(config);
         if self.leased {
             self.clear_budgets();
         }
@@ -474,7 +493,8 @@
         moves
     }
 
-    /// What is configured belongs to all gateways together: until a lease is told nothing of it is this gateway's.
+    /// Sets all budgets to zero. The configured ones belong to all gateways together, so this
+    /// gateway has none until it receives a lease.
     fn clear_budgets(&mut self) {
         for tenant in &mut self.tenants {
             tenant.account.set_leased_budget(self.clock, 0.0);
@@ -484,7 +504,7 @@
         }
     }
 
-    /// By the old tenants' order: the tenant of the same name.
+    /// For each old tenant, the new tenant with the same name.
     fn tenant_moves(&self, old: &[Tenant]) -> Vec<Option<TenantQueueId>> {
         let by_name: BTreeMap<&str, TenantQueueId> = self
             .tenants
@@ -497,7 +517,8 @@
             .collect()
     }
 
-    /// By the old sub-queues' order: the one of the same names, else its tenant's default one, else the first tenant's.
+    /// For each old sub-queue, the new one with the same tenant and sub-queue name, otherwise the
+    /// default one of the same tenant, otherwise that of the first tenant.
     fn sub_queue_moves(
         &self,
         old: &[SubQueue],
@@ -533,7 +554,7 @@
         self.sub_queues[id.index()].account = account;
     }
 
-    /// An old account with the share of the new one in its place.
+    /// The old account with the share of the new one.
     fn kept_account(&self, new: &CreditAccount, mut old: CreditAccount) -> CreditAccount {
         let share = new.share();
         if self.leased {
@@ -553,7 +574,8 @@
     }
 }
 
-/// The rank of an account with this first statement. `next_refill` is brought forward to when the budget will cover it.
+/// The rank of an account with this first statement. If the budget does not cover the statement,
+/// `next_refill` is lowered to the time at which it will.
 fn rank_key(
     account: &mut CreditAccount,
     clock: BudgetClock,
@@ -563,11 +585,11 @@
     if account.covers(clock, first.need.cpu) {
         return RankKey::WithinBudget(first.position);
     }
-    *next_refill = earlier(*next_refill, account.covers_from(clock, first.need.cpu));
+    *next_refill = min_option(*next_refill, account.covered_at(clock, first.need.cpu));
     RankKey::Borrowing(FloatKey::new(account.virtual_time()))
 }
 
-/// The lesser of what there is.
-fn earlier<T: Ord>(one: Option<T>, other: Option<T>) -> Option<T> {
+/// The smaller of the values that are present.
+fn min_option<T: Ord>(one: Option<T>, other: Option<T>) -> Option<T> {
     [one, other].into_iter().flatten().min()
 }
--- a/crates/scheduler/src/treap.rs
+++ b/crates/scheduler/src/treap.rs
@@ -1,7 +1,9 @@
-//! Waiting statements in the order of release, with sums: an arena of treaps, one for each sub-queue and class.
+//! An ordered collection of waiting statements with subtree sums: an arena of treaps, one for each
+//! sub-queue and query class.
 //!
-//! Beside insert and remove it answers, in logarithmic time, two things that a plain ordered map cannot: the first
-//! that is cheaper than what was just found to have no capacity, and the work ahead of a position.
+//! Besides insertion and removal, it answers two queries in logarithmic time that a plain ordered
+//! map cannot: the first statement that needs less than what was just found to lack capacity, and
+//! the work ahead of a position.
 
 use admission::interface::QueuePosition;
 use rand::{RngExt, SeedableRng};
@@ -12,30 +14,30 @@
 /// A statement in a treap.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QueuedStatement {
-    /// Where it stands.
+    /// Its position in the release order.
     pub position: QueuePosition,
-    /// What it needs.
+    /// The resources it needs.
     pub need: ResourceNeed,
 }
 
-/// How many statements there are, and what they need together.
+/// A number of statements and the sum of their predicted cost.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Work {
-    /// Statements.
+    /// The number of statements.
     pub statements: u32,
-    /// Predicted CPU seconds.
+    /// The sum of their predicted CPU seconds.
     pub cpu: f64,
 }
 
-/// Index of a node in the arena.
+/// The index of a node in the arena.
 type NodeIndex = u32;
 
-/// One treap of the arena; empty by default.
+/// The root of one treap in the arena; the default is an empty treap.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TreapRoot(Option<NodeIndex>);
 
 impl TreapRoot {
-    /// Nothing is in it.
+    /// Whether the treap holds no statement.
     #[must_use]
     pub fn is_empty(self) -> bool {
         self.0.is_none()
@@ -45,23 +47,24 @@
 #[derive(Clone, Debug)]
 struct Node {
     statement: QueuedStatement,
-    /// Random; a parent's is no less than its children's.
+    /// A random number. The priority of a parent is at least that of its children.
     priority: u64,
     left: Option<NodeIndex>,
     right: Option<NodeIndex>,
-    /// The least need of each resource in the subtree.
-    least: ResourceNeed,
-    /// Sums over the subtree.
+    /// The minimum of each resource over the needs in the subtree.
+    min_need: ResourceNeed,
+    /// The sums over the subtree.
     work: Work,
 }
 
-/// Two parts of a treap, in order.
+/// The two parts of a split treap, in order.
 struct Split {
     before: Option<NodeIndex>,
     after: Option<NodeIndex>,
 }
 
-/// The nodes of many treaps. Freed nodes are used again, so it holds as many as waited at once at most.
+/// The nodes of many treaps. Freed nodes are reused, so the arena never holds more nodes than the
+/// highest number of statements that waited at once.
 pub struct TreapArena {
     nodes: Vec<Node>,
     free: Vec<NodeIndex>,
@@ -69,7 +72,8 @@
 }
 
 impl TreapArena {
-    /// An arena without nodes. `seed`: of the shape of the treaps only; no order depends on it.
+    /// Creates an arena without nodes. `seed` determines only the shape of the treaps, which does
+    /// not affect any order.
     #[must_use]
     pub fn new(seed: u64) -> Self {
         TreapArena {
@@ -79,14 +83,14 @@
         }
     }
 
-    /// Inserts a statement. Its position must not be in the treap yet.
+    /// Inserts a statement. The treap must not contain its position yet.
     pub fn insert(&mut self, root: &mut TreapRoot, position: QueuePosition, need: ResourceNeed) {
         let node = Node {
             statement: QueuedStatement { position, need },
             priority: self.rng.random::<u64>(),
             left: None,
             right: None,
-            least: need,
+            min_need: need,
             work: Work {
                 statements: 1,
                 cpu: need.cpu,
@@ -98,7 +102,7 @@
         root.0 = self.merge(before, after);
     }
 
-    /// Removes the statement at this position. False: there was none.
+    /// Removes the statement at this position. Returns whether there was one.
     pub fn remove(&mut self, root: &mut TreapRoot, position: QueuePosition) -> bool {
         let Split { before, after } = self.split(root.0, position);
         let (found, after) = self.take_first_if(after, position);
@@ -107,7 +111,7 @@
         found.is_some()
     }
 
-    /// The first statement.
+    /// The first statement, or `None` if the treap is empty.
     #[must_use]
     pub fn first(&self, root: TreapRoot) -> Option<QueuedStatement> {
         let mut index = root.0?;
@@ -117,7 +121,7 @@
         Some(self.node(index).statement)
     }
 
-    /// The last statement.
+    /// The last statement, or `None` if the treap is empty.
     #[must_use]
     pub fn last(&self, root: TreapRoot) -> Option<QueuedStatement> {
         let mut index = root.0?;
@@ -127,8 +131,8 @@
         Some(self.node(index).statement)
     }
 
-    /// The first statement that the frontier does not rule out. A subtree whose least need is ruled out is passed over
-    /// whole.
+    /// The first statement that the frontier does not rule out. The search skips a subtree if the
+    /// frontier rules out its minimum need.
     #[must_use]
     pub fn first_with_capacity(
         &self,
@@ -141,7 +145,7 @@
         self.search(root.0, frontier)
     }
 
-    /// The work before this position.
+    /// The work ahead of this position.
     #[must_use]
     pub fn ahead(&self, root: TreapRoot, position: QueuePosition) -> Work {
         let mut ahead = Work::default();
@@ -198,27 +202,27 @@
         index
     }
 
-    /// Computes what a node keeps of its subtree, from its children.
+    /// Recomputes the subtree data of a node from its children.
     fn update(&mut self, index: NodeIndex) {
         let node = self.node(index);
-        let mut least = node.statement.need;
+        let mut min_need = node.statement.need;
         let mut work = Work {
             statements: 1,
             cpu: node.statement.need.cpu,
         };
         for child in [node.left, node.right].into_iter().flatten() {
             let child = self.node(child);
-            least.cpu = least.cpu.min(child.least.cpu);
-            least.memory_mb = least.memory_mb.min(child.least.memory_mb);
+            min_need.cpu = min_need.cpu.min(child.min_need.cpu);
+            min_need.memory_mb = min_need.memory_mb.min(child.min_need.memory_mb);
             work.cpu += child.work.cpu;
             work.statements += child.work.statements;
         }
         let node = self.node_mut(index);
-        node.least = least;
+        node.min_need = min_need;
         node.work = work;
     }
 
-    /// Splits a treap into those before `position` and the rest.
+    /// Splits a treap into the statements before `position` and the rest.
     fn split(&mut self, root: Option<NodeIndex>, position: QueuePosition) -> Split {
         let Some(index) = root else {
             return Split {
@@ -244,7 +248,7 @@
         }
     }
 
-    /// Joins two treaps; all of `before` must come before all of `after`.
+    /// Joins two treaps. All statements of `before` must precede all those of `after`.
     fn merge(&mut self, before: Option<NodeIndex>, after: Option<NodeIndex>) -> Option<NodeIndex> {
         let (Some(first), Some(second)) = (before, after) else {
             return before.or(after);
@@ -262,7 +266,8 @@
         Some(top)
     }
 
-    /// Takes the first node off if it is the one at this position; the node, and the treap without it.
+    /// Removes the first node of a treap if it is at this position. Returns the removed node and
+    /// the root of the remaining treap.
     fn take_first_if(
         &mut self,
         root: Option<NodeIndex>,
@@ -289,7 +294,7 @@
         frontier: &CapacityFrontier,
     ) -> Option<QueuedStatement> {
         let node = self.node(root?);
-        if !frontier.may_have_capacity(node.least) {
+        if !frontier.may_have_capacity(node.min_need) {
             return None;
         }
         if let Some(found) = self.search(node.left, frontier) {
--- a/crates/scheduler/src/turn.rs
+++ b/crates/scheduler/src/turn.rs
@@ -1,4 +1,5 @@
-//! One turn of the scheduler: what waits is offered to the decision module as far as there is capacity.
+//! One turn of the scheduler: the waiting statements are offered to the decision module as long as
+//! there is capacity.
 
 use admission::interface::{QueuePosition, StatementId, Timestamp};
 use dispatch::{Decision, Dispatcher};
@@ -7,7 +8,7 @@
 use crate::tenant_queues::{Offer, TenantQueues};
 use crate::waiting::FinishedWait;
 
-/// What one turn works on, and what comes of it.
+/// The inputs and results of one turn.
 pub(crate) struct Turn<'a> {
     pub(crate) now: Timestamp,
     pub(crate) dispatcher: &'a mut Dispatcher,
@@ -15,17 +16,17 @@
     pub(crate) metrics: &'a mut Metrics,
     /// The waits that ended in this turn.
     pub(crate) finished_waits: &'a mut Vec<FinishedWait>,
-    /// Decisions to act on, in the order in which they were made.
+    /// The decisions to act on, in the order in which they were made.
     pub(crate) due: Vec<(StatementId, Decision)>,
 }
 
 impl Turn<'_> {
-    /// Offers what waits; the decisions to act on.
+    /// Offers the waiting statements and returns the decisions to act on.
     pub(crate) fn run(mut self) -> Vec<(StatementId, Decision)> {
         let capacity = self.dispatcher.capacity(self.now);
         let traffic_share = self.dispatcher.traffic_share();
         self.queues.begin_round(self.now, capacity, traffic_share);
-        for position in self.queues.past_use(self.now) {
+        for position in self.queues.past_useful_until(self.now) {
             self.offer(Offer {
                 position,
                 borrowed: false,
@@ -35,16 +36,16 @@
         self.due
     }
 
-    /// Statements with an attempt behind them wait in the dispatcher's own queue. Of both queues the earliest deadline
-    /// goes first.
+    /// Offers waiting statements and retries, the earliest deadline first. Statements that already
+    /// had an attempt wait in the dispatcher's own queue.
     fn offer_in_order(&mut self) {
         let retries = self.dispatcher.queue_positions();
         let mut retries = retries.into_iter().peekable();
         loop {
             let next = self.queues.next_offer();
-            let goes_first =
+            let precedes_offer =
                 |position: &QueuePosition| next.is_none_or(|next| *position < next.position);
-            while let Some(position) = retries.next_if(goes_first) {
+            while let Some(position) = retries.next_if(precedes_offer) {
                 self.place_retry(position.id);
             }
             let Some(next) = next else { return };
@@ -52,7 +53,7 @@
         }
     }
 
-    /// Asks the dispatcher about a statement of its own queue.
+    /// Asks the dispatcher to place a statement from its own queue.
     fn place_retry(&mut self, id: StatementId) {
         let decision = self.dispatcher.place(self.now, id);
         match decision {
@@ -65,12 +66,12 @@
         self.due.push((id, decision));
     }
 
-    /// Asks the dispatcher about a waiting statement. Without capacity it waits on.
+    /// Asks the dispatcher to place a waiting statement. It keeps waiting if there is no capacity.
     fn offer(&mut self, offer: Offer) {
         let id = offer.position.id;
         let decision = self.dispatcher.offer(self.now, id, offer.borrowed);
         match decision {
-            Decision::Queued => return self.wait_on(id, offer.borrowed),
+            Decision::Queued => return self.keep_waiting(id, offer.borrowed),
             Decision::Forward(order) => {
                 let wait = self.queues.release(self.now, id, order.charge.secs());
                 self.metrics.record_release(wait.as_ref());
@@ -84,7 +85,7 @@
         self.due.push((id, decision));
     }
 
-    fn wait_on(&mut self, id: StatementId, borrowed: bool) {
+    fn keep_waiting(&mut self, id: StatementId, borrowed: bool) {
         self.metrics.offers_without_capacity += 1;
         let useful_until = self
             .dispatcher
--- a/crates/scheduler/src/wait_estimate.rs
+++ b/crates/scheduler/src/wait_estimate.rs
@@ -1,4 +1,4 @@
-//! Waits as clients are told them, corrected by how earlier estimates turned out.
+//! Estimated waits as reported to clients, calibrated by the errors of earlier estimates.
 
 use admission::interface::TimeDelta;
 
@@ -7,34 +7,37 @@
 /// An estimated wait.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct WaitEstimate {
-    /// The wait is as likely longer as shorter.
+    /// The median of the estimated wait.
     pub median: TimeDelta,
-    /// Nine of ten waits are no longer.
+    /// The 90th percentile of the estimated wait.
     pub p90: TimeDelta,
 }
 
-/// How estimates of one query class turned out: their error is steady enough to correct the next ones.
+/// The errors of earlier estimates of one query class. They are steady enough to correct later
+/// estimates.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct WaitCalibration {
-    /// Actual waits over those expected from the work ahead.
+    /// The ratio of the actual wait to the one expected from the work ahead.
     ratios: DecayingHistogram,
-    /// Actual waits in seconds, where nothing was ahead.
+    /// Actual waits, in seconds, of statements with no expected wait.
     unqueued_waits: DecayingHistogram,
 }
 
 impl WaitCalibration {
-    /// Under this expected wait no ratio is formed: it would tell of the clock's resolution.
+    /// Below this expected wait, in seconds, no ratio is recorded, because it would mostly reflect
+    /// the resolution of the clock.
     const MIN_EXPECTED_S: f64 = 0.01;
-    /// A 90th percentile of unqueued waits up to this counts as none.
+    /// A 90th percentile of unqueued waits up to this value, in seconds, is reported as zero.
     const NEGLIGIBLE_S: f64 = 2e-3;
-    /// Ratio of the 90th percentile until enough was seen.
+    /// The ratio of the 90th percentile to the expected wait until enough waits were recorded.
     const DEFAULT_P90_RATIO: f64 = 2.0;
-    /// Bounds of the correction of the median.
+    /// The bounds of the correction of the median.
     const MEDIAN_RATIO_BOUNDS: (f64, f64) = (0.25, 4.0);
-    /// Bound of the correction of the 90th percentile.
+    /// The upper bound of the correction of the 90th percentile.
     const MAX_P90_RATIO: f64 = 16.0;
 
-    /// The estimate for a statement whose wait is expected to be so long by the work ahead of it.
+    /// The estimate for a statement whose expected wait, from the work ahead of it, is `expected_s`
+    /// seconds.
     pub(crate) fn estimate(&self, expected_s: f64) -> WaitEstimate {
         if expected_s < Self::MIN_EXPECTED_S {
             return self.estimate_unqueued(expected_s);
@@ -62,7 +65,7 @@
         }
     }
 
-    /// A wait that was expected to be so long ended.
+    /// Records the end of a wait that was expected to take `expected_s` seconds.
     pub(crate) fn record(&mut self, expected_s: f64, actual: TimeDelta) {
         if expected_s < Self::MIN_EXPECTED_S {
             self.unqueued_waits.record(actual.secs());
--- a/crates/scheduler/src/wait_forecast.rs
+++ b/crates/scheduler/src/wait_forecast.rs
@@ -1,5 +1,5 @@
-//! How long a statement will wait: by the work ahead of it and the rate at which such work was released, corrected by
-//! how earlier estimates turned out.
+//! Forecasts how long a statement will wait. The forecast is the work ahead of it divided by the
+//! observed release rate, corrected by the errors of earlier estimates.
 
 use admission::interface::{TimeDelta, Timestamp};
 
@@ -7,24 +7,25 @@
 use crate::rate::RateEstimator;
 use crate::wait_estimate::{WaitCalibration, WaitEstimate};
 
-/// CPU seconds a second that a core is taken to release until releases were seen.
+/// The assumed release rate per core until releases were observed, in CPU seconds per second.
 const PRIOR_RATE_PER_CORE: f64 = 0.7;
-/// Bounds of the part that a sub-queue is taken to get of all releases until its own were seen.
+/// The bounds of the fraction of all releases that a sub-queue is assumed to get until its own
+/// releases were observed.
 const PRIOR_FRACTION_BOUNDS: (f64, f64) = (0.01, 1.0);
-/// Least rate, in CPU seconds a second.
+/// The smallest rate used for a forecast, in CPU seconds per second.
 const MIN_RATE: f64 = 1e-3;
-/// Longest wait that is expected, in seconds.
+/// The longest expected wait, in seconds.
 const MAX_WAIT_S: f64 = 3600.0;
-/// Part of a statement's own cost that counts as work ahead of it.
-const OWN_WORK_PART: f64 = 0.5;
-/// Weight of the newest statement in the typical cost of its class.
+/// The fraction of a statement's own cost that counts as work ahead of it.
+const OWN_WORK_FRACTION: f64 = 0.5;
+/// The weight of the newest statement in the moving average of the cost of its class.
 const TYPICAL_COST_WEIGHT: f64 = 0.05;
-/// Cores before the first round.
+/// The assumed number of cores before the first round.
 const INITIAL_CORES: f64 = 1.0;
-/// Lesser differences of the cores are rounding.
+/// Smaller differences in the number of cores are rounding errors.
 const CORES_RESOLUTION: f64 = 1e-9;
 
-/// Rates at which the work of a sub-queue was released.
+/// The rates at which the work of a sub-queue was released.
 struct SubQueueRates {
     by_class: Vec<RateEstimator>,
     all: RateEstimator,
@@ -39,16 +40,16 @@
     }
 }
 
-/// Release rates, typical costs and calibrations: all that estimates rest on.
+/// The state behind all estimates: release rates, typical costs and calibrations.
 pub(crate) struct WaitForecaster {
     classes: usize,
-    /// Cores of the engines in use, as this gateway's share.
+    /// This gateway's share of the cores of the engines in use.
     cores: f64,
     total: RateEstimator,
     sub_queues: Vec<SubQueueRates>,
-    /// By class.
+    /// The calibrations by class.
     calibrations: Vec<WaitCalibration>,
-    /// CPU seconds of the usual statement, by class; zero before the first.
+    /// The CPU seconds of a typical statement, by class; zero before the first statement.
     typical_cpu: Vec<f64>,
 }
 
@@ -62,12 +63,13 @@
             calibrations: vec![WaitCalibration::default(); classes],
             typical_cpu: vec![0.0; classes],
         };
-        forecaster.relayout(now, sub_queues, std::iter::empty());
+        forecaster.replace_sub_queues(now, sub_queues, std::iter::empty());
         forecaster
     }
 
-    /// Other sub-queues; `kept`: the earlier and the new number of those that stay, with their rates.
-    pub(crate) fn relayout(
+    /// Replaces the sub-queues by new ones. `kept` holds the earlier and the new number of each
+    /// sub-queue that remains and keeps its rates.
+    pub(crate) fn replace_sub_queues(
         &mut self,
         now: Timestamp,
         sub_queues: usize,
@@ -80,8 +82,9 @@
         }
     }
 
-    /// The cores from now on. `waiting`: sub-queues where something waits; their time up to now passed with the cores
-    /// of before.
+    /// Sets the number of cores from now on. `waiting` holds the sub-queues with waiting
+    /// statements, whose rates still account for the time up to now with the previous number of
+    /// cores.
     pub(crate) fn set_cores(
         &mut self,
         now: Timestamp,
@@ -131,7 +134,7 @@
         self.total.stop_waiting(now, self.cores);
     }
 
-    /// A statement came: the typical cost of its class follows.
+    /// Records the arrival of a statement in the typical cost of its class.
     pub(crate) fn record_arrival(&mut self, class: usize, cpu: f64) {
         let typical = &mut self.typical_cpu[class];
         *typical = if *typical > 0.0 {
@@ -141,7 +144,7 @@
         };
     }
 
-    /// A statement that had waited was released.
+    /// Records the release of a statement that had waited.
     pub(crate) fn record_release(
         &mut self,
         now: Timestamp,
@@ -155,17 +158,17 @@
         self.total.record_release(now, self.cores, cpu);
     }
 
-    /// A wait that was expected to be so long ended.
+    /// Records the end of a wait that was expected to take `expected_s` seconds.
     pub(crate) fn record_wait(&mut self, class: usize, expected_s: f64, actual: TimeDelta) {
         self.calibrations[class].record(expected_s, actual);
     }
 
-    /// CPU seconds of the usual statement of a class; zero where none came yet.
+    /// The CPU seconds of a typical statement of a class; zero if none arrived yet.
     pub(crate) fn typical_cpu(&self, class: usize) -> f64 {
         self.typical_cpu[class]
     }
 
-    /// Whether releases of the class were seen at the sub-queue, enough to tell its rate.
+    /// Whether enough releases of the class were observed in the sub-queue to determine its rate.
     pub(crate) fn has_observed(
         &mut self,
         now: Timestamp,
@@ -177,15 +180,17 @@
             .is_some()
     }
 
-    /// CPU seconds a second released of late at a sub-queue while something waited there; none: too little was seen.
+    /// The recent release rate of a sub-queue while statements waited there, in CPU seconds per
+    /// second. `None` if too little was observed.
     pub(crate) fn observed_rate(&mut self, now: Timestamp, sub_queue: SubQueueId) -> Option<f64> {
         self.sub_queues[sub_queue.index()]
             .all
             .observed(now, self.cores)
     }
 
-    /// Seconds until a statement of this cost would leave that has so much work ahead of it in its class queue.
-    /// `budget_fraction`: its sub-queue's budget as a fraction of all.
+    /// The expected time in seconds until a statement of this cost is released, with `cpu_ahead`
+    /// CPU seconds ahead of it in its class queue. `budget_fraction` is the budget of its sub-queue
+    /// as a fraction of the budgets of all tenants.
     pub(crate) fn expected_wait_s(
         &mut self,
         now: Timestamp,
@@ -197,16 +202,17 @@
     ) -> f64 {
         let cores = self.cores;
         let total_rate = self.total.rate(now, cores, cores * PRIOR_RATE_PER_CORE);
-        // Where nothing waited of late, its part of all releases is the best estimate there is.
+        // Where nothing has waited recently, the budget fraction of the total rate is the best
+        // available estimate.
         let (lowest, highest) = PRIOR_FRACTION_BOUNDS;
         let prior = total_rate * budget_fraction.clamp(lowest, highest);
         let rates = &mut self.sub_queues[sub_queue.index()];
         let sub_queue_rate = rates.all.rate(now, cores, prior);
         let class_rate = rates.by_class[class].rate(now, cores, sub_queue_rate);
-        ((cpu_ahead + OWN_WORK_PART * cpu) / class_rate.max(MIN_RATE)).min(MAX_WAIT_S)
+        ((cpu_ahead + OWN_WORK_FRACTION * cpu) / class_rate.max(MIN_RATE)).min(MAX_WAIT_S)
     }
 
-    /// The estimate for a statement of this class that is expected to wait so long.
+    /// The estimate for a statement of this class with an expected wait of `expected_s` seconds.
     pub(crate) fn estimate(&self, class: usize, expected_s: f64) -> WaitEstimate {
         self.calibrations[class].estimate(expected_s)
     }
--- a/crates/scheduler/src/waiting.rs
+++ b/crates/scheduler/src/waiting.rs
@@ -1,4 +1,4 @@
-//! The statements that wait, by number and by the end of their use.
+//! The waiting statements, by number and by the time until which their answers are useful.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,39 +8,41 @@
 use crate::frontier::ResourceNeed;
 use crate::wait_estimate::WaitEstimate;
 
-/// A wait that ended, and how it was estimated at its entry.
+/// A wait that has ended, and its estimate at entry.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FinishedWait {
-    /// The statement that waited.
+    /// The number of the statement.
     pub id: StatementId,
     /// Its query class.
     pub class: ClassId,
-    /// Where it waited.
+    /// The sub-queue in which it waited.
     pub sub_queue: SubQueueId,
-    /// The estimate at its entry.
+    /// The estimated wait at its entry.
     pub estimated: WaitEstimate,
-    /// How long it waited.
+    /// The actual wait.
     pub actual: TimeDelta,
 }
 
-/// Whether a statement stands in its class queue.
+/// Whether a waiting statement is in its class queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Standing {
-    /// It can be offered.
+pub(crate) enum QueueState {
+    /// The statement is in its class queue and can be offered.
     InQueue,
-    /// An earlier one of its order key does, or it found no capacity in this round.
+    /// The statement is not in its class queue: an earlier one of its order key waits, or it has an
+    /// order key and found no capacity in this round.
     Held,
 }
 
-/// What was expected of a wait at its entry.
+/// The estimated wait of a statement at its entry.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct EntryEstimate {
-    /// Seconds that it was expected to wait by the work ahead of it.
+    /// The wait in seconds that was expected from the work ahead of it, before calibration.
     pub(crate) expected_s: f64,
-    /// That rested on releases seen at its sub-queue, and so counts for the next estimates.
+    /// Whether the estimate was based on observed releases of its class in its sub-queue. Only then
+    /// does it calibrate later estimates.
     pub(crate) from_observation: bool,
-    /// What was told.
-    pub(crate) told: WaitEstimate,
+    /// The calibrated estimate that was reported.
+    pub(crate) reported: WaitEstimate,
 }
 
 /// A statement that waits.
@@ -52,31 +54,32 @@
     pub(crate) need: ResourceNeed,
     pub(crate) key: Option<OrderKey>,
     pub(crate) entered: Timestamp,
-    /// Released later, its answer is of no use.
+    /// The latest release time at which its answer is still useful.
     pub(crate) useful_until: Timestamp,
     pub(crate) estimate: EntryEstimate,
-    pub(crate) standing: Standing,
+    pub(crate) state: QueueState,
 }
 
 impl WaitingStatement {
-    /// Its wait, if it ends now.
+    /// The finished wait of the statement if it ends now.
     pub(crate) fn finish(&self, now: Timestamp, id: StatementId) -> FinishedWait {
         FinishedWait {
             id,
             class: self.class,
             sub_queue: self.sub_queue,
-            estimated: self.estimate.told,
+            estimated: self.estimate.reported,
             actual: now - self.entered,
         }
     }
 }
 
-/// All statements that wait. Emptied by release, rejection and the client's leaving.
+/// All waiting statements. A statement leaves by a release, a rejection or the departure of its
+/// client.
 #[derive(Debug, Default)]
 pub(crate) struct WaitingStatements {
     by_id: BTreeMap<StatementId, WaitingStatement>,
-    /// When their use ends.
-    by_use: BTreeSet<(Timestamp, StatementId)>,
+    /// The same statements, ordered by the end of their usefulness.
+    by_useful_until: BTreeSet<(Timestamp, StatementId)>,
 }
 
 impl WaitingStatements {
@@ -93,58 +96,59 @@
     }
 
     pub(crate) fn insert(&mut self, id: StatementId, statement: WaitingStatement) {
-        self.by_use.insert((statement.useful_until, id));
+        self.by_useful_until.insert((statement.useful_until, id));
         self.by_id.insert(id, statement);
     }
 
     pub(crate) fn remove(&mut self, id: StatementId) -> Option<WaitingStatement> {
         let statement = self.by_id.remove(&id)?;
-        self.by_use.remove(&(statement.useful_until, id));
+        self.by_useful_until.remove(&(statement.useful_until, id));
         Some(statement)
     }
 
-    /// Whether a statement waits and stands in no class queue.
+    /// Whether a statement waits outside its class queue.
     pub(crate) fn is_held(&self, id: StatementId) -> bool {
         self.get(id)
-            .is_some_and(|statement| statement.standing == Standing::Held)
+            .is_some_and(|statement| statement.state == QueueState::Held)
     }
 
-    /// Changes where a statement stands; the statement.
-    pub(crate) fn set_standing(
+    /// Sets the state of a statement. Returns the changed statement, or `None` if it does not wait.
+    pub(crate) fn set_state(
         &mut self,
         id: StatementId,
-        standing: Standing,
+        state: QueueState,
     ) -> Option<WaitingStatement> {
         let statement = self.by_id.get_mut(&id)?;
-        statement.standing = standing;
+        statement.state = state;
         Some(*statement)
     }
 
-    /// Changes the end of a statement's use; the statement.
+    /// Sets the time until which a statement's answer is useful. Returns the changed statement, or
+    /// `None` if it does not wait.
     pub(crate) fn set_useful_until(
         &mut self,
         id: StatementId,
         useful_until: Timestamp,
     ) -> Option<WaitingStatement> {
         let statement = self.by_id.get_mut(&id)?;
-        self.by_use.remove(&(statement.useful_until, id));
-        self.by_use.insert((useful_until, id));
+        self.by_useful_until.remove(&(statement.useful_until, id));
+        self.by_useful_until.insert((useful_until, id));
         statement.useful_until = useful_until;
         Some(*statement)
     }
 
-    /// No statement's use ends later than this.
-    pub(crate) fn limit_use(&mut self, limit: Timestamp) {
-        self.by_use.clear();
+    /// Limits the time until which any waiting statement's answer is useful.
+    pub(crate) fn limit_useful_until(&mut self, limit: Timestamp) {
+        self.by_useful_until.clear();
         for (id, statement) in &mut self.by_id {
             statement.useful_until = statement.useful_until.min(limit);
-            self.by_use.insert((statement.useful_until, *id));
+            self.by_useful_until.insert((statement.useful_until, *id));
         }
     }
 
-    /// Statements whose use has ended, the first to end first.
-    pub(crate) fn past_use(&self, now: Timestamp) -> Vec<QueuePosition> {
-        self.by_use
+    /// The statements whose answers are no longer useful, earliest expiry first.
+    pub(crate) fn past_useful_until(&self, now: Timestamp) -> Vec<QueuePosition> {
+        self.by_useful_until
             .iter()
             .take_while(|(end, _)| *end <= now)
             .filter_map(|(_, id)| Some(self.by_id.get(id)?.position))
--- a/crates/scheduler/tests/tenant_queues.rs
+++ b/crates/scheduler/tests/tenant_queues.rs
@@ -692,10 +692,10 @@
     for id in 0..4 {
         waits(&mut queues, 0.0, &entry(id, id as u32 % 2, 1.0, 100.0));
     }
-    assert!(queues.past_use(at(3.0)).is_empty());
+    assert!(queues.past_useful_until(at(3.0)).is_empty());
     queues.drain_by(at(3.0));
-    assert!(queues.past_use(at(2.9)).is_empty());
-    assert_eq!(queues.past_use(at(3.0)).len(), 4);
+    assert!(queues.past_useful_until(at(2.9)).is_empty());
+    assert_eq!(queues.past_useful_until(at(3.0)).len(), 4);
 }
 
 #[test]
