--- a/crates/admission/src/policy/concurrency_limit.rs
+++ b/crates/admission/src/policy/concurrency_limit.rs
@@ -1,103 +1,117 @@
-//! The concurrency limit: how many threads this gateway may have running, led by latency per CPU second.
+//! The concurrency limit: how many threads this gateway may have running, adapted to latency per
+//! CPU second.
 //!
-//! Latency near its best widens the limit, latency far above it shrinks it. Only an outcome that met the limit may
-//! widen it.
+//! The limit grows while latency is near its best and shrinks while latency is far above it. An
+//! outcome can raise the limit only if most of the limit was in use.
 
 use crate::interface::Timestamp;
 
-/// Latency up to this many times its best is near it.
-const NEAR_BEST: f64 = 2.0;
-/// Latency past this many times its best is congestion.
-const CONGESTED: f64 = 3.0;
-/// Latency is averaged over about this time, in seconds.
+/// Latency up to this multiple of its best counts as near its best.
+const NEAR_BEST_RATIO: f64 = 2.0;
+/// Latency above this multiple of its best counts as congestion.
+const CONGESTION_RATIO: f64 = 3.0;
+/// Time constant of the latency average, in seconds.
 const AVERAGING_S: f64 = 3.0;
-/// With less CPU than this in the average, it tells nothing, in CPU seconds.
-const ENOUGH_CPU_S: f64 = 0.3;
-/// A best needs this many times as much CPU: one light statement must not set it.
-const ENOUGH_FOR_BEST: f64 = 8.0;
-/// The best is forgotten at this rate a second, or one lucky time would look like congestion for ever after.
-const FORGET_BEST_PER_S: f64 = 0.005;
-/// An outcome met the limit if at least this part of it was in use.
-const IN_USE: f64 = 0.7;
-/// A thread that completed near the best latency widens the limit by this many threads.
-const WIDEN_PER_THREAD: f64 = 0.15;
-/// Congestion leaves this part of the limit ...
-const KEPT_ON_CONGESTION: f64 = 0.85;
-/// ... once in this time at most, in seconds: the outcomes of one jam come together.
-const SHRINK_PAUSE_S: f64 = 0.5;
-/// An engine that rejects a statement for want of capacity leaves this part of its limit.
-const KEPT_ON_REJECTION: f64 = 0.8;
-/// A limit never falls below one thread.
+/// CPU time that the average must cover to be usable, in seconds.
+const MIN_SAMPLE_CPU_S: f64 = 0.3;
+/// The best latency is updated only from this multiple of [`MIN_SAMPLE_CPU_S`], so that one light
+/// statement cannot set it.
+const BEST_SAMPLE_FACTOR: f64 = 8.0;
+/// Rate per second at which the best latency drifts upwards. Without the drift, one exceptionally
+/// fast period would make all later latency look like congestion.
+const BEST_DRIFT_PER_S: f64 = 0.005;
+/// Fraction of the limit that must be in use for an outcome to raise the limit.
+const MIN_USED_FRACTION: f64 = 0.7;
+/// Threads added to the limit for each thread of a statement that completed near the best latency.
+const INCREASE_PER_THREAD: f64 = 0.15;
+/// Factor that is applied to the limit on congestion.
+const CONGESTION_DECREASE_FACTOR: f64 = 0.85;
+/// Minimum time from a decrease of the limit to a decrease for congestion, in seconds. The outcomes
+/// of one congested period arrive together and must not each shrink the limit.
+const MIN_DECREASE_INTERVAL_S: f64 = 0.5;
+/// Factor that is applied to an engine's limit when the engine rejects a statement for lack of
+/// capacity.
+const REJECTION_DECREASE_FACTOR: f64 = 0.8;
+/// Lower bound of every limit, in threads.
 const MIN_THREADS: f64 = 1.0;
 
-/// The widest limit, in threads a core of the share: latency tells late, and all gateways would widen together.
-pub(super) const WIDEST_PER_CORE: f64 = 2.0;
-/// The least limit of the whole fleet, in threads a core of the share: a gateway that backs off alone from what all
-/// cause only leaves its place to the others.
-const FLEET_LEAST_PER_CORE: f64 = 0.5;
-
-/// Whether latency this many times its best is near it; latency that is not known yet is.
-pub(super) fn is_near_best(times_best: Option<f64>) -> bool {
-    times_best.is_none_or(|times| times <= NEAR_BEST)
+/// Upper bound of the limit, in threads per core of this gateway's share. Latency reacts late, and
+/// all gateways would raise their limits at the same time.
+pub(super) const MAX_THREADS_PER_CORE: f64 = 2.0;
+/// Lower bound of the limit over the whole fleet, in threads per core of this gateway's share. A
+/// gateway that backs off alone from congestion that all gateways cause only leaves its capacity to
+/// the others.
+const FLEET_MIN_THREADS_PER_CORE: f64 = 0.5;
+
+/// Returns whether latency, as a multiple of its best, is near its best. Unknown latency counts as
+/// near.
+pub(super) fn is_near_best(relative_latency: Option<f64>) -> bool {
+    relative_latency.is_none_or(|ratio| ratio <= NEAR_BEST_RATIO)
 }
 
-/// Latency per CPU second, weighted by CPU: light statements in front cannot hide a jam behind them.
+/// Latency per CPU second, weighted by CPU time so that many light statements cannot hide
+/// congestion among the heavy ones.
 #[derive(Clone, Default)]
 pub(super) struct LatencyRatio {
     /// Decaying sum of latency times threads, in seconds.
     thread_s: f64,
     /// Decaying sum of CPU seconds.
     cpu_s: f64,
+    /// Lowest ratio seen, with its drift; `None` before enough work has completed.
     best: Option<f64>,
-    decayed: Option<Timestamp>,
+    last_decay: Option<Timestamp>,
 }
 
 impl LatencyRatio {
+    /// Decays the sums, and lets the best ratio drift, up to `now`.
     pub(super) fn decay(&mut self, now: Timestamp) {
-        let last = self.decayed.replace(now).unwrap_or(now);
+        let last = self.last_decay.replace(now).unwrap_or(now);
         let elapsed_s = (now - last).secs().max(0.0);
-        let kept = (-elapsed_s / AVERAGING_S).exp();
-        self.thread_s *= kept;
-        self.cpu_s *= kept;
+        let decay_factor = (-elapsed_s / AVERAGING_S).exp();
+        self.thread_s *= decay_factor;
+        self.cpu_s *= decay_factor;
         if let Some(best) = &mut self.best {
-            *best *= 1.0 + FORGET_BEST_PER_S * elapsed_s;
+            *best *= 1.0 + BEST_DRIFT_PER_S * elapsed_s;
         }
     }
 
+    /// Records a completed statement. `thread_s` is its latency times its threads, in seconds.
     pub(super) fn record(&mut self, now: Timestamp, thread_s: f64, cpu_s: f64) {
         self.decay(now);
         self.thread_s += thread_s;
         self.cpu_s += cpu_s;
         let ratio = self.thread_s / self.cpu_s.max(1e-9);
-        if self.cpu_s > ENOUGH_FOR_BEST * ENOUGH_CPU_S {
+        if self.cpu_s > BEST_SAMPLE_FACTOR * MIN_SAMPLE_CPU_S {
             self.best = Some(self.best.map_or(ratio, |best| best.min(ratio)));
         }
     }
 
-    /// The present ratio; none where too little completed lately.
+    /// Returns the present ratio, or `None` if too little work completed recently.
     pub(super) fn current(&self) -> Option<f64> {
-        (self.cpu_s > ENOUGH_CPU_S).then_some(self.thread_s / self.cpu_s)
+        (self.cpu_s > MIN_SAMPLE_CPU_S).then_some(self.thread_s / self.cpu_s)
     }
 
-    /// The best that was seen and is not forgotten.
+    /// Returns the lowest ratio seen, with its drift, or `None` if there is none yet.
     pub(super) fn best(&self) -> Option<f64> {
         self.best
     }
 
-    /// Sets a best where there is none.
+    /// Sets the best ratio if there is none yet.
     pub(super) fn assume_best(&mut self, best: Option<f64>) {
         self.best = self.best.or(best);
     }
 
-    /// The present ratio in times its best. What an engine's own few outcomes leave open, those of the fleet tell.
-    pub(super) fn times_best(&self, fleet: &LatencyRatio) -> Option<f64> {
+    /// Returns the present ratio as a multiple of its best, or `None` if too little work completed
+    /// or no best is known. The fleet's ratio is blended in with a small weight, so that it decides
+    /// where an engine has few outcomes of its own.
+    pub(super) fn relative_latency(&self, fleet: &LatencyRatio) -> Option<f64> {
         let (fleet_ratio, fleet_cpu_s) = match fleet.current() {
-            Some(ratio) => (ratio, ENOUGH_CPU_S),
+            Some(ratio) => (ratio, MIN_SAMPLE_CPU_S),
             None => (0.0, 0.0),
         };
         let thread_s = self.thread_s + fleet_cpu_s * fleet_ratio;
         let cpu_s = self.cpu_s + fleet_cpu_s;
-        if cpu_s < ENOUGH_CPU_S {
+        if cpu_s < MIN_SAMPLE_CPU_S {
             return None;
         }
         let best = self.best.or(fleet.best)?;
@@ -105,56 +119,58 @@
     }
 }
 
-/// What a limit may be, in threads a core of the share.
+/// Bounds of a limit, in threads per core of this gateway's share.
 #[derive(Clone, Copy)]
 pub(super) struct LimitRange {
-    least: f64,
-    widest: f64,
+    min_per_core: f64,
+    max_per_core: f64,
 }
 
-/// The range of an engine's limit. A gateway that carries more traffic than its even share has more threads there, but
-/// only as far as one absent peer explains: a busy gateway would else fill an engine alone.
+/// Returns the bounds of an engine's limit. A gateway that carries more than its even share of the
+/// traffic may run more threads there, but only as many as one absent peer explains. Otherwise a
+/// busy gateway could fill an engine alone.
 pub(super) fn limit_range_at_engine(traffic_share: f64, peers: f64) -> LimitRange {
-    let with_a_peer_absent = peers / (peers - 1.0).max(0.5);
+    let absent_peer_factor = peers / (peers - 1.0).max(0.5);
     LimitRange {
-        least: 0.0,
-        widest: WIDEST_PER_CORE * traffic_share.min(with_a_peer_absent),
+        min_per_core: 0.0,
+        max_per_core: MAX_THREADS_PER_CORE * traffic_share.min(absent_peer_factor),
     }
 }
 
-/// The range of the whole fleet's limit.
+/// Returns the bounds of the limit over the whole fleet.
 pub(super) fn limit_range_of_fleet(traffic_share: f64) -> LimitRange {
     LimitRange {
-        least: FLEET_LEAST_PER_CORE,
-        widest: WIDEST_PER_CORE * traffic_share,
+        min_per_core: FLEET_MIN_THREADS_PER_CORE,
+        max_per_core: MAX_THREADS_PER_CORE * traffic_share,
     }
 }
 
-/// A completed statement, as the limit of one place sees it.
+/// A completed statement, as the input of a limit.
 pub(super) struct LimitSample {
-    /// Latency in times its best.
-    pub(super) times_best: f64,
+    /// Latency as a multiple of its best.
+    pub(super) relative_latency: f64,
     /// Threads of the statement.
     pub(super) threads: f64,
-    /// Threads that run there beside it.
+    /// Threads that run at the same place beside the statement.
     pub(super) running: f64,
-    /// This gateway's share of the cores there.
+    /// This gateway's share of the cores at that place.
     pub(super) cores: f64,
 }
 
-/// The most threads that may run.
+/// An adaptive limit on the number of running threads.
 #[derive(Clone)]
 pub(super) struct ConcurrencyLimit {
     threads: f64,
-    shrunk: Timestamp,
+    /// When the limit was last decreased.
+    last_decrease: Timestamp,
 }
 
 impl ConcurrencyLimit {
-    /// Starts at one thread a core; `cores`: this gateway's share of them.
+    /// Starts at one thread per core. `cores` is this gateway's share of the cores.
     pub(super) fn new(now: Timestamp, cores: f64) -> Self {
         ConcurrencyLimit {
             threads: cores.max(MIN_THREADS),
-            shrunk: now,
+            last_decrease: now,
         }
     }
 
@@ -162,11 +178,12 @@
         self.threads
     }
 
+    /// Sets the limit, which is never below one thread.
     pub(super) fn set(&mut self, threads: f64) {
         self.threads = threads.max(MIN_THREADS);
     }
 
-    /// Widens or shrinks by a completed statement.
+    /// Adjusts the limit to the latency of a completed statement.
     pub(super) fn on_completion(
         &mut self,
         now: Timestamp,
@@ -174,23 +191,23 @@
         range: LimitRange,
     ) {
         let in_use = sample.running + sample.threads;
-        let met_limit = in_use >= self.threads * IN_USE;
-        let may_shrink = (now - self.shrunk).secs() > SHRINK_PAUSE_S;
-        if sample.times_best <= NEAR_BEST && met_limit {
-            let wider = self.threads + WIDEN_PER_THREAD * sample.threads;
-            let widest = sample.cores * range.widest;
-            self.threads = wider.min(widest.max(MIN_THREADS));
-        } else if sample.times_best > CONGESTED && may_shrink {
-            let narrower = self.threads * KEPT_ON_CONGESTION;
-            let least = sample.cores * range.least;
-            self.threads = narrower.max(least).max(MIN_THREADS);
-            self.shrunk = now;
+        let was_limiting = in_use >= self.threads * MIN_USED_FRACTION;
+        let may_decrease = (now - self.last_decrease).secs() > MIN_DECREASE_INTERVAL_S;
+        if sample.relative_latency <= NEAR_BEST_RATIO && was_limiting {
+            let increased = self.threads + INCREASE_PER_THREAD * sample.threads;
+            let max_threads = sample.cores * range.max_per_core;
+            self.threads = increased.min(max_threads.max(MIN_THREADS));
+        } else if sample.relative_latency > CONGESTION_RATIO && may_decrease {
+            let decreased = self.threads * CONGESTION_DECREASE_FACTOR;
+            let min_threads = sample.cores * range.min_per_core;
+            self.threads = decreased.max(min_threads).max(MIN_THREADS);
+            self.last_decrease = now;
         }
     }
 
-    /// The engine had no capacity for a statement.
+    /// Decreases the limit after an engine rejected a statement for lack of capacity.
     pub(super) fn on_rejection(&mut self, now: Timestamp) {
-        self.threads = (self.threads * KEPT_ON_REJECTION).max(MIN_THREADS);
-        self.shrunk = now;
+        self.threads = (self.threads * REJECTION_DECREASE_FACTOR).max(MIN_THREADS);
+        self.last_decrease = now;
     }
 }
--- a/crates/admission/src/policy/cost_model.rs
+++ b/crates/admission/src/policy/cost_model.rs
@@ -1,7 +1,8 @@
-//! Predicts the CPU of a statement: the client's estimate times the ratio learned for its fingerprint.
+//! Cost prediction: predicts the CPU time of a statement as the client's estimate times the ratio
+//! learned for its fingerprint.
 //!
-//! The fingerprint is the query class with the table group. True CPU and estimate are each smoothed, and the ratio is
-//! that of the smoothed values.
+//! The fingerprint is the query class together with the table group. The actual CPU time and the
+//! estimate are smoothed separately, and the ratio is that of the smoothed values.
 
 use std::collections::BTreeMap;
 
@@ -9,23 +10,25 @@
 
 use super::statistics::median;
 
-/// Weight of the newest observation in a fingerprint's smoothed CPU and estimate; the design's.
-const SMOOTHING: f64 = 0.4;
-/// One outcome counts as at most this many times its prediction, or a single bad plan would reject the statements of
-/// its table group that would finish.
-const MAX_SURPRISE: f64 = 3.0;
-/// Fingerprints that are kept; past it the one learned from longest ago is forgotten.
+/// Weight of the newest observation in a fingerprint's smoothed CPU time and estimate.
+const SMOOTHING_WEIGHT: f64 = 0.4;
+/// One outcome counts as at most this multiple of its prediction. Otherwise a single bad plan would
+/// cause the rejection of statements of its table group that could finish.
+const MAX_OUTCOME_RATIO: f64 = 3.0;
+/// Number of fingerprints that are kept. Beyond it, the least recently updated one is dropped.
 const MAX_FINGERPRINTS: usize = 512;
-/// The least and the most that a prediction can be, in CPU seconds.
+/// Lower and upper bound of a prediction, in CPU seconds.
 const PREDICTION_RANGE_S: (f64, f64) = (1e-4, 1e5);
-/// The least that an outcome counts as, in CPU seconds: ratios stay above zero.
+/// Lower bound of an outcome, in CPU seconds, which keeps ratios above zero.
 const MIN_OBSERVED_S: f64 = 1e-5;
-/// The estimate of a statement that comes without one: its ratio is then the smoothed CPU itself.
+/// Estimate for a statement that comes without one, in CPU seconds. With 1, the learned ratio
+/// equals the smoothed CPU time.
 const DEFAULT_ESTIMATE_S: f64 = 1.0;
-/// The most that one outcome adds to its class's usual CPU, in CPU seconds.
-const MAX_USUAL_S: f64 = 1e4;
-/// A class's usual CPU is the mean of about this many outcomes, less one.
-const USUAL_OUTCOMES: f64 = 199.0;
+/// Upper bound of one outcome in the typical CPU time of its class, in CPU seconds.
+const MAX_TYPICAL_OUTCOME_S: f64 = 1e4;
+/// Upper bound of the outcome count in a [`RunningMean`], so that the newest outcome weighs at
+/// least 1/200.
+const MAX_MEAN_OUTCOMES: f64 = 199.0;
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Fingerprint {
@@ -33,11 +36,11 @@
     group: TableGroupId,
 }
 
-/// What outcomes of one fingerprint told, in CPU seconds.
+/// The smoothed outcomes of one fingerprint, in CPU seconds.
 struct LearnedCost {
     cpu_s: f64,
     estimate_s: f64,
-    /// The value of [`CostModel::outcomes`] when it last learned.
+    /// The value of [`CostModel::outcomes`] when the fingerprint was last updated.
     last_learned: u64,
 }
 
@@ -47,26 +50,27 @@
     }
 }
 
-/// A mean that gives each of the latest outcomes the same weight.
+/// A mean of outcomes. It is exact up to [`MAX_MEAN_OUTCOMES`] outcomes and exponentially weighted
+/// beyond.
 #[derive(Clone, Copy, Default)]
-struct SlowMean {
+struct RunningMean {
     mean: f64,
     outcomes: f64,
 }
 
-impl SlowMean {
+impl RunningMean {
     fn record(&mut self, value: f64) {
         self.mean += (value - self.mean) / (self.outcomes + 1.0);
-        self.outcomes = (self.outcomes + 1.0).min(USUAL_OUTCOMES);
+        self.outcomes = (self.outcomes + 1.0).min(MAX_MEAN_OUTCOMES);
     }
 }
 
-/// Predicts CPU seconds by fingerprint.
+/// Predicts the CPU time of statements by fingerprint.
 pub(super) struct CostModel {
     fingerprints: BTreeMap<Fingerprint, LearnedCost>,
-    /// Mean true CPU by class: the usual work, for engines in slow start.
-    usual_cpu_s: Vec<SlowMean>,
-    /// Outcomes that it learned from.
+    /// Mean actual CPU time by class: the typical cost, which slow start and priorities use.
+    typical_cpu_s: Vec<RunningMean>,
+    /// Number of outcomes learned from.
     outcomes: u64,
 }
 
@@ -74,13 +78,14 @@
     pub(super) fn new(classes: usize) -> Self {
         CostModel {
             fingerprints: BTreeMap::new(),
-            usual_cpu_s: vec![SlowMean::default(); classes],
+            typical_cpu_s: vec![RunningMean::default(); classes],
             outcomes: 0,
         }
     }
 
-    /// Predicted CPU seconds. A fingerprint without outcomes borrows the others' median ratio, of the same class if
-    /// there are any: how far estimates lie off depends on the class most.
+    /// Returns the predicted CPU time in seconds. A fingerprint without outcomes uses the median
+    /// ratio of the known fingerprints of its class, or of all known fingerprints if its class has
+    /// none: the error of estimates depends mostly on the class.
     pub(super) fn predict(&self, statement: &Statement) -> f64 {
         let ratio = self
             .fingerprints
@@ -89,27 +94,30 @@
             .or_else(|| self.median_ratio(|known| known.class == statement.class))
             .or_else(|| self.median_ratio(|_| true))
             .unwrap_or(1.0);
-        let (least, most) = PREDICTION_RANGE_S;
-        (estimate_s(statement) * ratio).clamp(least, most)
+        let (min_s, max_s) = PREDICTION_RANGE_S;
+        (estimate_s(statement) * ratio).clamp(min_s, max_s)
     }
 
-    fn median_ratio(&self, counts: impl Fn(&Fingerprint) -> bool) -> Option<f64> {
+    /// Returns the median ratio of the fingerprints that `is_included` selects, or `None` if there
+    /// are none.
+    fn median_ratio(&self, is_included: impl Fn(&Fingerprint) -> bool) -> Option<f64> {
         let known = self.fingerprints.iter();
-        let counted = known.filter(|(fingerprint, _)| counts(fingerprint));
+        let counted = known.filter(|(fingerprint, _)| is_included(fingerprint));
         median(counted.map(|(_, cost)| cost.ratio()).collect())
     }
 
-    /// Learns from a completed statement that was predicted to take `predicted_s` and took `cpu_s`.
+    /// Learns from a completed statement that was predicted to take `predicted_s` CPU seconds and
+    /// took `cpu_s`.
     pub(super) fn learn(&mut self, statement: &Statement, predicted_s: f64, cpu_s: f64) {
         let is_first = self.fingerprints.is_empty();
         let limited_s = if is_first {
             cpu_s
         } else {
-            cpu_s.min(predicted_s * MAX_SURPRISE)
+            cpu_s.min(predicted_s * MAX_OUTCOME_RATIO)
         };
         self.outcomes += 1;
         self.learn_fingerprint(statement, limited_s.max(MIN_OBSERVED_S));
-        self.usual_cpu_s[statement.class.0].record(cpu_s.min(MAX_USUAL_S));
+        self.typical_cpu_s[statement.class.0].record(cpu_s.min(MAX_TYPICAL_OUTCOME_S));
         if self.fingerprints.len() > MAX_FINGERPRINTS {
             self.forget_oldest();
         }
@@ -123,8 +131,8 @@
             estimate_s,
             last_learned: self.outcomes,
         });
-        cost.cpu_s += SMOOTHING * (observed_s - cost.cpu_s);
-        cost.estimate_s += SMOOTHING * (estimate_s - cost.estimate_s);
+        cost.cpu_s += SMOOTHING_WEIGHT * (observed_s - cost.cpu_s);
+        cost.estimate_s += SMOOTHING_WEIGHT * (estimate_s - cost.estimate_s);
         cost.last_learned = self.outcomes;
     }
 
@@ -136,15 +144,15 @@
         }
     }
 
-    /// Mean CPU seconds of a class's completed statements; 0 before the first.
-    pub(super) fn usual_cpu_s(&self, class: ClassId) -> f64 {
-        self.usual_cpu_s[class.0].mean
+    /// Returns the mean CPU seconds of the class's completed statements, or 0 before the first one.
+    pub(super) fn typical_cpu_s(&self, class: ClassId) -> f64 {
+        self.typical_cpu_s[class.0].mean
     }
 
-    /// The mean over the classes of [`CostModel::usual_cpu_s`].
-    pub(super) fn usual_cpu_of_any_class_s(&self) -> f64 {
-        let sum: f64 = self.usual_cpu_s.iter().map(|usual| usual.mean).sum();
-        sum / self.usual_cpu_s.len() as f64
+    /// Returns the mean of [`CostModel::typical_cpu_s`] over all classes.
+    pub(super) fn mean_typical_cpu_s(&self) -> f64 {
+        let sum: f64 = self.typical_cpu_s.iter().map(|typical| typical.mean).sum();
+        sum / self.typical_cpu_s.len() as f64
     }
 }
 
@@ -155,8 +163,11 @@
     }
 }
 
+/// Returns the client's estimate in CPU seconds, or [`DEFAULT_ESTIMATE_S`] if it is missing or not
+/// positive.
 fn estimate_s(statement: &Statement) -> f64 {
-    let told = statement.estimate.map(TimeDelta::secs);
-    told.filter(|seconds| *seconds > 0.0)
+    let client_estimate_s = statement.estimate.map(TimeDelta::secs);
+    client_estimate_s
+        .filter(|seconds| *seconds > 0.0)
         .unwrap_or(DEFAULT_ESTIMATE_S)
 }
--- a/crates/admission/src/policy/cpu_budget.rs
+++ b/crates/admission/src/policy/cpu_budget.rs
@@ -1,62 +1,68 @@
-//! The CPU budget: a token bucket of CPU seconds per query class, at each engine and once more over all of them.
+//! The CPU budget: a token bucket of CPU seconds for each query class, at each engine and once more
+//! over all engines.
 //!
-//! A send is charged its prediction, its outcome corrects that to the true CPU. A bucket that is full sends anything
-//! and goes into debt, which the refill repays.
+//! Sending a statement charges its predicted CPU time, and its outcome corrects the charge to the
+//! actual CPU time. A full bucket sends any statement and may go into debt, which the refill
+//! repays.
 
 use crate::interface::{ClassId, Timestamp};
 
-/// A full bucket holds what its refill brings in this time, in seconds.
+/// A full bucket holds what its refill adds in this time, in seconds.
 const BURST_S: f64 = 2.0;
-/// A bucket counts as full from this part of its capacity on: rounding must not keep it from it.
-const FULL: f64 = 0.99;
+/// A bucket counts as full from this fraction of its capacity on, so that rounding cannot keep it
+/// from being full.
+const FULL_FRACTION: f64 = 0.99;
 
-/// How fast the buckets of one place refill.
+/// Refill rate of the buckets of one engine or of the fleet.
 #[derive(Clone, Copy)]
 pub(super) struct RefillRate {
-    /// CPU seconds a second at full speed, over all classes.
+    /// CPU seconds per second at full speed, over all classes.
     pub(super) cores: f64,
-    /// Part of that by which they refill now.
+    /// Fraction of the full refill rate that applies now.
     pub(super) speed: f64,
-    /// Part of their capacity that they may hold now.
+    /// Fraction of the full bucket capacity that applies now.
     pub(super) capacity_factor: f64,
 }
 
-/// Tokens, in CPU seconds, by query class.
+/// The token buckets of all query classes, in CPU seconds.
 #[derive(Clone)]
 pub(super) struct CpuBuckets {
     tokens: Vec<f64>,
-    refilled: Timestamp,
+    last_refill: Timestamp,
 }
 
-/// What a bucket holds for a class of this share of `cores` when it is full.
+/// Returns the capacity of a class's bucket in CPU seconds. `share` is the class's share of
+/// `cores`.
 pub(super) fn bucket_capacity(cores: f64, share: f64) -> f64 {
     cores * share * BURST_S
 }
 
-/// Whether this many tokens count as a full bucket.
+/// Returns whether a bucket with this many tokens counts as full.
 pub(super) fn is_full(tokens: f64, capacity: f64) -> bool {
-    tokens >= capacity * FULL
+    tokens >= capacity * FULL_FRACTION
 }
 
 impl CpuBuckets {
-    /// Full buckets, whatever their capacity is.
+    /// Starts with full buckets, which the first refill cuts to their capacity.
     pub(super) fn new(now: Timestamp, classes: usize) -> Self {
         CpuBuckets {
             tokens: vec![f64::INFINITY; classes],
-            refilled: now,
+            last_refill: now,
         }
     }
 
+    /// Returns the tokens of the class's bucket in CPU seconds; negative while it is in debt.
     pub(super) fn tokens(&self, class: ClassId) -> f64 {
         self.tokens[class.0]
     }
 
-    /// Seconds since the last refill.
+    /// Returns the seconds since the last refill.
     pub(super) fn since_refill_s(&self, now: Timestamp) -> f64 {
-        (now - self.refilled).secs().max(0.0)
+        (now - self.last_refill).secs().max(0.0)
     }
 
-    /// `shares`: each class's part of the cores.
+    /// Refills the buckets up to `now`. `shares` holds each class's share of the cores, in class
+    /// order.
     pub(super) fn refill(
         &mut self,
         now: Timestamp,
@@ -64,7 +70,7 @@
         shares: impl Iterator<Item = f64>,
     ) {
         let elapsed_s = self.since_refill_s(now);
-        self.refilled = now;
+        self.last_refill = now;
         for (tokens, share) in self.tokens.iter_mut().zip(shares) {
             let refill = rate.cores * share * rate.speed * elapsed_s;
             let capacity = bucket_capacity(rate.cores, share) * rate.capacity_factor;
@@ -72,19 +78,22 @@
         }
     }
 
-    /// A full bucket's debt is repaid whole. One that was sent from without tokens, since latency was near its best,
-    /// owes one bucket at most: engines else stood idle for minutes by debts of 20 to 100 CPU seconds.
+    /// Charges a statement that is sent. A full bucket takes on the whole debt. A bucket without
+    /// enough tokens, from which a statement was sent because latency was near its best, owes at
+    /// most its capacity: engines otherwise stood idle for minutes because of debts of 20 to 100
+    /// CPU seconds.
     pub(super) fn charge(&mut self, class: ClassId, predicted_s: f64, capacity: f64) {
         let tokens = &mut self.tokens[class.0];
-        let lowest = if is_full(*tokens, capacity) {
+        let floor = if is_full(*tokens, capacity) {
             f64::NEG_INFINITY
         } else {
             tokens.min(-capacity)
         };
-        *tokens = (*tokens - predicted_s).max(lowest);
+        *tokens = (*tokens - predicted_s).max(floor);
     }
 
-    /// Gives back what an attempt was charged beyond what it took; negative: it took more.
+    /// Returns the part of a charge that an attempt did not use. A negative value charges what it
+    /// used beyond.
     pub(super) fn credit(&mut self, class: ClassId, cpu_s: f64) {
         self.tokens[class.0] += cpu_s;
     }
--- a/crates/admission/src/policy/deadlines.rs
+++ b/crates/admission/src/policy/deadlines.rs
@@ -1,65 +1,74 @@
-//! Time limits of a statement: how long it may wait in the queue, and until when sending it is of use.
+//! Time limits of a statement: how long it may wait in the queue, and until when it is useful to
+//! send it.
 
 use crate::interface::{QueryClass, Statement, Timestamp};
 
-/// Part of its class's time limit that a statement may wait, between any two attempts; the design's small part.
-const MAX_WAIT: f64 = 0.05;
-/// With less time than this left, in seconds, no attempt can end in time.
+/// Fraction of its class's time limit that a statement may wait before its first attempt, and again
+/// between two attempts.
+const MAX_WAIT_FRACTION: f64 = 0.05;
+/// Minimum time to the deadline in which an attempt can end in time, in seconds.
 const MIN_TIME_FOR_ATTEMPT_S: f64 = 0.03;
-/// With less time than this left, in seconds, nothing waits any more: its answer has to reach the client.
+/// Minimum time to the deadline with which a statement stays in the queue, in seconds. The rest is
+/// needed for the answer to reach the client.
 const MIN_TIME_TO_WAIT_S: f64 = 0.05;
-/// Part of its time alone at an engine that must be left: predictions scatter.
-const LEAST_USEFUL_PART: f64 = 0.5;
+/// Fraction of the predicted time at an otherwise idle engine that must be left for an attempt to
+/// be useful. It is below 1 because predictions scatter.
+const MIN_USEFUL_FRACTION: f64 = 0.5;
 
-/// Seconds until the deadline.
+/// Returns the seconds until the statement's deadline; negative after it.
 pub(super) fn time_left_s(now: Timestamp, statement: &Statement) -> f64 {
     (statement.deadline - now).secs()
 }
 
-/// Whether there is time for another attempt.
+/// Returns whether there is time for another attempt before the deadline.
 pub(super) fn has_time_for_attempt(now: Timestamp, statement: &Statement) -> bool {
     time_left_s(now, statement) >= MIN_TIME_FOR_ATTEMPT_S
 }
 
-/// Seconds until it must not wait any longer.
+/// Returns the seconds for which the statement may stay in the queue before its deadline.
 pub(super) fn waiting_time_left_s(now: Timestamp, statement: &Statement) -> f64 {
     time_left_s(now, statement) - MIN_TIME_TO_WAIT_S
 }
 
-/// Whether it waits no longer for its turn or for capacity. `is_its_turn`: one that waits for its key's turn keeps
-/// waiting, since its place there beats an early rejection.
-pub(super) fn has_waited_enough(
+/// Returns whether the statement must stop waiting for its turn or for capacity. A statement that
+/// is not yet the next one of its key (`is_its_turn` is false) waits until shortly before its
+/// deadline, because its place in the order is worth more than an early rejection.
+pub(super) fn must_stop_waiting(
     now: Timestamp,
     class: &QueryClass,
     statement: &Statement,
     is_its_turn: bool,
 ) -> bool {
     let waited_s = (now - statement.waiting_since).secs();
-    let has_used_its_wait = waited_s >= class.time_limit.secs() * MAX_WAIT;
-    (is_its_turn && has_used_its_wait) || time_left_s(now, statement) < MIN_TIME_TO_WAIT_S
+    let has_waited_max = waited_s >= class.time_limit.secs() * MAX_WAIT_FRACTION;
+    (is_its_turn && has_waited_max) || time_left_s(now, statement) < MIN_TIME_TO_WAIT_S
 }
 
-/// The latency objective of a statement that takes this much CPU, in seconds.
+/// Returns the latency objective, in seconds, of a statement that takes `cpu_s` CPU seconds.
 pub(super) fn latency_objective_s(class: &QueryClass, cpu_s: f64) -> f64 {
     class.latency_objective.secs() + class.latency_objective_stretch * cpu_s / class.threads
 }
 
-/// How much longer a statement may wait, in seconds; negative: too late already.
+/// How much longer a statement may wait, in seconds. A negative value means that it is already too
+/// late.
 pub(super) struct Slack {
-    /// To be answered within its latency objective, by the fleet's present latency.
+    /// Time left to send the statement and meet its latency objective at the fleet's present
+    /// latency.
     pub(super) objective_s: f64,
-    /// To be of use at all, by the best latency. An answer that earns nothing takes cores from those that still can.
+    /// Time left to send the statement with any use, at the best latency. Running a statement past
+    /// this time takes cores from statements that are still useful.
     pub(super) useful_s: f64,
 }
 
-/// Latency per CPU second.
+/// Latency of the fleet per CPU second.
 pub(super) struct FleetLatency {
+    /// Median of the engines' best latency.
     pub(super) best: f64,
-    /// None where too little completed lately.
+    /// Present latency; `None` if too little work completed recently.
     pub(super) current: Option<f64>,
 }
 
-/// The slack of a statement of this predicted CPU.
+/// Returns the slack of a statement that is predicted to take `predicted_s` CPU seconds.
 pub(super) fn slack(
     now: Timestamp,
     class: &QueryClass,
@@ -76,11 +85,11 @@
     } else {
         objective_left_s
     };
-    let alone_s = predicted_s / class.threads * fleet.best;
+    let unloaded_s = predicted_s / class.threads * fleet.best;
     let expected_ratio = fleet.current.unwrap_or(fleet.best).max(fleet.best);
     let expected_s = predicted_s / class.threads * expected_ratio;
     Slack {
         objective_s: objective_left_s - expected_s,
-        useful_s: useful_left_s - alone_s * LEAST_USEFUL_PART,
+        useful_s: useful_left_s - unloaded_s * MIN_USEFUL_FRACTION,
     }
 }
--- a/crates/admission/src/policy/engine_selection.rs
+++ b/crates/admission/src/policy/engine_selection.rs
@@ -1,4 +1,5 @@
-//! Selects the engine of a statement: among the candidates that have capacity for it, the one of the highest score.
+//! Engine selection: picks the engine with the highest score among the candidates that have
+//! capacity for a statement.
 
 use std::collections::BTreeMap;
 
@@ -14,44 +15,52 @@
 use super::reservations::Reservations;
 use super::slow_start::SlowStartLimits;
 
-/// A statement over its quota is sent only where its charge leaves this part of the bucket ...
-const SPARE_BUCKET: f64 = 0.5;
-/// ... and running threads stay within this part of the limit, or of the cores if those are fewer.
-const SPARE_THREADS: f64 = 0.8;
-/// Nothing is short while running threads stay under this part of the fleet's limit ...
-const CALM_THREADS: f64 = 0.7;
-/// ... and latency under this many times its best.
-const CALM_LATENCY: f64 = 1.5;
-/// An engine where this many statements wait for memory has no capacity beyond its buckets.
-const WAITING_STATEMENTS: f64 = 1.0;
-/// Added for a free connection: one attempt empties a small share's bucket for longer than idle connections are kept,
-/// so the fullest bucket alone would open a connection for nearly every attempt.
-const FREE_CONNECTION_SCORE: f64 = 1e2;
-/// Taken off where the statement had an attempt before: such an engine comes last.
-const EARLIER_ATTEMPT_SCORE: f64 = 1e3;
-/// Chance adds up to this much, so that gateways that see alike choose differently.
-const CHANCE_SCORE: f64 = 0.01;
-
-/// What a statement needs of an engine.
+/// Fraction of the bucket's capacity that must be left after an over-quota statement is charged.
+const OVER_QUOTA_MIN_BUCKET_FRACTION: f64 = 0.5;
+/// Fraction of the concurrency limit, or of the cores if those are fewer, up to which over-quota
+/// statements may raise the running threads.
+const OVER_QUOTA_MAX_THREAD_FRACTION: f64 = 0.8;
+/// The fleet counts as uncontended while its running threads stay below this fraction of its limit
+/// and its latency stays below [`UNCONTENDED_RELATIVE_LATENCY`].
+const UNCONTENDED_THREAD_FRACTION: f64 = 0.7;
+/// Latency of an uncontended fleet stays below this multiple of its best.
+const UNCONTENDED_RELATIVE_LATENCY: f64 = 1.5;
+/// An engine at which at least this many statements wait for memory gets no statement beyond its
+/// CPU budget.
+const MEMORY_PRESSURE_WAITING_STATEMENTS: f64 = 1.0;
+/// Score bonus of an engine with a free connection. It outweighs the tokens: one attempt empties a
+/// small share's bucket for longer than idle connections are kept, so ranking by tokens alone would
+/// open a connection for nearly every attempt.
+const FREE_CONNECTION_BONUS: f64 = 1e2;
+/// Score penalty of an engine that already had an attempt of the statement. Such an engine ranks
+/// last.
+const EARLIER_ATTEMPT_PENALTY: f64 = 1e3;
+/// Upper bound of the random part of a score, which lets gateways with the same view choose
+/// different engines.
+const MAX_RANDOM_SCORE: f64 = 0.01;
+
+/// Resources that a statement needs at an engine.
 pub(super) struct StatementNeeds {
-    /// Predicted CPU, in seconds.
+    /// Predicted CPU time, in seconds.
     pub(super) predicted_s: f64,
-    /// CPU of a usual statement of its class, in seconds.
-    pub(super) usual_s: f64,
-    /// Predicted memory.
+    /// CPU time of a typical statement of its class, in seconds.
+    pub(super) typical_s: f64,
+    /// Predicted memory, in MB.
     pub(super) memory_mb: f64,
+    /// Priority at the engine, 0 to 3.
     pub(super) priority: u8,
-    /// Its class's share of each engine.
+    /// Its class's share of each engine's cores.
     pub(super) share: f64,
 }
 
-/// The totals of all engines, as far as they decide.
+/// The totals of all engines, and what follows from them for one statement.
 pub(super) struct FleetCapacity<'a> {
     totals: &'a Reservations,
-    /// No more threads may run.
+    /// Running threads have reached the fleet's concurrency limit.
     at_limit: bool,
-    /// Nothing is short: statements over a quota count as ordinary ones.
-    is_calm: bool,
+    /// No resource is short, so over-quota statements are treated like all others.
+    is_uncontended: bool,
+    /// The fleet's memory has room for the statement.
     has_memory: bool,
 }
 
@@ -61,63 +70,70 @@
         engines: &BTreeMap<EngineId, Engine>,
         needs: &StatementNeeds,
     ) -> Self {
-        let times_best = totals.latency.times_best(&totals.latency);
-        // Threads on ejected engines may hang there: they must not fill the fleet's limit.
+        let relative_latency = totals.latency.relative_latency(&totals.latency);
+        // Threads on ejected engines may hang there, so they do not count against the fleet's
+        // limit.
         let ejected = engines.values().filter(|engine| engine.health.is_ejected());
         let on_ejected: f64 = ejected
             .map(|engine| engine.reservations.running_threads(needs.priority))
             .sum();
         let limit = totals.limit.threads();
-        let has_free_threads = totals.running_threads(LOWEST_PRIORITY) < CALM_THREADS * limit;
+        let has_free_threads =
+            totals.running_threads(LOWEST_PRIORITY) < UNCONTENDED_THREAD_FRACTION * limit;
         FleetCapacity {
             totals,
             at_limit: totals.running_threads(needs.priority) - on_ejected >= limit,
-            is_calm: has_free_threads && times_best.is_none_or(|times| times < CALM_LATENCY),
-            has_memory: totals.memory.fleet_has_room(needs.memory_mb, times_best),
+            is_uncontended: has_free_threads
+                && relative_latency.is_none_or(|ratio| ratio < UNCONTENDED_RELATIVE_LATENCY),
+            has_memory: totals
+                .memory
+                .fleet_has_room(needs.memory_mb, relative_latency),
         }
     }
 }
 
-/// One selection, for one statement.
+/// The inputs for selecting the engine of one statement.
 pub(super) struct EngineSelection<'a> {
     pub(super) now: Timestamp,
     pub(super) statement: &'a Statement,
     pub(super) class: &'a QueryClass,
     pub(super) needs: StatementNeeds,
+    /// The statement is over a quota.
     pub(super) over_quota: bool,
-    /// It is worth its CPU while capacity is short.
-    pub(super) pays_price: bool,
-    /// It may be the probe of an ejected engine.
+    /// The statement is worth its CPU time while capacity is short.
+    pub(super) meets_cutoff: bool,
+    /// The statement may probe an ejected engine.
     pub(super) probe_allowed: bool,
     pub(super) fleet: FleetCapacity<'a>,
     pub(super) slow_start: SlowStartLimits,
-    /// After it engines close idle connections; none where opening one costs nothing.
+    /// Time after which engines close idle connections; `None` if opening a connection costs
+    /// nothing.
     pub(super) idle_timeout: Option<TimeDelta>,
 }
 
-/// An engine that fits.
-struct Scored {
+/// An engine with capacity for the statement, and its score.
+struct ScoredEngine {
     engine: EngineId,
     score: f64,
 }
 
 impl EngineSelection<'_> {
-    /// The engine to send to; none: no engine has capacity now.
+    /// Returns the engine to send to, or `None` if no engine has capacity now.
     pub(super) fn select(
         &self,
         engines: &BTreeMap<EngineId, Engine>,
         rng: &mut impl Rng,
     ) -> Option<EngineId> {
-        let mut best: Option<Scored> = None;
+        let mut best: Option<ScoredEngine> = None;
         for engine in self.candidates(engines) {
-            let factor = engine.capacity_factor(&self.slow_start, self.now);
-            if !self.fits(engine, factor) {
+            let capacity_factor = engine.capacity_factor(&self.slow_start, self.now);
+            if !self.fits(engine, capacity_factor) {
                 continue;
             }
-            let chance = rng.random::<f64>() * CHANCE_SCORE;
-            let scored = Scored {
+            let random_score = rng.random::<f64>() * MAX_RANDOM_SCORE;
+            let scored = ScoredEngine {
                 engine: engine.info.id,
-                score: self.score(engine, factor) + chance,
+                score: self.score(engine, capacity_factor) + random_score,
             };
             best = best
                 .filter(|best| best.score >= scored.score)
@@ -126,28 +142,31 @@
         best.map(|best| best.engine)
     }
 
-    /// Engines that may run it and are not ejected. With most of them ejected all are candidates: so many bad ones at
-    /// once have a common cause, or it is this gateway's, and the rest could not bear the whole load.
+    /// Returns the eligible engines that are not ejected, or that the statement may probe. If these
+    /// are fewer than half of the eligible engines, returns all eligible engines: so many failures
+    /// at once have a common cause, or one at this gateway, and the remaining engines could not
+    /// carry the whole load.
     fn candidates<'e>(&self, engines: &'e BTreeMap<EngineId, Engine>) -> Vec<&'e Engine> {
         let ready = engines.values().filter(|engine| engine.is_ready());
-        let all: Vec<&Engine> = ready
+        let eligible: Vec<&Engine> = ready
             .filter(|engine| may_run_at(self.now, self.class, self.statement, &engine.info))
             .collect();
         let accepts = |engine: &&Engine| engine.health.accepts(self.now, self.probe_allowed);
-        let accepting: Vec<&Engine> = all.iter().copied().filter(accepts).collect();
-        if accepting.len() * 2 < all.len() {
-            all
+        let accepting: Vec<&Engine> = eligible.iter().copied().filter(accepts).collect();
+        if accepting.len() * 2 < eligible.len() {
+            eligible
         } else {
             accepting
         }
     }
 
-    /// Whether an engine has capacity for it. `factor`: the part of its full capacity that the engine has now.
-    fn fits(&self, engine: &Engine, factor: f64) -> bool {
+    /// Returns whether the engine has capacity for the statement. `capacity_factor` is the engine's
+    /// present capacity as a fraction of its full capacity.
+    fn fits(&self, engine: &Engine, capacity_factor: f64) -> bool {
         self.fits_concurrency_limits(engine)
-            && self.fits_cpu_budget(engine, factor)
+            && self.fits_cpu_budget(engine, capacity_factor)
             && self.fits_memory(engine)
-            && self.fits_slow_start(engine, factor)
+            && self.fits_slow_start(engine, capacity_factor)
     }
 
     fn fits_concurrency_limits(&self, engine: &Engine) -> bool {
@@ -157,37 +176,41 @@
         is_under_limit && !self.fleet.at_limit
     }
 
-    fn fits_cpu_budget(&self, engine: &Engine, factor: f64) -> bool {
-        let reservations = self.deciding_reservations(engine);
-        let capacity = reservations.bucket_capacity(self.needs.share) * factor;
+    fn fits_cpu_budget(&self, engine: &Engine, capacity_factor: f64) -> bool {
+        let reservations = self.applicable_reservations(engine);
+        let capacity = reservations.bucket_capacity(self.needs.share) * capacity_factor;
         let tokens = reservations.buckets.tokens(self.statement.class);
-        if self.over_quota && !self.fleet.is_calm {
+        if self.over_quota && !self.fleet.is_uncontended {
             return self.leaves_spare_capacity(reservations, tokens, capacity);
         }
         let has_tokens = tokens >= self.needs.predicted_s || is_full(tokens, capacity);
         has_tokens || self.may_exceed_budget(engine)
     }
 
-    /// An engine's bucket that cannot hold one usual statement says nothing; all of them together do.
-    fn deciding_reservations<'e>(&'e self, engine: &'e Engine) -> &'e Reservations {
+    /// Returns the reservations whose bucket applies. An engine's bucket that cannot hold one
+    /// typical statement is too small to decide, so the fleet's bucket decides instead.
+    fn applicable_reservations<'e>(&'e self, engine: &'e Engine) -> &'e Reservations {
         let own = &engine.reservations;
-        if own.bucket_capacity(self.needs.share) >= self.needs.usual_s {
+        if own.bucket_capacity(self.needs.share) >= self.needs.typical_s {
             own
         } else {
             self.fleet.totals
         }
     }
 
-    /// An empty bucket sends while latency is near its best, unless others' statements wait at the engine already.
+    /// Returns whether the statement may be sent although the bucket has too few tokens. That is
+    /// allowed while latency is near its best, unless statements already wait for memory at the
+    /// engine.
     fn may_exceed_budget(&self, engine: &Engine) -> bool {
-        let times_best = engine
+        let relative_latency = engine
             .reservations
             .latency
-            .times_best(&self.fleet.totals.latency);
-        let nothing_waits = engine.waiting_statements < WAITING_STATEMENTS;
-        self.pays_price && nothing_waits && is_near_best(times_best)
+            .relative_latency(&self.fleet.totals.latency);
+        let nothing_waits = engine.waiting_statements < MEMORY_PRESSURE_WAITING_STATEMENTS;
+        self.meets_cutoff && nothing_waits && is_near_best(relative_latency)
     }
 
+    /// Returns whether enough tokens and threads stay free if an over-quota statement is sent.
     fn leaves_spare_capacity(
         &self,
         reservations: &Reservations,
@@ -196,10 +219,11 @@
     ) -> bool {
         let threads = self.class.threads;
         let usable_threads = reservations.limit.threads().min(reservations.cores);
-        let spare_threads = (usable_threads * SPARE_THREADS).max(threads);
+        let max_threads = (usable_threads * OVER_QUOTA_MAX_THREAD_FRACTION).max(threads);
         let running = reservations.running_threads(self.needs.priority);
-        let leaves_tokens = tokens >= self.needs.predicted_s + capacity * SPARE_BUCKET;
-        leaves_tokens && running + threads <= spare_threads
+        let leaves_tokens =
+            tokens >= self.needs.predicted_s + capacity * OVER_QUOTA_MIN_BUCKET_FRACTION;
+        leaves_tokens && running + threads <= max_threads
     }
 
     fn fits_memory(&self, engine: &Engine) -> bool {
@@ -210,28 +234,33 @@
         )
     }
 
-    fn fits_slow_start(&self, engine: &Engine, factor: f64) -> bool {
+    fn fits_slow_start(&self, engine: &Engine, capacity_factor: f64) -> bool {
         let cores = engine.reservations.cores;
-        engine
-            .slow_start
-            .allows(&self.slow_start, cores, factor, self.needs.usual_s)
+        engine.slow_start.allows(
+            &self.slow_start,
+            cores,
+            capacity_factor,
+            self.needs.typical_s,
+        )
     }
 
-    /// The bucket's tokens as a part of its capacity, so that sizes compare; then connections and earlier attempts.
-    fn score(&self, engine: &Engine, factor: f64) -> f64 {
+    /// Returns the engine's score. The base is the bucket's tokens as a fraction of its capacity,
+    /// so that engines of different sizes compare. A free connection raises the score, and an
+    /// earlier attempt at the engine lowers it.
+    fn score(&self, engine: &Engine, capacity_factor: f64) -> f64 {
         let reservations = &engine.reservations;
-        let capacity = reservations.bucket_capacity(self.needs.share) * factor;
+        let capacity = reservations.bucket_capacity(self.needs.share) * capacity_factor;
         let tokens = reservations.buckets.tokens(self.statement.class);
         let mut score = tokens / capacity.max(1e-9);
         let has_free_connection = self
             .idle_timeout
             .is_some_and(|timeout| engine.has_free_connection(self.now, timeout));
         if has_free_connection {
-            score += FREE_CONNECTION_SCORE;
+            score += FREE_CONNECTION_BONUS;
         }
         let mut attempts = self.statement.attempts.iter();
         if attempts.any(|attempt| attempt.engine == engine.info.id) {
-            score -= EARLIER_ATTEMPT_SCORE;
+            score -= EARLIER_ATTEMPT_PENALTY;
         }
         score
     }
--- a/crates/admission/src/policy/keyed_order.rs
+++ b/crates/admission/src/policy/keyed_order.rs
@@ -1,4 +1,5 @@
-//! The order of statements that share a key: they run one at a time, as they were received.
+//! Ordering of statements that share a key: they run one at a time, in the order in which they were
+//! received.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -7,11 +8,12 @@
 /// The statements of one key.
 #[derive(Default)]
 struct KeyQueue {
-    /// Those that are not over, the oldest first.
+    /// Statements that have not ended, the oldest first.
     statements: VecDeque<StatementId>,
-    /// The one that has an attempt in flight.
+    /// The statement with an attempt in flight, if there is one.
     in_flight: Option<StatementId>,
-    /// After an attempt whose end is not known, nothing is sent until then.
+    /// No statement is sent before this time, because an attempt whose outcome is unknown may still
+    /// be running; `None` if there was no such attempt.
     settled_at: Option<Timestamp>,
 }
 
@@ -21,16 +23,18 @@
     }
 }
 
-/// All keys in use. A key leaves once it is idle and settled.
+/// The queues of all keys in use. A key is removed once it is idle and settled.
 #[derive(Default)]
 pub(super) struct KeyedOrder(BTreeMap<OrderKey, KeyQueue>);
 
 impl KeyedOrder {
+    /// Appends a received statement to the queue of its key.
     pub(super) fn on_received(&mut self, key: OrderKey, id: StatementId) {
         self.0.entry(key).or_default().statements.push_back(id);
     }
 
-    /// Whether it is this statement's turn.
+    /// Returns whether the statement may be sent now: it is the first one of its key, no statement
+    /// of the key has an attempt in flight, and the key is settled.
     pub(super) fn may_send(&self, now: Timestamp, key: OrderKey, id: StatementId) -> bool {
         let Some(queue) = self.0.get(&key) else {
             return true;
@@ -39,13 +43,15 @@
         queue.is_settled(now) && queue.in_flight.is_none() && is_first
     }
 
+    /// Records that an attempt of the statement is in flight.
     pub(super) fn on_sent(&mut self, key: OrderKey, id: StatementId) {
         if let Some(queue) = self.0.get_mut(&key) {
             queue.in_flight = Some(id);
         }
     }
 
-    /// The statement's attempt is over. `settled_at`: its end is not known, and the key rests until then.
+    /// Handles the end of an attempt. If its outcome is unknown, `settled_at` is the time before
+    /// which no statement of the key is sent.
     pub(super) fn on_attempt_over(
         &mut self,
         key: OrderKey,
@@ -61,14 +67,14 @@
         }
     }
 
-    /// The statement has its final answer: the next one's turn has come.
+    /// Removes a statement that has its final answer, so that the next one of its key may be sent.
     pub(super) fn on_statement_over(&mut self, key: OrderKey, id: StatementId) {
         if let Some(queue) = self.0.get_mut(&key) {
-            queue.statements.retain(|waiting| *waiting != id);
+            queue.statements.retain(|queued| *queued != id);
         }
     }
 
-    /// Forgets keys that are idle and settled.
+    /// Removes keys that are idle and settled.
     pub(super) fn forget_idle(&mut self, now: Timestamp) {
         self.0.retain(|_, queue| {
             let is_idle = queue.statements.is_empty() && queue.in_flight.is_none();
--- a/crates/admission/src/policy/memory.rs
+++ b/crates/admission/src/policy/memory.rs
@@ -1,62 +1,68 @@
-//! Memory: what statements need, by their estimates and what completed ones took, and what of it may be reserved.
+//! Memory: predicts what statements need, from their estimates and from the outcomes of completed
+//! statements, and decides how much of it may be reserved.
 //!
-//! An engine that spills or pages is worse than a wait at this gateway. Could harm where estimates are far too high.
+//! A wait at this gateway is better than an engine that spills or pages. This can do harm where
+//! estimates are far too high.
 
 use crate::interface::{ClassId, Statement};
 
-/// Part of this gateway's share of an engine's memory that running statements may need: estimates scatter.
-pub(super) const USABLE_SHARE: f64 = 0.85;
-/// An engine with at most this part of its memory reserved may take a statement that the fleet's memory has room
-/// for: a statement is large against a share, and chance puts many gateways' heavy ones on one engine.
-const LIGHTLY_RESERVED: f64 = 0.3;
-/// Part of a statement's memory that the whole fleet must have free.
-const FLEET_NEED: f64 = 0.5;
-/// Slow statements hold memory longer: past this many times the best latency the fleet's memory counts for less.
-const UNHURRIED: f64 = 1.5;
-/// The least and the most that the fleet's memory counts for, as a factor.
-const FLEET_FACTOR_RANGE: (f64, f64) = (0.6, 1.2);
-/// Part of what was learned that is kept at each outcome.
-const KEPT_PER_OUTCOME: f64 = 0.99;
+/// Fraction of this gateway's share of an engine's memory that may be reserved. The rest is a
+/// margin, because estimates scatter.
+pub(super) const USABLE_FRACTION: f64 = 0.85;
+/// An engine with at most this fraction of its memory reserved may take a statement that does not
+/// fit there if the fleet's memory has room for it. One statement is large compared to a gateway's
+/// share, and the heavy statements of many gateways may meet at one engine by chance.
+const LIGHTLY_RESERVED_FRACTION: f64 = 0.3;
+/// Fraction of a statement's memory that must be free in the whole fleet.
+const FLEET_NEED_FRACTION: f64 = 0.5;
+/// Latency, as a multiple of its best, above which the fleet's memory limit shrinks, because slow
+/// statements hold their memory longer.
+const REFERENCE_RELATIVE_LATENCY: f64 = 1.5;
+/// Lower and upper bound of the factor that is applied to the fleet's memory limit.
+const FLEET_LIMIT_FACTOR_RANGE: (f64, f64) = (0.6, 1.2);
+/// Factor that is applied to the learned sums at each outcome.
+const DECAY_FACTOR_PER_OUTCOME: f64 = 0.99;
 
-/// Decaying sums over a class's outcomes, in MB.
+/// Decaying sums over the outcomes of one class, in MB.
 #[derive(Clone, Copy)]
 struct ClassMemory {
-    taken_mb: f64,
+    actual_mb: f64,
     estimated_mb: f64,
 }
 
-/// Predicts memory: the client's estimate times the ratio learned for its class.
+/// Predicts the memory of statements as the client's estimate times the ratio learned for the
+/// class.
 pub(super) struct MemoryModel {
     classes: Vec<ClassMemory>,
 }
 
 impl MemoryModel {
-    /// Believes estimates until outcomes tell.
+    /// Starts with a ratio of 1, which trusts the estimates until outcomes are known.
     pub(super) fn new(classes: usize) -> Self {
-        let believed = ClassMemory {
-            taken_mb: 1.0,
+        let initial = ClassMemory {
+            actual_mb: 1.0,
             estimated_mb: 1.0,
         };
         MemoryModel {
-            classes: vec![believed; classes],
+            classes: vec![initial; classes],
         }
     }
 
-    /// Predicted memory in MB; 0 where there is no estimate.
+    /// Returns the predicted memory in MB, or 0 for a statement without an estimate.
     pub(super) fn predict_mb(&self, statement: &Statement) -> f64 {
         let learned = self.classes[statement.class.0];
-        statement.memory_mb.max(0.0) * learned.taken_mb / learned.estimated_mb.max(1e-9)
+        statement.memory_mb.max(0.0) * learned.actual_mb / learned.estimated_mb.max(1e-9)
     }
 
-    /// Learns from a completed statement of an estimate above 0.
-    pub(super) fn learn(&mut self, class: ClassId, estimated_mb: f64, taken_mb: f64) {
+    /// Learns from a completed statement. `estimated_mb` must be above 0.
+    pub(super) fn learn(&mut self, class: ClassId, estimated_mb: f64, actual_mb: f64) {
         let learned = &mut self.classes[class.0];
-        learned.taken_mb = learned.taken_mb * KEPT_PER_OUTCOME + taken_mb;
-        learned.estimated_mb = learned.estimated_mb * KEPT_PER_OUTCOME + estimated_mb;
+        learned.actual_mb = learned.actual_mb * DECAY_FACTOR_PER_OUTCOME + actual_mb;
+        learned.estimated_mb = learned.estimated_mb * DECAY_FACTOR_PER_OUTCOME + estimated_mb;
     }
 }
 
-/// Memory of one engine, or of all, as this gateway's share.
+/// Memory of one engine, or of all engines together, as this gateway's share.
 #[derive(Clone)]
 pub(super) struct MemoryReservation {
     pub(super) limit_mb: f64,
@@ -71,19 +77,23 @@
         }
     }
 
-    /// Reserves; a negative amount releases.
+    /// Reserves memory; a negative amount releases it.
     pub(super) fn reserve(&mut self, memory_mb: f64) {
         self.reserved_mb = (self.reserved_mb + memory_mb).max(0.0);
     }
 
-    /// Of all engines: whether they have room for a statement. `times_best`: the fleet's latency.
-    pub(super) fn fleet_has_room(&self, need_mb: f64, times_best: Option<f64>) -> bool {
-        let (least, most) = FLEET_FACTOR_RANGE;
-        let factor = times_best.map_or(1.0, |times| (UNHURRIED / times).clamp(least, most));
-        self.reserved_mb + need_mb * FLEET_NEED <= self.limit_mb * factor
+    /// Returns whether the fleet's memory, held by `self`, has room for a statement.
+    /// `relative_latency` is the fleet's latency as a multiple of its best.
+    pub(super) fn fleet_has_room(&self, need_mb: f64, relative_latency: Option<f64>) -> bool {
+        let (min_factor, max_factor) = FLEET_LIMIT_FACTOR_RANGE;
+        let factor = relative_latency.map_or(1.0, |ratio| {
+            (REFERENCE_RELATIVE_LATENCY / ratio).clamp(min_factor, max_factor)
+        });
+        self.reserved_mb + need_mb * FLEET_NEED_FRACTION <= self.limit_mb * factor
     }
 
-    /// Of one engine: whether a statement fits.
+    /// Returns whether a statement fits at the engine whose memory `self` holds. Any statement fits
+    /// while the fleet has no memory reserved.
     pub(super) fn fits(
         &self,
         need_mb: f64,
@@ -91,7 +101,7 @@
         fleet_has_room: bool,
     ) -> bool {
         let fits_here = self.reserved_mb + need_mb <= self.limit_mb;
-        let is_lightly_reserved = self.reserved_mb <= LIGHTLY_RESERVED * self.limit_mb;
+        let is_lightly_reserved = self.reserved_mb <= LIGHTLY_RESERVED_FRACTION * self.limit_mb;
         let nothing_runs = fleet.reserved_mb <= 0.0;
         fits_here || (is_lightly_reserved && fleet_has_room) || nothing_runs
     }
--- a/crates/admission/src/policy/mod.rs
+++ b/crates/admission/src/policy/mod.rs
@@ -1,13 +1,19 @@
-//! Every decision, table and tuned value of laurelhitch. [`Policy`] is called like a client library, on one thread:
+//! The admission policy: every placement decision, with the state and the constants that it uses. A
+//! caller uses [`Policy`] like a client library, from one thread:
 //!
-//! - [`Policy::place`]: where to send a statement, or not yet, or never;
-//! - [`Policy::on_attempt_report`]: what to do after something happened to an attempt;
-//! - [`Policy::end_turn`]: what is due at the end of a turn, and when the next one is;
-//! - notifications (`on_*`): what is learned of engines, other gateways and quotas.
+//! - [`Policy::place`] decides whether a statement is sent now, stays in the queue, or is given up.
+//! - [`Policy::on_attempt_report`] handles an event of an attempt and returns the caller's next
+//!   step.
+//! - [`Policy::end_turn`] does the periodic work at the end of an event-loop turn and returns when
+//!   the next turn is due.
+//! - The other `on_*` methods record what is reported about engines, other gateways and quotas.
 //!
-//! The caller keeps statements and timers, and places a queued statement again on any change and when the wait is over.
-//! The values that go in and out stand in [`crate::interface`], the reasons in docs/design.md. Each file of this folder
-//! holds one decision with its tuned values; this one puts them together.
+//! The caller owns the statements and the timers. It calls `place` again for each queued statement
+//! after any change, and when the wait that `end_turn` returned has passed.
+//!
+//! [`crate::interface`] defines the types of the inputs and outputs; docs/design.md gives the
+//! reasons for the decisions. Each other file of this module holds one decision with its constants,
+//! and this file combines them.
 
 mod class_demand;
 mod concurrency_limit;
@@ -57,31 +63,31 @@
 use statistics::median;
 use tenant_quota::TenantQuotaTracker;
 
-/// The next turn is due after this time while statements wait in the queue, in seconds.
-const TURN_WITH_QUEUE_S: f64 = 0.02;
-/// The next turn is due after this time while none do, in seconds.
-const TURN_WITHOUT_QUEUE_S: f64 = 0.25;
-/// The usual statement of a class takes no less CPU than this, in seconds.
-const MIN_USUAL_S: f64 = 1e-4;
+/// Interval until the next turn while statements are queued, in seconds.
+const TURN_INTERVAL_QUEUED_S: f64 = 0.02;
+/// Interval until the next turn while no statement is queued, in seconds.
+const TURN_INTERVAL_IDLE_S: f64 = 0.25;
+/// Lower bound of a class's typical CPU time, in seconds.
+const MIN_TYPICAL_CPU_S: f64 = 1e-4;
 
-/// What a gateway's settings tell its policy.
+/// Configuration of a policy, taken from the settings of its gateway.
 #[derive(Clone, Debug)]
 pub struct PolicyConfig {
-    /// The query classes, by [`ClassId`].
+    /// Query classes, indexed by [`ClassId`].
     pub classes: Vec<QueryClass>,
-    /// What each tenant may use.
+    /// Quotas of the tenants.
     pub tenant_quotas: TenantQuotas,
-    /// The gateways and engines as a whole.
+    /// Properties of the fleet of gateways and engines.
     pub fleet: FleetConfig,
-    /// What engines can do after their start; none: all of it.
+    /// Capacity of engines after their start; `None` if they have their full capacity at once.
     pub slow_start: Option<SlowStart>,
-    /// Attempts, and what clients are told.
+    /// Limits on attempts, and the retry delays that clients are told.
     pub retry_policy: RetryPolicy,
-    /// How the list of engines reaches this gateway.
+    /// How this gateway receives the list of engines.
     pub discovery: DiscoveryMode,
 }
 
-/// One gateway's decisions. It shares nothing with another.
+/// The admission policy of one gateway. An instance shares no state with any other.
 pub struct Policy {
     rng: Pcg64Mcg,
     classes: Vec<QueryClass>,
@@ -99,12 +105,13 @@
     retry_budgets: RetryBudgets,
     probe_budget: BudgetWindow,
     discovery: DiscoveryRequester,
-    /// What was last granted, less what was used of it since.
+    /// The last grant of shared quotas, less what has been used of it since.
     quota_grant: QuotaGrant,
 }
 
 impl Policy {
-    /// A policy that knows no engines yet. `seed` starts its chance: each gateway has one of its own.
+    /// Creates a policy that knows no engines yet. `seed` seeds its random number generator and has
+    /// to differ between gateways.
     pub fn new(config: PolicyConfig, seed: u64) -> Self {
         let classes = config.classes.len();
         let start = Timestamp::from_secs(0.0);
@@ -128,21 +135,24 @@
         }
     }
 
-    /// A repeat of the statement that leaves later may meet an engine that has forgotten the first attempt; none: there
-    /// is no such time.
+    /// Returns the time until which engines are sure to recognize a repeat of the statement by its
+    /// idempotency key. A repeat that is sent later may run the statement twice. Returns `None` if
+    /// engines do not deduplicate the statement or if no attempt may have run it.
     #[must_use]
     pub fn repeat_until(&self, statement: &Statement) -> Option<Timestamp> {
         repeats::repeat_until(self.class(statement), statement)
     }
 
-    /// What this gateway carries, in even shares of all gateways' traffic, as far as tenants and quotas tell.
+    /// Returns this gateway's traffic as a multiple of an even share of all gateways' traffic. It
+    /// is estimated from the rates and the quotas of the tenants.
     #[must_use]
     pub fn traffic_share(&self) -> f64 {
         self.tenant_quotas.traffic_share()
     }
 
-    /// Cores of the engines in use, as this gateway's share of what they can do now. With most of them ejected all are
-    /// in use.
+    /// Returns the cores of the engines in use, as this gateway's share of their present capacity.
+    /// Ejected engines are not in use, except when more than half of the ready engines are ejected:
+    /// then all ready engines count.
     #[must_use]
     pub fn capacity(&self, now: Timestamp) -> f64 {
         let limits = self.slow_start_limits();
@@ -166,9 +176,10 @@
         }
     }
 
-    /// The end of a turn, with so many statements in the queue.
+    /// Does the periodic work at the end of an event-loop turn. `queued` is the number of
+    /// statements in the queue.
     pub fn end_turn(&mut self, now: Timestamp, queued: usize) -> Wakeup {
-        self.demand.divide(now, self.fleet_totals.cores);
+        self.demand.allocate(now, self.fleet_totals.cores);
         self.fleet_totals.release_due(now);
         for engine in self.engines.values_mut() {
             engine.reservations.release_due(now);
@@ -176,9 +187,9 @@
         }
         self.keyed_order.forget_idle(now);
         let wait_s = if queued > 0 {
-            TURN_WITH_QUEUE_S
+            TURN_INTERVAL_QUEUED_S
         } else {
-            TURN_WITHOUT_QUEUE_S
+            TURN_INTERVAL_IDLE_S
         };
         Wakeup {
             wait: TimeDelta::from_secs(wait_s),
@@ -187,7 +198,7 @@
         }
     }
 
-    /// Engines that enough other gateways lost statements to.
+    /// Handles reports of engines at which enough other gateways lost statements.
     pub fn on_outlier_gossip(&mut self, now: Timestamp, reports: &[OutlierReport]) {
         for report in reports {
             if let Some(engine) = self.engines.get_mut(&report.id) {
@@ -197,27 +208,28 @@
         }
     }
 
-    /// What an engine says of its load.
+    /// Records an engine's report of its load.
     pub fn on_load_report(&mut self, id: EngineId, report: &LoadReport) {
         if let Some(engine) = self.engines.get_mut(&id) {
             engine.waiting_statements = report.waiting.unwrap_or(0.0);
         }
     }
 
-    /// What this gateway may still use of quotas that all gateways share. It holds until the next grant; what is sent
-    /// meanwhile is taken off.
+    /// Replaces the grant of the quotas that all gateways share. A grant is valid until the next
+    /// one, and every use is deducted from it.
     pub fn on_quota(&mut self, grant: QuotaGrant) {
         self.quota_grant = grant;
     }
 
-    /// The statement is over, by this policy or because its client left: the next one of its key may be sent.
+    /// Handles the end of a statement, whether this policy ended it or its client left. The next
+    /// statement with the same key may then be sent.
     pub fn on_statement_over(&mut self, statement: &Statement) {
         if let Some(key) = self.order_key(statement) {
             self.keyed_order.on_statement_over(key, statement.id);
         }
     }
 
-    /// Whether each engine is ejected here.
+    /// Returns the ejection state of each engine at this gateway.
     pub fn health(&self) -> impl Iterator<Item = EngineHealth> {
         self.engines.iter().map(|(id, engine)| EngineHealth {
             id: *id,
@@ -226,7 +238,7 @@
         })
     }
 
-    /// Each engine as the decisions see it, to be checked from outside.
+    /// Returns the state of each engine as the decisions use it, so that the caller can check it.
     pub fn engines(&self) -> impl Iterator<Item = EngineView> {
         self.engines.iter().map(|(id, engine)| EngineView {
             id: *id,
@@ -239,13 +251,15 @@
         &self.classes[statement.class.0]
     }
 
-    /// The key that orders the statement, where its class is ordered.
+    /// Returns the key that orders the statement, or `None` if its class is not ordered or the
+    /// statement has no key.
     fn order_key(&self, statement: &Statement) -> Option<OrderKey> {
         let is_ordered = self.class(statement).ordered_by_key;
         statement.key.filter(|_| is_ordered)
     }
 
-    /// The median over the engines of the best latency per CPU second.
+    /// Returns the median over the engines of their best latency per CPU second, or `None` if no
+    /// engine has one.
     fn median_best_latency(&self) -> Option<f64> {
         let engines = self.engines.values();
         median(
@@ -255,38 +269,40 @@
         )
     }
 
-    /// CPU seconds of a class's usual statement: the mean of the received ones too, since the completed are too light
-    /// where the heavy are rejected.
-    fn usual_cpu_s(&self, class: ClassId) -> f64 {
+    /// Returns the CPU time of a typical statement of the class, in seconds. The mean over the
+    /// received statements counts as well, because the completed statements are lighter than
+    /// average while heavy ones are rejected.
+    fn typical_cpu_s(&self, class: ClassId) -> f64 {
         let priority_weight = self.classes[class.0].priority_weight;
         let received_s = self.demand.mean_cpu_s(class, priority_weight);
-        let completed_s = self.cost_model.usual_cpu_s(class);
-        completed_s.max(received_s).max(MIN_USUAL_S)
+        let completed_s = self.cost_model.typical_cpu_s(class);
+        completed_s.max(received_s).max(MIN_TYPICAL_CPU_S)
     }
 
-    /// The statement's priority at its engine.
+    /// Returns the statement's priority at its engine.
     fn priority(&self, statement: &Statement, predicted_s: f64) -> u8 {
         if !self.fleet.priorities_honored {
             return UNIFORM_PRIORITY;
         }
-        let total_cpu = self.demand.cpu().sum::<f64>().max(1e-9);
-        let classes = self.classes.iter().zip(self.demand.cpu()).enumerate();
-        let objectives = classes.map(|(index, (class, cpu))| {
-            let usual_s = self.usual_cpu_s(ClassId(index));
-            deadlines::latency_objective_s(class, usual_s) * cpu / total_cpu
+        let total_cpu_rate = self.demand.cpu_rates().sum::<f64>().max(1e-9);
+        let classes = self.classes.iter().zip(self.demand.cpu_rates()).enumerate();
+        let objectives = classes.map(|(index, (class, cpu_rate))| {
+            let typical_s = self.typical_cpu_s(ClassId(index));
+            deadlines::latency_objective_s(class, typical_s) * cpu_rate / total_cpu_rate
         });
         let mean_objective_s = objectives.sum::<f64>().max(1e-9);
         let class = self.class(statement);
         priority_for(deadlines::latency_objective_s(class, predicted_s) / mean_objective_s)
     }
 
+    /// Returns the slow-start settings with this gateway's share of a starting engine.
     fn slow_start_limits(&self) -> SlowStartLimits {
         let peers = self.fleet.peers;
         let granted = self.quota_grant.slow_start;
         SlowStartLimits {
             config: self.slow_start,
             peers,
-            fleet_share: granted.map_or(1.0, |part| part * peers),
+            fleet_share: granted.map_or(1.0, |fraction| fraction * peers),
         }
     }
 }
--- a/crates/admission/src/policy/outcome.rs
+++ b/crates/admission/src/policy/outcome.rs
@@ -1,5 +1,5 @@
-//! What follows from an [`AttemptReport`]: what is learned of the engine and of the statement's cost, and what becomes of
-//! the statement.
+//! Handles an [`AttemptReport`]: updates what is known of the engine and of the statement's cost,
+//! and decides the next step of the statement.
 
 use crate::interface::{
     Attempt, AttemptEvent, AttemptReport, AttemptState, Effect, NextStep, Placement, Statement,
@@ -9,12 +9,14 @@
 use super::Policy;
 use super::concurrency_limit::{limit_range_at_engine, limit_range_of_fleet};
 use super::deadlines;
-use super::outlier_detection::{failure_weight, is_statements_own_fault, next_sign_due_s};
+use super::outlier_detection::{
+    activity_timeout_after_answer_s, failure_weight, is_statement_fault,
+};
 use super::repeats;
 use super::reservations::Completion;
 use super::runaway::{AttemptProgress, is_runaway};
 
-/// Whether the attempt stays in flight after this event.
+/// Returns whether the attempt is still in flight after this event.
 fn is_in_flight_after(event: AttemptEvent) -> bool {
     matches!(
         event,
@@ -22,22 +24,24 @@
     )
 }
 
-/// Whether this gateway ended the attempt, so that the event is no sign of the engine.
-fn is_ended_here(event: AttemptEvent) -> bool {
+/// Returns whether this gateway ended the attempt, so that the event says nothing about the engine.
+fn is_ended_by_gateway(event: AttemptEvent) -> bool {
     matches!(event, AttemptEvent::TimedOut | AttemptEvent::Cancelled)
 }
 
-/// Whether the attempt may still change something after this event: the next statement of its key has to wait.
-fn is_end_unknown(event: AttemptEvent) -> bool {
-    is_ended_here(event) || event == AttemptEvent::Reset
+/// Returns whether the attempt may still have an effect after this event, so that the next
+/// statement of its key has to wait.
+fn is_outcome_unknown(event: AttemptEvent) -> bool {
+    is_ended_by_gateway(event) || event == AttemptEvent::Reset
 }
 
 impl Policy {
-    /// Learns from what happened to an attempt, and tells what to do. The statement's attempts are as after the event.
+    /// Learns from an event of an attempt and returns what the caller has to do. The attempts of
+    /// `statement` must already reflect the event.
     ///
     /// # Panics
     ///
-    /// Where the statement's class is none of the configured ones.
+    /// Panics if the class of the statement is not one of the configured classes.
     pub fn on_attempt_report(
         &mut self,
         now: Timestamp,
@@ -48,23 +52,28 @@
             return NextStep::Continue;
         };
         let predicted_s = self.cost_model.predict(statement);
-        let sign_due_s = next_sign_due_s(self.fleet.progress_interval, predicted_s);
+        let activity_timeout_s =
+            activity_timeout_after_answer_s(self.fleet.progress_interval, predicted_s);
         let Some(engine) = self.engines.get_mut(&attempt.engine) else {
             return self.next_step(now, statement, report);
         };
         if is_in_flight_after(report.event) {
-            engine.health.on_sign(now, engine.in_flight, sign_due_s);
+            engine
+                .health
+                .on_activity(now, engine.in_flight, activity_timeout_s);
             return self.after_progress(now, statement, attempt, report);
         }
         engine.in_flight = engine.in_flight.saturating_sub(1);
-        if !is_ended_here(report.event) {
-            engine.health.on_sign(now, engine.in_flight, sign_due_s);
+        if !is_ended_by_gateway(report.event) {
+            engine
+                .health
+                .on_activity(now, engine.in_flight, activity_timeout_s);
         }
         self.learn_from_outcome(now, statement, attempt, report);
         self.next_step(now, statement, report)
     }
 
-    /// Cancels a runaway attempt where a retry is allowed and harmless.
+    /// Cancels a runaway attempt if a retry is allowed and safe.
     fn after_progress(
         &mut self,
         now: Timestamp,
@@ -72,14 +81,14 @@
         attempt: &Attempt,
         report: &AttemptReport,
     ) -> NextStep {
-        let AttemptEvent::Progress(done) = report.event else {
+        let AttemptEvent::Progress(completed_fraction) = report.event else {
             return NextStep::Continue;
         };
         let class = self.class(statement);
         let progress = AttemptProgress {
             elapsed: now - attempt.sent,
-            done,
-            new_attempt_s: attempt.charge.secs() / class.threads * self.pace(attempt),
+            completed_fraction,
+            new_attempt_s: attempt.charge.secs() / class.threads * self.latency_ratio(attempt),
             time_left_s: deadlines::time_left_s(now, statement),
         };
         let is_idempotent = repeats::effect(class, statement) == Effect::Idempotent;
@@ -96,14 +105,15 @@
         }
     }
 
-    /// Latency per CPU second at the attempt's engine, no less than 1.
-    fn pace(&self, attempt: &Attempt) -> f64 {
+    /// Returns the latency per CPU second at the attempt's engine: at least 1, and 1 if it is
+    /// unknown.
+    fn latency_ratio(&self, attempt: &Attempt) -> f64 {
         let engine = self.engines.get(&attempt.engine);
         let ratio = engine.and_then(|engine| engine.reservations.latency.current());
         ratio.unwrap_or(1.0).max(1.0)
     }
 
-    /// Takes an attempt that is over out of the reservations, and learns from its outcome.
+    /// Takes an attempt that has ended out of the reservations, and learns from its outcome.
     fn learn_from_outcome(
         &mut self,
         now: Timestamp,
@@ -111,9 +121,9 @@
         attempt: &Attempt,
         report: &AttemptReport,
     ) {
-        let expected_s = attempt.charge.secs() / attempt.threads * self.pace(attempt);
+        let expected_s = attempt.charge.secs() / attempt.threads * self.latency_ratio(attempt);
         self.release(now, attempt, report.event, expected_s);
-        self.settle_charge(now, statement, attempt, report);
+        self.correct_charge(now, statement, attempt, report);
         let weight = failure_weight(
             report.event,
             report.latency,
@@ -127,12 +137,13 @@
         if matches!(report.event, AttemptEvent::Completed { .. }) {
             engine.health.on_success(now);
         }
-        engine.health.count_failures(now, weight, was_probe);
+        engine.health.record_failure(now, weight, was_probe);
     }
 
-    /// Releases what the attempt reserved: at its likely end, where it was given up and engines run on.
+    /// Releases what the attempt reserved. An abandoned attempt that cannot be cancelled runs on at
+    /// its engine, so its reservations are kept until its expected end.
     fn release(&mut self, now: Timestamp, attempt: &Attempt, event: AttemptEvent, expected_s: f64) {
-        let runs_on = !self.retry_policy.can_cancel && is_ended_here(event);
+        let runs_on = !self.retry_policy.can_cancel && is_ended_by_gateway(event);
         let until = if runs_on {
             now + TimeDelta::from_secs(expected_s)
         } else {
@@ -147,9 +158,9 @@
         }
     }
 
-    /// Corrects what the attempt was charged. The charge of a failed one stays: an engine that fails fast would else
-    /// look the emptiest, and draw all the rest.
-    fn settle_charge(
+    /// Corrects the charge of the attempt. A failed attempt keeps its charge: otherwise an engine
+    /// that fails fast would look the least loaded and attract all other statements.
+    fn correct_charge(
         &mut self,
         now: Timestamp,
         statement: &Statement,
@@ -163,9 +174,9 @@
                     let charged_s = attempt.charge.secs();
                     self.cost_model.learn(statement, charged_s, cpu.secs());
                 }
-                if let Some(taken_mb) = memory_mb.filter(|_| statement.memory_mb > 0.0) {
+                if let Some(actual_mb) = memory_mb.filter(|_| statement.memory_mb > 0.0) {
                     self.memory_model
-                        .learn(statement.class, statement.memory_mb, taken_mb);
+                        .learn(statement.class, statement.memory_mb, actual_mb);
                 }
             }
             AttemptEvent::Rejected | AttemptEvent::NeverSent => {
@@ -186,7 +197,7 @@
         }
     }
 
-    /// Gives back the whole charge of an attempt that certainly never ran.
+    /// Returns the whole charge of an attempt that certainly did not run.
     fn refund(&mut self, statement: &Statement, attempt: &Attempt) {
         let Some(engine) = self.engines.get_mut(&attempt.engine) else {
             return;
@@ -197,7 +208,8 @@
         }
     }
 
-    /// Corrects buckets, latency and limits by a result. `cpu`: what it took; none: it took what it was charged.
+    /// Updates buckets, latency and limits after a completed attempt. `cpu` is the CPU time that it
+    /// took; `None` means that it took what it was charged.
     fn learn_completion(
         &mut self,
         now: Timestamp,
@@ -229,7 +241,7 @@
             .on_completion(now, &completion, &fleet_latency, of_fleet);
     }
 
-    /// What becomes of a statement whose attempt is over.
+    /// Returns the next step of a statement whose attempt has ended.
     fn next_step(
         &mut self,
         now: Timestamp,
@@ -238,7 +250,7 @@
     ) -> NextStep {
         if let Some(key) = self.order_key(statement) {
             let settles_at = now + self.retry_policy.order_settle;
-            let settled_at = is_end_unknown(report.event).then_some(settles_at);
+            let settled_at = is_outcome_unknown(report.event).then_some(settles_at);
             self.keyed_order
                 .on_attempt_over(key, statement.id, settled_at);
         }
@@ -255,6 +267,7 @@
         NextStep::Reject { retry_after }
     }
 
+    /// Returns whether the statement may have another attempt.
     fn may_be_requeued(&self, now: Timestamp, statement: &Statement, event: AttemptEvent) -> bool {
         let attempts = &statement.attempts;
         let may_have_run = attempts
@@ -262,7 +275,7 @@
             .any(|attempt| attempt.state == AttemptState::MayHaveRun);
         let effect = repeats::effect(self.class(statement), statement);
         let could_run_twice = may_have_run && effect == Effect::NonIdempotent;
-        !is_statements_own_fault(event, attempts.len())
+        !is_statement_fault(event, attempts.len())
             && !could_run_twice
             && deadlines::has_time_for_attempt(now, statement)
             && attempts.len() < self.retry_policy.max_attempts
--- a/crates/admission/src/policy/outlier_detection.rs
+++ b/crates/admission/src/policy/outlier_detection.rs
@@ -1,72 +1,85 @@
-//! Outlier detection: engines that fail, or are silent when something was due, are ejected for a time that doubles.
-//! Then one statement is the probe that tells whether the engine is well again.
+//! Outlier detection: an engine that fails, or that is silent when activity was due, is ejected for
+//! a time that doubles with each ejection. After that time, one statement probes whether the engine
+//! has recovered.
 
 use rand::{Rng, RngExt};
 
 use crate::interface::{AttemptEvent, OutlierReport, StatementId, TimeDelta, Timestamp};
 
-/// Failures that eject an engine.
+/// Failure count at which an engine is ejected.
 const MAX_FAILURES: f64 = 3.0;
-/// A success leaves this part of the failures: an engine that loses a third of its statements fails no row of them.
-const FAILURES_KEPT: f64 = 0.8;
-/// A reset counts as this part of a failure: a connection may fail alone, and a process that dies resets all that is
-/// in flight and refuses what comes after.
+/// Factor that is applied to the failure count on a success. A success does not clear the count,
+/// because an engine that loses a third of its statements need not fail several in a row.
+const FAILURE_DECAY_ON_SUCCESS: f64 = 0.8;
+/// Weight of a connection reset as a failure. One connection may fail alone, whereas a process that
+/// dies resets all connections with attempts in flight and refuses later ones.
 const RESET_WEIGHT: f64 = MAX_FAILURES / 9.0;
-/// Errors from so many attempts tell of the statement, not of the engine: clients send what none can use.
-const ERRORS_OF_STATEMENT: usize = 3;
-/// The first and the longest ejection, in seconds.
+/// From this many attempts on, an error is attributed to the statement and not to the engine:
+/// clients also send statements that no engine can run.
+const STATEMENT_FAULT_ATTEMPTS: usize = 3;
+/// Shortest and longest ejection, in seconds.
 const EJECTION_RANGE_S: (f64, f64) = (1.0, 8.0);
-/// Each ejection is this many times as long as the one before.
-const EJECTION_GROWTH: f64 = 2.0;
-/// A success leaves this part of the ejection's length.
-const EJECTION_KEPT: f64 = 0.98;
-/// A timed-out statement was lost at its engine, if it took this many times what the engine's pace explains ...
-const LOST_AFTER_PACES: f64 = 4.0;
-/// ... and this many seconds.
-const LOST_AFTER_S: f64 = 1.0;
-/// An answer is due after this many times what the engine's pace explains ...
-const ANSWER_DUE_PACES: f64 = 4.0;
-/// ... and this many seconds.
-const ANSWER_DUE_S: f64 = 0.5;
-/// Engines that send progress are due to be heard of after this many intervals ...
-const PROGRESS_DUE_INTERVALS: f64 = 1.25;
-/// ... and this many seconds.
-const PROGRESS_DUE_S: f64 = 0.3;
-/// Without progress reports, the next answer is due after this many times a prediction ...
-const NEXT_ANSWER_PREDICTIONS: f64 = 3.0;
-/// ... and this many seconds.
-const NEXT_ANSWER_S: f64 = 1.0;
-
-/// Whether repeated errors make a statement's own fault of them.
-pub(super) fn is_statements_own_fault(event: AttemptEvent, attempts: usize) -> bool {
-    event == AttemptEvent::Error && attempts >= ERRORS_OF_STATEMENT
+/// Factor by which an ejection is longer than the one before.
+const EJECTION_BACKOFF_FACTOR: f64 = 2.0;
+/// Factor that is applied to the length of the last ejection on a success.
+const EJECTION_DECAY_ON_SUCCESS: f64 = 0.98;
+/// A timed-out statement counts as lost at its engine if it took longer than its expected time
+/// times this factor plus [`LOST_MARGIN_S`].
+const LOST_LATENCY_FACTOR: f64 = 4.0;
+/// Margin for a statement to count as lost, in seconds.
+const LOST_MARGIN_S: f64 = 1.0;
+/// An answer is due after its expected time times this factor plus [`ANSWER_MARGIN_S`].
+const ANSWER_LATENCY_FACTOR: f64 = 4.0;
+/// Margin for an answer to be due, in seconds.
+const ANSWER_MARGIN_S: f64 = 0.5;
+/// An engine that sends progress reports must be heard within this many report intervals plus
+/// [`PROGRESS_MARGIN_S`].
+const PROGRESS_INTERVALS: f64 = 1.25;
+/// Margin for a progress report to be due, in seconds.
+const PROGRESS_MARGIN_S: f64 = 0.3;
+/// Without progress reports, the next answer is due after the predicted CPU time times this factor
+/// plus [`NEXT_ANSWER_MARGIN_S`].
+const NEXT_ANSWER_FACTOR: f64 = 3.0;
+/// Margin for the next answer to be due, in seconds.
+const NEXT_ANSWER_MARGIN_S: f64 = 1.0;
+
+/// Returns whether the event is an error that is attributed to the statement after this many
+/// attempts.
+pub(super) fn is_statement_fault(event: AttemptEvent, attempts: usize) -> bool {
+    event == AttemptEvent::Error && attempts >= STATEMENT_FAULT_ATTEMPTS
 }
 
-/// The seconds within which progress is due; none where engines send no progress.
-pub(super) fn progress_due_s(progress_interval: Option<TimeDelta>) -> Option<f64> {
-    progress_interval.map(|interval| interval.secs() * PROGRESS_DUE_INTERVALS + PROGRESS_DUE_S)
+/// Returns the seconds within which a progress report is due, or `None` if engines send none.
+pub(super) fn progress_timeout_s(progress_interval: Option<TimeDelta>) -> Option<f64> {
+    progress_interval.map(|interval| interval.secs() * PROGRESS_INTERVALS + PROGRESS_MARGIN_S)
 }
 
-/// The seconds within which an engine that was just heard is to be heard again.
-pub(super) fn next_sign_due_s(progress_interval: Option<TimeDelta>, predicted_s: f64) -> f64 {
-    progress_due_s(progress_interval)
-        .unwrap_or(NEXT_ANSWER_PREDICTIONS * predicted_s + NEXT_ANSWER_S)
+/// Returns the seconds within which an engine that was just heard must be heard again.
+pub(super) fn activity_timeout_after_answer_s(
+    progress_interval: Option<TimeDelta>,
+    predicted_s: f64,
+) -> f64 {
+    progress_timeout_s(progress_interval)
+        .unwrap_or(NEXT_ANSWER_FACTOR * predicted_s + NEXT_ANSWER_MARGIN_S)
 }
 
-/// The seconds within which an engine is to be heard after a send. `latency_ratio`: its latency per CPU second.
-pub(super) fn first_sign_due_s(
+/// Returns the seconds within which an engine must be heard after a statement is sent.
+/// `latency_ratio` is its latency per CPU second.
+pub(super) fn activity_timeout_after_send_s(
     progress_interval: Option<TimeDelta>,
     predicted_s: f64,
     latency_ratio: f64,
     threads: f64,
 ) -> f64 {
-    let answer_due_s = ANSWER_DUE_PACES * predicted_s * latency_ratio / threads + ANSWER_DUE_S;
-    let progress_due_s = progress_due_s(progress_interval).unwrap_or(f64::INFINITY);
-    answer_due_s.min(progress_due_s)
+    let answer_timeout_s =
+        ANSWER_LATENCY_FACTOR * predicted_s * latency_ratio / threads + ANSWER_MARGIN_S;
+    let progress_timeout_s = progress_timeout_s(progress_interval).unwrap_or(f64::INFINITY);
+    answer_timeout_s.min(progress_timeout_s)
 }
 
-/// How much an outcome that is no success counts as a failure of its engine. `expected_s`: what the engine's pace
-/// explains; `attempts`: of the statement, this one among them.
+/// Returns how much an event counts as a failure of the engine; 0 if it is none. `expected_s` is
+/// the time that the attempt was expected to take at the present latency of the engine, and
+/// `attempts` is the number of attempts of the statement, including this one.
 pub(super) fn failure_weight(
     event: AttemptEvent,
     latency: TimeDelta,
@@ -74,11 +87,11 @@
     attempts: usize,
 ) -> f64 {
     match event {
-        AttemptEvent::Error if is_statements_own_fault(event, attempts) => 0.0,
+        AttemptEvent::Error if is_statement_fault(event, attempts) => 0.0,
         AttemptEvent::Error | AttemptEvent::Unreachable | AttemptEvent::Rejected => 1.0,
         AttemptEvent::Reset => RESET_WEIGHT,
         AttemptEvent::TimedOut => {
-            let is_lost = latency.secs() > LOST_AFTER_PACES * expected_s + LOST_AFTER_S;
+            let is_lost = latency.secs() > LOST_LATENCY_FACTOR * expected_s + LOST_MARGIN_S;
             if is_lost { 1.0 } else { 0.0 }
         }
         AttemptEvent::Progress(_)
@@ -91,20 +104,22 @@
     }
 }
 
-/// What is known of one engine's health.
+/// Outlier detection for one engine.
 #[derive(Clone, Default)]
 pub(super) struct Health {
-    /// Failures, less what successes took back.
+    /// Weighted number of failures, reduced by successes.
     failures: f64,
-    /// It is ejected if it was not heard by then.
-    sign_due: Option<Timestamp>,
+    /// The engine is ejected if it is not heard by this time; `None` if nothing is due.
+    activity_deadline: Option<Timestamp>,
+    /// When the ejected engine may be probed; `None` if it is not ejected.
     ejected_until: Option<Timestamp>,
-    /// Length of the last ejection, in seconds.
+    /// Length of the last ejection in seconds, reduced by successes.
     ejection_s: f64,
-    /// The statement that is the probe of the ejected engine.
+    /// The statement that probes the ejected engine, if there is one.
     probe: Option<StatementId>,
+    /// When a statement last completed here; `None` before the first one.
     last_success: Option<Timestamp>,
-    /// Ejected by what other gateways saw.
+    /// The engine is ejected because of other gateways' reports.
     by_gossip: bool,
 }
 
@@ -121,7 +136,8 @@
         self.by_gossip
     }
 
-    /// Whether a statement may go there: it is not ejected, or the statement may be its probe.
+    /// Returns whether a statement may be sent to the engine: the engine is not ejected, or the
+    /// statement may probe it.
     pub(super) fn accepts(&self, now: Timestamp, probe_allowed: bool) -> bool {
         self.ejected_until.is_none_or(|until| {
             let may_be_probed = until <= now && self.probe.is_none();
@@ -129,63 +145,74 @@
         })
     }
 
-    /// A statement was sent, and a sign of the engine is due within `due_s`.
-    pub(super) fn on_send(&mut self, now: Timestamp, id: StatementId, due_s: f64) {
-        let due = now + TimeDelta::from_secs(due_s);
-        self.sign_due = Some(self.sign_due.map_or(due, |earlier| earlier.min(due)));
+    /// Records that a statement was sent. The engine must be heard within `timeout_s`.
+    pub(super) fn on_send(&mut self, now: Timestamp, id: StatementId, timeout_s: f64) {
+        let deadline = now + TimeDelta::from_secs(timeout_s);
+        self.activity_deadline = Some(
+            self.activity_deadline
+                .map_or(deadline, |earlier| earlier.min(deadline)),
+        );
         if self.is_ejected() {
             self.probe = Some(id);
         }
     }
 
-    /// A sign of the engine came; the next is due within `due_s` if anything is in flight there.
-    pub(super) fn on_sign(&mut self, now: Timestamp, in_flight: u32, due_s: f64) {
-        self.sign_due = (in_flight > 0).then(|| now + TimeDelta::from_secs(due_s));
+    /// Records that the engine was heard. It must be heard again within `timeout_s` if anything is
+    /// in flight there.
+    pub(super) fn on_activity(&mut self, now: Timestamp, in_flight: u32, timeout_s: f64) {
+        self.activity_deadline = (in_flight > 0).then(|| now + TimeDelta::from_secs(timeout_s));
     }
 
-    /// True where this statement was the engine's probe, which is over then.
+    /// Ends the probe if the statement was the probe, and returns whether it was.
     pub(super) fn end_probe(&mut self, id: StatementId) -> bool {
         self.probe.take_if(|probe| *probe == id).is_some()
     }
 
+    /// Records that a statement completed, which ends an ejection.
     pub(super) fn on_success(&mut self, now: Timestamp) {
-        self.failures *= FAILURES_KEPT;
-        self.ejection_s *= EJECTION_KEPT;
+        self.failures *= FAILURE_DECAY_ON_SUCCESS;
+        self.ejection_s *= EJECTION_DECAY_ON_SUCCESS;
         self.ejected_until = None;
         self.by_gossip = false;
         self.last_success = Some(now);
     }
 
-    /// Counts an outcome that weighs so much as a failure, and ejects for too many of them. `was_probe`: one failure is
-    /// too many, of the probe or of what was in flight beside it.
-    pub(super) fn count_failures(&mut self, now: Timestamp, weight: f64, was_probe: bool) {
+    /// Adds the weight of an outcome to the failures, and ejects the engine if they are too many.
+    /// After a probe (`was_probe`), one failure is too many, whether it is the failure of the probe
+    /// or of another attempt in flight.
+    pub(super) fn record_failure(&mut self, now: Timestamp, weight: f64, was_probe: bool) {
         self.failures += weight;
-        let is_bad_probe = was_probe && self.failures >= 1.0;
-        if self.failures >= MAX_FAILURES || is_bad_probe {
+        let has_probe_failed = was_probe && self.failures >= 1.0;
+        if self.failures >= MAX_FAILURES || has_probe_failed {
             self.eject(now);
         }
     }
 
-    /// Ejects an engine that is silent past what was due: hung, cut off or dead. Could harm at a quiet gateway that one
-    /// slow statement misleads.
+    /// Ejects an engine that was not heard in time: it hangs, is unreachable or has died. This can
+    /// do harm at a quiet gateway, where one unexpectedly slow statement ejects a healthy engine.
     pub(super) fn eject_if_silent(&mut self, now: Timestamp) {
-        if self.sign_due.is_some_and(|due| due <= now) {
+        if self
+            .activity_deadline
+            .is_some_and(|deadline| deadline <= now)
+        {
             self.eject(now);
         }
     }
 
     fn eject(&mut self, now: Timestamp) {
         let (shortest_s, longest_s) = EJECTION_RANGE_S;
-        self.ejection_s = (self.ejection_s * EJECTION_GROWTH).clamp(shortest_s, longest_s);
+        self.ejection_s = (self.ejection_s * EJECTION_BACKOFF_FACTOR).clamp(shortest_s, longest_s);
         self.ejected_until = Some(now + TimeDelta::from_secs(self.ejection_s));
         self.probe = None;
-        self.sign_due = None;
+        self.activity_deadline = None;
         self.failures = 0.0;
         self.by_gossip = false;
     }
 
-    /// Enough other gateways lost statements there: ejected while that is fresh and, by chance, up to twice as long. What
-    /// the engine did for this gateway since outweighs it, as does its start; an ejection of its own stands.
+    /// Ejects an engine at which enough other gateways lost statements. The ejection lasts as long
+    /// as the report is valid and, at random, up to twice that. A report is ignored if this gateway
+    /// had a success at the engine, or the engine started, after the report was made. It does not
+    /// replace an ejection by this gateway itself.
     pub(super) fn on_gossip(
         &mut self,
         now: Timestamp,
@@ -197,8 +224,8 @@
         let ejection_stands = self
             .ejected_until
             .is_some_and(|until| !self.by_gossip || until >= report.until);
-        let last_good = self.last_success.max(started);
-        let is_outdated = last_good.is_some_and(|good| good >= report.seen);
+        let last_healthy = self.last_success.max(started);
+        let is_outdated = last_healthy.is_some_and(|healthy| healthy >= report.seen);
         if !is_fresh || ejection_stands || is_outdated {
             return;
         }
--- a/crates/admission/src/policy/repeats.rs
+++ b/crates/admission/src/policy/repeats.rs
@@ -1,10 +1,12 @@
-//! What another attempt of a statement may do: whether its effect could happen twice, and where it may run.
+//! Repeated execution: whether another attempt of a statement could apply its effect twice, and
+//! where it may run.
 
 use crate::interface::{
     Attempt, AttemptState, DeduplicationScope, Effect, EngineInfo, QueryClass, Statement, Timestamp,
 };
 
-/// What running this statement more than once does. Without its key no engine knows a repeat.
+/// Returns what running this statement more than once does. Without its idempotency key, no engine
+/// recognizes a repeat.
 pub(super) fn effect(class: &QueryClass, statement: &Statement) -> Effect {
     let is_by_key = matches!(class.effect, Effect::IdempotentByKey { .. });
     if is_by_key && !statement.has_idempotency_key {
@@ -13,13 +15,15 @@
     class.effect
 }
 
-/// The first attempt that may have run the statement, or may run it yet.
+/// Returns the first attempt that may have run the statement or may still run it.
 fn first_that_may_have_run(statement: &Statement) -> Option<&Attempt> {
     let mut attempts = statement.attempts.iter();
     attempts.find(|attempt| attempt.state != AttemptState::NeverRan)
 }
 
-/// A repeat that leaves later may meet an engine that has forgotten the first attempt; none: there is no such time.
+/// Returns the time until which engines are sure to recognize a repeat of the statement by its
+/// idempotency key. Returns `None` if engines do not deduplicate it or if no attempt may have run
+/// it.
 pub(super) fn repeat_until(class: &QueryClass, statement: &Statement) -> Option<Timestamp> {
     let Effect::IdempotentByKey { window, .. } = effect(class, statement) else {
         return None;
@@ -27,8 +31,8 @@
     first_that_may_have_run(statement).map(|first| first.sent + window)
 }
 
-/// Whether the client may try again without harm, wherever its next try comes to.
-pub(super) fn is_harmless_to_reject(
+/// Returns whether the client may safely retry, whichever engine its retry reaches.
+pub(super) fn is_client_retry_safe(
     now: Timestamp,
     class: &QueryClass,
     statement: &Statement,
@@ -46,7 +50,8 @@
     }
 }
 
-/// Whether the statement may be sent to this engine, by its class and by its attempts before.
+/// Returns whether the statement may be sent to this engine, given its class and its earlier
+/// attempts.
 pub(super) fn may_run_at(
     now: Timestamp,
     class: &QueryClass,
@@ -58,7 +63,7 @@
             .is_none_or(|first| may_repeat_at(now, effect(class, statement), first, engine))
 }
 
-/// Whether the class is bound to no other location or kind of machine.
+/// Returns whether the class may run at the engine's location and on its machine kind.
 fn is_eligible(class: &QueryClass, engine: &EngineInfo) -> bool {
     let locations = class.locations.as_ref();
     let machines = class.machines.as_ref();
@@ -66,6 +71,8 @@
         && machines.is_none_or(|allowed| allowed.contains(&engine.machine))
 }
 
+/// Returns whether a statement that the attempt `first` may have run may be repeated at this
+/// engine.
 fn may_repeat_at(now: Timestamp, effect: Effect, first: &Attempt, engine: &EngineInfo) -> bool {
     match effect {
         Effect::Idempotent => true,
--- a/crates/admission/src/policy/reservations.rs
+++ b/crates/admission/src/policy/reservations.rs
@@ -1,5 +1,5 @@
-//! What may run and runs at one engine; the same is kept once more for all engines together, since a small gateway's
-//! share of one engine holds no whole statement.
+//! The capacity of one engine and what is reserved of it. The same is kept once more for all
+//! engines together, because a small gateway's share of one engine does not hold a whole statement.
 
 use crate::interface::{Attempt, ClassId, TimeDelta, Timestamp};
 
@@ -8,7 +8,8 @@
 use super::memory::MemoryReservation;
 use super::priority::{LOWEST_PRIORITY, RunningThreads};
 
-/// An attempt that was given up and may still run: it keeps what it reserved until its likely end.
+/// Reservations of an attempt that has ended for the gateway, and when they are released. An
+/// abandoned attempt may still run at its engine, so it keeps them until its expected end.
 #[derive(Clone)]
 struct AbandonedAttempt {
     until: Timestamp,
@@ -17,18 +18,18 @@
     memory_mb: f64,
 }
 
-/// A completed attempt, as latency and budgets are corrected by it.
+/// A completed attempt, by which latency and budgets are corrected.
 pub(super) struct Completion {
     pub(super) class: ClassId,
-    /// What it was charged, in CPU seconds.
+    /// CPU time that the attempt was charged, in seconds.
     pub(super) charged_s: f64,
-    /// What it took, in CPU seconds.
+    /// CPU time that the attempt took, in seconds.
     pub(super) cpu_s: f64,
     pub(super) latency: TimeDelta,
     pub(super) threads: f64,
 }
 
-/// The reservations of one engine, or the totals of all.
+/// The reservations at one engine, or the totals of all engines.
 #[derive(Clone)]
 pub(super) struct Reservations {
     /// This gateway's share of the cores.
@@ -42,7 +43,8 @@
 }
 
 impl Reservations {
-    /// `memory_mb`: what of this gateway's share may be reserved.
+    /// Starts with nothing reserved. `memory_mb` is the part of this gateway's memory share that
+    /// may be reserved.
     pub(super) fn new(now: Timestamp, cores: f64, memory_mb: f64, classes: usize) -> Self {
         Reservations {
             cores,
@@ -55,25 +57,26 @@
         }
     }
 
-    /// Takes over what still runs from those of the engine's earlier process.
-    pub(super) fn take_over_running(&mut self, earlier: Reservations) {
-        self.running = earlier.running;
-        self.memory.reserved_mb = earlier.memory.reserved_mb;
-        self.abandoned = earlier.abandoned;
+    /// Takes over the reservations of what still runs from the engine's previous process.
+    pub(super) fn take_over_running(&mut self, previous: Reservations) {
+        self.running = previous.running;
+        self.memory.reserved_mb = previous.memory.reserved_mb;
+        self.abandoned = previous.abandoned;
     }
 
-    /// Running threads as a statement of this priority meets them.
+    /// Returns the running threads that compete with a statement of this priority.
     pub(super) fn running_threads(&self, priority: u8) -> f64 {
-        self.running.as_met_by(priority)
+        self.running.competing_with(priority)
     }
 
-    /// Capacity of the CPU bucket of a class of this share.
+    /// Returns the capacity, in CPU seconds, of the bucket of a class with this share.
     pub(super) fn bucket_capacity(&self, share: f64) -> f64 {
         bucket_capacity(self.cores, share)
     }
 
-    /// Refills the buckets. An engine in slow start has only `capacity_factor` of its capacity, and a slow one spends
-    /// as much CPU over a longer time: its refill shrinks with its limit.
+    /// Refills the buckets up to `now`. An engine in slow start has only `capacity_factor` of its
+    /// capacity. A congested engine takes longer to spend the same CPU time, so the refill shrinks
+    /// together with its concurrency limit.
     pub(super) fn refill(
         &mut self,
         now: Timestamp,
@@ -90,13 +93,13 @@
         self.buckets.refill(now, rate, shares);
     }
 
-    /// Reserves for an attempt that is sent.
+    /// Reserves threads and memory for an attempt that is sent; negative amounts release them.
     pub(super) fn reserve(&mut self, priority: u8, threads: f64, memory_mb: f64) {
         self.running.add(priority, threads);
         self.memory.reserve(memory_mb);
     }
 
-    /// Keeps what an attempt reserved until then.
+    /// Keeps what an attempt reserved until `until`.
     pub(super) fn release_at(&mut self, until: Timestamp, attempt: &Attempt) {
         self.abandoned.push(AbandonedAttempt {
             until,
@@ -106,17 +109,18 @@
         });
     }
 
-    /// Releases what is not to be kept any longer.
+    /// Releases the reservations whose time is over.
     pub(super) fn release_due(&mut self, now: Timestamp) {
-        let over = self
+        let expired = self
             .abandoned
             .extract_if(.., |attempt| attempt.until <= now);
-        for attempt in over.collect::<Vec<_>>() {
+        for attempt in expired.collect::<Vec<_>>() {
             self.reserve(attempt.priority, -attempt.threads, -attempt.memory_mb);
         }
     }
 
-    /// Corrects the bucket, the latency and the limit. `fleet`: the latency of all engines before this completion.
+    /// Updates the bucket, the latency and the limit after a completed attempt. `fleet` is the
+    /// latency of all engines before this completion.
     pub(super) fn on_completion(
         &mut self,
         now: Timestamp,
@@ -128,11 +132,11 @@
         self.buckets.credit(completion.class, unused_s);
         let thread_s = completion.latency.secs() * completion.threads;
         self.latency.record(now, thread_s, completion.cpu_s);
-        let Some(times_best) = self.latency.times_best(fleet) else {
+        let Some(relative_latency) = self.latency.relative_latency(fleet) else {
             return;
         };
         let sample = LimitSample {
-            times_best,
+            relative_latency,
             threads: completion.threads,
             running: self.running_threads(LOWEST_PRIORITY),
             cores: self.cores,
--- a/crates/admission/src/policy/send.rs
+++ b/crates/admission/src/policy/send.rs
@@ -1,4 +1,4 @@
-//! Sends a statement: selects its engine, and reserves there what it needs.
+//! Sending of a statement: selects its engine and reserves there what the statement needs.
 
 use crate::interface::{
     Attempt, AttemptState, EngineId, Placement, QueuePosition, Statement, TimeDelta, Timestamp,
@@ -6,10 +6,10 @@
 
 use super::Policy;
 use super::engine_selection::{EngineSelection, FleetCapacity, StatementNeeds};
-use super::outlier_detection::first_sign_due_s;
+use super::outlier_detection::activity_timeout_after_send_s;
 
 impl Policy {
-    /// The engine that the statement goes to now; none: no engine has capacity for it.
+    /// Returns the engine to send the statement to now, or `None` if no engine has capacity for it.
     pub(super) fn select_engine(
         &mut self,
         now: Timestamp,
@@ -26,7 +26,7 @@
             statement,
             class,
             over_quota: position.over_quota,
-            pays_price: self.demand.pays_price(class.priority_weight, predicted_s),
+            meets_cutoff: self.demand.meets_cutoff(class.priority_weight, predicted_s),
             probe_allowed,
             fleet: FleetCapacity::new(&self.fleet_totals, &self.engines, &needs),
             needs,
@@ -36,7 +36,8 @@
         selection.select(&self.engines, &mut self.rng)
     }
 
-    /// Refills the budgets of all engines up to now. An engine without a best latency of its own takes the others'.
+    /// Refills the budgets of all engines up to `now`. An engine without a best latency of its own
+    /// takes the median of the others.
     fn refill(&mut self, now: Timestamp) {
         let best = self.median_best_latency();
         let limits = self.slow_start_limits();
@@ -47,27 +48,28 @@
         }
     }
 
-    /// Whether a statement may be the probe of an ejected engine.
+    /// Returns whether a statement may probe an ejected engine.
     fn may_probe(&mut self, now: Timestamp) -> bool {
         let granted = self.quota_grant.outlier_probes;
         self.probe_budget.allows_another(now) && granted.is_none_or(|left| left >= 1.0)
     }
 
+    /// Returns what the statement needs at an engine.
     fn needs(&self, statement: &Statement, predicted_s: f64) -> StatementNeeds {
         StatementNeeds {
             predicted_s,
-            usual_s: self.usual_cpu_s(statement.class),
+            typical_s: self.typical_cpu_s(statement.class),
             memory_mb: self.memory_model.predict_mb(statement),
             priority: self.priority(statement, predicted_s),
             share: self.demand.share(statement.class),
         }
     }
 
-    /// Reserves what the statement needs at this engine, and counts the attempt.
+    /// Reserves what the statement needs at the engine `id`, and counts the attempt.
     ///
     /// # Panics
     ///
-    /// Where the engine is not known: it is to be one that [`Policy::select_engine`] gave.
+    /// Panics if the engine is not known. [`Policy::select_engine`] returns only known engines.
     pub(super) fn send(
         &mut self,
         now: Timestamp,
@@ -77,19 +79,23 @@
     ) -> Placement {
         let needs = self.needs(statement, predicted_s);
         let threads = self.class(statement).threads;
-        let engine = self.engines.get_mut(&id).expect("selected from the table");
+        let engine = self
+            .engines
+            .get_mut(&id)
+            .expect("the selected engine is in the engine table");
         for reservations in [&mut engine.reservations, &mut self.fleet_totals] {
             let capacity = reservations.bucket_capacity(needs.share);
             let buckets = &mut reservations.buckets;
             buckets.charge(statement.class, predicted_s, capacity);
             reservations.reserve(needs.priority, threads, needs.memory_mb);
         }
-        engine.slow_start.charge(needs.usual_s);
+        engine.slow_start.charge(needs.typical_s);
         engine.count_attempt(now, self.fleet.idle);
         let latency_ratio = engine.reservations.latency.current().unwrap_or(1.0);
         let interval = self.fleet.progress_interval;
-        let due_s = first_sign_due_s(interval, predicted_s, latency_ratio, threads);
-        engine.health.on_send(now, statement.id, due_s);
+        let timeout_s =
+            activity_timeout_after_send_s(interval, predicted_s, latency_ratio, threads);
+        engine.health.on_send(now, statement.id, timeout_s);
         let attempt = Attempt {
             engine: id,
             location: engine.info.location,
@@ -110,7 +116,7 @@
         }
     }
 
-    /// Counts an attempt towards the budgets, the grants and the order of its key.
+    /// Counts an attempt against the budgets and the grants, and in the order of its key.
     fn count_attempt(&mut self, now: Timestamp, statement: &Statement, attempt: &Attempt) {
         if attempt.outlier_probe {
             self.probe_budget.count_attempt(now);
--- a/crates/admission/src/policy/tenant_quota.rs
+++ b/crates/admission/src/policy/tenant_quota.rs
@@ -1,28 +1,32 @@
-//! Tenant quotas: which statements are over their tenant's quota, and how much more than its even share of the traffic
-//! this gateway carries.
+//! Tenant quotas: which statements are over their tenant's quota, and by how much the traffic of
+//! this gateway exceeds its even share.
 
 use crate::interface::{TenantId, TenantQuotas, Timestamp};
 
-/// Rates of statements are smoothed over this time, in seconds.
+/// Time constant of the smoothed rates of statements, in seconds.
 const SMOOTHING_S: f64 = 3.0;
-/// A tenant may save up what its quota brings in this time, in seconds ...
+/// Time for which a tenant may accumulate unused quota, in seconds.
 const BURST_S: f64 = 3.0;
-/// ... and so many statements: at a quiet gateway chance alone would put it over.
+/// Statements that a tenant may accumulate beyond [`BURST_S`]. Without them, random arrivals alone
+/// would put a tenant over its quota at a quiet gateway.
 const BURST_STATEMENTS: f64 = 5.0;
-/// A tenant with less than this part of all statements tells nothing of the traffic's division.
-const MIN_TRAFFIC: f64 = 0.05;
-/// The traffic share is taken by this factor too high: chance must not put a tenant over.
+/// Tenants with less than this fraction of all statements are ignored when the traffic share is
+/// estimated.
+const MIN_TRAFFIC_FRACTION: f64 = 0.05;
+/// Factor by which the traffic share is overestimated, so that random variation does not put a
+/// tenant over its quota.
 const TRAFFIC_SHARE_MARGIN: f64 = 1.2;
 
-/// One tenant's bucket of statements.
+/// The token bucket of one tenant, in statements.
 struct TenantBucket {
     tokens: f64,
-    /// Statements a second.
+    /// Smoothed rate, in statements per second.
     rate: f64,
-    updated: Option<Timestamp>,
+    /// When the bucket was last refilled; `None` before the first statement.
+    last_refill: Option<Timestamp>,
 }
 
-/// The quotas, as this gateway's even share of them.
+/// The quotas of all tenants, as this gateway's even share of them.
 pub(super) struct TenantQuotaTracker {
     config: TenantQuotas,
     peers: f64,
@@ -35,7 +39,7 @@
         let tenants = config.quotas.iter().map(|quota| TenantBucket {
             tokens: *quota,
             rate: 0.0,
-            updated: None,
+            last_refill: None,
         });
         TenantQuotaTracker {
             tenants: tenants.collect(),
@@ -45,13 +49,14 @@
         }
     }
 
-    /// What this gateway carries, in even shares of all gateways' traffic, from 1 to all of it.
+    /// Returns this gateway's traffic as a multiple of its even share of all gateways' traffic,
+    /// from 1 to the number of gateways.
     pub(super) fn traffic_share(&self) -> f64 {
         self.traffic_share
     }
 
-    /// Counts a statement of this tenant, and tells whether it is over the quota.
-    pub(super) fn is_over_quota(&mut self, now: Timestamp, tenant: TenantId) -> bool {
+    /// Charges a statement to its tenant's quota, and returns whether it is over the quota.
+    pub(super) fn charge_statement(&mut self, now: Timestamp, tenant: TenantId) -> bool {
         let is_unlimited = tenant.0 >= self.tenants.len() || self.config.over_quota_weight >= 1.0;
         if is_unlimited {
             return false;
@@ -66,11 +71,12 @@
         is_over
     }
 
+    /// Refills all buckets up to `now`, and counts a statement of `sender` in its rate.
     fn update(&mut self, now: Timestamp, sender: TenantId) {
         let quotas = self.config.quotas.iter();
         for (index, (bucket, quota)) in self.tenants.iter_mut().zip(quotas).enumerate() {
             let quota = quota / self.peers;
-            let last = bucket.updated.replace(now).unwrap_or(now);
+            let last = bucket.last_refill.replace(now).unwrap_or(now);
             let elapsed_s = (now - last).secs();
             bucket.rate *= (-elapsed_s / SMOOTHING_S).exp();
             if index == sender.0 {
@@ -82,15 +88,16 @@
         }
     }
 
-    /// A gateway that carries more than its even share sees every tenant over: what the least of them is over is the
-    /// gateway's own doing.
+    /// Estimates the traffic share. A gateway that carries more than its even share sees every
+    /// tenant over its quota, so the lowest ratio of rate to quota among the active tenants is
+    /// attributed to the gateway.
     fn estimate_traffic_share(&self) -> f64 {
         let total: f64 = self.tenants.iter().map(|bucket| bucket.rate).sum();
         let tenants = self.tenants.iter().zip(&self.config.quotas);
-        let active = tenants.filter(|(bucket, _)| bucket.rate > MIN_TRAFFIC * total);
-        let least = active
+        let active = tenants.filter(|(bucket, _)| bucket.rate > MIN_TRAFFIC_FRACTION * total);
+        let lowest_ratio = active
             .map(|(bucket, quota)| bucket.rate / (quota / self.peers).max(1e-6))
             .fold(f64::INFINITY, f64::min);
-        (least * TRAFFIC_SHARE_MARGIN).clamp(1.0, self.peers)
+        (lowest_ratio * TRAFFIC_SHARE_MARGIN).clamp(1.0, self.peers)
     }
 }
