--- a/crates/admission/src/policy/class_demand.rs
+++ b/crates/admission/src/policy/class_demand.rs
@@ -5,8 +5,8 @@
 
 /// Time constant of the exponential smoothing of demand, in seconds.
 const SMOOTHING_S: f64 = 5.0;
-/// Number of cost bands of a class. A statement of one band costs about twice as much as a
-/// statement of the band before.
+/// Number of cost bands of a class. The statements of a band cost about twice as much as those of
+/// the band before.
 const COST_BANDS: usize = 16;
 /// Offset from the base-2 logarithm of a statement's CPU seconds to its band index. The first band
 /// ends at 1/64 CPU second.
--- a/crates/admission/src/policy/concurrency_limit.rs
+++ b/crates/admission/src/policy/concurrency_limit.rs
@@ -43,14 +43,14 @@
 /// the others.
 const FLEET_MIN_THREADS_PER_CORE: f64 = 0.5;
 
-/// Returns whether latency, as a multiple of its best, is near its best. Unknown latency counts as
-/// near.
+/// Returns whether `relative_latency`, which is latency as a multiple of its best, counts as near
+/// its best. Unknown latency does.
 pub(super) fn is_near_best(relative_latency: Option<f64>) -> bool {
     relative_latency.is_none_or(|ratio| ratio <= NEAR_BEST_RATIO)
 }
 
-/// Latency per CPU second, weighted by CPU time so that many light statements cannot hide
-/// congestion among the heavy ones.
+/// Latency per CPU second: latency times threads, divided by CPU time. Weighting by CPU time keeps
+/// many light statements from hiding congestion among the heavy ones.
 #[derive(Clone, Default)]
 pub(super) struct LatencyRatio {
     /// Decaying sum of latency times threads, in seconds.
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Returns the present ratio, or `None` if too little work completed recently.
+    /// Returns the current ratio, or `None` if too little work completed recently.
     pub(super) fn current(&self) -> Option<f64> {
         (self.cpu_s > MIN_SAMPLE_CPU_S).then_some(self.thread_s / self.cpu_s)
     }
@@ -101,7 +101,7 @@
         self.best = self.best.or(best);
     }
 
-    /// Returns the present ratio as a multiple of its best, or `None` if too little work completed
+    /// Returns the current ratio as a multiple of its best, or `None` if too little work completed
     /// or no best is known. The fleet's ratio is blended in with a small weight, so that it decides
     /// where an engine has few outcomes of its own.
     pub(super) fn relative_latency(&self, fleet: &LatencyRatio) -> Option<f64> {
@@ -151,9 +151,9 @@
     pub(super) relative_latency: f64,
     /// Threads of the statement.
     pub(super) threads: f64,
-    /// Threads that run at the same place beside the statement.
+    /// Other threads that run at the same engine, or in the whole fleet.
     pub(super) running: f64,
-    /// This gateway's share of the cores at that place.
+    /// This gateway's share of the cores of that engine, or of the fleet.
     pub(super) cores: f64,
 }
 
--- a/crates/admission/src/policy/cost_model.rs
+++ b/crates/admission/src/policy/cost_model.rs
@@ -109,8 +109,8 @@
     /// Learns from a completed statement that was predicted to take `predicted_s` CPU seconds and
     /// took `cpu_s`.
     pub(super) fn learn(&mut self, statement: &Statement, predicted_s: f64, cpu_s: f64) {
-        let is_first = self.fingerprints.is_empty();
-        let limited_s = if is_first {
+        let is_first_outcome = self.fingerprints.is_empty();
+        let limited_s = if is_first_outcome {
             cpu_s
         } else {
             cpu_s.min(predicted_s * MAX_OUTCOME_RATIO)
--- a/crates/admission/src/policy/cpu_budget.rs
+++ b/crates/admission/src/policy/cpu_budget.rs
@@ -78,10 +78,9 @@
         }
     }
 
-    /// Charges a statement that is sent. A full bucket takes on the whole debt. A bucket without
-    /// enough tokens, from which a statement was sent because latency was near its best, owes at
-    /// most its capacity: engines otherwise stood idle for minutes because of debts of 20 to 100
-    /// CPU seconds.
+    /// Charges a statement that is sent. A full bucket may go into debt without limit. Any other
+    /// bucket, from which a statement is sent because latency is near its best, owes at most its
+    /// capacity: with debts of 20 to 100 CPU seconds, engines stood idle for minutes.
     pub(super) fn charge(&mut self, class: ClassId, predicted_s: f64, capacity: f64) {
         let tokens = &mut self.tokens[class.0];
         let floor = if is_full(*tokens, capacity) {
@@ -92,8 +91,8 @@
         *tokens = (*tokens - predicted_s).max(floor);
     }
 
-    /// Returns the part of a charge that an attempt did not use. A negative value charges what it
-    /// used beyond.
+    /// Gives back the part of a charge that an attempt did not use. A negative value charges what
+    /// the attempt used in addition.
     pub(super) fn credit(&mut self, class: ClassId, cpu_s: f64) {
         self.tokens[class.0] += cpu_s;
     }
--- a/crates/admission/src/policy/deadlines.rs
+++ b/crates/admission/src/policy/deadlines.rs
@@ -6,10 +6,11 @@
 /// Fraction of its class's time limit that a statement may wait before its first attempt, and again
 /// between two attempts.
 const MAX_WAIT_FRACTION: f64 = 0.05;
-/// Minimum time to the deadline in which an attempt can end in time, in seconds.
+/// Minimum time left until the deadline for another attempt, in seconds. No attempt can end in less
+/// time.
 const MIN_TIME_FOR_ATTEMPT_S: f64 = 0.03;
-/// Minimum time to the deadline with which a statement stays in the queue, in seconds. The rest is
-/// needed for the answer to reach the client.
+/// Minimum time left until the deadline for a statement to stay in the queue, in seconds. The rest
+/// is needed for the answer to reach the client.
 const MIN_TIME_TO_WAIT_S: f64 = 0.05;
 /// Fraction of the predicted time at an otherwise idle engine that must be left for an attempt to
 /// be useful. It is below 1 because predictions scatter.
@@ -25,7 +26,8 @@
     time_left_s(now, statement) >= MIN_TIME_FOR_ATTEMPT_S
 }
 
-/// Returns the seconds for which the statement may stay in the queue before its deadline.
+/// Returns the seconds for which the statement may stay in the queue before its deadline; negative
+/// once it has to leave.
 pub(super) fn waiting_time_left_s(now: Timestamp, statement: &Statement) -> f64 {
     time_left_s(now, statement) - MIN_TIME_TO_WAIT_S
 }
@@ -40,8 +42,8 @@
     is_its_turn: bool,
 ) -> bool {
     let waited_s = (now - statement.waiting_since).secs();
-    let has_waited_max = waited_s >= class.time_limit.secs() * MAX_WAIT_FRACTION;
-    (is_its_turn && has_waited_max) || time_left_s(now, statement) < MIN_TIME_TO_WAIT_S
+    let has_reached_max_wait = waited_s >= class.time_limit.secs() * MAX_WAIT_FRACTION;
+    (is_its_turn && has_reached_max_wait) || time_left_s(now, statement) < MIN_TIME_TO_WAIT_S
 }
 
 /// Returns the latency objective, in seconds, of a statement that takes `cpu_s` CPU seconds.
@@ -52,11 +54,11 @@
 /// How much longer a statement may wait, in seconds. A negative value means that it is already too
 /// late.
 pub(super) struct Slack {
-    /// Time left to send the statement and meet its latency objective at the fleet's present
+    /// Time left to send the statement and meet its latency objective at the fleet's current
     /// latency.
     pub(super) objective_s: f64,
-    /// Time left to send the statement with any use, at the best latency. Running a statement past
-    /// this time takes cores from statements that are still useful.
+    /// Time left to send the statement so that its answer is still useful, at the best latency.
+    /// Running a statement past this time takes cores from statements that are still useful.
     pub(super) useful_s: f64,
 }
 
--- a/crates/admission/src/policy/engine.rs
+++ b/crates/admission/src/policy/engine.rs
@@ -63,7 +63,7 @@
         self.reservations.take_over_running(previous.reservations);
     }
 
-    /// Returns the engine's present capacity as a fraction of its full capacity.
+    /// Returns the engine's current capacity as a fraction of its full capacity.
     pub(super) fn capacity_factor(&self, limits: &SlowStartLimits, now: Timestamp) -> f64 {
         limits.capacity_factor(self.info.started, now)
     }
@@ -77,10 +77,11 @@
         shares: impl Iterator<Item = f64>,
     ) {
         let elapsed_s = self.reservations.buckets.since_refill_s(now);
-        let factor = self.capacity_factor(limits, now);
-        self.reservations.refill(now, factor, shares);
+        let capacity_factor = self.capacity_factor(limits, now);
+        self.reservations.refill(now, capacity_factor, shares);
         let cores = self.reservations.cores;
-        self.slow_start.refill(elapsed_s, limits, cores, factor);
+        self.slow_start
+            .refill(elapsed_s, limits, cores, capacity_factor);
     }
 
     /// Returns whether an open connection carries no attempt. `idle_timeout` is the time after
--- a/crates/admission/src/policy/engine_selection.rs
+++ b/crates/admission/src/policy/engine_selection.rs
@@ -161,7 +161,7 @@
     }
 
     /// Returns whether the engine has capacity for the statement. `capacity_factor` is the engine's
-    /// present capacity as a fraction of its full capacity.
+    /// current capacity as a fraction of its full capacity.
     fn fits(&self, engine: &Engine, capacity_factor: f64) -> bool {
         self.fits_concurrency_limits(engine)
             && self.fits_cpu_budget(engine, capacity_factor)
--- a/crates/admission/src/policy/keyed_order.rs
+++ b/crates/admission/src/policy/keyed_order.rs
@@ -18,6 +18,7 @@
 }
 
 impl KeyQueue {
+    /// Returns whether no attempt with an unknown outcome is expected to be still running.
     fn is_settled(&self, now: Timestamp) -> bool {
         self.settled_at.is_none_or(|settled_at| settled_at <= now)
     }
--- a/crates/admission/src/policy/memory.rs
+++ b/crates/admission/src/policy/memory.rs
@@ -1,8 +1,8 @@
 //! Memory: predicts what statements need, from their estimates and from the outcomes of completed
 //! statements, and decides how much of it may be reserved.
 //!
-//! A wait at this gateway is better than an engine that spills or pages. This can do harm where
-//! estimates are far too high.
+//! A wait at this gateway is better than an engine that spills or pages. Where estimates are far
+//! too high, statements may wait for memory that is in fact free.
 
 use crate::interface::{ClassId, Statement};
 
@@ -17,7 +17,7 @@
 const FLEET_NEED_FRACTION: f64 = 0.5;
 /// Latency, as a multiple of its best, above which the fleet's memory limit shrinks, because slow
 /// statements hold their memory longer.
-const REFERENCE_RELATIVE_LATENCY: f64 = 1.5;
+const SLOW_RATIO: f64 = 1.5;
 /// Lower and upper bound of the factor that is applied to the fleet's memory limit.
 const FLEET_LIMIT_FACTOR_RANGE: (f64, f64) = (0.6, 1.2);
 /// Factor that is applied to the learned sums at each outcome.
@@ -85,10 +85,8 @@
     /// Returns whether the fleet's memory, held by `self`, has room for a statement.
     /// `relative_latency` is the fleet's latency as a multiple of its best.
     pub(super) fn fleet_has_room(&self, need_mb: f64, relative_latency: Option<f64>) -> bool {
-        let (min_factor, max_factor) = FLEET_LIMIT_FACTOR_RANGE;
-        let factor = relative_latency.map_or(1.0, |ratio| {
-            (REFERENCE_RELATIVE_LATENCY / ratio).clamp(min_factor, max_factor)
-        });
+        let (min, max) = FLEET_LIMIT_FACTOR_RANGE;
+        let factor = relative_latency.map_or(1.0, |ratio| (SLOW_RATIO / ratio).clamp(min, max));
         self.reserved_mb + need_mb * FLEET_NEED_FRACTION <= self.limit_mb * factor
     }
 
--- a/crates/admission/src/policy/mod.rs
+++ b/crates/admission/src/policy/mod.rs
@@ -150,7 +150,7 @@
         self.tenant_quotas.traffic_share()
     }
 
-    /// Returns the cores of the engines in use, as this gateway's share of their present capacity.
+    /// Returns the cores of the engines in use, as this gateway's share of their current capacity.
     /// Ejected engines are not in use, except when more than half of the ready engines are ejected:
     /// then all ready engines count.
     #[must_use]
@@ -302,7 +302,7 @@
         SlowStartLimits {
             config: self.slow_start,
             peers,
-            fleet_share: granted.map_or(1.0, |fraction| fraction * peers),
+            share_multiple: granted.map_or(1.0, |fraction| fraction * peers),
         }
     }
 }
--- a/crates/admission/src/policy/outcome.rs
+++ b/crates/admission/src/policy/outcome.rs
@@ -9,9 +9,7 @@
 use super::Policy;
 use super::concurrency_limit::{limit_range_at_engine, limit_range_of_fleet};
 use super::deadlines;
-use super::outlier_detection::{
-    activity_timeout_after_answer_s, failure_weight, is_statement_fault,
-};
+use super::outlier_detection::{failure_weight, is_statement_fault, next_activity_timeout_s};
 use super::repeats;
 use super::reservations::Completion;
 use super::runaway::{AttemptProgress, is_runaway};
@@ -52,8 +50,7 @@
             return NextStep::Continue;
         };
         let predicted_s = self.cost_model.predict(statement);
-        let activity_timeout_s =
-            activity_timeout_after_answer_s(self.fleet.progress_interval, predicted_s);
+        let activity_timeout_s = next_activity_timeout_s(self.fleet.progress_interval, predicted_s);
         let Some(engine) = self.engines.get_mut(&attempt.engine) else {
             return self.next_step(now, statement, report);
         };
@@ -197,7 +194,7 @@
         }
     }
 
-    /// Returns the whole charge of an attempt that certainly did not run.
+    /// Refunds the whole charge of an attempt that certainly did not run.
     fn refund(&mut self, statement: &Statement, attempt: &Attempt) {
         let Some(engine) = self.engines.get_mut(&attempt.engine) else {
             return;
--- a/crates/admission/src/policy/outlier_detection.rs
+++ b/crates/admission/src/policy/outlier_detection.rs
@@ -6,7 +6,7 @@
 
 use crate::interface::{AttemptEvent, OutlierReport, StatementId, TimeDelta, Timestamp};
 
-/// Failure count at which an engine is ejected.
+/// Weighted failure count at which an engine is ejected.
 const MAX_FAILURES: f64 = 3.0;
 /// Factor that is applied to the failure count on a success. A success does not clear the count,
 /// because an engine that loses a third of its statements need not fail several in a row.
@@ -55,7 +55,7 @@
 }
 
 /// Returns the seconds within which an engine that was just heard must be heard again.
-pub(super) fn activity_timeout_after_answer_s(
+pub(super) fn next_activity_timeout_s(
     progress_interval: Option<TimeDelta>,
     predicted_s: f64,
 ) -> f64 {
@@ -65,7 +65,7 @@
 
 /// Returns the seconds within which an engine must be heard after a statement is sent.
 /// `latency_ratio` is its latency per CPU second.
-pub(super) fn activity_timeout_after_send_s(
+pub(super) fn first_activity_timeout_s(
     progress_interval: Option<TimeDelta>,
     predicted_s: f64,
     latency_ratio: f64,
@@ -78,7 +78,7 @@
 }
 
 /// Returns how much an event counts as a failure of the engine; 0 if it is none. `expected_s` is
-/// the time that the attempt was expected to take at the present latency of the engine, and
+/// the time that the attempt was expected to take at the current latency of the engine, and
 /// `attempts` is the number of attempts of the statement, including this one.
 pub(super) fn failure_weight(
     event: AttemptEvent,
@@ -104,7 +104,7 @@
     }
 }
 
-/// Outlier detection for one engine.
+/// The outlier detection state of one engine.
 #[derive(Clone, Default)]
 pub(super) struct Health {
     /// Weighted number of failures, reduced by successes.
@@ -209,10 +209,11 @@
         self.by_gossip = false;
     }
 
-    /// Ejects an engine at which enough other gateways lost statements. The ejection lasts as long
-    /// as the report is valid and, at random, up to twice that. A report is ignored if this gateway
-    /// had a success at the engine, or the engine started, after the report was made. It does not
-    /// replace an ejection by this gateway itself.
+    /// Ejects an engine at which enough other gateways lost statements. The ejection lasts for the
+    /// time that the report is still valid, times a random factor from 1 to 2. A report is ignored
+    /// if this gateway had a success at the engine, or the engine started, after the report was
+    /// made. A report neither replaces an ejection by this gateway itself nor shortens one by an
+    /// earlier report.
     pub(super) fn on_gossip(
         &mut self,
         now: Timestamp,
--- a/crates/admission/src/policy/priority.rs
+++ b/crates/admission/src/policy/priority.rs
@@ -11,7 +11,7 @@
 /// Thresholds of the latency objective, in multiples of the mean objective. The priority of a
 /// statement is the number of thresholds that its objective is below.
 const OBJECTIVE_THRESHOLDS: [f64; 3] = [0.5, 0.8, 1.6];
-/// Priority of every statement if engines honor no priorities.
+/// Priority of every statement if engines do not honor priorities.
 pub(super) const UNIFORM_PRIORITY: u8 = 1;
 /// The lowest priority, which yields to every other one.
 pub(super) const LOWEST_PRIORITY: u8 = 0;
--- a/crates/admission/src/policy/reservations.rs
+++ b/crates/admission/src/policy/reservations.rs
@@ -8,10 +8,11 @@
 use super::memory::MemoryReservation;
 use super::priority::{LOWEST_PRIORITY, RunningThreads};
 
-/// Reservations of an attempt that has ended for the gateway, and when they are released. An
-/// abandoned attempt may still run at its engine, so it keeps them until its expected end.
+/// The reservations of an attempt that has ended for this gateway, until they are released. An
+/// abandoned attempt may still run at its engine, so its reservations are kept until its expected
+/// end.
 #[derive(Clone)]
-struct AbandonedAttempt {
+struct PendingRelease {
     until: Timestamp,
     priority: u8,
     threads: f64,
@@ -39,12 +40,12 @@
     pub(super) memory: MemoryReservation,
     pub(super) latency: LatencyRatio,
     running: RunningThreads,
-    abandoned: Vec<AbandonedAttempt>,
+    pending_releases: Vec<PendingRelease>,
 }
 
 impl Reservations {
     /// Starts with nothing reserved. `memory_mb` is the part of this gateway's memory share that
-    /// may be reserved.
+    /// may be reserved, in MB.
     pub(super) fn new(now: Timestamp, cores: f64, memory_mb: f64, classes: usize) -> Self {
         Reservations {
             cores,
@@ -53,7 +54,7 @@
             memory: MemoryReservation::new(memory_mb),
             latency: LatencyRatio::default(),
             running: RunningThreads::default(),
-            abandoned: Vec::new(),
+            pending_releases: Vec::new(),
         }
     }
 
@@ -61,7 +62,7 @@
     pub(super) fn take_over_running(&mut self, previous: Reservations) {
         self.running = previous.running;
         self.memory.reserved_mb = previous.memory.reserved_mb;
-        self.abandoned = previous.abandoned;
+        self.pending_releases = previous.pending_releases;
     }
 
     /// Returns the running threads that compete with a statement of this priority.
@@ -99,9 +100,9 @@
         self.memory.reserve(memory_mb);
     }
 
-    /// Keeps what an attempt reserved until `until`.
+    /// Schedules the release of what an attempt reserved. The reservations are kept until `until`.
     pub(super) fn release_at(&mut self, until: Timestamp, attempt: &Attempt) {
-        self.abandoned.push(AbandonedAttempt {
+        self.pending_releases.push(PendingRelease {
             until,
             priority: attempt.priority,
             threads: attempt.threads,
@@ -112,7 +113,7 @@
     /// Releases the reservations whose time is over.
     pub(super) fn release_due(&mut self, now: Timestamp) {
         let expired = self
-            .abandoned
+            .pending_releases
             .extract_if(.., |attempt| attempt.until <= now);
         for attempt in expired.collect::<Vec<_>>() {
             self.reserve(attempt.priority, -attempt.threads, -attempt.memory_mb);
--- a/crates/admission/src/policy/retry_budget.rs
+++ b/crates/admission/src/policy/retry_budget.rs
@@ -65,7 +65,9 @@
                 attempts: 0.0,
             });
         }
-        self.slices.back_mut().expect("just pushed")
+        self.slices
+            .back_mut()
+            .expect("the window has a current slice")
     }
 
     /// Counts a received statement, which raises the number of attempts that are allowed.
--- a/crates/admission/src/policy/send.rs
+++ b/crates/admission/src/policy/send.rs
@@ -6,7 +6,7 @@
 
 use super::Policy;
 use super::engine_selection::{EngineSelection, FleetCapacity, StatementNeeds};
-use super::outlier_detection::activity_timeout_after_send_s;
+use super::outlier_detection::first_activity_timeout_s;
 
 impl Policy {
     /// Returns the engine to send the statement to now, or `None` if no engine has capacity for it.
@@ -93,8 +93,7 @@
         engine.count_attempt(now, self.fleet.idle);
         let latency_ratio = engine.reservations.latency.current().unwrap_or(1.0);
         let interval = self.fleet.progress_interval;
-        let timeout_s =
-            activity_timeout_after_send_s(interval, predicted_s, latency_ratio, threads);
+        let timeout_s = first_activity_timeout_s(interval, predicted_s, latency_ratio, threads);
         engine.health.on_send(now, statement.id, timeout_s);
         let attempt = Attempt {
             engine: id,
--- a/crates/admission/src/policy/slow_start.rs
+++ b/crates/admission/src/policy/slow_start.rs
@@ -19,11 +19,11 @@
     /// Number of gateways that use the same engines, including this one.
     pub(super) peers: f64,
     /// What this gateway may use of a starting engine, as a multiple of its even share.
-    pub(super) fleet_share: f64,
+    pub(super) share_multiple: f64,
 }
 
 impl SlowStartLimits {
-    /// Returns the present capacity of an engine as a fraction of its full capacity; 1 once it has
+    /// Returns the current capacity of an engine as a fraction of its full capacity; 1 once it has
     /// warmed up. The settings state only the initial share and the warm-up time, so the curve is
     /// chosen to lie below the straight line between them.
     pub(super) fn capacity_factor(&self, started: Option<Timestamp>, now: Timestamp) -> f64 {
@@ -39,9 +39,9 @@
 
     /// Returns the CPU seconds that the budget of a starting engine holds at an even share. `cores`
     /// is this gateway's even share of the engine's cores.
-    fn budget_capacity_s(&self, cores: f64, factor: f64) -> f64 {
+    fn budget_capacity_s(&self, cores: f64, capacity_factor: f64) -> f64 {
         self.config.map_or(0.0, |config| {
-            let tolerated = cores * factor * SAFE_FRACTION * config.overload_multiple;
+            let tolerated = cores * capacity_factor * SAFE_FRACTION * config.overload_multiple;
             tolerated * config.window.secs() * BURST_FRACTION
         })
     }
@@ -54,8 +54,9 @@
 }
 
 impl SlowStartBudget {
-    /// Starts with a debt of up to the typical CPU time. `random_fraction`, 0 to 1, scales the debt
-    /// so that not all gateways that hear of a new engine use it at once.
+    /// Starts with a random debt of up to the typical CPU time, but at least of up to one CPU
+    /// second. `random_fraction`, 0 to 1, scales the debt so that not all gateways that hear of a
+    /// new engine use it at once.
     pub(super) fn new(random_fraction: f64, typical_s: f64) -> Self {
         SlowStartBudget {
             tokens_s: -random_fraction * typical_s.max(1.0),
@@ -68,10 +69,10 @@
         elapsed_s: f64,
         limits: &SlowStartLimits,
         cores: f64,
-        factor: f64,
+        capacity_factor: f64,
     ) {
         let Some(config) = limits.config else { return };
-        let max_tokens_s = limits.budget_capacity_s(cores, factor) * limits.fleet_share;
+        let max_tokens_s = limits.budget_capacity_s(cores, capacity_factor) * limits.share_multiple;
         let refill = REFILLS_PER_WINDOW * max_tokens_s * elapsed_s / config.window.secs().max(1e-3);
         self.tokens_s = (self.tokens_s + refill).min(max_tokens_s);
     }
@@ -88,15 +89,15 @@
         &self,
         limits: &SlowStartLimits,
         cores: f64,
-        factor: f64,
+        capacity_factor: f64,
         typical_s: f64,
     ) -> bool {
-        if factor >= 1.0 {
+        if capacity_factor >= 1.0 {
             return true;
         }
-        let max_tokens_s = limits.budget_capacity_s(cores, factor);
+        let max_tokens_s = limits.budget_capacity_s(cores, capacity_factor);
         let fits_combined_budget = typical_s <= max_tokens_s * limits.peers;
-        let has_tokens = self.tokens_s >= typical_s.min(max_tokens_s * limits.fleet_share);
+        let has_tokens = self.tokens_s >= typical_s.min(max_tokens_s * limits.share_multiple);
         fits_combined_budget && has_tokens
     }
 }
--- a/crates/admission/src/policy/tenant_quota.rs
+++ b/crates/admission/src/policy/tenant_quota.rs
@@ -26,7 +26,7 @@
     last_refill: Option<Timestamp>,
 }
 
-/// The quotas of all tenants, as this gateway's even share of them.
+/// Tracks the use of the tenants' quotas, of which this gateway has an even share.
 pub(super) struct TenantQuotaTracker {
     config: TenantQuotas,
     peers: f64,
