--- a/crates/admission/src/policy/slow_start.rs
+++ b/crates/admission/src/policy/slow_start.rs
@@ -38,7 +38,8 @@
     }
 
     /// Returns the CPU seconds that the budget of a starting engine holds at an even share. `cores`
-    /// is this gateway's even share of the engine's cores.
+    /// is this gateway's even share of the engine's cores, and `capacity_factor` is the part of its
+    /// full capacity that the engine has now.
     fn budget_capacity_s(&self, cores: f64, capacity_factor: f64) -> f64 {
         self.config.map_or(0.0, |config| {
             let tolerated = cores * capacity_factor * SAFE_FRACTION * config.overload_multiple;
@@ -54,9 +55,9 @@
 }
 
 impl SlowStartBudget {
-    /// Starts with a random debt of up to the typical CPU time, but at least of up to one CPU
-    /// second. `random_fraction`, 0 to 1, scales the debt so that not all gateways that hear of a
-    /// new engine use it at once.
+    /// Starts with a random debt of up to the typical CPU time or one CPU second, whichever is
+    /// more. `random_fraction`, 0 to 1, scales the debt so that not all gateways that hear of a new
+    /// engine use it at once.
     pub(super) fn new(random_fraction: f64, typical_s: f64) -> Self {
         SlowStartBudget {
             tokens_s: -random_fraction * typical_s.max(1.0),
