--- a/crates/admission/src/policy/engine_list.rs
+++ b/crates/admission/src/policy/engine_list.rs
@@ -11,7 +11,7 @@
 use super::reservations::Reservations;
 use super::slow_start::SlowStartBudget;
 
-/// Cores of an engine of scale 1 if the settings state none for its machine kind.
+/// Cores of an engine of scale 1 if the settings state none for its machine type.
 const DEFAULT_CORES: f64 = 8.0;
 
 impl Policy {
--- a/crates/admission/src/policy/repeats.rs
+++ b/crates/admission/src/policy/repeats.rs
@@ -63,7 +63,7 @@
             .is_none_or(|first| may_repeat_at(now, effect(class, statement), first, engine))
 }
 
-/// Returns whether the class may run at the engine's location and on its machine kind.
+/// Returns whether the class may run at the engine's location and on its machine type.
 fn is_eligible(class: &QueryClass, engine: &EngineInfo) -> bool {
     let locations = class.locations.as_ref();
     let machines = class.machines.as_ref();
