--- a/crates/admission/src/policy/class_demand.rs
+++ b/crates/admission/src/policy/class_demand.rs
@@ -19,7 +19,7 @@
 /// gateway is away, this gateway carries more than its share of the cores.
 const COMPLETED_HEADROOM: f64 = 1.2;
 /// Fraction of the cutoff value that a statement has to reach. It is below 1 so that rounding does
-/// not reject the class that sets the cutoff.
+/// not exclude the class that sets the cutoff.
 const CUTOFF_TOLERANCE: f64 = 0.999;
 
 /// Demand of statements of similar cost.
--- a/crates/admission/src/policy/engine_selection.rs
+++ b/crates/admission/src/policy/engine_selection.rs
@@ -23,10 +23,10 @@
 /// The fleet counts as uncontended while its running threads stay below this fraction of its limit
 /// and its latency stays below [`UNCONTENDED_RELATIVE_LATENCY`].
 const UNCONTENDED_THREAD_FRACTION: f64 = 0.7;
-/// Latency of an uncontended fleet stays below this multiple of its best.
+/// Multiple of the best latency below which the latency of an uncontended fleet stays.
 const UNCONTENDED_RELATIVE_LATENCY: f64 = 1.5;
-/// An engine at which at least this many statements wait for memory gets no statement beyond its
-/// CPU budget.
+/// An engine at which at least this many statements wait for memory is not sent statements beyond
+/// its CPU budget.
 const MEMORY_PRESSURE_WAITING_STATEMENTS: f64 = 1.0;
 /// Score bonus of an engine with a free connection. It outweighs the tokens: one attempt empties a
 /// small share's bucket for longer than idle connections are kept, so ranking by tokens alone would
--- a/crates/admission/src/policy/outcome.rs
+++ b/crates/admission/src/policy/outcome.rs
@@ -110,7 +110,7 @@
         ratio.unwrap_or(1.0).max(1.0)
     }
 
-    /// Takes an attempt that has ended out of the reservations, and learns from its outcome.
+    /// Releases the reservations of an attempt that has ended, and learns from its outcome.
     fn learn_from_outcome(
         &mut self,
         now: Timestamp,
--- a/crates/admission/src/policy/outlier_detection.rs
+++ b/crates/admission/src/policy/outlier_detection.rs
@@ -26,21 +26,21 @@
 /// A timed-out statement counts as lost at its engine if it took longer than its expected time
 /// times this factor plus [`LOST_MARGIN_S`].
 const LOST_LATENCY_FACTOR: f64 = 4.0;
-/// Margin for a statement to count as lost, in seconds.
+/// Seconds that are added to the time that [`LOST_LATENCY_FACTOR`] gives.
 const LOST_MARGIN_S: f64 = 1.0;
 /// An answer is due after its expected time times this factor plus [`ANSWER_MARGIN_S`].
 const ANSWER_LATENCY_FACTOR: f64 = 4.0;
-/// Margin for an answer to be due, in seconds.
+/// Seconds that are added to the time that [`ANSWER_LATENCY_FACTOR`] gives.
 const ANSWER_MARGIN_S: f64 = 0.5;
-/// An engine that sends progress reports must be heard within this many report intervals plus
+/// An engine that sends progress reports must be heard from within this many report intervals plus
 /// [`PROGRESS_MARGIN_S`].
 const PROGRESS_INTERVALS: f64 = 1.25;
-/// Margin for a progress report to be due, in seconds.
+/// Seconds that are added to the time that [`PROGRESS_INTERVALS`] gives.
 const PROGRESS_MARGIN_S: f64 = 0.3;
 /// Without progress reports, the next answer is due after the predicted CPU time times this factor
 /// plus [`NEXT_ANSWER_MARGIN_S`].
 const NEXT_ANSWER_FACTOR: f64 = 3.0;
-/// Margin for the next answer to be due, in seconds.
+/// Seconds that are added to the time that [`NEXT_ANSWER_FACTOR`] gives.
 const NEXT_ANSWER_MARGIN_S: f64 = 1.0;
 
 /// Returns whether the event is an error that is attributed to the statement after this many
@@ -54,7 +54,7 @@
     progress_interval.map(|interval| interval.secs() * PROGRESS_INTERVALS + PROGRESS_MARGIN_S)
 }
 
-/// Returns the seconds within which an engine that was just heard must be heard again.
+/// Returns the seconds within which an engine that was just heard from must be heard from again.
 pub(super) fn next_activity_timeout_s(
     progress_interval: Option<TimeDelta>,
     predicted_s: f64,
@@ -63,7 +63,7 @@
         .unwrap_or(NEXT_ANSWER_FACTOR * predicted_s + NEXT_ANSWER_MARGIN_S)
 }
 
-/// Returns the seconds within which an engine must be heard after a statement is sent.
+/// Returns the seconds within which an engine must be heard from after a statement is sent.
 /// `latency_ratio` is its latency per CPU second.
 pub(super) fn first_activity_timeout_s(
     progress_interval: Option<TimeDelta>,
@@ -77,9 +77,9 @@
     answer_timeout_s.min(progress_timeout_s)
 }
 
-/// Returns how much an event counts as a failure of the engine; 0 if it is none. `expected_s` is
-/// the time that the attempt was expected to take at the current latency of the engine, and
-/// `attempts` is the number of attempts of the statement, including this one.
+/// Returns the weight of an event as a failure of the engine, or 0 if it is no failure.
+/// `expected_s` is the time that the attempt was expected to take at the current latency of the
+/// engine, and `attempts` is the number of attempts of the statement, including this one.
 pub(super) fn failure_weight(
     event: AttemptEvent,
     latency: TimeDelta,
@@ -109,7 +109,7 @@
 pub(super) struct Health {
     /// Weighted number of failures, reduced by successes.
     failures: f64,
-    /// The engine is ejected if it is not heard by this time; `None` if nothing is due.
+    /// The engine is ejected if it is not heard from by this time; `None` if no activity is due.
     activity_deadline: Option<Timestamp>,
     /// When the ejected engine may be probed; `None` if it is not ejected.
     ejected_until: Option<Timestamp>,
@@ -145,7 +145,7 @@
         })
     }
 
-    /// Records that a statement was sent. The engine must be heard within `timeout_s`.
+    /// Records that a statement was sent. The engine must be heard from within `timeout_s`.
     pub(super) fn on_send(&mut self, now: Timestamp, id: StatementId, timeout_s: f64) {
         let deadline = now + TimeDelta::from_secs(timeout_s);
         self.activity_deadline = Some(
@@ -157,8 +157,8 @@
         }
     }
 
-    /// Records that the engine was heard. It must be heard again within `timeout_s` if anything is
-    /// in flight there.
+    /// Records that the engine was heard from. While anything is in flight there, it must be heard
+    /// from again within `timeout_s`.
     pub(super) fn on_activity(&mut self, now: Timestamp, in_flight: u32, timeout_s: f64) {
         self.activity_deadline = (in_flight > 0).then(|| now + TimeDelta::from_secs(timeout_s));
     }
@@ -188,8 +188,9 @@
         }
     }
 
-    /// Ejects an engine that was not heard in time: it hangs, is unreachable or has died. This can
-    /// do harm at a quiet gateway, where one unexpectedly slow statement ejects a healthy engine.
+    /// Ejects an engine that was not heard from in time: it hangs, is unreachable or has died. This
+    /// can do harm at a quiet gateway, where one unexpectedly slow statement ejects a healthy
+    /// engine.
     pub(super) fn eject_if_silent(&mut self, now: Timestamp) {
         if self
             .activity_deadline
