--- a/crates/quota/src/amount.rs
+++ b/crates/quota/src/amount.rs
@@ -46,7 +46,7 @@
         Amount(self.0.saturating_sub(other.0))
     }
 
-    /// The sum of this amount over `count` gateways.
+    /// This amount multiplied by `count`.
     #[must_use]
     pub fn saturating_mul(self, count: usize) -> Amount {
         Amount(self.0.saturating_mul(count as u64))
--- a/crates/quota/src/fleet_quotas.rs
+++ b/crates/quota/src/fleet_quotas.rs
@@ -177,7 +177,8 @@
     }
 
     /// Changes the budgets as described at [`Participant::reconfigure`]. Saved tokens are limited
-    /// to the new capacities; debts and counts stay.
+    /// to the new capacities; debts and counts stay. The buckets of budgets that existed before keep
+    /// their burst time.
     pub fn reconfigure(&mut self, now: Timestamp, config: Config) {
         self.refill_buckets(now);
         let old_config = self.participant.config().clone();
--- a/crates/quota/src/message.rs
+++ b/crates/quota/src/message.rs
@@ -162,8 +162,8 @@
     /// The message does not answer an outstanding request.
     #[error("an answer to nothing that was asked")]
     Unsolicited,
-    /// The request is no newer than one that was already recorded, or the granted lease expired in
-    /// transit.
+    /// The request is no newer than one that was already recorded, the leader's ledger has no room
+    /// for its holder, or the granted lease expired in transit.
     #[error("older than one before it")]
     Stale,
 }
--- a/crates/quota/src/splitmix.rs
+++ b/crates/quota/src/splitmix.rs
@@ -6,7 +6,8 @@
 /// differ in many bits.
 const GOLDEN_GAMMA: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// A pseudorandom number between 0 and 1, uniformly distributed over the counters of one seed.
+/// A pseudorandom number from 0 to 1, both included, uniformly distributed over the counters of one
+/// seed.
 #[must_use]
 pub(crate) fn splitmix64_unit(seed: u64, counter: u64) -> f64 {
     let mut mixed = seed ^ counter.wrapping_mul(GOLDEN_GAMMA);
--- a/crates/quota/src/token_bucket.rs
+++ b/crates/quota/src/token_bucket.rs
@@ -21,7 +21,7 @@
     /// The fraction of the capacity from which on the bucket counts as full, since rounding may
     /// keep a sum of small refills below the exact capacity.
     const FULL_FRACTION: f64 = 0.99;
-    /// The smallest divisor in place of the capacity, which avoids a division by zero.
+    /// A lower bound for the capacity as a divisor, which avoids a division by zero.
     const MIN_CAPACITY_DIVISOR: f64 = 1e-9;
 
     /// A bucket without tokens. It starts empty because the previous owner of the rate may have
--- a/crates/quota/tests/golden.rs
+++ b/crates/quota/tests/golden.rs
@@ -30,7 +30,7 @@
         format!("{name} {hex}\n")
     };
     let lines: Vec<String> = actual.iter().map(line).collect();
-    if std::env::var("GOLDEN_RECORD").is_ok_and(|word| word == "1") {
+    if std::env::var("GOLDEN_RECORD").is_ok_and(|value| value == "1") {
         std::fs::create_dir_all(path.parent().unwrap()).unwrap();
         std::fs::write(&path, lines.concat()).unwrap();
     }
--- a/crates/quota/tests/max_min.rs
+++ b/crates/quota/tests/max_min.rs
@@ -21,6 +21,6 @@
         let divided = max_min_fair(Amount(capacity), &demands);
         assert!(divided.iter().map(|share| share.0).sum::<u64>() <= capacity);
         let shares: Vec<Amount> = shares.into_iter().map(Amount).collect();
-        assert_eq!(divided, shares, "{capacity} over {demands:?}");
+        assert_eq!(divided, shares, "capacity {capacity}, demands {demands:?}");
     }
 }
--- a/crates/quota/tests/random.rs
+++ b/crates/quota/tests/random.rs
@@ -57,7 +57,8 @@
     World::new(count, config, |gateway| fast_ppm[gateway])
 }
 
-/// Applies the fault with this number to a gateway or to the network.
+/// Applies the fault with this number to a gateway or to the network. Numbers above 9 stand for no
+/// fault.
 fn apply(fault: u32, gateway: usize, world: &mut World, network: &mut Network, rng: &mut Pcg64Mcg) {
     match fault {
         0 => world.kill(gateway),
@@ -176,7 +177,8 @@
     run_fleets(0, 10);
 }
 
-/// Takes long; run it with `cargo test -p laurelhitch-quota --release --test random -- --ignored`.
+/// Takes long, so it is ignored by default. It is run with
+/// `cargo test -p laurelhitch-quota --release --test random -- --ignored`.
 #[test]
 #[ignore = "long"]
 fn two_thousand_random_fleets_stay_within_the_capacity_and_recover() {
--- a/crates/quota/tests/search.rs
+++ b/crates/quota/tests/search.rs
@@ -279,17 +279,17 @@
     }
 }
 
-/// The largest allowed clock drift, with a fast clock at the first leader.
+/// The clock drift of each gateway at the configured bound, with a fast clock at the first leader.
 const LEADER_FAST: [i64; 3] = [DRIFT_PPM, -DRIFT_PPM, DRIFT_PPM];
-/// The largest allowed clock drift, with a slow clock at the first leader.
+/// The clock drift of each gateway at the configured bound, with a slow clock at the first leader.
 const LEADER_SLOW: [i64; 3] = [-DRIFT_PPM, DRIFT_PPM, DRIFT_PPM];
 
 #[test]
 fn every_sequence_of_three_faults_keeps_the_sum_within_the_capacity() {
-    let states = 1 + 15 + 225 + 3375;
+    let expected_states = 1 + 15 + 225 + 3375;
     for fast_ppm in [[0; 3], LEADER_FAST, [-DRIFT_PPM, DRIFT_PPM, 0]] {
         let result = search(FaultInjection::default(), 3, fast_ppm);
-        assert_eq!(result.states, states, "{fast_ppm:?}");
+        assert_eq!(result.states, expected_states, "{fast_ppm:?}");
         assert_eq!(result.violations, Vec::<&str>::new(), "{fast_ppm:?}");
     }
 }
@@ -357,8 +357,8 @@
     }
 }
 
-/// Takes long; run it with `cargo test -p laurelhitch-quota --release --test search -- --ignored
-/// --nocapture`.
+/// Takes long, so it is ignored by default. It is run with
+/// `cargo test -p laurelhitch-quota --release --test search -- --ignored --nocapture`.
 #[test]
 #[ignore = "long"]
 fn every_sequence_of_four_faults_keeps_the_sum_within_the_capacity() {
--- a/crates/quota/tests/world/mod.rs
+++ b/crates/quota/tests/world/mod.rs
@@ -178,7 +178,7 @@
         }
     }
 
-    fn find(&self, gateway: &Name) -> Option<usize> {
+    fn index_of(&self, gateway: &Name) -> Option<usize> {
         (0..self.gateways.len()).find(|index| name(*index) == *gateway)
     }
 
@@ -194,7 +194,7 @@
         let outgoing = participant.take_outgoing();
         drop(participant.take_events());
         for message in outgoing {
-            let Some(to) = self.find(&message.to) else {
+            let Some(to) = self.index_of(&message.to) else {
                 continue;
             };
             let delivery = network(from_index, to);
