--- a/crates/dispatch/benches/spread.rs
+++ b/crates/dispatch/benches/spread.rs
@@ -1,8 +1,15 @@
-//! How the load of many gateways spreads over the engines, counted in simulated time: engines that a gateway uses,
-//! statements a second and open connections that an engine sees.
+//! Measures how the load of many gateways spreads over the engines in simulated time: the engines
+//! that a gateway uses, and the statements per second and open connections at an engine.
 //!
-//! `--model unloaded|shared`, `--sizes ENGINES,...` (gateways follow in the users' proportion), `--warm-up S`,
-//! `--counted S`, `--threads N` (only where engines are unloaded: gateways do not feel each other then).
+//! Options:
+//!
+//! - `--model unloaded|shared`: the model of an engine's latency.
+//! - `--sizes ENGINES,...`: the numbers of engines. The number of gateways follows in proportion to
+//!   the target deployment.
+//! - `--warm-up S`, `--counted S`: the simulated seconds before and during the measurement.
+//! - `--threads N`: the number of threads. More than one requires `--model unloaded`, where
+//!   gateways do not affect each other.
+//! - `--seed N`: the random seed.
 
 mod support;
 
@@ -32,13 +39,15 @@
             threads: 1,
             seed: 1,
         };
-        // Cargo adds `--bench` of its own.
-        let mut words = std::env::args().skip(1).filter(|word| word != "--bench");
-        while let Some(word) = words.next() {
-            let value = words
+        // Cargo adds `--bench` to the arguments.
+        let mut arguments = std::env::args()
+            .skip(1)
+            .filter(|option| option != "--bench");
+        while let Some(option) = arguments.next() {
+            let value = arguments
                 .next()
-                .unwrap_or_else(|| panic!("{word} needs a value"));
-            match &word[..] {
+                .unwrap_or_else(|| panic!("{option} needs a value"));
+            match &option[..] {
                 "--model" if value == "unloaded" => options.model = EngineModel::Unloaded,
                 "--model" if value == "shared" => options.model = EngineModel::Shared,
                 "--sizes" => {
@@ -48,27 +57,31 @@
                 "--counted" => options.counted_s = value.parse().unwrap(),
                 "--threads" => options.threads = value.parse().unwrap(),
                 "--seed" => options.seed = value.parse().unwrap(),
-                _ => panic!("unknown option {word} {value}"),
+                _ => panic!("unknown option {option} {value}"),
             }
         }
         assert!(
             options.threads == 1 || options.model == EngineModel::Unloaded,
-            "engines tie gateways together"
+            "several threads require --model unloaded"
         );
         options
     }
 }
 
-/// What one part of the gateways saw.
-struct Seen {
+/// The measurements of a range of gateways.
+struct Measurements {
+    /// The engines that each gateway sent statements to.
     engines_used: Vec<f64>,
+    /// The open connections of each gateway.
     gateway_connections: Vec<f64>,
+    /// The statements that each engine received.
     statements: Vec<f64>,
+    /// The open connections at each engine.
     connections: Vec<f64>,
     totals: Totals,
 }
 
-fn observe(options: &Options, engines: u32, first: u32, run: u32) -> Seen {
+fn measure(options: &Options, engines: u32, first: u32, run: u32) -> Measurements {
     let mut simulation = Simulation::new(Plan {
         gateways: gateways_before(engines),
         first,
@@ -81,7 +94,7 @@
     simulation.run(options.warm_up_s);
     simulation.begin_counting();
     simulation.run(options.counted_s);
-    Seen {
+    Measurements {
         engines_used: simulation.engines_used(),
         gateway_connections: simulation.connections_by_gateway(),
         statements: simulation.statements_by_engine(),
@@ -90,7 +103,7 @@
     }
 }
 
-fn merge(mut all: Seen, part: Seen) -> Seen {
+fn merge(mut all: Measurements, part: Measurements) -> Measurements {
     all.engines_used.extend(part.engines_used);
     all.gateway_connections.extend(part.gateway_connections);
     all.statements
@@ -109,13 +122,13 @@
     all
 }
 
-fn observe_all(options: &Options, engines: u32) -> Seen {
+fn measure_all(options: &Options, engines: u32) -> Measurements {
     let gateways = gateways_before(engines);
-    let bounds = |part: u32| gateways * part / options.threads;
+    let range_start = |part: u32| gateways * part / options.threads;
     thread::scope(|scope| {
         let parts = (0..options.threads).map(|part| {
-            let (first, end) = (bounds(part), bounds(part + 1));
-            scope.spawn(move || observe(options, engines, first, end - first))
+            let (first, end) = (range_start(part), range_start(part + 1));
+            scope.spawn(move || measure(options, engines, first, end - first))
         });
         let parts: Vec<_> = parts.collect();
         parts
@@ -126,24 +139,25 @@
     })
 }
 
-fn distribution(name: &str, of: &[f64]) {
-    let mut sorted = of.to_vec();
+/// Prints the distribution of the values.
+fn print_distribution(name: &str, values: &[f64]) {
+    let mut sorted = values.to_vec();
     sorted.sort_by(f64::total_cmp);
     let count = sorted.len() as f64;
-    let at = |part: f64| sorted[((count - 1.0) * part).round() as usize];
+    let percentile = |fraction: f64| sorted[((count - 1.0) * fraction).round() as usize];
     let mean = sorted.iter().sum::<f64>() / count;
     let variance = sorted
         .iter()
         .map(|value| (value - mean).powi(2))
         .sum::<f64>()
         / count;
-    let none = sorted.iter().filter(|value| **value == 0.0).count();
+    let zeros = sorted.iter().filter(|value| **value == 0.0).count();
     println!(
-        "  {name}: mean {mean:.1}, p1 {:.1}, p50 {:.1}, p99 {:.1}, max {:.1}, coefficient of variation {:.3}, none {none}",
-        at(0.01),
+        "  {name}: mean {mean:.1}, p1 {:.1}, p50 {:.1}, p99 {:.1}, max {:.1}, coefficient of variation {:.3}, none {zeros}",
+        percentile(0.01),
         median(&sorted),
-        at(0.99),
-        at(1.0),
+        percentile(0.99),
+        percentile(1.0),
         variance.sqrt() / mean
     );
 }
@@ -151,8 +165,8 @@
 fn main() {
     let options = Options::read();
     for engines in options.sizes.iter().copied() {
-        let seen = observe_all(&options, engines);
-        let (gateways, totals) = (gateways_before(engines), seen.totals);
+        let measured = measure_all(&options, engines);
+        let (gateways, totals) = (gateways_before(engines), measured.totals);
         println!(
             "{gateways} gateways, {engines} engines, {:?}, seed {}, {} s after {} s: {} arrived, {} completed, \
              {} rejected, {} timed out, {} connections opened",
@@ -166,14 +180,17 @@
             totals.timed_out,
             totals.connections_opened
         );
-        let rates: Vec<f64> = seen
+        let rates: Vec<f64> = measured
             .statements
             .iter()
             .map(|count| count / options.counted_s)
             .collect();
-        distribution("engines that a gateway sent to", &seen.engines_used);
-        distribution("open connections of a gateway", &seen.gateway_connections);
-        distribution("statements a second at an engine", &rates);
-        distribution("open connections at an engine", &seen.connections);
+        print_distribution("engines that a gateway sent to", &measured.engines_used);
+        print_distribution(
+            "open connections of a gateway",
+            &measured.gateway_connections,
+        );
+        print_distribution("statements a second at an engine", &rates);
+        print_distribution("open connections at an engine", &measured.connections);
     }
 }
--- a/crates/dispatch/benches/support/fit.rs
+++ b/crates/dispatch/benches/support/fit.rs
@@ -1,55 +1,63 @@
-//! A straight line by least squares, with what it leaves unexplained.
+//! A least-squares line fit with its residuals.
 
 use std::fmt;
 
-/// A point is on the line when it lies within this part of its own value.
-const ON_THE_LINE: f64 = 0.15;
+/// The largest residual of a point on the line, as a fraction of the point's value.
+const MAX_RELATIVE_RESIDUAL: f64 = 0.15;
 
+/// A fitted line.
 pub(crate) struct Line {
     intercept: f64,
     slope: f64,
+    /// The standard error of the slope.
     slope_error: f64,
     r_squared: f64,
-    /// Measured less fitted value, as a part of the measured one, for each point in order.
+    /// For each point in order, the measured value minus the fitted value, as a fraction of the
+    /// measured value.
     residuals: Vec<f64>,
 }
 
 impl Line {
+    /// Fits a line through the points.
+    ///
     /// # Panics
-    /// There are fewer than four points: too few for a slope with a spread.
+    ///
+    /// Panics if there are fewer than four points, which is too few for the standard error of the
+    /// slope.
     pub(crate) fn through(points: &[(f64, f64)]) -> Line {
-        assert!(points.len() >= 4, "a slope needs four sizes at least");
+        assert!(points.len() >= 4, "a line fit needs at least four points");
         let count = points.len() as f64;
         let mean_x = points.iter().map(|point| point.0).sum::<f64>() / count;
         let mean_y = points.iter().map(|point| point.1).sum::<f64>() / count;
-        let spread_x: f64 = points.iter().map(|point| (point.0 - mean_x).powi(2)).sum();
-        let spread_y: f64 = points.iter().map(|point| (point.1 - mean_y).powi(2)).sum();
-        let together: f64 = points
+        let sum_squares_x: f64 = points.iter().map(|point| (point.0 - mean_x).powi(2)).sum();
+        let sum_squares_y: f64 = points.iter().map(|point| (point.1 - mean_y).powi(2)).sum();
+        let sum_products: f64 = points
             .iter()
             .map(|point| (point.0 - mean_x) * (point.1 - mean_y))
             .sum();
-        let slope = together / spread_x;
+        let slope = sum_products / sum_squares_x;
         let intercept = mean_y - slope * mean_x;
-        let misses = points
+        let residuals = points
             .iter()
             .map(|point| point.1 - intercept - slope * point.0);
-        let unexplained: f64 = misses.clone().map(|miss| miss * miss).sum();
+        let residual_sum_squares: f64 = residuals.clone().map(|residual| residual * residual).sum();
         Line {
             intercept,
             slope,
-            slope_error: (unexplained / (count - 2.0) / spread_x).sqrt(),
-            r_squared: 1.0 - unexplained / spread_y,
-            residuals: misses
+            slope_error: (residual_sum_squares / (count - 2.0) / sum_squares_x).sqrt(),
+            r_squared: 1.0 - residual_sum_squares / sum_squares_y,
+            residuals: residuals
                 .zip(points)
-                .map(|(miss, point)| miss / point.1.abs().max(1e-12))
+                .map(|(residual, point)| residual / point.1.abs().max(1e-12))
                 .collect(),
         }
     }
 
-    fn bends(&self) -> bool {
+    /// Whether any point lies off the line.
+    fn is_nonlinear(&self) -> bool {
         self.residuals
             .iter()
-            .any(|residual| residual.abs() > ON_THE_LINE)
+            .any(|residual| residual.abs() > MAX_RELATIVE_RESIDUAL)
     }
 }
 
@@ -62,7 +70,7 @@
             r_squared,
             ..
         } = self;
-        let name = if self.bends() {
+        let name = if self.is_nonlinear() {
             "no line over all sizes; least squares"
         } else {
             "line"
@@ -74,21 +82,21 @@
         let residuals: Vec<String> = self
             .residuals
             .iter()
-            .map(|part| format!("{:+.0}%", part * 100.0))
+            .map(|fraction| format!("{:+.0}%", fraction * 100.0))
             .collect();
         write!(out, "residuals {}", residuals.join(" "))
     }
 }
 
-pub(crate) fn median(of: &[f64]) -> f64 {
-    let mut sorted = of.to_vec();
+pub(crate) fn median(values: &[f64]) -> f64 {
+    let mut sorted = values.to_vec();
     sorted.sort_by(f64::total_cmp);
     sorted[sorted.len() / 2]
 }
 
-/// Median and range, for a cell of a table.
-pub(crate) fn spread(of: &[f64]) -> String {
-    let least = of.iter().copied().fold(f64::INFINITY, f64::min);
-    let most = of.iter().copied().fold(f64::NEG_INFINITY, f64::max);
-    format!("{:.2} ({least:.2}-{most:.2})", median(of))
+/// Formats the median and the range of the values for a table cell.
+pub(crate) fn spread(values: &[f64]) -> String {
+    let min = values.iter().copied().fold(f64::INFINITY, f64::min);
+    let max = values.iter().copied().fold(f64::NEG_INFINITY, f64::max);
+    format!("{:.2} ({min:.2}-{max:.2})", median(values))
 }
--- a/crates/dispatch/benches/support/mod.rs
+++ b/crates/dispatch/benches/support/mod.rs
@@ -1,4 +1,4 @@
-//! Parts that the benches of the data path share.
+//! Modules shared by the benchmarks of the data path.
 #![allow(dead_code)]
 
 pub(crate) mod fit;
--- a/crates/dispatch/benches/support/simulation.rs
+++ b/crates/dispatch/benches/support/simulation.rs
@@ -1,5 +1,6 @@
-//! Gateways before engines in simulated time: the real decisions, no sockets, one queue of events, all chance from
-//! a seed. Connections follow the rules of the gateway's pools (`gateway::engines::EngineTransport`).
+//! A discrete-event simulation of gateways and engines. It runs the real dispatcher in simulated
+//! time without sockets and draws all random values from a seed. Connections follow the rules of
+//! the gateway's pools (`gateway::engines::EngineTransport`).
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -14,29 +15,31 @@
 use serde_json::{Value, json};
 use settings::{NetworkDelay, Settings};
 
-/// The users' size.
+/// The number of gateways in the target deployment.
 pub(crate) const TARGET_GATEWAYS: f64 = 1_900.0;
+/// The number of engines in the target deployment.
 pub(crate) const TARGET_ENGINES: f64 = 3_100.0;
-/// The mean at a gateway.
+/// The mean rate of statements at a gateway.
 pub(crate) const STATEMENTS_PER_S: f64 = 380.0;
 pub(crate) const ENGINE_CORES: f64 = 8.0;
 const STATEMENT_CPU: TimeDelta = TimeDelta::from_micros(20_000);
 const STATEMENT_MB: f64 = 8.0;
 const STATEMENT_BUDGET: TimeDelta = TimeDelta::from_micros(1_940_000);
-/// Table groups that the statements spread over.
+/// The number of table groups that the statements are spread over.
 const TABLE_GROUPS: u32 = 16;
 const NETWORK_DELAY: TimeDelta = TimeDelta::from_micros(50_000);
-/// The gateway closes a connection that was idle for this part of `Limits.ConnIdleS`.
-const POOL_IDLE_PART: f64 = 0.8;
+/// The gateway closes a connection that has been idle for this fraction of `Limits.ConnIdleS`.
+const POOL_IDLE_FRACTION: f64 = 0.8;
 
-/// Gateways that stand before so many engines at the users' proportion.
+/// Returns the number of gateways for this number of engines, in proportion to the target
+/// deployment.
 pub(crate) fn gateways_before(engines: u32) -> u32 {
     (f64::from(engines) * TARGET_GATEWAYS / TARGET_ENGINES)
         .round()
         .max(1.0) as u32
 }
 
-/// The settings of the example, with so many gateways and no tenants.
+/// Returns the settings of the example configuration with this number of gateways and no tenants.
 fn settings(gateways: u32) -> Value {
     let mut config: Value = serde_json::from_str(include_str!("../../../../examples/config.json"))
         .expect("the example is JSON");
@@ -45,8 +48,8 @@
     config["settings"].take()
 }
 
-fn engine_list(engines: u32) -> EndpointUpdate {
-    let fact = |id| EngineInfo {
+fn engine_snapshot(engines: u32) -> EndpointUpdate {
+    let info = |id| EngineInfo {
         id: EngineId(id),
         scale: ENGINE_CORES,
         location: LocationId(0),
@@ -55,7 +58,7 @@
         stage: EngineStage::Ready,
         started: None,
     };
-    EndpointUpdate::Snapshot((1..=engines).map(fact).collect())
+    EndpointUpdate::Snapshot((1..=engines).map(info).collect())
 }
 
 pub(crate) fn dispatch(gateways: u32, engines: u32, seed: u64) -> Dispatcher {
@@ -64,7 +67,7 @@
         .policy(seed, NetworkDelay(NETWORK_DELAY))
         .expect("the example's settings");
     let mut dispatch = Dispatcher::new(policy);
-    dispatch.on_endpoint_update(Timestamp::from_secs(0.0), &engine_list(engines));
+    dispatch.on_endpoint_update(Timestamp::from_secs(0.0), &engine_snapshot(engines));
     dispatch
 }
 
@@ -81,20 +84,22 @@
     }
 }
 
-/// How long an engine takes for a statement.
+/// The model of an engine's latency.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum EngineModel {
-    /// Always the statement's CPU: gateways do not feel each other, and can be run one by one.
+    /// The latency is the CPU time of the statement. Gateways do not affect each other and can be
+    /// simulated separately.
     Unloaded,
-    /// Its CPU times the statements that run there when it begins, over the cores, where they are more.
+    /// When more statements than cores run at the engine, the CPU time of a new statement is
+    /// multiplied by their ratio.
     Shared,
 }
 
-/// Connections to one engine of one gateway.
+/// The connections of one gateway to one engine.
 #[derive(Default)]
 struct Pool {
     busy: u32,
-    /// Since when each of the others has been idle, the last used at the end.
+    /// When each idle connection became idle, from the earliest to the latest.
     idle: Vec<Timestamp>,
 }
 
@@ -103,7 +108,7 @@
         self.idle.retain(|since| (now - *since).secs() < idle_s);
     }
 
-    /// True: a new connection was opened for it.
+    /// Takes a connection. Returns true if a new one had to be opened.
     fn take(&mut self, now: Timestamp, idle_s: f64) -> bool {
         self.close_idle(now, idle_s);
         self.busy += 1;
@@ -116,24 +121,25 @@
     }
 }
 
-/// CPU that the decisions took, by call.
+/// The CPU time used by the dispatcher, by call.
 #[derive(Clone, Copy, Default)]
-pub(crate) struct Work {
+pub(crate) struct DispatcherWork {
     pub(crate) statements: u64,
     pub(crate) pick: Duration,
     pub(crate) report: Duration,
-    /// Ticks with something in line, and those with nothing due.
-    pub(crate) tick_held: Duration,
-    pub(crate) ticks_held: u64,
+    /// Ticks while statements are queued.
+    pub(crate) tick_queued: Duration,
+    pub(crate) ticks_queued: u64,
+    /// Ticks with an empty queue.
     pub(crate) tick_idle: Duration,
     pub(crate) ticks_idle: u64,
-    /// Times that a statement in line was asked for.
-    pub(crate) asks: u64,
+    /// The number of placement decisions on queued statements.
+    pub(crate) placements: u64,
 }
 
-impl Work {
-    pub(crate) fn whole(&self) -> Duration {
-        self.pick + self.report + self.tick_held + self.tick_idle
+impl DispatcherWork {
+    pub(crate) fn total(&self) -> Duration {
+        self.pick + self.report + self.tick_queued + self.tick_idle
     }
 }
 
@@ -151,7 +157,8 @@
     pools: BTreeMap<EngineId, Pool>,
     /// Statements sent to each engine since counting began.
     sent: BTreeMap<EngineId, u64>,
-    waking: bool,
+    /// Whether a wake-up event is scheduled.
+    wakeup_scheduled: bool,
 }
 
 #[derive(Clone, Copy)]
@@ -168,7 +175,7 @@
     },
 }
 
-/// What became of statements since counting began.
+/// The outcomes of statements since counting began.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct Totals {
     pub(crate) arrived: u64,
@@ -178,10 +185,13 @@
     pub(crate) connections_opened: u64,
 }
 
+/// The parameters of a simulation.
 pub(crate) struct Plan {
-    /// Gateways in the settings, and the first of those that are run and how many.
+    /// The number of gateways in the settings.
     pub(crate) gateways: u32,
+    /// The number of the first simulated gateway.
     pub(crate) first: u32,
+    /// The number of simulated gateways.
     pub(crate) run: u32,
     pub(crate) engines: u32,
     pub(crate) statements_per_s: f64,
@@ -195,10 +205,10 @@
     events: BTreeMap<(Timestamp, u64), Event>,
     next_event: u64,
     gateways: Vec<Gateway>,
-    /// Statements that run on each engine, of the gateways that are run.
+    /// The number of statements that run on each engine, from the simulated gateways.
     running: Vec<u32>,
     pool_idle_s: f64,
-    pub(crate) work: Work,
+    pub(crate) work: DispatcherWork,
     pub(crate) totals: Totals,
 }
 
@@ -219,7 +229,7 @@
                 attempts: BTreeMap::new(),
                 pools: BTreeMap::new(),
                 sent: BTreeMap::new(),
-                waking: false,
+                wakeup_scheduled: false,
             }
         });
         let gateways: Vec<Gateway> = gateways.collect();
@@ -231,25 +241,25 @@
             events: BTreeMap::new(),
             next_event: 0,
             gateways,
-            pool_idle_s: connections.idle_timeout.secs() * POOL_IDLE_PART,
-            work: Work::default(),
+            pool_idle_s: connections.idle_timeout.secs() * POOL_IDLE_FRACTION,
+            work: DispatcherWork::default(),
             totals: Totals::default(),
         };
-        (0..count).for_each(|gateway| simulation.plan_arrival(gateway));
+        (0..count).for_each(|gateway| simulation.schedule_arrival(gateway));
         simulation
     }
 
-    /// Runs on for so long; work and totals go on counting.
+    /// Continues the simulation for this many simulated seconds. Counting continues too.
     pub(crate) fn run(&mut self, span_s: f64) {
         let end = self.now + TimeDelta::from_secs(span_s);
         while let Some(next) = self.events.first_entry().filter(|next| next.key().0 < end) {
             let ((at, _), event) = next.remove_entry();
             self.now = at;
             match event {
-                Event::Arrival { gateway } => self.arrival(gateway),
-                Event::End { gateway, statement } => self.end(gateway, statement),
+                Event::Arrival { gateway } => self.on_arrival(gateway),
+                Event::End { gateway, statement } => self.on_attempt_end(gateway, statement),
                 Event::Wake { gateway } => {
-                    self.gateways[gateway].waking = false;
+                    self.gateways[gateway].wakeup_scheduled = false;
                     self.turn(gateway);
                 }
             }
@@ -257,83 +267,90 @@
         self.now = end;
     }
 
-    /// Forgets what was counted so far: the warm-up.
+    /// Resets the counters at the end of the warm-up.
     pub(crate) fn begin_counting(&mut self) {
-        (self.work, self.totals) = (Work::default(), Totals::default());
+        (self.work, self.totals) = (DispatcherWork::default(), Totals::default());
         self.gateways
             .iter_mut()
             .for_each(|gateway| gateway.sent.clear());
     }
 
-    fn at(&mut self, at: Timestamp, event: Event) {
+    fn schedule(&mut self, at: Timestamp, event: Event) {
         self.next_event += 1;
         self.events.insert((at, self.next_event), event);
     }
 
-    fn plan_arrival(&mut self, gateway: usize) {
-        let chance: f64 = self.gateways[gateway].arrivals.random();
-        let gap_s = -(1.0 - chance).ln() / self.plan.statements_per_s;
-        self.at(
+    fn schedule_arrival(&mut self, gateway: usize) {
+        let uniform: f64 = self.gateways[gateway].arrivals.random();
+        let gap_s = -(1.0 - uniform).ln() / self.plan.statements_per_s;
+        self.schedule(
             self.now + TimeDelta::from_secs(gap_s),
             Event::Arrival { gateway },
         );
     }
 
-    fn arrival(&mut self, at: usize) {
-        self.plan_arrival(at);
-        let gateway = &mut self.gateways[at];
+    fn on_arrival(&mut self, gateway_index: usize) {
+        self.schedule_arrival(gateway_index);
+        let gateway = &mut self.gateways[gateway_index];
         gateway.next_statement += 1;
         let id = StatementId(gateway.next_statement);
         let request = request(id.0 as u32 % TABLE_GROUPS);
-        let begun = Instant::now();
-        let pick = gateway.dispatch.pick(self.now, id, &request);
-        self.work.pick += begun.elapsed();
+        let started = Instant::now();
+        let decision = gateway.dispatch.pick(self.now, id, &request);
+        self.work.pick += started.elapsed();
         self.work.statements += 1;
         self.totals.arrived += 1;
-        self.picked(at, id, pick);
-        self.turn(at);
+        self.apply_decision(gateway_index, id, decision);
+        self.turn(gateway_index);
     }
 
-    fn turn(&mut self, at: usize) {
-        let gateway = &mut self.gateways[at];
-        let held = gateway.dispatch.queue_positions().len() as u64;
-        let begun = Instant::now();
+    fn turn(&mut self, gateway_index: usize) {
+        let gateway = &mut self.gateways[gateway_index];
+        let queued = gateway.dispatch.queue_positions().len() as u64;
+        let started = Instant::now();
         let Tick { due, wait, .. } = gateway.dispatch.tick(self.now);
-        let took = begun.elapsed();
-        if held > 0 {
-            self.work.tick_held += took;
-            self.work.ticks_held += 1;
-            self.work.asks += held;
+        let elapsed = started.elapsed();
+        if queued > 0 {
+            self.work.tick_queued += elapsed;
+            self.work.ticks_queued += 1;
+            self.work.placements += queued;
         } else {
-            self.work.tick_idle += took;
+            self.work.tick_idle += elapsed;
             self.work.ticks_idle += 1;
         }
-        let still_held = held > due.len() as u64;
+        let still_queued = queued > due.len() as u64;
         due.into_iter()
-            .for_each(|(id, pick)| self.picked(at, id, pick));
-        if still_held && !std::mem::replace(&mut self.gateways[at].waking, true) {
-            self.at(self.now + wait, Event::Wake { gateway: at });
+            .for_each(|(id, decision)| self.apply_decision(gateway_index, id, decision));
+        if still_queued
+            && !std::mem::replace(&mut self.gateways[gateway_index].wakeup_scheduled, true)
+        {
+            self.schedule(
+                self.now + wait,
+                Event::Wake {
+                    gateway: gateway_index,
+                },
+            );
         }
     }
 
-    fn picked(&mut self, at: usize, id: StatementId, pick: Decision) {
-        match pick {
+    fn apply_decision(&mut self, gateway_index: usize, id: StatementId, decision: Decision) {
+        match decision {
             Decision::Queued => {}
             Decision::Reject { .. } | Decision::Fail => self.totals.rejected += 1,
-            Decision::Forward(order) => self.send(at, id, order),
+            Decision::Forward(order) => self.send(gateway_index, id, order),
         }
     }
 
-    fn send(&mut self, at: usize, id: StatementId, order: AttemptOrder) {
+    fn send(&mut self, gateway_index: usize, id: StatementId, order: AttemptOrder) {
         let running = &mut self.running[order.engine.0 as usize];
         *running += 1;
-        let slower = match self.plan.model {
+        let slowdown = match self.plan.model {
             EngineModel::Unloaded => 1.0,
             EngineModel::Shared => (f64::from(*running) / ENGINE_CORES).max(1.0),
         };
-        let answered = self.now + TimeDelta::from_secs(STATEMENT_CPU.secs() * slower);
+        let answered = self.now + TimeDelta::from_secs(STATEMENT_CPU.secs() * slowdown);
         let timed_out = answered >= order.due;
-        let gateway = &mut self.gateways[at];
+        let gateway = &mut self.gateways[gateway_index];
         *gateway.sent.entry(order.engine).or_default() += 1;
         let opened = gateway
             .pools
@@ -349,17 +366,17 @@
                 timed_out,
             },
         );
-        self.at(
+        self.schedule(
             answered.min(order.due),
             Event::End {
-                gateway: at,
+                gateway: gateway_index,
                 statement: id,
             },
         );
     }
 
-    fn end(&mut self, at: usize, id: StatementId) {
-        let gateway = &mut self.gateways[at];
+    fn on_attempt_end(&mut self, gateway_index: usize, id: StatementId) {
+        let gateway = &mut self.gateways[gateway_index];
         let Some(Attempt {
             order,
             sent,
@@ -384,19 +401,19 @@
             completed
         };
         let latency = self.now - sent;
-        let begun = Instant::now();
-        let verdict =
+        let started = Instant::now();
+        let follow_up =
             gateway
                 .dispatch
                 .report(self.now, id, order.attempt, event, latency, !timed_out);
-        self.work.report += begun.elapsed();
+        self.work.report += started.elapsed();
         self.totals.completed += u64::from(!timed_out);
         self.totals.timed_out += u64::from(timed_out);
-        self.totals.rejected += u64::from(verdict != dispatch::FollowUp::None);
-        self.turn(at);
+        self.totals.rejected += u64::from(follow_up != dispatch::FollowUp::None);
+        self.turn(gateway_index);
     }
 
-    /// Engines that each gateway sent to since counting began.
+    /// Returns the number of engines that each gateway sent statements to since counting began.
     pub(crate) fn engines_used(&self) -> Vec<f64> {
         self.gateways
             .iter()
@@ -404,7 +421,7 @@
             .collect()
     }
 
-    /// Statements that each engine got since counting began.
+    /// Returns the number of statements that each engine received since counting began.
     pub(crate) fn statements_by_engine(&self) -> Vec<f64> {
         let mut counts = vec![0.0; self.plan.engines as usize];
         for (engine, sent) in self.gateways.iter().flat_map(|gateway| &gateway.sent) {
@@ -413,7 +430,7 @@
         counts
     }
 
-    /// Connections that stand open at each engine by now.
+    /// Returns the number of open connections at each engine.
     pub(crate) fn connections_by_engine(&mut self) -> Vec<f64> {
         let mut counts = vec![0.0; self.plan.engines as usize];
         for (engine, pool) in self
@@ -427,7 +444,7 @@
         counts
     }
 
-    /// Open connections of each gateway by now.
+    /// Returns the number of open connections of each gateway.
     pub(crate) fn connections_by_gateway(&mut self) -> Vec<f64> {
         let (now, idle_s) = (self.now, self.pool_idle_s);
         let open = |pool: &mut Pool| {
--- a/crates/dispatch/src/decision.rs
+++ b/crates/dispatch/src/decision.rs
@@ -1,97 +1,103 @@
-//! What goes into the dispatcher and what comes out of it.
+//! The inputs and outputs of the dispatcher.
 
 use admission::interface::{
     AttemptNumber, ClassId, DiscoveryRequest, EngineId, OrderKey, StatementId, TableGroupId,
     TenantId, TimeDelta, Timestamp,
 };
 
-/// A statement as it comes from a client, as far as the decisions need it.
+/// The properties of a client's statement that the admission policy needs.
 #[derive(Clone, Copy, Debug)]
 pub struct StatementRequest {
-    /// Its query class.
+    /// The query class.
     pub class: ClassId,
-    /// Whose it is.
+    /// The tenant that sent the statement.
     pub tenant: TenantId,
-    /// The tables that it reads.
+    /// The table group that the statement reads.
     pub group: TableGroupId,
-    /// Its CPU as the client estimates it; none where not told.
+    /// The client's estimate of the CPU time, or `None` if the client gave none.
     pub estimate: Option<TimeDelta>,
-    /// Its memory as the client estimates it, in MB; 0 where not told.
+    /// The client's estimate of the memory in MB, or 0 if the client gave none.
     pub memory_mb: f64,
-    /// The key that orders it among others.
+    /// The ordering key, or `None` if the statement has none.
     pub key: Option<OrderKey>,
-    /// It carries the key by which engines recognise its repeats.
+    /// Whether the statement carries an idempotency key.
     pub has_idempotency_key: bool,
-    /// How long its client still waits.
+    /// How long the client still waits for the answer.
     pub budget: TimeDelta,
 }
 
-/// An attempt to be sent now.
+/// An instruction to send an attempt to an engine now.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AttemptOrder {
-    /// Which attempt of the statement it is.
+    /// The attempt's number within its statement.
     pub attempt: AttemptNumber,
-    /// The engine that it goes to.
+    /// The engine to send the attempt to.
     pub engine: EngineId,
-    /// It is given up after this time; none: at the statement's deadline.
+    /// The time after which the attempt is given up, or `None` to wait until the statement's
+    /// deadline.
     pub timeout: Option<TimeDelta>,
-    /// When it has timed out: after its timeout, at the latest at the statement's deadline.
+    /// When the attempt times out: after `timeout`, but no later than the statement's deadline.
     pub due: Timestamp,
-    /// The priority to tell its engine; none where engines heed none.
+    /// The priority to send to the engine, or `None` if engines ignore priorities.
     pub priority: Option<u8>,
-    /// The priority differs from that of the statement's attempt before.
+    /// Whether the priority differs from the one that the statement's previous attempt carried.
     pub priority_changed: bool,
-    /// A repeat that has not left by then must not leave any more; none: there is no such time.
+    /// The time by which a repeat has to leave the gateway, since engines may afterwards have
+    /// forgotten the idempotency key. `None` if there is no such limit.
     pub send_by: Option<Timestamp>,
-    /// The CPU that it is charged until its outcome tells.
+    /// The predicted CPU time that the attempt is charged until its outcome is known.
     pub charge: TimeDelta,
-    /// The statement had an attempt before.
+    /// Whether the statement had an earlier attempt.
     pub is_retry: bool,
-    /// Its engine is ejected: the outcome tells whether it stays so.
+    /// Whether the engine is ejected and the attempt's outcome decides if it stays ejected.
     pub outlier_probe: bool,
 }
 
-/// What becomes of a statement now.
+/// The decision on a statement.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Decision {
     /// Send this attempt now.
     Forward(AttemptOrder),
-    /// It waits in the queue; a later tick names it.
+    /// The statement waits in the queue. A later tick returns the decision on it.
     Queued,
-    /// It certainly had no effect: trying again is harmless.
+    /// The statement is given up. It had no effect, or repeating it is harmless, so the client may
+    /// retry it.
     Reject {
-        /// How long the client is told to wait; none: it is told nothing.
+        /// How long the client is asked to wait before it retries, or `None` to give no delay.
         retry_after: Option<TimeDelta>,
     },
-    /// It could not be completed, and may have run.
+    /// The statement is given up and may have run, so a retry by the client could repeat its
+    /// effect.
     Fail,
 }
 
-/// What the caller does after a report, beside what a later tick names.
+/// The action that the caller takes after reporting an event of an attempt. A statement that goes
+/// back into the queue needs no action; a later [`Tick`] returns the decision on it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FollowUp {
-    /// Nothing.
+    /// Do nothing.
     None,
     /// Cancel this attempt at its engine.
     Cancel(AttemptNumber),
-    /// Answer as [`Decision::Reject`] does.
+    /// Answer the client as for [`Decision::Reject`].
     Reject {
-        /// How long the client is told to wait; none: it is told nothing.
+        /// How long the client is asked to wait before it retries, or `None` to give no delay.
         retry_after: Option<TimeDelta>,
     },
-    /// Answer as [`Decision::Fail`] does.
+    /// Answer the client as for [`Decision::Fail`].
     Fail,
 }
 
-/// What is due at a tick, and when the next one is.
+/// The actions that are due at a tick, and the time of the next one.
 #[derive(Debug, Default)]
 pub struct Tick {
-    /// Statements that leave the queue, in its order; never with [`Decision::Queued`].
+    /// The statements that leave the queue, in queue order, with the decision on each. The decision
+    /// is never [`Decision::Queued`].
     pub due: Vec<(StatementId, Decision)>,
-    /// Engines to probe now.
+    /// The engines to probe now.
     pub probe: Vec<EngineId>,
-    /// What to request from the discovery service now.
+    /// The request to send to the discovery service now, or `None` if no request is due.
     pub discovery: Option<DiscoveryRequest>,
-    /// The next tick is due after this time, if nothing happens before.
+    /// The time until the next tick is due, unless an event comes earlier.
     pub wait: TimeDelta,
 }
--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -1,4 +1,4 @@
-//! The facade: open statements, the queue, and the calls that lead to the policy.
+//! Keeps the open statements and the queue, and calls the policy for each decision.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,12 +11,12 @@
 
 use crate::decision::{AttemptOrder, Decision, FollowUp, StatementRequest, Tick};
 
-/// A statement between its receipt and the end of its last attempt.
+/// A statement that lacks its final answer or has an attempt in flight.
 struct OpenStatement {
     statement: Statement,
-    /// Its final answer is given, or nobody waits for one.
+    /// Whether the statement has its final answer, or its client no longer waits for one.
     answered: bool,
-    /// The priority that its last attempt carried.
+    /// The priority that the last attempt carried, or `None` if no attempt carried one.
     priority: Option<u8>,
 }
 
@@ -29,19 +29,20 @@
     }
 }
 
-/// One gateway's decisions; it shares nothing with another.
+/// The open statements and the queue of one gateway. Dispatchers share no state.
 pub struct Dispatcher {
     policy: Policy,
-    /// Emptied by the final answer and the end of the last attempt.
+    /// A statement stays here until it has its final answer and its last attempt has ended.
     statements: BTreeMap<StatementId, OpenStatement>,
-    /// Statements that wait here, and not in a queue ahead.
+    /// The statements that wait in this queue. Those in an upstream queue are not included.
     queue: BTreeSet<QueuePosition>,
-    /// The gateway ends then; what is received later is to be answered by then too.
+    /// When the gateway shuts down, or `None` if no shutdown is planned. It limits the deadlines of
+    /// all statements, including those received later.
     drain_deadline: Option<Timestamp>,
 }
 
 impl Dispatcher {
-    /// A dispatcher without statements that asks `policy`.
+    /// Creates a dispatcher without statements that takes its decisions from `policy`.
     pub fn new(policy: Policy) -> Self {
         Dispatcher {
             policy,
@@ -51,22 +52,29 @@
         }
     }
 
-    /// Takes a statement. One that is open already stays as it is.
+    /// Accepts a statement. Returns [`Decision::Queued`] without any change if a statement with
+    /// this number is open already.
     pub fn pick(
         &mut self,
         now: Timestamp,
         id: StatementId,
         request: &StatementRequest,
     ) -> Decision {
-        if !self.open(now, id, request) {
+        if !self.open_statement(now, id, request) {
             return Decision::Queued;
         }
-        // The first call only gives the position; `tick` places what is queued, once all reports are in.
+        // The first call to `place` only assigns a queue position. `tick` places the queued
+        // statements after all reports have been taken in.
         self.place(now, id)
     }
 
-    /// False where it is open already.
-    fn open(&mut self, now: Timestamp, id: StatementId, request: &StatementRequest) -> bool {
+    /// Adds a statement. Returns false if a statement with this number is open already.
+    fn open_statement(
+        &mut self,
+        now: Timestamp,
+        id: StatementId,
+        request: &StatementRequest,
+    ) -> bool {
         if self.statements.contains_key(&id) {
             return false;
         }
@@ -98,10 +106,11 @@
         true
     }
 
-    /// Opens a statement that waits in a queue ahead of this one: it gets its position, but waits in no queue here.
-    /// None: it is open already.
+    /// Opens a statement that waits in an upstream queue. The statement gets a queue position but
+    /// is not added to this queue. Returns `None` if a statement with this number is open already.
     ///
-    /// `borrowed` tells whether a statement of this predicted CPU comes beyond its tenant's share.
+    /// `borrowed` takes the predicted CPU time and returns whether the statement exceeds its
+    /// tenant's share.
     pub fn register(
         &mut self,
         now: Timestamp,
@@ -109,7 +118,7 @@
         request: &StatementRequest,
         borrowed: impl FnOnce(TimeDelta) -> bool,
     ) -> Option<(QueuePosition, Forecast)> {
-        if !self.open(now, id, request) {
+        if !self.open_statement(now, id, request) {
             return None;
         }
         let statement = &mut self.statements.get_mut(&id)?.statement;
@@ -121,16 +130,20 @@
         Some((position, self.policy.forecast(now, statement)))
     }
 
-    /// What an open statement would take by now.
+    /// Returns the current forecast for an open statement, or `None` if it is not open.
     pub fn forecast(&self, now: Timestamp, id: StatementId) -> Option<Forecast> {
         let open = self.statements.get(&id)?;
         Some(self.policy.forecast(now, &open.statement))
     }
 
-    /// Places a registered statement. [`Decision::Queued`]: there is no capacity for it now, and it waits on in the
-    /// queue ahead. An offer lasts an instant, so the policy's longest wait, which counts from it, never ends one.
+    /// Asks the policy for a decision on a registered statement. [`Decision::Queued`] means that no
+    /// engine has capacity now and that the statement stays in the upstream queue. The statement's
+    /// waiting time restarts at this call, so that the policy's limit on it never ends a statement
+    /// here.
     ///
-    /// `borrowed`: only spare capacity is for it.
+    /// `borrowed` states whether the statement may use spare capacity only.
+    ///
+    /// Returns [`Decision::Queued`] without any change if the statement is not open.
     pub fn offer(&mut self, now: Timestamp, id: StatementId, borrowed: bool) -> Decision {
         let Some(open) = self.statements.get_mut(&id) else {
             return Decision::Queued;
@@ -150,9 +163,13 @@
         decision
     }
 
-    /// Ends a statement that has nothing in flight: a queue ahead has no capacity for it, or its client has left.
+    /// Ends a statement that has no attempt in flight, because an upstream queue has no capacity
+    /// for it or because its client has left.
+    ///
+    /// `retry_after` is the estimated time until such a statement would be admitted. The policy
+    /// limits it to the delays that clients may be given.
     ///
-    /// `retry_after`: about so long until it would be kept; the policy cuts it to what clients may be told.
+    /// Returns [`Decision::Queued`] without any change if the statement is not open.
     pub fn reject(&mut self, now: Timestamp, id: StatementId, retry_after: TimeDelta) -> Decision {
         let Some(open) = self.statements.get_mut(&id) else {
             return Decision::Queued;
@@ -169,22 +186,27 @@
         }
     }
 
-    /// Whether a statement is open.
+    /// Returns whether the statement is open.
     pub fn contains(&self, id: StatementId) -> bool {
         self.statements.contains_key(&id)
     }
 
-    /// What this gateway carries, in even shares of all gateways' traffic; more than one where a peer is away.
+    /// Returns this gateway's traffic as a multiple of an even share among all gateways. It exceeds
+    /// 1 while a peer is absent.
     pub fn traffic_share(&self) -> f64 {
         self.policy.traffic_share()
     }
 
-    /// Cores of the engines in use, as this gateway's share.
+    /// Returns this gateway's share of the cores of the engines in use.
     pub fn capacity(&self, now: Timestamp) -> f64 {
         self.policy.capacity(now)
     }
 
-    /// What happened to an attempt, whether it ended by that or not. `answered`: the client has its answer.
+    /// Takes in an event of an attempt and returns the action that follows. The event need not end
+    /// the attempt. A report on an attempt that has ended already is ignored.
+    ///
+    /// `latency` is the time since the attempt was sent. `answered` states whether the client has
+    /// its final answer.
     pub fn report(
         &mut self,
         now: Timestamp,
@@ -211,12 +233,12 @@
             answered: answered || open.answered,
         };
         let next = self.policy.on_attempt_report(now, &open.statement, &report);
-        let follow_up = self.follow(now, id, next);
+        let follow_up = self.apply_next_step(now, id, next);
         self.close_if_done(id);
         follow_up
     }
 
-    fn follow(&mut self, now: Timestamp, id: StatementId, next: NextStep) -> FollowUp {
+    fn apply_next_step(&mut self, now: Timestamp, id: StatementId, next: NextStep) -> FollowUp {
         let Some(open) = self.statements.get_mut(&id) else {
             return FollowUp::None;
         };
@@ -237,7 +259,7 @@
         }
     }
 
-    /// Places all that is queued, the earliest deadline first.
+    /// Asks the policy for a decision on every queued statement, earliest deadline first.
     pub fn tick(&mut self, now: Timestamp) -> Tick {
         let mut due = Vec::new();
         for position in self.queue_positions() {
@@ -259,17 +281,19 @@
         }
     }
 
-    /// All that waits here, in the order of the queue.
+    /// Returns the positions of the statements in this queue, in queue order.
     pub fn queue_positions(&self) -> Vec<QueuePosition> {
         self.queue.iter().copied().collect()
     }
 
-    /// The end of a tick, with so many more statements that wait in a queue ahead.
-    pub fn end_turn(&mut self, now: Timestamp, waiting_ahead: usize) -> Wakeup {
-        self.policy.end_turn(now, self.queue.len() + waiting_ahead)
+    /// Ends a tick. `waiting_upstream` is the number of statements that wait in an upstream queue.
+    pub fn end_turn(&mut self, now: Timestamp, waiting_upstream: usize) -> Wakeup {
+        self.policy
+            .end_turn(now, self.queue.len() + waiting_upstream)
     }
 
-    /// The client no longer waits: no answer is owed, attempts in flight still report.
+    /// Records that the client no longer waits for an answer. Attempts in flight are still
+    /// reported.
     pub fn client_left(&mut self, id: StatementId) {
         let Some(open) = self.statements.get_mut(&id) else {
             return;
@@ -282,37 +306,38 @@
         self.close_if_done(id);
     }
 
-    /// What discovery says of the list of engines.
+    /// Takes in an update of the list of engines.
     pub fn on_endpoint_update(&mut self, now: Timestamp, update: &EndpointUpdate) {
         self.policy.on_endpoint_update(now, update);
     }
 
-    /// What an engine says of its load.
+    /// Takes in an engine's report of its load.
     pub fn on_load_report(&mut self, engine: EngineId, report: &LoadReport) {
         self.policy.on_load_report(engine, report);
     }
 
-    /// Engines that other gateways lost statements to.
+    /// Takes in reports on engines at which other gateways lost statements.
     pub fn on_outlier_gossip(&mut self, now: Timestamp, reports: &[OutlierReport]) {
         self.policy.on_outlier_gossip(now, reports);
     }
 
-    /// What this gateway may still use of quotas that all gateways share.
+    /// Replaces the grant of what this gateway may still use of the quotas that all gateways share.
     pub fn on_quota(&mut self, grant: QuotaGrant) {
         self.policy.on_quota(grant);
     }
 
-    /// Whether each engine is ejected here.
+    /// Returns whether this gateway has ejected each engine.
     pub fn health(&self) -> impl Iterator<Item = EngineHealth> {
         self.policy.health()
     }
 
-    /// Each engine as the decisions see it.
+    /// Returns the policy's view of each engine.
     pub fn engines(&self) -> impl Iterator<Item = EngineView> {
         self.policy.engines()
     }
 
-    /// The gateway ends: what is open is to be answered by then.
+    /// Prepares the shutdown of the gateway at `deadline`: every statement has to be answered by
+    /// then.
     pub fn drain_by(&mut self, deadline: Timestamp) {
         self.drain_deadline = Some(deadline);
         for open in self.statements.values_mut() {
@@ -320,7 +345,7 @@
         }
     }
 
-    /// A statement is dropped once it is answered and its last attempt has an outcome.
+    /// Forgets the statement if it has its final answer and no attempt in flight.
     fn close_if_done(&mut self, id: StatementId) {
         let done = |open: &OpenStatement| open.answered && !open.has_attempt_in_flight();
         if self.statements.get(&id).is_some_and(done) {
@@ -328,7 +353,8 @@
         }
     }
 
-    /// Places one that waits in the queue.
+    /// Asks the policy for a decision on a statement and adds it to or removes it from the queue.
+    /// Returns [`Decision::Queued`] without any change if the statement is not open.
     pub fn place(&mut self, now: Timestamp, id: StatementId) -> Decision {
         let Some(open) = self.statements.get_mut(&id) else {
             return Decision::Queued;
@@ -347,7 +373,7 @@
                 attempt,
                 timeout,
                 priority,
-            } => return Decision::Forward(self.start(now, id, attempt, timeout, priority)),
+            } => return Decision::Forward(self.start_attempt(now, id, attempt, timeout, priority)),
             Placement::Reject { retry_after } => Decision::Reject { retry_after },
             Placement::Fail | Placement::Queue(_) => Decision::Fail,
         };
@@ -356,7 +382,7 @@
         decision
     }
 
-    fn start(
+    fn start_attempt(
         &mut self,
         now: Timestamp,
         id: StatementId,
@@ -364,10 +390,13 @@
         timeout: Option<TimeDelta>,
         priority: Option<u8>,
     ) -> AttemptOrder {
-        let open = self.statements.get_mut(&id).expect("placed just now");
+        let open = self
+            .statements
+            .get_mut(&id)
+            .expect("the statement was just placed");
         let statement = &mut open.statement;
         let number = AttemptNumber(statement.attempts.len() as u16);
-        // Told by the attempts before this one.
+        // Only the earlier attempts determine the limit, so it is read before this one is added.
         let send_by = self.policy.repeat_until(statement);
         let is_retry = !statement.attempts.is_empty();
         let priority_changed = priority.is_some() && priority != open.priority;
@@ -390,7 +419,7 @@
     }
 }
 
-/// What is known of an attempt in flight after an event.
+/// Returns the state of an attempt after an event.
 fn state_after(event: AttemptEvent) -> AttemptState {
     match event {
         AttemptEvent::Progress(_) | AttemptEvent::Stalled | AttemptEvent::Streaming => {
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -1,9 +1,11 @@
-//! The decisions in blocking style, as a client library is called: [`Dispatcher::pick`] an engine for a statement,
-//! [`Dispatcher::report`] what happened to an attempt, [`Dispatcher::tick`] for the queued statements now due and when
-//! to wake. What is learned of engines and quotas is passed in beside them.
+//! A synchronous interface to the admission policy, for use like a client library.
 //!
-//! The dispatcher owns the open statements, the queue and the states of attempts. It decides nothing: every choice is
-//! made by [`admission::policy`].
+//! The caller submits a statement with [`Dispatcher::pick`], reports events of its attempts with
+//! [`Dispatcher::report`], and calls [`Dispatcher::tick`] for the queued statements that are due
+//! and the time of the next tick. Separate methods take in updates about engines and quotas.
+//!
+//! The dispatcher holds the open statements, the queue and the states of attempts. It makes no
+//! decisions of its own: every decision comes from [`admission::policy`].
 
 mod decision;
 mod dispatcher;
--- a/crates/dispatch/tests/cold_engine.rs
+++ b/crates/dispatch/tests/cold_engine.rs
@@ -1,5 +1,5 @@
-//! Many gateways' decisions before one engine that has just started, in handed-in time. None knows of the others, and all
-//! together must not send it so much that it falls.
+//! Checks that many gateways, which do not exchange any state, together do not overload an engine
+//! that has just started. The tests run in simulated time.
 
 use std::collections::VecDeque;
 
@@ -14,41 +14,44 @@
 use rand_pcg::Pcg64Mcg;
 
 const CORES: f64 = 8.0;
-const COLD: SlowStart = SlowStart {
+const SLOW_START: SlowStart = SlowStart {
     initial_share: 0.4,
     warm_up: TimeDelta::from_micros(20_000_000),
     overload_multiple: 2.5,
     window: TimeDelta::from_micros(2_000_000),
 };
-const COLD_ENGINE: EngineId = EngineId(0);
+/// The engine in slow start.
+const STARTING_ENGINE: EngineId = EngineId(0);
 const STARTED_S: f64 = 1000.0;
 const STEP_S: f64 = 0.02;
 const STEPS: usize = 700;
-/// Statements that come to each gateway in the first step.
+/// The number of statements that arrive at each gateway in the first step.
 const BURST: usize = 20;
-/// Longer than any statement may be held, so that demand never ends.
-const BUDGET_S: f64 = 4.0;
+/// The time limit of a statement. It exceeds the longest time that a statement may wait, so that
+/// there is always demand.
+const TIME_LIMIT_S: f64 = 4.0;
 
-fn span(secs: f64) -> TimeDelta {
+fn seconds(secs: f64) -> TimeDelta {
     TimeDelta::from_secs(secs)
 }
 
-/// What the cold engine does with what comes. All of it counts against it, also what it rejects.
+/// What the engine in slow start does with an attempt. Rejected attempts count towards its load
+/// too.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Does {
+enum EngineBehavior {
     CompletesAtOnce,
     Rejects,
 }
 
-/// One run.
+/// The parameters of a run.
 #[derive(Clone, Copy, Debug)]
 struct Case {
     gateways: usize,
-    /// Mean work of a statement, in CPU seconds.
-    mean_s: f64,
-    /// Engines beside it that are warm, take all and answer nothing.
-    hung: u32,
-    does: Does,
+    /// The mean CPU time of a statement, in seconds.
+    mean_cpu_s: f64,
+    /// The number of further engines. They are warm, accept every attempt and answer none.
+    hung_engines: u32,
+    behavior: EngineBehavior,
     seed: u64,
 }
 
@@ -57,9 +60,9 @@
         effect: Effect::Idempotent,
         priority_weight: 1.0,
         late_priority_weight: 1.0,
-        latency_objective: span(BUDGET_S),
+        latency_objective: seconds(TIME_LIMIT_S),
         latency_objective_stretch: 2.0,
-        time_limit: span(BUDGET_S),
+        time_limit: seconds(TIME_LIMIT_S),
         threads: 1.0,
         ordered_by_key: false,
         locations: None,
@@ -76,13 +79,13 @@
     let retry_policy = RetryPolicy {
         max_attempts: 3,
         can_cancel: false,
-        max_retry_after: Some(span(0.4)),
+        max_retry_after: Some(seconds(0.4)),
         order_settle: TimeDelta::ZERO,
         retry_budget: None,
     };
     let discovery = DiscoveryMode {
         on_request: false,
-        request_within: span(10.0),
+        request_within: seconds(10.0),
     };
     let seed = case.seed * 1000 + number as u64;
     let tenant_quotas = TenantQuotas {
@@ -93,13 +96,16 @@
         classes: vec![class],
         tenant_quotas,
         fleet,
-        slow_start: Some(COLD),
+        slow_start: Some(SLOW_START),
         retry_policy,
         discovery,
     };
     let mut gateway = Dispatcher::new(Policy::new(config, seed));
-    let mut engines = vec![engine(COLD_ENGINE.0, Some(Timestamp::from_secs(STARTED_S)))];
-    engines.extend((1..=case.hung).map(|id| engine(id, None)));
+    let mut engines = vec![engine(
+        STARTING_ENGINE.0,
+        Some(Timestamp::from_secs(STARTED_S)),
+    )];
+    engines.extend((1..=case.hung_engines).map(|id| engine(id, None)));
     gateway.on_endpoint_update(
         Timestamp::from_secs(STARTED_S),
         &EndpointUpdate::Snapshot(engines),
@@ -120,50 +126,56 @@
     }
 }
 
-/// The engine's own count of what came within its window.
+/// The load on the engine in slow start, counted at the engine.
 #[derive(Default)]
-struct Cold {
-    came: VecDeque<f64>,
+struct EngineLoad {
+    /// The arrival times within the window, in seconds.
+    arrivals: VecDeque<f64>,
     total: usize,
 }
 
-impl Cold {
-    /// Takes one. It falls beyond N + 2 x root of N + 2, N being the statements of mean work that the settings allow it in
-    /// the time that they name; its least in that time counts.
-    fn take(&mut self, now_s: f64, case: Case) {
+impl EngineLoad {
+    /// Counts an attempt and panics if the engine is overloaded.
+    ///
+    /// The bound is N + 2 sqrt(N) + 2 attempts within the window. N is the number of statements of
+    /// mean cost that the settings allow the engine within the window, at the capacity that the
+    /// engine has when the window begins.
+    fn record_arrival(&mut self, now_s: f64, case: Case) {
         self.total += 1;
-        self.came.push_back(now_s);
+        self.arrivals.push_back(now_s);
         while self
-            .came
+            .arrivals
             .front()
-            .is_some_and(|then| now_s - then >= COLD.window.secs())
+            .is_some_and(|arrived_s| now_s - arrived_s >= SLOW_START.window.secs())
         {
-            self.came.pop_front();
+            self.arrivals.pop_front();
         }
-        let age = (self.came[0] - STARTED_S) / COLD.warm_up.secs();
-        let share = COLD.initial_share + (1.0 - COLD.initial_share) * age.clamp(0.0, 1.0);
-        let allowed = COLD.overload_multiple * share * CORES * COLD.window.secs() / case.mean_s;
+        let age = (self.arrivals[0] - STARTED_S) / SLOW_START.warm_up.secs();
+        let share =
+            SLOW_START.initial_share + (1.0 - SLOW_START.initial_share) * age.clamp(0.0, 1.0);
+        let allowed = SLOW_START.overload_multiple * share * CORES * SLOW_START.window.secs()
+            / case.mean_cpu_s;
         let bound = allowed + 2.0 * allowed.sqrt() + 2.0;
         assert!(
-            self.came.len() as f64 <= bound,
-            "{case:?}: it fell after {:.2} s: {} came within its window, and it bears {bound:.1}",
+            self.arrivals.len() as f64 <= bound,
+            "{case:?}: overloaded after {:.2} s by {} attempts in the window, bound {bound:.1}",
             now_s - STARTED_S,
-            self.came.len()
+            self.arrivals.len()
         );
     }
 }
 
 /// An attempt in flight.
-struct Sent {
+struct SentAttempt {
     statement: StatementId,
     order: AttemptOrder,
     sent: Timestamp,
 }
 
-/// One gateway and what it has in flight.
+/// A gateway with its attempts in flight.
 struct Gateway {
     dispatcher: Dispatcher,
-    in_flight: Vec<Sent>,
+    in_flight: Vec<SentAttempt>,
 }
 
 impl Gateway {
@@ -174,10 +186,12 @@
         }
     }
 
-    /// Attempts at the cold engine end at once, the others when they are due.
+    /// Ends the attempts at the engine in slow start at once, and the other attempts when they time
+    /// out.
     fn end_attempts(&mut self, now: Timestamp, case: Case) {
-        let ends = |sent: &mut Sent| sent.order.engine == COLD_ENGINE || sent.order.due <= now;
-        let ended: Vec<Sent> = self.in_flight.extract_if(.., ends).collect();
+        let ends =
+            |sent: &mut SentAttempt| sent.order.engine == STARTING_ENGINE || sent.order.due <= now;
+        let ended: Vec<SentAttempt> = self.in_flight.extract_if(.., ends).collect();
         for sent in ended {
             let event = event(case, &sent.order);
             let answered = matches!(event, AttemptEvent::Completed { .. });
@@ -193,6 +207,7 @@
         }
     }
 
+    /// Runs a tick and returns the engines that attempts were sent to.
     fn send(&mut self, now: Timestamp) -> Vec<EngineId> {
         let mut engines = Vec::new();
         for (statement, decision) in self.dispatcher.tick(now).due {
@@ -200,7 +215,7 @@
                 continue;
             };
             engines.push(order.engine);
-            self.in_flight.push(Sent {
+            self.in_flight.push(SentAttempt {
                 statement,
                 order,
                 sent: now,
@@ -211,13 +226,13 @@
 }
 
 fn event(case: Case, order: &AttemptOrder) -> AttemptEvent {
-    match case.does {
-        _ if order.engine != COLD_ENGINE => AttemptEvent::TimedOut,
-        Does::CompletesAtOnce => AttemptEvent::Completed {
+    match case.behavior {
+        _ if order.engine != STARTING_ENGINE => AttemptEvent::TimedOut,
+        EngineBehavior::CompletesAtOnce => AttemptEvent::Completed {
             cpu: Some(order.charge),
             memory_mb: None,
         },
-        Does::Rejects => AttemptEvent::Rejected,
+        EngineBehavior::Rejects => AttemptEvent::Rejected,
     }
 }
 
@@ -226,69 +241,72 @@
         class: ClassId(0),
         tenant: TenantId(0),
         group: TableGroupId(rng.random_range(0..8)),
-        estimate: Some(span(case.mean_s * rng.random_range(0.2..1.8))),
+        estimate: Some(seconds(case.mean_cpu_s * rng.random_range(0.2..1.8))),
         memory_mb: 0.0,
         key: None,
         has_idempotency_key: false,
-        budget: span(BUDGET_S),
+        budget: seconds(TIME_LIMIT_S),
     }
 }
 
-/// All gateways in step: a burst, and then twice what the engine bears when warm. How many came to the cold engine.
+/// Runs all gateways with an initial burst of statements, followed by twice the load that the warm
+/// engine can take. Returns the number of attempts sent to the engine in slow start.
 fn run(case: Case) -> usize {
     let mut rng = Pcg64Mcg::seed_from_u64(case.seed);
     let mut gateways: Vec<Gateway> = (0..case.gateways)
         .map(|number| Gateway::new(case, number))
         .collect();
-    let mut cold = Cold::default();
+    let mut load = EngineLoad::default();
     let mut next_id = 0;
-    let per_step = (2.0 * CORES / case.mean_s / case.gateways as f64 * STEP_S).max(0.2);
+    let arrivals_per_step =
+        (2.0 * CORES / case.mean_cpu_s / case.gateways as f64 * STEP_S).max(0.2);
     for step in 0..STEPS {
         let now_s = STARTED_S + step as f64 * STEP_S;
         let now = Timestamp::from_secs(now_s);
         for gateway in &mut gateways {
             gateway.end_attempts(now, case);
             let burst = if step == 0 { BURST } else { 0 };
-            let more = per_step.trunc() as usize + usize::from(rng.random_bool(per_step.fract()));
-            for _ in 0..burst + more {
+            let steady = arrivals_per_step.trunc() as usize
+                + usize::from(rng.random_bool(arrivals_per_step.fract()));
+            for _ in 0..burst + steady {
                 next_id += 1;
                 let request = request(case, &mut rng);
                 let decision = gateway.dispatcher.pick(now, StatementId(next_id), &request);
                 assert_eq!(decision, Decision::Queued);
             }
             for engine in gateway.send(now) {
-                if engine == COLD_ENGINE {
-                    cold.take(now_s, case);
+                if engine == STARTING_ENGINE {
+                    load.record_arrival(now_s, case);
                 }
             }
         }
     }
-    cold.total
+    load.total
 }
 
 #[test]
 fn twenty_to_thirty_gateways_do_not_overload_an_engine_in_slow_start() {
     for gateways in [20, 25, 30] {
-        for mean_s in [0.1, 0.5, 1.0, 2.0] {
-            for (hung, does) in [
-                (0, Does::CompletesAtOnce),
-                (3, Does::CompletesAtOnce),
-                (0, Does::Rejects),
+        for mean_cpu_s in [0.1, 0.5, 1.0, 2.0] {
+            for (hung_engines, behavior) in [
+                (0, EngineBehavior::CompletesAtOnce),
+                (3, EngineBehavior::CompletesAtOnce),
+                (0, EngineBehavior::Rejects),
             ] {
-                let came: usize = (0..3)
+                let arrivals: usize = (0..3)
                     .map(|seed| {
                         run(Case {
                             gateways,
-                            mean_s,
-                            hung,
-                            does,
+                            mean_cpu_s,
+                            hung_engines,
+                            behavior,
                             seed,
                         })
                     })
                     .sum();
                 assert!(
-                    came > 0,
-                    "{gateways}, {mean_s}, {hung}, {does:?}: it was never used"
+                    arrivals > 0,
+                    "{gateways}, {mean_cpu_s}, {hung_engines}, {behavior:?}: no attempt was sent"
                 );
             }
         }
--- a/crates/dispatch/tests/random.rs
+++ b/crates/dispatch/tests/random.rs
@@ -1,5 +1,9 @@
-//! Random days through the facade. After every step: one attempt in flight a statement, one final answer each and in
-//! time, nothing after it, no attempt to an engine told draining or gone, none beyond what effects allow.
+//! Runs random workloads through the dispatcher and checks these invariants after every step:
+//!
+//! - A statement has at most one attempt in flight.
+//! - It gets one final answer, by its deadline, and no attempt afterwards.
+//! - No attempt is sent to an engine that is draining or removed.
+//! - No attempt repeats a statement whose effect must not happen twice.
 
 use std::collections::BTreeMap;
 
@@ -17,10 +21,10 @@
 
 const ENGINES: u32 = 4;
 const STEP_S: f64 = 0.02;
-const MOST: usize = 4;
+const MAX_ATTEMPTS: usize = 4;
 const WINDOW_S: f64 = 1.0;
 
-fn span(secs: f64) -> TimeDelta {
+fn seconds(secs: f64) -> TimeDelta {
     TimeDelta::from_secs(secs)
 }
 
@@ -29,9 +33,9 @@
         effect,
         priority_weight: 1.0,
         late_priority_weight: 0.2,
-        latency_objective: span(0.5),
+        latency_objective: seconds(0.5),
         latency_objective_stretch: 2.0,
-        time_limit: span(2.0),
+        time_limit: seconds(2.0),
         threads: 1.0,
         ordered_by_key: false,
         locations: None,
@@ -45,25 +49,25 @@
         Effect::Idempotent,
         Effect::IdempotentByKey {
             scope,
-            window: span(WINDOW_S),
+            window: seconds(WINDOW_S),
         },
         Effect::NonIdempotent,
     ]
 }
 
-fn dispatch(seed: u64) -> Dispatcher {
+fn new_dispatcher(seed: u64) -> Dispatcher {
     let (cores, memory_mb) = (vec![8.0], vec![1000.0]);
     let fleet = FleetConfig {
         peers: 1.0,
         cores,
         memory_mb,
-        progress_interval: Some(span(0.5)),
+        progress_interval: Some(seconds(0.5)),
         priorities_honored: true,
         idle_timeout: None,
     };
-    let max_retry_after = Some(span(0.5));
+    let max_retry_after = Some(seconds(0.5));
     let retry_policy = RetryPolicy {
-        max_attempts: MOST,
+        max_attempts: MAX_ATTEMPTS,
         can_cancel: true,
         max_retry_after,
         order_settle: TimeDelta::ZERO,
@@ -71,7 +75,7 @@
     };
     let discovery = DiscoveryMode {
         on_request: false,
-        request_within: span(10.0),
+        request_within: seconds(10.0),
     };
     let classes = effects().map(class).to_vec();
     let config = PolicyConfig {
@@ -98,24 +102,26 @@
     }
 }
 
-/// What the checks keep of a statement by themselves.
+/// The state of a statement, tracked independently of the dispatcher.
 #[derive(Default)]
-struct Seen {
+struct TrackedStatement {
+    /// The statement's class, as an index into [`effects`].
     effect: usize,
     deadline: f64,
     in_flight: Option<AttemptOrder>,
+    /// When the last attempt was sent.
     sent: f64,
     attempts: usize,
     may_have_run: bool,
-    /// Of the first that may have run.
+    /// When the first attempt that may have run was sent.
     first_sent: Option<f64>,
     has_idempotency_key: bool,
     answered: bool,
 }
 
-impl Seen {
-    /// Nothing drops its repeats: it may not run twice.
-    fn never_twice(&self) -> bool {
+impl TrackedStatement {
+    /// Whether a repeat would take effect again, because no engine would drop it.
+    fn must_not_repeat(&self) -> bool {
         match effects()[self.effect] {
             Effect::Idempotent => false,
             Effect::IdempotentByKey { .. } => !self.has_idempotency_key,
@@ -124,121 +130,136 @@
     }
 }
 
-struct Day {
-    dispatch: Dispatcher,
+struct Workload {
+    dispatcher: Dispatcher,
     rng: Pcg64Mcg,
     now: f64,
-    next: u64,
-    seen: BTreeMap<StatementId, Seen>,
+    next_id: u64,
+    statements: BTreeMap<StatementId, TrackedStatement>,
     stages: BTreeMap<u32, EngineStage>,
-    /// The gateway ends then.
+    /// When the gateway shuts down.
     drain_deadline: f64,
 }
 
-impl Day {
+impl Workload {
     fn at(&self) -> Timestamp {
         Timestamp::from_secs(self.now)
     }
 
-    fn take(&mut self) {
+    fn receive(&mut self) {
         let (id, effect, budget) = (
-            StatementId(self.next),
+            StatementId(self.next_id),
             self.rng.random_range(0..3usize),
             self.rng.random_range(0.05..2.0),
         );
-        self.next += 1;
+        self.next_id += 1;
         let request = StatementRequest {
             class: ClassId(effect),
             tenant: TenantId(0),
             group: TableGroupId(self.rng.random_range(0..4)),
-            estimate: Some(span(self.rng.random_range(0.01..0.5))),
+            estimate: Some(seconds(self.rng.random_range(0.01..0.5))),
             memory_mb: 10.0,
             key: None,
             has_idempotency_key: self.rng.random_bool(0.8),
-            budget: span(budget),
+            budget: seconds(budget),
         };
         let (deadline, has_idempotency_key) = (
             (self.now + budget).min(self.drain_deadline),
             request.has_idempotency_key,
         );
-        self.seen.insert(
+        self.statements.insert(
             id,
-            Seen {
+            TrackedStatement {
                 effect,
                 deadline,
                 has_idempotency_key,
-                ..Seen::default()
+                ..TrackedStatement::default()
             },
         );
-        let decision = self.dispatch.pick(self.at(), id, &request);
-        self.decided(id, decision);
+        let decision = self.dispatcher.pick(self.at(), id, &request);
+        self.apply_decision(id, decision);
     }
 
-    fn decided(&mut self, id: StatementId, decision: Decision) {
-        let seen = self.seen.get_mut(&id).expect("never taken");
+    fn apply_decision(&mut self, id: StatementId, decision: Decision) {
+        let statement = self
+            .statements
+            .get_mut(&id)
+            .expect("the statement was received");
         match decision {
             Decision::Queued => {}
             Decision::Forward(order) => {
                 assert!(
-                    !seen.answered && seen.in_flight.is_none(),
-                    "{id:?}: a second attempt in flight, or one after the end"
+                    !statement.answered && statement.in_flight.is_none(),
+                    "{id:?} was sent with an attempt in flight or after its final answer"
                 );
                 assert_eq!(
                     self.stages[&order.engine.0],
                     EngineStage::Ready,
-                    "{id:?}: sent to {:?}",
+                    "{id:?} was sent to {:?}",
                     order.engine
                 );
-                assert!(!(seen.may_have_run && seen.never_twice()));
-                // A repeat stays within the window, and says until when it may leave.
-                let window = matches!(effects()[seen.effect], Effect::IdempotentByKey { .. })
-                    && seen.has_idempotency_key;
-                let until = seen
+                assert!(!(statement.may_have_run && statement.must_not_repeat()));
+                // A repeat is sent within the deduplication window, and its order states when that
+                // ends.
+                let has_window =
+                    matches!(effects()[statement.effect], Effect::IdempotentByKey { .. })
+                        && statement.has_idempotency_key;
+                let window_end = statement
                     .first_sent
-                    .filter(|_| window)
+                    .filter(|_| has_window)
                     .map(|sent| sent + WINDOW_S);
                 assert!(
-                    until.is_none_or(|until| self.now < until),
-                    "{id:?}: past its window"
+                    window_end.is_none_or(|window_end| self.now < window_end),
+                    "{id:?} was sent after its deduplication window"
                 );
-                assert_eq!(order.send_by, until.map(Timestamp::from_secs), "{id:?}");
-                assert_eq!(usize::from(order.attempt.0), seen.attempts);
-                assert!(order.due <= Timestamp::from_secs(seen.deadline));
-                seen.attempts += 1;
-                seen.sent = self.now;
-                assert!(seen.attempts <= MOST);
-                seen.in_flight = Some(order);
+                assert_eq!(
+                    order.send_by,
+                    window_end.map(Timestamp::from_secs),
+                    "{id:?}"
+                );
+                assert_eq!(usize::from(order.attempt.0), statement.attempts);
+                assert!(order.due <= Timestamp::from_secs(statement.deadline));
+                statement.attempts += 1;
+                statement.sent = self.now;
+                assert!(statement.attempts <= MAX_ATTEMPTS);
+                statement.in_flight = Some(order);
             }
-            Decision::Reject { .. } => self.answered(id, true),
-            Decision::Fail => self.answered(id, false),
+            Decision::Reject { .. } => self.record_answer(id, true),
+            Decision::Fail => self.record_answer(id, false),
         }
     }
 
-    fn answered(&mut self, id: StatementId, rejected: bool) {
-        let seen = self.seen.get_mut(&id).expect("never taken");
-        assert!(!seen.answered, "{id:?}: answered twice");
+    fn record_answer(&mut self, id: StatementId, rejected: bool) {
+        let statement = self
+            .statements
+            .get_mut(&id)
+            .expect("the statement was received");
+        assert!(!statement.answered, "{id:?} was answered twice");
         assert!(
-            seen.in_flight.is_none(),
-            "{id:?}: answered with an attempt in flight"
+            statement.in_flight.is_none(),
+            "{id:?} was answered with an attempt in flight"
         );
         assert!(
-            self.now <= seen.deadline + STEP_S + 1e-6,
-            "{id:?}: late by {}",
-            self.now - seen.deadline
+            self.now <= statement.deadline + STEP_S + 1e-6,
+            "{id:?} was answered {} s late",
+            self.now - statement.deadline
         );
-        let never = seen.may_have_run && seen.never_twice();
+        let must_not_repeat = statement.may_have_run && statement.must_not_repeat();
         assert!(
-            !(rejected && never),
-            "{id:?}: rejected though it may have run"
+            !(rejected && must_not_repeat),
+            "{id:?} was rejected although it may have run"
         );
-        seen.answered = true;
+        statement.answered = true;
     }
 
     fn report(&mut self, id: StatementId, attempt: AttemptNumber, event: AttemptEvent) {
-        let seen = self.seen.get_mut(&id).expect("never taken");
+        let statement = self
+            .statements
+            .get_mut(&id)
+            .expect("the statement was received");
         let still_in_flight = matches!(event, AttemptEvent::Progress(_) | AttemptEvent::Stalled);
         let completed = matches!(event, AttemptEvent::Completed { .. });
-        let never = matches!(
+        let did_not_run = matches!(
             event,
             AttemptEvent::Rejected
                 | AttemptEvent::NeverSent
@@ -246,22 +267,22 @@
                 | AttemptEvent::Withdrawn
         );
         if !still_in_flight {
-            let sent = seen.in_flight.take().map(|_| seen.sent);
-            seen.may_have_run |= !never;
-            seen.first_sent = seen.first_sent.or(sent.filter(|_| !never));
+            let sent = statement.in_flight.take().map(|_| statement.sent);
+            statement.may_have_run |= !did_not_run;
+            statement.first_sent = statement.first_sent.or(sent.filter(|_| !did_not_run));
         }
-        let answered = completed && !seen.answered;
+        let answered = completed && !statement.answered;
         if answered {
-            self.answered(id, false);
+            self.record_answer(id, false);
         }
         match self
-            .dispatch
-            .report(self.at(), id, attempt, event, span(0.1), completed)
+            .dispatcher
+            .report(self.at(), id, attempt, event, seconds(0.1), completed)
         {
             FollowUp::None => {}
             FollowUp::Cancel(attempt) => self.report(id, attempt, AttemptEvent::Cancelled),
-            FollowUp::Reject { .. } => self.answered(id, true),
-            FollowUp::Fail => self.answered(id, false),
+            FollowUp::Reject { .. } => self.record_answer(id, true),
+            FollowUp::Fail => self.record_answer(id, false),
         }
     }
 
@@ -269,35 +290,35 @@
         self.now += STEP_S;
         self.end_some_attempts();
         for _ in 0..self.rng.random_range(0..4) {
-            self.take();
+            self.receive();
         }
         self.change_an_engine();
-        self.let_a_client_leave();
-        self.reject_one_that_waits();
-        let tick = self.dispatch.tick(self.at());
+        self.disconnect_a_client();
+        self.reject_a_waiting_statement();
+        let tick = self.dispatcher.tick(self.at());
         assert!(tick.wait > TimeDelta::ZERO);
         for (id, decision) in tick.due {
             assert_ne!(decision, Decision::Queued);
-            self.decided(id, decision);
+            self.apply_decision(id, decision);
         }
         self.check_attempts_in_flight();
         self.check_deadlines();
-        self.seen
-            .retain(|_, seen| !seen.answered || seen.in_flight.is_some());
+        self.statements
+            .retain(|_, statement| !statement.answered || statement.in_flight.is_some());
     }
 
     fn end_some_attempts(&mut self) {
         let in_flight = self
-            .seen
+            .statements
             .iter()
-            .filter_map(|(id, seen)| Some((*id, seen.in_flight?)));
+            .filter_map(|(id, statement)| Some((*id, statement.in_flight?)));
         for (id, order) in in_flight.collect::<Vec<_>>() {
             let Some(event) = self.draw_event(&order) else {
                 continue;
             };
             self.report(id, order.attempt, event);
             if self.rng.random_bool(0.1) {
-                self.report_once_more(id, order.attempt);
+                self.report_again(id, order.attempt);
             }
         }
     }
@@ -306,7 +327,7 @@
         let event = match self.rng.random_range(0..40) {
             _ if order.due <= self.at() => AttemptEvent::TimedOut,
             0..8 => AttemptEvent::Completed {
-                cpu: Some(span(0.05)),
+                cpu: Some(seconds(0.05)),
                 memory_mb: Some(8.0),
             },
             8 => AttemptEvent::Error,
@@ -322,23 +343,30 @@
         Some(event)
     }
 
-    /// An outcome of an attempt that has one already changes nothing.
-    fn report_once_more(&mut self, id: StatementId, attempt: AttemptNumber) {
+    /// Reports an outcome of an attempt that may have ended already. A second outcome has no
+    /// effect.
+    fn report_again(&mut self, id: StatementId, attempt: AttemptNumber) {
         let event = AttemptEvent::Error;
         let follow_up = self
-            .dispatch
-            .report(self.at(), id, attempt, event, span(0.1), false);
-        assert!(follow_up == FollowUp::None || self.seen[&id].in_flight.is_some());
-        let seen = self.seen.get_mut(&id).expect("taken");
-        if seen.in_flight.is_none_or(|order| order.attempt != attempt) {
+            .dispatcher
+            .report(self.at(), id, attempt, event, seconds(0.1), false);
+        assert!(follow_up == FollowUp::None || self.statements[&id].in_flight.is_some());
+        let statement = self
+            .statements
+            .get_mut(&id)
+            .expect("the statement was received");
+        if statement
+            .in_flight
+            .is_none_or(|order| order.attempt != attempt)
+        {
             return;
         }
-        seen.in_flight = None;
-        seen.may_have_run = true;
-        seen.first_sent = seen.first_sent.or(Some(seen.sent));
+        statement.in_flight = None;
+        statement.may_have_run = true;
+        statement.first_sent = statement.first_sent.or(Some(statement.sent));
         match follow_up {
-            FollowUp::Reject { .. } => self.answered(id, true),
-            FollowUp::Fail => self.answered(id, false),
+            FollowUp::Reject { .. } => self.record_answer(id, true),
+            FollowUp::Fail => self.record_answer(id, false),
             FollowUp::None | FollowUp::Cancel(_) => {}
         }
     }
@@ -356,107 +384,120 @@
         ][self.rng.random_range(0..4)];
         self.stages.insert(id, stage);
         let update = EndpointUpdate::Events(vec![engine(id, stage)]);
-        self.dispatch.on_endpoint_update(self.at(), &update);
+        self.dispatcher.on_endpoint_update(self.at(), &update);
     }
 
-    fn last_of(&self, of: impl Fn(&Seen) -> bool) -> Option<StatementId> {
-        let found = self.seen.iter().rfind(|(_, seen)| of(seen));
+    fn last_matching(&self, matches: impl Fn(&TrackedStatement) -> bool) -> Option<StatementId> {
+        let found = self
+            .statements
+            .iter()
+            .rfind(|(_, statement)| matches(statement));
         found.map(|(id, _)| *id)
     }
 
-    fn let_a_client_leave(&mut self) {
-        let open = self.last_of(|seen| !seen.answered);
+    fn disconnect_a_client(&mut self) {
+        let open = self.last_matching(|statement| !statement.answered);
         if let Some(id) = open.filter(|_| self.rng.random_bool(0.03)) {
-            self.dispatch.client_left(id);
-            // No answer is owed; one that still came would be the second.
-            self.seen.get_mut(&id).expect("taken").answered = true;
+            self.dispatcher.client_left(id);
+            // The client expects no answer, so a later one counts as a second answer.
+            self.statements
+                .get_mut(&id)
+                .expect("the statement was received")
+                .answered = true;
         }
     }
 
-    /// Clients leave while they wait, with nothing in flight: one answer then, and nothing sent after it.
-    fn reject_one_that_waits(&mut self) {
-        let waiting = self.last_of(|seen| !seen.answered && seen.in_flight.is_none());
+    /// Rejects a statement that waits with no attempt in flight. It has to get one answer, and no
+    /// attempt afterwards.
+    fn reject_a_waiting_statement(&mut self) {
+        let waiting =
+            self.last_matching(|statement| !statement.answered && statement.in_flight.is_none());
         if let Some(id) = waiting.filter(|_| self.rng.random_bool(0.05)) {
-            let decision = self.dispatch.reject(self.at(), id, span(1.0));
+            let decision = self.dispatcher.reject(self.at(), id, seconds(1.0));
             assert!(
                 matches!(decision, Decision::Reject { .. } | Decision::Fail),
                 "{id:?}: {decision:?}"
             );
-            self.decided(id, decision);
+            self.apply_decision(id, decision);
         }
     }
 
     fn check_attempts_in_flight(&self) {
-        let mut sent = BTreeMap::new();
-        let engines = self.seen.values();
-        for engine in engines.filter_map(|seen| Some(seen.in_flight?.engine)) {
-            *sent.entry(engine).or_insert(0) += 1;
+        let mut expected = BTreeMap::new();
+        let statements = self.statements.values();
+        for engine in statements.filter_map(|statement| Some(statement.in_flight?.engine)) {
+            *expected.entry(engine).or_insert(0) += 1;
         }
-        let believed: BTreeMap<EngineId, u32> = self
-            .dispatch
+        let counted: BTreeMap<EngineId, u32> = self
+            .dispatcher
             .engines()
             .filter(|engine| engine.in_flight > 0)
             .map(|engine| (engine.id, engine.in_flight))
             .collect();
         assert_eq!(
-            believed, sent,
-            "attempts in flight, as believed and as they are"
+            counted, expected,
+            "the policy's count of attempts in flight is wrong"
         );
     }
 
     fn check_deadlines(&self) {
-        let overdue = |seen: &&Seen| !seen.answered && seen.deadline + STEP_S < self.now - 1e-6;
+        let overdue = |s: &&TrackedStatement| !s.answered && s.deadline + STEP_S < self.now - 1e-6;
         assert!(
-            self.seen.values().find(overdue).is_none(),
-            "an answer is overdue"
+            self.statements.values().find(overdue).is_none(),
+            "a statement is unanswered past its deadline"
         );
     }
 }
 
 #[test]
-fn random_days_keep_the_rules() {
-    fn day(seed: u64) -> bool {
-        let mut day = Day {
-            dispatch: dispatch(seed),
+fn random_workloads_keep_every_invariant() {
+    fn keeps_invariants(seed: u64) -> bool {
+        let mut workload = Workload {
+            dispatcher: new_dispatcher(seed),
             rng: Pcg64Mcg::seed_from_u64(seed),
             now: 100.0,
-            next: 0,
-            seen: BTreeMap::new(),
+            next_id: 0,
+            statements: BTreeMap::new(),
             stages: (1..=ENGINES).map(|id| (id, EngineStage::Ready)).collect(),
             drain_deadline: f64::INFINITY,
         };
-        let list = (1..=ENGINES)
+        let engines = (1..=ENGINES)
             .map(|id| engine(id, EngineStage::Ready))
             .collect();
-        day.dispatch
-            .on_endpoint_update(day.at(), &EndpointUpdate::Snapshot(list));
-        (0..600).for_each(|_| day.step());
-        // It ends: what is in hand and what still comes is answered by then.
-        day.drain_deadline = day.now + 0.5;
-        day.dispatch
-            .drain_by(Timestamp::from_secs(day.drain_deadline));
-        let by = day.drain_deadline;
-        day.seen
+        workload
+            .dispatcher
+            .on_endpoint_update(workload.at(), &EndpointUpdate::Snapshot(engines));
+        (0..600).for_each(|_| workload.step());
+        // The gateway shuts down; open and new statements have to be answered by the drain
+        // deadline.
+        workload.drain_deadline = workload.now + 0.5;
+        workload
+            .dispatcher
+            .drain_by(Timestamp::from_secs(workload.drain_deadline));
+        let end = workload.drain_deadline;
+        workload
+            .statements
             .values_mut()
-            .for_each(|seen| seen.deadline = seen.deadline.min(by));
-        let cut = |order: &mut AttemptOrder| order.due = order.due.min(Timestamp::from_secs(by));
-        day.seen
+            .for_each(|statement| statement.deadline = statement.deadline.min(end));
+        let cut = |order: &mut AttemptOrder| order.due = order.due.min(Timestamp::from_secs(end));
+        workload
+            .statements
             .values_mut()
-            .for_each(|seen| seen.in_flight.iter_mut().for_each(cut));
-        (0..25).for_each(|_| day.step());
+            .for_each(|statement| statement.in_flight.iter_mut().for_each(cut));
+        (0..25).for_each(|_| workload.step());
         true
     }
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(100, 5))
         .tests(40)
-        .quickcheck(day as fn(u64) -> bool);
+        .quickcheck(keeps_invariants as fn(u64) -> bool);
 }
 
 #[test]
-fn a_shortened_day_answers_all_by_its_end() {
-    let mut day = dispatch(7);
+fn draining_shortens_the_deadlines_of_open_statements() {
+    let mut dispatcher = new_dispatcher(7);
     let at = Timestamp::from_secs;
-    day.on_endpoint_update(
+    dispatcher.on_endpoint_update(
         at(0.0),
         &EndpointUpdate::Snapshot(vec![engine(1, EngineStage::Ready)]),
     );
@@ -464,25 +505,25 @@
         class: ClassId(0),
         tenant: TenantId(0),
         group: TableGroupId(0),
-        estimate: Some(span(0.1)),
+        estimate: Some(seconds(0.1)),
         memory_mb: 0.0,
         key: None,
         has_idempotency_key: true,
-        budget: span(60.0),
+        budget: seconds(60.0),
     };
     let id = StatementId(1);
-    assert_eq!(day.pick(at(0.0), id, &request), Decision::Queued);
-    let due = day.tick(at(0.0)).due;
+    assert_eq!(dispatcher.pick(at(0.0), id, &request), Decision::Queued);
+    let due = dispatcher.tick(at(0.0)).due;
     let [(_, Decision::Forward(order))] = due[..] else {
         panic!("{due:?}")
     };
-    day.drain_by(at(3.0));
-    let follow_up = day.report(
+    dispatcher.drain_by(at(3.0));
+    let follow_up = dispatcher.report(
         at(3.0),
         id,
         order.attempt,
         AttemptEvent::TimedOut,
-        span(3.0),
+        seconds(3.0),
         false,
     );
     assert!(
@@ -490,8 +531,8 @@
         "{follow_up:?}"
     );
     assert_eq!(
-        day.pick(at(3.0), id, &request),
+        dispatcher.pick(at(3.0), id, &request),
         Decision::Queued,
-        "a statement that is over is forgotten"
+        "a finished statement has to be forgotten"
     );
 }
