--- a/crates/settings/src/connections.rs
+++ b/crates/settings/src/connections.rs
@@ -1,26 +1,26 @@
-//! Connections to engines.
+//! The settings for connections to engines.
 
 use admission::interface::TimeDelta;
 
 use crate::{Settings, SettingsError};
 
-/// How attempts reach engines.
+/// The settings for connections to engines.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionSettings {
-    /// A connection that is not up by then counts as failed.
+    /// The time after which an attempt to connect counts as failed.
     pub connect_timeout: TimeDelta,
-    /// Engines close connections that are idle for so long.
+    /// The time after which engines close an idle connection.
     pub idle_timeout: TimeDelta,
-    /// Attempts that one connection carries at the same time, at least 1.
+    /// The number of attempts that one connection carries at the same time, at least 1.
     pub multiplex: usize,
 }
 
 impl Settings {
-    /// How attempts reach engines.
+    /// Reads the settings for connections to engines.
     ///
     /// # Errors
     ///
-    /// Where a time is missing, or a value cannot be read.
+    /// Fails if a time is missing or a value cannot be read.
     pub fn connections(&self) -> Result<ConnectionSettings, SettingsError> {
         Ok(ConnectionSettings {
             connect_timeout: self.required_duration("Limits.ConnectTimeoutS")?,
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -1,19 +1,19 @@
-//! What is wrong with settings.
+//! Errors in the settings.
 
 use thiserror::Error;
 
-/// A setting that cannot be used.
+/// A setting that is missing or cannot be read.
 #[derive(Debug, Error)]
 pub enum SettingsError {
-    /// A setting that is needed is not there, or empty.
+    /// A required setting is absent or empty. The value is its path.
     #[error("settings: {0} is missing")]
     Missing(String),
-    /// A value is not of the setting's kind.
+    /// A value does not have the type that the setting requires.
     #[error("settings: {key} cannot be read: {value}")]
     Unreadable {
-        /// The setting's path.
+        /// The path of the setting.
         key: String,
-        /// Its value.
+        /// The value that cannot be read.
         value: String,
     },
 }
--- a/crates/settings/src/fleet.rs
+++ b/crates/settings/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The gateways, the engines and the tenants as a whole.
+//! The settings that describe the gateways, the engines and the tenants as a whole.
 
 use admission::interface::{FleetConfig, TenantQuotas};
 
@@ -29,56 +29,61 @@
         })
     }
 
-    /// Gateways before the same engines, this one among them; at least 1.
+    /// Returns the number of gateways that use the same engines, at least 1. It includes this
+    /// gateway.
     ///
     /// # Errors
     ///
-    /// Where the number is missing or cannot be read.
+    /// Fails if the number is missing or cannot be read.
     pub fn peers(&self) -> Result<f64, SettingsError> {
         let peers: u32 = self.required("PeersTotal")?;
         Ok(peers.max(1).into())
     }
 
-    /// Statements that may be open at the same time; without bound where not told.
+    /// Returns the number of statements that may be open at the same time, or [`usize::MAX`] if the
+    /// settings state no limit.
     ///
     /// # Errors
     ///
-    /// Where the number cannot be read.
+    /// Fails if the number cannot be read.
     pub fn max_open_statements(&self) -> Result<usize, SettingsError> {
         Ok(self.optional("Limits.MaxOpen")?.unwrap_or(usize::MAX))
     }
 
-    /// Whether answers tell the CPU and the memory that they took.
+    /// Returns whether engines report the CPU time and the memory that a statement used.
     ///
     /// # Errors
     ///
-    /// Where the value cannot be read.
+    /// Fails if the value cannot be read.
     pub fn engines_report_usage(&self) -> Result<bool, SettingsError> {
         self.flag("Extra.Bills")
     }
 
-    /// The order of the values in a load report.
+    /// Returns the names of the values in a load report, in the order in which engines send them.
     #[must_use]
     pub fn load_report_fields(&self) -> Vec<String> {
         self.owned_list("Feedback.Fields")
     }
 
-    /// The names of the tenants, by their index; empty where there are none.
+    /// Returns the names of the tenants, indexed by [`TenantId`](admission::interface::TenantId).
+    /// The list is empty if there are no tenants.
     ///
     /// # Errors
     ///
-    /// Where a name is missing, or the number of tenants cannot be read.
+    /// Fails if a name is missing or the number of tenants cannot be read.
     pub fn tenant_names(&self) -> Result<Vec<String>, SettingsError> {
         self.names_of("Tenants")
     }
 
-    /// The names of the engines' locations, by their index.
+    /// Returns the names of the engine locations, indexed by
+    /// [`LocationId`](admission::interface::LocationId).
     #[must_use]
     pub fn location_names(&self) -> Vec<String> {
         self.owned_list("Zones")
     }
 
-    /// The names of the kinds of machine, by their index.
+    /// Returns the names of the machine types, indexed by
+    /// [`MachineId`](admission::interface::MachineId).
     #[must_use]
     pub fn machine_names(&self) -> Vec<String> {
         self.owned_list("MachineTypes")
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,5 +1,7 @@
-//! Reads one gateway's settings into what each part takes. They come in two forms, the wire's `path=value` lines and the
-//! nested JSON of the gateway's configuration; both become the same paths and values.
+//! Parses the settings of a gateway into typed values for the components that use them.
+//!
+//! The settings come in two forms: `path=value` lines, which are sent over the wire, and the nested
+//! JSON of the gateway's configuration. Both forms are converted to the same paths and values.
 
 mod connections;
 mod error;
--- a/crates/settings/src/policy.rs
+++ b/crates/settings/src/policy.rs
@@ -1,21 +1,22 @@
-//! The settings of the decisions.
+//! The settings of the admission policy.
 
 use admission::interface::{DiscoveryMode, RetryBudget, RetryPolicy, SlowStart, TimeDelta};
 use admission::policy::{Policy, PolicyConfig};
 
 use crate::{NetworkDelay, Settings, SettingsError};
 
-/// The window of slow-start overload, where not told.
+/// The window for slow-start overload if the settings state none.
 const DEFAULT_OVERLOAD_WINDOW: TimeDelta = TimeDelta::from_micros(1_000_000);
-/// The list of engines is requested again within this time, where not told.
+/// The time within which an unanswered request for the list of engines is repeated, if the settings
+/// state none.
 const DEFAULT_REQUEST_WITHIN: TimeDelta = TimeDelta::from_micros(10_000_000);
 
 impl Settings {
-    /// The decisions of one gateway. `seed` starts its chance.
+    /// Creates the admission policy of one gateway. `seed` initialises its random number generator.
     ///
     /// # Errors
     ///
-    /// Where a needed setting is missing, or a value cannot be read.
+    /// Fails if a required setting is missing or a value cannot be read.
     pub fn policy(&self, seed: u64, network_delay: NetworkDelay) -> Result<Policy, SettingsError> {
         let config = PolicyConfig {
             classes: self.query_classes(network_delay)?,
@@ -55,7 +56,7 @@
 
     fn retry_policy(&self) -> Result<RetryPolicy, SettingsError> {
         let retry_budget = self.retry_budget()?;
-        let tells_retry_after = self.flag("Limits.RetryAfter")?;
+        let sends_retry_after = self.flag("Limits.RetryAfter")?;
         let max_attempts = self.optional("Limits.MaxAttempts")?.unwrap_or(1);
         let can_cancel = self.flag("Limits.Cancel")?;
         let max_retry_after = self.duration("Limits.MaxRetryAfterS")?;
@@ -63,7 +64,7 @@
         Ok(RetryPolicy {
             max_attempts,
             can_cancel,
-            max_retry_after: max_retry_after.filter(|_| tells_retry_after),
+            max_retry_after: max_retry_after.filter(|_| sends_retry_after),
             order_settle: order_settle.unwrap_or(TimeDelta::ZERO),
             retry_budget,
         })
--- a/crates/settings/src/query_class.rs
+++ b/crates/settings/src/query_class.rs
@@ -1,4 +1,4 @@
-//! The query classes.
+//! The settings of the query classes.
 
 use admission::interface::{
     DeduplicationScope, Effect, LocationId, MachineId, QueryClass, TimeDelta,
@@ -6,23 +6,26 @@
 
 use crate::{Settings, SettingsError};
 
-/// Of a short deduplication window, no more than this part is taken off for the network.
-const MAX_WINDOW_CUT: f64 = 0.1;
+/// The largest fraction of a deduplication window that is subtracted for the network delay. It
+/// keeps short windows usable.
+const MAX_WINDOW_REDUCTION: f64 = 0.1;
 
-/// The longest time that what has left a gateway is on its way to an engine. A repeat must be there while the engine
-/// still knows the first attempt, so for the sender deduplication windows are this much shorter.
+/// The longest time that an attempt takes from a gateway to an engine.
+///
+/// A repeat has to reach the engine while the engine still knows the idempotency key of the first
+/// attempt. The deduplication window for sending is therefore shorter by this delay.
 #[derive(Clone, Copy, Debug)]
 pub struct NetworkDelay(pub TimeDelta);
 
 impl NetworkDelay {
-    /// The window within which a repeat must leave.
+    /// Returns the window within which a repeat has to be sent.
     fn shorten(self, window: TimeDelta) -> TimeDelta {
-        let cut_s = self.0.secs().min(window.secs() * MAX_WINDOW_CUT);
-        window - TimeDelta::from_secs(cut_s)
+        let reduction_s = self.0.secs().min(window.secs() * MAX_WINDOW_REDUCTION);
+        window - TimeDelta::from_secs(reduction_s)
     }
 }
 
-/// One class's settings.
+/// Reads the settings of one query class.
 struct ClassReader<'a> {
     settings: &'a Settings,
     index: usize,
@@ -94,7 +97,7 @@
 }
 
 impl Settings {
-    /// All query classes, by their index.
+    /// Returns the query classes, indexed by [`ClassId`](admission::interface::ClassId).
     pub(crate) fn query_classes(
         &self,
         network_delay: NetworkDelay,
@@ -112,26 +115,27 @@
         (0..count).map(class).collect()
     }
 
-    /// The number of query classes; 0 where it cannot be read.
+    /// Returns the number of query classes, or 0 if it cannot be read.
     #[must_use]
     pub fn class_count(&self) -> usize {
         self.optional("Grades.count").ok().flatten().unwrap_or(0)
     }
 
-    /// The names of the query classes, by their index.
+    /// Returns the names of the query classes, indexed by
+    /// [`ClassId`](admission::interface::ClassId).
     ///
     /// # Errors
     ///
-    /// Where a name is missing, or the number of classes cannot be read.
+    /// Fails if a name is missing or the number of classes cannot be read.
     pub fn class_names(&self) -> Result<Vec<String>, SettingsError> {
         self.names_of("Grades")
     }
 
-    /// The longest time limit of any query class.
+    /// Returns the longest time limit of any query class.
     ///
     /// # Errors
     ///
-    /// Where a class has none, or it cannot be read.
+    /// Fails if the time limit of a class is missing or cannot be read.
     pub fn longest_time_limit(&self) -> Result<TimeDelta, SettingsError> {
         let mut longest = TimeDelta::ZERO;
         for index in 0..self.class_count() {
--- a/crates/settings/src/reader.rs
+++ b/crates/settings/src/reader.rs
@@ -1,4 +1,4 @@
-//! The paths and values of the settings, and how a value of each kind is read.
+//! The settings as paths and values, with a typed accessor for each kind of value.
 
 use std::collections::BTreeMap;
 use std::str::FromStr;
@@ -8,12 +8,12 @@
 
 use crate::SettingsError;
 
-/// The paths and values of one gateway's settings.
+/// The settings of one gateway, as a map from paths to values.
 #[derive(Debug, PartialEq)]
 pub struct Settings(BTreeMap<String, String>);
 
 impl Settings {
-    /// Reads `path=value` lines; a line without `=` counts for nothing.
+    /// Parses `path=value` lines. Lines without `=` are ignored.
     #[must_use]
     pub fn from_lines(text: &str) -> Self {
         let mut values = BTreeMap::new();
@@ -25,7 +25,8 @@
         Settings(values)
     }
 
-    /// Reads nested JSON: names are joined by dots, a list of objects has their number as `count`.
+    /// Converts nested JSON. Member names are joined with dots to form a path. A list that contains
+    /// objects is stored as its length under `count` and its items under their indices.
     #[must_use]
     pub fn from_json(settings: &Value) -> Self {
         let mut values = BTreeMap::new();
@@ -33,7 +34,7 @@
         Settings(values)
     }
 
-    /// None where the setting is not there, or empty.
+    /// Parses a setting. Returns `None` if it is absent or empty.
     pub(crate) fn optional<T: FromStr>(&self, key: &str) -> Result<Option<T>, SettingsError> {
         let Some(value) = self.0.get(key).filter(|value| !value.is_empty()) else {
             return Ok(None);
@@ -44,17 +45,18 @@
             .map_err(|_| SettingsError::unreadable(key, value))
     }
 
+    /// Parses a setting. Fails if it is absent or empty.
     pub(crate) fn required<T: FromStr>(&self, key: &str) -> Result<T, SettingsError> {
         self.optional(key)?
             .ok_or_else(|| SettingsError::Missing(key.to_owned()))
     }
 
-    /// A setting that is true or false; false where not told.
+    /// Parses a boolean. Returns false if the setting is absent.
     pub(crate) fn flag(&self, key: &str) -> Result<bool, SettingsError> {
         Ok(self.optional(key)?.unwrap_or(false))
     }
 
-    /// A finite number that is not negative.
+    /// Parses a number. Fails if it is negative or not finite.
     pub(crate) fn number(&self, key: &str) -> Result<Option<f64>, SettingsError> {
         let Some(number) = self.optional::<f64>(key)? else {
             return Ok(None);
@@ -65,23 +67,24 @@
         Ok(Some(number))
     }
 
-    /// A time in seconds that is not negative.
+    /// Parses a duration in seconds. Fails if it is negative or not finite.
     pub(crate) fn duration(&self, key: &str) -> Result<Option<TimeDelta>, SettingsError> {
         Ok(self.number(key)?.map(TimeDelta::from_secs))
     }
 
-    /// A time in seconds; none where it is 0 or not told.
+    /// Parses a duration in seconds. Returns `None` if it is 0 or absent.
     pub(crate) fn positive_duration(&self, key: &str) -> Result<Option<TimeDelta>, SettingsError> {
         let duration = self.duration(key)?;
         Ok(duration.filter(|duration| *duration > TimeDelta::ZERO))
     }
 
+    /// Parses a duration in seconds. Fails if it is absent.
     pub(crate) fn required_duration(&self, key: &str) -> Result<TimeDelta, SettingsError> {
         self.duration(key)?
             .ok_or_else(|| SettingsError::Missing(key.to_owned()))
     }
 
-    /// A list joined by commas; empty where not told.
+    /// Splits a comma-separated list. Returns an empty list if the setting is absent.
     pub(crate) fn list(&self, key: &str) -> Vec<&str> {
         let value = self.0.get(key).map_or("", String::as_str);
         let items = value.split(',').map(str::trim);
@@ -92,7 +95,7 @@
         self.list(key).into_iter().map(String::from).collect()
     }
 
-    /// A list of finite numbers.
+    /// Parses a comma-separated list of numbers. Fails if one of them is not finite.
     pub(crate) fn numbers(&self, key: &str) -> Result<Vec<f64>, SettingsError> {
         let number = |item: &str| {
             let parsed = item.parse().ok();
@@ -103,7 +106,8 @@
         self.list(key).into_iter().map(number).collect()
     }
 
-    /// A list whose items are indices into the list `names`, or names of it; none where not told.
+    /// Parses a list whose items are names from the list setting `names` or indices into it.
+    /// Returns `None` if the setting is absent.
     pub(crate) fn indices(
         &self,
         key: &str,
@@ -114,18 +118,18 @@
         }
         let names = self.list(names);
         let index = |item: &str| {
-            let named = names.iter().position(|name| *name == item);
-            let named = named.map(|index| index as u16);
+            let position = names.iter().position(|name| *name == item);
+            let position = position.map(|index| index as u16);
             item.parse()
                 .ok()
-                .or(named)
+                .or(position)
                 .ok_or_else(|| SettingsError::unreadable(key, item))
         };
         let indices: Result<Vec<u16>, _> = self.list(key).into_iter().map(index).collect();
         indices.map(Some)
     }
 
-    /// The `Name` of each object of a list.
+    /// Returns the `Name` of each object in a list of objects.
     pub(crate) fn names_of(&self, list: &str) -> Result<Vec<String>, SettingsError> {
         let count: usize = self.optional(&format!("{list}.count"))?.unwrap_or(0);
         let name = |index| self.required(&format!("{list}.{index}.Name"));
@@ -133,6 +137,7 @@
     }
 }
 
+/// Adds a JSON value at `path`, and all values nested in it.
 fn flatten(value: &Value, path: String, values: &mut BTreeMap<String, String>) {
     match value {
         Value::Object(members) => {
@@ -147,7 +152,8 @@
             }
         }
         Value::Array(items) => {
-            // As on the wire, where commas join a list.
+            // The line format separates the items of a list with commas, so items must not contain
+            // any.
             let item = |value: &Value| plain_text(value).replace([' ', ','], "_");
             let items: Vec<String> = items.iter().map(item).collect();
             values.insert(path, items.join(","));
--- a/crates/settings/tests/forms.rs
+++ b/crates/settings/tests/forms.rs
@@ -1,4 +1,5 @@
-//! Both forms of the same settings read alike, and what is missing or unreadable is named.
+//! Checks that both forms of the settings are read alike, and that errors name the missing or
+//! unreadable setting.
 
 use admission::interface::{
     Attempt, AttemptState, CellId, ClassId, EngineId, LocationId, Statement, StatementId,
@@ -25,7 +26,7 @@
     "Tenants": [{"Name": "water", "AllowancePerS": 47.0}], "Zones": ["west", "east"]}"#;
 
 #[test]
-fn both_forms_read_alike() {
+fn lines_and_json_give_the_same_settings() {
     let lines = Settings::from_lines(LINES);
     let json = Settings::from_json(&serde_json::from_str(JSON).unwrap());
     assert_eq!(lines, json);
@@ -42,27 +43,28 @@
     assert!(json.engines_report_usage().unwrap());
 }
 
-/// What is wrong with these lines.
-fn fault(lines: &str) -> String {
+/// Returns the error for these lines.
+fn error_text(lines: &str) -> String {
     match Settings::from_lines(lines).policy(1, NO_DELAY) {
-        Ok(_) => panic!("accepted"),
+        Ok(_) => panic!("the settings were accepted"),
         Err(error) => error.to_string(),
     }
 }
 
 #[test]
-fn what_is_missing_or_unreadable_is_named() {
-    assert!(fault("PeersTotal=1").contains("Grades.count is missing"));
+fn errors_name_the_missing_or_unreadable_setting() {
+    assert!(error_text("PeersTotal=1").contains("Grades.count is missing"));
     let no_time = LINES.replace("GiveUpS=4.0", "GiveUpS=soon");
-    assert!(fault(&no_time).contains("Grades.0.GiveUpS cannot be read"));
+    assert!(error_text(&no_time).contains("Grades.0.GiveUpS cannot be read"));
     let no_effect = LINES.replace("Effect=safe", "Effect=odd");
-    assert!(fault(&no_effect).contains("Grades.0.Effect cannot be read: odd"));
+    assert!(error_text(&no_effect).contains("Grades.0.Effect cannot be read: odd"));
     let connections = Settings::from_lines("").connections();
     let error = connections.unwrap_err().to_string();
     assert!(error.contains("ConnectTimeoutS is missing"));
 }
 
-/// A statement of the class with a deduplication window, sent once at 10 s, that may have run.
+/// Returns a statement of the class with a deduplication window. Its only attempt was sent at 10 s
+/// and may have run.
 fn sent_statement() -> Statement {
     let at = Timestamp::from_secs;
     let attempt = Attempt {
@@ -95,15 +97,18 @@
     }
 }
 
-/// The sender has the window less the network delay; of a short window no more than a tenth goes.
+/// The window for sending is the deduplication window minus the network delay, but the subtracted
+/// time is at most a tenth of the window.
 #[test]
 fn deduplication_windows_are_shorter_by_the_network_delay() {
-    for (window, delay_s, left_s) in [("5.0", 0.0, 5.0), ("5.0", 0.05, 4.95), ("0.2", 0.05, 0.18)] {
+    for (window, delay_s, sending_window_s) in
+        [("5.0", 0.0, 5.0), ("5.0", 0.05, 4.95), ("0.2", 0.05, 0.18)]
+    {
         let window_line = format!("Grades.1.WindowS={window}");
         let lines = LINES.replace("Grades.1.WindowS=5.0", &window_line);
         let delay = NetworkDelay(TimeDelta::from_secs(delay_s));
         let policy = Settings::from_lines(&lines).policy(1, delay).unwrap();
-        let until = Timestamp::from_secs(10.0 + left_s);
+        let until = Timestamp::from_secs(10.0 + sending_window_s);
         assert_eq!(
             policy.repeat_until(&sent_statement()),
             Some(until),
