--- a/crates/scheduler/src/tenant_queues/mod.rs
+++ b/crates/scheduler/src/tenant_queues/mod.rs
@@ -45,7 +45,8 @@
     waiting: WaitingStatements,
     key_order: KeyOrder,
     /// Statements with an order key that found no capacity in this round. They may only have to
-    /// wait for an earlier one of their key, and return to their class queues in the next round.
+    /// wait for an earlier one of their key that still runs. They return to their class queues in
+    /// the next round.
     held_for_round: Vec<StatementId>,
     charges: OpenCharges,
     forecaster: WaitForecaster,
--- a/crates/scheduler/src/tenant_queues/offers.rs
+++ b/crates/scheduler/src/tenant_queues/offers.rs
@@ -65,8 +65,8 @@
             return;
         }
         if statement.key.is_some() {
-            // The statement may only have to wait for an earlier one of its key, which does not
-            // indicate a lack of capacity.
+            // The statement may only have to wait for an earlier one of its key that still runs,
+            // which does not indicate a lack of capacity.
             self.remove_from_class_queue(id);
             self.held_for_round.push(id);
             return;
--- a/crates/scheduler/tests/scheduler.rs
+++ b/crates/scheduler/tests/scheduler.rs
@@ -1,6 +1,7 @@
-//! The queues before the real module: the order with one team, and who is answered when.
+//! The queues in front of the real decision module: the order with a single tenant, and the end of
+//! every statement.
 
-// A test tells one story from top to bottom, and tables of cases are long.
+// Each scenario runs from setup to final assertion in one function.
 #![allow(clippy::too_many_lines)]
 
 use std::collections::BTreeMap;
@@ -24,7 +25,8 @@
     Timestamp::from_secs(1000.0 + secs)
 }
 
-/// Long limits, so that in these tests the module's own hold denies nobody where no queues stand before it.
+/// Returns a query class with long time limits, so that without queues the maximum wait of the
+/// decision module rejects no statement in these tests.
 fn class(priority_weight: f64, late_priority_weight: f64) -> QueryClass {
     QueryClass {
         effect: Effect::Idempotent,
@@ -40,7 +42,7 @@
     }
 }
 
-fn dispatch(seed: u64) -> Dispatcher {
+fn new_dispatcher(seed: u64) -> Dispatcher {
     let fleet = FleetConfig {
         peers: 1.0,
         cores: vec![4.0],
@@ -70,15 +72,16 @@
         retry_policy,
         discovery,
     };
-    let mut dispatch = Dispatcher::new(Policy::new(config, seed));
-    dispatch.on_endpoint_update(
+    let mut dispatcher = Dispatcher::new(Policy::new(config, seed));
+    dispatcher.on_endpoint_update(
         at(0.0),
         &EndpointUpdate::Snapshot(vec![engine(EngineStage::Ready)]),
     );
-    dispatch
+    dispatcher
 }
 
-/// One engine: the module's chance chooses among several, and is asked more often without queues.
+/// Returns the only engine of these tests. With several, the module would choose at random, and
+/// without queues it would draw more random numbers, so that the two runs would diverge.
 fn engine(stage: EngineStage) -> EngineInfo {
     let (location, machine, cell) = (LocationId(0), MachineId(0), CellId(0));
     EngineInfo {
@@ -92,7 +95,7 @@
     }
 }
 
-fn one_team() -> Config {
+fn one_tenant() -> Config {
     let share = CapacityShare {
         budget: 1.0,
         weight: 1.0,
@@ -102,7 +105,7 @@
         share,
         networks: Vec::new(),
     };
-    let bound = QueueLimit {
+    let limit = QueueLimit {
         statements: 100_000,
         cpu: 1e9,
     };
@@ -114,14 +117,14 @@
         }],
         ageing: span(0.5),
         burst: span(2.0),
-        sub_queue_limit: bound,
-        total_limit: bound,
+        sub_queue_limit: limit,
+        total_limit: limit,
     }
 }
 
 fn scheduler(seed: u64, config: Config) -> Scheduler {
     Scheduler::new(
-        dispatch(seed),
+        new_dispatcher(seed),
         Some(TenantQueues::new(at(0.0), config, 2, seed)),
     )
 }
@@ -139,42 +142,47 @@
     }
 }
 
-/// With one team, the same statements leave in the same order at the same time as with no queues at all, and attempts
-/// that failed go back in between as they did.
+/// With a single tenant, statements must leave in the same order and at the same time as without
+/// queues, and failed attempts must be retried at the same time.
 #[test]
-fn with_one_tenant_the_order_is_that_of_the_dispatchers_own_queue() {
-    fn same(seed: u64) -> bool {
+fn one_tenant_with_queues_keeps_the_order_of_the_dispatcher() {
+    fn orders_match(seed: u64) -> bool {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let mut plain = Scheduler::new(dispatch(seed), None);
-        let mut lined = scheduler(seed, one_team());
-        let (mut now, mut next, mut out, mut left) = (0.0, 0, Vec::new(), 0);
-        // 7 s: under the hold of 10 s, after which the plain line denies.
+        let mut direct = Scheduler::new(new_dispatcher(seed), None);
+        let mut queued = scheduler(seed, one_tenant());
+        let (mut now, mut next_id, mut in_flight, mut decisions) = (0.0, 0, Vec::new(), 0);
+        // The run ends after 7 s, before the maximum wait of 10 s after which the dispatcher
+        // rejects statements itself.
         while now < 7.0 {
             now += 0.02;
             if rng.random::<f64>() < 0.3 {
-                let (id, request) = (StatementId(next), request(&mut rng));
-                next += 1;
+                let (id, request) = (StatementId(next_id), request(&mut rng));
+                next_id += 1;
                 assert_eq!(
-                    plain.pick(at(now), id, SubQueueId(0), &request),
+                    direct.pick(at(now), id, SubQueueId(0), &request),
                     Decision::Queued
                 );
-                // One that would wait too long is rejected at entry, which is no matter of order.
-                if lined.pick(at(now), id, SubQueueId(0), &request) != Decision::Queued {
-                    plain.client_left(at(now), id);
+                // A statement rejected at entry for its estimated wait has no place in the order,
+                // so it leaves the other scheduler, too.
+                if queued.pick(at(now), id, SubQueueId(0), &request) != Decision::Queued {
+                    direct.client_left(at(now), id);
                 }
             }
-            let [a, b] = [&mut plain, &mut lined].map(|scheduler| scheduler.tick(at(now)).due);
-            assert_eq!(a, b, "at {now}");
-            left += a.len();
-            for (id, pick) in a {
-                if let Decision::Forward(order) = pick {
-                    out.push((now + rng.random_range(0.05..1.5), id, order.attempt));
+            let [expected, actual] =
+                [&mut direct, &mut queued].map(|scheduler| scheduler.tick(at(now)).due);
+            assert_eq!(expected, actual, "at {now}");
+            decisions += expected.len();
+            for (id, decision) in expected {
+                if let Decision::Forward(order) = decision {
+                    in_flight.push((now + rng.random_range(0.05..1.5), id, order.attempt));
                 }
             }
-            let done: Vec<_> = out.extract_if(.., |(by, ..)| *by <= now).collect();
-            for (_, id, attempt) in done {
+            let finished: Vec<_> = in_flight
+                .extract_if(.., |(finish_s, ..)| *finish_s <= now)
+                .collect();
+            for (_, id, attempt) in finished {
                 let latency = span(rng.random_range(0.05..1.5));
-                let news = match rng.random_range(0..10) {
+                let event = match rng.random_range(0..10) {
                     0 => AttemptEvent::Error,
                     1 => AttemptEvent::Rejected,
                     _ => AttemptEvent::Completed {
@@ -182,28 +190,29 @@
                         memory_mb: None,
                     },
                 };
-                let answered = matches!(news, AttemptEvent::Completed { .. });
-                let [a, b] = [&mut plain, &mut lined].map(|scheduler| {
-                    scheduler.report(at(now), id, attempt, news, latency, answered)
+                let answered = matches!(event, AttemptEvent::Completed { .. });
+                let [expected, actual] = [&mut direct, &mut queued].map(|scheduler| {
+                    scheduler.report(at(now), id, attempt, event, latency, answered)
                 });
-                assert_eq!(a, b);
+                assert_eq!(expected, actual);
             }
         }
-        assert!(left > 20, "{left}");
+        assert!(decisions > 20, "{decisions}");
         true
     }
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(100, 21))
         .tests(25)
-        .quickcheck(same as fn(u64) -> bool);
+        .quickcheck(orders_match as fn(u64) -> bool);
 }
 
-/// One answer each, and none is forgotten: whatever comes, waits, leaves, drains and returns.
+/// Every statement must end exactly once while statements arrive, wait, leave and complete, engines
+/// drain, the configuration is reloaded and the gateway shuts down.
 #[test]
-fn every_statement_has_one_end_through_drains_reloads_and_the_programs_own_end() {
-    fn day(seed: u64) -> bool {
+fn every_statement_ends_exactly_once_through_drains_reloads_and_shutdown() {
+    fn every_statement_ends_once(seed: u64) -> bool {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let mut config = one_team();
+        let mut config = one_tenant();
         config.tenants.push(TenantConfig {
             name: "n".into(),
             ..config.tenants[0].clone()
@@ -213,50 +222,59 @@
             config.total_limit.statements,
         ) = (20, 30);
         let mut scheduler = scheduler(seed, config.clone());
-        // Ends by statement, and what is out.
-        let (mut ends, mut out, mut next): (
+        // The deadlines of the open statements, and the attempts in flight.
+        let (mut deadlines, mut in_flight, mut next_id): (
             BTreeMap<_, Timestamp>,
             BTreeMap<_, AttemptNumber>,
             u64,
         ) = (BTreeMap::new(), BTreeMap::new(), 0);
-        let (mut now, mut drained, mut denied) = (0.0, false, 0);
-        let end = 6.0;
-        while now < end + 1.0 {
+        let (mut now, mut drained, mut rejected) = (0.0, false, 0);
+        let shutdown_s = 6.0;
+        while now < shutdown_s + 1.0 {
             now += 0.02;
-            for _ in 0..if now < end { rng.random_range(0..4) } else { 0 } {
-                let id = StatementId(next);
-                next += 1;
+            for _ in 0..if now < shutdown_s {
+                rng.random_range(0..4)
+            } else {
+                0
+            } {
+                let id = StatementId(next_id);
+                next_id += 1;
                 let budget = rng.random_range(0.1..3.0f64);
                 let request = StatementRequest {
                     budget: span(budget),
                     ..request(&mut rng)
                 };
-                ends.insert(id, at(now + budget));
+                deadlines.insert(id, at(now + budget));
                 let sub_queue = SubQueueId(rng.random_range(0..3));
                 if scheduler.pick(at(now), id, sub_queue, &request) != Decision::Queued {
-                    (denied, _) = (denied + 1, ends.remove(&id).expect("open"));
+                    (rejected, _) = (rejected + 1, deadlines.remove(&id).expect("still open"));
                 }
             }
-            for (id, pick) in scheduler.tick(at(now)).due {
-                match pick {
+            for (id, decision) in scheduler.tick(at(now)).due {
+                match decision {
                     Decision::Forward(order) => {
                         assert!(!drained, "{id:?} sent to a draining engine");
-                        assert!(out.insert(id, order.attempt).is_none() && ends.contains_key(&id));
+                        assert!(
+                            in_flight.insert(id, order.attempt).is_none()
+                                && deadlines.contains_key(&id)
+                        );
                     }
-                    Decision::Queued => panic!("never due"),
+                    Decision::Queued => panic!("a queued statement is never due"),
                     Decision::Reject { retry_after } => {
                         assert!(
                             retry_after
-                                .is_some_and(|back| back <= span(0.5) && back > TimeDelta::ZERO)
+                                .is_some_and(|delay| delay <= span(0.5) && delay > TimeDelta::ZERO)
                         );
-                        (denied, _) = (denied + 1, ends.remove(&id).expect("a second end"));
+                        (rejected, _) = (rejected + 1, deadlines.remove(&id).expect("still open"));
                     }
-                    Decision::Fail => drop(ends.remove(&id).expect("a second end")),
+                    Decision::Fail => drop(deadlines.remove(&id).expect("still open")),
                 }
             }
-            for (id, attempt) in out.clone() {
-                let over = ends.get(&id).is_none_or(|end| *end <= at(now));
-                let news = if over {
+            for (id, attempt) in in_flight.clone() {
+                let expired = deadlines
+                    .get(&id)
+                    .is_none_or(|deadline| *deadline <= at(now));
+                let event = if expired {
                     AttemptEvent::TimedOut
                 } else {
                     AttemptEvent::Completed {
@@ -264,15 +282,18 @@
                         memory_mb: None,
                     }
                 };
-                if over || rng.random::<f64>() < 0.05 {
-                    out.remove(&id);
-                    ends.remove(&id);
-                    scheduler.report(at(now), id, attempt, news, span(0.3), true);
+                if expired || rng.random::<f64>() < 0.05 {
+                    in_flight.remove(&id);
+                    deadlines.remove(&id);
+                    scheduler.report(at(now), id, attempt, event, span(0.3), true);
                 }
             }
-            for (id, end) in &ends {
-                let waits = !out.contains_key(id);
-                assert!(!waits || *end > at(now), "{id:?} waits past its time");
+            for (id, deadline) in &deadlines {
+                let waiting = !in_flight.contains_key(id);
+                assert!(
+                    !waiting || *deadline > at(now),
+                    "{id:?} waits past its deadline"
+                );
             }
             match rng.random_range(0..100) {
                 0 => {
@@ -289,16 +310,21 @@
                     config.tenants.rotate_left(1);
                     scheduler.reconfigure(at(now), config.clone());
                 }
-                2..10 if !ends.is_empty() => {
-                    let id = *ends.keys().nth(rng.random_range(0..ends.len())).unwrap();
-                    ends.remove(&id);
+                2..10 if !deadlines.is_empty() => {
+                    let id = *deadlines
+                        .keys()
+                        .nth(rng.random_range(0..deadlines.len()))
+                        .unwrap();
+                    deadlines.remove(&id);
                     scheduler.client_left(at(now), id);
                 }
                 _ => {}
             }
-            if now > end - 0.5 && now < end - 0.47 {
-                scheduler.drain_by(at(end));
-                ends.values_mut().for_each(|by| *by = (*by).min(at(end)));
+            if now > shutdown_s - 0.5 && now < shutdown_s - 0.47 {
+                scheduler.drain_by(at(shutdown_s));
+                deadlines
+                    .values_mut()
+                    .for_each(|deadline| *deadline = (*deadline).min(at(shutdown_s)));
             }
         }
         let metrics = scheduler.metrics();
@@ -310,11 +336,11 @@
                 + metrics.rejected_while_waiting
                 + metrics.client_left
         );
-        assert!(metrics.evicted + metrics.rejected_at_entry > 0 && denied > 0);
-        scheduler.waiting() == 0 && ends.is_empty()
+        assert!(metrics.evicted + metrics.rejected_at_entry > 0 && rejected > 0);
+        scheduler.waiting() == 0 && deadlines.is_empty()
     }
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(100, 4))
         .tests(40)
-        .quickcheck(day as fn(u64) -> bool);
+        .quickcheck(every_statement_ends_once as fn(u64) -> bool);
 }
