--- a/crates/membership/src/anti_entropy.rs
+++ b/crates/membership/src/anti_entropy.rs
@@ -17,8 +17,8 @@
 use crate::table_digest::{BUCKETS, BucketDigest, BucketRange, Fingerprint, MAX_FINGERPRINTS};
 use crate::traffic_limits::TrafficLimits;
 
-/// The capacity of the byte budget, in bytes. It nearly covers the comparisons that a new node needs to learn
-/// a table of about 1,900 nodes.
+/// The capacity of the byte budget, in bytes. It nearly covers the comparisons that a new node needs
+/// to learn a table of about 1,900 nodes.
 const BUDGET_CAPACITY_BYTES: f64 = 16_000.0;
 /// The number of bytes reserved for a response: the maximum size of one page or of one answer to a
 /// comparison.
@@ -27,8 +27,8 @@
 const REQUEST_BYTES: f64 = 500.0;
 /// The number of available bytes above which the next comparison immediately follows an answer.
 const MIN_BYTES_TO_CONTINUE: f64 = 4.0 * RESPONSE_BYTES;
-/// The maximum number of page requests per second. It keeps table exchanges from dominating the traffic of a
-/// fleet whose views differ.
+/// The maximum number of page requests per second. It keeps table exchanges from dominating the
+/// traffic of a fleet whose views differ.
 const PAGE_REQUESTS_PER_S: f64 = 4.0;
 /// The number of unanswered comparisons after which every other exchange requests pages instead,
 /// because older versions do not support comparisons.
--- a/crates/membership/src/view_tracker.rs
+++ b/crates/membership/src/view_tracker.rs
@@ -143,7 +143,7 @@
             .filter(|received| received.received_at >= since && received.view != self.local)
             .count();
         format!(
-            "{differing} of {} received views differ from the local view, which is unchanged since {since:?}",
+            "{differing} of {} received views differ from the local one, unchanged since {since:?}",
             self.received.len()
         )
     }
