--- a/crates/admission/src/interface.rs
+++ b/crates/admission/src/interface.rs
@@ -29,7 +29,7 @@
 }
 
 impl TimeDelta {
-    /// The empty duration.
+    /// A duration of zero.
     pub const ZERO: TimeDelta = TimeDelta(0);
 
     /// Creates a duration from microseconds.
--- a/crates/admission/tests/decisions.rs
+++ b/crates/admission/tests/decisions.rs
@@ -199,6 +199,8 @@
         }
     }
 
+    /// Receives a statement, whose CPU time is estimated at `estimate` seconds, and lets the policy
+    /// queue it.
     fn receive(&mut self, class: usize, key: Option<u64>, estimate: f64) -> StatementId {
         let (id, now) = (StatementId(self.next_id), at(self.now));
         self.next_id += 1;
@@ -234,6 +236,8 @@
         id
     }
 
+    /// Places the queued statements in queue order and ends the turn. Checks that no statement is
+    /// unanswered past its deadline without an attempt in flight.
     fn place_queued(&mut self) {
         let in_flight = |open: &OpenStatement| {
             open.statement
@@ -253,15 +257,16 @@
             .for_each(|position| self.place(position.id));
         self.policy.end_turn(at(self.now), 1);
         for open in self.statements.values().filter(|open| !open.finished) {
-            let late = (at(self.now) - open.statement.deadline).secs();
+            let overdue_s = (at(self.now) - open.statement.deadline).secs();
             assert!(
-                late < 0.0 || in_flight(open),
+                overdue_s < 0.0 || in_flight(open),
                 "{:?} is unanswered past its deadline",
                 open.statement.id
             );
         }
     }
 
+    /// Places a statement and carries out the decision.
     fn place(&mut self, id: StatementId) {
         let placement = self
             .policy
@@ -288,6 +293,7 @@
         }
     }
 
+    /// Records the final answer of a statement that the policy gave up, and checks it.
     fn finish(&mut self, id: StatementId, rejected: bool) {
         let open = self.statements.get_mut(&id).unwrap();
         assert!(!open.finished, "the statement was answered twice");
@@ -308,6 +314,7 @@
         );
     }
 
+    /// Checks the invariants that concern sending an attempt.
     fn check_send(&mut self, id: StatementId, attempt: &Attempt) {
         let (now, open) = (at(self.now), &self.statements[&id]);
         let (statement, class) = (&open.statement, &self.classes[open.statement.class.0]);
@@ -407,21 +414,22 @@
         self.sends
             .push((attempt.engine, self.now, TRUE_CPU_S[statement.class.0]));
         if let Some(started) = engine.started {
-            let age = (now - started).secs();
-            let capacity = CORES * 0.85 * (0.3 + 0.7 * (age / WARM_UP_S).clamp(0.0, 1.0).powi(3));
+            let age_s = (now - started).secs();
+            let capacity = CORES * 0.85 * (0.3 + 0.7 * (age_s / WARM_UP_S).clamp(0.0, 1.0).powi(3));
             let recent = self
                 .sends
                 .iter()
                 .filter(|(sent_to, time, _)| *sent_to == attempt.engine && self.now - time < 1.0);
-            let work: f64 = recent.map(|(.., work)| work).sum();
+            let cpu_s: f64 = recent.map(|(.., cpu_s)| cpu_s).sum();
             let limit = 2.0 * capacity / PEERS + 0.6;
             assert!(
-                age > WARM_UP_S || work <= limit,
-                "{work} of {limit} CPU seconds were sent to an engine that started {age} s ago"
+                age_s > WARM_UP_S || cpu_s <= limit,
+                "{cpu_s} of {limit} CPU seconds were sent to an engine that started {age_s} s ago"
             );
         }
     }
 
+    /// Reports an event of the statement's last attempt and carries out the policy's next step.
     fn report(&mut self, id: StatementId, event: AttemptEvent) {
         let open = self.statements.get_mut(&id).unwrap();
         let number = open.statement.attempts.len() - 1;
@@ -465,9 +473,9 @@
         }
     }
 
-    /// Ends the attempts in flight. An engine for which `bad` holds returns an error or, if
-    /// `silent`, nothing; the other engines complete the attempt.
-    fn answer_in_flight(&mut self, bad: impl Fn(EngineId) -> bool, silent: bool) {
+    /// Ends the attempts in flight and places the queued statements. A faulty engine returns an
+    /// error or, if `silent`, leaves the attempt in flight; the other engines complete it.
+    fn answer_in_flight(&mut self, is_faulty: impl Fn(EngineId) -> bool, silent: bool) {
         let in_flight = |open: &&OpenStatement| {
             open.statement
                 .attempts
@@ -481,7 +489,7 @@
             .map(|o| (o.statement.id, o.statement.attempts.last().unwrap().engine))
             .collect();
         for (id, engine) in in_flight {
-            match (bad(engine), silent) {
+            match (is_faulty(engine), silent) {
                 (true, true) => {}
                 (true, false) => self.report(id, AttemptEvent::Error),
                 (false, _) => self.report(
@@ -625,6 +633,7 @@
         .quickcheck(completes_statements as fn(u64) -> TestResult);
 }
 
+/// Receives a statement and returns its attempt, or `None` if it is not sent.
 fn send(caller: &mut CheckedCaller, class: usize, estimate: f64) -> Option<(StatementId, Attempt)> {
     let id = caller.receive(class, None, estimate);
     caller.place_queued();
@@ -635,8 +644,9 @@
         .map(|attempt| (id, *attempt))
 }
 
-fn complete(caller: &mut CheckedCaller, id: StatementId, cpu: f64, after: f64) {
-    caller.now += after;
+/// Completes the statement's attempt after this many seconds.
+fn complete(caller: &mut CheckedCaller, id: StatementId, cpu: f64, after_s: f64) {
+    caller.now += after_s;
     caller.report(
         id,
         AttemptEvent::Completed {
@@ -863,9 +873,9 @@
         let mut caller = small_gateway(seed, 1, Some(1000.0));
         for sent in &mut sent_by_second {
             caller.now += 1.0;
-            let before = caller.sends.len();
+            let sends_before = caller.sends.len();
             sent_at_once(&mut caller, 0, 4.0, 2);
-            *sent += caller.sends.len() - before;
+            *sent += caller.sends.len() - sends_before;
             caller.answer_in_flight(|_| false, false);
         }
     }
@@ -907,8 +917,11 @@
     in_flight
         .iter()
         .for_each(|id| caller.report(*id, AttemptEvent::TimedOut));
-    let more = sent_at_once(&mut caller, 0, 4.0, 20);
-    assert!(sent >= 4 && more == 0, "{sent}, then {more}");
+    let sent_after_timeout = sent_at_once(&mut caller, 0, 4.0, 20);
+    assert!(
+        sent >= 4 && sent_after_timeout == 0,
+        "{sent}, then {sent_after_timeout}"
+    );
     caller.now += 5.0;
     caller.policy.end_turn(at(caller.now), 0);
     assert!(sent_at_once(&mut caller, 0, 4.0, 20) > 0);
@@ -943,6 +956,7 @@
     Some(policy.on_attempt_report(at(now), statement, &report))
 }
 
+/// Returns a statement of class 0 that is received at `now` and has no queue position yet.
 fn new_statement(id: u64, now: f64) -> Statement {
     Statement {
         id: StatementId(id),
--- a/crates/dispatch/benches/engines.rs
+++ b/crates/dispatch/benches/engines.rs
@@ -140,7 +140,7 @@
     }
     let mut names: Vec<&str> = samples.keys().map(|key| key.0).collect();
     names.dedup();
-    println!("medians of {ROUNDS} rounds (least-most); engines: {SIZES:?}");
+    println!("medians of {ROUNDS} rounds (min-max); engines: {SIZES:?}");
     for name in names {
         let samples_at = |engines: u32| &samples[&(name, engines)];
         let cells: Vec<String> = SIZES
--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -52,8 +52,9 @@
         }
     }
 
-    /// Accepts a statement. Returns [`Decision::Queued`] without any change if a statement with
-    /// this number is open already.
+    /// Accepts a statement and adds it to the queue; a later tick returns the decision on it.
+    /// Returns [`Decision::Queued`] without any change if a statement with this number is open
+    /// already.
     pub fn pick(
         &mut self,
         now: Timestamp,
@@ -238,6 +239,8 @@
         follow_up
     }
 
+    /// Carries out the policy's next step as far as it concerns the queue, and returns the rest to
+    /// the caller.
     fn apply_next_step(&mut self, now: Timestamp, id: StatementId, next: NextStep) -> FollowUp {
         let Some(open) = self.statements.get_mut(&id) else {
             return FollowUp::None;
@@ -382,6 +385,7 @@
         decision
     }
 
+    /// Adds the attempt to the statement and returns the instruction to send it.
     fn start_attempt(
         &mut self,
         now: Timestamp,
--- a/crates/dispatch/tests/cold_engine.rs
+++ b/crates/dispatch/tests/cold_engine.rs
@@ -55,6 +55,7 @@
     seed: u64,
 }
 
+/// Creates the dispatcher of one gateway, which knows all engines.
 fn dispatcher(case: Case, number: usize) -> Dispatcher {
     let class = QueryClass {
         effect: Effect::Idempotent,
@@ -150,9 +151,9 @@
         {
             self.arrivals.pop_front();
         }
-        let age = (self.arrivals[0] - STARTED_S) / SLOW_START.warm_up.secs();
-        let share =
-            SLOW_START.initial_share + (1.0 - SLOW_START.initial_share) * age.clamp(0.0, 1.0);
+        let warm_fraction = (self.arrivals[0] - STARTED_S) / SLOW_START.warm_up.secs();
+        let share = SLOW_START.initial_share
+            + (1.0 - SLOW_START.initial_share) * warm_fraction.clamp(0.0, 1.0);
         let allowed = SLOW_START.overload_multiple * share * CORES * SLOW_START.window.secs()
             / case.mean_cpu_s;
         let bound = allowed + 2.0 * allowed.sqrt() + 2.0;
@@ -225,6 +226,7 @@
     }
 }
 
+/// Returns the event that ends the attempt.
 fn event(case: Case, order: &AttemptOrder) -> AttemptEvent {
     match case.behavior {
         _ if order.engine != STARTING_ENGINE => AttemptEvent::TimedOut,
--- a/crates/dispatch/tests/random.rs
+++ b/crates/dispatch/tests/random.rs
@@ -22,6 +22,7 @@
 const ENGINES: u32 = 4;
 const STEP_S: f64 = 0.02;
 const MAX_ATTEMPTS: usize = 4;
+/// The deduplication window, in seconds.
 const WINDOW_S: f64 = 1.0;
 
 fn seconds(secs: f64) -> TimeDelta {
@@ -43,6 +44,7 @@
     }
 }
 
+/// The effects of the query classes, indexed by class.
 fn effects() -> [Effect; 3] {
     let scope = DeduplicationScope::All;
     [
@@ -130,6 +132,7 @@
     }
 }
 
+/// A dispatcher under random load, with the expected state of its statements and engines.
 struct Workload {
     dispatcher: Dispatcher,
     rng: Pcg64Mcg,
@@ -180,6 +183,7 @@
         self.apply_decision(id, decision);
     }
 
+    /// Records a decision and checks the invariants that concern it.
     fn apply_decision(&mut self, id: StatementId, decision: Decision) {
         let statement = self
             .statements
@@ -323,6 +327,8 @@
         }
     }
 
+    /// Draws the event of an attempt in this step, or `None` if there is none. An attempt that is
+    /// due times out.
     fn draw_event(&mut self, order: &AttemptOrder) -> Option<AttemptEvent> {
         let event = match self.rng.random_range(0..40) {
             _ if order.due <= self.at() => AttemptEvent::TimedOut,
