--- a/crates/membership/src/anti_entropy.rs
+++ b/crates/membership/src/anti_entropy.rs
@@ -17,8 +17,8 @@
 use crate::table_digest::{BUCKETS, BucketDigest, BucketRange, Fingerprint, MAX_FINGERPRINTS};
 use crate::traffic_limits::TrafficLimits;
 
-/// The capacity of the byte budget, in bytes. It nearly covers the comparisons that a new node needs
-/// to learn a table of about 1,900 nodes.
+/// The capacity of the byte budget, in bytes. It nearly covers the comparisons that a new node
+/// needs to learn a table of about 1,900 nodes.
 const BUDGET_CAPACITY_BYTES: f64 = 16_000.0;
 /// The number of bytes reserved for a response: the maximum size of one page or of one answer to a
 /// comparison.
