--- a/crates/gateway/src/cluster/endpoint.rs
+++ b/crates/gateway/src/cluster/endpoint.rs
@@ -42,10 +42,10 @@
 impl ClusterError {
     /// Whether it may pass by itself.
     #[must_use]
-    pub fn passes_by_itself(&self) -> bool {
+    pub fn is_transient(&self) -> bool {
         match self {
             ClusterError::Bind(..) => true,
-            ClusterError::Keys(error) => error.passes_by_itself(),
+            ClusterError::Keys(error) => error.is_transient(),
         }
     }
 }
--- a/crates/gateway/src/cluster/key_folder.rs
+++ b/crates/gateway/src/cluster/key_folder.rs
@@ -9,8 +9,8 @@
 use thiserror::Error;
 use zeroize::Zeroizing;
 
-use crate::keyfiles::{self, FilesError};
-use crate::machine_errors::is_file_unreadable_for_now;
+use crate::keyfiles::{self, KeyFileError};
+use crate::machine_errors::is_transient_file_error;
 
 /// Bytes of a key.
 const KEY_BYTES: usize = 32;
@@ -27,7 +27,7 @@
     Io(PathBuf, io::Error),
     /// A key file cannot be used.
     #[error(transparent)]
-    File(#[from] FilesError),
+    File(#[from] KeyFileError),
     /// The keys make no key ring.
     #[error("{0}: {1}")]
     Keys(PathBuf, KeyError),
@@ -51,10 +51,10 @@
 impl KeyFolderError {
     /// Whether a file could not be read for a reason that may pass by itself.
     #[must_use]
-    pub fn passes_by_itself(&self) -> bool {
+    pub fn is_transient(&self) -> bool {
         match self {
-            KeyFolderError::Io(_, error) => is_file_unreadable_for_now(error),
-            KeyFolderError::File(error) => error.passes_by_itself(),
+            KeyFolderError::Io(_, error) => is_transient_file_error(error),
+            KeyFolderError::File(error) => error.is_transient(),
             _ => false,
         }
     }
@@ -126,7 +126,7 @@
     check_name(name)?;
     let path = key_path(folder, name);
     if path.exists() {
-        return Err(FilesError::Exists(path).into());
+        return Err(KeyFileError::Exists(path).into());
     }
     let is_first = list(folder)?.signing.is_none();
     keyfiles::write_secret(&path, keyfiles::hex(key).as_bytes())?;
--- a/crates/gateway/src/command/check.rs
+++ b/crates/gateway/src/command/check.rs
@@ -9,7 +9,7 @@
 use super::output::print_line;
 use super::{CommandResult, config_path};
 use crate::cluster::key_folder;
-use crate::config::{Config, Operated};
+use crate::config::{Config, OperatorSettings};
 use crate::service::NETWORK_DELAY;
 
 /// Reads both files and prints them by sections.
@@ -22,7 +22,7 @@
         .map_or("no operator's file".to_owned(), |path| {
             format!("operator's file {}", path.display())
         });
-    let operated = Operated::read(operator, &config)?;
+    let operated = OperatorSettings::read(operator, &config)?;
     if let Some((name, terms)) = &operated.fleet {
         print_fleet(&file, name, terms)?;
     }
--- a/crates/gateway/src/command/serve.rs
+++ b/crates/gateway/src/command/serve.rs
@@ -8,7 +8,7 @@
 use tracing_subscriber::EnvFilter;
 
 use super::{CommandResult, LogFormat, config_path};
-use crate::config::{Config, ConfigError, Operated};
+use crate::config::{Config, ConfigError, OperatorSettings};
 use crate::lifecycle::Lifecycle;
 use crate::lifecycle::signals::SignalReceiver;
 use crate::lifecycle::start_retry::StartRetry;
@@ -28,7 +28,7 @@
     let retry = retry.until_terminated(signals.clone());
     panic_containment::log_panics();
     // Nothing is taken before the start's end, so one that panics may begin anew.
-    let started = retry.run("start", StartFailure::passes_by_itself, || {
+    let started = retry.run("start", StartFailure::is_transient, || {
         let start = || start(operator.clone(), format, signals.clone(), &retry);
         match panic_containment::contain(start) {
             Ok(result) => result.map_err(StartFailure::Failed),
@@ -52,7 +52,7 @@
 }
 
 impl StartFailure {
-    fn passes_by_itself(&self) -> bool {
+    fn is_transient(&self) -> bool {
         matches!(self, StartFailure::Panicked(_))
     }
 }
@@ -75,11 +75,9 @@
     retry.seed_hash_tables()?;
     start_log(format);
     let path = config_path(None)?;
-    let config = retry.run("start", ConfigError::passes_by_itself, || {
-        Config::read(&path)
-    })?;
-    let operated = retry.run("start", ConfigError::passes_by_itself, || {
-        Operated::read(operator.clone(), &config)
+    let config = retry.run("start", ConfigError::is_transient, || Config::read(&path))?;
+    let operated = retry.run("start", ConfigError::is_transient, || {
+        OperatorSettings::read(operator.clone(), &config)
     })?;
     Ok(Lifecycle::start(signals, path, config, operated, retry)?)
 }
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -12,7 +12,7 @@
 use thiserror::Error;
 
 use crate::discovery::endpoints::{EndpointListError, EventBatch};
-use crate::machine_errors::is_file_unreadable_for_now;
+use crate::machine_errors::is_transient_file_error;
 
 /// Why the configuration or the operator's file cannot be used.
 #[derive(Debug, Error)]
@@ -52,11 +52,11 @@
 impl ConfigError {
     /// Whether a file could not be read for a reason that may pass by itself.
     #[must_use]
-    pub fn passes_by_itself(&self) -> bool {
+    pub fn is_transient(&self) -> bool {
         match self {
             ConfigError::Unreadable(_, error)
             | ConfigError::Operator(OperatorConfigError::Unreadable(_, error)) => {
-                is_file_unreadable_for_now(error)
+                is_transient_file_error(error)
             }
             // Whoever writes it has not come to its end.
             ConfigError::Json(error) => error.is_eof(),
@@ -67,27 +67,27 @@
 
 /// The operator's file beside the configuration: what of it is in force at this gateway.
 #[derive(Clone, Debug, Default)]
-pub struct Operated {
+pub struct OperatorSettings {
     /// Where it was read from; none: there is none.
     pub file: Option<PathBuf>,
     /// Budgets as this gateway's part of those of all; nothing where there are no queues.
     pub queues: Option<QueueConfig>,
     /// Files and terms by which callers are known; nothing where they are not.
-    pub callers: Option<IdentityConfig>,
+    pub identity: Option<IdentityConfig>,
     /// Budgets that are divided among all gateways; nothing where they are not.
     pub shares: Option<::quota::Config>,
     /// How gateways know each other, and this one's name; nothing where they don't.
     pub fleet: Option<(Name, MembershipConfig)>,
 }
 
-impl Operated {
+impl OperatorSettings {
     /// Reads the operator's file; without one nothing of it is in force.
     ///
     /// # Errors
     /// The file cannot be used, or contradicts the configuration.
     pub fn read(file: Option<PathBuf>, config: &Config) -> Result<Self, ConfigError> {
         let Some(path) = file else {
-            return Ok(Operated::default());
+            return Ok(OperatorSettings::default());
         };
         let operator = OperatorConfig::read(&path)?;
         check_tenants(&operator, config, &path)?;
@@ -98,10 +98,10 @@
             .membership
             .map(|membership| named_membership(membership, config, &path))
             .transpose()?;
-        Ok(Operated {
+        Ok(OperatorSettings {
             file: Some(path),
             queues,
-            callers: operator.identity,
+            identity: operator.identity,
             fleet,
             shares: operator.quota,
         })
@@ -109,7 +109,7 @@
 
     /// Tenants of the queues, in their order.
     #[must_use]
-    pub fn member_names(&self) -> Vec<String> {
+    pub fn tenant_names(&self) -> Vec<String> {
         let tenants = self.queues.iter().flat_map(|queues| &queues.tenants);
         tenants.map(|tenant| tenant.name.clone()).collect()
     }
@@ -187,13 +187,13 @@
     /// Of all chance.
     pub seed: u64,
     /// Descriptors that the process may hold.
-    pub sockets: usize,
+    pub max_descriptors: usize,
     /// Memory that the process may take, in MB.
     pub memory_mb: f64,
     /// Where the discovery service is.
-    pub board: SocketAddr,
+    pub discovery_address: SocketAddr,
     /// The discovery service's events up to now.
-    pub known: EventBatch,
+    pub known_endpoints: EventBatch,
     /// The settings that all gateways share.
     pub settings: Settings,
 }
@@ -201,12 +201,15 @@
 impl Config {
     /// What another file says otherwise and a running program cannot take over; its board and list it can.
     #[must_use]
-    pub fn fixed_differences(&self, other: &Config) -> Vec<&'static str> {
+    pub fn settings_requiring_restart(&self, other: &Config) -> Vec<&'static str> {
         let same = [
             ("name", self.name == other.name),
             ("listen", self.listen == other.listen),
             ("seed", self.seed == other.seed),
-            ("limits.sockets", self.sockets == other.sockets),
+            (
+                "limits.sockets",
+                self.max_descriptors == other.max_descriptors,
+            ),
             ("limits.memory_mb", self.memory_mb == other.memory_mb),
             ("settings", self.settings == other.settings),
         ];
@@ -246,10 +249,10 @@
             name: text("name")?.to_owned(),
             listen: address("listen")?,
             seed: u64::from_str_radix(text("seed")?, 16).map_err(|_| ConfigError::Field("seed"))?,
-            sockets: sockets.ok_or(ConfigError::Field("limits.sockets"))? as usize,
+            max_descriptors: sockets.ok_or(ConfigError::Field("limits.sockets"))? as usize,
             memory_mb: memory_mb.ok_or(ConfigError::Field("limits.memory_mb"))?,
-            board: address("board")?,
-            known: EventBatch::from_json(&json["known"])?,
+            discovery_address: address("board")?,
+            known_endpoints: EventBatch::from_json(&json["known"])?,
             settings: Settings::from_json(settings),
         })
     }
--- a/crates/gateway/src/credentials/keys.rs
+++ b/crates/gateway/src/credentials/keys.rs
@@ -10,7 +10,7 @@
 
 use super::{CommandResult, key_id, unix_now_s, update_index};
 use crate::command::output::print_line;
-use crate::keyfiles::{self, FilesError};
+use crate::keyfiles::{self, KeyFileError};
 
 #[derive(Debug, Subcommand)]
 pub enum Keys {
@@ -66,7 +66,7 @@
     let public_path = keyfiles::public_path(folder, id);
     for path in [&secret_path, &public_path] {
         if path.exists() {
-            return Err(FilesError::Exists(path.clone()).into());
+            return Err(KeyFileError::Exists(path.clone()).into());
         }
     }
     let pair = token::generate_key_pair()?;
--- a/crates/gateway/src/credentials/token.rs
+++ b/crates/gateway/src/credentials/token.rs
@@ -13,7 +13,7 @@
 
 use super::{CommandResult, key_id, unix_now_s, update_index};
 use crate::command::output::print_line;
-use crate::keyfiles::{self, FilesError};
+use crate::keyfiles::{self, KeyFileError};
 
 /// Random bytes in the id of a token.
 const TOKEN_ID_BYTES: usize = 8;
@@ -163,7 +163,7 @@
         text.push_str(&format!("caller {caller}\n"));
     }
     if let Err(error) = RevocationList::parse(&text) {
-        return Err(FilesError::Revocation(path, error.line).into());
+        return Err(KeyFileError::Revocation(path, error.line).into());
     }
     keyfiles::write_public(&path, text.as_bytes())?;
     // Gateways look at the index: its version tells them that something is new.
--- a/crates/gateway/src/keyfiles.rs
+++ b/crates/gateway/src/keyfiles.rs
@@ -13,7 +13,7 @@
 use thiserror::Error;
 use zeroize::Zeroizing;
 
-use crate::machine_errors::is_file_unreadable_for_now;
+use crate::machine_errors::is_transient_file_error;
 
 /// The index of keys.
 const INDEX_FILE: &str = "index.json";
@@ -26,7 +26,7 @@
 
 /// Why a file of the folder cannot be used or written.
 #[derive(Debug, Error)]
-pub enum FilesError {
+pub enum KeyFileError {
     /// It cannot be read, written or renamed.
     #[error("{0}: {1}")]
     Io(PathBuf, io::Error),
@@ -44,16 +44,16 @@
     Exists(PathBuf),
 }
 
-impl FilesError {
+impl KeyFileError {
     /// Whether a file could not be read for a reason that may pass by itself.
     #[must_use]
-    pub fn passes_by_itself(&self) -> bool {
-        matches!(self, FilesError::Io(_, error) if is_file_unreadable_for_now(error))
+    pub fn is_transient(&self) -> bool {
+        matches!(self, KeyFileError::Io(_, error) if is_transient_file_error(error))
     }
 }
 
 /// All that the folder holds for those who verify tokens.
-pub struct Files {
+pub struct KeyFiles {
     /// Which keys there are, and their lifecycle.
     pub index: KeyIndex,
     /// The public key of each entry of the index.
@@ -86,10 +86,10 @@
     folder.join(REVOCATION_FILE)
 }
 
-fn read_text(path: &Path) -> Result<Zeroizing<String>, FilesError> {
+fn read_text(path: &Path) -> Result<Zeroizing<String>, KeyFileError> {
     match fs::read_to_string(path) {
         Ok(text) => Ok(Zeroizing::new(text)),
-        Err(error) => Err(FilesError::Io(path.into(), error)),
+        Err(error) => Err(KeyFileError::Io(path.into(), error)),
     }
 }
 
@@ -98,11 +98,11 @@
 ///
 /// # Errors
 /// It cannot be read.
-pub fn read_if_present(path: &Path) -> Result<Option<String>, FilesError> {
+pub fn read_if_present(path: &Path) -> Result<Option<String>, KeyFileError> {
     match fs::read_to_string(path) {
         Ok(text) => Ok(Some(text)),
         Err(error) if error.kind() == ErrorKind::NotFound => Ok(None),
-        Err(error) => Err(FilesError::Io(path.into(), error)),
+        Err(error) => Err(KeyFileError::Io(path.into(), error)),
     }
 }
 
@@ -110,10 +110,10 @@
 ///
 /// # Errors
 /// It cannot be read, or holds something else.
-pub fn read_hex<const N: usize>(path: &Path) -> Result<Zeroizing<[u8; N]>, FilesError> {
+pub fn read_hex<const N: usize>(path: &Path) -> Result<Zeroizing<[u8; N]>, KeyFileError> {
     let text = read_text(path)?;
     let digits = text.trim().as_bytes();
-    let invalid = || FilesError::Key(path.into());
+    let invalid = || KeyFileError::Key(path.into());
     if digits.len() != N * 2 {
         return Err(invalid());
     }
@@ -143,7 +143,7 @@
 ///
 /// # Errors
 /// There is an index that cannot be used.
-pub fn read_index_or_default(folder: &Path) -> Result<KeyIndex, FilesError> {
+pub fn read_index_or_default(folder: &Path) -> Result<KeyIndex, KeyFileError> {
     let path = index_path(folder);
     match read_if_present(&path)? {
         Some(text) => parse_index(path, &text),
@@ -151,21 +151,21 @@
     }
 }
 
-fn read_index(folder: &Path) -> Result<KeyIndex, FilesError> {
+fn read_index(folder: &Path) -> Result<KeyIndex, KeyFileError> {
     let path = index_path(folder);
     let text = read_text(&path)?;
     parse_index(path, &text)
 }
 
-fn parse_index(path: PathBuf, text: &str) -> Result<KeyIndex, FilesError> {
-    KeyIndex::parse(text).map_err(|error| FilesError::Index(path, error))
+fn parse_index(path: PathBuf, text: &str) -> Result<KeyIndex, KeyFileError> {
+    KeyIndex::parse(text).map_err(|error| KeyFileError::Index(path, error))
 }
 
 /// Reads the secret half of a key.
 ///
 /// # Errors
 /// It is missing or cannot be used.
-pub fn read_secret(folder: &Path, id: &KeyId) -> Result<Zeroizing<SecretKey>, FilesError> {
+pub fn read_secret(folder: &Path, id: &KeyId) -> Result<Zeroizing<SecretKey>, KeyFileError> {
     read_hex(&secret_path(folder, id))
 }
 
@@ -173,7 +173,7 @@
 ///
 /// # Errors
 /// The index or a public key that it names is missing, or any file cannot be used.
-pub fn read(folder: &Path) -> Result<Files, FilesError> {
+pub fn read(folder: &Path) -> Result<KeyFiles, KeyFileError> {
     let index = read_index(folder)?;
     let mut public_keys = BTreeMap::new();
     for entry in &index.keys {
@@ -181,24 +181,24 @@
         public_keys.insert(entry.id.clone(), *public);
     }
     let revoked = read_revocation_list(folder)?;
-    Ok(Files {
+    Ok(KeyFiles {
         index,
         public_keys,
         revoked,
     })
 }
 
-fn read_revocation_list(folder: &Path) -> Result<RevocationList, FilesError> {
+fn read_revocation_list(folder: &Path) -> Result<RevocationList, KeyFileError> {
     let path = revocation_path(folder);
     let text = read_if_present(&path)?.unwrap_or_default();
-    RevocationList::parse(&text).map_err(|error| FilesError::Revocation(path, error.line))
+    RevocationList::parse(&text).map_err(|error| KeyFileError::Revocation(path, error.line))
 }
 
 /// Replaces a file that only its owner may read.
 ///
 /// # Errors
 /// It cannot be written.
-pub fn write_secret(path: &Path, content: &[u8]) -> Result<(), FilesError> {
+pub fn write_secret(path: &Path, content: &[u8]) -> Result<(), KeyFileError> {
     replace(path, content, SECRET_MODE)
 }
 
@@ -206,13 +206,13 @@
 ///
 /// # Errors
 /// It cannot be written.
-pub fn write_public(path: &Path, content: &[u8]) -> Result<(), FilesError> {
+pub fn write_public(path: &Path, content: &[u8]) -> Result<(), KeyFileError> {
     replace(path, content, PUBLIC_MODE)
 }
 
 /// Writes a temporary file beside it and renames that.
-fn replace(path: &Path, content: &[u8], mode: u32) -> Result<(), FilesError> {
-    let io_error = |error| FilesError::Io(path.into(), error);
+fn replace(path: &Path, content: &[u8], mode: u32) -> Result<(), KeyFileError> {
+    let io_error = |error| KeyFileError::Io(path.into(), error);
     let temporary = path.with_extension(format!("new-{}", std::process::id()));
     let mut file = fs::OpenOptions::new()
         .write(true)
@@ -239,7 +239,7 @@
 ///
 /// # Panics
 /// Never: an index is plain values.
-pub fn write_index(folder: &Path, index: &KeyIndex) -> Result<(), FilesError> {
+pub fn write_index(folder: &Path, index: &KeyIndex) -> Result<(), KeyFileError> {
     let mut text = serde_json::to_string_pretty(index).expect("an index is plain values");
     text.push('\n');
     write_public(&index_path(folder), text.as_bytes())
--- a/crates/gateway/src/keywatch.rs
+++ b/crates/gateway/src/keywatch.rs
@@ -15,8 +15,8 @@
 use rustls::pki_types::{CertificateDer, PrivateKeyDer};
 use thiserror::Error;
 
-use crate::keyfiles::{self, Files, FilesError};
-use crate::machine_errors::is_file_unreadable_for_now;
+use crate::keyfiles::{self, KeyFileError, KeyFiles};
+use crate::machine_errors::is_transient_file_error;
 
 /// How often the files are looked at. With the time to read them it bounds the time from a change to its effect.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
@@ -29,7 +29,7 @@
 pub enum WatchError {
     /// The key folder cannot be used.
     #[error(transparent)]
-    Files(#[from] FilesError),
+    KeyFiles(#[from] KeyFileError),
     /// A certificate or its private key is not PEM.
     #[error("{0}: {1}")]
     Pem(PathBuf, PemError),
@@ -41,19 +41,19 @@
 impl WatchError {
     /// Whether a file could not be read for a reason that may pass by itself.
     #[must_use]
-    pub fn passes_by_itself(&self) -> bool {
+    pub fn is_transient(&self) -> bool {
         match self {
-            WatchError::Files(error) => error.passes_by_itself(),
-            WatchError::Pem(_, PemError::Io(error)) => is_file_unreadable_for_now(error),
+            WatchError::KeyFiles(error) => error.is_transient(),
+            WatchError::Pem(_, PemError::Io(error)) => is_transient_file_error(error),
             WatchError::Pem(..) | WatchError::Tls(..) => false,
         }
     }
 }
 
 /// Everything that authentication of callers needs.
-pub struct Known {
+pub struct AuthMaterial {
     /// The key folder.
-    pub files: Files,
+    pub files: KeyFiles,
     /// For new handshakes.
     pub tls: Arc<ServerConfig>,
 }
@@ -62,8 +62,8 @@
 ///
 /// # Errors
 /// One of them is missing or cannot be used.
-pub fn read(callers: &IdentityConfig) -> Result<Known, WatchError> {
-    Ok(Known {
+pub fn read(callers: &IdentityConfig) -> Result<AuthMaterial, WatchError> {
+    Ok(AuthMaterial {
         files: keyfiles::read(&callers.keys_folder)?,
         tls: Arc::new(read_tls(callers)?),
     })
@@ -111,7 +111,7 @@
 }
 
 /// What the watching thread sends: the files, or why they cannot be used.
-type ReadResult = Result<Known, WatchError>;
+type ReadResult = Result<AuthMaterial, WatchError>;
 
 /// Starts the thread. It ends once the channel is dropped and a file changes.
 ///
@@ -140,7 +140,7 @@
         }
         let result = read(callers);
         // The change is still there to be seen at the next look.
-        let is_unreadable_for_now = result.as_ref().is_err_and(WatchError::passes_by_itself);
+        let is_unreadable_for_now = result.as_ref().is_err_and(WatchError::is_transient);
         if is_unreadable_for_now && retries < MAX_READ_RETRIES {
             retries += 1;
             continue;
--- a/crates/gateway/src/lifecycle/acceptor.rs
+++ b/crates/gateway/src/lifecycle/acceptor.rs
@@ -13,7 +13,7 @@
 use super::StartError;
 use crate::clients::Sessions;
 use crate::counters::Counters;
-use crate::machine_errors::is_of_waiting_connection;
+use crate::machine_errors::is_pending_connection_error;
 use crate::socket::{EventLoopHandle, EventSource, LoopEvents};
 use crate::socket_queries;
 
@@ -206,7 +206,7 @@
             };
             if error.kind() == io::ErrorKind::WouldBlock {
                 self.has_unaccepted = false;
-            } else if is_of_waiting_connection(&error) {
+            } else if is_pending_connection_error(&error) {
                 counters.accepts_failed += 1;
             } else {
                 self.retry_later(now, &error, counters);
--- a/crates/gateway/src/lifecycle/mod.rs
+++ b/crates/gateway/src/lifecycle/mod.rs
@@ -34,7 +34,7 @@
 use self::wait::LoopFailures;
 use crate::clock::Clock;
 use crate::cluster::{ClusterEndpoint, ClusterError};
-use crate::config::{Config, Operated};
+use crate::config::{Config, OperatorSettings};
 use crate::keywatch::WatchError;
 use crate::log_output;
 use crate::service::Service;
@@ -57,7 +57,7 @@
     Settings(#[from] SettingsError),
     /// The key files or the certificate cannot be used.
     #[error(transparent)]
-    Known(#[from] WatchError),
+    KeyFiles(#[from] WatchError),
     /// The index of keys contradicts itself.
     #[error(transparent)]
     Keys(#[from] KeyIndexError),
@@ -86,7 +86,7 @@
     /// The configuration in force; its endpoint list went to the service.
     config: Config,
     /// What of the operator's file is in force.
-    operated: Operated,
+    operated: OperatorSettings,
     /// SIGHUP came, and a file could not be read yet.
     pending_reload: Option<PendingReload>,
 }
--- a/crates/gateway/src/lifecycle/reload.rs
+++ b/crates/gateway/src/lifecycle/reload.rs
@@ -8,8 +8,8 @@
 use super::Lifecycle;
 use crate::clock::unix_now;
 use crate::cluster::ClusterEndpoint;
-use crate::config::{Config, ConfigError, Operated};
-use crate::keywatch::{Known, WatchError};
+use crate::config::{Config, ConfigError, OperatorSettings};
+use crate::keywatch::{AuthMaterial, WatchError};
 
 /// How long a file is tried that cannot be read for now. What it tells of the discovery service is needed: drains are told
 /// there.
@@ -55,7 +55,7 @@
             let Err(error) = result else {
                 continue;
             };
-            if error.passes_by_itself() && now < give_up_at {
+            if error.is_transient() && now < give_up_at {
                 info!(%error, "reload: tried again");
                 let due = now + PAUSE;
                 self.pending_reload = Some(PendingReload { due, give_up_at });
@@ -69,19 +69,22 @@
     /// Of a usable file only the discovery service and the list are taken, since no open statement may be touched.
     fn reload_configuration(&mut self, now: Timestamp) -> Result<(), ConfigError> {
         let config = Config::read(&self.source)?;
-        let kept = self.config.fixed_differences(&config);
-        info!(board = %config.board, known = config.known.last_revision, ?kept, "configuration read again");
+        let kept = self.config.settings_requiring_restart(&config);
+        info!(board = %config.discovery_address, known = config.known_endpoints.last_revision, ?kept, "configuration read again");
         let service = &mut self.service;
         let counters = &mut service.counters;
         counters.reloads += 1;
-        service
-            .discovery
-            .reconfigure(now, config.board, config.known, counters);
+        service.discovery.reconfigure(
+            now,
+            config.discovery_address,
+            config.known_endpoints,
+            counters,
+        );
         Ok(())
     }
 
     /// Key files and certificates that changed, all or none of them.
-    pub(super) fn reload_key_files(&mut self, changed: Result<Known, WatchError>) {
+    pub(super) fn reload_key_files(&mut self, changed: Result<AuthMaterial, WatchError>) {
         let result = changed
             .map_err(|error| error.to_string())
             .and_then(|known| {
@@ -104,8 +107,8 @@
         }
     }
 
-    fn apply_key_files(&mut self, known: Known) -> Result<(), KeyIndexError> {
-        let Known { files, tls } = known;
+    fn apply_key_files(&mut self, known: AuthMaterial) -> Result<(), KeyIndexError> {
+        let AuthMaterial { files, tls } = known;
         if let Some(verifier) = self.service.token_verifier() {
             verifier.update(unix_now(), &files.index, &files.public_keys, files.revoked)?;
         }
@@ -118,14 +121,14 @@
         let Some(path) = self.operated.file.clone() else {
             return Ok(());
         };
-        let operated = Operated::read(Some(path), &self.config)?;
+        let operated = OperatorSettings::read(Some(path), &self.config)?;
         self.reload_fleet(&operated);
         self.reload_shares(&operated);
         self.reload_queues(now, operated);
         Ok(())
     }
 
-    fn reload_fleet(&mut self, operated: &Operated) {
+    fn reload_fleet(&mut self, operated: &OperatorSettings) {
         match (self.service.cluster(), &operated.fleet) {
             (Some(cluster), Some((_, terms))) => match cluster.reconfigure(terms) {
                 Ok(kept) => info!(?kept, seeds = terms.seeds.len(), "fleet: new terms"),
@@ -140,8 +143,8 @@
     }
 
     /// Budgets by their names; how long leases last, who votes and how many may run wait for a restart of all.
-    fn reload_shares(&mut self, operated: &Operated) {
-        let tenants = operated.member_names();
+    fn reload_shares(&mut self, operated: &OperatorSettings) {
+        let tenants = operated.tenant_names();
         let leases = self
             .service
             .cluster()
@@ -157,7 +160,7 @@
         }
     }
 
-    fn reload_queues(&mut self, now: Timestamp, operated: Operated) {
+    fn reload_queues(&mut self, now: Timestamp, operated: OperatorSettings) {
         match (&self.operated.queues, &operated.queues) {
             (Some(old), Some(new)) if old != new => {
                 info!(
--- a/crates/gateway/src/lifecycle/start.rs
+++ b/crates/gateway/src/lifecycle/start.rs
@@ -21,7 +21,7 @@
 use crate::clock::{Clock, unix_now};
 use crate::cluster::QuotaLeases;
 use crate::cluster::{ClusterEndpoint, ClusterError};
-use crate::config::{Config, Operated};
+use crate::config::{Config, OperatorSettings};
 use crate::discovery::DiscoveryClient;
 use crate::engines::EngineTransport;
 use crate::keywatch::{self, WatchError};
@@ -51,7 +51,7 @@
         signals: Rc<SignalReceiver>,
         source: PathBuf,
         mut config: Config,
-        operated: Operated,
+        operated: OperatorSettings,
         retry: &StartRetry,
     ) -> Result<Self, StartError> {
         let event_loop: EventLoop<'static, LoopEvents> =
@@ -61,13 +61,13 @@
         let clock = Clock::start();
         let now = clock.now();
         let mut service = new_service(now, &handle, &config, &operated)?;
-        let known_events = std::mem::take(&mut config.known.events);
+        let known_events = std::mem::take(&mut config.known_endpoints.events);
         service.on_discovery_events(now, &known_events);
-        if let Some(callers) = &operated.callers {
+        if let Some(callers) = &operated.identity {
             authenticate_callers(&mut service, &handle, callers, retry)?;
         }
         if let Some((name, terms)) = &operated.fleet {
-            let mut cluster = retry.run("fleet", ClusterError::passes_by_itself, || {
+            let mut cluster = retry.run("fleet", ClusterError::is_transient, || {
                 ClusterEndpoint::bind(now, &handle, terms, name, config.seed)
             })?;
             share_quotas(&mut cluster, clock, &config, &operated)?;
@@ -98,11 +98,11 @@
     now: Timestamp,
     handle: &EventLoopHandle,
     config: &Config,
-    operated: &Operated,
+    operated: &OperatorSettings,
 ) -> Result<Service, StartError> {
-    let client_descriptors = (config.sockets as f64 * CLIENT_DESCRIPTOR_SHARE) as usize;
+    let client_descriptors = (config.max_descriptors as f64 * CLIENT_DESCRIPTOR_SHARE) as usize;
     let engine_descriptors = config
-        .sockets
+        .max_descriptors
         .saturating_sub(client_descriptors + OWN_DESCRIPTORS)
         .max(1);
     let limits = SessionLimits {
@@ -119,8 +119,8 @@
     let engines = EngineTransport::new(handle, config.settings.connections()?, engine_descriptors);
     let discovery = DiscoveryClient::new(
         handle,
-        config.board,
-        config.known.last_revision,
+        config.discovery_address,
+        config.known_endpoints.last_revision,
         config.seed,
         now,
     );
@@ -143,7 +143,7 @@
     retry: &StartRetry,
 ) -> Result<(), StartError> {
     let read = || keywatch::read(callers);
-    let known = retry.run("callers", WatchError::passes_by_itself, read)?;
+    let known = retry.run("callers", WatchError::is_transient, read)?;
     let files = known.files;
     let mut verifier = TokenVerifier::new(unix_now(), callers.verifier);
     verifier.update(unix_now(), &files.index, &files.public_keys, files.revoked)?;
@@ -170,13 +170,13 @@
     cluster: &mut ClusterEndpoint,
     clock: Clock,
     config: &Config,
-    operated: &Operated,
+    operated: &OperatorSettings,
 ) -> Result<(), StartError> {
     let Some(terms) = &operated.shares else {
         return Ok(());
     };
     let classes = config.settings.class_names()?;
-    let tenants = operated.member_names();
+    let tenants = operated.tenant_names();
     let own = cluster.membership().local_record().clone();
     let leases = QuotaLeases::new(
         clock,
--- a/crates/gateway/src/machine_errors.rs
+++ b/crates/gateway/src/machine_errors.rs
@@ -63,12 +63,12 @@
 
 /// Whether accepting failed because of the one connection that was next, which is gone.
 #[must_use]
-pub fn is_of_waiting_connection(error: &io::Error) -> bool {
+pub fn is_pending_connection_error(error: &io::Error) -> bool {
     is_one_of(error, &FAILED_WHILE_WAITING)
 }
 
 /// Whether a file that cannot be read now may be readable soon.
 #[must_use]
-pub fn is_file_unreadable_for_now(error: &io::Error) -> bool {
+pub fn is_transient_file_error(error: &io::Error) -> bool {
     is_resource_exhaustion(error) || is_one_of(error, &FILE_UNREADABLE_FOR_NOW)
 }
--- a/crates/gateway/src/socket.rs
+++ b/crates/gateway/src/socket.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use crate::engines::ConnectionId;
-use crate::keywatch::{Known, WatchError};
+use crate::keywatch::{AuthMaterial, WatchError};
 use crate::machine_errors::is_transfer_shortage;
 use crate::socket_queries;
 use admission::interface::{TimeDelta, Timestamp};
@@ -50,7 +50,7 @@
     /// The timer has fired, and is removed.
     pub timer_fired: bool,
     /// Key files that changed, or why they cannot be used.
-    pub key_changes: Vec<Result<Known, WatchError>>,
+    pub key_changes: Vec<Result<AuthMaterial, WatchError>>,
 }
 
 /// A handle of the event loop, by which sources are registered.
@@ -292,7 +292,7 @@
     /// segment that only acknowledges counts too. `now` where the machine cannot tell.
     #[must_use]
     pub fn last_received(&self, now: Timestamp) -> Timestamp {
-        let silent = socket_queries::silent_for(&self.stream).unwrap_or_default();
+        let silent = socket_queries::time_since_last_receive(&self.stream).unwrap_or_default();
         now + TimeDelta::from_secs(-silent.as_secs_f64())
     }
 
--- a/crates/gateway/src/socket_queries.rs
+++ b/crates/gateway/src/socket_queries.rs
@@ -67,7 +67,7 @@
 
 /// How long ago the peer's last segment came; none where the machine does not tell.
 #[must_use]
-pub fn silent_for(stream: &TcpStream) -> Option<Duration> {
+pub fn time_since_last_receive(stream: &TcpStream) -> Option<Duration> {
     let value = OptionValue::read(stream.as_fd(), libc::IPPROTO_TCP, libc::TCP_INFO).ok()?;
     let silent_ms = value.bytes_at(offset_of!(tcp_info, tcpi_last_ack_recv))?;
     Some(Duration::from_millis(u32::from_ne_bytes(silent_ms).into()))
