--- a/crates/gateway/src/cluster/endpoint.rs
+++ b/crates/gateway/src/cluster/endpoint.rs
@@ -42,10 +42,10 @@
 impl ClusterError {
     /// Whether it may pass by itself.
     #[must_use]
-    pub fn is_transient(&self) -> bool {
+    pub fn may_be_transient(&self) -> bool {
         match self {
             ClusterError::Bind(..) => true,
-            ClusterError::Keys(error) => error.is_transient(),
+            ClusterError::Keys(error) => error.may_be_transient(),
         }
     }
 }
--- a/crates/gateway/src/cluster/key_folder.rs
+++ b/crates/gateway/src/cluster/key_folder.rs
@@ -51,10 +51,10 @@
 impl KeyFolderError {
     /// Whether a file could not be read for a reason that may pass by itself.
     #[must_use]
-    pub fn is_transient(&self) -> bool {
+    pub fn may_be_transient(&self) -> bool {
         match self {
             KeyFolderError::Io(_, error) => is_transient_file_error(error),
-            KeyFolderError::File(error) => error.is_transient(),
+            KeyFolderError::File(error) => error.may_be_transient(),
             _ => false,
         }
     }
--- a/crates/gateway/src/command/serve.rs
+++ b/crates/gateway/src/command/serve.rs
@@ -28,7 +28,7 @@
     let retry = retry.until_terminated(signals.clone());
     panic_containment::log_panics();
     // Nothing is taken before the start's end, so one that panics may begin anew.
-    let started = retry.run("start", StartFailure::is_transient, || {
+    let started = retry.run("start", StartFailure::may_be_transient, || {
         let start = || start(operator.clone(), format, signals.clone(), &retry);
         match panic_containment::contain(start) {
             Ok(result) => result.map_err(StartFailure::Failed),
@@ -52,7 +52,7 @@
 }
 
 impl StartFailure {
-    fn is_transient(&self) -> bool {
+    fn may_be_transient(&self) -> bool {
         matches!(self, StartFailure::Panicked(_))
     }
 }
@@ -75,8 +75,10 @@
     retry.seed_hash_tables()?;
     start_log(format);
     let path = config_path(None)?;
-    let config = retry.run("start", ConfigError::is_transient, || Config::read(&path))?;
-    let operated = retry.run("start", ConfigError::is_transient, || {
+    let config = retry.run("start", ConfigError::may_be_transient, || {
+        Config::read(&path)
+    })?;
+    let operated = retry.run("start", ConfigError::may_be_transient, || {
         OperatorSettings::read(operator.clone(), &config)
     })?;
     Ok(Lifecycle::start(signals, path, config, operated, retry)?)
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -52,7 +52,7 @@
 impl ConfigError {
     /// Whether a file could not be read for a reason that may pass by itself.
     #[must_use]
-    pub fn is_transient(&self) -> bool {
+    pub fn may_be_transient(&self) -> bool {
         match self {
             ConfigError::Unreadable(_, error)
             | ConfigError::Operator(OperatorConfigError::Unreadable(_, error)) => {
--- a/crates/gateway/src/keyfiles.rs
+++ b/crates/gateway/src/keyfiles.rs
@@ -47,7 +47,7 @@
 impl KeyFileError {
     /// Whether a file could not be read for a reason that may pass by itself.
     #[must_use]
-    pub fn is_transient(&self) -> bool {
+    pub fn may_be_transient(&self) -> bool {
         matches!(self, KeyFileError::Io(_, error) if is_transient_file_error(error))
     }
 }
--- a/crates/gateway/src/keywatch.rs
+++ b/crates/gateway/src/keywatch.rs
@@ -41,9 +41,9 @@
 impl WatchError {
     /// Whether a file could not be read for a reason that may pass by itself.
     #[must_use]
-    pub fn is_transient(&self) -> bool {
+    pub fn may_be_transient(&self) -> bool {
         match self {
-            WatchError::KeyFiles(error) => error.is_transient(),
+            WatchError::KeyFiles(error) => error.may_be_transient(),
             WatchError::Pem(_, PemError::Io(error)) => is_transient_file_error(error),
             WatchError::Pem(..) | WatchError::Tls(..) => false,
         }
@@ -140,7 +140,7 @@
         }
         let result = read(callers);
         // The change is still there to be seen at the next look.
-        let is_unreadable_for_now = result.as_ref().is_err_and(WatchError::is_transient);
+        let is_unreadable_for_now = result.as_ref().is_err_and(WatchError::may_be_transient);
         if is_unreadable_for_now && retries < MAX_READ_RETRIES {
             retries += 1;
             continue;
--- a/crates/gateway/src/lifecycle/reload.rs
+++ b/crates/gateway/src/lifecycle/reload.rs
@@ -55,7 +55,7 @@
             let Err(error) = result else {
                 continue;
             };
-            if error.is_transient() && now < give_up_at {
+            if error.may_be_transient() && now < give_up_at {
                 info!(%error, "reload: tried again");
                 let due = now + PAUSE;
                 self.pending_reload = Some(PendingReload { due, give_up_at });
--- a/crates/gateway/src/lifecycle/start.rs
+++ b/crates/gateway/src/lifecycle/start.rs
@@ -67,7 +67,7 @@
             authenticate_callers(&mut service, &handle, callers, retry)?;
         }
         if let Some((name, terms)) = &operated.fleet {
-            let mut cluster = retry.run("fleet", ClusterError::is_transient, || {
+            let mut cluster = retry.run("fleet", ClusterError::may_be_transient, || {
                 ClusterEndpoint::bind(now, &handle, terms, name, config.seed)
             })?;
             share_quotas(&mut cluster, clock, &config, &operated)?;
@@ -143,7 +143,7 @@
     retry: &StartRetry,
 ) -> Result<(), StartError> {
     let read = || keywatch::read(callers);
-    let known = retry.run("callers", WatchError::is_transient, read)?;
+    let known = retry.run("callers", WatchError::may_be_transient, read)?;
     let files = known.files;
     let mut verifier = TokenVerifier::new(unix_now(), callers.verifier);
     verifier.update(unix_now(), &files.index, &files.public_keys, files.revoked)?;
--- a/crates/gateway/src/lifecycle/start_retry.rs
+++ b/crates/gateway/src/lifecycle/start_retry.rs
@@ -75,7 +75,7 @@
     pub fn run<T, E: Display>(
         &self,
         what: &str,
-        is_transient: impl Fn(&E) -> bool,
+        may_be_transient: impl Fn(&E) -> bool,
         mut attempt: impl FnMut() -> Result<T, E>,
     ) -> Result<T, E> {
         let mut is_first_failure = true;
@@ -84,7 +84,7 @@
                 Ok(value) => return Ok(value),
                 Err(error) => error,
             };
-            if !is_transient(&error) || self.is_over() {
+            if !may_be_transient(&error) || self.is_over() {
                 return Err(error);
             }
             if is_first_failure {
