--- a/crates/gateway/src/clients/commands.rs
+++ b/crates/gateway/src/clients/commands.rs
@@ -1,4 +1,4 @@
-//! Commands of sessions that are logged in: answered here, or passed on as events.
+//! Commands of logged-in sessions. They are answered here or reported as events.
 
 use admission::interface::Timestamp;
 use bytes::Bytes;
@@ -10,7 +10,7 @@
 use super::session::{PendingResponse, Session, SessionState};
 use crate::counters::Counters;
 
-/// The one system variable with a value; all others are empty.
+/// The only system variable that has a value. All others read as the empty string.
 const MAX_PACKET_VARIABLE: &str = "@@max_allowed_packet";
 
 impl Session {
@@ -37,7 +37,8 @@
         self.socket.enqueue(&table);
     }
 
-    /// Its statement, with the time at which it had come.
+    /// The event for a statement of this session. Its arrival time is when it was queued behind an
+    /// earlier command, or `now` if it was not queued.
     fn statement_event(&self, id: SessionId, now: Timestamp, text: &[u8]) -> SessionEvent {
         SessionEvent::Statement {
             session: id,
@@ -49,7 +50,7 @@
 }
 
 impl Sessions {
-    /// A packet of a session that is logged in.
+    /// Processes a packet of a logged-in session.
     pub(super) fn process_command(&mut self, now: Timestamp, id: SessionId, body: &[u8]) {
         let Some(session) = self.sessions.get_mut(&id) else {
             return;
@@ -70,7 +71,7 @@
         let event = match Query::parse(text) {
             Query::NoOperation => return session.answer_ok(),
             Query::SystemVariable(name) => return session.answer_system_variable(name),
-            // Without tokens nothing is to be renewed.
+            // Without TLS, clients log in without tokens, so there is nothing to renew.
             Query::SetToken(_) if self.tls.is_none() => return session.answer_ok(),
             Query::SetToken(token) => SessionEvent::Token {
                 session: id,
@@ -104,7 +105,8 @@
         self.events.push(event);
     }
 
-    /// Ends the statement of a session that another one names, and with [`KillScope::Connection`] the session too.
+    /// Answers the pending statement of a session with an error on behalf of a `KILL` from another
+    /// session. With [`KillScope::Connection`] the session is closed too.
     pub fn kill(
         &mut self,
         now: Timestamp,
@@ -117,7 +119,7 @@
         };
         let statement = session.statement();
         if scope == KillScope::Connection {
-            // Ahead of the response, which would let the next command be read.
+            // Close first: responding would otherwise process the next buffered command.
             session.start_closing(now);
         }
         if statement.is_some() {
--- a/crates/gateway/src/clients/comment.rs
+++ b/crates/gateway/src/clients/comment.rs
@@ -1,30 +1,32 @@
-//! The comment ahead of a statement, whose fields tell what the statement is and how long its client waits.
+//! Parses the comment that precedes a statement. Its fields carry the statement's query class, its
+//! time budget and its other properties.
 
 use std::str::FromStr;
 
 use thiserror::Error;
 
-/// Longer budgets are no client's: above all a slip of units.
+/// The longest time budget that is accepted. A longer one is most likely given in the wrong unit.
 const MAX_BUDGET_MS: f64 = 3_600_000.0;
 
 const MIN_BUDGET_MS: f64 = 1.0;
 
-/// Idempotency keys are 32 digits and order keys 16; longer ones only cost memory.
+/// The longest key that is accepted. Idempotency keys have 32 digits and order keys 16, so longer
+/// keys would only use memory.
 const MAX_KEY_BYTES: usize = 128;
 
-/// Digits of a request id.
+/// The number of hexadecimal digits in a request id.
 const REQUEST_ID_BYTES: usize = 16;
 
-/// Why a statement's comment cannot be used.
+/// Why a statement and its comment are invalid.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum CommentError {
-    /// The text does not begin with a comment, or it does not end, or is not UTF-8.
+    /// The text does not start with a comment, or the comment is unterminated or not UTF-8.
     #[error("no comment with fields ahead of the statement")]
     NoComment,
-    /// A field that every statement needs.
+    /// A required field is missing.
     #[error("the comment has no {0}")]
     MissingField(&'static str),
-    /// A field without a value of use, or that stands twice.
+    /// A field has an invalid value or occurs twice.
     #[error("the comment's {0} cannot be used")]
     InvalidField(&'static str),
     /// Nothing follows the comment.
@@ -32,37 +34,43 @@
     NoStatement,
 }
 
-/// A statement with the fields of its comment; names and text are as they came.
+/// A statement with the fields of its comment. Text fields hold what the client sent, unchanged.
 #[derive(Debug, PartialEq)]
 pub struct CommentedStatement<'a> {
-    /// The name of its query class (`method`).
+    /// The name of the query class (`method`).
     pub class: &'a str,
-    /// The client's own id of it, in hexadecimal digits (`rid`).
+    /// The id that the client chose for the statement, as hexadecimal digits (`rid`).
     pub request_id: [u8; REQUEST_ID_BYTES],
-    /// How long the client waits from when it sent the statement, in milliseconds (`budget`).
+    /// How long the client waits for the response after sending the statement, in milliseconds
+    /// (`budget`).
     pub budget_ms: f64,
-    /// Whose it is (`acct`).
+    /// The tenant that the statement belongs to (`acct`). `None` if the field is absent.
     pub tenant: Option<&'a str>,
-    /// The sub-queue of its tenant that it waits in (`desk`).
+    /// The sub-queue of the tenant in which the statement waits (`desk`). `None` if the field is
+    /// absent.
     pub sub_queue: Option<&'a str>,
-    /// Its CPU as the client estimates it, in milliseconds (`est`).
+    /// The client's estimate of the CPU time, in milliseconds (`est`). `None` if the field is
+    /// absent.
     pub estimate_ms: Option<f64>,
-    /// Its memory as the client estimates it, in MB (`mem`).
+    /// The client's estimate of the memory, in MB (`mem`). `None` if the field is absent.
     pub memory_mb: Option<f64>,
-    /// By which engines recognise its repeats (`token`); goes on to them as it came.
+    /// The key by which engines recognise repeats of the statement (`token`), passed on to them
+    /// unchanged. `None` if the field is absent.
     pub idempotency_key: Option<&'a str>,
-    /// Statements of one such key run one at a time (`obj`); goes on to engines as it came.
+    /// The order key (`obj`), passed on to engines unchanged. Statements with the same key run one
+    /// at a time. `None` if the field is absent.
     pub order_key: Option<&'a str>,
-    /// What follows the comment.
+    /// The text after the comment.
     pub text: &'a [u8],
 }
 
 impl<'a> CommentedStatement<'a> {
-    /// Reads a query's text.
+    /// Parses a query's text.
     ///
     /// # Errors
     ///
-    /// There is no comment, no statement behind it, or the first field that is missing or cannot be used.
+    /// Fails if there is no comment, if no statement follows it, or if a required field is missing
+    /// or any field is invalid. The error names the first such field.
     pub fn parse(query: &'a [u8]) -> Result<Self, CommentError> {
         let (fields, text) = split_comment(query)?;
         let request_id = fields.request_id()?;
@@ -85,7 +93,7 @@
     }
 }
 
-/// The comment's fields, and what follows it.
+/// Splits a query into the fields of its comment and the statement after it.
 fn split_comment(query: &[u8]) -> Result<(Fields<'_>, &[u8]), CommentError> {
     let query = query.trim_ascii_start();
     let inner = query.strip_prefix(b"/*").ok_or(CommentError::NoComment)?;
@@ -98,12 +106,13 @@
     Ok((Fields(fields), statement))
 }
 
-/// Fields of the form `name=value`, between commas.
+/// The comma-separated `name=value` fields of a comment.
 #[derive(Clone, Copy)]
 struct Fields<'a>(&'a str);
 
 impl<'a> Fields<'a> {
-    /// A field's value; none where there is no such field.
+    /// The value of a field, or `None` if the field is absent. Fails if the value is empty or the
+    /// field occurs twice.
     fn text(self, name: &'static str) -> Result<Option<&'a str>, CommentError> {
         let mut values = self.0.split(',').filter_map(|field| {
             let (key, value) = field.split_once('=')?;
@@ -120,7 +129,7 @@
         self.text(name)?.ok_or(CommentError::MissingField(name))
     }
 
-    /// A finite number from zero on.
+    /// A field with a finite number that is not negative, or `None` if the field is absent.
     fn number(self, name: &'static str) -> Result<Option<f64>, CommentError> {
         match self.text(name)?.map(f64::from_str) {
             None => Ok(None),
@@ -129,7 +138,8 @@
         }
     }
 
-    /// Letters and digits only, so that it ends no field and no line on its way to an engine.
+    /// A field that holds a key, or `None` if the field is absent. Only ASCII letters and digits
+    /// are valid, so that a key cannot end a field or a line of the request to an engine.
     fn key(self, name: &'static str) -> Result<Option<&'a str>, CommentError> {
         let Some(value) = self.text(name)? else {
             return Ok(None);
--- a/crates/gateway/src/clients/events.rs
+++ b/crates/gateway/src/clients/events.rs
@@ -1,4 +1,4 @@
-//! What sessions report to the gateway, and what it asks of them by value.
+//! Events that sessions report to the gateway, and the values that pass between the two.
 
 use std::net::IpAddr;
 use std::rc::Rc;
@@ -8,112 +8,114 @@
 
 use super::protocol::KillScope;
 
-/// A session, by the connection id that its client was greeted with; never zero.
+/// Identifies a session by the connection id in its greeting. The id is never zero.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SessionId(pub u32);
 
-/// What a token is for.
+/// Why a client has sent a token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TokenPurpose {
-    /// The session's login.
+    /// The client logs in with the token.
     Login,
-    /// A session that is logged in goes on with it.
+    /// The token replaces the current one of a logged-in session.
     Renewal,
 }
 
-/// What a session wants of the gateway. It gets a response to each but [`SessionEvent::StatementAbandoned`].
+/// A request from a session, which the gateway has to answer, or the end of a session with a
+/// statement ([`SessionEvent::StatementAbandoned`]), which needs no response.
 pub enum SessionEvent {
-    /// A statement is to be run.
+    /// The client has sent a statement to run.
     Statement {
-        /// Whose it is.
+        /// The session that the statement came from.
         session: SessionId,
-        /// The query's text, its comment included.
+        /// The query's text, including its comment.
         text: Bytes,
-        /// Where the client is.
+        /// The client's IP address.
         client_ip: IpAddr,
-        /// When it had come: earlier than now where it stood behind another statement.
+        /// When the statement arrived, which is in the past if it was queued behind another
+        /// command.
         received: Timestamp,
     },
-    /// A token is to be checked.
+    /// The client has sent a token to verify.
     Token {
-        /// Whose it is.
+        /// The session that the token came from.
         session: SessionId,
-        /// The token as it came.
+        /// The token as the client sent it.
         token: Rc<str>,
-        /// What it is for.
+        /// Whether the token is for a login or a renewal.
         purpose: TokenPurpose,
     },
-    /// `SHOW QUEUE`: what waits.
+    /// `SHOW QUEUE`: list what is waiting.
     ShowQueue {
-        /// Who asks.
+        /// The session that asked.
         session: SessionId,
-        /// The query's text, for a gateway that has nothing to show.
+        /// The query's text, handled as a statement if the gateway has no queues.
         text: Bytes,
-        /// The statement of this id; none: all that waits.
+        /// The request id of the statement to show, or `None` for everything that is waiting.
         request_id: Option<String>,
     },
-    /// `SHOW FLEET`: the other gateways.
+    /// `SHOW FLEET`: list the other gateways.
     ShowFleet {
-        /// Who asks.
+        /// The session that asked.
         session: SessionId,
-        /// The query's text, for a gateway that has nothing to show.
+        /// The query's text, handled as a statement if the gateway is not part of a fleet.
         text: Bytes,
     },
-    /// `SHOW SHARES`: the quotas of all gateways.
+    /// `SHOW SHARES`: list the quotas of all gateways.
     ShowShares {
-        /// Who asks.
+        /// The session that asked.
         session: SessionId,
-        /// The query's text, for a gateway that has nothing to show.
+        /// The query's text, handled as a statement if the gateway shares no quotas.
         text: Bytes,
     },
-    /// `KILL`: another session is to be ended, or its statement.
+    /// `KILL`: close another session or end its statement.
     Kill {
-        /// Who asks.
+        /// The session that sent the command.
         requester: SessionId,
-        /// Which session.
+        /// The session to act on.
         target: SessionId,
-        /// What of it ends.
+        /// Whether to close the session or only to end its statement.
         scope: KillScope,
     },
-    /// The session of this statement is gone; no response can reach its client.
+    /// The session of this statement is closed, so no response can reach the client.
     StatementAbandoned(StatementId),
 }
 
-/// What [`super::Sessions::kill`] found.
+/// The result of [`super::Sessions::kill`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KillOutcome {
     /// There is no such session.
     UnknownSession,
-    /// The session has no statement in hand.
+    /// The session has no pending statement.
     NoStatement,
-    /// This statement has got its response, and is to be given up.
+    /// This statement has been answered with an error, and the gateway should abandon it.
     Interrupted(StatementId),
 }
 
-/// The end of what a client sends.
+/// When a client closed its sending direction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClientEnd {
-    /// The time of the turn in which it was seen.
+    /// The time of the turn in which the gateway noticed it.
     pub detected: Timestamp,
-    /// When it had come to this machine: long before where the gateway stood still, or where the connection waited to be
-    /// accepted.
+    /// When it reached this machine. This is long before `detected` if the gateway was stalled or
+    /// the connection waited in the accept backlog.
     pub arrived: Timestamp,
 }
 
-/// A statement whose client sends no more.
+/// A pending statement whose client has closed its sending direction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Disconnection {
-    /// The statement.
+    /// The pending statement.
     pub statement: StatementId,
-    /// The client's end.
+    /// When the client closed its sending direction.
     pub end: ClientEnd,
 }
 
-/// A statement whose client takes progress reports.
+/// A pending statement whose client accepts progress reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProgressSubscriber {
     /// The client's session.
     pub session: SessionId,
-    /// The statement that it waits for.
+    /// The statement that the session is waiting for.
     pub statement: StatementId,
 }
--- a/crates/gateway/src/clients/eviction.rs
+++ b/crates/gateway/src/clients/eviction.rs
@@ -1,4 +1,4 @@
-//! Which sessions are closed to make room for others, and how sessions are shut down in order.
+//! Evicts sessions to make room for others, and shuts sessions down gracefully.
 
 use admission::interface::Timestamp;
 
@@ -7,29 +7,33 @@
 use super::session::{CloseReason, EvictionClass, Session, SessionState};
 use crate::counters::Counters;
 
-/// Part of the sessions that may be new ones without a command while others are idle.
+/// The fraction of all sessions that may be new, that is, without a command yet, before new
+/// sessions are evicted ahead of idle ones.
 const NEW_SESSIONS_SHARE: f64 = 0.25;
 
-/// How many sessions are looked at to make room for one: each may turn out to be asking just then.
+/// How many candidates are tried to make room for one session. A candidate is kept if a command
+/// from it has just arrived.
 const MAX_EVICTION_ATTEMPTS: usize = 8;
 
-/// When a session last moved, and which one it is: the least has stood still for longest.
-type Oldest = Option<(Timestamp, SessionId)>;
+/// The last activity and the id of the least recently active session, or `None` if there is none.
+type OldestSession = Option<(Timestamp, SessionId)>;
 
-fn older(oldest: Oldest, candidate: (Timestamp, SessionId)) -> Oldest {
+fn older(oldest: OldestSession, candidate: (Timestamp, SessionId)) -> OldestSession {
     Some(oldest.map_or(candidate, |oldest| oldest.min(candidate)))
 }
 
 impl Sessions {
-    /// Whether there is room for one more session, if need be in the place of another. With a response owed on all,
-    /// connections wait in the machine's backlog, where they cost nothing.
+    /// Whether there is room for one more session, counting sessions that can be evicted. While
+    /// every session is waiting for a response, new connections stay in the kernel's accept
+    /// backlog, where they cost the gateway nothing.
     #[must_use]
     pub fn has_room(&self) -> bool {
         let can_evict = |session: &Session| session.eviction_class().is_some();
         self.sessions.len() < self.limits.max_sessions || self.sessions.values().any(can_evict)
     }
 
-    /// Closes sessions until there is room for one more, or none is left to close.
+    /// Evicts sessions until there is room for one more, no candidate is left, or
+    /// [`MAX_EVICTION_ATTEMPTS`] candidates were tried.
     pub(super) fn make_room(&mut self, now: Timestamp, counters: &mut Counters) {
         for _ in 0..MAX_EVICTION_ATTEMPTS {
             let has_room = self.sessions.len() < self.limits.max_sessions;
@@ -39,24 +43,26 @@
         }
     }
 
-    /// Closes a session because a descriptor is needed for something else. False: none can be closed.
+    /// Evicts one session because its file descriptor is needed elsewhere. Returns false if none of
+    /// the candidates could be evicted.
     pub fn evict_one(&mut self, now: Timestamp, counters: &mut Counters) -> bool {
         let sessions_before = self.sessions.len();
         for _ in 0..MAX_EVICTION_ATTEMPTS {
-            let found_one = self.try_evict(now, counters);
-            if found_one && self.sessions.len() < sessions_before {
+            let had_candidate = self.try_evict(now, counters);
+            if had_candidate && self.sessions.len() < sessions_before {
                 return true;
             }
         }
         false
     }
 
-    /// Closes the session that can best be spared, or answers it if it asks just then. False: none can be spared.
+    /// Evicts the best candidate, or processes its packet if one has just arrived. Returns false if
+    /// there is no candidate.
     fn try_evict(&mut self, now: Timestamp, counters: &mut Counters) -> bool {
         let Some(id) = self.eviction_candidate() else {
             return false;
         };
-        if self.is_quiet_at_last_look(now, id, counters) {
+        if self.is_idle_after_final_read(now, id, counters) {
             counters.sessions_evicted += 1;
             if let Some(session) = self.sessions.get_mut(&id) {
                 session.socket.finish_writing();
@@ -66,11 +72,13 @@
         true
     }
 
-    /// The session that can best be spared: one that has had its last response, else one that never sent a command, else
-    /// an idle one; of these the one that has stood still for longest.
+    /// Selects the session to evict. Sessions that are closing come first, then sessions that never
+    /// sent a command, then idle ones; among equals, the least recently active one is selected.
     ///
-    /// This is against clients that keep their connection for good, or connect by the hundred and say nothing. But so
-    /// many may always be new that one that has just connected has the time to ask: up to then the longest idle goes.
+    /// This protects against clients that never close their connections and clients that open
+    /// hundreds and send nothing. While at most [`NEW_SESSIONS_SHARE`] of all sessions are new,
+    /// idle sessions are evicted before new ones, so that a client that has just connected has the
+    /// time to send a command.
     fn eviction_candidate(&self) -> Option<SessionId> {
         let mut oldest_closing = None;
         let mut oldest_new = None;
@@ -97,9 +105,10 @@
         oldest.map(|(_, id)| id)
     }
 
-    /// The last look before a session is closed: whether nothing whole has come since it was read. What has is processed,
-    /// and the session stays for its response.
-    fn is_quiet_at_last_look(
+    /// Reads from a session once more before it is closed, and returns whether no complete packet
+    /// has arrived. A packet that has arrived is processed, and the session should stay open for
+    /// its response.
+    fn is_idle_after_final_read(
         &mut self,
         now: Timestamp,
         id: SessionId,
@@ -119,10 +128,11 @@
         !has_packet
     }
 
-    /// Ends a session at rest: this side is shut first, and the client read until it closes too. Were the connection closed
-    /// at once, what may still come would have the machine reset it, and throw away what was written before.
+    /// Starts the graceful close of an idle session: closes the sending direction, then reads until
+    /// the client closes too. If the socket were closed at once, data that still arrives would make
+    /// the kernel reset the connection and discard responses that the client has not read yet.
     pub(super) fn shut_down(&mut self, now: Timestamp, id: SessionId, counters: &mut Counters) {
-        if self.is_quiet_at_last_look(now, id, counters)
+        if self.is_idle_after_final_read(now, id, counters)
             && let Some(session) = self.sessions.get_mut(&id)
         {
             session.start_closing(now);
@@ -130,17 +140,18 @@
         }
     }
 
-    /// Shuts all sessions down, if nothing is owed to any of them. False: something came in this very moment, and none is
-    /// shut down.
+    /// Shuts all sessions down if none has a pending response or unwritten data. Returns false, and
+    /// shuts none down, if any has, or if a packet has just arrived.
     #[must_use]
     pub fn try_shut_down_all(&mut self, now: Timestamp, counters: &mut Counters) -> bool {
         let ids: Vec<SessionId> = self.sessions.keys().copied().collect();
-        // First a look at all of them, so that what has come is answered before any client is sent away.
-        let mut all_quiet = true;
+        // Read from all sessions first, so that every command that has arrived is answered before
+        // any session is shut down.
+        let mut all_idle = true;
         for id in &ids {
-            all_quiet &= self.is_quiet_at_last_look(now, *id, counters);
+            all_idle &= self.is_idle_after_final_read(now, *id, counters);
         }
-        if !all_quiet || !self.all_answered() || self.has_events() {
+        if !all_idle || !self.all_answered() || self.has_events() {
             return false;
         }
         for id in ids {
--- a/crates/gateway/src/clients/input.rs
+++ b/crates/gateway/src/clients/input.rs
@@ -1,4 +1,4 @@
-//! A session's turn: reading, whole packets one by one, and writing.
+//! A session's turn: reads from the socket, processes complete packets one by one, and writes.
 
 use std::io;
 
@@ -10,33 +10,40 @@
 use super::session::{CloseReason, Session, SessionState};
 use crate::counters::Counters;
 
-/// What one session may have read and not processed, so that none slows the others: one packet of the largest.
-const MAX_INBOX_BYTES: usize = packet::HEADER_BYTES + packet::MAX_BODY_BYTES;
+/// The maximum size of a session's read buffer: one packet of maximum size. The limit keeps a
+/// client that sends a lot from delaying the others.
+const MAX_READ_BUFFER_BYTES: usize = packet::HEADER_BYTES + packet::MAX_BODY_BYTES;
 
-/// Packets of one session that are processed in a turn.
+/// How many packets of one session are processed in a turn.
 const MAX_PACKETS_PER_TURN: usize = 16;
 
-/// No usual statement is larger; where memory is short, larger packets go first.
-const USUAL_PACKET_BYTES: usize = 8 << 10;
+/// The size that ordinary statements stay below. While unread bytes exceed their limit, incomplete
+/// packets above this size are rejected.
+const MAX_TYPICAL_PACKET_BYTES: usize = 8 << 10;
 
 impl Session {
-    /// Whether the client has ended its direction.
+    /// Whether the client has closed its sending direction.
+    ///
+    /// # Errors
+    /// Fails if the connection was reset.
     fn has_client_ended(&self) -> io::Result<bool> {
         if self.socket.peer_finished {
             return Ok(true);
         }
-        // Where there is no room to read up to it, the end has to be asked for.
-        let is_full = self.is_pending() && self.socket.read_buffer.len() >= MAX_INBOX_BYTES;
+        // With a full buffer, reading cannot reach the end of the stream, so poll the socket for
+        // it.
+        let is_full = self.is_pending() && self.socket.read_buffer.len() >= MAX_READ_BUFFER_BYTES;
         if is_full {
             return self.socket.peer_hung_up();
         }
         Ok(false)
     }
 
-    /// Whether the next turn goes on with it. What is blocked goes on with its response, or when its client has read.
-    fn is_unfinished(&self) -> bool {
+    /// Whether the next turn should continue with this session. A blocked session continues when
+    /// its response is given or when its client has read enough instead.
+    fn has_more_work(&self) -> bool {
         let can_read =
-            self.socket.may_have_more() && self.socket.read_buffer.len() < MAX_INBOX_BYTES;
+            self.socket.may_have_more() && self.socket.read_buffer.len() < MAX_READ_BUFFER_BYTES;
         if self.state == SessionState::Closing {
             return can_read;
         }
@@ -45,7 +52,7 @@
 }
 
 impl Sessions {
-    /// The connection of a session has news: there is something to read, room to write, or its end.
+    /// Handles an event of a session's socket: it is readable, writable or closed by the client.
     pub fn on_ready(&mut self, now: Timestamp, id: SessionId, counters: &mut Counters) {
         if let Some(session) = self.sessions.get_mut(&id) {
             session.socket.mark_readable();
@@ -53,25 +60,30 @@
         }
     }
 
-    /// Goes on with sessions that had used up their part of the turn before.
+    /// Continues with the sessions that had more input than the previous turn allowed.
     pub fn resume(&mut self, now: Timestamp, counters: &mut Counters) {
         for id in std::mem::take(&mut self.unfinished) {
             self.process(now, id, counters);
         }
     }
 
-    /// Reads a part and processes whole packets, up to the next one that waits for a response; then writes.
+    /// Reads from the socket, processes complete packets until one is left waiting for a response
+    /// or the limit per turn is reached, and then writes. Removes the session if the connection
+    /// fails.
     pub(super) fn process(&mut self, now: Timestamp, id: SessionId, counters: &mut Counters) {
-        let received = self.read(id).and_then(|()| self.look_for_end(now, id));
+        let received = self.read(id).and_then(|()| self.detect_client_end(now, id));
         if let Err(error) = received {
             return self.remove(id, &error.into(), counters);
         }
         self.process_packets(now, id, counters);
-        self.plan_next_turn(now, id);
+        self.schedule_next_turn(now, id);
         self.write(now, id, counters);
     }
 
-    /// Reads what there is room for.
+    /// Flushes pending output and reads as much as the read buffer may hold.
+    ///
+    /// # Errors
+    /// Fails if the connection failed or its TLS is invalid.
     pub(super) fn read(&mut self, id: SessionId) -> io::Result<()> {
         let Some(session) = self.sessions.get_mut(&id) else {
             return Ok(());
@@ -80,17 +92,17 @@
         let transfer = session
             .socket
             .flush()
-            .and_then(|()| session.socket.read_up_to(MAX_INBOX_BYTES));
+            .and_then(|()| session.socket.read_up_to(MAX_READ_BUFFER_BYTES));
         self.unread_bytes += session.socket.read_buffer.len() - bytes_before;
         transfer
     }
 
-    fn look_for_end(&mut self, now: Timestamp, id: SessionId) -> io::Result<()> {
+    fn detect_client_end(&mut self, now: Timestamp, id: SessionId) -> io::Result<()> {
         let Some(session) = self.sessions.get_mut(&id) else {
             return Ok(());
         };
         if session.has_client_ended()? {
-            session.note_client_end(now);
+            session.record_client_end(now);
             self.disconnected.insert(id);
         }
         Ok(())
@@ -108,10 +120,10 @@
             let packet = packet::take_packet(&mut session.socket.read_buffer);
             let bytes_left = session.socket.read_buffer.len();
             self.unread_bytes -= bytes_before - bytes_left;
-            let is_crowded = self.unread_bytes > self.limits.max_unread_bytes;
+            let is_over_unread_limit = self.unread_bytes > self.limits.max_unread_bytes;
             match packet {
                 Ok(Some(packet)) => self.process_packet(now, id, &packet, counters),
-                Ok(None) if is_crowded && bytes_left > USUAL_PACKET_BYTES => {
+                Ok(None) if is_over_unread_limit && bytes_left > MAX_TYPICAL_PACKET_BYTES => {
                     session.reject_packet(now, "too many large packets at once");
                 }
                 Ok(None) => return,
@@ -132,7 +144,7 @@
         };
         session.sequence = packet.sequence;
         session.last_activity = now;
-        session.packet_begun = None;
+        session.partial_packet_since = None;
         match session.state {
             SessionState::AwaitingLogin
             | SessionState::AwaitingTlsLogin
@@ -143,7 +155,7 @@
         }
     }
 
-    fn plan_next_turn(&mut self, now: Timestamp, id: SessionId) {
+    fn schedule_next_turn(&mut self, now: Timestamp, id: SessionId) {
         let Some(session) = self.sessions.get_mut(&id) else {
             return;
         };
@@ -152,12 +164,13 @@
             session.socket.read_buffer.clear();
         }
         session.update_waiting_times(now);
-        if session.is_unfinished() {
+        if session.has_more_work() {
             self.unfinished.insert(id);
         }
     }
 
-    /// Writes what the machine takes, and closes a session that has nothing more to say.
+    /// Writes what the socket accepts. Once every response is written, removes a session whose
+    /// client has closed, and closes the sending direction of a session that is closing.
     pub(super) fn write(&mut self, now: Timestamp, id: SessionId, counters: &mut Counters) {
         let Some(session) = self.sessions.get_mut(&id) else {
             return;
@@ -165,7 +178,7 @@
         if let Err(error) = session.socket.flush() {
             return self.remove(id, &error.into(), counters);
         }
-        session.note_written(now);
+        session.record_write_progress(now);
         if !session.is_answered() {
             return;
         }
--- a/crates/gateway/src/clients/login.rs
+++ b/crates/gateway/src/clients/login.rs
@@ -1,4 +1,4 @@
-//! Logins: by user and database alone, or within TLS by a token.
+//! Client logins: by user and database without TLS, or by token over TLS.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -15,7 +15,7 @@
 use crate::counters::Counters;
 
 impl Session {
-    /// Answers a login that cannot be used, and ends the session.
+    /// Answers an invalid login with an error and closes the session.
     fn reject_login(&mut self, error: LoginError, counters: &mut Counters) {
         counters.logins_rejected += 1;
         self.state = SessionState::Closing;
@@ -25,13 +25,13 @@
 }
 
 impl Sessions {
-    /// Requires TLS and a token of every client from now on. New handshakes use this configuration; sessions that are up
-    /// keep the one they have.
+    /// Requires TLS and a token of every new login from now on. New handshakes use this
+    /// configuration; sessions that are already within TLS keep theirs.
     pub fn require_tls(&mut self, tls: Arc<ServerConfig>) {
         self.tls = Some(tls);
     }
 
-    /// The session's token was found good: it is logged in, or goes on with this one.
+    /// Accepts a session's token: completes its login, or replaces its previous token.
     pub fn accept_token(
         &mut self,
         now: Timestamp,
@@ -46,7 +46,7 @@
         self.respond(now, id, counters, Response::ok);
     }
 
-    /// The session's token is not good enough to log in with: it gets this response, and ends.
+    /// Rejects the token of a login: sends the given response and closes the session.
     pub fn reject_login(
         &mut self,
         now: Timestamp,
@@ -61,7 +61,7 @@
         self.respond(now, id, counters, response);
     }
 
-    /// A packet of a session that is not logged in yet.
+    /// Processes a packet of a session that is not logged in yet.
     pub(super) fn process_login(&mut self, id: SessionId, body: &[u8], counters: &mut Counters) {
         let Some(session) = self.sessions.get_mut(&id) else {
             return;
@@ -73,7 +73,8 @@
                     let tls = tls.clone();
                     self.start_tls(id, tls, counters);
                 }
-                // Nothing of it is read: what ought to be secret is not to be sent so again.
+                // Reject the login without reading it: a client must not learn to send credentials
+                // unencrypted.
                 FirstPacket::Login => session.reject_login(LoginError::TlsRequired, counters),
             },
             (SessionState::AwaitingTlsLogin, _) => {
@@ -90,7 +91,7 @@
         }
     }
 
-    /// A login without TLS, where none is required.
+    /// Processes a login without TLS while TLS is not required.
     fn process_plain_login(&mut self, id: SessionId, body: &[u8], counters: &mut Counters) {
         let Some(session) = self.sessions.get_mut(&id) else {
             return;
@@ -108,7 +109,8 @@
         session.socket.enqueue(&ok);
     }
 
-    /// From here on the session is within TLS; what stands behind the request in this turn is read on within it.
+    /// Switches the session to TLS. Bytes that were already read after the TLS request are treated
+    /// as part of the TLS stream.
     fn start_tls(&mut self, id: SessionId, tls: Arc<ServerConfig>, counters: &mut Counters) {
         let Some(session) = self.sessions.get_mut(&id) else {
             return;
@@ -126,7 +128,7 @@
         };
     }
 
-    /// A token as the password that was asked for.
+    /// Processes the packet that carries the token as the requested password.
     fn process_token(&mut self, id: SessionId, body: &[u8], counters: &mut Counters) {
         let Some(session) = self.sessions.get_mut(&id) else {
             return;
--- a/crates/gateway/src/clients/mod.rs
+++ b/crates/gateway/src/clients/mod.rs
@@ -1,7 +1,10 @@
-//! MySQL sessions of clients: one statement at a time on each, and all that comes behind it waits unread.
+//! Client sessions over the MySQL protocol. Each session runs one statement at a time; packets that
+//! arrive behind it stay in the read buffer until it has been answered.
 //!
-//! [`Sessions`] is the table of them. A session's turn is in `input`; its packets lead to `login` or `commands`, and what
-//! only the rest of the gateway can answer comes out as a [`SessionEvent`]. `timeouts` and `eviction` end sessions.
+//! [`Sessions`] holds all sessions. `input` reads, processes and writes a session's packets within
+//! one turn of the event loop, and hands each packet to `login` or `commands`. Requests that need
+//! the rest of the gateway are reported as [`SessionEvent`]s. `timeouts` and `eviction` close
+//! sessions.
 
 mod commands;
 pub mod comment;
@@ -37,29 +40,30 @@
 use crate::counters::Counters;
 use crate::socket::{EventLoopHandle, EventSource, Socket};
 
-/// The id that an unset connection id reads as.
+/// The value that the protocol reserves for an unset connection id. No session gets it.
 const UNSET_CONNECTION_ID: u32 = 0;
 
-/// Progress reports tell of a statement's waiting, and its running is the second stage.
+/// The stage that progress reports name. Waiting is the first of [`STAGE_COUNT`] stages, and
+/// execution, for which no reports are sent, is the second.
 const WAITING_STAGE: u8 = 1;
-const STAGES: u8 = 2;
+const STAGE_COUNT: u8 = 2;
 
-/// What all sessions together may take.
+/// Limits on all sessions together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SessionLimits {
-    /// Sessions that are open at once.
+    /// The maximum number of open sessions.
     pub max_sessions: usize,
-    /// What all of them may have sent and not have had processed, in bytes; beyond it packets of unusual size are
-    /// rejected.
+    /// How many received but unprocessed bytes all sessions may hold together. Above this limit,
+    /// incomplete large packets are rejected.
     pub max_unread_bytes: usize,
 }
 
-/// Whether clients may have progress reports of statements that wait.
+/// Whether clients can receive progress reports about waiting statements.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProgressReports {
-    /// They are offered to those that understand them.
+    /// The greeting offers progress reports, and clients that announce support receive them.
     Offered,
-    /// There are none.
+    /// No progress reports are offered or sent.
     Off,
 }
 
@@ -69,31 +73,33 @@
     }
 }
 
-/// The sessions of one gateway.
+/// All client sessions of one gateway.
 pub struct Sessions {
     handle: EventLoopHandle,
     limits: SessionLimits,
-    /// Callers have to be known: by TLS with this configuration, and a token within it.
+    /// The TLS configuration for new handshakes. When it is set, every client must use TLS and log
+    /// in with a token; when it is `None`, clients log in without either.
     tls: Option<Arc<ServerConfig>>,
     progress_reports: ProgressReports,
     last_connection_id: u32,
     sessions: BTreeMap<SessionId, Session>,
-    /// Of these, those that take progress reports.
+    /// The open sessions whose clients accept progress reports.
     progress_subscribers: BTreeSet<SessionId>,
-    /// Of these, those whose clients send no more.
+    /// The open sessions whose clients have closed their sending direction.
     disconnected: BTreeSet<SessionId>,
-    /// Sessions with more to read or to process than their part of a turn; the next turn goes on with them.
+    /// Sessions that had more input than they may process in one turn. The next turn continues
+    /// with them.
     unfinished: BTreeSet<SessionId>,
-    /// What all inboxes hold together, in bytes.
+    /// The total size of all read buffers, in bytes.
     unread_bytes: usize,
-    /// Events that are not taken yet, in their order.
+    /// Events that have not been taken yet, oldest first.
     events: Vec<SessionEvent>,
-    /// When sessions are next looked over for those that stand still.
+    /// When the sessions are next checked for timeouts.
     next_sweep: Timestamp,
 }
 
 impl Sessions {
-    /// A table without sessions.
+    /// Creates an empty set of sessions that accepts clients without TLS.
     #[must_use]
     pub fn new(
         handle: &EventLoopHandle,
@@ -117,11 +123,12 @@
         }
     }
 
-    /// Takes a client's connection: greets it, and processes what it has sent already. Another session may be closed for
-    /// it.
+    /// Opens a session on a client's connection: sends the greeting and processes what the client
+    /// has already sent. Another session may be evicted to make room.
     ///
     /// # Errors
-    /// The machine cannot set it up now. Nothing was said to the client, so it may be tried again.
+    /// Fails if the operating system cannot set up the socket. Nothing has been sent to the client
+    /// then, so the caller may try again with the same connection.
     pub fn accept(
         &mut self,
         now: Timestamp,
@@ -150,7 +157,8 @@
         Ok(())
     }
 
-    /// Drops a session.
+    /// Removes a session and closes its connection. If it has a statement, reports that statement
+    /// as abandoned.
     fn remove(&mut self, id: SessionId, reason: &CloseReason, counters: &mut Counters) {
         let Some(session) = self.sessions.remove(&id) else {
             return;
@@ -166,23 +174,23 @@
         }
     }
 
-    /// Drops a session whose state may be half changed.
+    /// Removes a session after a panic in its turn, which may have left its state inconsistent.
     pub fn abandon(&mut self, id: SessionId, counters: &mut Counters) {
-        self.remove(id, &CloseReason::Fault, counters);
+        self.remove(id, &CloseReason::Panicked, counters);
     }
 
-    /// Sessions that are open.
+    /// The number of open sessions.
     #[must_use]
     pub fn len(&self) -> usize {
         self.sessions.len()
     }
 
-    /// What all sessions are noted as where they become ready.
+    /// The event sources under which the event loop reports the sockets of all sessions.
     pub fn event_sources(&self) -> impl Iterator<Item = EventSource> {
         self.sessions.keys().map(|id| EventSource::Client(id.0))
     }
 
-    /// Whether no session is open.
+    /// Whether there are no open sessions.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.sessions.is_empty()
@@ -194,25 +202,25 @@
         self.sessions.contains_key(&id)
     }
 
-    /// Whether no response is owed to any client, and none is on its way.
+    /// Whether every request has been answered and every response has been written to its socket.
     #[must_use]
     pub fn all_answered(&self) -> bool {
         self.sessions.values().all(Session::is_answered)
     }
 
-    /// Whether [`Self::take_events`] would bring some.
+    /// Whether [`Self::take_events`] would return any events.
     #[must_use]
     pub fn has_events(&self) -> bool {
         !self.events.is_empty()
     }
 
-    /// Takes what sessions have reported since the last call.
+    /// Takes the events that sessions have reported since the last call, oldest first.
     #[must_use]
     pub fn take_events(&mut self) -> Vec<SessionEvent> {
         std::mem::take(&mut self.events)
     }
 
-    /// Where the session's client is; 0.0.0.0 for a session that is gone.
+    /// The IP address of the session's client, or 0.0.0.0 if the session is closed.
     #[must_use]
     pub fn client_ip(&self, id: SessionId) -> IpAddr {
         self.sessions
@@ -220,21 +228,23 @@
             .map_or(IpAddr::from([0; 4]), |session| session.client_ip)
     }
 
-    /// The token that the session was logged in with, or the last one that replaced it.
+    /// The token that the session logged in with, or the latest renewal of it. `None` if the
+    /// session is closed or has no token.
     #[must_use]
     pub fn token(&self, id: SessionId) -> Option<Rc<str>> {
         self.sessions.get(&id)?.token.clone()
     }
 
-    /// Names the statement that a session's [`SessionEvent::Statement`] became.
+    /// Records the id that the gateway assigned to the statement from a session's
+    /// [`SessionEvent::Statement`].
     pub fn attach_statement(&mut self, id: SessionId, statement: StatementId) {
         if let Some(session) = self.sessions.get_mut(&id) {
             session.pending = PendingResponse::Statement(statement);
         }
     }
 
-    /// Gives a session the one response that it waits for, and goes on with what stands behind it. Nothing happens where
-    /// the session is gone or waits for none.
+    /// Sends a session the response that it is waiting for, then processes its buffered packets.
+    /// Does nothing if the session is closed or has no pending response.
     pub fn respond(
         &mut self,
         now: Timestamp,
@@ -255,7 +265,7 @@
         self.process(now, id, counters);
     }
 
-    /// Statements whose clients send no more.
+    /// The pending statements whose clients have closed their sending direction.
     #[must_use]
     pub fn disconnections(&self) -> Vec<Disconnection> {
         let disconnection = |id: &SessionId| {
@@ -268,7 +278,7 @@
         self.disconnected.iter().filter_map(disconnection).collect()
     }
 
-    /// Statements whose clients take progress reports.
+    /// The pending statements whose clients accept progress reports.
     #[must_use]
     pub fn progress_subscribers(&self) -> Vec<ProgressSubscriber> {
         let subscriber = |id: &SessionId| {
@@ -283,9 +293,10 @@
             .collect()
     }
 
-    /// Sends a progress report ahead of a session's response. A client that does not read its reports gets no more.
+    /// Sends a progress report ahead of a session's response. The report is skipped while earlier
+    /// bytes are still unwritten, so that a client that does not read gets no further reports.
     ///
-    /// `done`: of the waiting, in thousandths of a percent.
+    /// `done` is the completed part of the wait, in thousandths of a percent.
     pub fn send_progress(
         &mut self,
         now: Timestamp,
@@ -302,7 +313,7 @@
         }
         let packet = session.response().progress(&ProgressReport {
             stage: WAITING_STAGE,
-            stages: STAGES,
+            stages: STAGE_COUNT,
             done,
             text,
         });
--- a/crates/gateway/src/clients/protocol/command.rs
+++ b/crates/gateway/src/clients/protocol/command.rs
@@ -1,30 +1,31 @@
-//! What clients ask once they are logged in: commands, and the queries that the gateway itself answers.
+//! Parses the commands of logged-in clients, and the queries that the gateway answers itself.
 
 use super::handshake::DATABASE;
 
-/// The variable of a session that takes its next token.
+/// The user variable that a client sets to renew its token.
 const TOKEN_VARIABLE: &str = "@laurelhitch_token";
 
-/// Ordinary clients set up their sessions with these.
-const SET_UP_KEYWORDS: [&str; 6] = ["set", "use", "begin", "commit", "rollback", "start"];
+/// The first keywords of queries with which ordinary clients set up sessions and transactions.
+const SETUP_KEYWORDS: [&str; 6] = ["set", "use", "begin", "commit", "rollback", "start"];
 
 /// A command packet.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Command<'a> {
     /// The client ends the session.
     Quit,
-    /// The client wants to know whether the session stands.
+    /// The client checks whether the session is alive.
     Ping,
-    /// Nothing is to be done: the database is the one there is, and a session has no state to reset.
+    /// A command that is acknowledged without effect. Selecting the only database changes nothing,
+    /// and a session has neither options to set nor state to reset.
     NoOperation,
-    /// A query, with its text.
+    /// A query with this text.
     Query(&'a [u8]),
-    /// None that is served here.
+    /// A command that the gateway does not support.
     Unknown,
 }
 
 impl<'a> Command<'a> {
-    /// Reads a packet's body.
+    /// Parses the body of a command packet.
     #[must_use]
     pub fn parse(body: &'a [u8]) -> Self {
         match body {
@@ -39,42 +40,44 @@
     }
 }
 
-/// What a `KILL` ends.
+/// What a `KILL` command ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KillScope {
-    /// The session's statement.
+    /// The pending statement of the session.
     Query,
-    /// The session, and its statement with it.
+    /// The session, including its pending statement.
     Connection,
 }
 
-/// What a query's text asks for.
+/// A query, classified by who answers it and how.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Query<'a> {
-    /// A statement for the engines; also whatever cannot be read here.
+    /// A statement for the engines. Any text that is none of the other forms counts as one.
     Statement,
-    /// `SET @laurelhitch_token = '...'`: the session's next token.
+    /// `SET @laurelhitch_token = '...'`: renew the session's token with this one.
     SetToken(&'a str),
-    /// `KILL`: ends another session, or its statement.
+    /// `KILL`: close another session or end its statement.
     Kill {
-        /// The number of that session.
+        /// The connection id of the other session.
         connection_id: u32,
-        /// What of it ends.
+        /// Whether to close the session or only to end its statement.
         scope: KillScope,
     },
-    /// `SHOW QUEUE`: what waits, all of it or `FOR` the statement of this id.
+    /// `SHOW QUEUE`: list everything that is waiting, or with `FOR`, the statement with this
+    /// request id.
     ShowQueue(Option<&'a str>),
-    /// `SHOW FLEET`: the other gateways.
+    /// `SHOW FLEET`: list the other gateways.
     ShowFleet,
-    /// `SHOW SHARES`: the quotas of all gateways.
+    /// `SHOW SHARES`: list the quotas of all gateways.
     ShowShares,
-    /// Part of an ordinary client's set-up, `SET` and the like; nothing is to be done.
+    /// A query that ordinary clients set up sessions and transactions with, such as `SET` or
+    /// `BEGIN`. It is acknowledged without effect.
     NoOperation,
-    /// `SELECT @@name`, with its name.
+    /// `SELECT @@name`: read the system variable of this name, which includes the `@@`.
     SystemVariable(&'a str),
 }
 
-/// The words that a query begins with; an empty one where it has fewer.
+/// The first four words of a query. Words that the query does not have are empty.
 #[derive(Clone, Copy)]
 struct Words<'a> {
     first: &'a str,
@@ -84,7 +87,7 @@
 }
 
 impl<'a> Query<'a> {
-    /// Reads a query's text, as far as the gateway itself may answer it.
+    /// Classifies a query by its first words.
     #[must_use]
     pub fn parse(text: &'a [u8]) -> Self {
         let Ok(text) = std::str::from_utf8(text) else {
@@ -104,7 +107,7 @@
         if first_is(&"set") && is(words.second, TOKEN_VARIABLE) && words.third == "=" {
             return unquote(words.fourth).map_or(Query::Statement, Query::SetToken);
         }
-        if SET_UP_KEYWORDS.iter().any(first_is) {
+        if SETUP_KEYWORDS.iter().any(first_is) {
             return Query::NoOperation;
         }
         Query::Statement
@@ -124,7 +127,7 @@
         }
     }
 
-    /// `KILL 7`, `KILL CONNECTION 7` or `KILL QUERY 7`.
+    /// Parses `KILL 7`, `KILL CONNECTION 7` or `KILL QUERY 7`.
     fn kill(self) -> Query<'a> {
         let (scope, connection_id) = if is(self.second, "query") {
             (KillScope::Query, self.third)
@@ -142,16 +145,16 @@
         }
     }
 
-    /// `SHOW FLEET`, `SHOW SHARES`, `SHOW QUEUE` or `SHOW QUEUE FOR 'id'`.
+    /// Parses `SHOW FLEET`, `SHOW SHARES`, `SHOW QUEUE` or `SHOW QUEUE FOR 'id'`.
     fn show(self) -> Query<'a> {
-        let ends_here = self.third.is_empty();
-        if is(self.second, "fleet") && ends_here {
+        let has_no_more_words = self.third.is_empty();
+        if is(self.second, "fleet") && has_no_more_words {
             return Query::ShowFleet;
         }
-        if is(self.second, "shares") && ends_here {
+        if is(self.second, "shares") && has_no_more_words {
             return Query::ShowShares;
         }
-        if is(self.second, "queue") && ends_here {
+        if is(self.second, "queue") && has_no_more_words {
             return Query::ShowQueue(None);
         }
         if is(self.second, "queue") && is(self.third, "for") {
@@ -161,11 +164,11 @@
         Query::Statement
     }
 
-    /// `SELECT @@name`, maybe with a limit.
+    /// Parses `SELECT @@name`, optionally with a `LIMIT`.
     fn select(self) -> Query<'a> {
         let has_limit = is(self.third, "limit") && !self.fourth.is_empty();
-        let ends_here = self.third.is_empty() || has_limit;
-        if self.second.starts_with("@@") && ends_here {
+        let has_no_more_words = self.third.is_empty() || has_limit;
+        if self.second.starts_with("@@") && has_no_more_words {
             Query::SystemVariable(self.second)
         } else {
             Query::Statement
@@ -177,7 +180,7 @@
     word.eq_ignore_ascii_case(keyword)
 }
 
-/// What stands between two single quotes.
+/// The text between single quotes, or `None` if the word is not quoted.
 fn unquote(word: &str) -> Option<&str> {
     word.strip_prefix('\'')?.strip_suffix('\'')
 }
--- a/crates/gateway/src/clients/protocol/handshake.rs
+++ b/crates/gateway/src/clients/protocol/handshake.rs
@@ -1,4 +1,5 @@
-//! The start of a session: the server's greeting, the client's login, and the request for a token as its password.
+//! The handshake of a session: the server's greeting, the client's login, and the request for a
+//! token as the password.
 
 use bytes::BytesMut;
 use mysql_common::constants::{CapabilityFlags, StatusFlags};
@@ -9,13 +10,14 @@
 
 use super::response::{ErrorCode, Response, UTF8_GENERAL_CI};
 
-/// The user of clients without tokens. Accounts are checked by user and database alone: its password is empty.
+/// The user of clients that log in without a token. Its password is empty, so only the user and the
+/// database are checked.
 const USER: &[u8] = b"app";
 
-/// The user that a token is the password of.
+/// The user of clients that log in with a token as the password.
 const TOKEN_USER: &[u8] = b"token";
 
-/// The one database that there is.
+/// The only database.
 pub(super) const DATABASE: &[u8] = b"warehouse";
 
 const PROTOCOL_VERSION: u8 = 10;
@@ -23,66 +25,69 @@
 const NATIVE_PASSWORD: &[u8] = b"mysql_native_password";
 const CLEAR_PASSWORD: &[u8] = b"mysql_clear_password";
 
-/// The scramble's two parts. No password is ever checked with it, so it need not be random.
+/// The two parts of the authentication scramble. No password is ever checked against it, so it need
+/// not be random.
 const SCRAMBLE_START: [u8; 8] = *b"laurel--";
 const SCRAMBLE_END: &[u8] = b"hitch-------\0";
 
 /// The first byte of a request to switch the authentication method.
 const AUTH_SWITCH_REQUEST: u8 = 0xfe;
 
-/// Of MariaDB's capabilities, those beyond MySQL's thirty-two: its clients take progress reports.
+/// The flag `MARIADB_CLIENT_PROGRESS` in MariaDB's extended capabilities, which follow the 32
+/// capability flags of MySQL.
 const MARIADB_CLIENT_PROGRESS: u32 = 1;
 
-/// Where a login has its further MariaDB capabilities, in bytes from its start.
+/// The offset of MariaDB's extended capabilities in a login packet, in bytes.
 const LOGIN_MARIADB_CAPABILITIES: usize = 28;
 
-/// A request for TLS is a login that ends here, ahead of the user's name.
+/// The size of a TLS request, which is a login packet that ends before the user name.
 const TLS_REQUEST_BYTES: usize = 32;
 
-/// Between a greeting's server version and its lower capabilities: the connection's id, the scramble's first part and
-/// the byte behind it.
+/// The distance in a greeting from the end of the server version to the lower capability flags, in
+/// bytes. The connection id, the first part of the scramble and a filler byte stand between them.
 const GREETING_VERSION_TO_CAPABILITIES: usize = 4 + 8 + 1;
 
-/// From a greeting's lower capabilities to its further MariaDB capabilities.
+/// The distance in a greeting from the lower capability flags to MariaDB's extended capabilities,
+/// in bytes.
 const GREETING_MARIADB_CAPABILITIES: usize = 14;
 
-/// What the server offers beside the capabilities that it always has.
+/// What a greeting offers in addition to the fixed capabilities.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OfferedOptions {
-    /// Progress reports of waiting statements, in MariaDB's form.
+    /// Whether clients can receive MariaDB progress reports about waiting statements.
     pub progress_reports: bool,
-    /// The client may ask for TLS.
+    /// Whether clients can request TLS.
     pub tls: bool,
 }
 
-/// What a client's first packet asks for.
+/// The kind of a client's first packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FirstPacket {
-    /// TLS first, and the login behind it.
+    /// A request for TLS. The login follows over TLS.
     TlsRequest,
-    /// A login, without TLS.
+    /// A login without TLS.
     Login,
 }
 
 /// Why a login is rejected.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum LoginError {
-    /// It is no login of this protocol.
+    /// The packet is not a valid login of protocol 4.1.
     #[error("Bad handshake")]
     Malformed,
-    /// The user is wrong, or has a password that it should not have.
+    /// The user, the password or the token's encoding is wrong.
     #[error("Access denied")]
     AccessDenied,
-    /// It names another database than the one there is.
+    /// The login names a database that does not exist.
     #[error("Unknown database")]
     UnknownDatabase,
-    /// It came without TLS, where callers have to be known.
+    /// The login came without TLS although the gateway requires it.
     #[error("TLS is required here")]
     TlsRequired,
 }
 
 impl LoginError {
-    /// The code that the client is answered.
+    /// The error code that is sent to the client.
     #[must_use]
     pub fn code(self) -> ErrorCode {
         match self {
@@ -94,16 +99,16 @@
     }
 }
 
-/// What a login may carry as its password.
+/// How the password in a login packet is checked.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum PasswordRule {
-    /// Nothing: a login with one is wrong.
+    /// The password must be empty.
     Empty,
-    /// Anything: the password proper is asked for afterwards.
+    /// The password is ignored, because the token is requested in a later packet.
     Ignored,
 }
 
-/// The server's first packet, to the session of this number.
+/// Encodes the greeting, the server's first packet of a connection.
 #[must_use]
 pub fn greeting(connection_id: u32, options: OfferedOptions) -> BytesMut {
     let tls = if options.tls {
@@ -122,7 +127,7 @@
         StatusFlags::SERVER_STATUS_AUTOCOMMIT,
         Some(NATIVE_PASSWORD),
     );
-    // The greeting answers nothing: its number is zero.
+    // The greeting is not a response, so its sequence number is zero, the successor of `u8::MAX`.
     let mut response = Response::to(u8::MAX);
     response.packet(|body| {
         packet.serialize(body);
@@ -143,24 +148,26 @@
         | CapabilityFlags::CLIENT_PLUGIN_AUTH
 }
 
-/// Makes the greeting one of MariaDB's: without the capability that marks MySQL's own servers, the last four of its
-/// reserved bytes are further capabilities.
+/// Turns the greeting into one of a MariaDB server that supports progress reports. Such a server
+/// clears `CLIENT_LONG_PASSWORD`, and the last four reserved bytes of its greeting hold MariaDB's
+/// extended capabilities.
 fn offer_progress_reports(greeting: &mut [u8]) {
     let version_end = greeting.iter().skip(1).position(|byte| *byte == 0);
-    let lower = version_end.map_or(0, |end| end + 2 + GREETING_VERSION_TO_CAPABILITIES);
-    let further = lower + GREETING_MARIADB_CAPABILITIES;
-    let further_end = further + size_of::<u32>();
-    if greeting.len() > further_end {
-        greeting[lower] &= !(CapabilityFlags::CLIENT_LONG_PASSWORD.bits() as u8);
-        greeting[further..further_end].copy_from_slice(&MARIADB_CLIENT_PROGRESS.to_le_bytes());
+    let lower_flags = version_end.map_or(0, |end| end + 2 + GREETING_VERSION_TO_CAPABILITIES);
+    let extended_flags = lower_flags + GREETING_MARIADB_CAPABILITIES;
+    let extended_end = extended_flags + size_of::<u32>();
+    if greeting.len() > extended_end {
+        greeting[lower_flags] &= !(CapabilityFlags::CLIENT_LONG_PASSWORD.bits() as u8);
+        greeting[extended_flags..extended_end]
+            .copy_from_slice(&MARIADB_CLIENT_PROGRESS.to_le_bytes());
     }
 }
 
-/// Whether a login announces that progress reports are understood.
+/// Whether a login comes from a MariaDB client that accepts progress reports.
 #[must_use]
 pub fn accepts_progress_reports(login: &[u8]) -> bool {
-    let mysql_own = CapabilityFlags::CLIENT_LONG_PASSWORD.bits();
-    let is_mariadb = little_endian_u32(login, 0).is_some_and(|flags| flags & mysql_own == 0);
+    let mysql_only_flag = CapabilityFlags::CLIENT_LONG_PASSWORD.bits();
+    let is_mariadb = little_endian_u32(login, 0).is_some_and(|flags| flags & mysql_only_flag == 0);
     let takes_progress = little_endian_u32(login, LOGIN_MARIADB_CAPABILITIES)
         .is_some_and(|flags| flags & MARIADB_CLIENT_PROGRESS != 0);
     is_mariadb && takes_progress
@@ -171,7 +178,8 @@
     Some(u32::from_le_bytes(*word))
 }
 
-/// What a first packet asks for: one that asks for TLS ends ahead of the user's name.
+/// Classifies a client's first packet. A TLS request has the TLS flag and ends before the user
+/// name.
 #[must_use]
 pub fn first_packet(body: &[u8]) -> FirstPacket {
     let has_tls_flag = little_endian_u32(body, 0)
@@ -187,22 +195,23 @@
 ///
 /// # Errors
 ///
-/// It is malformed, or of another user or database than the ones there are, or has a password.
+/// Fails if the login is malformed, names a wrong user or an unknown database, or has a password.
 pub fn check_login(body: &[u8]) -> Result<(), LoginError> {
     check(body, USER, PasswordRule::Empty)
 }
 
-/// Checks a login by token, as far as it goes: the token itself comes afterwards.
+/// Checks a login by token. The token itself follows in a later packet.
 ///
 /// # Errors
 ///
-/// It is malformed, or of another user or database than the ones there are.
+/// Fails if the login is malformed, or names a wrong user or an unknown database.
 pub fn check_token_login(body: &[u8]) -> Result<(), LoginError> {
     check(body, TOKEN_USER, PasswordRule::Ignored)
 }
 
 fn check(body: &[u8], user: &[u8], password: PasswordRule) -> Result<(), LoginError> {
-    // Only what both sides can do shapes the packet; ordinary clients name more than they were offered.
+    // The layout of a login depends on the capabilities that both sides have. Clients also announce
+    // flags that the greeting did not offer, so those are cleared before parsing.
     let mut body = body.to_vec();
     let offered = offered_capabilities().bits().to_le_bytes();
     for (announced, offered) in body.iter_mut().zip(offered) {
@@ -225,7 +234,7 @@
 }
 
 impl Response {
-    /// Asks for the password as it is, which is only ever done within TLS.
+    /// Requests the password in clear text. This is only done over TLS.
     #[must_use]
     pub fn request_clear_password(mut self) -> BytesMut {
         self.packet(|body| {
--- a/crates/gateway/src/clients/protocol/mod.rs
+++ b/crates/gateway/src/clients/protocol/mod.rs
@@ -1,7 +1,7 @@
-//! The MySQL client protocol 4.1, the server's side.
+//! The server side of the MySQL client/server protocol 4.1.
 //!
-//! [`packet`] frames bytes, [`handshake`] has the greeting and the login, [`command`] what clients ask afterwards, and
-//! [`response`] what they are answered.
+//! [`packet`] implements the framing, [`handshake`] the greeting and the login, [`command`] the
+//! commands of logged-in clients, and [`response`] the responses to them.
 
 pub mod command;
 pub mod handshake;
--- a/crates/gateway/src/clients/protocol/packet.rs
+++ b/crates/gateway/src/clients/protocol/packet.rs
@@ -1,37 +1,39 @@
-//! Framing: three bytes of length, one of sequence number, then the body.
+//! Packet framing: three bytes of length, one byte of sequence number, then the body.
 
 use bytes::BytesMut;
 use mysql_common::proto::codec::{ChunkDecoder, ChunkInfo};
 use thiserror::Error;
 
-/// Network fact: the largest body that a client of this protocol has reason to send, in bytes.
+/// The largest packet body that is accepted, in bytes. Legitimate clients send no larger ones.
 pub const MAX_BODY_BYTES: usize = 64 << 10;
 
-/// Length and sequence number ahead of each body, in bytes.
+/// The size of the header before each body, which holds the length and the sequence number, in
+/// bytes.
 pub const HEADER_BYTES: usize = 4;
 
-/// A body of more than [`MAX_BODY_BYTES`].
+/// The error for a packet with a body of more than [`MAX_BODY_BYTES`].
 #[derive(Debug, Error, PartialEq, Eq)]
 #[error("a packet of over {MAX_BODY_BYTES} bytes")]
 pub struct PacketTooLarge;
 
-/// A whole packet of a client.
+/// A complete packet from a client.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Packet {
-    /// Its number within the exchange; the response goes on from it.
+    /// The sequence number within the exchange. The response continues from it.
     pub sequence: u8,
-    /// Its content.
+    /// The content of the packet, without its header.
     pub body: BytesMut,
 }
 
-/// Takes one whole packet off the front of the inbox; until it is all there the inbox stays as it is.
+/// Takes one packet from the front of the read buffer. Returns `None`, and leaves the buffer as it
+/// is, until the packet is complete.
 ///
 /// # Errors
 ///
-/// The packet announces a body of more than [`MAX_BODY_BYTES`].
-pub fn take_packet(inbox: &mut BytesMut) -> Result<Option<Packet>, PacketTooLarge> {
+/// Fails if the packet's header announces a body of more than [`MAX_BODY_BYTES`].
+pub fn take_packet(read_buffer: &mut BytesMut) -> Result<Option<Packet>, PacketTooLarge> {
     let mut body = BytesMut::new();
-    match ChunkDecoder::default().decode(inbox, &mut body, MAX_BODY_BYTES) {
+    match ChunkDecoder::default().decode(read_buffer, &mut body, MAX_BODY_BYTES) {
         Ok(Some(ChunkInfo::Middle(sequence) | ChunkInfo::Last(sequence))) => {
             Ok(Some(Packet { sequence, body }))
         }
@@ -40,12 +42,12 @@
     }
 }
 
-/// Whether [`take_packet`] would bring a packet or an error now.
+/// Whether [`take_packet`] would return a packet or an error now.
 #[must_use]
-pub fn has_packet(inbox: &[u8]) -> bool {
-    let Some([low, middle, high, _sequence]) = inbox.first_chunk::<HEADER_BYTES>() else {
+pub fn has_packet(read_buffer: &[u8]) -> bool {
+    let Some([low, middle, high, _sequence]) = read_buffer.first_chunk::<HEADER_BYTES>() else {
         return false;
     };
     let body_bytes = u32::from_le_bytes([*low, *middle, *high, 0]) as usize;
-    body_bytes > MAX_BODY_BYTES || inbox.len() >= HEADER_BYTES + body_bytes
+    body_bytes > MAX_BODY_BYTES || read_buffer.len() >= HEADER_BYTES + body_bytes
 }
--- a/crates/gateway/src/clients/protocol/response.rs
+++ b/crates/gateway/src/clients/protocol/response.rs
@@ -1,4 +1,4 @@
-//! Responses to a client's packet: OK, errors, result sets and progress reports.
+//! Encodes responses to client packets: OK, errors, result sets and progress reports.
 
 use bytes::BytesMut;
 use mysql_common::constants::ColumnType;
@@ -7,33 +7,34 @@
 use mysql_common::proto::MySerialize;
 use mysql_common::proto::codec::packet_to_chunks;
 
-/// The collation `utf8_general_ci`, which every text here has.
+/// The collation `utf8_general_ci`, used for all text.
 pub(super) const UTF8_GENERAL_CI: u8 = 33;
 
-/// No rows changed, no inserted id; the status is autocommit; no warnings.
+/// An OK packet: no affected rows, no insert id, status autocommit, no warnings.
 const OK_PACKET: [u8; 7] = [0, 0, 0, 2, 0, 0, 0];
 
-/// No warnings; the status is autocommit.
+/// An EOF packet: no warnings, status autocommit.
 const EOF_PACKET: [u8; 5] = [0xfe, 0, 0, 2, 0];
 
-/// An error packet with the code 0xffff, which is MariaDB's mark of a progress report, and its one string.
+/// The start of a MariaDB progress report: an error packet with the code 0xffff, followed by the
+/// number of strings, which is one.
 const PROGRESS_HEADER: [u8; 4] = [0xff, 0xff, 0xff, 1];
 
-/// All of a stage's progress.
-const WHOLE_STAGE: u32 = 100_000;
+/// The progress value of a completed stage, in thousandths of a percent.
+const STAGE_COMPLETE: u32 = 100_000;
 
-/// The display width that columns announce.
+/// The display width in column definitions.
 const COLUMN_LENGTH: u32 = 1 << 16;
 
-/// Names of the columns of an engine's result.
+/// The column names of engine results, which carry no names of their own.
 const RESULT_COLUMNS: [&str; 3] = ["c1", "c2", "c3"];
 
-/// An error code of MySQL with the SQL state that belongs to it.
+/// A MySQL error code and its SQL state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ErrorCode {
-    /// The number that clients know the error by.
+    /// The MySQL error number.
     pub number: u16,
-    /// The SQL state.
+    /// The five characters of the SQL state.
     pub sql_state: [u8; 5],
 }
 
@@ -73,38 +74,39 @@
     }
 }
 
-/// How far a statement has come, for a client that takes MariaDB's progress reports.
+/// The content of a MariaDB progress report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProgressReport<'a> {
-    /// The stage that it is in, from 1.
+    /// The number of the current stage, starting at 1.
     pub stage: u8,
-    /// How many stages there are.
+    /// The total number of stages.
     pub stages: u8,
-    /// The done part of the stage, in thousandths of a percent; more than all of it counts as all.
+    /// The completed part of the stage, in thousandths of a percent. Values above 100 % are sent as
+    /// 100 %.
     pub done: u32,
-    /// What happens in the stage.
+    /// The description of the stage.
     pub text: &'a str,
 }
 
-/// A packet that goes out ahead of the response.
+/// A packet that is sent ahead of the response, such as a progress report.
 #[derive(Debug, PartialEq, Eq)]
 pub struct EarlyPacket {
-    /// The number of this packet: the response goes on from it.
+    /// The sequence number of this packet. The response continues from it.
     pub sequence: u8,
-    /// The packet.
+    /// The encoded packet, including its header.
     pub bytes: BytesMut,
 }
 
-/// The packets of one response, numbered on from the client's packet.
+/// Builds the packets of one response. Their sequence numbers continue from the client's packet.
 pub struct Response {
     sequence: u8,
     bytes: BytesMut,
-    /// The body of the packet that is being written; kept for its memory.
+    /// The body of the packet that is being encoded, kept to reuse its allocation.
     body: Vec<u8>,
 }
 
 impl Response {
-    /// An empty response to the packet of this number.
+    /// Starts a response to the packet with this sequence number.
     #[must_use]
     pub fn to(sequence: u8) -> Self {
         Response {
@@ -114,14 +116,14 @@
         }
     }
 
-    /// Done, and nothing to show.
+    /// An OK response, which reports success without a result set.
     #[must_use]
     pub fn ok(mut self) -> BytesMut {
         self.packet(|body| body.extend(OK_PACKET));
         self.bytes
     }
 
-    /// An error with its text.
+    /// An error response with this code and text.
     #[must_use]
     pub fn error(mut self, code: ErrorCode, text: &str) -> BytesMut {
         let state = SqlState::new(code.sql_state);
@@ -130,7 +132,7 @@
         self.bytes
     }
 
-    /// A result set of text under columns of these names.
+    /// A result set with text columns of these names.
     #[must_use]
     pub fn table<const N: usize>(mut self, names: [&str; N], rows: &[[String; N]]) -> BytesMut {
         self.columns(&names);
@@ -141,7 +143,8 @@
         self.bytes
     }
 
-    /// A result set of whole rows as an engine's pages hold them: a tab between columns, a line feed after each row.
+    /// A result set with the rows in an engine's pages. In these pages a tab separates columns and
+    /// a line feed ends each row. A page must end with a complete row.
     #[must_use]
     pub fn result_set<'a>(mut self, pages: impl Iterator<Item = &'a [u8]>) -> BytesMut {
         self.columns(&RESULT_COLUMNS);
@@ -155,7 +158,7 @@
         self.bytes
     }
 
-    /// A result set of one value, as clients ask it while they set up.
+    /// A result set with one row and one column, as clients request during connection setup.
     #[must_use]
     pub fn single_value(mut self, name: &str, value: &[u8]) -> BytesMut {
         self.columns(&[name]);
@@ -164,13 +167,13 @@
         self.bytes
     }
 
-    /// A MariaDB progress report, ahead of the response proper.
+    /// A MariaDB progress report, sent ahead of the actual response.
     #[must_use]
     pub fn progress(mut self, report: &ProgressReport<'_>) -> EarlyPacket {
         self.packet(|body| {
             body.extend(PROGRESS_HEADER);
             body.extend([report.stage, report.stages]);
-            let done = report.done.min(WHOLE_STAGE).to_le_bytes();
+            let done = report.done.min(STAGE_COMPLETE).to_le_bytes();
             body.extend(&done[..3]);
             RawBytes::<LenEnc>::new(report.text.as_bytes()).serialize(body);
         });
@@ -180,14 +183,14 @@
         }
     }
 
-    /// Adds one packet, its body as `write` leaves it.
+    /// Appends one packet with the body that `write` produces.
     pub(super) fn packet(&mut self, write: impl FnOnce(&mut Vec<u8>)) {
         self.body.clear();
         write(&mut self.body);
         self.sequence = packet_to_chunks(self.sequence, &mut &self.body[..], &mut self.bytes);
     }
 
-    /// The packets that were added.
+    /// Returns the encoded packets.
     pub(super) fn into_bytes(self) -> BytesMut {
         self.bytes
     }
--- a/crates/gateway/src/clients/session.rs
+++ b/crates/gateway/src/clients/session.rs
@@ -1,4 +1,5 @@
-//! One session: its state, the response that it waits for, and how long it has stood still.
+//! The state of one session, the response that it is waiting for, and the times that its timeouts
+//! are measured from.
 
 use std::io;
 use std::net::IpAddr;
@@ -11,97 +12,104 @@
 use super::protocol::{ErrorCode, Response, packet};
 use crate::socket::Socket;
 
-/// Responses to pipelined commands that may wait to be written, in bytes; beyond it no more commands are read.
+/// How many bytes of responses may wait to be written before commands of the session stop being
+/// processed. It bounds the memory that a client can use by pipelining commands.
 const MAX_UNWRITTEN_BYTES: usize = 4 << 10;
 
-/// Where a session is between its greeting and its end.
+/// The phase of a session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum SessionState {
-    /// The greeting is sent; the first packet asks for TLS or logs in.
+    /// The greeting has been sent. The client's first packet is either a TLS request or a login.
     AwaitingLogin,
-    /// TLS is up; the login comes within it.
+    /// TLS has been started, and the login is expected over it.
     AwaitingTlsLogin,
-    /// The login was good, and its token was asked for.
+    /// The login was accepted and the client was asked for its token.
     AwaitingToken,
-    /// Logged in: it takes commands.
+    /// The client is logged in and may send commands.
     Ready,
-    /// Its last response is given. What still comes is read and dropped, so that closing does not reset the connection.
+    /// The last response has been given. Further input is read and discarded, so that closing the
+    /// socket does not reset the connection.
     Closing,
 }
 
-/// What a session waits for before its next packet is read.
+/// The response that a session is waiting for before its next packet is processed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum PendingResponse {
-    /// Nothing.
+    /// No response is pending.
     None,
-    /// The response to what it asked, which is no statement, or none yet.
+    /// The response to a request that is not a statement, or that has no statement id yet.
     Request,
-    /// The response to its statement.
+    /// The response to this statement.
     Statement(StatementId),
 }
 
-/// Sessions in the order in which they are closed to make room.
+/// The classes of sessions that may be evicted, in the usual order of eviction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum EvictionClass {
-    /// It has had its last response.
+    /// The session has been given its last response.
     Closing,
-    /// It never sent a command.
+    /// The session has not sent a command yet.
     New,
-    /// It has sent commands, and waits for nothing.
+    /// The session has sent commands and has no pending response.
     Idle,
 }
 
-/// Why a session is dropped.
+/// Why a session is removed.
 #[derive(Debug, Error)]
 pub(super) enum CloseReason {
-    /// The connection failed: reset, or out of time.
+    /// The connection was reset, timed out or failed otherwise.
     #[error("connection failed: {0}")]
     ConnectionFailed(#[from] io::Error),
-    /// The client has closed, and is owed nothing.
+    /// The client has closed the connection and no response is pending.
     #[error("closed by its client")]
     ClosedByClient,
-    /// Its client does not read what was written, or did not close after its last response.
+    /// The client did not read its response, or did not close the connection after its last one, in
+    /// time.
     #[error("not read or not closed by its client in time")]
-    Unread,
-    /// Its place was needed.
+    ClientStalled,
+    /// The session made room for another connection.
     #[error("evicted")]
     Evicted,
-    /// Its turn panicked.
+    /// The session's turn panicked.
     #[error("a fault of the gateway")]
-    Fault,
+    Panicked,
 }
 
+/// One client connection and its protocol state.
 pub(super) struct Session {
     pub(super) socket: Socket,
     pub(super) client_ip: IpAddr,
-    /// Its client takes progress reports while a statement waits.
+    /// Whether the client accepts progress reports while a statement is waiting.
     pub(super) accepts_progress: bool,
-    /// By which its statements are judged, each anew.
+    /// The token by which each statement is authorized anew. `None` without TLS, and before login.
     pub(super) token: Option<Rc<str>>,
     pub(super) state: SessionState,
-    /// The number of the packet that is to be answered.
+    /// The sequence number of the last packet received or, after a progress report, of that report.
+    /// The response continues from it.
     pub(super) sequence: u8,
     pub(super) pending: PendingResponse,
     pub(super) opened: Timestamp,
-    /// Commands that it has sent.
+    /// The number of commands that the client has sent.
     pub(super) commands: u64,
-    /// When it last moved: a state, a packet, or bytes taken by the client.
+    /// When the session last processed a packet, was answered, started to close or wrote bytes.
     pub(super) last_activity: Timestamp,
-    /// Since when a packet has been begun and not ended.
-    pub(super) packet_begun: Option<Timestamp>,
-    /// Since when whole packets have stood behind a pending response: their clients' time runs.
+    /// When the incomplete packet at the end of the read buffer was first seen, or `None` if there
+    /// is none.
+    pub(super) partial_packet_since: Option<Timestamp>,
+    /// Since when a complete packet has waited behind a pending response, or `None` if none does.
+    /// The time budget of the statement in it runs from then.
     pub(super) queued_since: Option<Timestamp>,
-    /// When its client was last heard of, as of the time when the connection was accepted.
-    pub(super) heard_before_accept: Timestamp,
-    /// The client sends no more.
+    /// When the client's last segment arrived, as seen when the connection was accepted.
+    pub(super) last_received_at_accept: Timestamp,
+    /// When the client closed its sending direction, or `None` if it has not.
     pub(super) client_end: Option<ClientEnd>,
-    /// What the client's machine had taken when that was last looked at, in bytes.
-    pub(super) written_bytes: u64,
+    /// How many bytes the socket had written when [`Self::record_write_progress`] was last called.
+    pub(super) last_bytes_written: u64,
 }
 
 impl Session {
     pub(super) fn new(socket: Socket, client_ip: IpAddr, now: Timestamp) -> Self {
-        let heard_before_accept = socket.last_received(now);
+        let last_received_at_accept = socket.last_received(now);
         Session {
             socket,
             client_ip,
@@ -113,15 +121,15 @@
             opened: now,
             commands: 0,
             last_activity: now,
-            packet_begun: None,
+            partial_packet_since: None,
             queued_since: None,
-            heard_before_accept,
+            last_received_at_accept,
             client_end: None,
-            written_bytes: 0,
+            last_bytes_written: 0,
         }
     }
 
-    /// The response to the packet that was read last.
+    /// Starts a response to the last packet.
     pub(super) fn response(&self) -> Response {
         Response::to(self.sequence)
     }
@@ -130,7 +138,7 @@
         self.pending != PendingResponse::None
     }
 
-    /// The statement that it waits for.
+    /// The statement whose response is pending, or `None` if there is none.
     pub(super) fn statement(&self) -> Option<StatementId> {
         match self.pending {
             PendingResponse::Statement(statement) => Some(statement),
@@ -138,23 +146,25 @@
         }
     }
 
-    /// No packet is read now: a response is pending, its client does not read what was written, or it is closing.
+    /// Whether no packet may be processed now, because a response is pending, the session is
+    /// closing, or too much output is unwritten.
     pub(super) fn is_blocked(&self) -> bool {
-        let reads_too_little = self.socket.unwritten_bytes() > MAX_UNWRITTEN_BYTES;
-        self.is_pending() || self.state == SessionState::Closing || reads_too_little
+        let has_write_backlog = self.socket.unwritten_bytes() > MAX_UNWRITTEN_BYTES;
+        self.is_pending() || self.state == SessionState::Closing || has_write_backlog
     }
 
-    /// A whole packet has come, or one that cannot be used.
+    /// Whether the read buffer starts with a complete packet or with one that is too large.
     pub(super) fn has_packet(&self) -> bool {
         packet::has_packet(&self.socket.read_buffer)
     }
 
-    /// All its responses are given and written.
+    /// Whether no response is pending and all responses have been written to the socket.
     pub(super) fn is_answered(&self) -> bool {
         !self.is_pending() && self.socket.unwritten_bytes() == 0
     }
 
-    /// In which class it may be closed to make room; none while its client is owed something.
+    /// The class in which the session may be evicted, or `None` while a logged-in client is owed a
+    /// response.
     pub(super) fn eviction_class(&self) -> Option<EvictionClass> {
         match self.state {
             SessionState::Closing => Some(EvictionClass::Closing),
@@ -167,28 +177,30 @@
         }
     }
 
-    /// Ends its conversation.
+    /// Moves the session to [`SessionState::Closing`]. No further packets are processed.
     pub(super) fn start_closing(&mut self, now: Timestamp) {
         self.state = SessionState::Closing;
         self.last_activity = now;
     }
 
-    /// Answers a packet that is not read to its end, so that what follows has no meaning.
+    /// Answers a packet with an error and closes the session. The rest of the packet is not read,
+    /// so the bytes after it cannot be interpreted.
     pub(super) fn reject_packet(&mut self, now: Timestamp, why: &str) {
         let error = self.response().error(ErrorCode::PACKET_TOO_LARGE, why);
         self.socket.enqueue(&error);
         self.start_closing(now);
     }
 
-    /// Notes that its client sends no more, the first time that this is seen.
-    pub(super) fn note_client_end(&mut self, now: Timestamp) {
+    /// Records when the client closed its sending direction. Only the first call has an effect.
+    pub(super) fn record_client_end(&mut self, now: Timestamp) {
         if self.client_end.is_some() {
             return;
         }
-        // What is written here is acknowledged, and with that the machine's word of the client's end is overwritten.
+        // The client acknowledges the greeting, and the kernel counts that as the last segment
+        // received. For a connection accepted in this turn, use the time read before the greeting.
         let accepted_now = self.opened == now;
         let arrived = if accepted_now {
-            self.heard_before_accept
+            self.last_received_at_accept
         } else {
             self.socket.last_received(now)
         };
@@ -198,7 +210,8 @@
         });
     }
 
-    /// Keeps since when packets wait behind a pending response, and since when one has been incomplete.
+    /// Updates since when a packet has waited behind a pending response and since when the next
+    /// packet has been incomplete.
     pub(super) fn update_waiting_times(&mut self, now: Timestamp) {
         self.queued_since = match self.queued_since {
             _ if !self.has_packet() => None,
@@ -206,17 +219,17 @@
             None => self.is_pending().then_some(now),
         };
         let is_incomplete = !self.is_blocked() && !self.socket.read_buffer.is_empty();
-        self.packet_begun = match self.packet_begun {
+        self.partial_packet_since = match self.partial_packet_since {
             _ if !is_incomplete => None,
             Some(since) => Some(since),
             None => Some(now),
         };
     }
 
-    /// Keeps when its client last took bytes.
-    pub(super) fn note_written(&mut self, now: Timestamp) {
-        if self.socket.bytes_written != self.written_bytes {
-            self.written_bytes = self.socket.bytes_written;
+    /// Records activity if the socket has written bytes since the last call.
+    pub(super) fn record_write_progress(&mut self, now: Timestamp) {
+        if self.socket.bytes_written != self.last_bytes_written {
+            self.last_bytes_written = self.socket.bytes_written;
             self.last_activity = now;
         }
     }
--- a/crates/gateway/src/clients/table_group.rs
+++ b/crates/gateway/src/clients/table_group.rs
@@ -1,17 +1,18 @@
-//! The group of tables that a statement reads or writes, as its schemas' names tell it.
+//! Derives the table group that a statement reads or writes from the schema names in its text.
 
 use std::iter::Peekable;
 
-/// Keywords that the name of a table follows.
+/// Keywords that are followed by a table name.
 const TABLE_KEYWORDS: [&[u8]; 5] = [b"from", b"join", b"into", b"update", b"table"];
 
-/// The schema of batches on their way in, which belongs to no group.
+/// The schema in which incoming batches are staged. It belongs to no table group.
 const STAGING: &[u8] = b"staging";
 
-/// The number behind the last underscore in the name of the schema that is read or written.
+/// Returns the table group of a statement: the number after the last underscore in a schema name.
 ///
-/// Names in strings and comments do not count, nor does `staging`; a schema that follows a keyword for tables comes
-/// before all others. None: the statement names no schema with a number.
+/// The first schema with a number that follows a keyword such as `FROM` decides; without one, the
+/// first schema with a number anywhere does. Names in strings and comments are ignored, and so is
+/// the schema `staging`. Returns `None` if no schema name ends in a number.
 #[must_use]
 pub fn table_group(statement: &[u8]) -> Option<u32> {
     let mut tokens = Tokens(statement).peekable();
@@ -19,8 +20,8 @@
     let mut after_keyword = false;
     while let Some(token) = tokens.next() {
         let Token::Name(name) = token else {
-            // A parenthesis may open a list of tables.
-            after_keyword &= token == Token::Sign(b'(');
+            // An opening parenthesis may start a list of tables, so the keyword still applies.
+            after_keyword &= token == Token::Punctuation(b'(');
             continue;
         };
         if is_table_keyword(name) {
@@ -44,9 +45,9 @@
     TABLE_KEYWORDS.iter().any(is_name)
 }
 
-/// Whether the name stands ahead of a dot, and is not that of the staging schema.
+/// Whether `name` is a schema other than the staging schema, that is, whether a dot follows it.
 fn is_schema(name: &[u8], rest: &mut Peekable<Tokens<'_>>) -> bool {
-    rest.peek() == Some(&Token::Sign(b'.')) && !name.eq_ignore_ascii_case(STAGING)
+    rest.peek() == Some(&Token::Punctuation(b'.')) && !name.eq_ignore_ascii_case(STAGING)
 }
 
 fn schema_group(schema: &[u8]) -> Option<u32> {
@@ -57,19 +58,21 @@
         .ok()
 }
 
+/// A token of a statement's text, as far as finding schema names needs it.
 #[derive(Debug, PartialEq, Eq)]
 enum Token<'a> {
-    /// A keyword or a name, without its backquotes.
+    /// A keyword or an identifier, without backquotes.
     Name(&'a [u8]),
-    /// Any other byte.
-    Sign(u8),
+    /// Any other byte that is not whitespace.
+    Punctuation(u8),
 }
 
-/// The names and signs of the rest of a statement, without strings and comments.
+/// Iterates over the tokens of the rest of a statement, skipping strings and comments.
 struct Tokens<'a>(&'a [u8]);
 
 impl<'a> Tokens<'a> {
-    /// Takes what stands from `start` to `end`, and drops `end` too; all that is left where there is no end.
+    /// Takes the bytes from `start` up to `end` and skips `end` itself. Takes the whole rest if
+    /// `end` does not occur.
     fn take_until(&mut self, start: usize, end: &[u8]) -> &'a [u8] {
         let rest = self.0.get(start..).unwrap_or(&[]);
         let Some(position) = rest.windows(end.len()).position(|window| window == end) else {
@@ -80,13 +83,13 @@
         &rest[..position]
     }
 
-    /// Drops the string that begins here.
+    /// Skips the quoted string that starts here.
     fn skip_string(&mut self, quote: u8) {
         let mut position = 1;
         while position < self.0.len() {
             match self.0[position] {
                 b'\\' => position += 2,
-                // A doubled quote reads as two strings side by side, which is the same here.
+                // A doubled quote is seen as two adjacent strings, which are skipped alike.
                 byte if byte == quote => break,
                 _ => position += 1,
             }
@@ -94,13 +97,13 @@
         self.0 = self.0.get(position + 1..).unwrap_or(&[]);
     }
 
-    /// Takes the name that begins here, or else one sign.
-    fn take_name_or_sign(&mut self, first: u8) -> Token<'a> {
+    /// Takes the name that starts here, or a single byte of punctuation if none does.
+    fn take_name_or_punctuation(&mut self, first: u8) -> Token<'a> {
         let name_end = self.0.iter().position(|byte| !is_name_byte(*byte));
         let name_bytes = name_end.unwrap_or(self.0.len());
         if name_bytes == 0 {
             self.0 = &self.0[1..];
-            return Token::Sign(first);
+            return Token::Punctuation(first);
         }
         let (name, rest) = self.0.split_at(name_bytes);
         self.0 = rest;
@@ -128,7 +131,7 @@
                     self.take_until(1, b"\n");
                 }
                 [b'`', ..] => return Some(Token::Name(self.take_until(1, b"`"))),
-                [first, ..] => return Some(self.take_name_or_sign(first)),
+                [first, ..] => return Some(self.take_name_or_punctuation(first)),
             }
         }
     }
--- a/crates/gateway/src/clients/timeouts.rs
+++ b/crates/gateway/src/clients/timeouts.rs
@@ -1,4 +1,4 @@
-//! How long sessions may stand still, and the schedule by which they are looked over.
+//! Session timeouts, and the periodic check that applies them.
 
 use admission::interface::{TimeDelta, Timestamp};
 
@@ -7,55 +7,58 @@
 use super::session::{CloseReason, Session, SessionState};
 use crate::counters::Counters;
 
-/// Network fact: a client logs in and sends its first command at once, and is owed a response or a close within 3 s of
-/// connecting.
-const FIRST_COMMAND_S: f64 = 2.0;
+/// How long a client may take from connecting to its first command. Clients log in and send a
+/// command at once, and expect a response or a close within 3 s of connecting.
+const FIRST_COMMAND_TIMEOUT_S: f64 = 2.0;
 
-/// Network fact: a packet that was begun is whole soon after.
-const WHOLE_PACKET_S: f64 = 2.0;
+/// How long a packet may stay incomplete. The rest of a packet normally follows its start at once.
+const PARTIAL_PACKET_TIMEOUT_S: f64 = 2.0;
 
-/// Network fact: clients close idle sessions after 4 s, so one idle for so long was forgotten.
-const IDLE_S: f64 = 30.0;
+/// How long a session may be idle. Clients close idle sessions after 4 s, so one that stays idle
+/// much longer has been forgotten by its client.
+const IDLE_TIMEOUT_S: f64 = 30.0;
 
-/// Network fact: a client that takes nothing of its response for so long is not reading any more.
-const UNREAD_RESPONSE_S: f64 = 10.0;
+/// How long a client may read nothing of a pending response before it counts as stalled.
+const UNREAD_RESPONSE_TIMEOUT_S: f64 = 10.0;
 
-/// After its last response a client has so long to read it before its socket goes.
-const CLOSING_S: f64 = 1.0;
+/// How long a client may take to read its last response and close before the socket is closed.
+const CLOSING_TIMEOUT_S: f64 = 1.0;
 
-/// How often sessions are looked over; far finer than the times above.
-const SWEEP_S: f64 = 0.25;
+/// The interval between checks of all sessions, much shorter than the timeouts above.
+const SWEEP_INTERVAL_S: f64 = 0.25;
 
 impl Session {
-    /// Whether it has to go by now.
+    /// Whether one of the session's timeouts has expired.
     fn is_timed_out(&self, now: Timestamp) -> bool {
-        let has_passed = |since: Timestamp, limit_s: f64| (now - since).secs() > limit_s;
+        let has_elapsed = |since: Timestamp, limit_s: f64| (now - since).secs() > limit_s;
         if self.state == SessionState::Closing {
-            return has_passed(self.last_activity, CLOSING_S);
+            return has_elapsed(self.last_activity, CLOSING_TIMEOUT_S);
         }
-        if self.commands == 0 && has_passed(self.opened, FIRST_COMMAND_S) {
+        if self.commands == 0 && has_elapsed(self.opened, FIRST_COMMAND_TIMEOUT_S) {
             return true;
         }
         if self.socket.unwritten_bytes() > 0 {
-            return has_passed(self.last_activity, UNREAD_RESPONSE_S);
+            return has_elapsed(self.last_activity, UNREAD_RESPONSE_TIMEOUT_S);
         }
         if self.is_pending() {
             return false;
         }
-        let packet_stuck = self
-            .packet_begun
-            .is_some_and(|since| has_passed(since, WHOLE_PACKET_S));
-        packet_stuck || has_passed(self.last_activity, IDLE_S)
+        let packet_timed_out = self
+            .partial_packet_since
+            .is_some_and(|since| has_elapsed(since, PARTIAL_PACKET_TIMEOUT_S));
+        packet_timed_out || has_elapsed(self.last_activity, IDLE_TIMEOUT_S)
     }
 
-    /// Its client reads nothing, so it would not read a last response either.
-    fn is_unread(&self) -> bool {
+    /// Whether the client has left data unread or has not closed after its last response. A session
+    /// that has timed out in this state is closed without waiting for the client.
+    fn is_client_stalled(&self) -> bool {
         self.state == SessionState::Closing || self.socket.unwritten_bytes() > 0
     }
 }
 
 impl Sessions {
-    /// When [`Self::on_timer`] or [`Self::resume`] has something to do; none without sessions.
+    /// When [`Self::on_timer`], [`Self::resume`] or [`Self::take_events`] next has something to do.
+    /// `None` if there are no sessions and nothing is left to process.
     #[must_use]
     pub fn next_due(&self, now: Timestamp) -> Option<Timestamp> {
         if !self.unfinished.is_empty() || !self.events.is_empty() {
@@ -64,21 +67,21 @@
         (!self.sessions.is_empty()).then_some(self.next_sweep)
     }
 
-    /// Ends sessions that have stood still for too long.
+    /// Closes the sessions whose timeouts have expired.
     pub fn on_timer(&mut self, now: Timestamp, counters: &mut Counters) {
         if now < self.next_sweep {
             return;
         }
-        self.next_sweep = now + TimeDelta::from_secs(SWEEP_S);
+        self.next_sweep = now + TimeDelta::from_secs(SWEEP_INTERVAL_S);
         let timed_out: Vec<(SessionId, bool)> = self
             .sessions
             .iter()
             .filter(|(_, session)| session.is_timed_out(now))
-            .map(|(id, session)| (*id, session.is_unread()))
+            .map(|(id, session)| (*id, session.is_client_stalled()))
             .collect();
-        for (id, is_unread) in timed_out {
-            if is_unread {
-                self.remove(id, &CloseReason::Unread, counters);
+        for (id, is_client_stalled) in timed_out {
+            if is_client_stalled {
+                self.remove(id, &CloseReason::ClientStalled, counters);
             } else {
                 self.shut_down(now, id, counters);
             }
