--- a/crates/scheduler/src/config.rs
+++ b/crates/scheduler/src/config.rs
@@ -42,7 +42,7 @@
     pub name: String,
     /// Its share of the capacity of its tenant.
     pub share: CapacityShare,
-    /// The client networks whose statements wait here by default, if they name no sub-queue.
+    /// Statements of clients in these networks wait here if they name no sub-queue.
     pub networks: Vec<IpNet>,
 }
 
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -147,9 +147,8 @@
         }
     }
 
-    /// Rejects a statement whose client left while no attempt was in flight. The returned decision
-    /// holds the answer to send if the connection is still read. It is [`Decision::Queued`] if the
-    /// statement is not open.
+    /// Rejects a statement whose client left while no attempt was in flight. Returns the answer in
+    /// case the connection is still read, or [`Decision::Queued`] if the statement is not open.
     pub fn reject_abandoned(
         &mut self,
         now: Timestamp,
--- a/crates/scheduler/src/tenant_queues/entry.rs
+++ b/crates/scheduler/src/tenant_queues/entry.rs
@@ -14,7 +14,8 @@
 /// just long enough to be late: at the start of a due date, where the deadline mattered, 0.33 of
 /// the reports came in time with a factor of 1 and 0.67 with a factor of 2.
 const P90_SAFETY_FACTOR: f64 = 2.0;
-/// A statement is not rejected for an estimated wait up to this limit, in seconds.
+/// The time left until the objective counts as at least this many seconds, so that short estimated
+/// waits never lead to a rejection.
 const ACCEPTABLE_WAIT_S: f64 = 0.05;
 /// A client rejected for its estimated wait is told to retry after at least this fraction of the
 /// median wait.
--- a/crates/scheduler/src/tenant_queues/eviction.rs
+++ b/crates/scheduler/src/tenant_queues/eviction.rs
@@ -15,7 +15,9 @@
     /// Makes room for a statement in its sub-queue and in the queues as a whole. If the sub-queue
     /// is full, the statements in it that would be released later are evicted. If the queues as a
     /// whole are full, the last statement of the sub-queue with the highest load for its budget is
-    /// evicted. Returns `None`, without evicting anything, if no statement has a weaker claim.
+    /// evicted; if that is the sub-queue of the new statement itself, only statements with a later
+    /// deadline are evicted. Returns `None`, without evicting anything, if no statement has a
+    /// weaker claim.
     pub(super) fn make_room(
         &mut self,
         sub_queue: SubQueueId,
--- a/crates/scheduler/src/tenant_queues/mod.rs
+++ b/crates/scheduler/src/tenant_queues/mod.rs
@@ -177,8 +177,8 @@
         self.waiting.past_useful_until(now)
     }
 
-    /// Announces that the gateway shuts down at `deadline`: each statement that still waits shortly
-    /// before it is offered one last time.
+    /// Announces that the gateway shuts down at `deadline`. Statements that still wait shortly
+    /// before the deadline are offered one last time.
     pub fn drain_by(&mut self, deadline: Timestamp) {
         let margin = TimeDelta::from_secs(-Self::DRAIN_MARGIN_S);
         self.waiting.limit_useful_until(deadline + margin);
--- a/crates/scheduler/src/tenant_tree.rs
+++ b/crates/scheduler/src/tenant_tree.rs
@@ -427,8 +427,9 @@
     }
 
     /// Sets the leased budgets of the tenants, by index. The budgets of their sub-queues change in
-    /// proportion, and a tenant with `None` keeps its budget. The first lease empties all accounts,
-    /// since the savings under the configured budgets belong to all gateways together.
+    /// proportion, and a tenant with `None` keeps its budget. The first lease empties the accounts
+    /// of the tenants it contains, since the savings under the configured budgets belong to all
+    /// gateways together.
     pub(crate) fn set_leased_budgets(&mut self, budgets: &[Option<f64>], queues: &ClassQueues) {
         let is_first = !self.leased;
         self.leased = true;
