--- a/crates/gateway/src/lifecycle/acceptor.rs
+++ b/crates/gateway/src/lifecycle/acceptor.rs
@@ -1,4 +1,4 @@
-//! The listening socket, and the clients that wait there to be accepted.
+//! The listening socket for clients, and the acceptance of their connections.
 
 use std::io;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, TcpListener, TcpStream};
@@ -17,28 +17,29 @@
 use crate::socket::{EventLoopHandle, EventSource, LoopEvents};
 use crate::socket_queries;
 
-/// Connections that may wait to be accepted. The library asks for 128; what finds no place is only tried again a second
-/// later.
+/// Length of the listen backlog. The standard library's 128 is too short: a client whose connection
+/// attempt finds the backlog full retries only a second later.
 const BACKLOG: i32 = 1024;
 
-/// Connections accepted in a turn at most: between them the others are read.
-const MAX_ACCEPTS_A_TURN: usize = 32;
+/// Connections accepted per turn of the event loop. The limit lets other sockets be served in
+/// between.
+const MAX_ACCEPTS_PER_TURN: usize = 32;
 
-/// How soon accepting is tried again after the machine was short of something. No event tells of it, and the statements of
-/// those that wait have their deadlines.
-const RETRY_PAUSE: TimeDelta = TimeDelta::from_micros(10_000);
+/// Delay before accepting again after a resource shortage. The kernel reports no event when the
+/// shortage ends, and the statements of waiting clients have deadlines.
+const RETRY_DELAY: TimeDelta = TimeDelta::from_micros(10_000);
 
 /// The listening socket, watched by the event loop until it is dropped.
 struct Listener {
     socket: Rc<TcpListener>,
-    /// None: the event loop could not take it yet.
+    /// `None` until the event loop has accepted the registration.
     registration: Option<RegistrationToken>,
     handle: EventLoopHandle,
 }
 
 impl Listener {
-    /// Binds an address and listens there. Listening comes last: clients connect from then on, and a failure after it would
-    /// reset them.
+    /// Binds the address and listens on it. Listening is the last step: clients can connect from
+    /// then on, and a failure after it would reset their connections.
     fn bind(address: SocketAddr, handle: &EventLoopHandle) -> io::Result<Self> {
         let family = if address.is_ipv4() {
             AddressFamily::INET
@@ -57,7 +58,7 @@
         })
     }
 
-    /// Has the event loop watch it; nothing happens where it does already.
+    /// Registers the socket with the event loop, unless it is registered already.
     fn watch(&mut self) -> calloop::Result<()> {
         if self.registration.is_some() {
             return Ok(());
@@ -84,13 +85,14 @@
     }
 }
 
-/// A connection that was accepted.
+/// An accepted connection.
 struct AcceptedClient {
     stream: Rc<TcpStream>,
     ip: IpAddr,
 }
 
-/// Takes the next connection off the backlog. A client whose address the machine does not tell is a client all the same.
+/// Accepts the next connection in the backlog. A client whose address the kernel does not report is
+/// accepted with the unspecified address.
 fn accept_client(listener: &TcpListener) -> io::Result<AcceptedClient> {
     let accepted = socket_queries::accept(listener)?;
     let unknown = IpAddr::from(Ipv4Addr::UNSPECIFIED);
@@ -100,30 +102,32 @@
     })
 }
 
-/// Accepts clients, as far as there is room for them.
+/// Accepts clients while there is room for further sessions.
 #[derive(Default)]
 pub(super) struct Acceptor {
-    /// None: nobody can connect yet, or any more.
+    /// `None` before the gateway listens and after it has stopped.
     listener: Option<Listener>,
-    /// The machine's backlog may hold more than was accepted; no further readiness tells of it.
-    has_unaccepted: bool,
-    /// Accepted, and not a session yet: the machine was short of something. It may have sent a statement already, so it is
-    /// not closed for that.
+    /// The kernel's backlog may hold connections that were not accepted yet. The socket is
+    /// edge-triggered, so no further event reports them.
+    may_have_unaccepted: bool,
+    /// A connection that was accepted but has no session yet, because of a resource shortage. It is
+    /// kept for a retry, since the client may have sent a statement already.
     pending_client: Option<AcceptedClient>,
-    /// There is no room for a further session.
-    lacks_room: bool,
-    /// The machine was short of something, and is tried again then.
+    /// The maximum number of sessions is open.
+    at_capacity: bool,
+    /// When to try again after a resource shortage.
     retry_at: Option<Timestamp>,
-    /// A failure was logged, and nothing succeeded since.
+    /// A failure was logged and no client was accepted since.
     failure_logged: bool,
 }
 
 impl Acceptor {
-    /// Binds the address, listens, and has the event loop watch for clients. What was done stays done: a further call goes
-    /// on from there, and clients that have connected meanwhile are accepted.
+    /// Binds the address, listens and registers with the event loop. Completed steps are kept: a
+    /// further call continues after them, and clients that have connected in the meantime are
+    /// accepted.
     ///
     /// # Errors
-    /// The address cannot be bound, or the machine is short of something. It may be tried again.
+    /// The address cannot be bound, or a resource is short. The call may be repeated.
     pub(super) fn listen(
         &mut self,
         address: SocketAddr,
@@ -137,33 +141,33 @@
                 self.listener.insert(bound)
             }
         };
-        self.has_unaccepted = true;
+        self.may_have_unaccepted = true;
         listener.watch()?;
         Ok(())
     }
 
-    /// Accepts nobody any more.
+    /// Stops accepting clients.
     pub(super) fn close(&mut self) {
         self.listener = None;
     }
 
-    /// The listening socket is ready: somebody may wait there.
+    /// Handles a readiness event of the listening socket.
     pub(super) fn on_ready(&mut self) {
-        self.has_unaccepted = true;
+        self.may_have_unaccepted = true;
     }
 
-    /// Whether somebody may wait to be accepted.
+    /// Whether connections may be waiting to be accepted.
     pub(super) fn has_backlog(&self) -> bool {
-        self.has_unaccepted || self.pending_client.is_some()
+        self.may_have_unaccepted || self.pending_client.is_some()
     }
 
-    /// When a turn is to accept more, with nothing else to tell of it.
+    /// When the next turn has to accept connections without a readiness event, or `None`.
     pub(super) fn next_due(&self, now: Timestamp) -> Option<Timestamp> {
-        let is_waiting = self.listener.is_some() && self.has_backlog() && !self.lacks_room;
+        let is_waiting = self.listener.is_some() && self.has_backlog() && !self.at_capacity;
         is_waiting.then(|| self.retry_at.unwrap_or(now))
     }
 
-    /// Accepts those who wait, as many as a turn may.
+    /// Accepts waiting connections, up to the limit per turn.
     pub(super) fn accept(
         &mut self,
         now: Timestamp,
@@ -174,9 +178,9 @@
             return;
         }
         self.retry_at = None;
-        for _ in 0..MAX_ACCEPTS_A_TURN {
-            self.lacks_room = self.has_backlog() && !sessions.has_room();
-            if self.lacks_room {
+        for _ in 0..MAX_ACCEPTS_PER_TURN {
+            self.at_capacity = self.has_backlog() && !sessions.has_room();
+            if self.at_capacity {
                 return;
             }
             let Some(client) = self.next_client(now, counters) else {
@@ -191,13 +195,13 @@
         }
     }
 
-    /// The next client; none: nobody waits, or the machine is short of something.
+    /// Returns the next client, or `None` when no connection waits or a resource is short.
     fn next_client(&mut self, now: Timestamp, counters: &mut Counters) -> Option<AcceptedClient> {
         if let Some(client) = self.pending_client.take() {
             return Some(client);
         }
-        for _ in 0..MAX_ACCEPTS_A_TURN {
-            if !self.has_unaccepted {
+        for _ in 0..MAX_ACCEPTS_PER_TURN {
+            if !self.may_have_unaccepted {
                 return None;
             }
             let error = match accept_client(&self.listener.as_ref()?.socket) {
@@ -205,7 +209,7 @@
                 Err(error) => error,
             };
             if error.kind() == io::ErrorKind::WouldBlock {
-                self.has_unaccepted = false;
+                self.may_have_unaccepted = false;
             } else if is_pending_connection_error(&error) {
                 counters.accepts_failed += 1;
             } else {
@@ -213,18 +217,20 @@
                 return None;
             }
         }
-        // All that came were gone, and the next turn looks at the rest.
-        self.retry_at = Some(now + RETRY_PAUSE);
+        // All connections of this batch had failed before they were accepted. A later turn
+        // continues.
+        self.retry_at = Some(now + RETRY_DELAY);
         None
     }
 
-    /// The machine is short of something: descriptors, buffers or memory. Those who wait stay where they are.
+    /// Schedules a retry after a shortage of descriptors, buffers or memory. Waiting connections
+    /// stay in the backlog.
     fn retry_later(&mut self, now: Timestamp, error: &io::Error, counters: &mut Counters) {
         counters.accepts_failed += 1;
         if !self.failure_logged {
-            warn!(%error, "accept");
+            warn!(%error, "cannot accept client connections; retrying");
         }
         self.failure_logged = true;
-        self.retry_at = Some(now + RETRY_PAUSE);
+        self.retry_at = Some(now + RETRY_DELAY);
     }
 }
--- a/crates/gateway/src/lifecycle/mod.rs
+++ b/crates/gateway/src/lifecycle/mod.rs
@@ -1,4 +1,7 @@
-//! The program from start to exit: the event loop, signals and the phases that lead to the end.
+//! The gateway process from start to exit: the event loop, signals, reloads and the phases.
+//!
+//! The event loop works in turns: a turn is one iteration, which waits for events and then handles
+//! all of them.
 
 mod acceptor;
 mod phase;
@@ -40,7 +43,7 @@
 use crate::service::Service;
 use crate::socket::LoopEvents;
 
-/// Why the gateway cannot start, or cannot go on.
+/// Why the gateway cannot start or has to exit.
 #[derive(Debug, Error)]
 pub enum StartError {
     /// The address for clients cannot be bound.
@@ -52,19 +55,19 @@
     /// The thread that watches key files cannot be started.
     #[error("watch of key files: {0}")]
     KeyWatch(io::Error),
-    /// A setting is missing or cannot be used.
+    /// A setting is missing or invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
     /// The key files or the certificate cannot be used.
     #[error(transparent)]
     KeyFiles(#[from] WatchError),
-    /// The index of keys contradicts itself.
+    /// The key index is inconsistent.
     #[error(transparent)]
     Keys(#[from] KeyIndexError),
-    /// The fleet cannot be joined.
+    /// The gateway cannot join the fleet.
     #[error(transparent)]
     Cluster(#[from] ClusterError),
-    /// There are no hash tables without random bytes.
+    /// The system provides no random bytes to seed the hash tables.
     #[error(transparent)]
     RandomBytes(#[from] NoRandomBytes),
 }
@@ -81,13 +84,13 @@
     panics: TurnPanics,
     service: Service,
     drain_times: DrainTimes,
-    /// Where the configuration comes from.
-    source: PathBuf,
-    /// The configuration in force; its endpoint list went to the service.
+    /// The file that the configuration is read from.
+    config_path: PathBuf,
+    /// The configuration in force. Its endpoint events were moved into the service.
     config: Config,
-    /// What of the operator's file is in force.
-    operated: OperatorSettings,
-    /// SIGHUP came, and a file could not be read yet.
+    /// The part of the operator's file that is in force.
+    operator_settings: OperatorSettings,
+    /// A reload after SIGHUP that waits for a file that is not readable yet.
     pending_reload: Option<PendingReload>,
 }
 
@@ -100,12 +103,12 @@
         }
     }
 
-    /// The gateway is to end; nothing happens where it ends already.
+    /// Starts draining. Does nothing when the gateway is already draining or has gone further.
     fn drain(&mut self, now: Timestamp) {
-        let Some(draining) = self.phase.drained(now, self.drain_times) else {
+        let Some(draining) = self.phase.after_termination_signal(now, self.drain_times) else {
             return;
         };
-        info!("draining");
+        info!("draining: open statements are answered before the gateway exits");
         self.phase = draining;
         self.service.drain_by(now + self.drain_times.answered);
         if let Some(cluster) = self.service.cluster() {
@@ -124,7 +127,7 @@
             None => {}
             Some(Transition::Listen) => self.try_listen(now)?,
             Some(Transition::Serve) => {
-                info!("serving");
+                info!("serving: the first statement arrived");
                 self.phase = Phase::Serving;
             }
             Some(Transition::Close { exit_by }) => {
@@ -134,7 +137,7 @@
                 info!(
                     open = self.service.counters.open(),
                     sessions = self.service.sessions.len(),
-                    "exits"
+                    "exiting"
                 );
                 self.phase = Phase::Exited;
             }
@@ -148,7 +151,7 @@
             return Ok(());
         };
         if matches!(self.phase, Phase::Starting { .. }) {
-            warn!(%error, "cannot listen yet; it is tried again");
+            warn!(%error, "cannot listen for clients; retrying");
         }
         match self.phase.after_failed_listen(now) {
             Some(phase) => {
@@ -163,15 +166,17 @@
         let handle = self.event_loop.handle();
         self.acceptor.listen(self.config.listen, &handle)?;
         if !self.service.has_endpoints() {
-            warn!("no list yet; statements are denied until one comes");
+            warn!("no endpoint list yet; statements are rejected until one arrives");
         }
         info!(listen = %self.config.listen, "ready");
         Ok(())
     }
 
-    /// Shuts all sessions and the listening socket, unless something came that is to be answered first.
+    /// Shuts down all sessions and closes the listening socket, unless connections or statements
+    /// have arrived that have to be answered first.
     fn close_sessions(&mut self, now: Timestamp, exit_by: Timestamp) {
-        // What the machine has accepted counts as received, whether or not an edge has told of it yet.
+        // Connections in the backlog count as received, even if the event loop has not reported
+        // them yet.
         self.acceptor.on_ready();
         self.accept(now);
         let service = &mut self.service;
@@ -181,12 +186,12 @@
                 .try_shut_down_all(now, &mut service.counters);
         if shut_down {
             self.acceptor.close();
-            info!(sessions = self.service.sessions.len(), "closing");
+            info!(sessions = self.service.sessions.len(), "closing sessions");
             self.phase = Phase::closing(now, exit_by);
         }
     }
 
-    /// Prints the counters, whatever the log's level: they were asked for.
+    /// Prints the counters at any log level, because they were requested explicitly.
     fn print_counters(&mut self) {
         self.service.update_queue_counters();
         self.service.counters.log_lines_lost = log_output::lost_lines();
--- a/crates/gateway/src/lifecycle/phase.rs
+++ b/crates/gateway/src/lifecycle/phase.rs
@@ -1,44 +1,46 @@
-//! The phases from start to exit, and every transition between them.
+//! The phases of the process from start to exit, and all transitions between them.
 
 use admission::interface::{TimeDelta, Timestamp};
 
-use super::start_retry::{LISTEN_PATIENCE, LISTEN_PAUSE};
+use super::start_retry::{LISTEN_RETRY_INTERVAL, LISTEN_RETRY_TIMEOUT};
 
-/// Network facts of a planned restart: after SIGTERM statements go on coming for so long; the kill comes no sooner than
-/// the longest deadline, but [`MAX_DEADLINE_S`] at most, after that.
+/// Statements keep arriving for this long after SIGTERM. In a planned restart the platform kills
+/// the process no earlier than this time plus the longest deadline, of which at most
+/// [`MAX_DRAIN_DEADLINE_S`] counts.
 const LATE_STATEMENTS_S: f64 = 0.7;
 
-/// No longer deadline than this counts for the kill.
-const MAX_DEADLINE_S: f64 = 3.0;
+/// The part of a longer deadline beyond this value does not delay the kill.
+const MAX_DRAIN_DEADLINE_S: f64 = 3.0;
 
-/// How long before the kill all is answered, as a part of the longest deadline and at most; half of it is left to slow
-/// readers, the other half to a machine that stands still.
-const KILL_MARGIN_PART: f64 = 0.25;
+/// All statements are answered this long before the kill: a fraction of the longest deadline, up to
+/// [`MAX_KILL_MARGIN_S`]. Half of the margin is left to slow readers, the other half to pauses of
+/// the host.
+const KILL_MARGIN_FRACTION: f64 = 0.25;
 const MAX_KILL_MARGIN_S: f64 = 0.3;
 
-/// How long a start waits for its first endpoint list. Then it listens all the same, and rejects until one comes: a
-/// gateway that is not ready within 10 s of a restart is missed, and a discovery service that is down at a start may be
-/// down for long.
-const FIRST_LIST: TimeDelta = TimeDelta::from_micros(5_000_000);
+/// How long a starting gateway waits for its first endpoint list. After that it listens anyway and
+/// rejects statements until a list arrives: a gateway has to be ready within 10 s of a restart,
+/// while an outage of the discovery service may last longer.
+const FIRST_LIST_TIMEOUT: TimeDelta = TimeDelta::from_micros(5_000_000);
 
-/// How long idle clients have to see that the gateway ends, and to close their connections too.
-const CLOSING: TimeDelta = TimeDelta::from_micros(300_000);
+/// How long idle clients have to notice the shutdown and to close their connections.
+const CLOSE_TIMEOUT: TimeDelta = TimeDelta::from_micros(300_000);
 
-/// When a draining gateway is done, counted from SIGTERM.
+/// Time limits of a drain, counted from SIGTERM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DrainTimes {
-    /// All is answered.
+    /// When all statements are answered.
     pub answered: TimeDelta,
-    /// The program ends at the latest.
+    /// When the process exits at the latest.
     pub exit: TimeDelta,
 }
 
 impl DrainTimes {
-    /// For statements of this deadline at most.
+    /// Returns the limits for statements whose deadlines are at most `longest`.
     #[must_use]
     pub fn for_longest_deadline(longest: TimeDelta) -> Self {
-        let longest_s = longest.secs().min(MAX_DEADLINE_S);
-        let margin_s = (longest_s * KILL_MARGIN_PART).min(MAX_KILL_MARGIN_S);
+        let longest_s = longest.secs().min(MAX_DRAIN_DEADLINE_S);
+        let margin_s = (longest_s * KILL_MARGIN_FRACTION).min(MAX_KILL_MARGIN_S);
         let answered_s = LATE_STATEMENTS_S + longest_s - margin_s;
         DrainTimes {
             answered: TimeDelta::from_secs(answered_s),
@@ -47,49 +49,52 @@
     }
 }
 
-/// Where the program is between its start and its exit.
+/// The phase of the process between its start and its exit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Phase {
-    /// No endpoint list yet, so nothing to decide on: nobody can connect until then.
+    /// Waiting for the first endpoint list. The gateway does not listen yet, because it could not
+    /// place any statement.
     Starting {
-        /// It listens then, also without a list.
+        /// The gateway listens from then on, even without a list.
         listen_by: Timestamp,
     },
-    /// It could not listen yet: another process has its address, or the machine is short of something.
+    /// Listening has failed: another process holds the address, or a resource is short.
     Binding {
-        /// It is tried again then.
+        /// When listening is tried again.
         retry_at: Timestamp,
-        /// A failure after this ends the program.
+        /// The process exits with an error when listening fails after this time.
         give_up_at: Timestamp,
     },
-    /// Listening; no statement received yet.
+    /// Listening, with no statement received yet.
     Ready,
-    /// Listening, and statements were received.
+    /// Listening, with statements received.
     Serving,
-    /// SIGTERM came: statements that still come are accepted, and all is answered by the end.
+    /// After SIGTERM or SIGINT: the gateway still accepts statements, and answers all of them by
+    /// the end of the phase.
     Draining {
-        /// Later than this no statement is expected.
+        /// No further statement is expected after this time.
         accept_until: Timestamp,
-        /// The program ends by then.
+        /// When the process exits at the latest.
         exit_by: Timestamp,
     },
-    /// All is answered and nobody can connect any more: sessions are shut, and read until their clients close too.
+    /// All statements are answered and the gateway no longer listens. Sessions are shut down, and
+    /// read until the clients close their side.
     Closing {
-        /// The program ends by then.
+        /// When the process exits at the latest.
         exit_by: Timestamp,
     },
-    /// The program ends.
+    /// The process exits.
     Exited,
 }
 
-/// What the transitions depend on, beside the time.
+/// What the transitions depend on, besides the time.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Conditions {
-    /// An endpoint list came.
+    /// An endpoint list has arrived.
     pub has_endpoints: bool,
     /// A statement was accepted.
     pub has_statement: bool,
-    /// No answer is owed to any client.
+    /// Every accepted statement is answered.
     pub all_answered: bool,
     /// No session is open.
     pub all_closed: bool,
@@ -98,29 +103,34 @@
 /// A transition that is due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Transition {
-    /// Listen, and be [`Phase::Ready`].
+    /// Start to listen, which leads to [`Phase::Ready`].
     Listen,
-    /// Be [`Phase::Serving`].
+    /// Enter [`Phase::Serving`].
     Serve,
-    /// Shut all sessions if nothing is left to accept, and be [`Phase::Closing`].
+    /// Shut down all sessions if nothing is left to accept, and enter [`Phase::Closing`].
     Close {
-        /// The program ends by then.
+        /// When the process exits at the latest.
         exit_by: Timestamp,
     },
-    /// Be [`Phase::Exited`].
+    /// Enter [`Phase::Exited`].
     Exit,
 }
 
 impl Phase {
-    /// The first phase.
+    /// Returns the first phase.
     pub(super) fn starting(now: Timestamp) -> Self {
         Phase::Starting {
-            listen_by: now + FIRST_LIST,
+            listen_by: now + FIRST_LIST_TIMEOUT,
         }
     }
 
-    /// The phase after SIGTERM; none where the gateway ends already.
-    pub(super) fn drained(self, now: Timestamp, times: DrainTimes) -> Option<Self> {
+    /// Returns the phase after a termination signal, or `None` when the gateway is already draining
+    /// or has gone further.
+    pub(super) fn after_termination_signal(
+        self,
+        now: Timestamp,
+        times: DrainTimes,
+    ) -> Option<Self> {
         match self {
             Phase::Starting { .. } | Phase::Binding { .. } | Phase::Ready | Phase::Serving => {
                 Some(Phase::Draining {
@@ -132,26 +142,27 @@
         }
     }
 
-    /// The phase after an attempt to listen that failed; none: that was the last one.
+    /// Returns the phase after a failed attempt to listen, or `None` when no further attempt is
+    /// allowed.
     pub(super) fn after_failed_listen(self, now: Timestamp) -> Option<Self> {
         let give_up_at = match self {
             Phase::Binding { give_up_at, .. } => give_up_at,
-            _ => now + LISTEN_PATIENCE,
+            _ => now + LISTEN_RETRY_TIMEOUT,
         };
         (now < give_up_at).then_some(Phase::Binding {
-            retry_at: now + LISTEN_PAUSE,
+            retry_at: now + LISTEN_RETRY_INTERVAL,
             give_up_at,
         })
     }
 
-    /// The phase in which sessions are closed.
+    /// Returns the phase in which sessions are closed.
     pub(super) fn closing(now: Timestamp, exit_by: Timestamp) -> Self {
         Phase::Closing {
-            exit_by: exit_by.min(now + CLOSING),
+            exit_by: exit_by.min(now + CLOSE_TIMEOUT),
         }
     }
 
-    /// The transition that is due now.
+    /// Returns the transition that is due now, if any.
     pub(super) fn transition(self, now: Timestamp, conditions: Conditions) -> Option<Transition> {
         match self {
             Phase::Starting { listen_by } => {
@@ -176,7 +187,7 @@
         }
     }
 
-    /// When a transition is due by the clock alone.
+    /// When the next transition is due by the clock alone, or `None`.
     pub(super) fn due(self, now: Timestamp) -> Option<Timestamp> {
         match self {
             Phase::Starting { listen_by } => Some(listen_by),
--- a/crates/gateway/src/lifecycle/reload.rs
+++ b/crates/gateway/src/lifecycle/reload.rs
@@ -1,5 +1,6 @@
-//! What changes without a restart: the configuration and the operator's file on SIGHUP, key files when they change. A
-//! file that cannot be used leaves what was in force as it was.
+//! Changes without a restart: SIGHUP reloads the configuration and the operator's file, and key
+//! files are reloaded whenever they change. When a file cannot be used, the previous state stays in
+//! force.
 
 use admission::interface::{TimeDelta, Timestamp};
 use identity::KeyIndexError;
@@ -11,14 +12,14 @@
 use crate::config::{Config, ConfigError, OperatorSettings};
 use crate::keywatch::{AuthMaterial, WatchError};
 
-/// How long a file is tried that cannot be read for now. What it tells of the discovery service is needed: drains are told
-/// there.
-const PATIENCE: TimeDelta = TimeDelta::from_micros(30_000_000);
+/// How long a reload retries a file that is temporarily unreadable. The file names the discovery
+/// service, which announces the engines that drain, so a reload is not given up early.
+const RETRY_TIMEOUT: TimeDelta = TimeDelta::from_micros(30_000_000);
 
-/// Between two tries.
-const PAUSE: TimeDelta = TimeDelta::from_micros(50_000);
+/// Interval between two attempts.
+const RETRY_INTERVAL: TimeDelta = TimeDelta::from_micros(50_000);
 
-/// A reload that waits for a file which cannot be read for now.
+/// A reload that waits for a file that is temporarily unreadable.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PendingReload {
     due: Timestamp,
@@ -33,13 +34,13 @@
 }
 
 impl Lifecycle {
-    /// Reads the files again, in every phase.
+    /// Reloads the files. The phase does not matter.
     pub(super) fn reload(&mut self, now: Timestamp) {
         self.pending_reload = None;
-        self.try_reload(now, now + PATIENCE);
+        self.try_reload(now, now + RETRY_TIMEOUT);
     }
 
-    /// Goes on with a reload that is due again.
+    /// Repeats a pending reload when it is due.
     pub(super) fn retry_reload(&mut self, now: Timestamp) {
         let Some(pending) = self.pending_reload.filter(|pending| pending.due <= now) else {
             return;
@@ -51,26 +52,32 @@
     fn try_reload(&mut self, now: Timestamp, give_up_at: Timestamp) {
         let configuration = self.reload_configuration(now);
         let operator_file = self.reload_operator_file(now);
-        for result in [configuration, operator_file] {
-            let Err(error) = result else {
+        for outcome in [configuration, operator_file] {
+            let Err(error) = outcome else {
                 continue;
             };
             if error.may_be_transient() && now < give_up_at {
                 info!(%error, "reload: tried again");
-                let due = now + PAUSE;
+                let due = now + RETRY_INTERVAL;
                 self.pending_reload = Some(PendingReload { due, give_up_at });
             } else {
                 self.service.counters.reloads_failed += 1;
-                warn!(%error, "the file cannot be used; the old one stands");
+                warn!(%error, "reload: the file cannot be used; keeping the previous settings");
             }
         }
     }
 
-    /// Of a usable file only the discovery service and the list are taken, since no open statement may be touched.
+    /// Applies only the address of the discovery service and the endpoint list. Other settings
+    /// could affect open statements.
     fn reload_configuration(&mut self, now: Timestamp) -> Result<(), ConfigError> {
-        let config = Config::read(&self.source)?;
+        let config = Config::read(&self.config_path)?;
         let kept = self.config.settings_requiring_restart(&config);
-        info!(board = %config.discovery_address, known = config.known_endpoints.last_revision, ?kept, "configuration read again");
+        info!(
+            discovery_address = %config.discovery_address,
+            known_revision = config.known_endpoints.last_revision,
+            ?kept,
+            "configuration read again"
+        );
         let service = &mut self.service;
         let counters = &mut service.counters;
         counters.reloads += 1;
@@ -83,19 +90,19 @@
         Ok(())
     }
 
-    /// Key files and certificates that changed, all or none of them.
+    /// Applies changed key files and certificates, either all of them or none.
     pub(super) fn reload_key_files(&mut self, changed: Result<AuthMaterial, WatchError>) {
-        let result = changed
+        let outcome = changed
             .map_err(|error| error.to_string())
-            .and_then(|known| {
-                self.apply_key_files(known)
+            .and_then(|material| {
+                self.apply_key_files(material)
                     .map_err(|error| error.to_string())
             });
         let counters = &mut self.service.counters;
-        match result {
+        match outcome {
             Ok(()) => {
                 counters.key_file_reloads += 1;
-                info!("key files taken in");
+                info!("key files reloaded");
             }
             Err(error) => {
                 counters.key_file_reloads_failed += 1;
@@ -107,8 +114,8 @@
         }
     }
 
-    fn apply_key_files(&mut self, known: AuthMaterial) -> Result<(), KeyIndexError> {
-        let AuthMaterial { files, tls } = known;
+    fn apply_key_files(&mut self, material: AuthMaterial) -> Result<(), KeyIndexError> {
+        let AuthMaterial { files, tls } = material;
         if let Some(verifier) = self.service.token_verifier() {
             verifier.update(unix_now(), &files.index, &files.public_keys, files.revoked)?;
         }
@@ -116,65 +123,75 @@
         Ok(())
     }
 
-    /// The operator's file, all of it or nothing. What is off or on stays so: sessions were told at their start.
+    /// Applies the operator's file, either all of it or nothing. Features cannot be enabled or
+    /// disabled, because sessions learned at their start which ones are on.
     fn reload_operator_file(&mut self, now: Timestamp) -> Result<(), ConfigError> {
-        let Some(path) = self.operated.file.clone() else {
+        let Some(path) = self.operator_settings.file.clone() else {
             return Ok(());
         };
-        let operated = OperatorSettings::read(Some(path), &self.config)?;
-        self.reload_fleet(&operated);
-        self.reload_shares(&operated);
-        self.reload_queues(now, operated);
+        let operator_settings = OperatorSettings::read(Some(path), &self.config)?;
+        self.reload_fleet(&operator_settings);
+        self.reload_shares(&operator_settings);
+        self.reload_queues(now, operator_settings);
         Ok(())
     }
 
-    fn reload_fleet(&mut self, operated: &OperatorSettings) {
-        match (self.service.cluster(), &operated.fleet) {
-            (Some(cluster), Some((_, terms))) => match cluster.reconfigure(terms) {
-                Ok(kept) => info!(?kept, seeds = terms.seeds.len(), "fleet: new terms"),
+    fn reload_fleet(&mut self, operator_settings: &OperatorSettings) {
+        match (self.service.cluster(), &operator_settings.fleet) {
+            (Some(cluster), Some((_, config))) => match cluster.reconfigure(config) {
+                Ok(kept) => info!(
+                    ?kept,
+                    seeds = config.seeds.len(),
+                    "fleet: configuration reloaded"
+                ),
                 Err(error) => {
                     self.service.counters.reloads_failed += 1;
-                    warn!(%error, "the fleet's keys cannot be used; the old ones stand");
+                    warn!(%error, "fleet: the keys cannot be used; keeping the previous ones");
                 }
             },
             (None, None) => {}
-            _ => warn!("the fleet is joined and left by a restart only; it stays as it was"),
+            _ => warn!("fleet: joining or leaving the fleet requires a restart"),
         }
     }
 
-    /// Budgets by their names; how long leases last, who votes and how many may run wait for a restart of all.
-    fn reload_shares(&mut self, operated: &OperatorSettings) {
-        let tenants = operated.tenant_names();
+    /// Applies the budgets by name. The lease duration, the voters and the maximum number of
+    /// gateways change only when all gateways restart.
+    fn reload_shares(&mut self, operator_settings: &OperatorSettings) {
+        let tenants = operator_settings.tenant_names();
         let leases = self
             .service
             .cluster()
             .and_then(ClusterEndpoint::quota_leases);
-        match (leases, &operated.shares) {
-            (Some(leases), Some(terms)) => {
-                let kept = leases.reconfigure(terms.clone(), &tenants);
-                info!(?kept, budgets = terms.budgets.len(), "shares: new budgets");
-                self.operated.shares = operated.shares.clone();
+        match (leases, &operator_settings.shares) {
+            (Some(leases), Some(quota_config)) => {
+                let kept = leases.reconfigure(quota_config.clone(), &tenants);
+                info!(
+                    ?kept,
+                    budgets = quota_config.budgets.len(),
+                    "shares: budgets reloaded"
+                );
+                self.operator_settings.shares = operator_settings.shares.clone();
             }
             (None, None) => {}
-            _ => warn!("budgets are divided or not from the start on; they stay as they were"),
+            _ => warn!("shares: enabling or disabling shared budgets requires a restart"),
         }
     }
 
-    fn reload_queues(&mut self, now: Timestamp, operated: OperatorSettings) {
-        match (&self.operated.queues, &operated.queues) {
+    fn reload_queues(&mut self, now: Timestamp, operator_settings: OperatorSettings) {
+        match (&self.operator_settings.queues, &operator_settings.queues) {
             (Some(old), Some(new)) if old != new => {
                 info!(
-                    members = new.tenants.len(),
-                    desks = new.sub_queue_count(),
-                    "queues: new terms"
+                    tenants = new.tenants.len(),
+                    sub_queues = new.sub_queue_count(),
+                    "queues: configuration reloaded"
                 );
                 self.service.reconfigure_queues(now, new);
-                self.operated = operated;
+                self.operator_settings = operator_settings;
             }
             (Some(_), None) | (None, Some(_)) => {
-                warn!("queues are switched on and off by a restart only; they stay as they were");
+                warn!("queues: enabling or disabling queues requires a restart");
             }
-            _ => self.operated = operated,
+            _ => self.operator_settings = operator_settings,
         }
     }
 }
--- a/crates/gateway/src/lifecycle/signals.rs
+++ b/crates/gateway/src/lifecycle/signals.rs
@@ -1,8 +1,8 @@
-//! The signals that a gateway handles, read from a descriptor.
+//! Handles the signals of the gateway through a signalfd descriptor.
 //!
-//! They are asked for before all else: one that comes while the program still starts waits, where it would have ended the
-//! program by the machine's own rule. What is read here is not trusted to be whole: libraries that read signals panic where it
-//! is not.
+//! The signals are blocked before anything else, so that one that arrives during the start stays
+//! pending instead of ending the process by its default action. The records are read here and not
+//! by a library, because the libraries that read signals panic on a truncated record.
 
 use std::cell::RefCell;
 use std::io;
@@ -17,7 +17,7 @@
 
 use crate::socket::{EventLoopHandle, LoopEvents};
 
-const HANDLED: [Signal; 4] = [
+const HANDLED_SIGNALS: [Signal; 4] = [
     Signal::SIGTERM,
     Signal::SIGINT,
     Signal::SIGHUP,
@@ -26,40 +26,41 @@
 
 const RECORD_BYTES: usize = size_of::<signalfd_siginfo>();
 
-/// Where the signal's number stands in a record, which begins with it.
-const NUMBER_BYTES: usize = size_of::<u32>();
+/// Size of the signal number, which is the first field of a record.
+const SIGNAL_NUMBER_BYTES: usize = size_of::<u32>();
 
-/// Reads of the descriptor at a time: the machine keeps one of each signal, and a read may be interrupted.
+/// Limit on reads per call. The kernel keeps at most one pending signal of each kind, and reads may
+/// be interrupted.
 const MAX_READS: usize = 16;
 
 /// Reads the signals of this process.
 pub struct SignalReceiver {
     descriptor: Rc<SignalFd>,
-    /// Signals that were read and not taken yet, one of each at most.
-    unhandled: RefCell<Vec<Signal>>,
+    /// Signals that were read and not taken yet, at most one of each kind.
+    pending: RefCell<Vec<Signal>>,
 }
 
 impl SignalReceiver {
-    /// Blocks the signals from here on, and reads them instead.
+    /// Blocks the handled signals and opens a descriptor to read them.
     ///
     /// # Errors
-    /// The machine is short of something. The signals are blocked all the same, and it may be tried again.
+    /// A resource is short. The signals are blocked even so, and the call may be repeated.
     pub fn new() -> io::Result<Self> {
-        let handled: SigSet = HANDLED.into_iter().collect();
+        let handled: SigSet = HANDLED_SIGNALS.into_iter().collect();
         handled.thread_block()?;
         let flags = SfdFlags::SFD_NONBLOCK | SfdFlags::SFD_CLOEXEC;
         Ok(SignalReceiver {
             descriptor: Rc::new(SignalFd::with_flags(&handled, flags)?),
-            unhandled: RefCell::default(),
+            pending: RefCell::default(),
         })
     }
 
-    /// Has the event loop tell of signals.
+    /// Registers the descriptor with the event loop.
     ///
     /// # Errors
-    /// The event loop cannot take the descriptor.
+    /// The event loop cannot register the descriptor.
     pub(super) fn watch(&self, handle: &EventLoopHandle) -> calloop::Result<()> {
-        // While one is unread each wait tells of it again.
+        // Level-triggered: every wait reports the descriptor as long as a signal is unread.
         let source = Generic::new(self.descriptor.clone(), Interest::READ, Mode::Level);
         let on_ready = |_, _: &mut _, ready: &mut LoopEvents| {
             ready.has_signals = true;
@@ -71,41 +72,41 @@
             .map_err(|failure| failure.error)
     }
 
-    /// Takes the signals that came since the last call.
+    /// Returns the signals that arrived since the last call.
     pub(super) fn take(&self) -> Vec<Signal> {
         self.read();
-        self.unhandled.take()
+        self.pending.take()
     }
 
-    /// Whether one that ends the gateway came and was not taken yet.
+    /// Whether SIGTERM or SIGINT has arrived and was not taken yet.
     #[must_use]
     pub fn is_termination_pending(&self) -> bool {
         self.read();
-        let unhandled = self.unhandled.borrow();
-        unhandled.contains(&Signal::SIGTERM) || unhandled.contains(&Signal::SIGINT)
+        let pending = self.pending.borrow();
+        pending.contains(&Signal::SIGTERM) || pending.contains(&Signal::SIGINT)
     }
 
-    /// Reads what there is. What cannot be read now is read with the next call.
+    /// Reads all available signals. After a failure the next call continues.
     fn read(&self) {
         let mut record = [0; RECORD_BYTES];
         for _ in 0..MAX_READS {
             match rustix::io::read(&*self.descriptor, &mut record) {
-                Ok(RECORD_BYTES) => self.note(&record),
+                Ok(RECORD_BYTES) => self.record_signal(&record),
                 Ok(_) | Err(Errno::INTR) => {}
                 Err(_) => return,
             }
         }
     }
 
-    fn note(&self, record: &[u8; RECORD_BYTES]) {
-        let mut number = [0; NUMBER_BYTES];
-        number.copy_from_slice(&record[..NUMBER_BYTES]);
+    fn record_signal(&self, record: &[u8; RECORD_BYTES]) {
+        let mut number = [0; SIGNAL_NUMBER_BYTES];
+        number.copy_from_slice(&record[..SIGNAL_NUMBER_BYTES]);
         let Ok(signal) = Signal::try_from(u32::from_ne_bytes(number).cast_signed()) else {
             return;
         };
-        let mut unhandled = self.unhandled.borrow_mut();
-        if !unhandled.contains(&signal) {
-            unhandled.push(signal);
+        let mut pending = self.pending.borrow_mut();
+        if !pending.contains(&signal) {
+            pending.push(signal);
         }
     }
 }
--- a/crates/gateway/src/lifecycle/start.rs
+++ b/crates/gateway/src/lifecycle/start.rs
@@ -1,4 +1,5 @@
-//! The start: the event loop's sources and the leases of the service, made from the configuration.
+//! Builds a gateway from its configuration: the sources of the event loop, the service and its
+//! connection to the fleet.
 
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -28,30 +29,31 @@
 use crate::service::{Service, ServiceConfig};
 use crate::socket::{EventLoopHandle, LoopEvents};
 
-/// Clients hold a third of the descriptors at most; old sessions that linger after a restart, and those of this gateway
-/// that read their last answer, come on top.
-const CLIENT_DESCRIPTOR_SHARE: f64 = 0.5;
+/// Fraction of the descriptors that client sessions may use. Clients normally use up to a third.
+/// The rest covers sessions that linger after a restart and sessions that are still reading their
+/// last answer.
+const CLIENT_DESCRIPTOR_FRACTION: f64 = 0.5;
 
-/// Descriptors of discovery and of the program itself. Engines share what these and clients leave.
-const OWN_DESCRIPTORS: usize = 24;
+/// Descriptors for the discovery service and for the process itself. Engine connections use what
+/// these and the clients leave.
+const RESERVED_DESCRIPTORS: usize = 24;
 
-/// Part of the memory that what clients have begun to send, all together, may take.
-const UNREAD_MEMORY_SHARE: f64 = 0.1;
+/// Fraction of the memory limit for incomplete requests, over all clients.
+const UNREAD_MEMORY_FRACTION: f64 = 0.1;
 
 const BYTES_PER_MB: f64 = (1 << 20) as f64;
 
 impl Lifecycle {
-    /// Makes all leases and tells them what the configuration knows.
-    ///
-    /// `source`: the file that `config` was read from.
+    /// Builds the gateway and applies the endpoint events of the configuration. `config_path` is
+    /// the file that `config` was read from.
     ///
     /// # Errors
-    /// The event loop, a setting, a key file or the fleet's address cannot be used.
+    /// The event loop, a setting, a key file or the address for the fleet cannot be used.
     pub fn start(
         signals: Rc<SignalReceiver>,
-        source: PathBuf,
+        config_path: PathBuf,
         mut config: Config,
-        operated: OperatorSettings,
+        operator_settings: OperatorSettings,
         retry: &StartRetry,
     ) -> Result<Self, StartError> {
         let event_loop: EventLoop<'static, LoopEvents> =
@@ -60,17 +62,17 @@
         retry.run("signals", |_| true, || signals.watch(&handle))?;
         let clock = Clock::start();
         let now = clock.now();
-        let mut service = new_service(now, &handle, &config, &operated)?;
+        let mut service = new_service(now, &handle, &config, &operator_settings)?;
         let known_events = std::mem::take(&mut config.known_endpoints.events);
         service.on_discovery_events(now, &known_events);
-        if let Some(callers) = &operated.identity {
-            authenticate_callers(&mut service, &handle, callers, retry)?;
+        if let Some(identity_config) = &operator_settings.identity {
+            authenticate_callers(&mut service, &handle, identity_config, retry)?;
         }
-        if let Some((name, terms)) = &operated.fleet {
+        if let Some((name, membership_config)) = &operator_settings.fleet {
             let mut cluster = retry.run("fleet", ClusterError::may_be_transient, || {
-                ClusterEndpoint::bind(now, &handle, terms, name, config.seed)
+                ClusterEndpoint::bind(now, &handle, membership_config, name, config.seed)
             })?;
-            share_quotas(&mut cluster, clock, &config, &operated)?;
+            set_up_quota_leases(&mut cluster, clock, &config, &operator_settings)?;
             service.set_cluster(cluster);
         }
         info!(name = config.name, "starting");
@@ -86,9 +88,9 @@
             panics: TurnPanics::default(),
             service,
             drain_times: DrainTimes::for_longest_deadline(longest_time_limit),
-            source,
+            config_path,
             config,
-            operated,
+            operator_settings,
             pending_reload: None,
         })
     }
@@ -98,19 +100,19 @@
     now: Timestamp,
     handle: &EventLoopHandle,
     config: &Config,
-    operated: &OperatorSettings,
+    operator_settings: &OperatorSettings,
 ) -> Result<Service, StartError> {
-    let client_descriptors = (config.max_descriptors as f64 * CLIENT_DESCRIPTOR_SHARE) as usize;
+    let client_descriptors = (config.max_descriptors as f64 * CLIENT_DESCRIPTOR_FRACTION) as usize;
     let engine_descriptors = config
         .max_descriptors
-        .saturating_sub(client_descriptors + OWN_DESCRIPTORS)
+        .saturating_sub(client_descriptors + RESERVED_DESCRIPTORS)
         .max(1);
     let limits = SessionLimits {
         max_sessions: client_descriptors,
-        max_unread_bytes: (config.memory_mb * UNREAD_MEMORY_SHARE * BYTES_PER_MB) as usize,
+        max_unread_bytes: (config.memory_mb * UNREAD_MEMORY_FRACTION * BYTES_PER_MB) as usize,
     };
-    // Only what waits in queues has progress to report.
-    let progress_reports = if operated.queues.is_some() {
+    // Only queued statements have progress to report.
+    let progress_reports = if operator_settings.queues.is_some() {
         ProgressReports::Offered
     } else {
         ProgressReports::Off
@@ -127,7 +129,7 @@
     let service = ServiceConfig {
         settings: &config.settings,
         seed: config.seed,
-        queues: operated.queues.as_ref(),
+        queues: operator_settings.queues.as_ref(),
         sessions,
         engines,
         discovery,
@@ -135,27 +137,28 @@
     Ok(Service::new(now, service)?)
 }
 
-/// Callers are authenticated from now on, by the key files as they are and as they change.
+/// Requires callers to authenticate from now on, with the current key files and with every later
+/// change to them.
 fn authenticate_callers(
     service: &mut Service,
     handle: &EventLoopHandle,
-    callers: &IdentityConfig,
+    identity_config: &IdentityConfig,
     retry: &StartRetry,
 ) -> Result<(), StartError> {
-    let read = || keywatch::read(callers);
-    let known = retry.run("callers", WatchError::may_be_transient, read)?;
-    let files = known.files;
-    let mut verifier = TokenVerifier::new(unix_now(), callers.verifier);
+    let read = || keywatch::read(identity_config);
+    let material = retry.run("callers", WatchError::may_be_transient, read)?;
+    let files = material.files;
+    let mut verifier = TokenVerifier::new(unix_now(), identity_config.verifier);
     verifier.update(unix_now(), &files.index, &files.public_keys, files.revoked)?;
-    info!(keys = files.index.keys.len(), "callers are to be known");
+    info!(keys = files.index.keys.len(), "callers must authenticate");
     service.set_token_verifier(verifier);
-    service.sessions.require_tls(known.tls);
+    service.sessions.require_tls(material.tls);
     let on_change = |event, _: &mut (), ready: &mut LoopEvents| {
-        if let calloop::channel::Event::Msg(known) = event {
-            ready.key_changes.push(known);
+        if let calloop::channel::Event::Msg(material) = event {
+            ready.key_changes.push(material);
         }
     };
-    let watch = || keywatch::watch(callers.clone());
+    let watch = || keywatch::watch(identity_config.clone());
     let changes = retry
         .run("watch of key files", |_| true, watch)
         .map_err(StartError::KeyWatch)?;
@@ -165,29 +168,29 @@
     Ok(())
 }
 
-/// Budgets are divided among the fleet's gateways, where the operator's file says so.
-fn share_quotas(
+/// Sets up the leases on shared budgets, if the operator's file configures any.
+fn set_up_quota_leases(
     cluster: &mut ClusterEndpoint,
     clock: Clock,
     config: &Config,
-    operated: &OperatorSettings,
+    operator_settings: &OperatorSettings,
 ) -> Result<(), StartError> {
-    let Some(terms) = &operated.shares else {
+    let Some(quota_config) = &operator_settings.shares else {
         return Ok(());
     };
     let classes = config.settings.class_names()?;
-    let tenants = operated.tenant_names();
+    let tenants = operator_settings.tenant_names();
     let own = cluster.membership().local_record().clone();
     let leases = QuotaLeases::new(
         clock,
         own.name,
         own.boot_id,
-        terms.clone(),
+        quota_config.clone(),
         &classes,
         &tenants,
         config.seed,
     );
     cluster.set_quota_leases(leases);
-    info!("budgets are divided among all gateways");
+    info!("budgets are shared among all gateways");
     Ok(())
 }
--- a/crates/gateway/src/lifecycle/start_retry.rs
+++ b/crates/gateway/src/lifecycle/start_retry.rs
@@ -1,5 +1,6 @@
-//! A start tries again what the machine refuses for a moment: descriptors, buffers, memory, a file, an address. Only what it
-//! refuses for 25 s ends the program.
+//! Retries the steps of the start that fail for a while: a shortage of descriptors, buffers or
+//! memory, an unreadable file, or an address in use. The process exits only when a step still fails
+//! after 25 s.
 
 use std::fmt::Display;
 use std::hash::RandomState;
@@ -15,43 +16,44 @@
 use crate::clock::monotonic_now;
 use crate::log_output;
 
-/// How long a start tries. A gateway that is not ready 30 s after its start is given up by its platform.
-const PATIENCE: Duration = Duration::from_secs(25);
+/// How long a start retries. The platform gives up on a gateway that is not ready 30 s after its
+/// start.
+const RETRY_TIMEOUT: Duration = Duration::from_secs(25);
 
-/// Between two tries; one of them costs a few system calls.
-const PAUSE: Duration = Duration::from_millis(50);
+/// Interval between two attempts, each of which costs a few system calls.
+const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// [`PATIENCE`] for the event loop's clock.
-pub(super) const LISTEN_PATIENCE: TimeDelta = TimeDelta::from_micros(25_000_000);
+/// [`RETRY_TIMEOUT`] in the event loop's unit of time.
+pub(super) const LISTEN_RETRY_TIMEOUT: TimeDelta = TimeDelta::from_micros(25_000_000);
 
-/// [`PAUSE`] for the event loop's clock.
-pub(super) const LISTEN_PAUSE: TimeDelta = TimeDelta::from_micros(50_000);
+/// [`RETRY_INTERVAL`] in the event loop's unit of time.
+pub(super) const LISTEN_RETRY_INTERVAL: TimeDelta = TimeDelta::from_micros(50_000);
 
-/// The machine gives no random bytes, without which there are no hash tables.
+/// The system provides no random bytes, which the standard library needs to create hash tables.
 #[derive(Clone, Copy, Debug, Error)]
 #[error("the machine gives no random bytes")]
 pub struct NoRandomBytes;
 
-/// The patience of one start.
+/// The retry policy of one start.
 #[derive(Clone)]
 pub struct StartRetry {
-    /// On the monotonic clock.
+    /// When to give up, on the monotonic clock.
     give_up_at: Duration,
-    /// One that ends the gateway ends its patience; none before signals can be read.
+    /// A termination signal ends the retries. `None` before signals can be read.
     signals: Option<Rc<SignalReceiver>>,
 }
 
 impl StartRetry {
-    /// The patience of a start that begins now.
+    /// Returns the policy of a start that begins now.
     #[must_use]
     pub fn begin() -> Self {
         StartRetry {
-            give_up_at: monotonic_now() + PATIENCE,
+            give_up_at: monotonic_now() + RETRY_TIMEOUT,
             signals: None,
         }
     }
 
-    /// The same patience, which ends with a signal that ends the gateway.
+    /// Returns the same policy, which also stops at a termination signal.
     #[must_use]
     pub fn until_terminated(self, signals: Rc<SignalReceiver>) -> Self {
         StartRetry {
@@ -60,7 +62,7 @@
         }
     }
 
-    fn is_over(&self) -> bool {
+    fn is_exhausted(&self) -> bool {
         let is_terminated = self
             .signals
             .as_ref()
@@ -68,13 +70,14 @@
         is_terminated || monotonic_now() >= self.give_up_at
     }
 
-    /// Tries until it succeeds, fails for good or the patience is over. The first failure goes to the log.
+    /// Repeats `attempt` until it succeeds, fails with an error that is not transient, or the time
+    /// is over. Writes the first failure to the log.
     ///
     /// # Errors
-    /// The last failure.
+    /// Returns the last failure.
     pub fn run<T, E: Display>(
         &self,
-        what: &str,
+        step: &str,
         may_be_transient: impl Fn(&E) -> bool,
         mut attempt: impl FnMut() -> Result<T, E>,
     ) -> Result<T, E> {
@@ -84,23 +87,23 @@
                 Ok(value) => return Ok(value),
                 Err(error) => error,
             };
-            if !may_be_transient(&error) || self.is_over() {
+            if !may_be_transient(&error) || self.is_exhausted() {
                 return Err(error);
             }
             if is_first_failure {
-                let line = format!("laurelhitch: {what}: {error}; it is tried again");
+                let line = format!("laurelhitch: {step}: {error}; it is tried again");
                 log_output::write_line(&line);
             }
             is_first_failure = false;
-            thread::sleep(PAUSE);
+            thread::sleep(RETRY_INTERVAL);
         }
     }
 
-    /// Lets the standard library draw the seed of its hash tables, which it does once, and panics where the machine gives no
-    /// random bytes.
+    /// Makes the standard library draw the random seed of its hash tables. It does so once per
+    /// thread, and panics when the system provides no random bytes.
     ///
     /// # Errors
-    /// It gives none for too long.
+    /// No random bytes were available before the time was over.
     pub fn seed_hash_tables(&self) -> Result<(), NoRandomBytes> {
         self.run(
             "hash tables",
--- a/crates/gateway/src/lifecycle/timer.rs
+++ b/crates/gateway/src/lifecycle/timer.rs
@@ -1,4 +1,5 @@
-//! The one timer of the event loop, set to whatever is due first: all that is due ends in the same turn.
+//! The only timer of the event loop, set to the earliest due time. Everything that is due by then
+//! is handled in the same turn.
 
 use admission::interface::Timestamp;
 use calloop::RegistrationToken;
@@ -12,17 +13,17 @@
     token: RegistrationToken,
 }
 
-/// Wakes the event loop at the time that it was armed for last.
+/// Wakes the event loop at the time it was last armed for.
 #[derive(Default)]
 pub(super) struct WakeTimer {
     armed: Option<ArmedTimer>,
 }
 
 impl WakeTimer {
-    /// Sets the timer; one that is set for this time already stays.
+    /// Arms the timer for `due`. Does nothing when it is armed for that time already.
     ///
     /// # Errors
-    /// The event loop takes no timer.
+    /// The event loop cannot register the timer.
     pub(super) fn arm(
         &mut self,
         due: Timestamp,
@@ -48,14 +49,14 @@
         Ok(())
     }
 
-    /// Takes the timer off: the event loop failed, and may have lost its event.
+    /// Removes the timer, because the event loop failed and may have lost the timer's event.
     pub(super) fn disarm(&mut self, handle: &EventLoopHandle) {
         if let Some(armed) = self.armed.take() {
             handle.remove(armed.token);
         }
     }
 
-    /// It has fired, and is gone from the event loop.
+    /// Handles the timer event. The event loop has already removed the timer.
     pub(super) fn on_fired(&mut self) {
         self.armed = None;
     }
--- a/crates/gateway/src/lifecycle/turn.rs
+++ b/crates/gateway/src/lifecycle/turn.rs
@@ -1,7 +1,10 @@
-//! The turns of the event loop: each handles all that one sleep brought, piece by piece.
+//! The turns of the event loop. Each turn handles everything that one wait reported, as separate
+//! pieces of work.
 //!
-//! A piece that panics costs what it was about: a connection, one client that waits, one look at what is due. The next turn goes
-//! on with all others. Only a gateway whose every turn panics ends, since its platform starts it anew.
+//! A panic is contained in its piece of work, and costs only what that work was about: one
+//! connection, one client in the backlog or one pass over due work. The next turn continues with
+//! everything else. The process ends only when every turn panics for [`PANIC_TIMEOUT`], because its
+//! platform then restarts it.
 
 use std::thread;
 use std::time::Duration;
@@ -15,33 +18,34 @@
 use crate::panic_containment::{self, Panicked};
 use crate::socket::{EventSource, LoopEvents};
 
-/// A turn that begins so much after it was due is late.
-const LATE_TURN: TimeDelta = TimeDelta::from_micros(5_000);
+/// A turn that begins later than this after it was due counts as late.
+const LATE_TURN_THRESHOLD: TimeDelta = TimeDelta::from_micros(5_000);
 
-/// A gateway in which each turn has panicked for so long ends.
-const PANIC_PATIENCE: TimeDelta = TimeDelta::from_micros(10_000_000);
+/// The process ends when every turn has panicked for this long.
+const PANIC_TIMEOUT: TimeDelta = TimeDelta::from_micros(10_000_000);
 
-/// After a turn that panicked, so that a panic in each of them leaves the processor to others.
+/// Pause after a turn that panicked, so that repeated panics do not use a whole core.
 const PANIC_PAUSE: Duration = Duration::from_millis(1);
 
-/// The panics of the last turns.
+/// The panics of the current series of turns.
 #[derive(Default)]
 pub(super) struct TurnPanics {
-    /// The last one of this turn.
+    /// The last panic of this turn.
     last: Option<Panicked>,
-    /// Since when each turn has panicked.
+    /// The start of the series in which every turn has panicked, or `None`.
     since: Option<Timestamp>,
 }
 
 impl TurnPanics {
-    /// Whether this turn panicked. Panics on where each one has done so for too long.
+    /// Returns whether this turn panicked. Resumes the panic when every turn has panicked for too
+    /// long.
     fn end_turn(&mut self, now: Timestamp) -> bool {
         let Some(last) = self.last.take() else {
             self.since = None;
             return false;
         };
         let since = *self.since.get_or_insert(now);
-        if now - since > PANIC_PATIENCE {
+        if now - since > PANIC_TIMEOUT {
             last.resume();
         }
         true
@@ -49,7 +53,7 @@
 }
 
 impl Lifecycle {
-    /// Runs until the gateway ends after SIGTERM or SIGINT.
+    /// Runs until the gateway exits after SIGTERM or SIGINT.
     ///
     /// # Errors
     /// The address for clients cannot be bound.
@@ -72,7 +76,7 @@
         Ok(())
     }
 
-    /// Does a piece of this turn's work; none: it panicked.
+    /// Runs a piece of work and contains its panics. Returns `None` when it panicked.
     pub(super) fn contain<T>(&mut self, work: impl FnOnce(&mut Self) -> T) -> Option<T> {
         match panic_containment::contain(|| work(self)) {
             Ok(result) => Some(result),
@@ -96,7 +100,7 @@
             .fold(self.service.next_due(now), Timestamp::min)
     }
 
-    /// Handles all that one sleep of the event loop brought.
+    /// Handles everything that one wait of the event loop reported.
     fn turn(
         &mut self,
         now: Timestamp,
@@ -107,7 +111,7 @@
             self.timer.on_fired();
         }
         self.service.counters.turns += 1;
-        if now - due > LATE_TURN {
+        if now - due > LATE_TURN_THRESHOLD {
             self.service.counters.late_turns += 1;
         }
         if std::mem::take(&mut ready.has_signals) {
@@ -116,8 +120,8 @@
             }
         }
         self.contain(|gateway| gateway.retry_reload(now));
-        for known in std::mem::take(&mut ready.key_changes) {
-            self.contain(|gateway| gateway.reload_key_files(known));
+        for changed in std::mem::take(&mut ready.key_changes) {
+            self.contain(|gateway| gateway.reload_key_files(changed));
         }
         for source in std::mem::take(&mut ready.sources) {
             let handled = self.contain(|gateway| gateway.on_ready(now, source));
@@ -149,9 +153,12 @@
         }
     }
 
-    /// Gives up what panicked as it was ready: its state may be half changed.
+    /// Drops the connection whose event handler panicked, because its state may be inconsistent.
     fn abandon(&mut self, now: Timestamp, source: EventSource) {
-        warn!(?source, "given up after a panic");
+        warn!(
+            ?source,
+            "panic while handling an event; its connection, if any, is dropped"
+        );
         let service = &mut self.service;
         let counters = &mut service.counters;
         match source {
--- a/crates/gateway/src/lifecycle/wait.rs
+++ b/crates/gateway/src/lifecycle/wait.rs
@@ -1,11 +1,11 @@
-//! One wait of the event loop, and what follows where it fails.
+//! Waiting for events, and recovery when a wait fails.
 //!
-//! Each socket tells of news only once. A wait that fails may have taken such events and lost them, so after it signals
-//! are looked for and all sockets count as ready. While waits go on failing, the gateway serves by looking at all sockets
-//! again and again.
+//! Sockets are edge-triggered, so each event is reported once. A failed wait may have consumed
+//! events and lost them. After a failure the gateway therefore checks for signals and treats all
+//! sockets as ready. While waits keep failing, it serves by polling all sockets repeatedly.
 //!
-//! A wait that panics leaves the event loop in a state of which nothing is promised, and it was seen to report no event from
-//! then on. The gateway serves without it then.
+//! A wait that panics leaves the event loop in an undefined state, in which it may report no
+//! further events. The gateway then continues without the event loop.
 
 use std::thread;
 use std::time::Duration;
@@ -16,41 +16,42 @@
 use super::Lifecycle;
 use crate::socket::{EventSource, LoopEvents};
 
-/// The pause after the first failure of a series; it doubles with each further one.
-const FIRST_PAUSE: Duration = Duration::from_millis(1);
+/// Pause after the first failure of a series. It doubles with each further failure.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(1);
 
-/// No pause is longer: statements go on coming, and their engines' answers.
-const MAX_PAUSE: Duration = Duration::from_millis(20);
+/// Upper limit of the backoff. Statements and answers of engines keep arriving during it.
+const MAX_BACKOFF: Duration = Duration::from_millis(20);
 
-/// Between two looks at all sockets, where the event loop is out of use: a statement waits so long at most, and hundreds of
-/// sockets take a few percent of a core.
-const LOOK_INTERVAL: Duration = Duration::from_millis(5);
+/// Interval between two polls of all sockets without the event loop. It limits the added latency of
+/// a statement, and polling hundreds of sockets takes a few percent of a core.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// The failures since a wait last succeeded.
+/// The failures since the last successful wait.
 #[derive(Default)]
 pub(super) struct LoopFailures {
-    /// The pause after the last one; none: it succeeded.
-    pause: Option<Duration>,
-    /// A wait panicked, and no other one is made.
-    is_out_of_use: bool,
+    /// The backoff after the last failure, or `None` after a success.
+    backoff: Option<Duration>,
+    /// A wait has panicked, and the event loop is no longer used.
+    is_disabled: bool,
 }
 
 impl LoopFailures {
-    /// The pause after a further failure.
-    fn next_pause(&mut self) -> Duration {
-        let pause = self
-            .pause
-            .map_or(FIRST_PAUSE, |pause| (pause * 2).min(MAX_PAUSE));
-        self.pause = Some(pause);
-        pause
+    /// Returns the backoff after a further failure.
+    fn next_backoff(&mut self) -> Duration {
+        let backoff = self
+            .backoff
+            .map_or(INITIAL_BACKOFF, |backoff| (backoff * 2).min(MAX_BACKOFF));
+        self.backoff = Some(backoff);
+        backoff
     }
 }
 
 impl Lifecycle {
-    /// Sleeps until something is ready or due. A failure of the event loop is no reason to end: statements are open.
+    /// Waits until an event arrives or `due` is reached. A failure of the event loop does not end
+    /// the process, because statements are open.
     pub(super) fn wait(&mut self, due: Timestamp, ready: &mut LoopEvents) {
-        if self.loop_failures.is_out_of_use {
-            return self.look_at_all(due, ready);
+        if self.loop_failures.is_disabled {
+            return self.poll_all_sources(due, ready);
         }
         let waited = self.contain(|gateway| {
             let handle = gateway.event_loop.handle();
@@ -61,18 +62,18 @@
             Some(Ok(())) => self.loop_failures = LoopFailures::default(),
             Some(Err(error)) => self.on_failed_wait(&error.to_string(), ready),
             None => {
-                error!("the event loop panicked; all sockets are looked at from here on");
+                error!("the event loop panicked; polling all sockets from now on");
                 self.service.counters.event_loop_failures += 1;
-                self.loop_failures.is_out_of_use = true;
-                self.look_at_all(due, ready);
+                self.loop_failures.is_disabled = true;
+                self.poll_all_sources(due, ready);
             }
         }
     }
 
-    /// Stands in for the event loop.
-    fn look_at_all(&mut self, due: Timestamp, ready: &mut LoopEvents) {
+    /// Replaces the wait of a disabled event loop.
+    fn poll_all_sources(&mut self, due: Timestamp, ready: &mut LoopEvents) {
         let remaining_s = (due - self.clock.now()).secs().max(0.0);
-        thread::sleep(LOOK_INTERVAL.min(Duration::from_secs_f64(remaining_s)));
+        thread::sleep(POLL_INTERVAL.min(Duration::from_secs_f64(remaining_s)));
         self.mark_all_ready(ready);
     }
 
@@ -81,17 +82,20 @@
         ready.sources.extend(self.all_sources());
     }
 
-    fn on_failed_wait(&mut self, why: &str, ready: &mut LoopEvents) {
+    fn on_failed_wait(&mut self, error: &str, ready: &mut LoopEvents) {
         self.service.counters.event_loop_failures += 1;
-        if self.loop_failures.pause.is_none() {
-            warn!(why, "a wait of the event loop failed; it goes on");
+        if self.loop_failures.backoff.is_none() {
+            warn!(
+                error,
+                "a wait of the event loop failed; treating all sockets as ready and retrying"
+            );
         }
         self.contain(|gateway| gateway.timer.disarm(&gateway.event_loop.handle()));
-        thread::sleep(self.loop_failures.next_pause());
+        thread::sleep(self.loop_failures.next_backoff());
         self.mark_all_ready(ready);
     }
 
-    /// Everything that can become ready.
+    /// Returns every source that can become ready.
     fn all_sources(&mut self) -> Vec<EventSource> {
         let service = &mut self.service;
         let mut sources = vec![EventSource::Listener];
