--- a/crates/gateway/benches/memory.rs
+++ b/crates/gateway/benches/memory.rs
@@ -65,12 +65,12 @@
 
 fn idle_sessions() -> Vec<f64> {
     let own_engine = engine(0);
-    let mut gateway = Gateway::with(&[own_engine.address], long_statements);
+    let mut gateway = Gateway::with_config(&[own_engine.address], long_statements);
     let mut clients = Vec::new();
     let mut resident = Vec::new();
     for size in SESSIONS {
         clients.resize_with(size, || session(&gateway));
-        let counts = gateway.settled();
+        let counts = gateway.settle();
         assert_eq!(counter(&counts, "sessions"), size as i64, "{counts}");
         resident.push(resident_kb(&gateway));
     }
@@ -80,7 +80,7 @@
 /// Statements open on sessions that stood before. `cores` of the one engine decide whether they go out or wait.
 fn open_statements(cores: f64, expect: fn(&str, usize)) -> Vec<f64> {
     let own_engine = silent_engine();
-    let mut gateway = Gateway::with(&[own_engine.address], |config| {
+    let mut gateway = Gateway::with_config(&[own_engine.address], |config| {
         long_statements(config);
         config["settings"]["Extra"]["KindCores"] = json!([cores]);
     });
@@ -94,7 +94,7 @@
             std::io::Write::write_all(&mut client.stream, &query_packet(&text)).unwrap();
         }
         asked = size;
-        let counts = gateway.settled();
+        let counts = gateway.settle();
         assert_eq!(counter(&counts, "open"), size as i64, "{counts}");
         expect(&counts, size);
         resident.push(resident_kb(&gateway));
@@ -109,10 +109,10 @@
             SocketAddr::from(([127, 9, high, low], 7101))
         };
         let addresses: Vec<SocketAddr> = (0..*size).map(address).collect();
-        let mut gateway = Gateway::with(&addresses, |config| {
+        let mut gateway = Gateway::with_config(&addresses, |config| {
             config["settings"]["PeersTotal"] = json!(1_900);
         });
-        gateway.settled();
+        gateway.settle();
         resident_kb(&gateway)
     });
     resident.collect()
--- a/crates/gateway/benches/work.rs
+++ b/crates/gateway/benches/work.rs
@@ -25,7 +25,7 @@
 fn work(operator: &str, count: usize) -> f64 {
     let engines = [engine(2), engine(2)];
     let addresses = engines.each_ref().map(|engine| engine.address);
-    let gateway = Gateway::operated(&addresses, operator, |config| {
+    let gateway = Gateway::with_operator_file(&addresses, operator, |config| {
         config["settings"]["Extra"]["KindCores"] = json!([64]);
         config["settings"]["Tenants"] = json!([]);
     });
@@ -53,7 +53,7 @@
     let asks: Vec<_> = asks.collect();
     asks.into_iter().for_each(|ask| ask.join().unwrap());
     gateway.signal(Signal::TERM);
-    let (_, log) = gateway.end(millis(8000));
+    let (_, log) = gateway.wait_for_exit(millis(8000));
     counter(&log, "busy_ms") as f64 * 1e3 / counter(&log, "statements_accepted") as f64
 }
 
--- a/crates/gateway/tests/connections.rs
+++ b/crates/gateway/tests/connections.rs
@@ -13,7 +13,7 @@
 use gateway::socket::{EventSource, LoopEvents};
 use settings::ConnectionSettings;
 
-use support::script::{Link, Script, completed, delivered};
+use support::script::{EngineConnection, ScriptedEngine, completed_answer, wait_delivered};
 
 struct Turns {
     event_loop: EventLoop<'static, LoopEvents>,
@@ -96,7 +96,10 @@
         }
     }
 
-    fn complete_one(&mut self, script: &Script) -> (Link, Option<ConnectionId>) {
+    fn complete_one(
+        &mut self,
+        script: &ScriptedEngine,
+    ) -> (EngineConnection, Option<ConnectionId>) {
         let (_, at) = self.send(None);
         // Its connection comes up in the first turn, and takes the statement then.
         let mut link = script.accept();
@@ -111,8 +114,8 @@
             self.engines
                 .on_socket_event(self.at(), at, &mut self.counters);
         }
-        let asked = link.asked();
-        link.say(&completed(&asked));
+        let asked = link.receive_statement();
+        link.send(&completed_answer(&asked));
         assert!(matches!(
             self.outcome().event,
             AttemptEvent::Completed { .. }
@@ -126,23 +129,23 @@
 #[test]
 fn an_idle_connection_that_ended_in_this_very_turn_takes_nothing() {
     for ends in ["closes", "resets", "says half a line"] {
-        let script = Script::new();
+        let script = ScriptedEngine::new();
         let mut turns = Turns::new(script.address, 4);
         let (mut link, first) = turns.complete_one(&script);
         let near = link.stream.local_addr().unwrap();
         match ends {
             "closes" => drop(link),
             "resets" => link.reset(),
-            _ => link.say("00000000000"),
+            _ => link.send("00000000000"),
         }
-        delivered(&[near]);
+        wait_delivered(&[near]);
         // No turn in between.
         let (number, at) = turns.send(None);
         assert!(at.is_some() && at != first, "{ends}");
         let mut fresh = script.accept();
         let report = std::thread::scope(|scope| {
             let engine = scope.spawn(|| {
-                let asked = fresh.asked();
+                let asked = fresh.receive_statement();
                 fresh.complete(&asked);
                 asked
             });
@@ -160,7 +163,7 @@
 /// With descriptors short an idle connection goes for a new one, but never the one that was just taken.
 #[test]
 fn a_claimed_connection_is_not_the_one_that_makes_room() {
-    let (script, other) = (Script::new(), Script::new());
+    let (script, other) = (ScriptedEngine::new(), ScriptedEngine::new());
     let mut turns = Turns::new(script.address, 1);
     let (mut link, first) = turns.complete_one(&script);
     let (_, claimed) = turns.send(None);
@@ -191,8 +194,8 @@
         (refused.statement, refused.event),
         (StatementId(100), AttemptEvent::NeverSent)
     );
-    let asked = link.asked();
-    link.say(&completed(&asked));
+    let asked = link.receive_statement();
+    link.send(&completed_answer(&asked));
     assert!(matches!(
         turns.outcome().event,
         AttemptEvent::Completed { .. }
@@ -265,7 +268,7 @@
     let mut client = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     let mut send = |bytes: &[u8]| {
         std::io::Write::write_all(&mut client, bytes).unwrap();
-        delivered(&[client.local_addr().unwrap()]);
+        wait_delivered(&[client.local_addr().unwrap()]);
     };
     send(&login_packet("app", b"", "warehouse"));
     let (near, from) = listener.accept().unwrap();
--- a/crates/gateway/tests/endings.rs
+++ b/crates/gateway/tests/endings.rs
@@ -18,13 +18,16 @@
 use stand_ins::client::{Answer, Client, login_packet, packet, query_packet};
 
 use support::clients::*;
-use support::script::{Asked, Link, Script, completed, delivered, reset, said};
+use support::script::{
+    EngineConnection, ReceivedStatement, ScriptedEngine, answer_without_rows, completed_answer,
+    reset_connection, wait_delivered,
+};
 use support::*;
 
 /// The same where the first query class has another effect.
 fn effect(effect: &'static str, window_s: f64) -> impl FnOnce(&mut Value) {
     move |config| {
-        patient(config);
+        allow_long_waits(config);
         let class = &mut config["settings"]["Grades"][0];
         class["Effect"] = json!(effect);
         (class["KeyScope"], class["WindowS"]) = (json!("all"), json!(window_s));
@@ -33,21 +36,24 @@
 
 #[test]
 fn who_leaves_while_held_is_not_sent_on() {
-    each(&WAYS, |way| {
-        let engine = Script::new();
-        let mut gateway = Gateway::with(&[engine.address], patient);
-        let (mut first, mut link, asked) = filled(&gateway, &engine);
-        let (mut waits, held) = (gateway.client(), text(LARGE, "SELECT 'held'"));
+    for_each_concurrently(&DEPARTURES, |way| {
+        let engine = ScriptedEngine::new();
+        let mut gateway = Gateway::with_config(&[engine.address], allow_long_waits);
+        let (mut first, mut link, asked) = fill_engine(&gateway, &engine);
+        let (mut waits, held) = (
+            gateway.client(),
+            tagged_statement(LARGE_MEMORY_MB, "SELECT 'held'"),
+        );
         send(&mut waits, &held);
-        gateway.settled();
+        gateway.settle();
         let kept = leave(way, waits, gateway.listen);
-        let counts = gateway.settled();
+        let counts = gateway.settle();
         // Room for it, and for the one behind it.
         link.complete(&asked);
         assert_eq!(rows(first.answer().unwrap()).len(), 1);
-        let last = text(LARGE, "SELECT 'last'");
+        let last = tagged_statement(LARGE_MEMORY_MB, "SELECT 'last'");
         send(&mut first, &last);
-        let next = link.asked();
+        let next = link.receive_statement();
         assert_eq!(
             next.id, last.rid,
             "{way:?}: the one whose client left was sent on"
@@ -55,7 +61,7 @@
         link.complete(&next);
         assert_eq!(rows(first.answer().unwrap()).len(), 1);
         assert_eq!(counter(&counts, "client_left"), 1, "{way:?}");
-        if way == Way::Shuts {
+        if way == Departure::HalfClose {
             // It may still read, and is owed one final answer.
             let mut reads = Client {
                 stream: kept[0].try_clone().unwrap(),
@@ -64,7 +70,7 @@
             assert!(denied(&reads.answer().unwrap()));
             assert!(reads.answer().is_err());
         }
-        ended(gateway);
+        terminate(gateway);
     });
 }
 
@@ -76,21 +82,24 @@
   burst_ms       = 500
   member "water" { cpu_s_per_s = 4.0 }
 }"#;
-    each(&WAYS, |way| {
-        let engine = Script::new();
-        let mut gateway = Gateway::operated(&[engine.address], QUEUES, patient);
-        let (mut first, mut link, asked) = filled(&gateway, &engine);
-        let (mut waits, held) = (gateway.client(), text(LARGE, "SELECT 'held'"));
+    for_each_concurrently(&DEPARTURES, |way| {
+        let engine = ScriptedEngine::new();
+        let mut gateway = Gateway::with_operator_file(&[engine.address], QUEUES, allow_long_waits);
+        let (mut first, mut link, asked) = fill_engine(&gateway, &engine);
+        let (mut waits, held) = (
+            gateway.client(),
+            tagged_statement(LARGE_MEMORY_MB, "SELECT 'held'"),
+        );
         send(&mut waits, &held);
-        let counts = gateway.settled();
+        let counts = gateway.settle();
         assert_eq!(counter(&counts, "waiting"), 1, "{counts}");
         let _kept = leave(way, waits, gateway.listen);
-        let counts = gateway.settled();
+        let counts = gateway.settle();
         link.complete(&asked);
         assert_eq!(rows(first.answer().unwrap()).len(), 1);
-        let last = text(LARGE, "SELECT 'last'");
+        let last = tagged_statement(LARGE_MEMORY_MB, "SELECT 'last'");
         send(&mut first, &last);
-        let next = link.asked();
+        let next = link.receive_statement();
         assert_eq!(
             next.id, last.rid,
             "{way:?}: the one whose client left was sent on"
@@ -102,18 +111,18 @@
             counter(&counts, "queue_client_left"),
         );
         assert_eq!((seen, counter(&counts, "waiting")), ((1, 1), 0), "{way:?}");
-        ended(gateway);
+        terminate(gateway);
     });
 }
 
 #[test]
 fn who_leaves_while_its_connection_comes_up_is_not_sent_on() {
-    each(&WAYS, |way| {
-        let deaf = Script::deaf();
-        let mut gateway = Gateway::with(&[deaf.script.address], patient);
-        let (mut waits, held) = (gateway.client(), text(8, "SELECT 'held'"));
+    for_each_concurrently(&DEPARTURES, |way| {
+        let deaf = ScriptedEngine::unreachable();
+        let mut gateway = Gateway::with_config(&[deaf.engine.address], allow_long_waits);
+        let (mut waits, held) = (gateway.client(), tagged_statement(8, "SELECT 'held'"));
         send(&mut waits, &held);
-        let counts = gateway.settled();
+        let counts = gateway.settle();
         assert_eq!(
             (
                 counter(&counts, "attempts_sent"),
@@ -123,9 +132,9 @@
             "{counts}"
         );
         let _kept = leave(way, waits, gateway.listen);
-        let counts = gateway.settled();
-        let lines = deaf.hear().listen();
-        let (mut other, last) = (gateway.client(), text(8, "SELECT 'last'"));
+        let counts = gateway.settle();
+        let lines = deaf.make_reachable().collect_lines();
+        let (mut other, last) = (gateway.client(), tagged_statement(8, "SELECT 'last'"));
         send(&mut other, &last);
         let mut seen = Vec::new();
         while !seen.iter().any(|line: &String| line.contains(&last.rid)) {
@@ -151,53 +160,55 @@
 
 #[test]
 fn who_leaves_in_the_turn_in_which_a_further_relay_is_due_is_not_sent_on() {
-    each(&WAYS, |way| {
-        let engine = Script::new();
-        let mut gateway = Gateway::with(&[engine.address], patient);
-        let (mut waits, held) = (gateway.client(), text(8, "SELECT 'held'"));
+    for_each_concurrently(&DEPARTURES, |way| {
+        let engine = ScriptedEngine::new();
+        let mut gateway = Gateway::with_config(&[engine.address], allow_long_waits);
+        let (mut waits, held) = (gateway.client(), tagged_statement(8, "SELECT 'held'"));
         send(&mut waits, &held);
         let mut link = engine.accept();
-        let asked = link.asked();
+        let asked = link.receive_statement();
         assert_eq!(asked.id, held.rid);
-        gateway.stop();
-        link.say(&said(&asked, "WAIT"));
+        gateway.suspend();
+        link.send(&answer_without_rows(&asked, "WAIT"));
         let kept = leave(way, waits, gateway.listen);
-        gateway.go_on();
-        let counts = gateway.settled();
+        gateway.resume();
+        let counts = gateway.settle();
         // Any further line would be of its second attempt.
-        assert!(link.silent(), "{way:?}: it was sent on");
+        assert!(link.has_no_input(), "{way:?}: it was sent on");
         assert_eq!(counter(&counts, "client_left"), 1, "{way:?}: {counts}");
         drop(kept);
-        ended(gateway);
+        terminate(gateway);
     });
 }
 
 #[test]
 fn a_thousand_that_leave_in_one_turn_are_all_taken_out() {
-    each(&[Way::Closes, Way::Resets], |way| {
-        let engine = Script::new();
-        let mut gateway = Gateway::with(&[engine.address], |config| {
-            patient(config);
+    for_each_concurrently(&[Departure::Close, Departure::Reset], |way| {
+        let engine = ScriptedEngine::new();
+        let mut gateway = Gateway::with_config(&[engine.address], |config| {
+            allow_long_waits(config);
             config["limits"]["sockets"] = json!(4096);
         });
-        let (mut first, mut link, asked) = filled(&gateway, &engine);
+        let (mut first, mut link, asked) = fill_engine(&gateway, &engine);
         let clients: Vec<Client> = (0..1000)
             .map(|_| {
                 let mut client = gateway.client();
                 client
                     .stream
-                    .write_all(&query_packet(&text(LARGE, "SELECT 'held'").query))
+                    .write_all(&query_packet(
+                        &tagged_statement(LARGE_MEMORY_MB, "SELECT 'held'").query,
+                    ))
                     .unwrap();
                 client
             })
             .collect();
-        delivered(
+        wait_delivered(
             &clients
                 .iter()
                 .map(|client| client.stream.local_addr().unwrap())
                 .collect::<Vec<_>>(),
         );
-        let counts = gateway.settled();
+        let counts = gateway.settle();
         assert_eq!(
             (
                 counter(&counts, "statements_accepted"),
@@ -206,10 +217,10 @@
             (1001, 1001),
             "{counts}"
         );
-        gateway.stop();
+        gateway.suspend();
         leave_all(way, clients, gateway.listen);
-        gateway.go_on();
-        let counts = gateway.settled();
+        gateway.resume();
+        let counts = gateway.settle();
         assert_eq!(
             (counter(&counts, "client_left"), counter(&counts, "open")),
             (1000, 1),
@@ -218,17 +229,20 @@
         link.complete(&asked);
         assert_eq!(rows(first.answer().unwrap()).len(), 1);
         // All room is back, and no other statement came in between.
-        let last = text(LARGE, "SELECT 'last'");
+        let last = tagged_statement(LARGE_MEMORY_MB, "SELECT 'last'");
         send(&mut first, &last);
-        assert_eq!(link.asked().id, last.rid, "{way:?}");
+        assert_eq!(link.receive_statement().id, last.rid, "{way:?}");
     });
 }
 
 #[test]
 fn what_stands_behind_the_statement_of_one_that_left_is_not_sent_on() {
-    let engine = Script::new();
-    let mut gateway = Gateway::with(&[engine.address], patient);
-    let (one, two) = (text(8, "SELECT 'one'"), text(8, "SELECT 'two'"));
+    let engine = ScriptedEngine::new();
+    let mut gateway = Gateway::with_config(&[engine.address], allow_long_waits);
+    let (one, two) = (
+        tagged_statement(8, "SELECT 'one'"),
+        tagged_statement(8, "SELECT 'two'"),
+    );
     let mut client = gateway.client();
     client
         .stream
@@ -236,51 +250,64 @@
         .unwrap();
     client.stream.shutdown(Shutdown::Write).unwrap();
     let mut link = engine.accept();
-    let asked = link.asked();
+    let asked = link.receive_statement();
     assert_eq!(asked.id, one.rid);
-    gateway.settled();
+    gateway.settle();
     // What was sent before its client left goes on, and its answer is read by one that only shut its sending side.
     link.complete(&asked);
     assert_eq!(rows(client.answer().unwrap())[0][1], "SELECT 'one'");
     assert!(denied(&client.answer().unwrap()), "it was sent on");
     assert!(client.answer().is_err());
-    assert!(link.silent());
-    ended(gateway);
+    assert!(link.has_no_input());
+    terminate(gateway);
 }
 
 /// With no room to read on, the end of a connection is not found by reading.
 #[test]
 fn who_leaves_behind_more_than_is_read_is_seen_to() {
-    each(&[Way::Closes, Way::Shuts, Way::Resets], |way| {
-        let engine = Script::new();
-        let mut gateway = Gateway::with(&[engine.address], patient);
-        let (_first, mut link, asked) = filled(&gateway, &engine);
-        let mut waits = gateway.client();
-        send(&mut waits, &text(LARGE, "SELECT 'held'"));
-        let behind = query_packet(&text(LARGE, &format!("SELECT '{}'", "x".repeat(10_000))).query);
-        for _ in 0..9 {
-            waits.stream.write_all(&behind).unwrap();
-        }
-        delivered(&[waits.stream.local_addr().unwrap()]);
-        let counts = gateway.settled();
-        assert_eq!(counter(&counts, "open"), 2, "{counts}");
-        let kept = leave(way, waits, gateway.listen);
-        let counts = gateway.settled();
-        assert_eq!(counter(&counts, "open"), 1, "{way:?}: {counts}");
-        assert!(counter(&counts, "client_left") >= 1, "{way:?}");
-        link.complete(&asked);
-        assert!(link.silent(), "{way:?}: it was sent on: {:?}", link.line());
-        drop(kept);
-        ended(gateway);
-    });
+    for_each_concurrently(
+        &[Departure::Close, Departure::HalfClose, Departure::Reset],
+        |way| {
+            let engine = ScriptedEngine::new();
+            let mut gateway = Gateway::with_config(&[engine.address], allow_long_waits);
+            let (_first, mut link, asked) = fill_engine(&gateway, &engine);
+            let mut waits = gateway.client();
+            send(
+                &mut waits,
+                &tagged_statement(LARGE_MEMORY_MB, "SELECT 'held'"),
+            );
+            let behind = query_packet(
+                &tagged_statement(LARGE_MEMORY_MB, &format!("SELECT '{}'", "x".repeat(10_000)))
+                    .query,
+            );
+            for _ in 0..9 {
+                waits.stream.write_all(&behind).unwrap();
+            }
+            wait_delivered(&[waits.stream.local_addr().unwrap()]);
+            let counts = gateway.settle();
+            assert_eq!(counter(&counts, "open"), 2, "{counts}");
+            let kept = leave(way, waits, gateway.listen);
+            let counts = gateway.settle();
+            assert_eq!(counter(&counts, "open"), 1, "{way:?}: {counts}");
+            assert!(counter(&counts, "client_left") >= 1, "{way:?}");
+            link.complete(&asked);
+            assert!(
+                link.has_no_input(),
+                "{way:?}: it was sent on: {:?}",
+                link.read_line()
+            );
+            drop(kept);
+            terminate(gateway);
+        },
+    );
 }
 
 /// Nothing is known against an engine by clients that leave before their connections to it are up.
 #[test]
 fn a_burst_of_leaving_clients_puts_no_engine_out_of_use() {
-    let deaf = Script::deaf();
-    let mut gateway = Gateway::with(&[deaf.script.address], |config| {
-        patient(config);
+    let deaf = ScriptedEngine::unreachable();
+    let mut gateway = Gateway::with_config(&[deaf.engine.address], |config| {
+        allow_long_waits(config);
         config["settings"]["Extra"]["ProgressPaceS"] = json!(600.0);
     });
     let clients: Vec<Client> = (0..8)
@@ -288,17 +315,17 @@
             let mut client = gateway.client();
             // An engine that says nothing is ejected after four times the predicted time and half a second, whoever leaves:
             // with the usual 12 ms this test would have to be over by then, however slow its machine is.
-            let held = text(8, "SELECT 'held'");
+            let held = tagged_statement(8, "SELECT 'held'");
             let query = held.query.replace("est=12.0", "est=900.0");
-            send(&mut client, &Text { query, ..held });
+            send(&mut client, &TaggedStatement { query, ..held });
             client
         })
         .collect();
-    gateway.settled();
-    gateway.stop();
-    let kept = leave_all(Way::Kills, clients, gateway.listen);
-    gateway.go_on();
-    let counts = gateway.settled();
+    gateway.settle();
+    gateway.suspend();
+    let kept = leave_all(Departure::KillQuery, clients, gateway.listen);
+    gateway.resume();
+    let counts = gateway.settle();
     assert_eq!(
         (
             counter(&counts, "client_left"),
@@ -314,9 +341,12 @@
 /// A client's time runs while its statement stands behind another on its session.
 #[test]
 fn what_waited_behind_another_past_its_time_is_denied_at_once() {
-    let engine = Script::new();
-    let gateway = Gateway::with(&[engine.address], patient);
-    let (one, two) = (text(8, "SELECT 'one'"), text(8, "SELECT 'two'"));
+    let engine = ScriptedEngine::new();
+    let gateway = Gateway::with_config(&[engine.address], allow_long_waits);
+    let (one, two) = (
+        tagged_statement(8, "SELECT 'one'"),
+        tagged_statement(8, "SELECT 'two'"),
+    );
     let short = two.query.replace("budget=500000", "budget=400");
     let mut client = gateway.client();
     client
@@ -324,37 +354,39 @@
         .write_all(&[query_packet(&one.query), query_packet(&short)].concat())
         .unwrap();
     let mut link = engine.accept();
-    let asked = link.asked();
+    let asked = link.receive_statement();
     sleep(millis(600));
     link.complete(&asked);
     assert_eq!(rows(client.answer().unwrap())[0][1], "SELECT 'one'");
     assert!(denied(&client.answer().unwrap()));
-    assert!(link.silent(), "it was sent on after its time");
-    ended(gateway);
+    assert!(link.has_no_input(), "it was sent on after its time");
+    terminate(gateway);
 }
 
 /// The grace runs from the telling, and a connection that comes up after it must not carry anything new.
 #[test]
 fn an_engine_told_draining_or_gone_gets_nothing_by_a_connection_that_comes_up_later() {
-    each(&["terminating", "terminated"], |state| {
-        let (deaf, other) = (Script::deaf(), Script::new());
-        let gateway = Gateway::with(&[deaf.script.address], patient);
-        let (mut client, statement) = (gateway.client(), text(8, "SELECT 'moves'"));
+    for_each_concurrently(&["terminating", "terminated"], |state| {
+        let (deaf, other) = (ScriptedEngine::unreachable(), ScriptedEngine::new());
+        let gateway = Gateway::with_config(&[deaf.engine.address], allow_long_waits);
+        let (mut client, statement) = (gateway.client(), tagged_statement(8, "SELECT 'moves'"));
         send(&mut client, &statement);
         let mut gateway = gateway;
-        assert_eq!(counter(&gateway.settled(), "attempts_sent"), 1);
-        let drains = target("e-0", deaf.script.address, state);
+        assert_eq!(counter(&gateway.settle(), "attempts_sent"), 1);
+        let drains = target("e-0", deaf.engine.address, state);
         gateway.board.tell(
             false,
             vec![drains, target("e-1", other.address, "in_service")],
         );
-        let mut link = other.comes().expect("it moves to the other engine at once");
-        let asked = link.asked();
+        let mut link = other
+            .try_accept()
+            .expect("it moves to the other engine at once");
+        let asked = link.receive_statement();
         assert_eq!(asked.id, statement.rid);
-        let lines = deaf.hear().listen();
+        let lines = deaf.make_reachable().collect_lines();
         link.complete(&asked);
         assert_eq!(rows(client.answer().unwrap()).len(), 1);
-        let counts = gateway.settled();
+        let counts = gateway.settle();
         assert_eq!(
             (
                 counter(&counts, "attempts_withdrawn"),
@@ -366,35 +398,35 @@
         // Only the one to the other engine is open, so that nothing can come up any more.
         assert_eq!(counter(&counts, "engine_connections_open"), 1, "{counts}");
         assert!(lines.try_iter().next().is_none());
-        ended(gateway);
+        terminate(gateway);
     });
 }
 
 /// Engines forget a mark in time: a repeat that only then comes up on a late connection would take effect twice.
 #[test]
 fn a_repeat_that_cannot_leave_within_the_window_never_leaves() {
-    let (first, deaf) = (Script::new(), Script::deaf());
-    let mut gateway = Gateway::with(&[first.address], effect("keyed", 1.5));
+    let (first, deaf) = (ScriptedEngine::new(), ScriptedEngine::unreachable());
+    let mut gateway = Gateway::with_config(&[first.address], effect("keyed", 1.5));
     let mut client = gateway.client();
-    let plain = text(8, "INSERT INTO ledger_1.bills SELECT 1");
+    let plain = tagged_statement(8, "INSERT INTO ledger_1.bills SELECT 1");
     let statement = plain
         .query
         .replace("mem=8", "mem=8,token=00112233445566778899aabbccddeeff");
     client.stream.write_all(&query_packet(&statement)).unwrap();
     let mut link = first.accept();
-    assert_eq!(link.asked().id, plain.rid);
+    assert_eq!(link.receive_statement().id, plain.rid);
     gateway.board.tell(
         false,
-        vec![target("e-1", deaf.script.address, "in_service")],
+        vec![target("e-1", deaf.engine.address, "in_service")],
     );
-    while counter(&gateway.settled(), "watch_events") < 1 {}
+    while counter(&gateway.settle(), "watch_events") < 1 {}
     let begun = Instant::now();
     link.reset();
     // It may have run, and can't be told to be harmless any more.
     let answer = client.answer().unwrap();
     assert!(matches!(answer, Answer::Error(1105, _)), "{answer:?}");
     assert!(begun.elapsed() < millis(2500), "{:?}", begun.elapsed());
-    let counts = gateway.settled();
+    let counts = gateway.settle();
     assert_eq!(
         (
             counter(&counts, "attempts_sent"),
@@ -404,15 +436,20 @@
         "{counts}"
     );
     assert_eq!(counter(&counts, "engine_connections_open"), 0, "{counts}");
-    assert!(deaf.hear().listen().recv_timeout(millis(1500)).is_err());
-    ended(gateway);
+    assert!(
+        deaf.make_reachable()
+            .collect_lines()
+            .recv_timeout(millis(1500))
+            .is_err()
+    );
+    terminate(gateway);
 }
 
 /// Engines of other deployments drop repeats by their mark, and run in turn what has one key: both go on as they came.
 #[test]
 fn marks_and_keys_go_on_as_they_came() {
-    let engine = Script::new();
-    let gateway = Gateway::with(&[engine.address], effect("keyed", 30.0));
+    let engine = ScriptedEngine::new();
+    let gateway = Gateway::with_config(&[engine.address], effect("keyed", 30.0));
     let mut link = None;
     for (fields, wanted) in [
         ("token=dcf358aa9f07adc5", Some(",replay=dcf358aa9f07adc5 ")),
@@ -422,7 +459,7 @@
         ("token=", None),
         ("obj=a;b", None),
     ] {
-        let statement = text(8, "INSERT INTO ledger_1.bills SELECT 1");
+        let statement = tagged_statement(8, "INSERT INTO ledger_1.bills SELECT 1");
         let tagged = statement.query.replace("mem=8", &format!("mem=8,{fields}"));
         let mut client = gateway.client();
         client.stream.write_all(&query_packet(&tagged)).unwrap();
@@ -434,10 +471,10 @@
             continue;
         };
         let link = link.get_or_insert_with(|| engine.accept());
-        let line = link.line().unwrap();
+        let line = link.read_line().unwrap();
         assert!(line.contains(wanted), "{fields}: {line}");
-        link.line().unwrap();
-        link.complete(&Asked {
+        link.read_line().unwrap();
+        link.complete(&ReceivedStatement {
             id: statement.rid,
             text: "x".to_owned(),
         });
@@ -489,12 +526,12 @@
         .iter()
         .flat_map(|way| effects.iter().map(move |effect| (*way, *effect)))
         .collect();
-    each(
+    for_each_concurrently(
         &cases,
         |((fails, may_have_run), (name, has_idempotency_key, repeatable))| {
-            let engine = Script::new();
-            let gateway = Gateway::with(&[engine.address], effect(name, 30.0));
-            let (mut client, statement) = (gateway.client(), text(8, "SELECT 'fails'"));
+            let engine = ScriptedEngine::new();
+            let gateway = Gateway::with_config(&[engine.address], effect(name, 30.0));
+            let (mut client, statement) = (gateway.client(), tagged_statement(8, "SELECT 'fails'"));
             let mark = if has_idempotency_key {
                 "mem=8,token=0123456789abcdef"
             } else {
@@ -503,15 +540,15 @@
             let query = statement.query.replace("mem=8", mark);
             client.stream.write_all(&query_packet(&query)).unwrap();
             let mut link = engine.accept();
-            let asked = link.asked();
-            let whole = completed(&asked);
+            let asked = link.receive_statement();
+            let whole = completed_answer(&asked);
             match fails {
-                Fails::Says(word) => link.say(&said(&asked, word)),
-                Fails::Resets => reset(&link.stream),
+                Fails::Says(word) => link.send(&answer_without_rows(&asked, word)),
+                Fails::Resets => reset_connection(&link.stream),
                 Fails::Closes => link.stream.shutdown(Shutdown::Both).unwrap(),
-                Fails::Half => link.say(&whole[..whole.len() / 2]),
+                Fails::Half => link.send(&whole[..whole.len() / 2]),
                 Fails::HalfAndCloses => {
-                    link.say(&whole[..whole.len() / 2]);
+                    link.send(&whole[..whole.len() / 2]);
                     link.stream.shutdown(Shutdown::Both).unwrap();
                 }
                 Fails::Drips => {
@@ -526,22 +563,24 @@
                             .try_for_each(drip)
                     });
                 }
-                Fails::Garbage => link.say("what is this\r\n"),
+                Fails::Garbage => link.send("what is this\r\n"),
                 Fails::Twice => {
-                    link.say(&[whole.clone(), said(&asked, "BROKE"), whole].concat());
+                    link.send(
+                        &[whole.clone(), answer_without_rows(&asked, "BROKE"), whole].concat(),
+                    );
                     let got = client.answer().unwrap();
                     assert_eq!(rows(got).len(), 1, "{name}");
                     // One answer: the next word of the session is that of its next command.
                     assert_eq!(client.ping().unwrap(), Answer::Ok, "{name}");
-                    return drop(ended(gateway));
+                    return drop(terminate(gateway));
                 }
             }
             if !may_have_run || repeatable {
                 // On another connection, whatever became of the first.
                 let mut again = engine
-                    .comes()
+                    .try_accept()
                     .unwrap_or_else(|| panic!("{fails:?}, {name}: not sent again"));
-                let asked = again.asked();
+                let asked = again.receive_statement();
                 assert_eq!(asked.id, statement.rid);
                 again.complete(&asked);
                 assert_eq!(rows(client.answer().unwrap()).len(), 1, "{fails:?}, {name}");
@@ -552,7 +591,7 @@
                     "{fails:?}, {name}: {answer:?}"
                 );
             }
-            let log = ended(gateway);
+            let log = terminate(gateway);
             let sent = if !may_have_run || repeatable { 2 } else { 1 };
             assert_eq!(
                 counter(&log, "attempts_sent"),
@@ -566,43 +605,46 @@
 /// Half a line on a connection at rest: what is put on it next would end with it.
 #[test]
 fn a_connection_with_half_a_line_at_rest_takes_no_statement() {
-    let engine = Script::new();
-    let mut gateway = Gateway::with(&[engine.address], effect("unsafe", 30.0));
+    let engine = ScriptedEngine::new();
+    let mut gateway = Gateway::with_config(&[engine.address], effect("unsafe", 30.0));
     let mut client = gateway.client();
-    let (one, two) = (text(8, "SELECT 'one'"), text(8, "SELECT 'two'"));
+    let (one, two) = (
+        tagged_statement(8, "SELECT 'one'"),
+        tagged_statement(8, "SELECT 'two'"),
+    );
     send(&mut client, &one);
     let mut link = engine.accept();
-    let asked = link.asked();
-    link.say(&(completed(&asked) + "5eed00c0ff"));
+    let asked = link.receive_statement();
+    link.send(&(completed_answer(&asked) + "5eed00c0ff"));
     assert_eq!(rows(client.answer().unwrap()).len(), 1);
-    gateway.settled();
+    gateway.settle();
     send(&mut client, &two);
-    let mut fresh = engine.comes().expect("on a connection of its own");
-    let asked = fresh.asked();
+    let mut fresh = engine.try_accept().expect("on a connection of its own");
+    let asked = fresh.receive_statement();
     assert_eq!(asked.id, two.rid);
     fresh.complete(&asked);
     assert_eq!(rows(client.answer().unwrap()).len(), 1);
-    ended(gateway);
+    terminate(gateway);
 }
 
 /// The answer of the first attempt comes in the turn in which it times out: it counts, and nothing is sent again.
 #[test]
 fn an_answer_in_the_turn_of_its_time_out_counts() {
-    let engine = Script::new();
-    let gateway = Gateway::with(&[engine.address], patient);
-    let (mut client, statement) = (gateway.client(), text(8, "SELECT 'late'"));
+    let engine = ScriptedEngine::new();
+    let gateway = Gateway::with_config(&[engine.address], allow_long_waits);
+    let (mut client, statement) = (gateway.client(), tagged_statement(8, "SELECT 'late'"));
     let short = statement.query.replace("budget=500000", "budget=700");
     client.stream.write_all(&query_packet(&short)).unwrap();
     let mut link = engine.accept();
-    let asked = link.asked();
-    gateway.stop();
+    let asked = link.receive_statement();
+    gateway.suspend();
     link.complete(&asked);
     // Its time passes while the gateway stands still.
     sleep(millis(800));
-    gateway.go_on();
+    gateway.resume();
     assert_eq!(rows(client.answer().unwrap()).len(), 1);
-    assert!(link.silent());
-    let log = ended(gateway);
+    assert!(link.has_no_input());
+    let log = terminate(gateway);
     assert_eq!(
         (
             counter(&log, "attempts_timed_out"),
@@ -617,21 +659,21 @@
 /// it asks across that end goes nowhere.
 #[test]
 fn resting_clients_are_shut_and_read_before_they_are_closed() {
-    let engine = Script::new();
-    let gateway = Gateway::with(&[engine.address], patient);
-    let (mut client, statement) = (gateway.client(), text(8, "SELECT 'before'"));
+    let engine = ScriptedEngine::new();
+    let gateway = Gateway::with_config(&[engine.address], allow_long_waits);
+    let (mut client, statement) = (gateway.client(), tagged_statement(8, "SELECT 'before'"));
     send(&mut client, &statement);
     let mut link = engine.accept();
-    let asked = link.asked();
+    let asked = link.receive_statement();
     link.complete(&asked);
-    let half = query_packet(&text(8, "SELECT 'half'").query);
+    let half = query_packet(&tagged_statement(8, "SELECT 'half'").query);
     client.stream.write_all(&half[..half.len() / 2]).unwrap();
     gateway.signal(Signal::TERM);
     assert_eq!(rows(client.answer().unwrap()).len(), 1);
     // The gateway has shut its side, and still reads.
     assert_eq!(client.stream.read(&mut [0; 16]).unwrap(), 0);
     client.stream.write_all(&half[half.len() / 2..]).unwrap();
-    send(&mut client, &text(8, "SELECT 'across'"));
+    send(&mut client, &tagged_statement(8, "SELECT 'across'"));
     client.stream.shutdown(Shutdown::Write).unwrap();
     assert_eq!(
         client
@@ -640,7 +682,7 @@
             .map_err(|error| error.kind()),
         Ok(0)
     );
-    let (status, log) = gateway.end(millis(5000));
+    let (status, log) = gateway.wait_for_exit(millis(5000));
     assert!(status.success());
     assert_eq!(
         (
@@ -650,22 +692,25 @@
         (1, 1),
         "{log}"
     );
-    assert!(link.line().is_none());
+    assert!(link.read_line().is_none());
 }
 
 /// Statements that come whole, on an old and on a new connection, in the very turn in which a gateway would end.
 #[test]
 fn what_comes_in_the_last_turn_is_answered() {
-    let engine = Script::new();
-    let gateway = Gateway::with(&[engine.address], patient);
+    let engine = ScriptedEngine::new();
+    let gateway = Gateway::with_config(&[engine.address], allow_long_waits);
     let mut rests = gateway.client();
     gateway.signal(Signal::TERM);
     // It has begun to drain: the next word comes after that.
     assert_eq!(rests.ping().unwrap(), Answer::Ok);
-    gateway.stop();
+    gateway.suspend();
     // What still comes is taken for 0.7 s, which pass while it stands still.
     sleep(millis(900));
-    let (old, new) = (text(8, "SELECT 'old'"), text(8, "SELECT 'new'"));
+    let (old, new) = (
+        tagged_statement(8, "SELECT 'old'"),
+        tagged_statement(8, "SELECT 'new'"),
+    );
     send(&mut rests, &old);
     let mut comes = TcpStream::connect(gateway.listen).unwrap();
     comes
@@ -677,11 +722,14 @@
             .concat(),
         )
         .unwrap();
-    gateway.go_on();
+    gateway.resume();
     let mut link = engine.accept();
     let mut links = vec![engine.accept()];
-    let mut seen: Vec<Asked> = links.iter_mut().map(Link::asked).collect();
-    seen.push(link.asked());
+    let mut seen: Vec<ReceivedStatement> = links
+        .iter_mut()
+        .map(EngineConnection::receive_statement)
+        .collect();
+    seen.push(link.receive_statement());
     links.push(link);
     for (link, asked) in links.iter_mut().zip(&seen) {
         link.complete(asked);
@@ -693,24 +741,24 @@
         got.windows(12).any(|bytes| bytes == b"SELECT 'new'"),
         "no whole answer"
     );
-    let (status, log) = gateway.end(millis(5000));
+    let (status, log) = gateway.wait_for_exit(millis(5000));
     assert!(status.success());
     assert_eq!(
         (counter(&log, "completed"), counter(&log, "open")),
         (2, 0),
         "{log}"
     );
-    add_up(&log);
+    assert_counters_balance(&log);
 }
 
 #[test]
 fn a_second_sigterm_and_a_sighup_change_nothing_for_what_drains() {
-    let engine = Script::new();
-    let gateway = Gateway::with(&[engine.address], patient);
-    let (mut client, statement) = (gateway.client(), text(8, "SELECT 'drains'"));
+    let engine = ScriptedEngine::new();
+    let gateway = Gateway::with_config(&[engine.address], allow_long_waits);
+    let (mut client, statement) = (gateway.client(), tagged_statement(8, "SELECT 'drains'"));
     send(&mut client, &statement);
     let mut link = engine.accept();
-    let asked = link.asked();
+    let asked = link.receive_statement();
     for signal in [
         Signal::TERM,
         Signal::TERM,
@@ -724,49 +772,49 @@
     assert_eq!(gateway.client().ping().unwrap(), Answer::Ok);
     link.complete(&asked);
     assert_eq!(rows(client.answer().unwrap()).len(), 1);
-    let (status, log) = gateway.end(millis(5000));
+    let (status, log) = gateway.wait_for_exit(millis(5000));
     assert!(status.success());
     assert_eq!(
         (counter(&log, "completed"), counter(&log, "reloads")),
         (1, 1),
         "{log}"
     );
-    add_up(&log);
+    assert_counters_balance(&log);
 }
 
 /// One that comes after SIGTERM is to be answered by the same end, and its engine never answers: it is sent once.
 #[test]
 fn what_is_taken_while_draining_is_given_up_at_its_end_and_not_sent_again() {
-    let engine = Script::new();
-    let gateway = Gateway::with(&[engine.address], patient);
+    let engine = ScriptedEngine::new();
+    let gateway = Gateway::with_config(&[engine.address], allow_long_waits);
     gateway.signal(Signal::TERM);
     let mut client = gateway.client();
-    let statement = text(8, "SELECT 'silent'");
+    let statement = tagged_statement(8, "SELECT 'silent'");
     send(&mut client, &statement);
     let mut link = engine.accept();
-    assert_eq!(link.asked().id, statement.rid);
+    assert_eq!(link.receive_statement().id, statement.rid);
     assert!(denied(&client.answer().unwrap()));
-    let (status, log) = gateway.end(millis(5000));
+    let (status, log) = gateway.wait_for_exit(millis(5000));
     assert!(status.success());
     assert_eq!(
         (counter(&log, "attempts_sent"), counter(&log, "overdue")),
         (1, 0),
         "{log}"
     );
-    add_up(&log);
+    assert_counters_balance(&log);
 }
 
 /// A session that another one ends has its statement's answer, then an end.
 #[test]
 fn a_killed_session_reads_its_answer_and_then_its_end() {
-    let engine = Script::new();
-    let gateway = Gateway::with(&[engine.address], patient);
-    let (mut client, statement) = (gateway.client(), text(8, "SELECT 'killed'"));
+    let engine = ScriptedEngine::new();
+    let gateway = Gateway::with_config(&[engine.address], allow_long_waits);
+    let (mut client, statement) = (gateway.client(), tagged_statement(8, "SELECT 'killed'"));
     send(&mut client, &statement);
     let mut link = engine.accept();
-    assert_eq!(link.asked().id, statement.rid);
+    assert_eq!(link.receive_statement().id, statement.rid);
     // More stands behind it, unread by the gateway's commands: closed over it, the connection would be reset.
-    send(&mut client, &text(8, "SELECT 'behind'"));
+    send(&mut client, &tagged_statement(8, "SELECT 'behind'"));
     assert_eq!(
         gateway
             .client()
@@ -788,15 +836,15 @@
             .map_err(|error| error.kind()),
         Ok(0)
     );
-    ended(gateway);
+    terminate(gateway);
 }
 
 /// Signals that come before the program has read its configuration.
 #[test]
 fn a_signal_during_the_start_is_heeded_after_it() {
-    each(&[Signal::HUP, Signal::TERM], |signal| {
+    for_each_concurrently(&[Signal::HUP, Signal::TERM], |signal| {
         let engine = engine(1);
-        let gateway = Gateway::before(&[engine.address]);
+        let gateway = Gateway::start(&[engine.address]);
         let config = std::fs::read(&gateway.config).unwrap();
         let pipe = gateway.config.with_extension("pipe");
         let made = std::process::Command::new("mkfifo")
@@ -837,7 +885,7 @@
 #[test]
 fn a_restart_is_ready_in_time_whatever_the_board_does() {
     use stand_ins::board::Mood;
-    each(
+    for_each_concurrently(
         &[
             Some(Mood::Late),
             Some(Mood::Silent),
@@ -847,7 +895,7 @@
         |mood| {
             let engine = engine(1);
             for known in [true, false] {
-                let mut gateway = Gateway::with(&[engine.address], |config| {
+                let mut gateway = Gateway::with_config(&[engine.address], |config| {
                     if mood.is_none() {
                         config["board"] = json!(free_address().to_string());
                     }
@@ -895,14 +943,14 @@
 fn an_answer_half_written_at_sigterm_is_written_whole() {
     const MANY: i64 = 300;
     let engine = engine(1);
-    let mut gateway = Gateway::with(&[engine.address], patient);
+    let mut gateway = Gateway::with_config(&[engine.address], allow_long_waits);
     let mut client = gateway.client();
     // Answers for more than the machines of both ends hold: the rest lies with the gateway.
     rustix::net::sockopt::set_socket_recv_buffer_size(&client.stream, 64 << 10).unwrap();
-    let question = text(8, &format!("SELECT '{}' LIMIT 120", "x".repeat(260)));
+    let question = tagged_statement(8, &format!("SELECT '{}' LIMIT 120", "x".repeat(260)));
     let many: Vec<u8> = (0..MANY)
         .flat_map(|_| {
-            let rid = text(8, "SELECT 1").rid;
+            let rid = tagged_statement(8, "SELECT 1").rid;
             query_packet(&question.query.replace(&question.rid, &rid))
         })
         .collect();
@@ -911,7 +959,7 @@
     // It has stopped to take more, since what it has said is not read.
     let mut taken = (0, 1);
     while taken.0 != taken.1 {
-        taken = (taken.1, counter(&gateway.settled(), "statements_accepted"));
+        taken = (taken.1, counter(&gateway.settle(), "statements_accepted"));
         sleep(millis(50));
     }
     assert!(taken.1 < MANY, "{taken:?}");
@@ -924,23 +972,23 @@
         );
         whole += 1;
     }
-    let (status, log) = gateway.end(millis(8000));
+    let (status, log) = gateway.wait_for_exit(millis(8000));
     assert!(status.success());
     // All that were taken have a whole answer; what was never read of the session was not taken.
     assert_eq!(counter(&log, "statements_accepted"), whole, "{log}");
-    add_up(&log);
+    assert_counters_balance(&log);
 }
 
 /// The file again with all else changed, while a statement of the old settings is in hand: it ends by those, new ones go on
 /// by those too, what the new file names is unknown here, and the log says what waits for a restart.
 #[test]
 fn a_reload_with_other_settings_changes_no_statement() {
-    let engine = Script::new();
-    let mut gateway = Gateway::with(&[engine.address], effect("unsafe", 30.0));
-    let (mut client, statement) = (gateway.client(), text(8, "SELECT 'old'"));
+    let engine = ScriptedEngine::new();
+    let mut gateway = Gateway::with_config(&[engine.address], effect("unsafe", 30.0));
+    let (mut client, statement) = (gateway.client(), tagged_statement(8, "SELECT 'old'"));
     send(&mut client, &statement);
     let mut link = engine.accept();
-    let asked = link.asked();
+    let asked = link.receive_statement();
     let old = std::fs::read_to_string(&gateway.config).unwrap();
     let mut new: Value = serde_json::from_str(&old).unwrap();
     new["settings"]["Grades"] =
@@ -952,29 +1000,29 @@
     new["board"] = free.clone();
     std::fs::write(&gateway.config, new.to_string()).unwrap();
     gateway.signal(Signal::HUP);
-    let told = gateway.says("configuration read again");
+    let told = gateway.wait_for_log("configuration read again");
     assert!(
         told.contains(r#"kept=["limits.sockets", "settings"]"#),
         "{told}"
     );
     assert!(told.contains(free.as_str().unwrap()), "{told}");
     // It may have run: by the old settings never again, by the new ones it would be.
-    link.say(&said(&asked, "BROKE"));
+    link.send(&answer_without_rows(&asked, "BROKE"));
     assert!(matches!(client.answer().unwrap(), Answer::Error(1105, _)));
-    let unknown = text(8, "SELECT 1")
+    let unknown = tagged_statement(8, "SELECT 1")
         .query
         .replace("method=point", "method=lookup");
     assert!(matches!(
         client.ask(&unknown).unwrap(),
         Answer::Error(1064, _)
     ));
-    let known = text(8, "SELECT 'still'");
+    let known = tagged_statement(8, "SELECT 'still'");
     send(&mut client, &known);
-    let asked = link.asked();
+    let asked = link.receive_statement();
     assert_eq!(asked.id, known.rid);
     link.complete(&asked);
     assert_eq!(rows(client.answer().unwrap()).len(), 1);
-    ended(gateway);
+    terminate(gateway);
 }
 
 /// Two deployments in one process, a word each in turn: neither's effects serve the other's statements.
@@ -1054,12 +1102,12 @@
 /// of two with one id an engine's answer could be for either; then it is like any other.
 #[test]
 fn the_id_of_a_killed_statement_is_free_once_its_relay_is_over() {
-    let engine = Script::new();
-    let mut gateway = Gateway::with(&[engine.address], patient);
-    let (mut client, statement) = (gateway.client(), text(8, "SELECT 'once'"));
+    let engine = ScriptedEngine::new();
+    let mut gateway = Gateway::with_config(&[engine.address], allow_long_waits);
+    let (mut client, statement) = (gateway.client(), tagged_statement(8, "SELECT 'once'"));
     send(&mut client, &statement);
     let mut link = engine.accept();
-    let asked = link.asked();
+    let asked = link.receive_statement();
     assert_eq!(
         gateway
             .client()
@@ -1072,15 +1120,15 @@
         client.ask(&statement.query).unwrap(),
         Answer::Error(1064, _)
     ));
-    assert!(link.silent());
+    assert!(link.has_no_input());
     link.complete(&asked);
-    while counter(&gateway.settled(), "attempts_completed") < 1 {}
+    while counter(&gateway.settle(), "attempts_completed") < 1 {}
     send(&mut client, &statement);
-    let again = link.asked();
+    let again = link.receive_statement();
     assert_eq!(again, asked);
     link.complete(&again);
     assert_eq!(rows(client.answer().unwrap()).len(), 1);
-    ended(gateway);
+    terminate(gateway);
 }
 
 /// A configuration that cannot be used is one line that names the place, and a status that is no success.
@@ -1122,7 +1170,7 @@
         ),
         ("/settings/PeersTotal", json!("many"), "PeersTotal"),
     ];
-    each(&(0..changes.len()).collect::<Vec<_>>(), |at| {
+    for_each_concurrently(&(0..changes.len()).collect::<Vec<_>>(), |at| {
         let (place, bad, named) = &changes[at];
         let mut config = config.clone();
         *config.pointer_mut(place).unwrap() = bad.clone();
@@ -1148,7 +1196,7 @@
 #[test]
 fn a_client_that_does_not_close_costs_no_turns() {
     let engine = engine(1);
-    let mut gateway = Gateway::with(&[engine.address], patient);
+    let mut gateway = Gateway::with_config(&[engine.address], allow_long_waits);
     let mut refused: Vec<Client> = (0..8).map(|_| gateway.client()).collect();
     for client in &mut refused {
         client.stream.write_all(&[0xff, 0xff, 0x7f, 0, 3]).unwrap();
@@ -1156,8 +1204,8 @@
         // The gateway's end; ours stays away, for less than it waits for it.
         assert_eq!(client.stream.read(&mut [0; 8]).unwrap(), 0);
     }
-    let before = counter(&gateway.settled(), "turns");
+    let before = counter(&gateway.settle(), "turns");
     sleep(millis(400));
-    let after = counter(&gateway.settled(), "turns");
+    let after = counter(&gateway.settle(), "turns");
     assert!(after - before < 100, "{} turns in 0.4 s", after - before);
 }
--- a/crates/gateway/tests/golden.rs
+++ b/crates/gateway/tests/golden.rs
@@ -45,8 +45,8 @@
 use serde_json::json;
 use stand_ins::client::{Client, login_packet, packet, query_packet};
 use stand_ins::engine::Mood;
-use support::clients::{patient, send, text};
-use support::script::Script;
+use support::clients::{allow_long_waits, send, tagged_statement};
+use support::script::ScriptedEngine;
 use support::*;
 
 /// Compares with what is recorded, or records it.
@@ -294,9 +294,9 @@
 
 #[test]
 fn errors_come_to_clients_as_recorded() {
-    let engine = Script::new();
-    let gateway = Gateway::with(&[engine.address], |config| {
-        patient(config);
+    let engine = ScriptedEngine::new();
+    let gateway = Gateway::with_config(&[engine.address], |config| {
+        allow_long_waits(config);
         config["settings"]["Limits"]["MaxOpen"] = json!(1);
     });
     let mut client = gateway.client();
@@ -368,10 +368,10 @@
         ));
     }
     // One is open, and as many as may be.
-    let (mut first, open) = (gateway.client(), text(8, "SELECT 2"));
+    let (mut first, open) = (gateway.client(), tagged_statement(8, "SELECT 2"));
     send(&mut first, &open);
     let mut link = engine.accept();
-    assert_eq!(link.asked().id, open.rid);
+    assert_eq!(link.receive_statement().id, open.rid);
     got.push(("id-open", refused(&mut client, &open.query)));
     got.push((
         "too-many-open",
@@ -387,12 +387,12 @@
 fn denials_and_failures_come_to_clients_as_recorded() {
     let full = engine(1);
     full.set(Mood::Full);
-    let gateway = Gateway::before(&[full.address]);
+    let gateway = Gateway::start(&[full.address]);
     let denied = refused(&mut gateway.client(), &commented(800, "SELECT 1"));
     // What may have run and can't be tried again.
     let broken = engine(1);
     broken.set(Mood::Error);
-    let gateway = Gateway::with(&[broken.address], |config| {
+    let gateway = Gateway::with_config(&[broken.address], |config| {
         config["settings"]["Grades"][0]["Effect"] = json!("unsafe");
     });
     let failed = refused(&mut gateway.client(), &commented(800, "SELECT 1"));
@@ -550,7 +550,8 @@
             .write_all(format!("{head}{body}").as_bytes())
             .unwrap();
     };
-    let _gateway = Gateway::with(&[engine.address], |config| config["board"] = json!(address));
+    let _gateway =
+        Gateway::with_config(&[engine.address], |config| config["board"] = json!(address));
     let (known, stream) = other_question(&board, "");
     let target = json!({"uid": "e-9", "endpoint": "127.0.0.1:1", "az": "hall-1", "model": "plain-8", "pod_group": 0,
         "state": "terminating", "capacity_hint": 8.0, "boot_ms": 0});
@@ -1021,7 +1022,7 @@
     let operator = OPERATOR
         .replace("FOLDER", folder.to_str().unwrap())
         .replace("BIND", &bind);
-    let mut gateway = Gateway::operated(&[engine.address], &operator, |_| ());
+    let mut gateway = Gateway::with_operator_file(&[engine.address], &operator, |_| ());
     let mut client = gateway.client();
     let some = |rows: &[Vec<String>], of: &[usize]| {
         let row = |row: &Vec<String>| {
@@ -1036,7 +1037,7 @@
     let statement = shown(&mut client, "SHOW QUEUE FOR 'ffffffffffffffff'");
     let fleet = shown(&mut client, "SHOW FLEET");
     let shares = shown(&mut client, "SHOW SHARES");
-    let counts = gateway.counts();
+    let counts = gateway.print_counters();
     let counts = counts.split_once("counters: ").unwrap().1;
     let counts: Vec<&str> = counts
         .split_whitespace()
--- a/crates/gateway/tests/identity.rs
+++ b/crates/gateway/tests/identity.rs
@@ -102,7 +102,7 @@
             "identity {{\nkeys_folder = \"{at}\"\ncertificate = \"{at}/tls.pem\"\nprivate_key = \"{at}/tls.key\"\n{more}\n}}\n"
         );
         let addresses: Vec<SocketAddr> = engines.iter().map(|engine| engine.address).collect();
-        Gateway::operated(&addresses, &operator, change)
+        Gateway::with_operator_file(&addresses, &operator, change)
     }
 
     fn login(&self, listen: SocketAddr, token: &str) -> Result<Secure, (u16, String)> {
@@ -228,8 +228,8 @@
         assert_eq!(code(site.login(gateway.listen, bad)), 1045, "{bad}");
     }
     gateway.signal(Signal::TERM);
-    let (_, log) = gateway.end(millis(6000));
-    add_up(&log);
+    let (_, log) = gateway.wait_for_exit(millis(6000));
+    assert_counters_balance(&log);
     assert_eq!(
         (
             counter(&log, "statements_unauthorized"),
@@ -351,8 +351,8 @@
         traffic.into_iter().map(|one| one.join().unwrap()).sum()
     });
     gateway.signal(Signal::TERM);
-    let (_, log) = gateway.end(millis(6000));
-    add_up(&log);
+    let (_, log) = gateway.wait_for_exit(millis(6000));
+    assert_counters_balance(&log);
     assert!(
         counter(&log, "key_file_reloads") >= 2 * rounds as i64
             && counter(&log, "key_file_reloads_failed") == 0,
@@ -405,7 +405,7 @@
     std::fs::write(site.folder.join("index.json"), index).unwrap();
     sleep(millis(600));
     gateway.signal(Signal::TERM);
-    let (_, log) = gateway.end(millis(6000));
+    let (_, log) = gateway.wait_for_exit(millis(6000));
     let failed = counter(&log, "key_file_reloads_failed");
     let lines = log
         .lines()
@@ -449,5 +449,5 @@
         "open handshakes are not ended"
     );
     gateway.signal(Signal::TERM);
-    add_up(&gateway.end(millis(6000)).1);
+    assert_counters_balance(&gateway.wait_for_exit(millis(6000)).1);
 }
--- a/crates/gateway/tests/machine_answers.rs
+++ b/crates/gateway/tests/machine_answers.rs
@@ -111,8 +111,8 @@
             })
         })
         .collect();
-    let broken = broken_by(&faults, |fault| fault.plan());
-    assert!(broken.is_empty(), "{}", broken.join("\n"));
+    let failures = lifecycle_failures(&faults, |fault| fault.plan());
+    assert!(failures.is_empty(), "{}", failures.join("\n"));
 }
 
 /// A datagram is received with the place for its sender's address, as no read of a connection is.
@@ -136,15 +136,15 @@
             "fleet {{\n  fleet = \"f\"\n  bind = \"{bind}\"\n  seeds = []\n  keys_folder = {keys:?}\n}}\n"
         );
         let length = move |_| Effect::AnswerLength { argument: 5, bytes };
-        let surroundings = Surroundings::new();
+        let environment = TestEnvironment::new();
         let plan = by_occurrence(receives_datagram, length);
-        let gateway = surroundings.start_operated(plan, &operator);
-        drop(gateway.connect_when_it_listens(&[]).unwrap());
+        let gateway = environment.start_with_operator_file(plan, &operator);
+        drop(gateway.connect_when_listening(&[]).unwrap());
         let peer = UdpSocket::bind("127.0.0.1:0").unwrap();
         for _ in 0..3 {
             peer.send_to(b"not of this fleet", bind).unwrap();
         }
-        let outcome = gateway.lead_life();
+        let outcome = gateway.run_lifecycle();
         assert!(outcome.is_ok(), "{bytes} bytes: {outcome:?}");
     }
     std::fs::remove_dir_all(keys).unwrap();
@@ -225,13 +225,13 @@
             readings: Readings::Always,
         });
     }
-    let broken = broken_by(&faults, |fault| fault.plan());
+    let failures = lifecycle_failures(&faults, |fault| fault.plan());
     assert!(
-        broken.is_empty(),
+        failures.is_empty(),
         "{} of {}:\n{}",
-        broken.len(),
+        failures.len(),
         faults.len(),
-        broken.join("\n")
+        failures.join("\n")
     );
 }
 
@@ -267,8 +267,8 @@
         .into_iter()
         .flat_map(|seconds| [1, 2].map(|every| WrongWallClock { seconds, every }))
         .collect();
-    let broken = broken_by(&faults, |fault| fault.plan());
-    assert!(broken.is_empty(), "{}", broken.join("\n"));
+    let failures = lifecycle_failures(&faults, |fault| fault.plan());
+    assert!(failures.is_empty(), "{}", failures.join("\n"));
 }
 
 /// Work of each statement here, in milliseconds on one core.
@@ -280,19 +280,19 @@
 /// How many of them a cold engine gets from a gateway whose wall clock is this wrong, which hears of the engine as it starts.
 fn sent_to_a_cold_engine(wall_clock: WrongWallClock) -> usize {
     const ENGINE_DELAY_MS: u64 = 6000;
-    let surroundings = Surroundings::with_engine(engine(ENGINE_DELAY_MS));
-    let mut gateway = surroundings.start_with(wall_clock.plan(), |config| {
+    let environment = TestEnvironment::with_engine(engine(ENGINE_DELAY_MS));
+    let mut gateway = environment.start_with(wall_clock.plan(), |config| {
         let rules = &mut config["settings"]["Rules"];
         rules["StartCapacity"] = json!(0.1);
         rules["TipMultiple"] = json!(1.0);
     });
-    drop(gateway.connect_when_it_listens(&[]).unwrap());
+    drop(gateway.connect_when_listening(&[]).unwrap());
     let cold = engine(ENGINE_DELAY_MS);
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap();
     let mut described = target("e-cold", cold.address, "in_service");
     described["boot_ms"] = json!(since_epoch.as_millis() as u64);
-    surroundings.tell(vec![described]);
-    gateway.says("snapshot=false");
+    environment.announce(vec![described]);
+    gateway.wait_for_log("snapshot=false");
     let clients: Vec<Client> = (0..CLIENTS)
         .map(|_| {
             let statement = scan();
--- a/crates/gateway/tests/process.rs
+++ b/crates/gateway/tests/process.rs
@@ -24,7 +24,7 @@
 #[test]
 fn rows_come_back_whole_and_in_order() {
     let engine = engine(1);
-    let gateway = Gateway::before(&[engine.address]);
+    let gateway = Gateway::start(&[engine.address]);
     let mut client = gateway.client();
     for limit in [0, 1, 2, 120] {
         let statement = format!(
@@ -46,7 +46,7 @@
 #[test]
 fn login_and_query_may_come_before_the_greeting_in_any_pieces() {
     let engine = engine(1);
-    let gateway = Gateway::before(&[engine.address]);
+    let gateway = Gateway::start(&[engine.address]);
     let both = [
         login_packet("app", b"", "warehouse"),
         query_packet(&commented(5000, "SELECT 1")),
@@ -70,7 +70,7 @@
 #[test]
 fn what_cannot_be_used_gets_one_error_and_reaches_no_engine() {
     let engine = engine(1);
-    let gateway = Gateway::before(&[engine.address]);
+    let gateway = Gateway::start(&[engine.address]);
     let mut client = gateway.client();
     let good = commented(500, "SELECT 1");
     for text in [
@@ -123,7 +123,7 @@
 #[test]
 fn every_way_an_engine_fails_ends_in_one_answer() {
     let engine = engine(1);
-    let gateway = Gateway::before(&[engine.address]);
+    let gateway = Gateway::start(&[engine.address]);
     let moods = [
         Mood::Full,
         Mood::Error,
@@ -146,15 +146,15 @@
         assert_eq!(client.ping().unwrap(), Answer::Ok, "{mood:?}");
     }
     gateway.signal(Signal::TERM);
-    let (status, log) = gateway.end(millis(5000));
+    let (status, log) = gateway.wait_for_exit(millis(5000));
     assert!(status.success());
-    add_up(&log);
+    assert_counters_balance(&log);
 }
 
 #[test]
 fn one_spoilt_connection_costs_one_relay() {
     let engine = engine(300);
-    let gateway = Gateway::before(&[engine.address]);
+    let gateway = Gateway::start(&[engine.address]);
     let mut others: Vec<Client> = (0..6).map(|_| gateway.client()).collect();
     for client in &mut others {
         client
@@ -172,7 +172,7 @@
         .iter_mut()
         .for_each(|client| assert_eq!(rows(client.answer().unwrap()).len(), 1));
     gateway.signal(Signal::TERM);
-    let (_, log) = gateway.end(millis(5000));
+    let (_, log) = gateway.wait_for_exit(millis(5000));
     let (sent, reset) = (
         counter(&log, "attempts_sent"),
         counter(&log, "attempts_reset"),
@@ -181,13 +181,13 @@
         reset <= 3 && reset == counter(&log, "answers_malformed") && sent == 6 + reset,
         "{log}"
     );
-    add_up(&log);
+    assert_counters_balance(&log);
 }
 
 #[test]
 fn an_answer_that_stops_half_way_is_made_anew_elsewhere() {
     let engine = engine(1);
-    let gateway = Gateway::before(&[engine.address]);
+    let gateway = Gateway::start(&[engine.address]);
     for mood in [Mood::Half, Mood::Silent] {
         engine.set(mood);
         let (mut client, begun) = (gateway.client(), Instant::now());
@@ -213,7 +213,7 @@
 #[test]
 fn the_id_of_an_open_statement_is_no_other_statements() {
     let engine = engine(300);
-    let gateway = Gateway::before(&[engine.address]);
+    let gateway = Gateway::start(&[engine.address]);
     let (mut client, mut other) = (gateway.client(), gateway.client());
     let first = commented(3000, "SELECT 1");
     client.stream.write_all(&query_packet(&first)).unwrap();
@@ -231,7 +231,7 @@
 #[test]
 fn silence_ends_before_the_budget_and_late_answers_end_nothing_else() {
     let engine = engine(1);
-    let gateway = Gateway::before(&[engine.address]);
+    let gateway = Gateway::start(&[engine.address]);
     let mut client = gateway.client();
     assert_eq!(
         rows(client.ask(&commented(500, "SELECT 1")).unwrap()).len(),
@@ -262,19 +262,19 @@
 
 #[test]
 fn a_refused_connection_is_no_relay_that_ran() {
-    let gateway = Gateway::before(&[free_address()]);
+    let gateway = Gateway::start(&[free_address()]);
     let begun = Instant::now();
     assert!(denied(
         &gateway.client().ask(&commented(3000, "SELECT 1")).unwrap()
     ));
     assert!(begun.elapsed() < millis(1500));
     gateway.signal(Signal::TERM);
-    let (_, log) = gateway.end(millis(5000));
+    let (_, log) = gateway.wait_for_exit(millis(5000));
     assert!(
         counter(&log, "attempts_unreachable") > 0 && counter(&log, "attempts_reset") == 0,
         "{log}"
     );
-    add_up(&log);
+    assert_counters_balance(&log);
 }
 
 #[test]
@@ -286,7 +286,7 @@
     let _full: Vec<_> = (0..4)
         .map(|_| TcpStream::connect_timeout(&address, millis(50)))
         .collect();
-    let gateway = Gateway::before(&[address]);
+    let gateway = Gateway::start(&[address]);
     let begun = Instant::now();
     assert!(denied(
         &gateway.client().ask(&commented(3000, "SELECT 1")).unwrap()
@@ -297,13 +297,13 @@
         begun.elapsed()
     );
     gateway.signal(Signal::TERM);
-    let (_, log) = gateway.end(millis(5000));
+    let (_, log) = gateway.wait_for_exit(millis(5000));
     assert_eq!(
         counter(&log, "attempts_unreachable"),
         counter(&log, "attempts_sent"),
         "{log}"
     );
-    add_up(&log);
+    assert_counters_balance(&log);
 }
 
 /// Seen on a day on which connections came up late: what waited on one went on after its statement had its answer.
@@ -315,7 +315,7 @@
     let full: Vec<_> = (0..4)
         .map(|_| TcpStream::connect_timeout(&address, millis(50)))
         .collect();
-    let gateway = Gateway::with(&[address], |config| {
+    let gateway = Gateway::with_config(&[address], |config| {
         config["settings"]["Limits"]["ConnectTimeoutS"] = json!(20.0);
     });
     let rid = |text: &str| text.split("rid=").nth(1).unwrap()[..16].to_owned();
@@ -363,15 +363,15 @@
         "{seen:?}"
     );
     gateway.signal(Signal::TERM);
-    let (_, log) = gateway.end(millis(8000));
+    let (_, log) = gateway.wait_for_exit(millis(8000));
     assert!(counter(&log, "attempts_withdrawn") >= 2, "{log}");
-    add_up(&log);
+    assert_counters_balance(&log);
 }
 
 #[test]
 fn a_client_that_breaks_off_is_owed_nothing() {
     let engine = engine(300);
-    let gateway = Gateway::before(&[engine.address]);
+    let gateway = Gateway::start(&[engine.address]);
     let mut client = gateway.client();
     client.stream.write_all(&packet(0, &[0x0e])).unwrap();
     client
@@ -383,20 +383,20 @@
     drop(client);
     sleep(millis(400));
     gateway.signal(Signal::TERM);
-    let (_, log) = gateway.end(millis(5000));
+    let (_, log) = gateway.wait_for_exit(millis(5000));
     assert_eq!(
         (counter(&log, "client_left"), counter(&log, "completed")),
         (1, 0),
         "{log}"
     );
     assert_eq!(counter(&log, "attempts_completed"), 1, "{log}");
-    add_up(&log);
+    assert_counters_balance(&log);
 }
 
 #[test]
 fn kill_query_from_another_session_ends_it_there() {
     let engine = engine(1);
-    let gateway = Gateway::before(&[engine.address]);
+    let gateway = Gateway::start(&[engine.address]);
     let mut client = gateway.client();
     engine.set(Mood::Silent);
     client
@@ -419,16 +419,16 @@
     engine.set(Mood::Well);
     assert_eq!(client.ping().unwrap(), Answer::Ok);
     gateway.signal(Signal::TERM);
-    let (status, log) = gateway.end(millis(5000));
+    let (status, log) = gateway.wait_for_exit(millis(5000));
     assert!(status.success());
     assert_eq!(counter(&log, "client_left"), 1);
-    add_up(&log);
+    assert_counters_balance(&log);
 }
 
 #[test]
 fn answers_twice_or_unasked_change_nothing() {
     let engine = engine(1);
-    let gateway = Gateway::before(&[engine.address]);
+    let gateway = Gateway::start(&[engine.address]);
     engine.set(Mood::Twice);
     let mut client = gateway.client();
     for n in 0..20 {
@@ -450,7 +450,7 @@
 #[test]
 fn noise_from_clients_ends_only_their_sessions() {
     let engine = engine(1);
-    let gateway = Gateway::before(&[engine.address]);
+    let gateway = Gateway::start(&[engine.address]);
     let mut steady = gateway.client();
     let mut rng = Pcg64Mcg::seed_from_u64(3);
     for round in 0..200 {
@@ -492,7 +492,7 @@
 #[test]
 fn pages_that_nobody_waits_for_are_forgotten() {
     let engine = engine(300);
-    let gateway = Gateway::before(&[engine.address]);
+    let gateway = Gateway::start(&[engine.address]);
     let client = gateway.client();
     (&client.stream)
         .write_all(&query_packet(&commented(
@@ -518,7 +518,7 @@
         (1, 0, 1, 0)
     );
     gateway.signal(Signal::TERM);
-    let (_, log) = gateway.end(millis(5000));
+    let (_, log) = gateway.wait_for_exit(millis(5000));
     assert_eq!(
         (
             counter(&log, "client_left"),
@@ -526,13 +526,13 @@
         ),
         (1, 1)
     );
-    add_up(&log);
+    assert_counters_balance(&log);
 }
 
 #[test]
 fn drains_hold_and_a_new_engine_may_have_an_old_address() {
     let (first, second) = (engine(1), engine(1));
-    let gateway = Gateway::before(&[first.address, second.address]);
+    let gateway = Gateway::start(&[first.address, second.address]);
     let mut client = gateway.client();
     gateway
         .board
@@ -560,7 +560,7 @@
 #[test]
 fn an_engine_listed_elsewhere_gets_its_relays_there() {
     let (first, second) = (engine(1), engine(1));
-    let gateway = Gateway::before(&[first.address]);
+    let gateway = Gateway::start(&[first.address]);
     let mut client = gateway.client();
     rows(client.ask(&commented(2000, "SELECT 1")).unwrap());
     gateway
@@ -574,7 +574,7 @@
 #[test]
 fn idle_connections_end_from_either_side() {
     let engine = engine(1);
-    let gateway = Gateway::with(&[engine.address], |c| {
+    let gateway = Gateway::with_config(&[engine.address], |c| {
         c["settings"]["Limits"]["ConnIdleS"] = json!(0.5);
     });
     let mut client = gateway.client();
@@ -586,7 +586,7 @@
     rows(client.ask(&commented(2000, "SELECT 3")).unwrap());
     assert_eq!(engine.connections(), 3);
     gateway.signal(Signal::TERM);
-    let (_, log) = gateway.end(millis(5000));
+    let (_, log) = gateway.wait_for_exit(millis(5000));
     assert!(counter(&log, "engine_idle_closed") >= 1, "{log}");
     assert_eq!(counter(&log, "attempts_sent"), 3, "{log}");
 }
@@ -594,7 +594,7 @@
 #[test]
 fn queries_behind_one_another_are_answered_in_turn() {
     let engine = engine(5);
-    let gateway = Gateway::before(&[engine.address]);
+    let gateway = Gateway::start(&[engine.address]);
     let mut client = gateway.client();
     let both: Vec<u8> = (1..=3)
         .flat_map(|n| query_packet(&commented(5000, &format!("SELECT {n}"))))
@@ -608,7 +608,7 @@
 #[test]
 fn what_stands_behind_a_denied_query_does_not_wait_for_the_next_event() {
     let engine = engine(1);
-    let gateway = Gateway::before(&[engine.address]);
+    let gateway = Gateway::start(&[engine.address]);
     let mut client = gateway.client();
     // Far more work than its budget: rejected by the first tick, after the clients' news of that turn.
     let hopeless = || query_packet(&commented(300, "SELECT 1").replace("est=12.0", "est=9000000"));
@@ -624,7 +624,7 @@
 #[test]
 fn a_board_that_starts_again_is_asked_from_the_start() {
     let (first, second) = (engine(1), engine(1));
-    let gateway = Gateway::before(&[first.address]);
+    let gateway = Gateway::start(&[first.address]);
     let mut client = gateway.client();
     for _ in 0..3 {
         gateway
@@ -646,7 +646,7 @@
 #[test]
 fn a_board_that_answers_seconds_late_is_still_heard() {
     let (first, second) = (engine(1), engine(1));
-    let gateway = Gateway::before(&[first.address, second.address]);
+    let gateway = Gateway::start(&[first.address, second.address]);
     gateway.board.set(board::Mood::Late);
     sleep(millis(1200));
     gateway
@@ -664,7 +664,7 @@
 #[test]
 fn a_board_that_breaks_off_or_stops_mid_event_is_asked_again_within_two_seconds() {
     let engines = [engine(1), engine(1), engine(1)];
-    let gateway = Gateway::before(&[engines[0].address]);
+    let gateway = Gateway::start(&[engines[0].address]);
     for (n, mood) in [board::Mood::Broken, board::Mood::Stopped]
         .into_iter()
         .enumerate()
@@ -690,7 +690,7 @@
         assert_eq!((asked(n), asked(n + 1)), (5 * n, 5), "{mood:?}");
     }
     gateway.signal(Signal::TERM);
-    let (_, log) = gateway.end(millis(5000));
+    let (_, log) = gateway.wait_for_exit(millis(5000));
     // Each event once.
     assert_eq!(counter(&log, "watch_events"), 2, "{log}");
     assert!(counter(&log, "discovery_polls_failed") > 0, "{log}");
@@ -699,7 +699,7 @@
 #[test]
 fn a_bad_notice_board_is_asked_again_and_again() {
     let (first, second) = (engine(1), engine(1));
-    let gateway = Gateway::before(&[first.address]);
+    let gateway = Gateway::start(&[first.address]);
     let mut client = gateway.client();
     for mood in [
         board::Mood::Nonsense,
@@ -731,7 +731,7 @@
 #[test]
 fn sigterm_answers_what_was_taken_and_what_still_comes() {
     let engine = engine(400);
-    let gateway = Gateway::before(&[engine.address]);
+    let gateway = Gateway::start(&[engine.address]);
     let mut open = gateway.client();
     let mut idle = gateway.client();
     open.stream
@@ -750,16 +750,16 @@
     for client in [&mut open, &mut late, &mut idle] {
         assert_eq!(rows(client.answer().unwrap()).len(), 1);
     }
-    let (status, log) = gateway.end(millis(3000));
+    let (status, log) = gateway.wait_for_exit(millis(3000));
     assert!(status.success());
     assert_eq!((counter(&log, "completed"), counter(&log, "open")), (3, 0));
-    add_up(&log);
+    assert_counters_balance(&log);
 }
 
 #[test]
 fn an_idle_gateway_stays_for_what_still_comes_after_sigterm() {
     let engine = engine(1);
-    let gateway = Gateway::before(&[engine.address]);
+    let gateway = Gateway::start(&[engine.address]);
     gateway.signal(Signal::TERM);
     sleep(millis(400));
     let mut late = gateway.client();
@@ -768,7 +768,7 @@
         rows(late.ask(&commented(2000, "SELECT 1")).unwrap()).len(),
         1
     );
-    let (status, log) = gateway.end(millis(2000));
+    let (status, log) = gateway.wait_for_exit(millis(2000));
     assert!(status.success());
     assert_eq!(counter(&log, "completed"), 1);
 }
@@ -776,7 +776,7 @@
 #[test]
 fn sigterm_ends_even_what_never_ends() {
     let engine = engine(1);
-    let gateway = Gateway::before(&[engine.address]);
+    let gateway = Gateway::start(&[engine.address]);
     engine.set(Mood::Silent);
     let mut client = gateway.client();
     client
@@ -786,22 +786,22 @@
     sleep(millis(50));
     gateway.signal(Signal::TERM);
     assert!(denied(&client.answer().unwrap()));
-    let (status, log) = gateway.end(millis(3700));
+    let (status, log) = gateway.wait_for_exit(millis(3700));
     assert!(status.success());
-    add_up(&log);
+    assert_counters_balance(&log);
 }
 
 #[test]
 fn sighup_moves_the_board_and_leaves_the_rest_alone() {
     let (first, second) = (engine(1), engine(300));
-    let gateway = Gateway::before(&[first.address]);
+    let gateway = Gateway::start(&[first.address]);
     let good = std::fs::read_to_string(&gateway.config).unwrap();
     // It stands still meanwhile: a reload that is tried again must not find the next file ahead of its signal.
     let hang_up = |text: &str| {
-        gateway.stop();
+        gateway.suspend();
         std::fs::write(&gateway.config, text).unwrap();
         gateway.signal(Signal::HUP);
-        gateway.go_on();
+        gateway.resume();
         sleep(millis(60));
     };
     // Nothing of a file that cannot be used is taken, and the program goes on.
@@ -859,7 +859,7 @@
         1
     );
     assert_eq!((first.lines().len(), second.lines().len()), (told + 1, 1));
-    let (status, log) = gateway.end(millis(5000));
+    let (status, log) = gateway.wait_for_exit(millis(5000));
     assert!(status.success());
     // Of the four that cannot be used two end too early: they are tried again until the next one comes.
     assert_eq!(
@@ -876,13 +876,13 @@
     }
     assert_eq!(counter(&log, "watch_events"), 2, "{log}");
     assert!(log.contains(r#"kept=["seed"]"#), "{log}");
-    add_up(&log);
+    assert_counters_balance(&log);
 }
 
 #[test]
 fn killed_outright_it_starts_again_under_its_address() {
     let engine = engine(1);
-    let mut gateway = Gateway::before(&[engine.address]);
+    let mut gateway = Gateway::start(&[engine.address]);
     let mut old = gateway.client();
     rows(old.ask(&commented(2000, "SELECT 1")).unwrap());
     gateway.child.kill().unwrap();
@@ -899,7 +899,7 @@
 #[test]
 fn more_clients_than_descriptors_wait_and_cost_nothing() {
     let engine = engine(1);
-    let gateway = Gateway::with(&[engine.address], |config| {
+    let gateway = Gateway::with_config(&[engine.address], |config| {
         config["limits"]["sockets"] = json!(16);
     });
     sleep(millis(100));
@@ -936,7 +936,7 @@
 #[test]
 fn clients_that_stay_or_say_nothing_keep_nobody_out() {
     let engine = engine(1);
-    let gateway = Gateway::with(&[engine.address], |config| {
+    let gateway = Gateway::with_config(&[engine.address], |config| {
         config["limits"]["sockets"] = json!(64);
     });
     let mut stay = Vec::new();
@@ -983,15 +983,15 @@
     }
     assert!(begun.elapsed() < millis(2800), "{:?}", begun.elapsed());
     gateway.signal(Signal::TERM);
-    let (_, log) = gateway.end(millis(5000));
+    let (_, log) = gateway.wait_for_exit(millis(5000));
     assert!(counter(&log, "sessions_evicted") > 68, "{log}");
-    add_up(&log);
+    assert_counters_balance(&log);
 }
 
 #[test]
 fn bad_clients_get_a_word_or_a_close_in_time() {
     let engine = engine(1);
-    let gateway = Gateway::with(&[engine.address], |config| {
+    let gateway = Gateway::with_config(&[engine.address], |config| {
         config["limits"]["memory_mb"] = json!(2);
     });
     let login = login_packet("app", b"", "warehouse");
@@ -1065,9 +1065,9 @@
     let peak: u64 = peak.trim().trim_end_matches(" kB").parse().unwrap();
     assert!(peak < 16_000, "{peak} kB");
     gateway.signal(Signal::TERM);
-    let (status, log) = gateway.end(millis(5000));
+    let (status, log) = gateway.wait_for_exit(millis(5000));
     assert!(status.success());
-    add_up(&log);
+    assert_counters_balance(&log);
 }
 
 #[test]
@@ -1083,7 +1083,7 @@
             .unwrap()
     }
     let engine = engine(1);
-    let gateway = Gateway::by(spawn_short, &[engine.address], "", |_| {});
+    let gateway = Gateway::spawned_by(spawn_short, &[engine.address], "", |_| {});
     let mut first = gateway.client();
     let _more: Vec<TcpStream> = (0..60)
         .map(|_| TcpStream::connect(gateway.listen).unwrap())
@@ -1097,7 +1097,7 @@
         1
     );
     gateway.signal(Signal::TERM);
-    let (status, log) = gateway.end(millis(5000));
+    let (status, log) = gateway.wait_for_exit(millis(5000));
     assert!(status.success());
     assert!(
         counter(&log, "attempts_never_sent") > 0 && counter(&log, "attempts_unreachable") == 0,
@@ -1109,13 +1109,13 @@
         "{log}"
     );
     assert!(counter(&log, "busy_ms") < 300, "{log}");
-    add_up(&log);
+    assert_counters_balance(&log);
 }
 
 #[test]
 fn a_stopped_process_goes_on_where_it_was() {
     let engine = engine(1);
-    let gateway = Gateway::before(&[engine.address]);
+    let gateway = Gateway::start(&[engine.address]);
     let mut client = gateway.client();
     gateway.signal(Signal::STOP);
     client
@@ -1134,7 +1134,7 @@
 #[test]
 fn a_client_that_does_not_read_holds_up_nobody() {
     let engine = engine(1);
-    let gateway = Gateway::before(&[engine.address]);
+    let gateway = Gateway::start(&[engine.address]);
     let mut slow = gateway.client();
     let question = commented(2000, &format!("SELECT '{}' LIMIT 120", "x".repeat(260)));
     slow.stream.set_write_timeout(Some(millis(200))).unwrap();
@@ -1160,12 +1160,12 @@
 #[test]
 fn counters_come_on_request_and_a_missing_configuration_is_one_line() {
     let engine = engine(1);
-    let gateway = Gateway::before(&[engine.address]);
+    let gateway = Gateway::start(&[engine.address]);
     rows(gateway.client().ask(&commented(2000, "SELECT 1")).unwrap());
     gateway.signal(Signal::USR1);
     sleep(millis(100));
     gateway.signal(Signal::TERM);
-    let (_, log) = gateway.end(millis(4000));
+    let (_, log) = gateway.wait_for_exit(millis(4000));
     assert_eq!(
         log.lines()
             .filter(|line| line.contains("counters:"))
--- a/crates/gateway/tests/queues.rs
+++ b/crates/gateway/tests/queues.rs
@@ -112,7 +112,7 @@
 #[test]
 fn a_members_flood_leaves_the_other_its_service_and_is_denied_early() {
     let engine = engine(30);
-    let gateway = Gateway::operated(&[engine.address], TEAMS, small);
+    let gateway = Gateway::with_operator_file(&[engine.address], TEAMS, small);
     let counts = Arc::new(Mutex::new(Counts::new()));
     let quiet = load(gateway.listen, "power", 2, 100, 4000, &counts);
     let flood = load(gateway.listen, "water", 40, 0, 4000, &counts);
@@ -129,9 +129,9 @@
         "{counts:?}"
     );
     gateway.signal(Signal::TERM);
-    let (status, log) = gateway.end(millis(6000));
+    let (status, log) = gateway.wait_for_exit(millis(6000));
     assert!(status.success());
-    add_up(&log);
+    assert_counters_balance(&log);
     let names = [
         "rejected_at_entry",
         "evicted",
@@ -149,7 +149,7 @@
 #[test]
 fn what_waits_is_told_by_team_and_by_statement_and_can_be_asked_by_the_command_line() {
     let engine = engine(400);
-    let gateway = Gateway::operated(&[engine.address], TEAMS, small);
+    let gateway = Gateway::with_operator_file(&[engine.address], TEAMS, small);
     let mut asks: Vec<Client> = (0..30).map(|_| gateway.client()).collect();
     let mut last = String::new();
     for client in &mut asks {
@@ -203,7 +203,7 @@
 #[test]
 fn a_client_that_takes_progress_reports_gets_them_and_then_its_answer_in_one_sequence() {
     let engine = engine(1500);
-    let gateway = Gateway::operated(&[engine.address], TEAMS, |config| {
+    let gateway = Gateway::with_operator_file(&[engine.address], TEAMS, |config| {
         small(config);
         config["settings"]["Grades"][0]["GiveUpS"] = json!(12.0);
         config["settings"]["Grades"][0]["GoalTimeS"] = json!(12.0);
@@ -251,7 +251,7 @@
 #[test]
 fn an_engine_drains_while_its_queue_is_full_and_nothing_new_goes_there() {
     let [one, two] = [engine(50), engine(50)];
-    let gateway = Gateway::operated(&[one.address, two.address], TEAMS, small);
+    let gateway = Gateway::with_operator_file(&[one.address, two.address], TEAMS, small);
     let counts = Arc::new(Mutex::new(Counts::new()));
     let flood = load(gateway.listen, "water", 50, 0, 4000, &counts);
     sleep(millis(1500));
@@ -270,13 +270,13 @@
     joined(flood);
     assert!(counts.lock().unwrap()["water"][0] > 50 && counts.lock().unwrap()["water"][2] == 0);
     gateway.signal(Signal::TERM);
-    add_up(&gateway.end(millis(6000)).1);
+    assert_counters_balance(&gateway.wait_for_exit(millis(6000)).1);
 }
 
 #[test]
 fn engines_fall_silent_with_full_queues_and_every_client_is_answered_in_time() {
     let [one, two] = [engine(40), engine(40)];
-    let gateway = Gateway::operated(&[one.address, two.address], TEAMS, small);
+    let gateway = Gateway::with_operator_file(&[one.address, two.address], TEAMS, small);
     let counts = Arc::new(Mutex::new(Counts::new()));
     let flood = load(gateway.listen, "water", 30, 0, 5000, &counts);
     sleep(millis(1000));
@@ -288,13 +288,13 @@
     let counts = counts.lock().unwrap()["water"];
     assert!(counts[0] > 60, "{counts:?}");
     gateway.signal(Signal::TERM);
-    add_up(&gateway.end(millis(6000)).1);
+    assert_counters_balance(&gateway.wait_for_exit(millis(6000)).1);
 }
 
 #[test]
 fn half_of_those_who_wait_leave_at_once_and_the_rest_are_served() {
     let engine = engine(200);
-    let gateway = Gateway::operated(&[engine.address], TEAMS, small);
+    let gateway = Gateway::with_operator_file(&[engine.address], TEAMS, small);
     let mut asks: Vec<Client> = (0..24).map(|_| gateway.client()).collect();
     for client in &mut asks {
         // Closed with this answer unread, its machine resets the connection.
@@ -312,15 +312,15 @@
         ));
     }
     gateway.signal(Signal::TERM);
-    let (_, log) = gateway.end(millis(6000));
-    add_up(&log);
+    let (_, log) = gateway.wait_for_exit(millis(6000));
+    assert_counters_balance(&log);
     assert!(counter(&log, "queue_client_left") > 0, "{log}");
 }
 
 #[test]
 fn a_burst_of_reports_leaves_lookups_in_their_quoted_time() {
     let engine = engine(30);
-    let gateway = Gateway::operated(&[engine.address], TEAMS, small);
+    let gateway = Gateway::with_operator_file(&[engine.address], TEAMS, small);
     // Reports wait at a desk of their own, of the same member.
     let reports: Vec<_> = (0..40)
         .map(|_| {
@@ -373,7 +373,7 @@
     let teams = format!(
         "queues {{\ndefault_member = \"m0\"\nburst_ms = 100\nageing_ms = 200\n{members}}}\n"
     );
-    let gateway = Gateway::operated(&[engine.address], &teams, |config| {
+    let gateway = Gateway::with_operator_file(&[engine.address], &teams, |config| {
         small(config);
         config["settings"]["Tenants"] = json!([]);
     });
@@ -405,8 +405,8 @@
         assert!(served >= 57, "{served} of 60");
     }
     gateway.signal(Signal::TERM);
-    let (_, log) = gateway.end(millis(6000));
-    add_up(&log);
+    let (_, log) = gateway.wait_for_exit(millis(6000));
+    assert_counters_balance(&log);
     assert_eq!(
         (
             counter(&log, "reloads_failed"),
@@ -419,7 +419,7 @@
 #[test]
 fn reload_changes_teams_under_load_and_a_bad_file_leaves_the_old_ones() {
     let engine = engine(30);
-    let gateway = Gateway::operated(&[engine.address], TEAMS, small);
+    let gateway = Gateway::with_operator_file(&[engine.address], TEAMS, small);
     let counts = Arc::new(Mutex::new(Counts::new()));
     let flood = load(gateway.listen, "water", 30, 0, 3000, &counts);
     let file = gateway.config.with_extension("hcl");
@@ -442,8 +442,8 @@
     joined(flood);
     assert_eq!(counts.lock().unwrap()["water"][2], 0);
     gateway.signal(Signal::TERM);
-    let (_, log) = gateway.end(millis(6000));
-    add_up(&log);
+    let (_, log) = gateway.wait_for_exit(millis(6000));
+    assert_counters_balance(&log);
     assert_eq!(counter(&log, "reloads_failed"), 3, "{log}");
     assert!(log.contains("queues.ageing: unknown field"), "{log}");
 }
@@ -451,7 +451,7 @@
 #[test]
 fn what_waits_when_the_gateway_ends_is_answered_in_the_drain_time() {
     let engine = engine(300);
-    let gateway = Gateway::operated(&[engine.address], TEAMS, small);
+    let gateway = Gateway::with_operator_file(&[engine.address], TEAMS, small);
     let mut asks: Vec<Client> = (0..20).map(|_| gateway.client()).collect();
     asks.iter_mut().for_each(|client| {
         client
@@ -468,15 +468,15 @@
         ));
     }
     assert!(begun.elapsed() < millis(2500));
-    let (status, log) = gateway.end(millis(4000));
+    let (status, log) = gateway.wait_for_exit(millis(4000));
     assert!(status.success());
-    add_up(&log);
+    assert_counters_balance(&log);
 }
 
 #[test]
 fn a_desk_is_named_by_the_comment_or_the_clients_network_and_unknown_ones_are_counted() {
     let engine = engine(1);
-    let gateway = Gateway::operated(
+    let gateway = Gateway::with_operator_file(
         &[engine.address],
         &TEAMS.replace("127.3.0.0/16", "127.0.0.0/8"),
         small,
@@ -493,7 +493,7 @@
     }
     gateway.signal(Signal::TERM);
     assert_eq!(
-        counter(&gateway.end(millis(6000)).1, "sub_queues_unknown"),
+        counter(&gateway.wait_for_exit(millis(6000)).1, "sub_queues_unknown"),
         1
     );
 }
@@ -501,7 +501,7 @@
 #[test]
 fn without_queues_the_status_query_is_one_that_cannot_be_used() {
     let engine = engine(1);
-    let gateway = Gateway::before(&[engine.address]);
+    let gateway = Gateway::start(&[engine.address]);
     let mut client = gateway.client();
     assert!(matches!(
         client.ask("SHOW QUEUE").unwrap(),
--- a/crates/gateway/tests/standing_terms.rs
+++ b/crates/gateway/tests/standing_terms.rs
@@ -18,7 +18,7 @@
 use stand_ins::client::{Client, login_packet, packet, query_packet};
 
 use support::clients::*;
-use support::script::{Link, Script, said};
+use support::script::{EngineConnection, ScriptedEngine, answer_without_rows};
 use support::*;
 
 // Clients that have gone: no attempt may begin more than 0.1 s after a client closed or cancelled.
@@ -29,7 +29,7 @@
 /// Lets the grace pass, while the gateway goes on taking turns; its counters after it.
 fn grace_passes(gateway: &mut Gateway, left: Instant) -> String {
     loop {
-        let counts = gateway.settled();
+        let counts = gateway.settle();
         if left.elapsed() > PAST_GRACE {
             return counts;
         }
@@ -37,10 +37,13 @@
 }
 
 /// The next statement that comes to the engine is that of a client that stands, and no other came before it.
-fn only_who_stands_is_sent(gateway: &Gateway, link: &mut Link, case: &str) {
-    let (mut stands, last) = (gateway.client(), text(LARGE, "SELECT 'last'"));
+fn only_who_stands_is_sent(gateway: &Gateway, link: &mut EngineConnection, case: &str) {
+    let (mut stands, last) = (
+        gateway.client(),
+        tagged_statement(LARGE_MEMORY_MB, "SELECT 'last'"),
+    );
     send(&mut stands, &last);
-    let asked = link.asked();
+    let asked = link.receive_statement();
     assert_eq!(
         asked.id, last.rid,
         "{case}: a statement was sent on after its client had gone"
@@ -50,11 +53,14 @@
 }
 
 /// The same where the engine has no connection yet.
-fn only_who_stands_is_sent_first(gateway: &Gateway, engine: &Script, case: &str) {
-    let (mut stands, last) = (gateway.client(), text(LARGE, "SELECT 'last'"));
+fn only_who_stands_is_sent_first(gateway: &Gateway, engine: &ScriptedEngine, case: &str) {
+    let (mut stands, last) = (
+        gateway.client(),
+        tagged_statement(LARGE_MEMORY_MB, "SELECT 'last'"),
+    );
     send(&mut stands, &last);
     let mut link = engine.accept();
-    let asked = link.asked();
+    let asked = link.receive_statement();
     assert_eq!(
         asked.id, last.rid,
         "{case}: a statement was sent on after its client had gone"
@@ -72,17 +78,21 @@
   burst_ms       = 500
   member "water" { cpu_s_per_s = 4.0 }
 }"#;
-    let cases: Vec<_> = WAYS
+    let cases: Vec<_> = DEPARTURES
         .iter()
         .flat_map(|way| [("line", "", *way), ("queue", QUEUES, *way)])
         .collect();
-    each(&cases, |(place, operator, way)| {
-        let engine = Script::new();
-        let mut gateway = Gateway::operated(&[engine.address], operator, patient);
-        let (_first, mut link, asked) = filled(&gateway, &engine);
+    for_each_concurrently(&cases, |(place, operator, way)| {
+        let engine = ScriptedEngine::new();
+        let mut gateway =
+            Gateway::with_operator_file(&[engine.address], operator, allow_long_waits);
+        let (_first, mut link, asked) = fill_engine(&gateway, &engine);
         let mut waits = gateway.client();
-        send(&mut waits, &text(LARGE, "SELECT 'gone'"));
-        let counts = gateway.settled();
+        send(
+            &mut waits,
+            &tagged_statement(LARGE_MEMORY_MB, "SELECT 'gone'"),
+        );
+        let counts = gateway.settle();
         assert_eq!(
             (counter(&counts, "open"), counter(&counts, "attempts_sent")),
             (2, 1),
@@ -93,7 +103,7 @@
         grace_passes(&mut gateway, left);
         link.complete(&asked);
         only_who_stands_is_sent(&gateway, &mut link, &format!("{place}, {way:?}"));
-        ended(gateway);
+        terminate(gateway);
     });
 }
 
@@ -101,10 +111,13 @@
 /// hand then, and ends by a cancel of its own.
 #[test]
 fn a_statement_behind_another_of_a_client_that_has_gone_is_not_sent() {
-    each(&WAYS, |way| {
-        let engine = Script::new();
-        let mut gateway = Gateway::with(&[engine.address], patient);
-        let (one, two) = (text(LARGE, "SELECT 'one'"), text(LARGE, "SELECT 'behind'"));
+    for_each_concurrently(&DEPARTURES, |way| {
+        let engine = ScriptedEngine::new();
+        let mut gateway = Gateway::with_config(&[engine.address], allow_long_waits);
+        let (one, two) = (
+            tagged_statement(LARGE_MEMORY_MB, "SELECT 'one'"),
+            tagged_statement(LARGE_MEMORY_MB, "SELECT 'behind'"),
+        );
         let mut client = gateway.client();
         let connection = client.connection;
         client
@@ -112,13 +125,13 @@
             .write_all(&[query_packet(&one.query), query_packet(&two.query)].concat())
             .unwrap();
         let mut link = engine.accept();
-        let asked = link.asked();
+        let asked = link.receive_statement();
         assert_eq!(asked.id, one.rid);
-        gateway.settled();
+        gateway.settle();
         let mut left = Instant::now();
         let mut kept = leave(way, client, gateway.listen);
-        if way == Way::Kills {
-            assert_eq!(counter(&gateway.settled(), "client_left"), 1);
+        if way == Departure::KillQuery {
+            assert_eq!(counter(&gateway.settle(), "client_left"), 1);
             left = Instant::now();
             let again = Client {
                 stream: kept.remove(0),
@@ -128,12 +141,12 @@
         }
         grace_passes(&mut gateway, left);
         link.complete(&asked);
-        gateway.settled();
+        gateway.settle();
         only_who_stands_is_sent(&gateway, &mut link, &format!("{way:?}"));
-        let log = ended(gateway);
+        let log = terminate(gateway);
         assert_eq!(
             counter(&log, "client_left"),
-            if way == Way::Kills { 2 } else { 1 },
+            if way == Departure::KillQuery { 2 } else { 1 },
             "{way:?}: {log}"
         );
     });
@@ -142,13 +155,13 @@
 /// It waits for a connection that still comes up.
 #[test]
 fn a_connection_that_comes_up_after_the_grace_carries_nothing_of_who_has_gone() {
-    each(&WAYS, |way| {
-        let deaf = Script::deaf();
-        let mut gateway = Gateway::with(&[deaf.script.address], patient);
+    for_each_concurrently(&DEPARTURES, |way| {
+        let deaf = ScriptedEngine::unreachable();
+        let mut gateway = Gateway::with_config(&[deaf.engine.address], allow_long_waits);
         let mut waits = gateway.client();
-        let gone = text(8, "SELECT 'gone'");
+        let gone = tagged_statement(8, "SELECT 'gone'");
         send(&mut waits, &gone);
-        let counts = gateway.settled();
+        let counts = gateway.settle();
         assert_eq!(
             (
                 counter(&counts, "attempts_sent"),
@@ -160,8 +173,8 @@
         let left = Instant::now();
         let _kept = leave(way, waits, gateway.listen);
         grace_passes(&mut gateway, left);
-        let lines = deaf.hear().listen();
-        let (mut stands, last) = (gateway.client(), text(8, "SELECT 'last'"));
+        let lines = deaf.make_reachable().collect_lines();
+        let (mut stands, last) = (gateway.client(), tagged_statement(8, "SELECT 'last'"));
         send(&mut stands, &last);
         loop {
             let line = lines
@@ -181,29 +194,29 @@
 /// It waits while the only engine drains, for its first attempt or for one after a failure; then another engine comes.
 #[test]
 fn an_engine_that_comes_after_the_grace_gets_nothing_of_who_has_gone() {
-    let cases: Vec<_> = WAYS
+    let cases: Vec<_> = DEPARTURES
         .iter()
         .flat_map(|way| [("first", *way), ("retry", *way)])
         .collect();
-    each(&cases, |(attempt, way)| {
-        let (drains, comes) = (Script::new(), Script::new());
-        let mut gateway = Gateway::with(&[drains.address], patient);
+    for_each_concurrently(&cases, |(attempt, way)| {
+        let (drains, comes) = (ScriptedEngine::new(), ScriptedEngine::new());
+        let mut gateway = Gateway::with_config(&[drains.address], allow_long_waits);
         let terminating = target("e-0", drains.address, "terminating");
         let mut waits = gateway.client();
-        let gone = text(8, "SELECT 'gone'");
+        let gone = tagged_statement(8, "SELECT 'gone'");
         if attempt == "retry" {
             send(&mut waits, &gone);
             let mut link = drains.accept();
-            let asked = link.asked();
+            let asked = link.receive_statement();
             gateway.board.tell(false, vec![terminating]);
-            while counter(&gateway.settled(), "watch_events") < 1 {}
-            link.say(&said(&asked, "WAIT"));
+            while counter(&gateway.settle(), "watch_events") < 1 {}
+            link.send(&answer_without_rows(&asked, "WAIT"));
         } else {
             gateway.board.tell(false, vec![terminating]);
-            while counter(&gateway.settled(), "watch_events") < 1 {}
+            while counter(&gateway.settle(), "watch_events") < 1 {}
             send(&mut waits, &gone);
         }
-        let counts = gateway.settled();
+        let counts = gateway.settle();
         let attempts = if attempt == "retry" { 1 } else { 0 };
         assert_eq!(
             (counter(&counts, "open"), counter(&counts, "attempts_sent")),
@@ -216,30 +229,33 @@
         gateway
             .board
             .tell(false, vec![target("e-1", comes.address, "in_service")]);
-        while counter(&gateway.settled(), "watch_events") < 2 {}
+        while counter(&gateway.settle(), "watch_events") < 2 {}
         only_who_stands_is_sent_first(&gateway, &comes, &format!("{attempt}, {way:?}"));
-        ended(gateway);
+        terminate(gateway);
     });
 }
 
 /// It waits for room while the gateway itself was told to end.
 #[test]
 fn room_that_comes_while_the_gateway_drains_is_not_for_who_has_gone() {
-    each(&WAYS, |way| {
-        let engine = Script::new();
-        let mut gateway = Gateway::with(&[engine.address], patient);
-        let (mut first, mut link, asked) = filled(&gateway, &engine);
+    for_each_concurrently(&DEPARTURES, |way| {
+        let engine = ScriptedEngine::new();
+        let mut gateway = Gateway::with_config(&[engine.address], allow_long_waits);
+        let (mut first, mut link, asked) = fill_engine(&gateway, &engine);
         let mut waits = gateway.client();
-        send(&mut waits, &text(LARGE, "SELECT 'gone'"));
-        gateway.settled();
+        send(
+            &mut waits,
+            &tagged_statement(LARGE_MEMORY_MB, "SELECT 'gone'"),
+        );
+        gateway.settle();
         gateway.signal(Signal::TERM);
-        gateway.says("draining");
+        gateway.wait_for_log("draining");
         let left = Instant::now();
         let _kept = leave(way, waits, gateway.listen);
         grace_passes(&mut gateway, left);
         link.complete(&asked);
         assert_eq!(rows(first.answer().unwrap()).len(), 1, "{way:?}");
-        let (status, log) = gateway.end(millis(8000));
+        let (status, log) = gateway.wait_for_exit(millis(8000));
         assert!(status.success(), "{log}");
         assert_eq!(
             (counter(&log, "attempts_sent"), counter(&log, "client_left")),
@@ -247,10 +263,10 @@
             "{way:?}: {log}"
         );
         assert!(
-            link.line().is_none(),
+            link.read_line().is_none(),
             "{way:?}: sent on after its client had gone"
         );
-        add_up(&log);
+        assert_counters_balance(&log);
     });
 }
 
@@ -259,30 +275,30 @@
 #[test]
 fn who_came_and_went_before_the_gateway_looked_is_not_sent() {
     let of = ["session", "handshake"];
-    let cases: Vec<_> = WAYS
+    let cases: Vec<_> = DEPARTURES
         .iter()
         .flat_map(|way| of.map(|place| (place, *way)))
         .collect();
-    each(&cases, |(place, way)| {
-        if (place, way) == ("handshake", Way::Kills) {
+    for_each_concurrently(&cases, |(place, way)| {
+        if (place, way) == ("handshake", Departure::KillQuery) {
             // Nobody has a number to kill before the greeting.
             return;
         }
-        let engine = Script::new();
-        let mut gateway = Gateway::with(&[engine.address], patient);
-        let gone = text(LARGE, "SELECT 'gone'");
+        let engine = ScriptedEngine::new();
+        let mut gateway = Gateway::with_config(&[engine.address], allow_long_waits);
+        let gone = tagged_statement(LARGE_MEMORY_MB, "SELECT 'gone'");
         let session = (place == "session").then(|| gateway.client());
-        gateway.settled();
-        gateway.stop();
+        gateway.settle();
+        gateway.suspend();
         let mut client = session.unwrap_or_else(|| came_unseen(&gateway));
         send(&mut client, &gone);
         let _kept = leave(way, client, gateway.listen);
         // Nothing else is waited for: time passes while the gateway stands still.
         thread::sleep(PAST_GRACE);
-        gateway.go_on();
-        gateway.settled();
+        gateway.resume();
+        gateway.settle();
         only_who_stands_is_sent_first(&gateway, &engine, &format!("{place}, {way:?}"));
-        ended(gateway);
+        terminate(gateway);
     });
 }
 
@@ -303,68 +319,74 @@
 fn who_gave_up_in_the_backlog_is_not_sent() {
     /// Half the descriptors of the configuration.
     const SESSIONS: usize = 8;
-    each(&[Way::Closes, Way::Shuts, Way::Resets], |way| {
-        let engine = Script::new();
-        let mut gateway = Gateway::with(&[engine.address], |config| {
-            patient(config);
-            config["limits"]["sockets"] = json!(2 * SESSIONS);
-        });
-        // The session that saw it ready is gone before the others come: they are as many as there is room for.
-        let counts = gateway.settled();
-        assert_eq!(counter(&counts, "sessions"), 0, "{counts}");
-        let mut clients: Vec<Client> = (0..SESSIONS).map(|_| gateway.client()).collect();
-        let texts: Vec<Text> = clients
-            .iter()
-            .map(|_| text(LARGE, "SELECT 'held'"))
-            .collect();
-        clients
-            .iter_mut()
-            .zip(&texts)
-            .for_each(|(client, text)| send(client, text));
-        let mut link = engine.accept();
-        let mut asked = link.asked();
-        let counts = gateway.settled();
-        assert_eq!(
-            (counter(&counts, "open"), counter(&counts, "sessions")),
-            (SESSIONS as i64, SESSIONS as i64),
-            "{counts}"
-        );
-        // So small that there is room for it beside the one that runs.
-        let (mut client, gone) = (came_unseen(&gateway), text(8, "SELECT 'gone'"));
-        send(&mut client, &gone);
-        let left = Instant::now();
-        let _kept = leave(way, client, gateway.listen);
-        grace_passes(&mut gateway, left);
-        // Each answer makes room for it, and for the one behind it at the engine.
-        for done in 0..SESSIONS {
-            assert_ne!(
-                asked.id, gone.rid,
-                "{way:?}: sent on after its client had gone"
-            );
-            link.complete(&asked);
-            let whose = texts
+    for_each_concurrently(
+        &[Departure::Close, Departure::HalfClose, Departure::Reset],
+        |way| {
+            let engine = ScriptedEngine::new();
+            let mut gateway = Gateway::with_config(&[engine.address], |config| {
+                allow_long_waits(config);
+                config["limits"]["sockets"] = json!(2 * SESSIONS);
+            });
+            // The session that saw it ready is gone before the others come: they are as many as there is room for.
+            let counts = gateway.settle();
+            assert_eq!(counter(&counts, "sessions"), 0, "{counts}");
+            let mut clients: Vec<Client> = (0..SESSIONS).map(|_| gateway.client()).collect();
+            let texts: Vec<TaggedStatement> = clients
                 .iter()
-                .position(|text| text.rid == asked.id)
-                .expect("one of those held");
-            assert_eq!(rows(clients[whose].answer().unwrap()).len(), 1);
-            gateway.settled();
-            if done + 1 < SESSIONS {
-                asked = link.asked();
+                .map(|_| tagged_statement(LARGE_MEMORY_MB, "SELECT 'held'"))
+                .collect();
+            clients
+                .iter_mut()
+                .zip(&texts)
+                .for_each(|(client, text)| send(client, text));
+            let mut link = engine.accept();
+            let mut asked = link.receive_statement();
+            let counts = gateway.settle();
+            assert_eq!(
+                (counter(&counts, "open"), counter(&counts, "sessions")),
+                (SESSIONS as i64, SESSIONS as i64),
+                "{counts}"
+            );
+            // So small that there is room for it beside the one that runs.
+            let (mut client, gone) = (came_unseen(&gateway), tagged_statement(8, "SELECT 'gone'"));
+            send(&mut client, &gone);
+            let left = Instant::now();
+            let _kept = leave(way, client, gateway.listen);
+            grace_passes(&mut gateway, left);
+            // Each answer makes room for it, and for the one behind it at the engine.
+            for done in 0..SESSIONS {
+                assert_ne!(
+                    asked.id, gone.rid,
+                    "{way:?}: sent on after its client had gone"
+                );
+                link.complete(&asked);
+                let whose = texts
+                    .iter()
+                    .position(|text| text.rid == asked.id)
+                    .expect("one of those held");
+                assert_eq!(rows(clients[whose].answer().unwrap()).len(), 1);
+                gateway.settle();
+                if done + 1 < SESSIONS {
+                    asked = link.receive_statement();
+                }
             }
-        }
-        only_who_stands_is_sent(&gateway, &mut link, &format!("{way:?}"));
-        ended(gateway);
-    });
+            only_who_stands_is_sent(&gateway, &mut link, &format!("{way:?}"));
+            terminate(gateway);
+        },
+    );
 }
 
 /// It stands behind a word that ends its session: the client's own, or a kill of the whole session.
 #[test]
 fn what_stands_behind_the_end_of_a_session_is_not_sent() {
     const QUIT: u8 = 1;
-    each(&["quits", "killed"], |ends| {
-        let engine = Script::new();
-        let mut gateway = Gateway::with(&[engine.address], patient);
-        let (one, gone) = (text(LARGE, "SELECT 'one'"), text(LARGE, "SELECT 'behind'"));
+    for_each_concurrently(&["quits", "killed"], |ends| {
+        let engine = ScriptedEngine::new();
+        let mut gateway = Gateway::with_config(&[engine.address], allow_long_waits);
+        let (one, gone) = (
+            tagged_statement(LARGE_MEMORY_MB, "SELECT 'one'"),
+            tagged_statement(LARGE_MEMORY_MB, "SELECT 'behind'"),
+        );
         let mut client = gateway.client();
         let quit = if ends == "quits" {
             packet(0, &[QUIT])
@@ -374,9 +396,9 @@
         let all = [query_packet(&one.query), quit, query_packet(&gone.query)].concat();
         client.stream.write_all(&all).unwrap();
         let mut link = engine.accept();
-        let asked = link.asked();
+        let asked = link.receive_statement();
         assert_eq!(asked.id, one.rid);
-        gateway.settled();
+        gateway.settle();
         let left = Instant::now();
         if ends == "killed" {
             gateway
@@ -386,9 +408,9 @@
         }
         grace_passes(&mut gateway, left);
         link.complete(&asked);
-        gateway.settled();
+        gateway.settle();
         only_who_stands_is_sent(&gateway, &mut link, ends);
-        ended(gateway);
+        terminate(gateway);
     });
 }
 
@@ -426,10 +448,10 @@
 #[test]
 fn idle_clients_that_fill_the_descriptors_do_not_keep_the_board_out() {
     const DESCRIPTORS: usize = 64;
-    each(&[DESCRIPTORS, 1024], |configured| {
+    for_each_concurrently(&[DESCRIPTORS, 1024], |configured| {
         let (old, new) = (engine(1), engine(1));
         let place = free_address();
-        let mut gateway = Gateway::by(
+        let mut gateway = Gateway::spawned_by(
             spawn_limited::<DESCRIPTORS>,
             &[old.address],
             "",
@@ -439,9 +461,9 @@
             },
         );
         let clients = idle_clients(&gateway, 4 * DESCRIPTORS);
-        let failed = counter(&gateway.settled(), "discovery_polls_failed");
+        let failed = counter(&gateway.settle(), "discovery_polls_failed");
         // It has asked in vain with the descriptors full, and not only before.
-        while counter(&gateway.settled(), "discovery_polls_failed") < failed + 2 {}
+        while counter(&gateway.settle(), "discovery_polls_failed") < failed + 2 {}
         let board = Board::start(&place.to_string()).unwrap();
         board.tell(true, vec![target("e-0", old.address, "in_service")]);
         board.tell(
@@ -453,7 +475,7 @@
         );
         let until = Instant::now() + millis(10_000);
         let mut newcomers = Vec::new();
-        while counter(&gateway.settled(), "watch_events") < 1 {
+        while counter(&gateway.settle(), "watch_events") < 1 {
             assert!(
                 Instant::now() < until,
                 "{configured}: it never came back to the board"
@@ -477,7 +499,7 @@
             new.lines().iter().any(|line| line.starts_with("do ")),
             "{configured}"
         );
-        ended(gateway);
+        terminate(gateway);
     });
 }
 
@@ -495,22 +517,22 @@
         Some(Mood::Closing),
         None,
     ];
-    let engine = Script::new();
+    let engine = ScriptedEngine::new();
     let start = |which: usize| {
         let (mood, known) = (
             moods[which % moods.len()],
             (which / moods.len()).is_multiple_of(2),
         );
-        let mut gateway = Gateway::with(&[engine.address], |config| {
-            patient(config);
+        let mut gateway = Gateway::with_config(&[engine.address], |config| {
+            allow_long_waits(config);
             if mood.is_none() {
                 config["board"] = json!(free_address().to_string());
             }
         });
         mood.into_iter().for_each(|mood| gateway.board.set(mood));
         let mut client = gateway.client();
-        send(&mut client, &text(8, "SELECT 'open'"));
-        gateway.settled();
+        send(&mut client, &tagged_statement(8, "SELECT 'open'"));
+        gateway.settle();
         if !known {
             let mut config: Value =
                 serde_json::from_slice(&std::fs::read(&gateway.config).unwrap()).unwrap();
--- a/crates/gateway/tests/support/faults.rs
+++ b/crates/gateway/tests/support/faults.rs
@@ -22,19 +22,19 @@
 use stand_ins::client::{Answer, Client, login_packet, packet, query_packet};
 use stand_ins::engine::Engine;
 
-use super::{Configured, commented, configure, engine, millis, tell_engines};
+use super::{GatewayConfig, announce_engines, commented, configure, engine, millis};
 
 /// A gateway has to be ready so soon after its start.
-const READY_WITHIN: Duration = Duration::from_secs(10);
+const READY_TIMEOUT: Duration = Duration::from_secs(10);
 /// Budget of each statement: its client is owed an answer by then.
-const BUDGET: Duration = Duration::from_secs(5);
+const STATEMENT_BUDGET: Duration = Duration::from_secs(5);
 /// A line of the log that is waited for comes by then.
-const SAYS_WITHIN: Timespec = Timespec {
+const LOG_LINE_TIMEOUT: Timespec = Timespec {
     tv_sec: 10,
     tv_nsec: 0,
 };
 /// After SIGTERM it ends by then, with no statement open.
-const ENDS_WITHIN: Duration = Duration::from_secs(6);
+const EXIT_TIMEOUT: Duration = Duration::from_secs(6);
 
 const COM_PING: [u8; 1] = [0x0e];
 
@@ -100,7 +100,7 @@
 }
 
 /// Notes the number of each call of the program's own, and changes nothing.
-pub(crate) fn recorded(calls: Arc<Mutex<Vec<c_long>>>) -> impl FaultPlan {
+pub(crate) fn record_calls(calls: Arc<Mutex<Vec<c_long>>>) -> impl FaultPlan {
     let mut own_calls = OwnCalls::default();
     move |call: &SystemCall| {
         if own_calls.contain(call) {
@@ -162,7 +162,7 @@
 }
 
 /// Every second wait of the event loop fails after it took its events: they are lost.
-pub(crate) fn every_second_wait_loses_its_events() -> impl FaultPlan {
+pub(crate) fn lose_events_of_every_second_wait() -> impl FaultPlan {
     let mut own_calls = OwnCalls::default();
     let mut waits: usize = 0;
     let mut has_waited = false;
@@ -183,10 +183,10 @@
 }
 
 /// Reads and writes move one byte each.
-pub(crate) fn byte_by_byte() -> impl FaultPlan {
+pub(crate) fn one_byte_transfers() -> impl FaultPlan {
     let mut own_calls = OwnCalls::default();
     move |call: &SystemCall| {
-        if own_calls.contain(call) && moves_stream_bytes(call) {
+        if own_calls.contain(call) && transfers_stream_bytes(call) {
             Effect::Shorten(1)
         } else {
             Effect::Proceed
@@ -195,30 +195,30 @@
 }
 
 /// Whether the call may move any part of the bytes that it is asked for.
-fn moves_stream_bytes(call: &SystemCall) -> bool {
+fn transfers_stream_bytes(call: &SystemCall) -> bool {
     let moves = [libc::SYS_recvfrom, libc::SYS_sendto].contains(&call.number);
     moves || writes_log(call)
 }
 
 /// Of the calls that may fail, and of the transfers, a part does so, by chance.
-pub(crate) fn by_chance(seed: u64) -> impl FaultPlan {
-    const FAILING_PART: f64 = 0.04;
-    const SHORT_PART: f64 = 0.2;
-    const MAX_SHORT_BYTES: u64 = 8;
+pub(crate) fn random_faults(seed: u64) -> impl FaultPlan {
+    const FAILURE_PROBABILITY: f64 = 0.04;
+    const SHORT_TRANSFER_PROBABILITY: f64 = 0.2;
+    const MAX_SHORT_TRANSFER_BYTES: u64 = 8;
     let mut own_calls = OwnCalls::default();
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     move |call: &SystemCall| {
         if !own_calls.contain(call) {
             return Effect::Proceed;
         }
-        if moves_stream_bytes(call) && rng.random_bool(SHORT_PART) {
-            return Effect::Shorten(rng.random_range(1..=MAX_SHORT_BYTES));
+        if transfers_stream_bytes(call) && rng.random_bool(SHORT_TRANSFER_PROBABILITY) {
+            return Effect::Shorten(rng.random_range(1..=MAX_SHORT_TRANSFER_BYTES));
         }
         let errors = TRANSIENT_ERRORS
             .iter()
             .find(|(number, _)| *number == call.number);
         match errors {
-            Some((_, errors)) if rng.random_bool(FAILING_PART) => {
+            Some((_, errors)) if rng.random_bool(FAILURE_PROBABILITY) => {
                 Effect::Fail(errors[rng.random_range(0..errors.len())])
             }
             _ => Effect::Proceed,
@@ -230,21 +230,21 @@
 const WORKERS: usize = 6;
 
 /// Leads a life for each fault, a few side by side; the faults that broke one, with what was seen.
-pub(crate) fn broken_by<F, P>(faults: &[F], plan: impl Fn(&F) -> P + Sync) -> Vec<String>
+pub(crate) fn lifecycle_failures<F, P>(faults: &[F], plan: impl Fn(&F) -> P + Sync) -> Vec<String>
 where
     F: std::fmt::Debug + Sync,
     P: FaultPlan,
 {
-    let surroundings = Surroundings::new();
+    let environment = TestEnvironment::new();
     let next = AtomicUsize::new(0);
-    let broken = Mutex::new(Vec::new());
+    let failures = Mutex::new(Vec::new());
     let work = || {
         while let Some(fault) = faults.get(next.fetch_add(1, Ordering::Relaxed)) {
-            let life = surroundings.live(plan(fault));
-            if let Err(why) = life.outcome {
-                let last_lines: Vec<&str> = life.log.lines().rev().take(3).collect();
-                let line = format!("{fault:?}: {why}; last lines of its log: {last_lines:?}");
-                broken.lock().unwrap().push(line);
+            let run = environment.run_lifecycle(plan(fault));
+            if let Err(error) = run.outcome {
+                let last_lines: Vec<&str> = run.log.lines().rev().take(3).collect();
+                let line = format!("{fault:?}: {error}; last lines of its log: {last_lines:?}");
+                failures.lock().unwrap().push(line);
             }
         }
     };
@@ -253,18 +253,18 @@
             scope.spawn(work);
         }
     });
-    broken.into_inner().unwrap()
+    failures.into_inner().unwrap()
 }
 
 /// An engine and a discovery service that many gateways share, one after the other or side by side.
-pub(crate) struct Surroundings {
+pub(crate) struct TestEnvironment {
     board: Board,
     _engine: Engine,
 }
 
 /// What a life under faults has come to.
 #[derive(Debug)]
-pub(crate) struct Life {
+pub(crate) struct RunResult {
     pub outcome: Result<(), String>,
     pub log: String,
 }
@@ -279,7 +279,7 @@
     connected: Cell<Instant>,
 }
 
-impl Surroundings {
+impl TestEnvironment {
     pub(crate) fn new() -> Self {
         Self::with_engine(engine(1))
     }
@@ -287,15 +287,15 @@
     /// With this engine, which the list holds from the start.
     pub(crate) fn with_engine(engine: Engine) -> Self {
         let board = Board::start("127.0.0.1:0").unwrap();
-        tell_engines(&board, &[engine.address]);
-        Surroundings {
+        announce_engines(&board, &[engine.address]);
+        TestEnvironment {
             board,
             _engine: engine,
         }
     }
 
     /// Tells an event of the list that describes these engines.
-    pub(crate) fn tell(&self, engines: Vec<Value>) {
+    pub(crate) fn announce(&self, engines: Vec<Value>) {
         self.board.tell(false, engines);
     }
 
@@ -318,13 +318,17 @@
     }
 
     /// Starts a gateway with an operator's file.
-    pub(crate) fn start_operated(&self, plan: impl FaultPlan, operator: &str) -> FaultyGateway {
+    pub(crate) fn start_with_operator_file(
+        &self,
+        plan: impl FaultPlan,
+        operator: &str,
+    ) -> FaultyGateway {
         let configured = configure(&self.board, operator, |_| {});
         self.start_configured(plan, configured)
     }
 
-    fn start_configured(&self, plan: impl FaultPlan, configured: Configured) -> FaultyGateway {
-        let Configured { path, listen } = configured;
+    fn start_configured(&self, plan: impl FaultPlan, configured: GatewayConfig) -> FaultyGateway {
+        let GatewayConfig { path, listen } = configured;
         let process = TracedProcess::spawn(command(&path), plan).unwrap();
         FaultyGateway {
             process,
@@ -337,7 +341,7 @@
 
     /// A whole life under a plan: a start, statements, a reload, counters, a drain and an end. Each client that the machine
     /// has connected gets an answer to all it sends.
-    pub(crate) fn live(&self, plan: impl FaultPlan) -> Life {
+    pub(crate) fn run_lifecycle(&self, plan: impl FaultPlan) -> RunResult {
         let mut gateway = self.start(plan);
         let mut stderr = gateway.process.stderr.take().unwrap();
         let log = std::thread::spawn(move || {
@@ -345,10 +349,10 @@
             let _ = stderr.read_to_string(&mut log);
             log
         });
-        let outcome = gateway.lead_life();
+        let outcome = gateway.run_lifecycle();
         drop(gateway);
         let log = log.join().unwrap();
-        Life { outcome, log }
+        RunResult { outcome, log }
     }
 }
 
@@ -366,29 +370,29 @@
 }
 
 impl FaultyGateway {
-    pub(crate) fn lead_life(&self) -> Result<(), String> {
-        let mut first = self.connect_when_it_listens(&packet(0, &COM_PING))?;
+    pub(crate) fn run_lifecycle(&self) -> Result<(), String> {
+        let mut first = self.connect_when_listening(&packet(0, &COM_PING))?;
         expect_ok(&mut first, "ping")?;
-        ask(&mut first, "first statement")?;
-        let mut second = self.connect_when_it_listens(&query())?;
+        run_statement(&mut first, "first statement")?;
+        let mut second = self.connect_when_listening(&query())?;
         expect_answer(second.answer(), "statement behind its login")?;
         self.process.signal(Signal::SIGHUP);
         self.process.signal(Signal::SIGUSR1);
-        ask(&mut first, "statement after a reload")?;
+        run_statement(&mut first, "statement after a reload")?;
         self.process.signal(Signal::SIGTERM);
-        ask(&mut first, "statement after SIGTERM")?;
+        run_statement(&mut first, "statement after SIGTERM")?;
         drop((first, second));
-        self.expect_end()
+        self.expect_clean_exit()
     }
 
     /// Logs in at once and sends `commands` behind that, as soon as the machine takes a connection.
-    pub(crate) fn connect_when_it_listens(&self, commands: &[u8]) -> Result<Client, String> {
+    pub(crate) fn connect_when_listening(&self, commands: &[u8]) -> Result<Client, String> {
         let both = [&login_packet("app", b"", "warehouse")[..], commands].concat();
         loop {
             self.connected.set(Instant::now());
             match Client::open(self.listen, &both) {
                 Ok(mut client) => {
-                    let timeout = client.stream.set_read_timeout(Some(BUDGET));
+                    let timeout = client.stream.set_read_timeout(Some(STATEMENT_BUDGET));
                     timeout.map_err(|error| error.to_string())?;
                     expect_ok(&mut client, "login")?;
                     return Ok(client);
@@ -399,35 +403,35 @@
             if let Some(end) = self.process.wait(millis(10)) {
                 return Err(format!("ended before it was ready: {end:?}"));
             }
-            if self.started.elapsed() > READY_WITHIN {
+            if self.started.elapsed() > READY_TIMEOUT {
                 return Err("not ready in time".to_owned());
             }
         }
     }
 
     /// How long ago the last connection was begun.
-    pub(crate) fn connected_for(&self) -> Duration {
+    pub(crate) fn time_since_connect(&self) -> Duration {
         self.connected.get().elapsed()
     }
 
     /// Waits until its log has a further line with these words.
-    pub(crate) fn says(&mut self, words: &str) {
+    pub(crate) fn wait_for_log(&mut self, pattern: &str) {
         let stderr = self.process.stderr.as_mut().unwrap();
         let mut line = Vec::new();
         let mut byte = [0];
         // One byte at a time: what follows the line is for the next call.
-        while !(byte == [b'\n'] && String::from_utf8_lossy(&line).contains(words)) {
+        while !(byte == [b'\n'] && String::from_utf8_lossy(&line).contains(pattern)) {
             if byte == [b'\n'] {
                 line.clear();
             }
             let mut watched = [PollFd::new(&*stderr, PollFlags::IN)];
-            let ready = poll(&mut watched, Some(&SAYS_WITHIN)).unwrap();
+            let ready = poll(&mut watched, Some(&LOG_LINE_TIMEOUT)).unwrap();
             let read = if ready > 0 {
                 stderr.read(&mut byte).unwrap()
             } else {
                 0
             };
-            assert!(read > 0, "never said {words:?}");
+            assert!(read > 0, "never said {pattern:?}");
             line.extend(byte);
         }
     }
@@ -436,8 +440,8 @@
         self.process.signal(signal);
     }
 
-    pub(crate) fn expect_end(&self) -> Result<(), String> {
-        match self.process.wait(ENDS_WITHIN) {
+    pub(crate) fn expect_clean_exit(&self) -> Result<(), String> {
+        match self.process.wait(EXIT_TIMEOUT) {
             Some(ProcessEnd::Exited(0)) => Ok(()),
             Some(end) => Err(format!("ended by {end:?}")),
             None => Err("did not end after SIGTERM".to_owned()),
@@ -454,30 +458,30 @@
 }
 
 pub(crate) fn query() -> Vec<u8> {
-    query_packet(&commented(BUDGET.as_millis() as u64, "SELECT 1"))
+    query_packet(&commented(STATEMENT_BUDGET.as_millis() as u64, "SELECT 1"))
 }
 
 /// Sends a statement and waits for its answer.
-pub(crate) fn ask(client: &mut Client, what: &str) -> Result<(), String> {
+pub(crate) fn run_statement(client: &mut Client, step: &str) -> Result<(), String> {
     client
         .stream
         .write_all(&query())
-        .map_err(|error| format!("{what}: not taken: {error}"))?;
-    expect_answer(client.answer(), what)
+        .map_err(|error| format!("{step}: not taken: {error}"))?;
+    expect_answer(client.answer(), step)
 }
 
 /// Any answer is one: rows, a rejection or a failure.
-fn expect_answer(answer: io::Result<Answer>, what: &str) -> Result<(), String> {
+fn expect_answer(answer: io::Result<Answer>, step: &str) -> Result<(), String> {
     answer
         .map(drop)
-        .map_err(|error| format!("{what}: no answer: {error}"))
+        .map_err(|error| format!("{step}: no answer: {error}"))
 }
 
-fn expect_ok(client: &mut Client, what: &str) -> Result<(), String> {
+fn expect_ok(client: &mut Client, step: &str) -> Result<(), String> {
     match client.answer() {
         Ok(Answer::Ok) => Ok(()),
-        Ok(other) => Err(format!("{what}: {other:?}")),
-        Err(error) => Err(format!("{what}: no answer: {error}")),
+        Ok(other) => Err(format!("{step}: {other:?}")),
+        Err(error) => Err(format!("{step}: no answer: {error}")),
     }
 }
 
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -31,7 +31,7 @@
     lines: Option<Receiver<String>>,
 }
 
-pub(crate) static RUNS: AtomicU32 = AtomicU32::new(0);
+pub(crate) static NEXT_RUN: AtomicU32 = AtomicU32::new(0);
 
 pub(crate) fn millis(ms: u64) -> Duration {
     Duration::from_millis(ms)
@@ -39,7 +39,7 @@
 
 /// An address of this run's own: a port that was free a moment ago may be another test's by now.
 pub(crate) fn free_address() -> SocketAddr {
-    let [high, low] = (1 + RUNS.fetch_add(1, Ordering::Relaxed) as u16).to_be_bytes();
+    let [high, low] = (1 + NEXT_RUN.fetch_add(1, Ordering::Relaxed) as u16).to_be_bytes();
     let run = 64 + (std::process::id() % 128) as u8;
     SocketAddr::from(([127, run, high, low], 7000))
 }
@@ -64,13 +64,13 @@
 }
 
 /// A configuration that was written for one gateway.
-pub(crate) struct Configured {
+pub(crate) struct GatewayConfig {
     pub path: PathBuf,
     pub listen: SocketAddr,
 }
 
 /// Lists these engines, and no others.
-pub(crate) fn tell_engines(board: &Board, engines: &[SocketAddr]) {
+pub(crate) fn announce_engines(board: &Board, engines: &[SocketAddr]) {
     let names = engines.iter().enumerate();
     let targets = names.map(|(at, address)| target(&format!("e-{at}"), *address, "in_service"));
     board.tell(true, targets.collect());
@@ -81,7 +81,7 @@
     board: &Board,
     operator: &str,
     change: impl FnOnce(&mut Value),
-) -> Configured {
+) -> GatewayConfig {
     let listen = free_address();
     let mut config: Value =
         serde_json::from_str(include_str!("../../../../examples/config.json")).unwrap();
@@ -89,43 +89,43 @@
     config["board"] = json!(board.address.to_string());
     config["known"] = board.known();
     change(&mut config);
-    let run = RUNS.fetch_add(1, Ordering::Relaxed);
+    let run = NEXT_RUN.fetch_add(1, Ordering::Relaxed);
     let path = std::env::temp_dir().join(format!("laurelhitch-{}-{run}.json", std::process::id()));
     std::fs::write(&path, config.to_string()).unwrap();
     if !operator.is_empty() {
         std::fs::write(path.with_extension("hcl"), operator).unwrap();
     }
-    Configured { path, listen }
+    GatewayConfig { path, listen }
 }
 
 impl Gateway {
-    pub(crate) fn before(engines: &[SocketAddr]) -> Self {
-        Self::with(engines, |_| {})
+    pub(crate) fn start(engines: &[SocketAddr]) -> Self {
+        Self::with_config(engines, |_| {})
     }
 
     /// Starts one that knows these engines, and waits until it answers.
-    pub(crate) fn with(engines: &[SocketAddr], change: impl FnOnce(&mut Value)) -> Self {
-        Self::by(spawn, engines, "", change)
+    pub(crate) fn with_config(engines: &[SocketAddr], change: impl FnOnce(&mut Value)) -> Self {
+        Self::spawned_by(spawn, engines, "", change)
     }
 
     /// The same with an operator's file.
-    pub(crate) fn operated(
+    pub(crate) fn with_operator_file(
         engines: &[SocketAddr],
         operator: &str,
         change: impl FnOnce(&mut Value),
     ) -> Self {
-        Self::by(spawn, engines, operator, change)
+        Self::spawned_by(spawn, engines, operator, change)
     }
 
-    pub(crate) fn by(
+    pub(crate) fn spawned_by(
         spawn: fn(&Path) -> Child,
         engines: &[SocketAddr],
         operator: &str,
         change: impl FnOnce(&mut Value),
     ) -> Self {
         let board = Board::start("127.0.0.1:0").unwrap();
-        tell_engines(&board, engines);
-        let Configured { path, listen } = configure(&board, operator, change);
+        announce_engines(&board, engines);
+        let GatewayConfig { path, listen } = configure(&board, operator, change);
         let (log, lines) = (String::new(), None);
         let gateway = Gateway {
             child: spawn(&path),
@@ -140,52 +140,52 @@
     }
 
     /// Waits for its next line that holds these words.
-    pub(crate) fn says(&mut self, words: &str) -> String {
-        if let Some(said) = self.child.stderr.take() {
-            let (tell, lines) = channel();
+    pub(crate) fn wait_for_log(&mut self, pattern: &str) -> String {
+        if let Some(stderr) = self.child.stderr.take() {
+            let (sender, lines) = channel();
             thread::spawn(move || {
-                BufReader::new(said)
+                BufReader::new(stderr)
                     .lines()
                     .map_while(Result::ok)
-                    .try_for_each(|line| tell.send(line))
+                    .try_for_each(|line| sender.send(line))
             });
             self.lines = Some(lines);
         }
         loop {
             let line = self.lines.as_ref().unwrap().recv_timeout(millis(10_000));
-            let line = line.unwrap_or_else(|_| panic!("never said {words:?}: {}", self.log));
+            let line = line.unwrap_or_else(|_| panic!("never said {pattern:?}: {}", self.log));
             self.log += &format!("{line}\n");
-            if line.contains(words) {
+            if line.contains(pattern) {
                 return line;
             }
         }
     }
 
     /// Its counters by now.
-    pub(crate) fn counts(&mut self) -> String {
+    pub(crate) fn print_counters(&mut self) -> String {
         self.signal(Signal::USR1);
-        self.says("counters:")
+        self.wait_for_log("counters:")
     }
 
     /// All that had reached its machine before this call was read and worked off: a turn prints its counters before it
     /// reads, so between two prints lies a whole one.
-    pub(crate) fn settled(&mut self) -> String {
-        self.counts();
-        self.counts()
+    pub(crate) fn settle(&mut self) -> String {
+        self.print_counters();
+        self.print_counters()
     }
 
     /// Stands still from here on: what comes meanwhile meets it in one turn.
-    pub(crate) fn stop(&self) {
+    pub(crate) fn suspend(&self) {
         self.signal(Signal::STOP);
-        self.until_state('T');
+        self.wait_for_state('T');
     }
 
-    pub(crate) fn go_on(&self) {
+    pub(crate) fn resume(&self) {
         self.signal(Signal::CONT);
     }
 
-    fn until_state(&self, state: char) {
-        let until = Instant::now() + millis(10_000);
+    fn wait_for_state(&self, state: char) {
+        let deadline = Instant::now() + millis(10_000);
         let stat = || std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).unwrap();
         while !stat()
             .rsplit(')')
@@ -194,20 +194,20 @@
             .trim_start()
             .starts_with(state)
         {
-            assert!(Instant::now() < until, "never in state {state}");
+            assert!(Instant::now() < deadline, "never in state {state}");
             thread::yield_now();
         }
     }
 
     pub(crate) fn wait_ready(&self) {
-        let until = Instant::now() + millis(10_000);
+        let deadline = Instant::now() + millis(10_000);
         // Where callers are to be known, a word that TLS is required is readiness enough.
         let ready = || match Client::login(self.listen).and_then(|mut client| client.ping()) {
             Ok(_) => true,
             Err(error) => error.to_string().contains("3159"),
         };
         while !ready() {
-            assert!(Instant::now() < until, "never ready");
+            assert!(Instant::now() < deadline, "never ready");
             sleep(millis(10));
         }
     }
@@ -221,13 +221,13 @@
     }
 
     /// Its end, and all it logged.
-    pub(crate) fn end(mut self, within: Duration) -> (ExitStatus, String) {
-        let until = Instant::now() + within;
+    pub(crate) fn wait_for_exit(mut self, timeout: Duration) -> (ExitStatus, String) {
+        let deadline = Instant::now() + timeout;
         let status = loop {
             if let Some(status) = self.child.try_wait().unwrap() {
                 break status;
             }
-            assert!(Instant::now() < until, "still running");
+            assert!(Instant::now() < deadline, "still running");
             sleep(millis(5));
         };
         let mut log = std::mem::take(&mut self.log);
@@ -256,7 +256,7 @@
 }
 
 pub(crate) fn commented(budget_ms: u64, statement: &str) -> String {
-    let rid = RUNS.fetch_add(1, Ordering::Relaxed);
+    let rid = NEXT_RUN.fetch_add(1, Ordering::Relaxed);
     format!(
         "/* method=point,rid={rid:016x},budget={budget_ms},acct=water,est=12.0,mem=8 */ {statement}"
     )
@@ -286,7 +286,7 @@
         .unwrap_or_else(|| panic!("no {name} in {line}"))
 }
 
-pub(crate) fn add_up(log: &str) {
+pub(crate) fn assert_counters_balance(log: &str) {
     let sum = |names: &[&str]| names.iter().map(|name| counter(log, name)).sum::<i64>();
     assert_eq!(
         (
--- a/crates/gateway/tests/system_calls.rs
+++ b/crates/gateway/tests/system_calls.rs
@@ -27,8 +27,8 @@
 /// Each call that a life without faults makes, with each error that it may return for a moment.
 fn single_faults() -> Vec<SingleFault> {
     let calls = Arc::new(Mutex::new(Vec::new()));
-    let life = Surroundings::new().live(recorded(calls.clone()));
-    life.outcome.unwrap();
+    let run = TestEnvironment::new().run_lifecycle(record_calls(calls.clone()));
+    run.outcome.unwrap();
     let mut occurrences: BTreeMap<c_long, usize> = BTreeMap::new();
     for number in calls.lock().unwrap().iter() {
         *occurrences.entry(*number).or_default() += 1;
@@ -53,13 +53,13 @@
 fn no_single_failure_of_a_system_call_ends_the_gateway_or_loses_a_statement() {
     let faults = single_faults();
     assert!(faults.len() > 100, "{} faults", faults.len());
-    let broken = broken_by(&faults, |fault| fault.plan());
+    let failures = lifecycle_failures(&faults, |fault| fault.plan());
     assert!(
-        broken.is_empty(),
+        failures.is_empty(),
         "{} of {}:\n{}",
-        broken.len(),
+        failures.len(),
         faults.len(),
-        broken.join("\n")
+        failures.join("\n")
     );
 }
 
@@ -118,43 +118,43 @@
         lasting(libc::SYS_write, Errno::EAGAIN),
         lasting(libc::SYS_write, Errno::ENOSPC),
     ];
-    let broken = broken_by(&faults, |fault| fault.plan());
-    assert!(broken.is_empty(), "{}", broken.join("\n"));
+    let failures = lifecycle_failures(&faults, |fault| fault.plan());
+    assert!(failures.is_empty(), "{}", failures.join("\n"));
 }
 
 #[test]
 fn a_client_whose_connection_could_not_be_accepted_at_once_is_served_soon() {
     // Without an answer of the discovery service nothing else wakes the gateway for a second and a half.
     const SOON: Duration = Duration::from_secs(1);
-    let surroundings = Surroundings::new();
-    surroundings.silence_discovery();
-    let further_errors = [Errno::EMFILE, Errno::ENOMEM, Errno::EHOSTUNREACH];
-    for errno in ACCEPT_ERRORS.iter().copied().chain(further_errors) {
+    let environment = TestEnvironment::new();
+    environment.silence_discovery();
+    let additional_errors = [Errno::EMFILE, Errno::ENOMEM, Errno::EHOSTUNREACH];
+    for errno in ACCEPT_ERRORS.iter().copied().chain(additional_errors) {
         let is_accept = |call: &SystemCall| call.number == libc::SYS_accept4;
         let first_fails = move |occurrence| match occurrence {
             1 => Effect::Fail(errno),
             _ => Effect::Proceed,
         };
-        let gateway = surroundings.start(by_occurrence(is_accept, first_fails));
-        let mut client = gateway.connect_when_it_listens(&query()).unwrap();
+        let gateway = environment.start(by_occurrence(is_accept, first_fails));
+        let mut client = gateway.connect_when_listening(&query()).unwrap();
         client.answer().unwrap();
-        let waited = gateway.connected_for();
+        let waited = gateway.time_since_connect();
         assert!(waited < SOON, "{errno}: answered after {waited:?}");
     }
 }
 
 #[test]
 fn a_gateway_whose_waits_lose_their_events_still_serves() {
-    let life = Surroundings::new().live(every_second_wait_loses_its_events());
-    life.outcome.unwrap();
-    assert!(counter(&life.log, "event_loop_failures") > 0);
+    let run = TestEnvironment::new().run_lifecycle(lose_events_of_every_second_wait());
+    run.outcome.unwrap();
+    assert!(counter(&run.log, "event_loop_failures") > 0);
 }
 
 #[test]
 fn transfers_of_one_byte_each_lose_nothing() {
-    let life = Surroundings::new().live(byte_by_byte());
-    life.outcome.unwrap();
-    assert_eq!(counter(&life.log, "log_lines_lost"), 0, "{}", life.log);
+    let run = TestEnvironment::new().run_lifecycle(one_byte_transfers());
+    run.outcome.unwrap();
+    assert_eq!(counter(&run.log, "log_lines_lost"), 0, "{}", run.log);
 }
 
 #[test]
@@ -165,27 +165,27 @@
         2..=4 => Effect::Fail(Errno::EMFILE),
         _ => Effect::Proceed,
     };
-    let life = Surroundings::new().live(by_occurrence(is_open, reload_fails));
-    life.outcome.unwrap();
+    let run = TestEnvironment::new().run_lifecycle(by_occurrence(is_open, reload_fails));
+    run.outcome.unwrap();
     let reloads = (
-        counter(&life.log, "reloads"),
-        counter(&life.log, "reloads_failed"),
+        counter(&run.log, "reloads"),
+        counter(&run.log, "reloads_failed"),
     );
-    assert_eq!(reloads, (1, 0), "{}", life.log);
+    assert_eq!(reloads, (1, 0), "{}", run.log);
 }
 
 #[test]
 fn a_configuration_that_is_half_written_is_read_once_it_is_whole() {
-    let surroundings = Surroundings::new();
-    let mut gateway = surroundings.start(|_: &SystemCall| Effect::Proceed);
-    drop(gateway.connect_when_it_listens(&[]).unwrap());
+    let environment = TestEnvironment::new();
+    let mut gateway = environment.start(|_: &SystemCall| Effect::Proceed);
+    drop(gateway.connect_when_listening(&[]).unwrap());
     let whole = std::fs::read(&gateway.config).unwrap();
     for length in [0, whole.len() / 2] {
         std::fs::write(&gateway.config, &whole[..length]).unwrap();
         gateway.signal(process_harness::system_calls::Signal::SIGHUP);
-        gateway.says("reload: tried again");
+        gateway.wait_for_log("reload: tried again");
         std::fs::write(&gateway.config, &whole).unwrap();
-        gateway.says("configuration read again");
+        gateway.wait_for_log("configuration read again");
     }
 }
 
@@ -203,9 +203,9 @@
         3 => Effect::Fail(Errno::EIO),
         _ => Effect::Proceed,
     };
-    let life = Surroundings::new().live(by_occurrence(reads_signal, half_a_record));
-    life.outcome.unwrap();
-    assert_eq!(counter(&life.log, "reloads"), 1, "{}", life.log);
+    let run = TestEnvironment::new().run_lifecycle(by_occurrence(reads_signal, half_a_record));
+    run.outcome.unwrap();
+    assert_eq!(counter(&run.log, "reloads"), 1, "{}", run.log);
 }
 
 /// The start's first connection is that of its first poll, and the first client's address comes soon after.
@@ -217,19 +217,19 @@
         argument: 2,
         bytes: 4,
     };
-    let life = Surroundings::new().live(by_occurrence(tells_address, cut));
-    life.outcome.unwrap();
+    let run = TestEnvironment::new().run_lifecycle(by_occurrence(tells_address, cut));
+    run.outcome.unwrap();
 }
 
 #[test]
 fn a_start_that_waits_for_the_machine_heeds_sigterm() {
     let is_open = |call: &SystemCall| call.number == libc::SYS_openat;
     let never = |_| Effect::Fail(Errno::ENFILE);
-    let surroundings = Surroundings::new();
-    let mut gateway = surroundings.start(by_occurrence(is_open, never));
-    gateway.says("it is tried again");
+    let environment = TestEnvironment::new();
+    let mut gateway = environment.start(by_occurrence(is_open, never));
+    gateway.wait_for_log("it is tried again");
     gateway.signal(process_harness::system_calls::Signal::SIGTERM);
-    gateway.expect_end().unwrap();
+    gateway.expect_clean_exit().unwrap();
 }
 
 #[test]
@@ -238,24 +238,24 @@
         2..=3 => Effect::Fail(Errno::ENOSPC),
         _ => Effect::Proceed,
     };
-    let life = Surroundings::new().live(by_occurrence(writes_log, some_fail));
-    life.outcome.unwrap();
+    let run = TestEnvironment::new().run_lifecycle(by_occurrence(writes_log, some_fail));
+    run.outcome.unwrap();
     let notice = "log: 2 lines could not be written\n";
-    assert!(life.log.contains(notice), "{}", life.log);
-    assert_eq!(counter(&life.log, "log_lines_lost"), 2);
+    assert!(run.log.contains(notice), "{}", run.log);
+    assert_eq!(counter(&run.log, "log_lines_lost"), 2);
 }
 
 #[test]
 fn failures_by_chance_lose_no_statement() {
     let seeds: Vec<u64> = (1..=24).collect();
-    let broken = broken_by(&seeds, |seed| by_chance(*seed));
-    assert!(broken.is_empty(), "{}", broken.join("\n"));
+    let failures = lifecycle_failures(&seeds, |seed| random_faults(*seed));
+    assert!(failures.is_empty(), "{}", failures.join("\n"));
 }
 
 /// A sub-command that prints more than a line, with its standard output there.
 fn print_to(stdout: OwnedFd) -> Output {
     let board = Board::start("127.0.0.1:0").unwrap();
-    let Configured { path, .. } = configure(&board, "", |_| {});
+    let GatewayConfig { path, .. } = configure(&board, "", |_| {});
     let output = Command::new(env!("CARGO_BIN_EXE_laurelhitch"))
         .arg("check")
         .arg(&path)
@@ -325,8 +325,8 @@
     let (log, _kept) = unwritable(kind);
     let engine = engine(1);
     let board = Board::start("127.0.0.1:0").unwrap();
-    tell_engines(&board, &[engine.address]);
-    let Configured { path, listen } = configure(&board, "", |_| {});
+    announce_engines(&board, &[engine.address]);
+    let GatewayConfig { path, listen } = configure(&board, "", |_| {});
     let mut child = Command::new(env!("CARGO_BIN_EXE_laurelhitch"))
         .env("RELAY_CONFIG", &path)
         .stderr(Stdio::from(log))
@@ -341,11 +341,12 @@
             Ok(mut client) => {
                 signal(&child, Signal::USR1);
                 signal(&child, Signal::HUP);
-                let mut answered = ask(&mut client, "a statement after a signal");
+                let mut answered = run_statement(&mut client, "a statement after a signal");
                 signal(&child, Signal::TERM);
-                answered = answered.and_then(|()| ask(&mut client, "a statement after SIGTERM"));
+                answered =
+                    answered.and_then(|()| run_statement(&mut client, "a statement after SIGTERM"));
                 drop(client);
-                break answered.map_err(|why| format!("{kind:?}: {why}"));
+                break answered.map_err(|error| format!("{kind:?}: {error}"));
             }
             Err(_) if Instant::now() > until => break Err(format!("{kind:?}: never ready")),
             Err(_) => pause(),
@@ -378,9 +379,9 @@
         Unwritable::FullPipe,
         Unwritable::FullPipeThatBlocks,
     ];
-    let broken: Vec<String> = kinds
+    let failures: Vec<String> = kinds
         .into_iter()
         .filter_map(|kind| serve_with_log(kind).err())
         .collect();
-    assert!(broken.is_empty(), "{}", broken.join("\n"));
+    assert!(failures.is_empty(), "{}", failures.join("\n"));
 }
