--- a/crates/gateway/tests/identity.rs
+++ b/crates/gateway/tests/identity.rs
@@ -35,7 +35,7 @@
 
 impl Site {
     fn new() -> Site {
-        let run = RUNS.fetch_add(1, Ordering::Relaxed);
+        let run = NEXT_ID.fetch_add(1, Ordering::Relaxed);
         let folder =
             std::env::temp_dir().join(format!("laurelhitch-site-{}-{run}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
--- a/crates/gateway/tests/queues.rs
+++ b/crates/gateway/tests/queues.rs
@@ -45,7 +45,7 @@
 fn text(member: &str, desk: &str, budget_ms: u64) -> (String, String) {
     let rid = format!(
         "{:016x}",
-        RUNS.fetch_add(1, std::sync::atomic::Ordering::Relaxed)
+        NEXT_ID.fetch_add(1, std::sync::atomic::Ordering::Relaxed)
     );
     let desk = if desk.is_empty() {
         String::new()
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -31,7 +31,7 @@
     lines: Option<Receiver<String>>,
 }
 
-pub(crate) static NEXT_RUN: AtomicU32 = AtomicU32::new(0);
+pub(crate) static NEXT_ID: AtomicU32 = AtomicU32::new(0);
 
 pub(crate) fn millis(ms: u64) -> Duration {
     Duration::from_millis(ms)
@@ -39,7 +39,7 @@
 
 /// An address of this run's own: a port that was free a moment ago may be another test's by now.
 pub(crate) fn free_address() -> SocketAddr {
-    let [high, low] = (1 + NEXT_RUN.fetch_add(1, Ordering::Relaxed) as u16).to_be_bytes();
+    let [high, low] = (1 + NEXT_ID.fetch_add(1, Ordering::Relaxed) as u16).to_be_bytes();
     let run = 64 + (std::process::id() % 128) as u8;
     SocketAddr::from(([127, run, high, low], 7000))
 }
@@ -89,7 +89,7 @@
     config["board"] = json!(board.address.to_string());
     config["known"] = board.known();
     change(&mut config);
-    let run = NEXT_RUN.fetch_add(1, Ordering::Relaxed);
+    let run = NEXT_ID.fetch_add(1, Ordering::Relaxed);
     let path = std::env::temp_dir().join(format!("laurelhitch-{}-{run}.json", std::process::id()));
     std::fs::write(&path, config.to_string()).unwrap();
     if !operator.is_empty() {
@@ -256,7 +256,7 @@
 }
 
 pub(crate) fn commented(budget_ms: u64, statement: &str) -> String {
-    let rid = NEXT_RUN.fetch_add(1, Ordering::Relaxed);
+    let rid = NEXT_ID.fetch_add(1, Ordering::Relaxed);
     format!(
         "/* method=point,rid={rid:016x},budget={budget_ms},acct=water,est=12.0,mem=8 */ {statement}"
     )
