--- a/crates/gateway/src/service/attempts.rs
+++ b/crates/gateway/src/service/attempts.rs
@@ -1,4 +1,5 @@
-//! Attempts of statements at engines: what the decisions order goes out, and reports of engines come back.
+//! The attempts of statements: sends the attempts that the scheduler orders, and handles the
+//! reports of engines about them.
 
 use admission::interface::{AttemptEvent, AttemptNumber, StatementId, TimeDelta, Timestamp};
 use dispatch::{AttemptOrder, Decision, FollowUp};
@@ -8,17 +9,17 @@
 use crate::cluster::{AttemptCharge, ClusterEndpoint};
 use crate::engines::{AttemptUpdate, OutgoingAttempt};
 
-/// Whether engines reported anything.
+/// Whether a call handled any report of an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ReportsRead {
     /// At least one report was handled.
     Some,
-    /// There was none.
+    /// There was no report.
     None,
 }
 
 impl Service {
-    /// Handles the reports of engines until there are none.
+    /// Handles reports of engines until no more are pending.
     pub(super) fn read_reports(&mut self, now: Timestamp) -> ReportsRead {
         let mut read = ReportsRead::None;
         loop {
@@ -60,7 +61,8 @@
         let class = statement.class;
         let lost = ended && !completed && event != AttemptEvent::Cancelled;
         if lost && is_answer_owed {
-            // A retry may be wanted: the share of the retry budget that this gateway leases grows by it.
+            // The statement may be retried, so this counts towards the share of the retry budget
+            // that this gateway asks for in its next lease.
             if let Some(leases) = self
                 .cluster
                 .as_mut()
@@ -89,6 +91,7 @@
         self.close_if_done(id);
     }
 
+    /// Carries out a decision of the scheduler about a statement.
     pub(super) fn follow_decision(&mut self, now: Timestamp, id: StatementId, decision: Decision) {
         match decision {
             Decision::Queued => {}
@@ -116,7 +119,7 @@
                 .and_then(ClusterEndpoint::quota_leases)
             && !leases.charge(charge)
         {
-            self.take_back_unleased(now, id, order.attempt);
+            self.requeue_unleased(now, id, order.attempt);
             return;
         }
         statement.in_flight.push(order.attempt);
@@ -129,7 +132,7 @@
             engine: order.engine,
             request_id: statement.request_id,
             class: self.catalog.class_name(statement.class),
-            keys: &statement.tags,
+            keys: &statement.keys,
             text: &statement.text,
             deadline,
             priority: order.priority,
@@ -147,8 +150,9 @@
         statement.connections.extend(connection);
     }
 
-    /// The lease that an attempt was to be sent on ended before it was sent: it is queued again, as one never sent.
-    fn take_back_unleased(&mut self, now: Timestamp, id: StatementId, attempt: AttemptNumber) {
+    /// Reports an attempt as never sent because the lease on the quota that it needs ended first.
+    /// The scheduler then queues the statement again, or ends it.
+    fn requeue_unleased(&mut self, now: Timestamp, id: StatementId, attempt: AttemptNumber) {
         let answered = false;
         let follow_up = self.scheduler.report(
             now,
@@ -174,7 +178,7 @@
     )
 }
 
-/// The same event, without what its engine says of the work it took.
+/// Returns the event without the CPU time and memory that the engine reported.
 fn without_usage(event: AttemptEvent) -> AttemptEvent {
     match event {
         AttemptEvent::Completed { .. } => AttemptEvent::Completed {
--- a/crates/gateway/src/service/callers.rs
+++ b/crates/gateway/src/service/callers.rs
@@ -1,4 +1,5 @@
-//! Who a session belongs to: tokens at login and at renewal, verified again for each statement.
+//! Authentication of callers. A session presents a token at login and at each renewal, and the
+//! token is verified again for each statement.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -15,27 +16,28 @@
 use crate::clock::unix_now;
 use crate::counters::Counters;
 
-/// The callers of this gateway: how they are authenticated, and how many statements each has open.
+/// The callers of this gateway: the verifier of their tokens, and the number of open statements of
+/// each.
 #[derive(Default)]
 pub(super) struct Callers {
-    /// None: callers are not authenticated.
+    /// `None` if callers are not authenticated.
     pub verifier: Option<TokenVerifier>,
-    /// Callers without an open statement have no entry.
+    /// Open statements by caller. A caller without an open statement has no entry.
     open_statements: BTreeMap<String, u32>,
 }
 
 impl Callers {
-    /// How many statements a caller has open.
+    /// Returns the number of statements that a caller has open.
     pub(super) fn open_statements(&self, caller: &str) -> u32 {
         self.open_statements.get(caller).copied().unwrap_or(0)
     }
 
-    /// A statement of this caller was opened.
+    /// Counts a statement that this caller opened.
     pub(super) fn on_statement_opened(&mut self, caller: &str) {
         *self.open_statements.entry(caller.to_owned()).or_default() += 1;
     }
 
-    /// A statement of this caller was closed.
+    /// Removes a closed statement of this caller from its count.
     pub(super) fn on_statement_closed(&mut self, caller: &str) {
         let Some(open) = self.open_statements.get_mut(caller) else {
             return;
@@ -46,10 +48,10 @@
         }
     }
 
-    /// What the token of a statement's session says of its caller; none where callers are not authenticated.
+    /// Verifies a session's token and returns its claims; `None` if callers are not authenticated.
     ///
     /// # Errors
-    /// There is no token, or it is not accepted now.
+    /// The session has no token, or its token is not accepted at present.
     pub(super) fn authenticate(
         &mut self,
         token: Option<&str>,
@@ -74,17 +76,18 @@
 }
 
 impl Service {
-    /// From now on callers are authenticated, by this verifier.
+    /// Authenticates callers with this verifier from now on.
     pub fn set_token_verifier(&mut self, verifier: TokenVerifier) {
         self.callers.verifier = Some(verifier);
     }
 
-    /// What authenticates callers, where they are authenticated.
+    /// Returns the verifier of tokens; `None` if callers are not authenticated.
     pub fn token_verifier(&mut self) -> Option<&mut TokenVerifier> {
         self.callers.verifier.as_mut()
     }
 
-    /// A token at login or later: only one that is accepted now replaces the session's token.
+    /// Handles a token that a session presents at login or at a renewal. It replaces the session's
+    /// token only if it is accepted and allows the client's address.
     pub(super) fn on_token(
         &mut self,
         now: Timestamp,
--- a/crates/gateway/src/service/catalog.rs
+++ b/crates/gateway/src/service/catalog.rs
@@ -1,26 +1,29 @@
-//! What the settings tell of statements: the names that they may use, and how many may be open.
+//! The settings that statements are checked against: the names of query classes and tenants, and
+//! the limit on open statements.
 
 use admission::interface::{ClassId, TenantId};
 use settings::{Settings, SettingsError};
 
 use super::error::StatementError;
 
-/// Names of query classes and tenants, by their index, and limits of the settings.
+/// The names of query classes and tenants, each at the index that is its id, and related settings.
 pub(super) struct Catalog {
     classes: Vec<String>,
-    /// Empty where there are no tenants.
+    /// Empty if the settings define no tenants.
     tenants: Vec<String>,
-    /// Statements that may be open at the same time.
+    /// The maximum number of statements that may be open at the same time.
     pub max_open_statements: usize,
-    /// Answers of engines tell the work that they took.
+    /// Whether engines report the CPU time and memory of completed statements.
     pub answers_report_usage: bool,
-    /// Gateways before the same engines, this one among them.
+    /// The number of gateways that use the same engines, including this one.
     pub peers: f64,
 }
 
 impl Catalog {
+    /// Reads the catalog from the settings.
+    ///
     /// # Errors
-    /// A setting is missing or cannot be used.
+    /// A setting is missing or invalid.
     pub(super) fn new(settings: &Settings) -> Result<Self, SettingsError> {
         Ok(Catalog {
             peers: settings.peers()?,
@@ -31,18 +34,25 @@
         })
     }
 
-    /// The query class of this name.
+    /// Returns the query class with this name.
+    ///
+    /// # Errors
+    /// The settings have no such query class.
     pub(super) fn class(&self, name: &str) -> Result<ClassId, StatementError> {
         let index = self.classes.iter().position(|class| class == name);
         index.map(ClassId).ok_or(StatementError::UnknownClass)
     }
 
-    /// The name of a query class.
+    /// Returns the name of a query class.
     pub(super) fn class_name(&self, class: ClassId) -> &str {
         &self.classes[class.0]
     }
 
-    /// The tenant of this name; the first one where none is named, or where there are no tenants.
+    /// Returns the tenant with this name. Without a name, or if the settings define no tenants,
+    /// returns tenant 0.
+    ///
+    /// # Errors
+    /// The settings have no such tenant.
     pub(super) fn tenant(&self, name: Option<&str>) -> Result<TenantId, StatementError> {
         let Some(name) = name.filter(|_| !self.tenants.is_empty()) else {
             return Ok(TenantId(0));
--- a/crates/gateway/src/service/endings.rs
+++ b/crates/gateway/src/service/endings.rs
@@ -1,4 +1,5 @@
-//! How statements end: one final answer each, whether completed, rejected, failed, overdue or abandoned by their client.
+//! The end of statements. Each gets one final answer: its result, a rejection or an error. A
+//! statement whose client has left or killed it gets none.
 
 use admission::interface::{StatementId, TimeDelta, Timestamp};
 use bytes::BytesMut;
@@ -9,14 +10,18 @@
 use crate::clients::Disconnection;
 use crate::clients::protocol::{ErrorCode, Response};
 
-/// Longer than any client is told to wait: the decisions cut it to what they allow.
+/// An upper bound for the retry delay of a statement whose client sends no more; the scheduler
+/// reduces it to the longest delay that the settings allow.
 const LONGEST_RETRY_AFTER: TimeDelta = TimeDelta::from_micros(3_600_000_000);
 
-/// A client's end that comes together with its statement and is younger than this may be that of one that only shut its
-/// sending side, and still reads; of one that went for good nothing may leave any more 0.1 s later.
+/// A statement that arrives together with the end of its client's input is still sent if that end
+/// is younger than this, since the client may have closed only its sending side and still read. If
+/// the client has left for good, no attempt of its statement may be sent later than 0.1 s after
+/// that.
 const JUST_DISCONNECTED_S: f64 = 0.05;
 
-/// What a rejected client reads.
+/// Returns the error text of a rejection, with the delay until a retry in milliseconds if there is
+/// one.
 pub(super) fn rejection_text(retry_after: Option<TimeDelta>) -> String {
     let Some(retry_after) = retry_after else {
         return "denied".to_owned();
@@ -26,8 +31,9 @@
 }
 
 impl Service {
-    /// Guarantees one answer to each statement before its budget ends, whatever went wrong before. Never seen to act;
-    /// its line in the log is a fault of the gateway, and tells where the statement stood.
+    /// Fails each statement whose answer is overdue, so that every statement is answered before its
+    /// budget ends. A statement becomes overdue only through a fault in the gateway, so its
+    /// attempts are logged for diagnosis.
     pub(super) fn answer_overdue(&mut self, now: Timestamp) {
         while let Some(overdue) = self.statements.pop_overdue(now) {
             let id = overdue.id;
@@ -35,15 +41,15 @@
                 continue;
             };
             let rid = String::from_utf8_lossy(&statement.request_id).into_owned();
-            let late = (now - overdue.answer_deadline).secs();
+            let late_s = (now - overdue.answer_deadline).secs();
             let in_flight = &statement.in_flight;
             let engines = self.engines.describe_attempts(id);
             warn!(
                 rid,
-                late,
+                late_s,
                 ?in_flight,
                 engines,
-                "a statement without an answer at its end"
+                "statement had no answer at its deadline; answering it with an error"
             );
             self.counters.overdue += 1;
             self.scheduler.client_left(now, id);
@@ -52,7 +58,8 @@
         }
     }
 
-    /// Its client is gone, or has killed it: nobody waits for its answer.
+    /// Abandons a statement and its attempts, because its client has disconnected or killed it. No
+    /// answer is sent.
     pub(super) fn on_abandoned(&mut self, now: Timestamp, id: StatementId) {
         let Some(statement) = self.statements.unanswered(id) else {
             return;
@@ -60,7 +67,10 @@
         let in_flight = statement.in_flight.clone();
         self.statements.mark_answered(id);
         self.counters.client_left += 1;
-        debug!(statement = id.0, "its client left");
+        debug!(
+            statement = id.0,
+            "client left or killed its statement; abandoning the attempts"
+        );
         self.scheduler.client_left(now, id);
         for attempt in in_flight {
             self.engines.abandon(now, id, attempt, &mut self.counters);
@@ -68,15 +78,20 @@
         self.close_if_done(id);
     }
 
-    /// Takes out what waits, wherever it does, for clients that send no more: in a queue, for a connection that comes
-    /// up or for a retry. It gets its answer all the same, since a client that only shut its sending side still reads.
-    /// What was sent goes on; so does, for this turn, what came together with its client's end a moment ago.
+    /// Rejects the waiting statements of clients that send no more, whether they wait in a queue,
+    /// for a connection to an engine or for a retry. Each still gets an answer, since a client that
+    /// closed only its sending side still reads. Attempts that were sent go on. A statement that
+    /// arrived in this turn, together with the end of its client's input, is left until the next
+    /// turn.
     pub(super) fn reject_disconnected(&mut self, now: Timestamp) {
         for disconnection in self.sessions.disconnections() {
             let id = disconnection.statement;
             if self.is_withdrawable(now, &disconnection) && self.withdraw_attempts(now, id) {
                 self.counters.client_left += 1;
-                debug!(statement = id.0, "taken back, its client sends no more");
+                debug!(
+                    statement = id.0,
+                    "client closed its sending side; rejecting its waiting statement"
+                );
                 let decision = self
                     .scheduler
                     .reject_abandoned(now, id, LONGEST_RETRY_AFTER);
@@ -91,7 +106,8 @@
         }
     }
 
-    /// Whether a statement is to be taken out because its client sends no more.
+    /// Whether a statement may be rejected because its client sends no more: it has no answer, and
+    /// did not just arrive together with the end of its client's input.
     fn is_withdrawable(&self, now: Timestamp, disconnection: &Disconnection) -> bool {
         let Some(statement) = self.statements.unanswered(disconnection.statement) else {
             return false;
@@ -103,7 +119,8 @@
         !came_with_its_end
     }
 
-    /// Takes back what has not left yet. Whether the statement then has nothing in flight, and still no answer.
+    /// Withdraws the attempts of a statement that have not been sent. Returns whether the statement
+    /// then has neither an attempt in flight nor an answer.
     fn withdraw_attempts(&mut self, now: Timestamp, id: StatementId) -> bool {
         let in_flight = self
             .statements
@@ -118,6 +135,8 @@
             .is_some_and(|statement| statement.in_flight.is_empty())
     }
 
+    /// Answers a statement with a rejection. Without `retry_after`, the client is told no time for
+    /// a retry.
     pub(super) fn reject(
         &mut self,
         now: Timestamp,
@@ -137,6 +156,7 @@
         });
     }
 
+    /// Answers a statement with an error because it could not be completed.
     pub(super) fn fail(&mut self, now: Timestamp, id: StatementId) {
         self.counters.failed += 1;
         debug!(statement = id.0, "statement failed");
@@ -150,7 +170,7 @@
         });
     }
 
-    /// Gives a statement its final answer.
+    /// Sends a statement's final answer to its session. Does nothing if the statement is closed.
     pub(super) fn answer(
         &mut self,
         now: Timestamp,
--- a/crates/gateway/src/service/endpoints.rs
+++ b/crates/gateway/src/service/endpoints.rs
@@ -1,4 +1,5 @@
-//! The endpoint list: what discovery says of engines, passed on to the decisions and to the connections.
+//! The endpoint list: passes the changes that discovery reports on to the scheduler and to the
+//! engines' connections.
 
 use admission::interface::Timestamp;
 use tracing::info;
@@ -9,21 +10,21 @@
 
 /// The engines that discovery has listed.
 pub(super) struct EndpointList {
-    /// The engines by the names that discovery gives them.
+    /// Maps the names that discovery gives engines to their ids.
     pub registry: EngineRegistry,
-    /// A snapshot came: there is something to decide on.
+    /// Whether a snapshot has arrived; before the first one, the scheduler knows of no engine.
     pub has_snapshot: bool,
 }
 
 impl Service {
-    /// Applies events of discovery, in their order.
+    /// Applies the changes of discovery events in the given order.
     pub fn on_discovery_events(&mut self, now: Timestamp, events: &[DiscoveryEvent]) {
         for change in events.iter().filter_map(|event| event.change.as_ref()) {
             let applied = self.endpoints.registry.apply(now, change);
             info!(
                 snapshot = change.is_snapshot(),
                 engines = change.endpoints().len(),
-                "endpoint list"
+                "applied a change of the endpoint list"
             );
             for address in applied.addresses {
                 self.engines.set_address(address.engine, address.address);
--- a/crates/gateway/src/service/error.rs
+++ b/crates/gateway/src/service/error.rs
@@ -1,4 +1,4 @@
-//! Why a statement is answered with an error before any decision.
+//! The errors that a statement is answered with before it reaches the scheduler.
 
 use admission::interface::TimeDelta;
 use identity::{AuthorizationError, TokenRejection};
@@ -8,10 +8,10 @@
 use crate::clients::comment::CommentError;
 use crate::clients::protocol::ErrorCode;
 
-/// A statement that is invalid or not allowed: nothing of it reaches an engine.
+/// Why a statement is invalid or not allowed. Such a statement is never sent to an engine.
 #[derive(Debug, Error)]
 pub(super) enum StatementError {
-    /// Its comment cannot be read.
+    /// The comment of the statement cannot be parsed.
     #[error(transparent)]
     Comment(#[from] CommentError),
     /// The settings have no such query class.
@@ -20,28 +20,29 @@
     /// The settings have no such tenant.
     #[error("unknown acct")]
     UnknownTenant,
-    /// Another statement with its request id is open.
+    /// Another open statement has the same request id.
     #[error("rid of a statement that is still open")]
     DuplicateRequestId,
-    /// As many statements are open as the settings allow.
+    /// The limit on open statements is reached.
     #[error("too many statements open")]
     TooManyOpen,
-    /// The caller's grant does not cover it.
+    /// The caller's grant does not cover the statement.
     #[error("not granted: {0}")]
     NotGranted(AuthorizationError),
-    /// Callers are authenticated, and the session has no token.
+    /// Callers are authenticated, but the session has no token.
     #[error("no token")]
     NoToken,
-    /// The session's token is not accepted any more.
+    /// The session's token is no longer accepted.
     #[error("{0}")]
     TokenRejected(TokenRejection),
-    /// The session's token may be accepted after this time: its key is still arriving here.
+    /// The session's token cannot be verified yet, because its key has not reached this gateway.
+    /// The client may retry after this time.
     #[error("{}", rejection_text(Some(*.0)))]
     RetryLater(TimeDelta),
 }
 
 impl StatementError {
-    /// The MySQL error that the client gets, beside the text that this error displays.
+    /// Returns the MySQL error code for the client. The error's text is its `Display` output.
     pub(super) fn code(&self) -> ErrorCode {
         match self {
             StatementError::Comment(_)
--- a/crates/gateway/src/service/intake.rs
+++ b/crates/gateway/src/service/intake.rs
@@ -1,5 +1,5 @@
-//! What sessions report: statements are validated, opened and put before the decisions; the rest goes where it is
-//! answered.
+//! Handling of the events of sessions. Statements are validated, opened and given to the scheduler;
+//! every other event goes to the module that answers it.
 
 use std::net::IpAddr;
 
@@ -23,7 +23,7 @@
                 client_ip,
                 received,
             } => self.on_statement(now, session, &text, client_ip, now - received),
-            // Without queues it is a statement like any other that is invalid.
+            // Without queues, `SHOW QUEUE` is answered like any other invalid statement.
             SessionEvent::ShowQueue { session, text, .. } if self.sub_queues.is_none() => {
                 self.on_unsupported_show(now, session, &text);
             }
@@ -72,9 +72,10 @@
         );
     }
 
-    /// A statement that nothing handles specially.
+    /// Validates and opens a statement, or answers it with an error.
     ///
-    /// `waited`: how long it has stood behind another on its session; its budget runs meanwhile.
+    /// `waited` is the time that it spent behind another statement of its session; it is deducted
+    /// from the budget.
     pub(super) fn on_statement(
         &mut self,
         now: Timestamp,
@@ -83,7 +84,8 @@
         client_ip: IpAddr,
         waited: TimeDelta,
     ) {
-        // Reset in the very turn in which it came: nothing would tell any more that its client has left.
+        // The connection was reset in the turn in which the statement arrived. No later event would
+        // report that the client has left, so the statement is counted here and not opened.
         if !self.sessions.contains(session) {
             self.counters.statements_accepted += 1;
             self.counters.client_left += 1;
@@ -105,7 +107,7 @@
         }
     }
 
-    /// Authenticates the session's caller, then validates the statement.
+    /// Authenticates the session's caller and validates the statement.
     fn admit(
         &mut self,
         session: SessionId,
@@ -119,7 +121,7 @@
         self.validate(query, client_ip, claims.as_deref())
     }
 
-    /// Registers a valid statement, and has it decided on.
+    /// Registers a valid statement and follows the scheduler's first decision about it.
     fn open(&mut self, now: Timestamp, session: SessionId, statement: ValidStatement) {
         let ValidStatement {
             request, sub_queue, ..
@@ -138,6 +140,7 @@
         self.follow_decision(now, id, decision);
     }
 
+    /// Adds a valid statement to the open statements and returns its new id.
     fn register(
         &mut self,
         now: Timestamp,
@@ -156,7 +159,7 @@
             request_id: statement.request_id,
             caller: statement.caller,
             class: statement.request.class,
-            tags: statement.tags,
+            keys: statement.keys,
             text: statement.text,
             answered: false,
             received: now,
--- a/crates/gateway/src/service/mod.rs
+++ b/crates/gateway/src/service/mod.rs
@@ -1,8 +1,10 @@
-//! What connects clients, engines, discovery and other gateways with the decisions: statements go to
-//! `Scheduler::pick`, reports of engines to `Scheduler::report`, and once all that is ready was read, a tick places what
-//! waits. It passes on; it decides nothing.
+//! Connects clients, engines, discovery and other gateways with the scheduler. Statements go to
+//! `Scheduler::pick` and reports of engines to `Scheduler::report`; after all pending input is
+//! handled, `Scheduler::tick` assigns waiting statements to engines. All scheduling decisions are
+//! made by the scheduler.
 //!
-//! The struct and the order of a turn stand here; each module has one job of it, or owns one part of its state.
+//! This file holds the [`Service`] and the order of work in one turn of the event loop. Each
+//! submodule does one part of that work or owns one part of the state.
 
 mod attempts;
 mod callers;
@@ -38,57 +40,58 @@
 use crate::discovery::registry::EngineRegistry;
 use crate::engines::EngineTransport;
 
-/// The longest time that what was sent is on its way to an engine.
+/// The longest time that a message to an engine is assumed to spend on the network.
 pub const NETWORK_DELAY: NetworkDelay = NetworkDelay(TimeDelta::from_micros(50_000));
 
-/// How long after its deadline a statement may still be without the decisions' answer, within its budget.
+/// How long after its deadline the scheduler may still answer a statement. After that the service
+/// answers it with an error, still within the client's budget.
 const ANSWER_GRACE: TimeDelta = TimeDelta::from_micros(4_000);
 
-/// What a service is made of.
+/// The parts that a [`Service`] is built from.
 pub struct ServiceConfig<'a> {
     /// The settings that all gateways share.
     pub settings: &'a Settings,
-    /// Of all chance in the decisions.
+    /// The seed of every random choice of the scheduler.
     pub seed: u64,
-    /// Where statements wait; none: before the decisions alone.
+    /// The queues of the operator's file; `None` if statements wait in the dispatcher alone.
     pub queues: Option<&'a QueueConfig>,
-    /// The clients' side.
+    /// The sessions of clients.
     pub sessions: Sessions,
-    /// The engines' side.
+    /// The connections to engines.
     pub engines: EngineTransport,
-    /// Where the endpoint list comes from.
+    /// The source of the endpoint list.
     pub discovery: DiscoveryClient,
 }
 
-/// One gateway's statements, from their receipt to their answer.
+/// Handles one gateway's statements from their receipt to their answer.
 pub struct Service {
-    /// The clients' side.
+    /// The sessions of clients.
     pub sessions: Sessions,
-    /// The engines' side.
+    /// The connections to engines.
     pub engines: EngineTransport,
-    /// Where the endpoint list comes from.
+    /// The source of the endpoint list.
     pub discovery: DiscoveryClient,
-    /// What happened since the start.
+    /// Counts of events since the process started.
     pub counters: Counters,
     scheduler: Scheduler,
-    /// Where there are queues: which sub-queue a statement waits in.
+    /// Finds the sub-queue of a statement; `None` without queues.
     sub_queues: Option<QueueResolver>,
-    /// Where gateways know each other.
+    /// The connection to the other gateways; `None` if this gateway is not part of a fleet.
     cluster: Option<ClusterEndpoint>,
     callers: Callers,
     endpoints: EndpointList,
     catalog: Catalog,
     statements: OpenStatements,
     schedule: Schedule,
-    /// The gateway ends: all is answered by then.
+    /// The time by which every statement is answered; `None` unless the gateway is shutting down.
     drain_deadline: Option<Timestamp>,
 }
 
 impl Service {
-    /// A service without statements and without engines.
+    /// Creates a service without statements and without engines.
     ///
     /// # Errors
-    /// A setting is missing or cannot be used.
+    /// A setting is missing or invalid.
     pub fn new(now: Timestamp, config: ServiceConfig) -> Result<Self, SettingsError> {
         let ServiceConfig {
             settings,
@@ -120,19 +123,19 @@
         })
     }
 
-    /// Other queues, with this gateway's part of the operator's budgets.
+    /// Replaces the queues. Their budgets are this gateway's share of the operator's budgets.
     pub fn reconfigure_queues(&mut self, now: Timestamp, queues: &QueueConfig) {
         self.sub_queues = Some(QueueResolver::new(queues));
         self.scheduler.reconfigure(now, queues.clone());
     }
 
-    /// Statements that wait in queues.
+    /// Returns the number of statements that wait in queues.
     #[must_use]
     pub fn waiting(&self) -> usize {
         self.scheduler.waiting()
     }
 
-    /// Takes over the counters that the queues keep.
+    /// Copies the metrics of the queues to the counters.
     pub fn update_queue_counters(&mut self) {
         let metrics = self.scheduler.metrics();
         let longest_passed_over = self.scheduler.longest_passed_over();
@@ -148,13 +151,15 @@
         counters.queue_longest_passed_over_ms = (longest_passed_over.secs() * 1e3) as u64;
     }
 
-    /// Whether a snapshot of the endpoint list came: without one there is nothing to decide on.
+    /// Whether a snapshot of the endpoint list has arrived. Without one, no statement can be sent
+    /// to an engine.
     #[must_use]
     pub fn has_endpoints(&self) -> bool {
         self.endpoints.has_snapshot
     }
 
-    /// The gateway ends: all that is open, and all that still comes, is answered by then.
+    /// Starts the shutdown: every statement that is open, or still arrives, is answered by
+    /// `deadline`.
     pub fn drain_by(&mut self, deadline: Timestamp) {
         self.drain_deadline = Some(deadline);
         self.statements
@@ -163,13 +168,13 @@
         self.engines.cap_deadlines(deadline);
     }
 
-    /// Whether no answer is owed to any client, and none is on its way.
+    /// Whether no client waits for an answer and every answer has been written to its socket.
     #[must_use]
     pub fn all_answered(&self) -> bool {
         self.sessions.all_answered()
     }
 
-    /// When the next turn is due, if nothing comes before.
+    /// Returns when the next turn is due if no input arrives earlier.
     #[must_use]
     pub fn next_due(&self, now: Timestamp) -> Timestamp {
         let due = [
@@ -186,7 +191,8 @@
             .fold(self.schedule.wakeup, Timestamp::min)
     }
 
-    /// Handles what all peers brought, then places all that waits, once.
+    /// Runs one turn of the event loop: handles timers and all pending input, then offers the
+    /// waiting statements to the engines once.
     pub fn turn(&mut self, now: Timestamp) {
         self.handle_timers(now);
         self.read_discovery(now);
@@ -196,7 +202,8 @@
         self.gossip_outliers(now);
         self.update_quotas(now);
         let wait = self.place_queued(now);
-        // What could not even be sent is queued again by now, and what stood behind an answer was read.
+        // Attempts that could not be sent have been queued again here, and an answer may have let
+        // its session read the statement behind it. Both need another turn at once.
         let has_more = self.read_reports(now) == ReportsRead::Some || self.sessions.has_events();
         self.answer_overdue(now);
         self.run_periodic_work(now);
@@ -210,7 +217,8 @@
         self.sessions.on_timer(now, &mut self.counters);
         self.sessions.resume(now, &mut self.counters);
         self.discovery.on_timer(now, &mut self.counters);
-        // Idle clients may hold every descriptor: one is closed for discovery, without which nothing is heard of engines.
+        // Idle clients may hold every file descriptor. One session is closed so that discovery can
+        // connect, since without it the gateway learns of no change among the engines.
         let lacks_descriptor = self.discovery.take_descriptor_shortage();
         if lacks_descriptor && self.sessions.evict_one(now, &mut self.counters) {
             self.discovery.poll_now(now, &mut self.counters);
@@ -222,7 +230,7 @@
         self.on_discovery_events(now, &events);
     }
 
-    /// Handles what sessions report until there is nothing more.
+    /// Handles the events of sessions until no more are pending.
     fn read_sessions(&mut self, now: Timestamp) {
         loop {
             let events = self.sessions.take_events();
@@ -235,7 +243,7 @@
         }
     }
 
-    /// Places what waits; how long until that is to be done again.
+    /// Offers the waiting statements to the engines. Returns the time until this is due again.
     fn place_queued(&mut self, now: Timestamp) -> TimeDelta {
         let tick = self.scheduler.tick(now);
         for (id, decision) in tick.due {
@@ -253,10 +261,11 @@
         }
     }
 
-    /// Compares the attempts in flight at each engine as the decisions count them with those on the sockets. With a
-    /// difference, statements would be sent to the wrong engine for ever after, with nothing else to show it.
+    /// Compares the attempts in flight at each engine, as the scheduler counts them, with those on
+    /// the sockets. After a difference the scheduler would choose engines by wrong loads until the
+    /// process ends, and nothing else would show the fault.
     fn check_in_flight(&mut self) {
-        let decided: BTreeMap<EngineId, u32> = self
+        let scheduled: BTreeMap<EngineId, u32> = self
             .scheduler
             .engines()
             .filter(|engine| engine.in_flight > 0)
@@ -264,12 +273,12 @@
             .collect();
         let on_sockets = self.engines.attempts_in_flight();
         self.counters.in_flight_checks += 1;
-        if decided != on_sockets {
+        if scheduled != on_sockets {
             self.counters.in_flight_mismatches += 1;
             warn!(
-                ?decided,
+                ?scheduled,
                 ?on_sockets,
-                "attempts in flight differ between the decisions and the sockets"
+                "the scheduler's attempts in flight differ from those on the sockets; changing neither"
             );
         }
     }
--- a/crates/gateway/src/service/quotas.rs
+++ b/crates/gateway/src/service/quotas.rs
@@ -1,4 +1,5 @@
-//! What this gateway learns from the others of the fleet: outliers among the engines, and its part of shared quotas.
+//! State shared with the other gateways of the fleet: engines reported as outliers, and this
+//! gateway's leased part of the shared quotas.
 
 use admission::interface::Timestamp;
 use scheduler::Scheduler;
@@ -7,23 +8,24 @@
 use crate::cluster::ClusterEndpoint;
 
 impl Service {
-    /// Other gateways are known from now on.
+    /// Connects the service to the other gateways of its fleet.
     pub fn set_cluster(&mut self, cluster: ClusterEndpoint) {
         self.cluster = Some(cluster);
     }
 
-    /// The other gateways, where they are known.
+    /// Returns the connection to the other gateways; `None` if this gateway is not part of a fleet.
     pub fn cluster(&mut self) -> Option<&mut ClusterEndpoint> {
         self.cluster.as_mut()
     }
 
-    /// EngineTransport that are ejected now.
+    /// Returns the number of engines that outlier detection ejects at present.
     #[must_use]
     pub fn ejected_engines(&self) -> usize {
         count_ejected(&self.scheduler)
     }
 
-    /// Exchanges what is known of engines with the other gateways.
+    /// Exchanges reports on the health of engines with the other gateways and passes theirs to the
+    /// scheduler.
     pub(super) fn gossip_outliers(&mut self, now: Timestamp) {
         let Some(cluster) = &mut self.cluster else {
             return;
@@ -34,7 +36,8 @@
         self.scheduler.on_outlier_gossip(now, &reports);
     }
 
-    /// Tells the queues and the decisions what this gateway may use of shared quotas at present.
+    /// Gives the queues and the dispatcher the part of the shared quotas that this gateway holds
+    /// leases on.
     pub(super) fn update_quotas(&mut self, now: Timestamp) {
         let Some(leases) = self
             .cluster
--- a/crates/gateway/src/service/request.rs
+++ b/crates/gateway/src/service/request.rs
@@ -1,4 +1,5 @@
-//! A query of a client as the decisions and engines take it: read from its comment, authorized and checked.
+//! Validation of a client's query: parses its comment, authorizes its caller and builds what the
+//! scheduler and the engines need.
 
 use std::net::IpAddr;
 
@@ -14,39 +15,40 @@
 use crate::clients::table_group::table_group;
 use crate::engines::protocol::{RequestId, StatementKeys};
 
-/// An answer must be with the client before its budget ends, and the budget runs from when the client sent. So much
-/// is kept for the network in both directions, and for a machine that stands still a moment.
-const NETWORK_DELAY_S: f64 = 0.06;
+/// The part of a client's budget that is reserved for the network in both directions and for short
+/// stalls of the machine. The budget starts when the client sends the query, and the answer must
+/// arrive before it ends.
+const NETWORK_RESERVE_S: f64 = 0.06;
 
-/// Of a short budget no more than this part is kept for the network.
-const NETWORK_DELAY_PART: f64 = 0.1;
+/// The largest fraction of a budget that is reserved for the network; it applies to short budgets.
+const MAX_NETWORK_RESERVE_FRACTION: f64 = 0.1;
 
-/// The sub-queue where the operator's file has no queues.
+/// The sub-queue of every statement if the operator's file defines no queues.
 const ONLY_SUB_QUEUE: SubQueueId = SubQueueId(0);
 
-/// A valid statement, before it is opened.
+/// A valid statement that is not open yet.
 pub(super) struct ValidStatement {
-    /// What the decisions are asked.
+    /// The request to the scheduler.
     pub request: StatementRequest,
-    /// Where it waits, if it has to.
+    /// The sub-queue that it waits in if it cannot be sent at once.
     pub sub_queue: SubQueueId,
-    /// The id that its client gave it.
+    /// The id that the client gave the statement.
     pub request_id: RequestId,
-    /// What its engine gets beside its text.
-    pub tags: StatementKeys,
-    /// What its engine runs.
+    /// The idempotency and ordering keys that the engine gets with the text.
+    pub keys: StatementKeys,
+    /// The SQL text that the engine runs.
     pub text: Bytes,
-    /// Whose it is, where callers are authenticated.
+    /// The caller named in the token; `None` if callers are not authenticated.
     pub caller: Option<String>,
 }
 
 impl Service {
-    /// Reads a query and checks it: nothing invalid may reach an engine.
+    /// Parses and checks a query, so that no invalid statement reaches an engine.
     ///
-    /// `claims`: what its caller's token says, where callers are authenticated.
+    /// `claims` are those of the caller's token; `None` if callers are not authenticated.
     ///
     /// # Errors
-    /// It is invalid, or its caller may not run it.
+    /// The query is invalid, or its caller may not run it.
     pub(super) fn validate(
         &mut self,
         query: &Bytes,
@@ -56,7 +58,7 @@
         let mut comment = CommentedStatement::parse(query)?;
         if let Some(claims) = claims {
             self.authorize(&comment, client_ip, claims)?;
-            // The grant says what the comment leaves open.
+            // The grant supplies what the comment leaves out.
             comment.tenant = Some(&claims.grant.tenant);
             comment.sub_queue = claims.grant.sub_queue(comment.sub_queue);
         }
@@ -77,9 +79,9 @@
             memory_mb: comment.memory_mb.unwrap_or(0.0),
             key: comment.order_key.and_then(order_key),
             has_idempotency_key: comment.idempotency_key.is_some(),
-            budget: budget_less_network_delay(comment.budget_ms),
+            budget: budget_without_network_reserve(comment.budget_ms),
         };
-        let tags = StatementKeys {
+        let keys = StatementKeys {
             idempotency_key: comment.idempotency_key.map(Box::from),
             ordering_key: comment.order_key.map(Box::from),
         };
@@ -87,7 +89,7 @@
             request,
             sub_queue,
             request_id: comment.request_id,
-            tags,
+            keys,
             text: query.slice_ref(comment.text),
             caller: claims.map(|claims| claims.caller.clone()),
         })
@@ -125,26 +127,30 @@
     }
 }
 
-/// The CPU that the client estimates; an estimate of nothing counts as none.
+/// Returns the CPU time that the client estimates; `None` without an estimate or with one of zero
+/// or less.
 fn estimate(comment: &CommentedStatement) -> Option<TimeDelta> {
     let estimate_ms = comment.estimate_ms.filter(|ms| *ms > 0.0)?;
     Some(TimeDelta::from_secs(estimate_ms / 1e3))
 }
 
-/// What of a client's budget is left for the statement here and at its engine.
-fn budget_less_network_delay(budget_ms: f64) -> TimeDelta {
+/// Returns the part of a client's budget that is left for the gateway and the engine, without the
+/// network reserve.
+fn budget_without_network_reserve(budget_ms: f64) -> TimeDelta {
     let budget_s = budget_ms / 1e3;
-    let network_delay_s = NETWORK_DELAY_S.min(budget_s * NETWORK_DELAY_PART);
-    TimeDelta::from_secs(budget_s - network_delay_s)
+    let reserve_s = NETWORK_RESERVE_S.min(budget_s * MAX_NETWORK_RESERVE_FRACTION);
+    TimeDelta::from_secs(budget_s - reserve_s)
 }
 
-/// The number of an order key, which is hexadecimal; of one that is not, its hash. Zero: no order.
+/// Parses an order key as a hexadecimal number, or hashes a key that is not one. Returns `None` if
+/// the result is zero, which means that the statement is not ordered.
 fn order_key(key: &str) -> Option<OrderKey> {
     let number = u64::from_str_radix(key, 16).unwrap_or_else(|_| order_key_hash(key));
     (number != 0).then_some(OrderKey(number))
 }
 
-/// FNV's multiplication over the key's bytes. Two keys with one hash only wait for each other.
+/// Hashes a key with FNV's prime. A collision does no harm beyond making the statements of two keys
+/// wait for each other.
 fn order_key_hash(key: &str) -> u64 {
     key.bytes().fold(1, |hash, byte| {
         hash.wrapping_mul(0x0100_0000_01b3) ^ u64::from(byte)
--- a/crates/gateway/src/service/schedule.rs
+++ b/crates/gateway/src/service/schedule.rs
@@ -1,23 +1,24 @@
-//! When the service has to be called again, and its periodic work.
+//! The times at which the service is due to run again and does its periodic work.
 
 use admission::interface::{TimeDelta, Timestamp};
 
-/// How often those that wait are told of their progress, where their client takes it.
+/// How often waiting clients that support progress reports get one.
 const PROGRESS_INTERVAL: TimeDelta = TimeDelta::from_micros(1_000_000);
 
-/// How often the attempts in flight are compared with the sockets: far below what a difference could do harm in.
+/// How often the scheduler's attempts in flight are compared with those on the sockets. A
+/// difference is found long before it can do harm.
 const CONSISTENCY_CHECK_INTERVAL: TimeDelta = TimeDelta::from_micros(500_000);
 
-/// The next times of what the service does by the clock.
+/// The next times at which the service has work to do by the clock.
 pub(super) struct Schedule {
-    /// When the decisions want the next turn at the latest.
+    /// The latest time of the next turn that the scheduler asks for.
     pub wakeup: Timestamp,
     next_progress: Timestamp,
     next_consistency_check: Timestamp,
 }
 
 impl Schedule {
-    /// All is due at the first turn.
+    /// Creates a schedule in which all work is due at once.
     pub(super) fn new(now: Timestamp) -> Self {
         Schedule {
             wakeup: now,
@@ -26,12 +27,13 @@
         }
     }
 
-    /// Whether progress is to be reported now; if so, the next time is one interval away.
+    /// Whether progress reports are due. If so, the next ones are due one interval later.
     pub(super) fn take_progress_due(&mut self, now: Timestamp) -> bool {
         take_due(&mut self.next_progress, now, PROGRESS_INTERVAL)
     }
 
-    /// Whether attempts in flight are to be compared now; if so, the next time is one interval away.
+    /// Whether the check of the attempts in flight is due. If so, the next one is due one interval
+    /// later.
     pub(super) fn take_consistency_check_due(&mut self, now: Timestamp) -> bool {
         take_due(
             &mut self.next_consistency_check,
@@ -41,6 +43,7 @@
     }
 }
 
+/// Whether `next` has come. If so, moves it to one interval after `now`.
 fn take_due(next: &mut Timestamp, now: Timestamp, interval: TimeDelta) -> bool {
     if *next > now {
         return false;
--- a/crates/gateway/src/service/show.rs
+++ b/crates/gateway/src/service/show.rs
@@ -1,4 +1,5 @@
-//! What a session is shown of this gateway: queues, progress, the fleet, shares.
+//! The answers to `SHOW QUEUE`, `SHOW FLEET` and `SHOW SHARES`, and the progress reports to waiting
+//! clients.
 
 use std::net::IpAddr;
 
@@ -12,14 +13,15 @@
 use crate::engines::protocol::RequestId;
 use crate::status;
 
-/// Sub-queues that one `SHOW QUEUE` lists at most; those where something waits come first.
+/// The maximum number of sub-queues in the answer to `SHOW QUEUE`; those with waiting statements
+/// come first.
 const MAX_STATUS_ROWS: usize = 1000;
 
-/// All of a stage in a progress report: thousandths of a percent.
-const WHOLE_STAGE: f64 = 1e5;
+/// The value of a completed stage in a progress report, whose unit is a thousandth of a percent.
+const STAGE_COMPLETE: f64 = 1e5;
 
 impl Service {
-    /// `SHOW FLEET`.
+    /// Answers `SHOW FLEET`.
     pub(super) fn show_fleet(&mut self, now: Timestamp, session: SessionId, query: &Bytes) {
         let Some(cluster) = &mut self.cluster else {
             self.on_unsupported_show(now, session, query);
@@ -29,7 +31,7 @@
         self.respond_table(now, session, status::FLEET_COLUMNS, &rows);
     }
 
-    /// `SHOW SHARES`.
+    /// Answers `SHOW SHARES`.
     pub(super) fn show_shares(&mut self, now: Timestamp, session: SessionId, query: &Bytes) {
         let Some(leases) = self
             .cluster
@@ -44,7 +46,7 @@
         self.respond_table(now, session, status::QUOTA_COLUMNS, &rows);
     }
 
-    /// `SHOW QUEUE`, or `SHOW QUEUE FOR` the statement with this request id.
+    /// Answers `SHOW QUEUE`, or `SHOW QUEUE FOR` if there is a request id.
     pub(super) fn show_queue(
         &mut self,
         now: Timestamp,
@@ -64,7 +66,8 @@
         self.respond_table(now, session, status::SUB_QUEUE_COLUMNS, &rows);
     }
 
-    /// One row; none where the statement does not wait.
+    /// Answers with one row for a waiting statement, and with no row if the statement does not
+    /// wait.
     fn show_queued_statement(&mut self, now: Timestamp, session: SessionId, request_id: &str) {
         let id = RequestId::try_from(request_id.as_bytes())
             .ok()
@@ -77,7 +80,7 @@
         self.respond_table(now, session, status::STATEMENT_COLUMNS, &rows);
     }
 
-    /// Reports progress to the clients that ask for it and whose statement waits.
+    /// Sends progress reports to the clients that support them and whose statement waits.
     pub(super) fn send_progress_reports(&mut self, now: Timestamp) {
         for ProgressSubscriber { session, statement } in self.sessions.progress_subscribers() {
             let Some(progress) = self.scheduler.wait_progress(now, statement) else {
@@ -87,7 +90,7 @@
             let remaining_s = progress.remaining.median.secs();
             let total_s = waited_s + remaining_s;
             let done = if total_s > 0.0 {
-                waited_s / total_s * WHOLE_STAGE
+                waited_s / total_s * STAGE_COMPLETE
             } else {
                 0.0
             };
@@ -97,7 +100,8 @@
         }
     }
 
-    /// A `SHOW` of what is not switched on is a statement like any other that is invalid.
+    /// Handles a `SHOW` of a feature that is not enabled like any other statement, so that the
+    /// client gets the error of an invalid statement.
     pub(super) fn on_unsupported_show(
         &mut self,
         now: Timestamp,
--- a/crates/gateway/src/service/statements.rs
+++ b/crates/gateway/src/service/statements.rs
@@ -1,4 +1,5 @@
-//! The statements that are open: received and valid, and not yet both answered and without an attempt in flight.
+//! The open statements. A valid statement is open until it is answered and has no attempt in
+//! flight.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,37 +10,38 @@
 use crate::engines::ConnectionId;
 use crate::engines::protocol::{RequestId, StatementKeys};
 
-/// A statement from its receipt to its answer and the end of its last attempt.
+/// An open statement.
 pub(super) struct OpenStatement {
-    /// The session that gets its answer.
+    /// The session that gets the answer.
     pub session: SessionId,
-    /// The id that its client gave it.
+    /// The id that the client gave the statement.
     pub request_id: RequestId,
-    /// Whose it is, where callers are authenticated.
+    /// The caller named in the token; `None` if callers are not authenticated.
     pub caller: Option<String>,
-    /// Its query class.
+    /// The query class.
     pub class: ClassId,
-    /// What its engine gets beside its text.
-    pub tags: StatementKeys,
-    /// What its engine runs; empty once it is answered.
+    /// The idempotency and ordering keys that the engine gets with the text.
+    pub keys: StatementKeys,
+    /// The SQL text that the engine runs; empty once the statement is answered.
     pub text: Bytes,
-    /// Its answer was given, or nobody waits for one.
+    /// Whether the answer was sent, or no client waits for one.
     pub answered: bool,
-    /// The turn in which it was read.
+    /// The time of the turn in which the statement was read.
     pub received: Timestamp,
-    /// It is answered with an error then, if it has no answer by that time.
+    /// The time at which the statement is answered with an error if it has no answer yet.
     pub answer_deadline: Timestamp,
-    /// Its attempts at engines that have not ended; one at most, where it may not have two at the same time.
+    /// The attempts that have not ended; at most one if the statement must not run twice at the
+    /// same time.
     pub in_flight: Vec<AttemptNumber>,
-    /// The connections that its attempts went on, as many as attempts.
+    /// The connections that attempts were assigned to, at most one for each attempt.
     pub connections: Vec<ConnectionId>,
 }
 
-/// A statement that has no answer at its deadline.
+/// A statement that had no answer at its deadline.
 pub(super) struct Overdue {
-    /// The statement.
+    /// The id of the statement.
     pub id: StatementId,
-    /// When it should have been answered at the latest.
+    /// The deadline that has passed.
     pub answer_deadline: Timestamp,
 }
 
@@ -48,9 +50,10 @@
 pub(super) struct OpenStatements {
     last_id: u64,
     by_id: BTreeMap<StatementId, OpenStatement>,
-    /// Of two statements with one request id, an engine's answer could be for either.
+    /// Request ids are unique among open statements, because an engine's answer names its statement
+    /// by this id.
     by_request_id: BTreeMap<RequestId, StatementId>,
-    /// Of the statements without an answer.
+    /// The answer deadlines of the statements without an answer.
     answer_deadlines: BTreeSet<(Timestamp, StatementId)>,
 }
 
@@ -66,32 +69,33 @@
         id
     }
 
-    /// How many are open.
+    /// Returns the number of open statements.
     pub(super) fn len(&self) -> usize {
         self.by_id.len()
     }
 
-    /// An open statement.
+    /// Returns an open statement; `None` if no statement with this id is open.
     pub(super) fn get_mut(&mut self, id: StatementId) -> Option<&mut OpenStatement> {
         self.by_id.get_mut(&id)
     }
 
-    /// An open statement.
+    /// Returns an open statement; `None` if no statement with this id is open.
     pub(super) fn get(&self, id: StatementId) -> Option<&OpenStatement> {
         self.by_id.get(&id)
     }
 
-    /// An open statement whose answer is still owed.
+    /// Returns an open statement that has no answer yet; `None` if it is answered or closed.
     pub(super) fn unanswered(&self, id: StatementId) -> Option<&OpenStatement> {
         self.get(id).filter(|statement| !statement.answered)
     }
 
-    /// The open statement to which its client gave this id.
+    /// Returns the open statement with this request id.
     pub(super) fn find(&self, request_id: &RequestId) -> Option<StatementId> {
         self.by_request_id.get(request_id).copied()
     }
 
-    /// No answer is owed any more: the text and the deadline go. The session that gets the answer.
+    /// Marks a statement as answered and drops its text and its deadline. Returns the session that
+    /// gets the answer, or `None` if the statement is closed.
     pub(super) fn mark_answered(&mut self, id: StatementId) -> Option<SessionId> {
         let statement = self.by_id.get_mut(&id)?;
         statement.answered = true;
@@ -101,7 +105,8 @@
         Some(statement.session)
     }
 
-    /// Closes a statement that is answered and has no attempt in flight.
+    /// Removes and returns a statement that is answered and has no attempt in flight; `None` if it
+    /// stays open.
     pub(super) fn remove_if_done(&mut self, id: StatementId) -> Option<OpenStatement> {
         let statement = self.by_id.get(&id)?;
         let done = statement.answered && statement.in_flight.is_empty();
@@ -113,12 +118,13 @@
         Some(statement)
     }
 
-    /// The earliest deadline of an answer.
+    /// Returns the earliest answer deadline; `None` if every statement is answered.
     pub(super) fn next_deadline(&self) -> Option<Timestamp> {
         self.answer_deadlines.first().map(|(deadline, _)| *deadline)
     }
 
-    /// Takes out the next one whose deadline has come.
+    /// Removes the earliest answer deadline and returns its statement; `None` if that deadline has
+    /// not come.
     pub(super) fn pop_overdue(&mut self, now: Timestamp) -> Option<Overdue> {
         let (answer_deadline, id) = *self.answer_deadlines.first()?;
         if answer_deadline > now {
@@ -131,7 +137,7 @@
         })
     }
 
-    /// No deadline is later than this.
+    /// Moves every answer deadline that is later than `latest` to `latest`.
     pub(super) fn cap_answer_deadlines(&mut self, latest: Timestamp) {
         for statement in self.by_id.values_mut() {
             statement.answer_deadline = statement.answer_deadline.min(latest);
