--- a/crates/gateway/src/engines/attempt.rs
+++ b/crates/gateway/src/engines/attempt.rs
@@ -1,4 +1,5 @@
-//! One attempt at an engine: what it is sent with, what is kept while it is in flight, and what is reported of it.
+//! The data of one attempt: the request to send, its state while it is in flight, and the updates
+//! about it.
 
 use std::ops::Range;
 
@@ -11,13 +12,13 @@
 use super::paged_result::PagedResult;
 use super::protocol::{AttemptRequest, RequestId, StatementKeys};
 
-/// An attempt to be sent.
+/// An attempt that is to be sent.
 pub struct OutgoingAttempt<'a> {
-    /// The statement that it is an attempt of.
+    /// The statement of the attempt.
     pub statement: StatementId,
-    /// Its number among the attempts of the statement.
+    /// The number of the attempt among those of the statement.
     pub attempt: AttemptNumber,
-    /// The engine that it is sent to.
+    /// The engine that the attempt is sent to.
     pub engine: EngineId,
     /// The client's id of the statement.
     pub request_id: RequestId,
@@ -27,14 +28,15 @@
     pub keys: &'a StatementKeys,
     /// The text of the statement.
     pub text: &'a [u8],
-    /// It times out then.
+    /// The time at which the attempt times out.
     pub deadline: Timestamp,
-    /// The priority to tell its engine; none where engines heed none.
+    /// The priority for the engine, 0 to 3; `None` if engines do not use priorities.
     pub priority: Option<u8>,
-    /// Unless its last byte has left this machine by then, it is withdrawn; none: only the deadline counts.
+    /// The attempt is withdrawn unless its last byte has left this machine by this time; `None` if
+    /// only the deadline applies.
     pub send_by: Option<Timestamp>,
-    /// Connections that earlier attempts of the statement used: a late response there must not be taken for this
-    /// attempt's.
+    /// The connections of earlier attempts of the statement. A late response on one of them carries
+    /// the same request id and would be taken for this attempt's response.
     pub avoid: &'a [ConnectionId],
 }
 
@@ -46,7 +48,7 @@
         }
     }
 
-    /// The attempt as its engine reads it, sent at `now`.
+    /// Builds the request to the engine, whose timeout runs from `now` to the deadline.
     pub(super) fn request(&self, now: Timestamp) -> AttemptRequest<'_> {
         let timeout_ms = (self.deadline - now).secs() * 1e3;
         AttemptRequest {
@@ -60,23 +62,25 @@
     }
 }
 
-/// What happened to an attempt.
+/// An event of an attempt, as reported to the scheduler.
 #[derive(Debug)]
 pub struct AttemptUpdate {
-    /// The statement that it is an attempt of.
+    /// The statement of the attempt.
     pub statement: StatementId,
-    /// Its number among the attempts of the statement.
+    /// The number of the attempt among those of the statement.
     pub attempt: AttemptNumber,
-    /// What happened to it.
+    /// The event.
     pub event: AttemptEvent,
-    /// From sending it until now; until the first page for one that completed.
+    /// The time from sending the attempt to the event or, if the attempt completed, to the first
+    /// page.
     pub latency: TimeDelta,
-    /// The pages of the result in their order, for one that completed and whose client still waits.
+    /// The pages of the result in order. They are empty unless the attempt completed; an attempt
+    /// that its client abandoned may complete without them.
     pub pages: Vec<Bytes>,
 }
 
 impl AttemptUpdate {
-    /// An update that carries no pages.
+    /// Creates an update without pages.
     pub(super) fn without_pages(id: AttemptId, event: AttemptEvent, latency: TimeDelta) -> Self {
         AttemptUpdate {
             statement: id.statement,
@@ -88,33 +92,38 @@
     }
 }
 
-/// An attempt among those of all statements.
+/// Identifies an attempt among those of all statements.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) struct AttemptId {
     pub statement: StatementId,
     pub attempt: AttemptNumber,
 }
 
-/// An attempt from [`EngineTransport::send`](super::EngineTransport::send) until its end is reported.
+/// An attempt in flight, from [`EngineTransport::send`](super::EngineTransport::send) until its end
+/// is reported.
 pub(super) struct InFlightAttempt {
     pub id: AttemptId,
     pub sent: Timestamp,
     pub deadline: Timestamp,
-    /// Its place among all bytes that were ever enqueued on its connection.
+    /// The position of the request in the stream of all bytes enqueued on the connection since it
+    /// was opened.
     pub bytes: Range<u64>,
-    /// What has come of its result; none until its first page.
+    /// The part of the result that has arrived; `None` before the first page.
     pub result: Option<PagedResult>,
-    /// Its client is gone: its work still counts, its pages do not.
+    /// Whether the client has left. The end of the attempt is still reported, but further pages are
+    /// not requested.
     pub abandoned: bool,
 }
 
 impl InFlightAttempt {
-    /// Whether its last byte has left this machine, where `bytes_written` bytes of its connection have.
+    /// Whether the last byte of the request has left this machine, after `bytes_written` bytes of
+    /// the connection have.
     pub(super) fn is_sent(&self, bytes_written: u64) -> bool {
         self.bytes.end <= bytes_written
     }
 
-    /// Whether any of its bytes has left this machine, where `bytes_written` bytes of its connection have.
+    /// Whether any byte of the request has left this machine, after `bytes_written` bytes of the
+    /// connection have.
     pub(super) fn is_partly_sent(&self, bytes_written: u64) -> bool {
         self.bytes.start < bytes_written
     }
--- a/crates/gateway/src/engines/attempt_timers.rs
+++ b/crates/gateway/src/engines/attempt_timers.rs
@@ -1,4 +1,5 @@
-//! When attempts time out, and when those that have not left are withdrawn.
+//! The timers of attempts: the deadline of each attempt, and the limit by which some must have been
+//! sent.
 
 use std::collections::BTreeSet;
 
@@ -9,9 +10,10 @@
 /// The timers of all attempts in flight.
 #[derive(Default)]
 pub(super) struct AttemptTimers {
-    /// One for each attempt in flight.
+    /// The deadline of each attempt in flight.
     deadlines: BTreeSet<(Timestamp, AttemptId)>,
-    /// Removed only as they expire, so that some are of attempts that have ended.
+    /// The times by which attempts must have left this machine. Entries are removed only when they
+    /// expire, so some belong to attempts that have ended.
     send_limits: BTreeSet<(Timestamp, AttemptId)>,
 }
 
@@ -24,12 +26,12 @@
         }
     }
 
-    /// Stops the deadline of an attempt that has ended.
+    /// Removes the deadline of an attempt that has ended.
     pub(super) fn stop_deadline(&mut self, id: AttemptId, deadline: Timestamp) {
         self.deadlines.remove(&(deadline, id));
     }
 
-    /// Moves later deadlines to `latest`.
+    /// Moves every deadline that is later than `latest` to `latest`.
     pub(super) fn cap_deadlines(&mut self, latest: Timestamp) {
         self.deadlines = std::mem::take(&mut self.deadlines)
             .into_iter()
@@ -37,24 +39,24 @@
             .collect();
     }
 
-    /// Takes out the earliest deadline that has passed.
+    /// Removes the earliest deadline and returns its attempt; `None` if no deadline has passed.
     pub(super) fn pop_deadline(&mut self, now: Timestamp) -> Option<AttemptId> {
         pop_expired(&mut self.deadlines, now)
     }
 
-    /// Takes out the earliest send limit that has passed.
+    /// Removes the earliest send limit and returns its attempt; `None` if no send limit has passed.
     pub(super) fn pop_send_limit(&mut self, now: Timestamp) -> Option<AttemptId> {
         pop_expired(&mut self.send_limits, now)
     }
 
-    /// When the next timer expires.
+    /// Returns when the next timer expires; `None` if no timer runs.
     pub(super) fn next(&self) -> Option<Timestamp> {
         let deadline = self.deadlines.first().map(|(at, _)| *at);
         let send_limit = self.send_limits.first().map(|(at, _)| *at);
         deadline.into_iter().chain(send_limit).min()
     }
 
-    /// The deadlines of a statement's attempts.
+    /// Returns the deadlines of a statement's attempts.
     pub(super) fn deadlines_of(
         &self,
         statement: StatementId,
--- a/crates/gateway/src/engines/connection.rs
+++ b/crates/gateway/src/engines/connection.rs
@@ -12,18 +12,20 @@
 use super::protocol::{DecodeError, RequestId};
 use crate::socket::Socket;
 
-/// How long the rest of a response may take once it has begun, and the next page once it was requested: both stand
-/// ready at the engine, and one segment that is sent again takes a fifth of a second.
+/// How long the rest of a response may take after its first byte, and the next page after its
+/// request. The engine has both ready to send, so the limit only has to cover one TCP
+/// retransmission, which takes 0.2 s.
 const STALL_TIMEOUT: TimeDelta = TimeDelta::from_micros(300_000);
 
-/// Until when a connection is not looked at where its attempts have timers of their own: beyond any deadline.
+/// The timeout of a connection whose attempts have timers of their own. It is longer than any
+/// deadline.
 const NO_TIMEOUT: TimeDelta = TimeDelta::from_micros(1_000_000_000_000_000);
 
-/// A connection to an engine, by a number that is given once.
+/// Identifies a connection to an engine. Ids are never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnectionId(pub u64);
 
-/// Why a connection cannot be used any more.
+/// Why a connection can no longer be used.
 #[derive(Debug, Error)]
 pub(super) enum ConnectionError {
     #[error("the connection did not come up in time")]
@@ -45,7 +47,7 @@
 }
 
 impl ConnectionError {
-    /// Whether it is what the engine sent that cannot be used.
+    /// Whether the error is an unusable response from the engine.
     pub(super) fn is_unusable_response(&self) -> bool {
         match self {
             ConnectionError::StalledResponse
@@ -60,36 +62,38 @@
     }
 }
 
-/// An attempt that ends with its connection.
+/// An attempt that ends because its connection is lost.
 pub(super) struct LostAttempt {
     pub statement: StatementId,
     pub request_id: RequestId,
     pub event: AttemptEvent,
 }
 
-/// A connection, from its first packet until it is closed or lost.
+/// A connection to an engine, from the start of its handshake until it is closed or lost.
 pub(super) struct Connection {
     pub engine: EngineId,
-    /// Where it leads. An engine that is listed elsewhere since takes its attempts there.
+    /// The address of the peer. If discovery lists the engine at another address, new attempts use
+    /// new connections.
     pub address: SocketAddr,
     pub socket: Socket,
-    /// Until when it may take to come up; none once it is up.
+    /// The time by which the connection must be established; `None` once it is.
     pub connect_deadline: Option<Timestamp>,
-    /// Bounded by the settings' multiplex.
+    /// The attempts in flight. Their number is limited by the `Limits.Multiplex` setting.
     pub attempts: HashMap<RequestId, InFlightAttempt>,
-    /// Since when a response has begun that is not complete.
-    pub response_begun: Option<Timestamp>,
-    /// Since when no attempt is in flight, or since it was opened.
+    /// When the first byte of an incomplete response arrived; `None` if no response is incomplete.
+    pub partial_response_since: Option<Timestamp>,
+    /// When the last attempt ended, or when the connection was opened if it had none.
     pub idle_since: Timestamp,
-    /// It takes no more attempts, since one on it ended without a response. A machine that vanished keeps its connections
-    /// open, an unusable response may be its last one, and a late response must not be taken for a further attempt's.
+    /// Whether the connection takes no more attempts because one on it ended without a response.
+    /// The engine's machine may have vanished without closing its connections, and a late response
+    /// to the attempt that ended must not be taken for the response to another.
     pub retired: bool,
-    /// When it times out next, as its pool has it.
+    /// The time at which the connection times out next, equal to its entry in the pool.
     pub timeout: Timestamp,
 }
 
 impl Connection {
-    /// A connection that is about to come up.
+    /// Creates a connection whose socket has begun to connect.
     pub(super) fn new(
         now: Timestamp,
         engine: EngineId,
@@ -103,24 +107,25 @@
             socket,
             connect_deadline: Some(now + connect_timeout),
             attempts: HashMap::new(),
-            response_begun: None,
+            partial_response_since: None,
             idle_since: now,
             retired: false,
             timeout: now,
         }
     }
 
-    /// Whether it has not come up yet.
+    /// Whether the connection is not established yet.
     pub(super) fn is_connecting(&self) -> bool {
         self.connect_deadline.is_some()
     }
 
-    /// Whether it is up with no attempt in flight.
+    /// Whether the connection is established and has no attempt in flight.
     pub(super) fn is_idle(&self) -> bool {
         self.attempts.is_empty() && !self.is_connecting()
     }
 
-    /// When something is to be done about it, if nothing happens before.
+    /// Returns the earliest time at which the connection fails to be established, stalls or is idle
+    /// for too long.
     pub(super) fn next_timeout(&self, idle_timeout: TimeDelta) -> Timestamp {
         let results = self
             .attempts
@@ -128,7 +133,7 @@
             .filter_map(|attempt| attempt.result.as_ref());
         let last_page = results.map(PagedResult::last_page_received).min();
         let stalls = self
-            .response_begun
+            .partial_response_since
             .into_iter()
             .chain(last_page)
             .map(|since| since + STALL_TIMEOUT);
@@ -143,7 +148,7 @@
             .unwrap_or(self.idle_since + NO_TIMEOUT)
     }
 
-    /// Puts an attempt on the connection, behind all that is there.
+    /// Adds an attempt to the connection, behind all bytes that are enqueued already.
     pub(super) fn enqueue_attempt(&mut self, now: Timestamp, outgoing: &OutgoingAttempt) {
         let start = self.socket.bytes_enqueued;
         self.socket.enqueue(&outgoing.request(now).encode());
@@ -158,7 +163,7 @@
         self.attempts.insert(outgoing.request_id, attempt);
     }
 
-    /// Takes an attempt off the connection; nothing happens to its bytes.
+    /// Removes an attempt from the connection. Its bytes stay in the write queue.
     pub(super) fn remove_attempt(
         &mut self,
         now: Timestamp,
@@ -171,7 +176,8 @@
         Some(attempt)
     }
 
-    /// Attempts of which not a byte has left this machine, in the order in which they were sent.
+    /// Returns the attempts of which no byte has left this machine, in the order in which they were
+    /// enqueued.
     pub(super) fn unsent_attempts(&self) -> Vec<RequestId> {
         let written = self.socket.bytes_written;
         let mut unsent: Vec<(u64, RequestId)> = self
@@ -187,10 +193,12 @@
             .collect()
     }
 
-    /// Makes sure that an attempt which has not left this machine completely never does. False: it has, or others that
-    /// stand behind it need its end to be read.
+    /// Prevents an attempt from leaving this machine completely. Returns false if it has left
+    /// completely, or if some of its bytes have left and there are other attempts on the
+    /// connection, which must not be lost.
     ///
-    /// Where it is the only one the connection must be closed, as its first bytes may have left.
+    /// If it is the only attempt, the caller must close the connection, as some of its bytes may
+    /// have left.
     pub(super) fn retract_attempt(&mut self, request_id: &RequestId) -> bool {
         let Some(attempt) = self.attempts.get(request_id) else {
             return false;
@@ -213,8 +221,9 @@
         true
     }
 
-    /// What its loss means for its attempts: those that have not left this machine completely never ran, the others may
-    /// have. In the order of their statements, so that nothing that follows depends on the order of a hash.
+    /// Returns how the loss of the connection ends each of its attempts. An attempt that has not
+    /// left this machine completely never ran; any other may have run. The result is ordered by
+    /// statement, so that it does not depend on the iteration order of the hash map.
     pub(super) fn lost_attempts(&self) -> Vec<LostAttempt> {
         let written = self.socket.bytes_written;
         let mut lost: Vec<LostAttempt> = self
--- a/crates/gateway/src/engines/ending.rs
+++ b/crates/gateway/src/engines/ending.rs
@@ -1,5 +1,5 @@
-//! How attempts and connections end other than by a response: time-outs, cancellation, withdrawal, and the loss of a
-//! connection.
+//! The end of attempts and connections without a response: timeouts, cancellation, withdrawal and
+//! the loss of a connection.
 
 use admission::interface::{AttemptEvent, AttemptNumber, EngineId, StatementId, Timestamp};
 use tracing::debug;
@@ -11,7 +11,8 @@
 use crate::counters::Counters;
 
 impl EngineTransport {
-    /// Cancels an attempt, as the decisions ask. Its end is among the updates.
+    /// Cancels an attempt at the request of the scheduler, and reports its end. Does nothing if it
+    /// has ended already.
     pub fn cancel(
         &mut self,
         now: Timestamp,
@@ -26,8 +27,8 @@
         self.stop_attempt(now, id, AttemptEvent::Cancelled, counters);
     }
 
-    /// Takes an attempt back unless it has left this machine completely; its client sends no more. True: it never runs, and
-    /// its end is among the updates. False: it goes on, or has ended.
+    /// Withdraws an attempt unless it has left this machine completely. Returns true if the attempt
+    /// never runs; its end is then reported. Returns false if it goes on or has ended.
     pub fn withdraw(
         &mut self,
         now: Timestamp,
@@ -42,8 +43,8 @@
         self.retract(now, location, AttemptEvent::Withdrawn, counters)
     }
 
-    /// No client waits for an attempt any more: it is withdrawn if it can be, else the rest of its result is not
-    /// requested.
+    /// Withdraws an attempt that no client waits for. If it has left this machine, it goes on, but
+    /// no further pages of its result are requested.
     pub fn abandon(
         &mut self,
         now: Timestamp,
@@ -72,8 +73,9 @@
         }
     }
 
-    /// Discovery tells that an engine drains or is gone: attempts that have not begun to leave for it are withdrawn. A
-    /// connection that comes up late would carry them past the grace.
+    /// Withdraws the attempts of which no byte has left for an engine that discovery reports as
+    /// draining or gone. Otherwise, a connection that is established late would deliver them after
+    /// the engine's grace period.
     pub fn drain_engine(&mut self, now: Timestamp, engine: EngineId, counters: &mut Counters) {
         for id in self.pool.connections_of(engine) {
             let Some(connection) = self.pool.get(id) else {
@@ -89,7 +91,8 @@
         }
     }
 
-    /// The gateway ends: all attempts time out by then.
+    /// Moves every attempt deadline that is later than `latest` to `latest`, for the shutdown of
+    /// the gateway.
     pub fn cap_deadlines(&mut self, latest: Timestamp) {
         for connection in self.pool.iter_mut() {
             for attempt in connection.attempts.values_mut() {
@@ -99,7 +102,7 @@
         self.timers.cap_deadlines(latest);
     }
 
-    /// Ends the attempts and connections whose time has passed.
+    /// Ends the attempts and connections whose timers have expired.
     pub fn expire_timeouts(&mut self, now: Timestamp, counters: &mut Counters) {
         while let Some(id) = self.timers.pop_deadline(now) {
             counters.attempts_timed_out += 1;
@@ -108,7 +111,7 @@
         while let Some(id) = self.timers.pop_send_limit(now) {
             self.withdraw(now, id.statement, id.attempt, counters);
         }
-        while let Some(id) = self.pool.timed_out(now) {
+        while let Some(id) = self.pool.first_timed_out(now) {
             self.expire_connection(now, id, counters);
         }
     }
@@ -117,7 +120,7 @@
         let Some(connection) = self.pool.get(id) else {
             return;
         };
-        let is_idle = connection.is_idle() && connection.response_begun.is_none();
+        let is_idle = connection.is_idle() && connection.partial_response_since.is_none();
         if connection.is_connecting() {
             self.fail_connection(now, id, &ConnectionError::ConnectTimeout, counters);
         } else if is_idle {
@@ -128,8 +131,9 @@
         }
     }
 
-    /// Ends an attempt whose result is not wanted any more. One that has left this machine completely is cancelled at its
-    /// engine, and reported as `event`.
+    /// Ends an attempt whose result is no longer needed. If it has left this machine completely,
+    /// its engine is told to cancel it or to release its result, and its end is reported as
+    /// `event`.
     fn stop_attempt(
         &mut self,
         now: Timestamp,
@@ -147,8 +151,8 @@
         let Some(connection) = self.pool.get(id) else {
             return;
         };
-        // A connection that did not come up in the statement's time tells something of the engine; bytes that it has not
-        // taken yet tell nothing of anybody.
+        // A connection that was not established before the attempt ended counts against the engine.
+        // Bytes that an established connection has not taken yet do not.
         let unsent_event = if connection.is_connecting() {
             AttemptEvent::Unreachable
         } else {
@@ -175,8 +179,9 @@
         self.pool.update_timeout(id);
     }
 
-    /// Takes an attempt back that has not left this machine completely. It has its answer, or is about to: a connection that
-    /// comes up later, or takes bytes again, must not carry it on after that. True: it has ended by `event`, and never ran.
+    /// Removes an attempt that has not left this machine completely, so that a connection that is
+    /// established later, or accepts bytes again, cannot deliver it after the statement is
+    /// answered. Returns true if the attempt has ended with `event` and never ran.
     fn retract(
         &mut self,
         now: Timestamp,
@@ -194,11 +199,12 @@
         if !connection.retract_attempt(&request_id) {
             return false;
         }
-        let was_alone = connection.attempts.len() == 1;
+        let was_only_attempt = connection.attempts.len() == 1;
         counters.attempts_withdrawn += 1;
         self.finish_attempt(now, id, &request_id, event);
-        if was_alone {
-            // Nobody waits for it any more, or what it began must not be ended.
+        if was_only_attempt {
+            // The connection is still being established for this attempt alone, or has sent part of
+            // it, which must not be completed.
             self.pool.remove(id);
         } else {
             self.pool.update_timeout(id);
@@ -206,7 +212,8 @@
         true
     }
 
-    /// Closes a connection whose state may be half changed; what is in flight on it ends.
+    /// Closes a connection whose state may be inconsistent after a fault of the gateway, and ends
+    /// its attempts.
     pub fn abandon_connection(
         &mut self,
         now: Timestamp,
@@ -216,7 +223,7 @@
         self.fail_connection(now, id, &ConnectionError::Fault, counters);
     }
 
-    /// A connection is of no further use: it closes, and what is in flight on it ends.
+    /// Closes a connection that can no longer be used, and ends its attempts.
     pub(super) fn fail_connection(
         &mut self,
         now: Timestamp,
@@ -231,7 +238,7 @@
             engine = connection.engine.0,
             attempts = connection.attempts.len(),
             %error,
-            "connection lost"
+            "closing the connection to the engine and ending its attempts"
         );
         if error.is_unusable_response() {
             counters.answers_malformed += 1;
@@ -246,7 +253,7 @@
         self.pool.remove(id);
     }
 
-    /// Removes an attempt and reports that it ended without a result.
+    /// Removes an attempt and reports `event` as its end.
     pub(super) fn finish_attempt(
         &mut self,
         now: Timestamp,
@@ -262,7 +269,7 @@
         self.updates.push(update);
     }
 
-    /// Removes an attempt that has ended from its connection and from the tables of attempts.
+    /// Removes an attempt from its connection, from the table of locations and from the timers.
     pub(super) fn remove_attempt(
         &mut self,
         now: Timestamp,
--- a/crates/gateway/src/engines/mod.rs
+++ b/crates/gateway/src/engines/mod.rs
@@ -1,11 +1,11 @@
-//! Transport of attempts to engines: connections are opened, shared and closed, attempts are written, responses are
-//! read, and what becomes of each attempt is reported.
+//! Transport of attempts to engines. Opens, shares and closes connections, writes attempts, reads
+//! responses, and reports the progress and the end of each attempt.
 //!
-//! [`EngineTransport`] holds the parts together. Where its calls stand:
+//! The methods of [`EngineTransport`] are split over three files:
 //!
-//! - here: what an attempt begins with, and what is asked of the whole;
-//! - `receiving`: bytes that come from engines;
-//! - `ending`: time-outs, cancellation, withdrawal, and the loss of connections.
+//! - this file: the start of attempts, and queries about the whole transport;
+//! - `receiving`: reading from engines;
+//! - `ending`: timeouts, cancellation, withdrawal and the loss of connections.
 
 mod attempt;
 mod attempt_timers;
@@ -34,7 +34,7 @@
 use pool::{Candidate, ConnectionPool, OpenError};
 use protocol::RequestId;
 
-/// Where an attempt is.
+/// The connection that an attempt is on, and its request id there.
 #[derive(Clone, Copy, Debug)]
 struct AttemptLocation {
     connection: ConnectionId,
@@ -43,29 +43,30 @@
 
 /// All connections of one gateway to its engines, and all attempts on them.
 ///
-/// It never waits: sockets are read and written as events of the loop tell. What becomes of attempts is taken from it by
-/// [`take_updates`](Self::take_updates).
+/// Calls never block: sockets are read and written when the event loop reports them ready. Updates
+/// about attempts are collected by [`take_updates`](Self::take_updates).
 pub struct EngineTransport {
     pool: ConnectionPool,
-    /// The attempts in flight.
+    /// The locations of the attempts in flight.
     locations: HashMap<AttemptId, AttemptLocation>,
     timers: AttemptTimers,
-    /// Connections with more to read than their part of a turn; the next turn goes on with them.
+    /// Connections that may have more to read after their last read, to be continued in the next
+    /// turn.
     unfinished_reads: BTreeSet<ConnectionId>,
-    /// Updates that are not taken yet, in their order.
+    /// Updates that have not been collected yet, oldest first.
     updates: Vec<AttemptUpdate>,
 }
 
 impl EngineTransport {
-    /// A transport without engines, of at most `max_connections` at once.
+    /// Creates a transport without engines that holds at most `max_connections` at the same time.
     #[must_use]
     pub fn new(
         event_loop: &EventLoopHandle,
-        links: ConnectionSettings,
+        connection_settings: ConnectionSettings,
         max_connections: usize,
     ) -> Self {
         EngineTransport {
-            pool: ConnectionPool::new(event_loop, links, max_connections),
+            pool: ConnectionPool::new(event_loop, connection_settings, max_connections),
             locations: HashMap::new(),
             timers: AttemptTimers::default(),
             unfinished_reads: BTreeSet::new(),
@@ -73,29 +74,31 @@
         }
     }
 
-    /// Where discovery lists an engine; none: it lists it no longer. Attempts in flight go on.
+    /// Sets the address at which discovery lists an engine; `None` if it is no longer listed.
+    /// Attempts in flight go on.
     pub fn set_address(&mut self, engine: EngineId, address: Option<SocketAddr>) {
         self.pool.set_address(engine, address);
     }
 
-    /// What all connections are noted as where they become ready.
+    /// Returns the event source of each connection, by which the event loop reports its readiness.
     pub fn event_sources(&self) -> impl Iterator<Item = EventSource> {
         self.pool.ids().map(EventSource::Engine)
     }
 
-    /// Connections that are open or coming up.
+    /// Returns the number of connections that are established or being established.
     #[must_use]
     pub fn connection_count(&self) -> usize {
         self.pool.len()
     }
 
-    /// What happened to attempts since the last call, in its order.
+    /// Takes the updates about attempts since the last call, oldest first.
     #[must_use]
     pub fn take_updates(&mut self) -> Vec<AttemptUpdate> {
         std::mem::take(&mut self.updates)
     }
 
-    /// Attempts in flight at each engine, by the sockets; engines without any are left out.
+    /// Counts the attempts in flight on the connections of each engine. Engines without any are
+    /// left out.
     #[must_use]
     pub fn attempts_in_flight(&self) -> BTreeMap<EngineId, u32> {
         let mut by_engine = BTreeMap::new();
@@ -108,7 +111,7 @@
         by_engine
     }
 
-    /// Where a statement's attempts are and when they time out, for a line in the log.
+    /// Describes the locations and deadlines of a statement's attempts for a log line.
     #[must_use]
     pub fn describe_attempts(&self, statement: StatementId) -> String {
         let locations: Vec<_> = self
@@ -120,8 +123,8 @@
         format!("{locations:?} deadlines {deadlines:?}")
     }
 
-    /// When [`expire_timeouts`](Self::expire_timeouts) or [`resume_reads`](Self::resume_reads) is next to be called;
-    /// none: there is nothing to be called for.
+    /// Returns when [`expire_timeouts`](Self::expire_timeouts) or
+    /// [`resume_reads`](Self::resume_reads) is due; `None` if neither has anything to do.
     #[must_use]
     pub fn next_timeout(&self, now: Timestamp) -> Option<Timestamp> {
         let resume = (!self.unfinished_reads.is_empty()).then_some(now);
@@ -133,7 +136,8 @@
             .min()
     }
 
-    /// Sends an attempt. Returns the connection that it uses; none: it could not be sent, and its end is among the updates.
+    /// Sends an attempt and returns the connection that it uses. Returns `None` if it could not be
+    /// sent; its end is then reported.
     pub fn send(
         &mut self,
         now: Timestamp,
@@ -156,8 +160,9 @@
         Some(id)
     }
 
-    /// An idle connection, else a new one. Only with descriptors short attempts share a connection: one that brings an
-    /// unusable response or is reset costs all attempts on it. None: the attempt was reported as not sent.
+    /// Returns an idle connection or opens a new one. Attempts share a connection only if the limit
+    /// on connections is reached, because a reset or an unusable response ends every attempt on a
+    /// connection. Returns `None` after it has reported the attempt as not sent.
     fn acquire_connection(
         &mut self,
         now: Timestamp,
@@ -179,14 +184,18 @@
                 Some(id)
             }
             Err(error) => {
-                debug!(engine = outgoing.engine.0, %error, "no connection could be opened");
+                debug!(
+                    engine = outgoing.engine.0,
+                    %error,
+                    "cannot open a connection to the engine; reporting the attempt as not sent"
+                );
                 self.report_open_error(outgoing, &error, counters);
                 None
             }
         }
     }
 
-    /// An open connection that the attempt is to use; none: it needs a new one.
+    /// Returns an open connection that the attempt can use; `None` if it needs a new one.
     fn reusable_connection(
         &mut self,
         now: Timestamp,
@@ -198,8 +207,9 @@
                 Candidate::Idle(id) => id,
                 Candidate::Busy(id) => return self.pool.is_full().then_some(id),
             };
-            // Its engine may have closed it since this turn's events were taken, and nobody could tell whether what is
-            // written on it then has run: it is looked at once more.
+            // The engine may have closed the connection after this turn's events were polled. An
+            // attempt written to it might then have run or not, so the socket is read once more
+            // before its use.
             self.pool.get_mut(id)?.socket.mark_readable();
             self.read(now, id, counters);
             if self.pool.contains(id) {
@@ -208,7 +218,8 @@
         }
     }
 
-    /// Closes the connection that has been without attempts for the longest time. False: all have some.
+    /// Closes the connection that has been without attempts for the longest time. Returns false if
+    /// all have attempts.
     fn close_longest_idle(&mut self, counters: &mut Counters) -> bool {
         let Some(id) = self.pool.longest_idle() else {
             return false;
@@ -225,7 +236,7 @@
         counters: &mut Counters,
     ) {
         match error {
-            // This machine's shortage must not count against the engine.
+            // A shortage of resources on this machine must not count against the engine.
             OpenError::ResourcesExhausted(_) => {
                 counters.attempts_never_sent += 1;
                 self.report_unsent(outgoing, AttemptEvent::NeverSent);
@@ -237,6 +248,7 @@
         }
     }
 
+    /// Reports `event` as the end of an attempt that was not enqueued on any connection.
     fn report_unsent(&mut self, outgoing: &OutgoingAttempt, event: AttemptEvent) {
         let update = AttemptUpdate::without_pages(outgoing.id(), event, TimeDelta::ZERO);
         self.updates.push(update);
--- a/crates/gateway/src/engines/paged_result.rs
+++ b/crates/gateway/src/engines/paged_result.rs
@@ -1,4 +1,4 @@
-//! Assembly of a result from the pages that its engine sends.
+//! Assembly of a result from the pages that an engine sends.
 
 use admission::interface::{AttemptEvent, TimeDelta, Timestamp};
 use bytes::Bytes;
@@ -6,17 +6,18 @@
 
 use super::protocol::Response;
 
-/// The most pages of a result. Results hold 48,000 bytes at most; whatever is beyond the two bounds here is none, and
-/// must not fill this process's memory.
+/// The maximum number of pages of a result. Valid results hold at most 48,000 bytes; a response
+/// beyond this limit or [`MAX_RESULT_BYTES`] is invalid and must not fill the memory of the
+/// gateway.
 const MAX_PAGES: usize = 64;
 
-/// The most bytes of a result, with what stands between its values.
+/// The maximum size of a result in bytes, including the separators between its values.
 const MAX_RESULT_BYTES: usize = 64 << 10;
 
-/// A row has three columns, with a tab between each two.
+/// The number of tabs in a row, which has three columns separated by tabs.
 const TABS_PER_ROW: usize = 2;
 
-/// Why an engine's result cannot be used.
+/// Why an engine's result is invalid.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub(super) enum ResultError {
     #[error("a result of over {MAX_PAGES} pages")]
@@ -27,31 +28,35 @@
     NotRows,
 }
 
-/// Whether a further page belonged to the result.
+/// Whether a page was added to the result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum PageReceipt {
-    /// It was missing, and is there now.
+    /// The page was missing and has been added.
     Accepted,
-    /// There is no such page, or it is there already.
+    /// The result has no page with this index, or it has arrived before.
     Unexpected,
 }
 
-/// A result of which the first page has come.
+/// A result of which at least the first page has arrived.
 pub(super) struct PagedResult {
-    /// From sending the attempt until its first page.
+    /// The time from sending the attempt to the arrival of the first page.
     pub latency: TimeDelta,
-    /// The CPU that the statement took, where its engine tells it.
+    /// The CPU time of the statement; `None` if the engine does not report it.
     cpu: Option<TimeDelta>,
-    /// The memory that the statement took, in MB, where its engine tells it.
+    /// The memory of the statement in MB; `None` if the engine does not report it.
     memory_mb: Option<f64>,
-    /// None where a page has not come yet.
+    /// The pages by index; `None` for a page that has not arrived yet.
     pages: Vec<Option<Bytes>>,
     size_bytes: usize,
     last_page_received: Timestamp,
 }
 
 impl PagedResult {
-    /// A result by the response that tells of it and carries its first page.
+    /// Creates a result from the response that announces it and carries its first page.
+    ///
+    /// # Errors
+    ///
+    /// The response announces more than [`MAX_PAGES`] pages.
     pub(super) fn new(
         now: Timestamp,
         latency: TimeDelta,
@@ -74,17 +79,17 @@
         Ok(result)
     }
 
-    /// Pages of the result, those among them that have not come.
+    /// Returns the number of pages of the result, including those that have not arrived.
     pub(super) fn page_count(&self) -> usize {
         self.pages.len()
     }
 
-    /// When its latest page came.
+    /// Returns when the latest page arrived.
     pub(super) fn last_page_received(&self) -> Timestamp {
         self.last_page_received
     }
 
-    /// Takes a further page.
+    /// Adds a page other than the first.
     pub(super) fn add_page(&mut self, now: Timestamp, page: Response) -> PageReceipt {
         let index = page.number::<usize>("index").unwrap_or(0);
         let Some(slot @ None) = self.pages.get_mut(index) else {
@@ -96,11 +101,12 @@
         PageReceipt::Accepted
     }
 
-    /// The pages in their order; none where one is missing.
+    /// Returns the pages in order; `None` if one is missing.
     ///
     /// # Errors
     ///
-    /// What has come is too large, or the result is complete and is not text in whole rows.
+    /// The pages that have arrived exceed [`MAX_RESULT_BYTES`], or the result is complete but not
+    /// text in whole rows.
     pub(super) fn complete_pages(&self) -> Result<Option<Vec<Bytes>>, ResultError> {
         if self.size_bytes > MAX_RESULT_BYTES {
             return Err(ResultError::TooLarge);
@@ -115,8 +121,8 @@
         Ok(Some(pages))
     }
 
-    /// The event that ends the attempt.
-    pub(super) fn completed(&self) -> AttemptEvent {
+    /// Returns the event that reports the attempt as completed.
+    pub(super) fn completion_event(&self) -> AttemptEvent {
         AttemptEvent::Completed {
             cpu: self.cpu,
             memory_mb: self.memory_mb,
@@ -124,7 +130,8 @@
     }
 }
 
-/// Whether a page is UTF-8 text of whole rows; an empty one has none.
+/// Whether a page is UTF-8 text that consists of whole rows. An empty page is valid and has no
+/// rows.
 fn is_rows(page: &[u8]) -> bool {
     if std::str::from_utf8(page).is_err() {
         return false;
--- a/crates/gateway/src/engines/pool.rs
+++ b/crates/gateway/src/engines/pool.rs
@@ -1,6 +1,8 @@
-//! The connections to all engines: which there are, where they lead, and when each times out.
+//! The pool of connections to all engines: opens and removes connections, selects one for an
+//! attempt, and keeps their timeouts.
 //!
-//! An engine is known by its id and never by its address: a new one may listen where another did.
+//! Engines are identified by id and never by address, because a new engine may listen at the
+//! address of an earlier one.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -16,16 +18,17 @@
 use crate::machine_errors::is_resource_exhaustion;
 use crate::socket::{EventLoopHandle, EventSource, Socket};
 
-/// An idle connection is closed after this part of the time in the settings: the close must be on the engine's side
-/// before its own one, with a slow event loop and a slow network in between.
-const IDLE_TIMEOUT_SHARE: f64 = 0.8;
+/// The fraction of the idle timeout in the settings after which the gateway closes an idle
+/// connection. The rest is a margin for a slow event loop and network, since the close must reach
+/// the engine before the engine closes the connection itself.
+const IDLE_TIMEOUT_FRACTION: f64 = 0.8;
 
 /// Why no connection could be opened.
 #[derive(Debug, Error)]
 pub(super) enum OpenError {
     #[error("the engine is not listed")]
     NotListed,
-    /// This machine is short of something; the engine has no part in it.
+    /// This machine has no file descriptor or buffer left, which does not count against the engine.
     #[error("out of descriptors or buffers: {0}")]
     ResourcesExhausted(#[source] io::Error),
     #[error(transparent)]
@@ -35,38 +38,39 @@
 /// A connection that an attempt may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Candidate {
-    /// It is up and nothing is in flight on it.
+    /// The connection is established and has no attempt in flight.
     Idle(ConnectionId),
-    /// It is not up yet, or other attempts are in flight on it.
+    /// The connection is not established yet or has other attempts in flight.
     Busy(ConnectionId),
 }
 
 /// The connections of one gateway to its engines.
 pub(super) struct ConnectionPool {
     event_loop: EventLoopHandle,
-    links: ConnectionSettings,
-    /// Descriptors that connections may take.
+    settings: ConnectionSettings,
+    /// The maximum number of connections, each of which takes a file descriptor.
     max_connections: usize,
     next_id: u64,
-    /// Listed engines.
+    /// The addresses of the engines that discovery lists.
     addresses: BTreeMap<EngineId, SocketAddr>,
     connections: BTreeMap<ConnectionId, Connection>,
     /// The connections of each engine; an engine without any has no entry.
     by_engine: BTreeMap<EngineId, BTreeSet<ConnectionId>>,
-    /// When each connection is not up in time, stalls, or is idle for too long: one entry for each.
+    /// One entry for each connection: the time at which it fails to be established, stalls or is
+    /// idle for too long.
     timeouts: BTreeSet<(Timestamp, ConnectionId)>,
 }
 
 impl ConnectionPool {
-    /// A pool without connections, of at most `max_connections`.
+    /// Creates an empty pool of at most `max_connections`.
     pub(super) fn new(
         event_loop: &EventLoopHandle,
-        links: ConnectionSettings,
+        settings: ConnectionSettings,
         max_connections: usize,
     ) -> Self {
         ConnectionPool {
             event_loop: event_loop.clone(),
-            links,
+            settings,
             max_connections,
             next_id: 0,
             addresses: BTreeMap::new(),
@@ -76,7 +80,7 @@
         }
     }
 
-    /// Where an engine is listed; none: it is no longer.
+    /// Sets the address at which an engine is listed; `None` if it is no longer listed.
     pub(super) fn set_address(&mut self, engine: EngineId, address: Option<SocketAddr>) {
         match address {
             Some(address) => {
@@ -86,7 +90,8 @@
                 self.addresses.remove(&engine);
             }
         }
-        // Idle ones to where it is no longer close at once, the others with their last attempt.
+        // Idle connections to the old address close at once; the others close when their last
+        // attempt ends.
         for id in self.connections_of(engine) {
             self.update_timeout(id);
         }
@@ -112,37 +117,38 @@
         self.connections.get_mut(&id)
     }
 
-    /// The numbers of all connections, in the order in which they were opened.
+    /// Returns the ids of all connections in the order in which they were opened.
     pub(super) fn ids(&self) -> impl Iterator<Item = ConnectionId> {
         self.connections.keys().copied()
     }
 
-    /// All connections, in the order in which they were opened.
+    /// Returns all connections in the order in which they were opened.
     pub(super) fn iter(&self) -> impl Iterator<Item = &Connection> {
         self.connections.values()
     }
 
-    /// As [`iter`](Self::iter), to be changed.
+    /// Returns all connections, mutably, in the order in which they were opened.
     pub(super) fn iter_mut(&mut self) -> impl Iterator<Item = &mut Connection> {
         self.connections.values_mut()
     }
 
-    /// The connections of an engine, in the order in which they were opened.
+    /// Returns the connections of an engine in the order in which they were opened.
     pub(super) fn connections_of(&self, engine: EngineId) -> Vec<ConnectionId> {
         let ids = self.by_engine.get(&engine);
         ids.into_iter().flatten().copied().collect()
     }
 
-    /// The best open connection for an attempt: that with the fewest attempts in flight, among these the last used, so
-    /// that the others may end.
+    /// Returns the best open connection for an attempt: the one with the fewest attempts in flight
+    /// and, among equals, the most recently used, so that the others reach their idle timeout.
+    /// Returns `None` if no connection fits.
     pub(super) fn best_candidate(&self, outgoing: &OutgoingAttempt) -> Option<Candidate> {
         let address = self.addresses.get(&outgoing.engine);
         let fits = |id: ConnectionId, connection: &Connection| {
-            let leads_there = address.is_none_or(|address| *address == connection.address);
-            let has_capacity = connection.attempts.len() < self.links.multiplex;
-            let is_fresh_to_statement = !outgoing.avoid.contains(&id)
+            let has_listed_address = address.is_none_or(|address| *address == connection.address);
+            let has_capacity = connection.attempts.len() < self.settings.multiplex;
+            let is_new_to_statement = !outgoing.avoid.contains(&id)
                 && !connection.attempts.contains_key(&outgoing.request_id);
-            leads_there && !connection.retired && has_capacity && is_fresh_to_statement
+            has_listed_address && !connection.retired && has_capacity && is_new_to_statement
         };
         let (id, connection) = self
             .by_engine
@@ -161,11 +167,11 @@
         }
     }
 
-    /// Begins a new connection to an engine.
+    /// Begins to establish a new connection to an engine.
     ///
     /// # Errors
     ///
-    /// It is not listed, or the connection cannot be begun.
+    /// The engine is not listed, or its socket cannot be opened or begin to connect.
     pub(super) fn open(
         &mut self,
         now: Timestamp,
@@ -182,7 +188,7 @@
             Err(error) => return Err(OpenError::Failed(error)),
         };
         self.next_id += 1;
-        let connect_timeout = self.links.connect_timeout;
+        let connect_timeout = self.settings.connect_timeout;
         let connection = Connection::new(now, engine, address, socket, connect_timeout);
         self.timeouts.insert((connection.timeout, id));
         self.by_engine.entry(engine).or_default().insert(id);
@@ -190,7 +196,8 @@
         Ok(id)
     }
 
-    /// The connection that has been without attempts for the longest time.
+    /// Returns the connection that has been without attempts for the longest time; `None` if all
+    /// have attempts.
     pub(super) fn longest_idle(&self) -> Option<ConnectionId> {
         self.connections
             .iter()
@@ -199,7 +206,7 @@
             .map(|(id, _)| *id)
     }
 
-    /// Takes a connection out; it closes as it is dropped.
+    /// Removes and returns a connection, which closes when it is dropped.
     pub(super) fn remove(&mut self, id: ConnectionId) -> Option<Connection> {
         let connection = self.connections.remove(&id)?;
         self.timeouts.remove(&(connection.timeout, id));
@@ -212,20 +219,20 @@
         Some(connection)
     }
 
-    /// To be called after each change of a connection: one that is of no further use closes once nothing is in flight
-    /// on it, of each other one the timeout is set anew.
+    /// Updates a connection's timeout, or closes the connection if it takes no more attempts and is
+    /// idle. This must be called after each change of a connection.
     pub(super) fn update_timeout(&mut self, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
         };
         let is_listed = self.addresses.get(&connection.engine) == Some(&connection.address);
-        let is_useless = connection.retired || !is_listed;
-        if connection.is_idle() && is_useless {
+        let takes_no_attempts = connection.retired || !is_listed;
+        if connection.is_idle() && takes_no_attempts {
             self.remove(id);
             return;
         }
         let idle_timeout =
-            TimeDelta::from_secs(self.links.idle_timeout.secs() * IDLE_TIMEOUT_SHARE);
+            TimeDelta::from_secs(self.settings.idle_timeout.secs() * IDLE_TIMEOUT_FRACTION);
         let timeout = connection.next_timeout(idle_timeout);
         if timeout != connection.timeout {
             self.timeouts.remove(&(connection.timeout, id));
@@ -234,13 +241,13 @@
         }
     }
 
-    /// When the next connection times out.
+    /// Returns when the next connection times out; `None` without connections.
     pub(super) fn next_timeout(&self) -> Option<Timestamp> {
         self.timeouts.first().map(|(at, _)| *at)
     }
 
-    /// The connection that timed out first.
-    pub(super) fn timed_out(&self, now: Timestamp) -> Option<ConnectionId> {
+    /// Returns the connection with the earliest timeout; `None` if no timeout has passed.
+    pub(super) fn first_timed_out(&self, now: Timestamp) -> Option<ConnectionId> {
         let (at, id) = self.timeouts.first()?;
         (*at <= now).then_some(*id)
     }
--- a/crates/gateway/src/engines/protocol.rs
+++ b/crates/gateway/src/engines/protocol.rs
@@ -1,52 +1,55 @@
-//! The codec of the engines' line protocol.
+//! The codec of the line protocol between the gateway and engines.
 //!
-//! A response is one line of four words, `REQUEST-ID KIND FIELDS LENGTH`, that ends in CR LF. A body of `LENGTH` bytes
-//! and another CR LF follow. `FIELDS` are `name=value` pairs between commas.
+//! A response starts with a line of four words, `REQUEST-ID KIND FIELDS LENGTH`, that ends in CR
+//! LF. A body of `LENGTH` bytes and another CR LF follow. `FIELDS` is a list of `name=value` pairs
+//! separated by commas.
 
 use std::str::FromStr;
 
 use bytes::{Buf, Bytes, BytesMut};
 use thiserror::Error;
 
-/// The longest response line, in bytes with its CR LF: an engine has no reason to send a longer one.
+/// The maximum length of a response line in bytes, including its CR LF. Engines have no reason to
+/// send a longer line.
 const MAX_HEAD_BYTES: usize = 1024;
 
-/// The longest body of a response, in bytes: an engine has no reason to send a longer one.
+/// The maximum length of a response body in bytes. Engines have no reason to send a longer body.
 pub const MAX_BODY_BYTES: usize = 64 << 10;
 
-/// What ends a line and a body.
+/// The terminator of a line and of a body.
 const TERMINATOR: &[u8] = b"\r\n";
 
-/// What a read buffer must be able to hold, in bytes, so that every permitted response becomes complete in it.
+/// The maximum length of a response in bytes, which a read buffer must be able to hold.
 pub const MAX_RESPONSE_BYTES: usize = MAX_HEAD_BYTES + MAX_BODY_BYTES + 2 * TERMINATOR.len();
 
-/// Bytes of an attempt's line beyond its statement: an estimate that spares most lines a second allocation.
+/// An estimate of the bytes of an attempt request beyond its text, so that most requests need only
+/// one allocation.
 const ATTEMPT_HEAD_ESTIMATE_BYTES: usize = 192;
 
-/// The client's id of a statement: 16 hex digits, passed on as they came.
+/// The client's id of a statement: 16 hexadecimal digits, passed on unchanged.
 pub type RequestId = [u8; 16];
 
-/// What a response tells of its request.
+/// The kind of a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseKind {
     /// The statement completed; the body is the first page of its result.
     Completed,
-    /// The engine has no capacity for it, and did not run it.
+    /// The engine has no capacity for the statement and did not run it.
     Rejected,
-    /// It ended with an error.
+    /// The statement ended with an error.
     Failed,
-    /// Its time was over before the engine ran it.
+    /// The statement's timeout passed before the engine ran it.
     Expired,
-    /// It is still in flight; the fields tell how it gets on.
+    /// The statement is still in flight; the fields describe its progress.
     Status,
-    /// A further page of its result, as requested.
+    /// The body is a further page of the result, as requested.
     Page,
-    /// The reply to a ping. This gateway sends none, and ignores what comes.
+    /// The reply to a ping. The gateway sends no pings and ignores such replies.
     Pong,
 }
 
 impl ResponseKind {
-    /// The kind by its word on the wire.
+    /// Returns the kind for its word on the wire; `None` for an unknown word.
     fn from_wire(word: &[u8]) -> Option<ResponseKind> {
         match word {
             b"DONE" => Some(ResponseKind::Completed),
@@ -64,49 +67,50 @@
 /// One complete response.
 #[derive(Debug, PartialEq)]
 pub struct Response {
-    /// The id of the request that it answers; not always one of ours.
+    /// The id of the request that the response names, which need not be a request of this gateway.
     pub request_id: Bytes,
-    /// What it tells.
+    /// The kind of the response.
     pub kind: ResponseKind,
     fields: Bytes,
-    /// Its body, without the terminator.
+    /// The body without its terminator.
     pub body: Bytes,
 }
 
-/// Why bytes are no response. The rest of what the connection brings cannot be used either.
+/// Why bytes are not a valid response. Everything that follows them on the connection is unusable
+/// too.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum DecodeError {
-    /// The line does not end within the permitted length.
+    /// The line, with its CR LF, is longer than 1024 bytes.
     #[error("a line of over {MAX_HEAD_BYTES} bytes")]
     LineTooLong,
-    /// The line does not have its four words.
+    /// The line does not have four words, or has an empty request id or empty fields.
     #[error("not ID WORD FIELDS LENGTH")]
     MalformedLine,
-    /// Its second word is the name of no [`ResponseKind`].
+    /// The second word does not name a [`ResponseKind`].
     #[error("unknown word")]
     UnknownKind,
-    /// Its last word is no number, or more than a body may have.
+    /// The last word is not a number or exceeds [`MAX_BODY_BYTES`].
     #[error("a length that is none, or over {MAX_BODY_BYTES}")]
     InvalidLength,
-    /// No CR LF stands behind the body.
+    /// The body is not followed by CR LF.
     #[error("a body that does not end where it should")]
     MissingTerminator,
 }
 
-/// Where the parts of a response stand in a read buffer, as its line tells.
+/// The kind of a response and the lengths of its parts, parsed from its line.
 struct ResponseLayout {
     kind: ResponseKind,
-    /// Bytes of the line, without its terminator.
+    /// The length of the line without its terminator.
     line_bytes: usize,
     request_id_bytes: usize,
-    /// Where the fields begin in the line.
+    /// The offset of the fields in the line.
     fields_start: usize,
     fields_bytes: usize,
     body_bytes: usize,
 }
 
 impl ResponseLayout {
-    /// Reads a response's line, without its terminator.
+    /// Parses the line of a response, given without its terminator.
     fn parse(line: &[u8]) -> Result<ResponseLayout, DecodeError> {
         let words: Vec<&[u8]> = line.split(|byte| *byte == b' ').collect();
         let [request_id, kind_word, fields, length] = words[..] else {
@@ -131,18 +135,19 @@
         })
     }
 
-    /// Bytes from the start of the line to the end of the body's terminator.
+    /// Returns the number of bytes from the start of the line to the end of the body's terminator.
     fn total_bytes(&self) -> usize {
         self.line_bytes + TERMINATOR.len() + self.body_bytes + TERMINATOR.len()
     }
 }
 
 impl Response {
-    /// Takes one response off the front of a read buffer; none where it is not complete yet.
+    /// Removes one response from the front of a read buffer; `None` if the response is not complete
+    /// yet.
     ///
     /// # Errors
     ///
-    /// The bytes at the front are no response, and become none by what follows them.
+    /// The buffer does not start with a valid response, whatever bytes follow.
     pub fn decode(read_buffer: &mut BytesMut) -> Result<Option<Response>, DecodeError> {
         let head = &read_buffer[..read_buffer.len().min(MAX_HEAD_BYTES)];
         let line_end = head
@@ -175,7 +180,7 @@
         }))
     }
 
-    /// The value of the first field of that name.
+    /// Returns the value of the first field with this name.
     pub fn field(&self, name: &str) -> Option<&[u8]> {
         self.fields
             .split(|byte| *byte == b',')
@@ -183,12 +188,14 @@
             .find_map(|rest| rest.strip_prefix(b"="))
     }
 
-    /// The value of the first field of that name, where it is a number of that type.
+    /// Returns the value of the first field with this name; `None` if it does not parse as a number
+    /// of type `T`.
     pub fn number<T: FromStr>(&self, name: &str) -> Option<T> {
         parse_number(self.field(name)?)
     }
 
-    /// The value of the first field of that name, where it is a measured quantity: finite and above zero.
+    /// Returns the value of the first field with this name; `None` unless it is a finite number
+    /// above zero.
     pub fn quantity(&self, name: &str) -> Option<f64> {
         self.number::<f64>(name)
             .filter(|value| value.is_finite() && *value > 0.0)
@@ -199,25 +206,25 @@
     std::str::from_utf8(text).ok()?.parse().ok()
 }
 
-/// The keys that a statement carries through to its engine unchanged.
+/// The keys of a statement that the gateway passes on to the engine unchanged.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StatementKeys {
-    /// By which engines recognise a repeat of the statement.
+    /// The key by which an engine recognises a repetition of the statement.
     pub idempotency_key: Option<Box<str>>,
-    /// Statements of one such key keep their order.
+    /// Statements with the same ordering key run in order.
     pub ordering_key: Option<Box<str>>,
 }
 
-/// An attempt as its engine reads it.
+/// The request that sends an attempt to its engine.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptRequest<'a> {
     /// The client's id of the statement.
     pub request_id: RequestId,
-    /// The name of its query class.
+    /// The name of the statement's query class.
     pub class: &'a str,
-    /// The engine has no use for the statement after this time, in milliseconds.
+    /// The time in milliseconds after which the engine need not run the statement any more.
     pub timeout_ms: u64,
-    /// 0 to 3; none where engines heed none.
+    /// The priority, 0 to 3; `None` if engines do not use priorities.
     pub priority: Option<u8>,
     /// The keys that the statement carries.
     pub keys: &'a StatementKeys,
@@ -226,7 +233,7 @@
 }
 
 impl AttemptRequest<'_> {
-    /// The attempt's bytes on the wire.
+    /// Encodes the request for the wire.
     pub fn encode(&self) -> Vec<u8> {
         let mut line = Vec::with_capacity(self.text.len() + ATTEMPT_HEAD_ESTIMATE_BYTES);
         line.extend(b"do ");
@@ -249,18 +256,19 @@
     }
 }
 
-/// Asks the engine to cancel a statement that it runs.
+/// Encodes a request to cancel a statement that the engine runs.
 pub fn encode_cancel(request_id: &RequestId) -> Vec<u8> {
     [b"undo ", &request_id[..], TERMINATOR].concat()
 }
 
-/// Requests a further page of a result; the first one, number 0, comes with [`ResponseKind::Completed`].
+/// Encodes a request for a further page of a result. Page 0 arrives with
+/// [`ResponseKind::Completed`].
 pub fn encode_page_request(request_id: &RequestId, page: usize) -> Vec<u8> {
     let page = format!(" {page}");
     [b"page ", &request_id[..], page.as_bytes(), TERMINATOR].concat()
 }
 
-/// Tells the engine that the rest of a result is not requested any more.
+/// Encodes a message that the rest of a result will not be requested.
 pub fn encode_release(request_id: &RequestId) -> Vec<u8> {
     [b"forget ", &request_id[..], TERMINATOR].concat()
 }
--- a/crates/gateway/src/engines/receiving.rs
+++ b/crates/gateway/src/engines/receiving.rs
@@ -1,4 +1,4 @@
-//! What comes from engines: connections that come up, responses, and results page by page.
+//! Input from engines: established connections, responses, and results that arrive page by page.
 
 use admission::interface::{AttemptEvent, TimeDelta, Timestamp};
 use bytes::Bytes;
@@ -11,20 +11,22 @@
 use crate::counters::Counters;
 use crate::socket::Socket;
 
-/// How often one connection's read buffer is filled in a turn, so that no engine slows the others down.
+/// How often the read buffer of one connection may be filled in a turn, so that no engine delays
+/// the others.
 const MAX_READS_PER_TURN: usize = 4;
 
-/// Whether a connection is to be read on.
+/// Whether a connection may have more to read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ReadStatus {
-    /// All that has come is read, or the connection is gone.
+    /// All bytes that have arrived are read, or the connection is gone.
     Finished,
-    /// There may be more.
+    /// More bytes may have arrived.
     Unfinished,
 }
 
 impl EngineTransport {
-    /// A socket event of a connection: it came up, can be read or written, or ended. One that is closed already stays so.
+    /// Handles a socket event of a connection: it was established, became readable or writable, or
+    /// was closed by its peer. An event of a connection that is no longer in the pool is ignored.
     pub fn on_socket_event(&mut self, now: Timestamp, id: ConnectionId, counters: &mut Counters) {
         let Some(connection) = self.pool.get_mut(id) else {
             return;
@@ -41,14 +43,14 @@
         self.read(now, id, counters);
     }
 
-    /// Goes on with connections that had more to read than their part of the last turn.
+    /// Continues to read the connections that had more to read than one turn allows.
     pub fn resume_reads(&mut self, now: Timestamp, counters: &mut Counters) {
         for id in std::mem::take(&mut self.unfinished_reads) {
             self.read(now, id, counters);
         }
     }
 
-    /// Writes what the machine takes of a connection that is up.
+    /// Writes as many enqueued bytes as the socket accepts, if the connection is established.
     pub(super) fn flush(&mut self, now: Timestamp, id: ConnectionId, counters: &mut Counters) {
         let Some(connection) = self.pool.get_mut(id) else {
             return;
@@ -61,7 +63,8 @@
         }
     }
 
-    /// Reads a connection's part of a turn. Bytes that cannot be used end the connection at once, whatever follows them.
+    /// Reads a connection, up to its limit for one turn. Invalid bytes end the connection at once,
+    /// whatever follows them.
     pub(super) fn read(&mut self, now: Timestamp, id: ConnectionId, counters: &mut Counters) {
         for _ in 0..MAX_READS_PER_TURN {
             match self.read_once(now, id, counters) {
@@ -74,7 +77,11 @@
         self.pool.update_timeout(id);
     }
 
-    /// Fills a connection's read buffer once, and handles the responses in it.
+    /// Fills a connection's read buffer once and handles the responses in it.
+    ///
+    /// # Errors
+    ///
+    /// The connection is closed by the engine, failed, or carries an invalid response.
     fn read_once(
         &mut self,
         now: Timestamp,
@@ -85,7 +92,7 @@
             return Ok(ReadStatus::Finished);
         };
         let read = connection.socket.read_up_to(MAX_RESPONSE_BYTES);
-        // What came before an end still counts.
+        // Responses that arrived before the connection ended still count.
         self.handle_responses(now, id, counters)?;
         let Some(connection) = self.pool.get_mut(id) else {
             return Ok(ReadStatus::Finished);
@@ -94,14 +101,14 @@
         if connection.socket.peer_finished {
             return Err(ConnectionError::ClosedByEngine);
         }
-        note_partial_response(now, connection)?;
+        track_partial_response(now, connection)?;
         if connection.socket.may_have_more() {
             return Ok(ReadStatus::Unfinished);
         }
         Ok(ReadStatus::Finished)
     }
 
-    /// Handles all complete responses of a connection, unless one of them ends it.
+    /// Handles all complete responses in a connection's read buffer, up to the first invalid one.
     fn handle_responses(
         &mut self,
         now: Timestamp,
@@ -112,7 +119,7 @@
             let Some(response) = Response::decode(&mut connection.socket.read_buffer)? else {
                 break;
             };
-            connection.response_begun = None;
+            connection.partial_response_since = None;
             self.handle_response(now, id, response, counters)?;
         }
         Ok(())
@@ -125,9 +132,9 @@
         response: Response,
         counters: &mut Counters,
     ) -> Result<(), ConnectionError> {
-        let Some((request_id, attempt)) = self.attempt_of(id, &response) else {
-            // Late, repeated or unexpected. It cannot be another attempt's: no further one of that id is ever on this
-            // connection.
+        let Some((request_id, attempt)) = self.find_attempt(id, &response) else {
+            // The response is late, repeated or unexpected. It cannot belong to another attempt,
+            // since no two attempts with the same request id use the same connection.
             if response.kind != ResponseKind::Pong {
                 counters.answers_late += 1;
             }
@@ -154,17 +161,17 @@
                 self.finish_attempt(now, id, &request_id, AttemptEvent::Error);
             }
             ResponseKind::Completed => {
-                return self.take_first_page(now, id, &request_id, response, counters);
+                return self.handle_first_page(now, id, &request_id, response, counters);
             }
             ResponseKind::Page => {
-                return self.take_further_page(now, id, &request_id, response, counters);
+                return self.handle_further_page(now, id, &request_id, response, counters);
             }
         }
         Ok(())
     }
 
-    /// The attempt in flight that a response belongs to.
-    fn attempt_of(
+    /// Returns the attempt in flight that a response belongs to.
+    fn find_attempt(
         &mut self,
         id: ConnectionId,
         response: &Response,
@@ -174,10 +181,11 @@
         Some((request_id, attempt))
     }
 
+    /// Reports a status response as an update of its attempt. Unknown remarks are ignored.
     fn report_status(&mut self, attempt: AttemptId, latency: TimeDelta, response: &Response) {
-        let done = response.number::<f64>("datum");
-        let event = match (response.field("remark"), done) {
-            (Some(b"done"), Some(done)) if done.is_finite() => AttemptEvent::Progress(done),
+        let value = response.number::<f64>("datum");
+        let event = match (response.field("remark"), value) {
+            (Some(b"done"), Some(value)) if value.is_finite() => AttemptEvent::Progress(value),
             (Some(b"spills" | b"waits"), _) => AttemptEvent::Stalled,
             _ => return,
         };
@@ -185,8 +193,9 @@
         self.updates.push(update);
     }
 
-    /// The statement completed: its further pages are requested, all at once.
-    fn take_first_page(
+    /// Starts the result of a completed statement with its first page, and requests all further
+    /// pages at once unless the client has left.
+    fn handle_first_page(
         &mut self,
         now: Timestamp,
         id: ConnectionId,
@@ -214,7 +223,7 @@
         self.complete_if_done(now, id, request_id, counters)
     }
 
-    fn take_further_page(
+    fn handle_further_page(
         &mut self,
         now: Timestamp,
         id: ConnectionId,
@@ -223,7 +232,7 @@
         counters: &mut Counters,
     ) -> Result<(), ConnectionError> {
         counters.pages_received += 1;
-        let Some((_, attempt)) = self.attempt_of(id, &response) else {
+        let Some((_, attempt)) = self.find_attempt(id, &response) else {
             return Ok(());
         };
         let receipt = match &mut attempt.result {
@@ -237,11 +246,11 @@
         self.complete_if_done(now, id, request_id, counters)
     }
 
-    /// Ends an attempt whose pages are all there, or not wanted any more.
+    /// Ends an attempt whose pages have all arrived, or whose client has left after the first page.
     ///
     /// # Errors
     ///
-    /// Its result cannot be used.
+    /// The result is invalid.
     pub(super) fn complete_if_done(
         &mut self,
         now: Timestamp,
@@ -264,7 +273,7 @@
         let update = AttemptUpdate {
             statement: attempt.id.statement,
             attempt: attempt.id.attempt,
-            event: result.completed(),
+            event: result.completion_event(),
             latency: result.latency,
             pages: pages.unwrap_or_default(),
         };
@@ -288,19 +297,24 @@
     }
 }
 
-/// Notes whether a response has begun that is not complete.
-fn note_partial_response(
+/// Records since when the read buffer has held an incomplete response.
+///
+/// # Errors
+///
+/// The buffer holds part of a response, but no attempt is in flight.
+fn track_partial_response(
     now: Timestamp,
     connection: &mut Connection,
 ) -> Result<(), ConnectionError> {
     if connection.socket.read_buffer.is_empty() {
-        connection.response_begun = None;
+        connection.partial_response_since = None;
         return Ok(());
     }
     if connection.attempts.is_empty() {
-        // Nothing was requested, and what is written on this connection next would have its response behind it.
+        // Nothing was requested, and the response to the next attempt on this connection would
+        // follow this one.
         return Err(ConnectionError::UnexpectedResponse);
     }
-    connection.response_begun.get_or_insert(now);
+    connection.partial_response_since.get_or_insert(now);
     Ok(())
 }
