--- a/crates/gateway/src/discovery/backoff.rs
+++ b/crates/gateway/src/discovery/backoff.rs
@@ -1,21 +1,23 @@
-//! Pauses between failed polls: they double, and each is drawn by chance.
+//! Exponential backoff with jitter between failed polls.
 
 use admission::interface::TimeDelta;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// The first pause is at most this long.
-const INITIAL_S: f64 = 0.05;
+/// The maximum length of the first pause.
+const INITIAL_PAUSE_S: f64 = 0.05;
 
-/// No pause is longer: far below the time after which events count as told.
-const MAX_S: f64 = 1.0;
+/// The maximum length of any pause. It is far below the 7 s after which an event is assumed to have
+/// been delivered.
+const MAX_PAUSE_S: f64 = 1.0;
 
-/// The part of each pause that is not left to chance.
-const FIXED_PART: f64 = 0.5;
+/// The fraction of each pause that is not random.
+const FIXED_FRACTION: f64 = 0.5;
 
-/// Exponential backoff with jitter: of many gateways that lose the discovery service in one instant, each polls again
-/// at an instant of its own.
+/// The state of the pauses. Their jitter spreads out the polls of many gateways that lose the
+/// discovery service at the same time.
 pub(super) struct Backoff {
+    /// The maximum length of the next pause.
     next: TimeDelta,
     rng: Pcg64Mcg,
 }
@@ -23,21 +25,21 @@
 impl Backoff {
     pub(super) fn new(seed: u64) -> Self {
         Backoff {
-            next: TimeDelta::from_secs(INITIAL_S),
+            next: TimeDelta::from_secs(INITIAL_PAUSE_S),
             rng: Pcg64Mcg::seed_from_u64(seed),
         }
     }
 
-    /// A poll succeeded, or the next one goes elsewhere: the pauses start anew.
+    /// Restarts with the first pause, after a successful poll or a change of the service's address.
     pub(super) fn reset(&mut self) {
-        self.next = TimeDelta::from_secs(INITIAL_S);
+        self.next = TimeDelta::from_secs(INITIAL_PAUSE_S);
     }
 
-    /// How long to wait now.
+    /// Returns the length of the next pause, and doubles the maximum of the one after it.
     pub(super) fn next_pause(&mut self) -> TimeDelta {
-        let part = FIXED_PART + (1.0 - FIXED_PART) * self.rng.random::<f64>();
-        let pause = TimeDelta::from_secs(self.next.secs() * part);
-        self.next = TimeDelta::from_secs((self.next.secs() * 2.0).min(MAX_S));
+        let fraction = FIXED_FRACTION + (1.0 - FIXED_FRACTION) * self.rng.random::<f64>();
+        let pause = TimeDelta::from_secs(self.next.secs() * fraction);
+        self.next = TimeDelta::from_secs((self.next.secs() * 2.0).min(MAX_PAUSE_S));
         pause
     }
 }
--- a/crates/gateway/src/discovery/endpoints.rs
+++ b/crates/gateway/src/discovery/endpoints.rs
@@ -1,5 +1,5 @@
-//! JSON codec of the endpoint list: numbered events, as the discovery service answers a poll and as the
-//! configuration's `known` holds them.
+//! The JSON codec of the endpoint list. The discovery service's answers to polls and the
+//! configuration's `known` both hold numbered events in this form.
 
 use std::net::SocketAddr;
 
@@ -7,55 +7,55 @@
 use serde_json::Value;
 use thiserror::Error;
 
-/// Milliseconds in a second.
 const MILLIS_PER_SECOND: f64 = 1e3;
 
-/// Why a list of events cannot be read.
+/// Why a list of events is invalid.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum EndpointListError {
-    /// This field is missing, or has a value of no use.
+    /// The field with this name is missing or has an invalid value.
     #[error("{0} is missing or cannot be used")]
     Field(&'static str),
 }
 
-/// One engine, as the discovery service describes it.
+/// An engine as described by the discovery service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint {
-    /// Its unique name; an engine that is started anew gets another.
+    /// The unique name of the engine. A restarted engine gets a new one.
     pub uid: String,
-    /// Where it takes connections.
+    /// The address at which the engine accepts connections.
     pub address: SocketAddr,
-    /// The name of its location.
+    /// The name of the engine's location.
     pub location: String,
-    /// The name of its kind of machine.
+    /// The name of the engine's machine type.
     pub machine: String,
-    /// Engines of one cell share what they remember of idempotency keys.
+    /// The group of engines that share their record of idempotency keys.
     pub cell: u16,
-    /// Where it is in its life.
+    /// The stage of the engine's life cycle.
     pub stage: EngineStage,
-    /// Its size, beside the usual engine of its machine kind.
+    /// The capacity of the engine relative to a usual engine of its machine type.
     pub scale: f64,
-    /// When it was started; none where not told.
+    /// When the engine started, by the clock of another machine; `None` if the list does not give
+    /// it.
     pub started: Option<Timestamp>,
 }
 
-/// What an event changes in the endpoint list.
+/// A change of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EndpointChange {
-    /// These are all engines that there are.
+    /// The complete list of engines, which replaces the earlier one.
     Snapshot(Vec<Endpoint>),
-    /// These engines are new or changed; all others stay as they are.
+    /// Engines that are new or changed. All others stay as they are.
     Update(Vec<Endpoint>),
 }
 
 impl EndpointChange {
-    /// Whether it tells of all engines.
+    /// Whether the change holds the complete list of engines.
     #[must_use]
     pub fn is_snapshot(&self) -> bool {
         matches!(self, EndpointChange::Snapshot(_))
     }
 
-    /// The engines that it names.
+    /// Returns the engines that the change names.
     #[must_use]
     pub fn endpoints(&self) -> &[Endpoint] {
         match self {
@@ -64,30 +64,30 @@
     }
 }
 
-/// One event of the discovery service.
+/// An event of the discovery service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DiscoveryEvent {
-    /// Its number; each event has the number of the one before it plus one.
+    /// The number of the event. Events are numbered consecutively.
     pub revision: u64,
-    /// What it changes in the endpoint list; none for an event of another kind.
+    /// The change of the endpoint list; `None` for an event of another kind.
     pub change: Option<EndpointChange>,
 }
 
-/// The events up to and with `last_revision`, as far as they were asked for.
+/// The events after the revision that a poll names, up to and including `last_revision`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EventBatch {
-    /// The number of the service's latest event.
+    /// The number of the latest event of the service.
     pub last_revision: u64,
-    /// The events, in any order.
+    /// The events in any order.
     pub events: Vec<DiscoveryEvent>,
 }
 
 impl EventBatch {
-    /// Reads a batch from its JSON form.
+    /// Decodes a batch from JSON.
     ///
     /// # Errors
     ///
-    /// The first field that is missing or cannot be used.
+    /// A field is missing or invalid; the error names the first such field.
     pub fn from_json(json: &Value) -> Result<Self, EndpointListError> {
         let last_revision = json["rev"]
             .as_u64()
@@ -140,7 +140,7 @@
         "terminated" => EngineStage::Removed,
         _ => return Err(EndpointListError::Field("state")),
     };
-    // Zero stands for an engine whose start is not known.
+    // The service sends zero for an engine whose start is unknown.
     let started_ms = json["boot_ms"].as_f64().filter(|ms| *ms > 0.0);
     let cell = json["pod_group"].as_u64().unwrap_or(0);
     Ok(Endpoint {
--- a/crates/gateway/src/discovery/http.rs
+++ b/crates/gateway/src/discovery/http.rs
@@ -1,4 +1,5 @@
-//! HTTP/1.1 codec of the discovery service: a poll's request, and its response off a connection's inbox.
+//! The HTTP/1.1 codec of polls of the discovery service: encodes requests, and decodes responses
+//! from a connection's read buffer.
 
 use std::net::SocketAddr;
 
@@ -7,76 +8,78 @@
 
 use super::endpoints::{EndpointListError, EventBatch};
 
-/// Network fact: the largest response that a list of engines has reason to fill, in bytes, head and body each.
+/// The maximum size of a response's head and of its body, in bytes each. No list of engines needs a
+/// larger response.
 pub const MAX_RESPONSE_BYTES: usize = 1 << 20;
 
-/// Most header lines that a response may have.
+/// The maximum number of header lines in a response.
 const MAX_HEADERS: usize = 32;
 
 const STATUS_OK: u16 = 200;
 
-/// The line end behind each chunk's data.
+/// The size in bytes of the CR LF that ends the data of each chunk.
 const CHUNK_END_BYTES: usize = 2;
 
-/// Whether more may come on a connection.
+/// Whether more input may arrive on a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InputState {
     /// The peer may send more.
     Open,
-    /// The peer has ended its direction.
+    /// The peer has closed its sending side.
     Ended,
 }
 
-/// Whether the connection carries another request after a response.
+/// Whether another request may be sent on the connection after a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionReuse {
-    /// It does.
+    /// The connection stays open for another request.
     KeepAlive,
-    /// The service closes it.
+    /// The service closes the connection.
     Close,
 }
 
-/// What the inbox holds of a response.
+/// The outcome of decoding a response from the read buffer.
 #[derive(Debug, PartialEq)]
 pub enum PollResponse {
-    /// Not all of it has come.
+    /// The response has not arrived completely.
     Incomplete,
-    /// A whole response, which is taken off the inbox.
+    /// A complete response, which was removed from the read buffer.
     Complete {
-        /// Its events.
+        /// The events of the response.
         batch: EventBatch,
-        /// Whether the connection carries another request.
+        /// Whether another request may be sent on the connection.
         reuse: ConnectionReuse,
     },
 }
 
-/// Why a response cannot be used.
+/// Why a response is invalid.
 #[derive(Debug, Error)]
 pub enum ResponseError {
-    /// No end of the head within [`MAX_RESPONSE_BYTES`].
+    /// The head does not end within [`MAX_RESPONSE_BYTES`].
     #[error("a head without an end")]
     UnendedHead,
-    /// The head is not HTTP.
+    /// The head is not valid HTTP.
     #[error(transparent)]
     Head(#[from] httparse::Error),
-    /// Another status than 200.
+    /// The status is not 200.
     #[error("status {0:?}")]
     Status(Option<u16>),
-    /// A chunk that cannot be read, that is too large or not ended.
+    /// A chunk is malformed or too large, or the chunks end too early or too late.
     #[error("an invalid chunk")]
     Chunk,
-    /// The body's length is no number, or is more than [`MAX_RESPONSE_BYTES`].
+    /// The length of the body is not a number or exceeds [`MAX_RESPONSE_BYTES`].
     #[error("an invalid length, or one too large")]
     Length,
-    /// The body is no JSON.
+    /// The body is not JSON.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// The body has no events in it.
+    /// The body is not a valid batch of events.
     #[error(transparent)]
     Events(#[from] EndpointListError),
 }
 
-/// A long poll for the events after `since_revision`, which the service may hold open for `linger_ms`.
+/// Encodes a long poll for the events after `since_revision`. The service may hold it open for
+/// `linger_ms` milliseconds until there is an event.
 #[must_use]
 pub fn poll_request(since_revision: u64, linger_ms: u64, host: SocketAddr) -> String {
     format!(
@@ -84,21 +87,23 @@
     )
 }
 
-/// Takes a whole response off the inbox; until it is all there the inbox stays as it is.
+/// Removes a complete response from the front of the read buffer. The buffer is unchanged while the
+/// response is incomplete.
 ///
 /// # Errors
 ///
-/// Bytes that are no response, a status other than 200, a body that holds no events, or more than
-/// [`MAX_RESPONSE_BYTES`]. The inbox is of no further use then.
+/// The buffer holds no valid response, the status is not 200, the body is not a valid batch of
+/// events, or the response exceeds [`MAX_RESPONSE_BYTES`]. The connection cannot be used further
+/// then.
 pub fn take_response(
-    inbox: &mut BytesMut,
+    read_buffer: &mut BytesMut,
     input: InputState,
 ) -> Result<PollResponse, ResponseError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Response::new(&mut headers);
-    let head_bytes = match head.parse(inbox)? {
+    let head_bytes = match head.parse(read_buffer)? {
         httparse::Status::Complete(head_bytes) => head_bytes,
-        httparse::Status::Partial if inbox.len() >= MAX_RESPONSE_BYTES => {
+        httparse::Status::Partial if read_buffer.len() >= MAX_RESPONSE_BYTES => {
             return Err(ResponseError::UnendedHead);
         }
         httparse::Status::Partial => return Ok(PollResponse::Incomplete),
@@ -108,16 +113,18 @@
     }
     let reuse = connection_reuse(&head);
     let framing = Framing::from_head(&head)?;
-    let Some(body) = framing.take_body(&inbox[head_bytes..], inbox.len(), input)? else {
+    let Some(body) = framing.take_body(&read_buffer[head_bytes..], read_buffer.len(), input)?
+    else {
         return Ok(PollResponse::Incomplete);
     };
-    let _ = inbox.split_to(head_bytes + body.encoded_bytes);
+    let _ = read_buffer.split_to(head_bytes + body.encoded_bytes);
     let json = serde_json::from_slice(&body.content)?;
     let batch = EventBatch::from_json(&json)?;
     Ok(PollResponse::Complete { batch, reuse })
 }
 
-/// The value of the first header of this name, where it is text.
+/// Returns the trimmed value of the first header with this name; `None` if it is absent or not
+/// UTF-8 text.
 fn header<'h>(head: &httparse::Response<'_, 'h>, name: &str) -> Option<&'h str> {
     let header = head
         .headers
@@ -133,20 +140,20 @@
     }
 }
 
-/// What tells where the body ends.
+/// How the end of the body is marked.
 enum Framing {
-    /// Its last chunk.
+    /// By a last chunk of size zero.
     Chunked,
-    /// Its length in bytes.
+    /// By a length in bytes.
     ContentLength(usize),
-    /// The end of the connection.
+    /// By the end of the connection.
     UntilClose,
 }
 
-/// A body that is all there.
+/// A complete body.
 struct Body {
     content: Vec<u8>,
-    /// Its bytes on the connection, chunk sizes among them.
+    /// The size of the body on the wire in bytes, including the framing of chunks.
     encoded_bytes: usize,
 }
 
@@ -164,14 +171,18 @@
         }
     }
 
-    /// The body at the front of `rest`, which is what follows the head; none while more of it has to come.
+    /// Decodes the body at the front of `rest`, the bytes after the head; `None` while it is
+    /// incomplete.
+    ///
+    /// `buffered_bytes` is the length of the whole read buffer, head included. A body without a
+    /// length may grow only while this is below [`MAX_RESPONSE_BYTES`].
     fn take_body(
         &self,
         rest: &[u8],
-        inbox_bytes: usize,
+        buffered_bytes: usize,
         input: InputState,
     ) -> Result<Option<Body>, ResponseError> {
-        let may_grow = inbox_bytes < MAX_RESPONSE_BYTES;
+        let may_grow = buffered_bytes < MAX_RESPONSE_BYTES;
         match *self {
             Framing::Chunked => match join_chunks(rest) {
                 Ok(Some(body)) => Ok(Some(body)),
@@ -192,7 +203,7 @@
     }
 }
 
-/// Joins the chunks of a body; none while the last one has not come.
+/// Joins the chunks of a body; `None` while the last chunk has not arrived.
 fn join_chunks(encoded: &[u8]) -> Result<Option<Body>, httparse::InvalidChunkSize> {
     let mut content = Vec::new();
     let mut position = 0;
--- a/crates/gateway/src/discovery/mod.rs
+++ b/crates/gateway/src/discovery/mod.rs
@@ -1,7 +1,8 @@
-//! The client of the discovery service: long polls for the events of the endpoint list.
+//! The client of the discovery service, which asks for the events of the endpoint list with long
+//! polls.
 //!
-//! A poll that is late stays open while a fresh one is made beside it. So a service that answers late is still heard,
-//! and a connection that has fallen silent hides nothing.
+//! A late poll stays open while another one is started beside it. A slow answer is therefore still
+//! received, and a connection that no longer delivers anything does not hold up the events.
 
 mod backoff;
 pub mod endpoints;
@@ -25,33 +26,35 @@
 use crate::machine_errors::is_resource_exhaustion;
 use crate::socket::{EventLoopHandle, EventSource};
 
-/// Polls that run at once, late ones among them.
+/// The maximum number of simultaneous polls, including late ones.
 const MAX_POLLS: usize = 4;
 
-/// Asks for events from the start.
+/// The revision before the first event; a poll with it asks for all events.
 const NO_REVISION: u64 = 0;
 
-/// The polls of one gateway, and the events that they brought.
+/// The polls of one gateway, and the events that they returned.
 pub struct DiscoveryClient {
     handle: EventLoopHandle,
     address: SocketAddr,
     next_poll_id: u64,
-    /// [`MAX_POLLS`] at most.
+    /// The open polls by id, at most [`MAX_POLLS`].
     polls: BTreeMap<u64, Poll>,
-    /// The number of the last event that was taken.
+    /// The number of the last accepted event, or [`NO_REVISION`] if the next poll asks for all
+    /// events.
     last_revision: u64,
-    /// When a new poll is due; none while one is under way that is not late.
+    /// When a new poll is due; `None` while a poll is open that is not late.
     next_poll: Option<Timestamp>,
     backoff: Backoff,
-    /// The last poll found no descriptor.
+    /// Whether a poll could not be started for lack of a file descriptor or buffer, and this was
+    /// not reported yet.
     descriptor_shortage: bool,
-    /// Events that are not taken yet, in their order.
+    /// Accepted events that have not been collected yet, in order.
     events: Vec<DiscoveryEvent>,
 }
 
 impl DiscoveryClient {
-    /// A client that knows the events up to `last_revision`, and polls for later ones at once. `seed` is for the chance
-    /// in its pauses.
+    /// Creates a client that knows the events up to `last_revision` and polls for later ones at
+    /// once. `seed` determines the jitter of its pauses.
     #[must_use]
     pub fn new(
         handle: &EventLoopHandle,
@@ -73,19 +76,20 @@
         }
     }
 
-    /// What all polls are noted as where they become ready.
+    /// Returns the event source of each poll, by which the event loop reports its readiness.
     pub fn event_sources(&self) -> impl Iterator<Item = EventSource> {
         self.polls.keys().copied().map(EventSource::Discovery)
     }
 
-    /// Polls that are open now.
+    /// Returns the number of open polls.
     #[must_use]
     pub fn open_polls(&self) -> usize {
         self.polls.len()
     }
 
-    /// A new configuration names the service and what is known of its events. Of these the ones past the last revision
-    /// are taken; an older file tells nothing. Polls at another address are dropped, since it may never answer them.
+    /// Applies the service's address and the known events of a new configuration. Events after the
+    /// last accepted one are accepted; a configuration that has none has no effect on the events.
+    /// If the address changes, open polls are dropped, since the old address may never answer them.
     pub fn reconfigure(
         &mut self,
         now: Timestamp,
@@ -94,10 +98,14 @@
         counters: &mut Counters,
     ) {
         if known.last_revision > self.last_revision {
-            self.take_batch(self.last_revision, known, counters);
+            self.accept_batch(self.last_revision, known, counters);
         }
         if address != self.address {
-            info!(from = %self.address, to = %address, "discovery service moved");
+            info!(
+                from = %self.address,
+                to = %address,
+                "address of the discovery service changed; polling the new address"
+            );
             self.address = address;
             self.polls.clear();
             self.backoff.reset();
@@ -105,43 +113,47 @@
         }
     }
 
-    /// Takes the events that came since the last call.
+    /// Takes the events that were accepted since the last call.
     #[must_use]
     pub fn take_events(&mut self) -> Vec<DiscoveryEvent> {
         std::mem::take(&mut self.events)
     }
 
-    /// When [`Self::on_timer`] has something to do.
+    /// Returns when [`Self::on_timer`] is due; `None` if it has nothing to do.
     #[must_use]
     pub fn next_due(&self) -> Option<Timestamp> {
         let polls = self.polls.values().map(Poll::next_due);
         polls.chain(self.next_poll).min()
     }
 
-    /// Marks polls as late, gives up those that are far too late, and starts the next one if it is due.
+    /// Marks polls as late, drops those that have timed out, and starts the next poll if it is due.
     pub fn on_timer(&mut self, now: Timestamp, counters: &mut Counters) {
         for (poll_id, poll) in &mut self.polls {
             if poll.becomes_late(now) {
-                debug!(poll_id, "discovery poll is late");
+                debug!(
+                    poll_id,
+                    "discovery poll is late; starting another one beside it"
+                );
                 poll.mark_late();
                 self.next_poll = Some(now);
             }
         }
         let polls_before = self.polls.len();
-        self.polls.retain(|_, poll| !poll.is_given_up(now));
+        self.polls.retain(|_, poll| !poll.has_timed_out(now));
         counters.discovery_polls_failed += (polls_before - self.polls.len()) as u64;
         if self.next_poll.is_some_and(|due| due <= now) {
             self.start_poll(now, counters);
         }
     }
 
-    /// Whether no descriptor was left for the last poll. It is told once.
+    /// Whether the last poll could not be started for lack of a file descriptor or buffer. A call
+    /// clears the flag.
     #[must_use]
     pub fn take_descriptor_shortage(&mut self) -> bool {
         std::mem::take(&mut self.descriptor_shortage)
     }
 
-    /// Polls at once, since there may be a descriptor by now.
+    /// Starts a poll at once, after a file descriptor was freed for it.
     pub fn poll_now(&mut self, now: Timestamp, counters: &mut Counters) {
         self.start_poll(now, counters);
         self.descriptor_shortage = false;
@@ -172,16 +184,19 @@
         poll.send_request(now, self.last_revision, self.address);
     }
 
-    /// Unless another poll is under way, the next one goes out after a pause.
-    fn on_failure(&mut self, now: Timestamp, why: &str, counters: &mut Counters) {
+    /// Counts a failed poll and, if all open polls are late, schedules the next one after a pause.
+    fn on_failure(&mut self, now: Timestamp, error: &str, counters: &mut Counters) {
         counters.discovery_polls_failed += 1;
-        debug!(why, "discovery poll failed");
+        debug!(
+            error,
+            "discovery poll failed; retrying after a pause unless another poll is open"
+        );
         if self.polls.values().all(Poll::is_late) {
             self.next_poll = Some(now + self.backoff.next_pause());
         }
     }
 
-    /// The connection of a poll has news: it came up, its response came, or it ended.
+    /// Handles a socket event of a poll: its connection was established, became readable or ended.
     pub fn on_ready(&mut self, now: Timestamp, poll_id: u64, counters: &mut Counters) {
         let Some(poll) = self.polls.get_mut(&poll_id) else {
             return;
@@ -191,7 +206,10 @@
             Ok(Some(received)) => self.on_response(now, poll_id, received, counters),
             Err(error) => {
                 if let PollError::Response(error) = &error {
-                    warn!(why = %error, "invalid answer of the discovery service");
+                    warn!(
+                        error = %error,
+                        "invalid response from the discovery service; closing the connection"
+                    );
                 }
                 self.polls.remove(&poll_id);
                 self.on_failure(now, &error.to_string(), counters);
@@ -199,13 +217,14 @@
         }
     }
 
-    /// Drops a poll whose state may be half changed.
+    /// Drops a poll whose state may be inconsistent after a fault of the gateway.
     pub fn abandon_poll(&mut self, now: Timestamp, poll_id: u64, counters: &mut Counters) {
         self.polls.remove(&poll_id);
         self.on_failure(now, "a fault of the gateway", counters);
     }
 
-    /// Takes the events of a response, and polls on: on the same connection where it carries another request.
+    /// Accepts the events of a response and starts the next poll, on the same connection if it
+    /// stays open.
     fn on_response(
         &mut self,
         now: Timestamp,
@@ -217,15 +236,15 @@
             return;
         };
         let revision_before = self.last_revision;
-        self.take_batch(poll.since_revision(), received.batch, counters);
-        let brought_nothing = self.last_revision <= revision_before;
-        // Without a pause this would poll again and again.
-        if poll.is_early(now) && brought_nothing {
-            return self.on_failure(now, "an early answer with no later event", counters);
+        self.accept_batch(poll.since_revision(), received.batch, counters);
+        let has_no_new_event = self.last_revision <= revision_before;
+        // Without a pause, such responses would make the client poll in a tight loop.
+        if poll.is_early(now) && has_no_new_event {
+            return self.on_failure(now, "early response without a new event", counters);
         }
         self.backoff.reset();
-        let another_under_way = self.polls.values().any(|poll| !poll.is_late());
-        if another_under_way {
+        let another_is_on_time = self.polls.values().any(|poll| !poll.is_late());
+        if another_is_on_time {
             return;
         }
         match received.reuse {
@@ -246,15 +265,18 @@
         self.polls.insert(poll_id, poll);
     }
 
-    /// Takes the events that follow on the last one, in order; `since_revision` is what they were asked from. A service
-    /// whose numbers are below that counts anew, and a gap means that something was missed: both are polled for from
-    /// the start.
-    fn take_batch(&mut self, since_revision: u64, batch: EventBatch, counters: &mut Counters) {
+    /// Accepts the events after the last accepted one, in order. `since_revision` is the revision
+    /// that the poll named.
+    ///
+    /// If the service's last revision is below that, the service has restarted its numbering. A gap
+    /// in the numbers means that an event was missed. In both cases the next poll asks for all
+    /// events.
+    fn accept_batch(&mut self, since_revision: u64, batch: EventBatch, counters: &mut Counters) {
         if batch.last_revision < since_revision {
             let last_revision = batch.last_revision;
             info!(
                 last_revision,
-                since_revision, "discovery service restarted its revisions"
+                since_revision, "discovery service restarted its revisions; polling for all events"
             );
             self.last_revision = NO_REVISION;
             return;
@@ -270,13 +292,14 @@
                 .change
                 .as_ref()
                 .is_some_and(EndpointChange::is_snapshot);
-            // What the service no longer holds from the start on, it cannot tell a second time either.
-            let asked_from_start = since_revision == NO_REVISION;
-            if !is_next && !is_snapshot && !asked_from_start {
+            // The answer to a poll for all events starts with the oldest event that the service
+            // still holds, so polling again would not fill the gap before it.
+            let polled_for_all = since_revision == NO_REVISION;
+            if !is_next && !is_snapshot && !polled_for_all {
                 warn!(
                     revision = event.revision,
                     last_revision = self.last_revision,
-                    "gap in the discovery service's events"
+                    "gap in the events of the discovery service; polling for all events"
                 );
                 self.last_revision = NO_REVISION;
                 return;
--- a/crates/gateway/src/discovery/poll.rs
+++ b/crates/gateway/src/discovery/poll.rs
@@ -1,4 +1,4 @@
-//! One long poll of the discovery service on a connection of its own.
+//! A long poll of the discovery service, on its own connection.
 
 use std::io;
 use std::net::SocketAddr;
@@ -10,21 +10,23 @@
 use super::http::{self, ConnectionReuse, InputState, PollResponse, ResponseError};
 use crate::socket::{EventLoopHandle, EventSource, Socket};
 
-/// How long the service may hold a poll open.
+/// How long the service may hold a poll open without an event.
 pub(super) const LINGER_S: f64 = 1.0;
 
-/// So much later than that a poll is late, and another one goes out beside it.
+/// How long after [`LINGER_S`] a poll is late, so that another one is started beside it.
 const LATE_AFTER_LINGER_S: f64 = 0.5;
 
-/// A poll is given up after so long: 7 s after it happened an event counts as told, however slow the service is.
-const GIVE_UP_AFTER_S: f64 = 7.0;
+/// The time after which a poll is dropped. However slow the service is, an event is assumed to have
+/// been delivered 7 s after it happened.
+const POLL_TIMEOUT_S: f64 = 7.0;
 
-/// A response within this part of the linger came at once.
-const EARLY_PART_OF_LINGER: f64 = 0.5;
+/// A response within this fraction of [`LINGER_S`] is early, which means that the service did not
+/// wait for an event.
+const EARLY_FRACTION: f64 = 0.5;
 
 const MILLIS_PER_SECOND: f64 = 1e3;
 
-/// Why a poll brought nothing.
+/// Why a poll failed.
 #[derive(Debug, Error)]
 pub(super) enum PollError {
     #[error(transparent)]
@@ -35,24 +37,29 @@
     Response(#[from] ResponseError),
 }
 
-/// A response, and whether the poll's connection carries another request.
+/// A response, and whether another request may be sent on the poll's connection.
 pub(super) struct Received {
     pub(super) batch: EventBatch,
     pub(super) reuse: ConnectionReuse,
 }
 
+/// A poll and its connection.
 pub(super) struct Poll {
     socket: Socket,
     sent: Timestamp,
-    /// The number of the last event that was known when it was sent.
+    /// The last revision that the client knew when it sent the request.
     since_revision: u64,
     is_connected: bool,
-    /// It has passed its time, and another one runs beside it.
+    /// Whether the response is overdue, so that another poll runs beside this one.
     is_late: bool,
 }
 
 impl Poll {
-    /// Starts to connect; the request goes out as soon as the connection is up.
+    /// Starts to connect. The request is sent once the connection is established.
+    ///
+    /// # Errors
+    ///
+    /// The socket cannot be opened or begin to connect.
     pub(super) fn connect(
         address: SocketAddr,
         handle: &EventLoopHandle,
@@ -68,7 +75,7 @@
         })
     }
 
-    /// Puts a request for the events after `since_revision`.
+    /// Enqueues a request for the events after `since_revision`.
     pub(super) fn send_request(&mut self, now: Timestamp, since_revision: u64, host: SocketAddr) {
         self.sent = now;
         self.since_revision = since_revision;
@@ -78,16 +85,17 @@
         self.socket.enqueue(request.as_bytes());
     }
 
-    /// Writes what the machine takes. A failure shows when the connection is read.
+    /// Writes as many enqueued bytes as the socket accepts. An error is reported by the next read
+    /// of the connection.
     pub(super) fn flush(&mut self) {
         let _ = self.socket.flush();
     }
 
-    /// Reads what has come; none while the response is not all there.
+    /// Reads from the connection and decodes the response; `None` while it is incomplete.
     ///
     /// # Errors
     ///
-    /// The connection failed or ended, or the response cannot be used: the poll is over.
+    /// The connection failed or ended, or the response is invalid. The poll must be dropped then.
     pub(super) fn receive(&mut self) -> Result<Option<Received>, PollError> {
         if !self.is_connected && !self.socket.is_connected()? {
             return Ok(None);
@@ -130,25 +138,26 @@
         self.is_late = true;
     }
 
-    /// Whether it passes its time by now.
+    /// Whether the response is overdue and the poll is not marked as late yet.
     pub(super) fn becomes_late(&self, now: Timestamp) -> bool {
         !self.is_late && self.age_s(now) >= LINGER_S + LATE_AFTER_LINGER_S
     }
 
-    /// Whether it is to be given up by now.
-    pub(super) fn is_given_up(&self, now: Timestamp) -> bool {
-        self.age_s(now) >= GIVE_UP_AFTER_S
+    /// Whether the poll is to be dropped.
+    pub(super) fn has_timed_out(&self, now: Timestamp) -> bool {
+        self.age_s(now) >= POLL_TIMEOUT_S
     }
 
-    /// Whether a response now came at once, without waiting for an event.
+    /// Whether a response at `now` is early, which means that the service did not wait for an
+    /// event.
     pub(super) fn is_early(&self, now: Timestamp) -> bool {
-        self.age_s(now) < LINGER_S * EARLY_PART_OF_LINGER
+        self.age_s(now) < LINGER_S * EARLY_FRACTION
     }
 
-    /// When it becomes late, and once it is, when it is given up.
+    /// Returns when the poll becomes late or, once it is late, when it times out.
     pub(super) fn next_due(&self) -> Timestamp {
         let limit_s = if self.is_late {
-            GIVE_UP_AFTER_S
+            POLL_TIMEOUT_S
         } else {
             LINGER_S + LATE_AFTER_LINGER_S
         };
--- a/crates/gateway/src/discovery/registry.rs
+++ b/crates/gateway/src/discovery/registry.rs
@@ -1,4 +1,4 @@
-//! The engines that are listed now, by the discovery service's names and by the numbers that the decisions use.
+//! The engines that discovery lists at present, and the ids that the scheduler uses for them.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,50 +10,52 @@
 use super::endpoints::{Endpoint, EndpointChange};
 use super::start_times::StartTimes;
 
-/// Numbers for the engines of the endpoint list; a number is never used a second time.
+/// Maps the engines of the endpoint list to ids. An id is never reused.
 pub struct EngineRegistry {
-    /// Names of locations, in the order of the settings.
+    /// The names of locations, in the order of the settings.
     locations: Vec<String>,
-    /// Names of kinds of machine, in the order of the settings.
+    /// The names of machine types, in the order of the settings.
     machines: Vec<String>,
-    /// The number that was given last.
+    /// The id that was assigned last.
     last_id: u32,
-    /// Listed engines by uid. A removed engine leaves, and would come back under another number.
+    /// The listed engines by uid. A removed engine that is listed again gets a new id.
     engines: BTreeMap<String, ListedEngine>,
     start_times: StartTimes,
 }
 
-/// A listed engine, and its start as it was dated when it was first heard of: another date would mean another start.
+/// A listed engine. Its start is converted to this gateway's clock only once for each listed start,
+/// because a different result would be taken for a restart.
 #[derive(Clone, Copy)]
 struct ListedEngine {
     id: EngineId,
-    /// As the list tells it.
-    told_start: Option<Timestamp>,
-    /// On this gateway's clock.
+    /// The start that the list gives; `None` if it gives none.
+    listed_start: Option<Timestamp>,
+    /// The start by this gateway's clock; `None` if the list gives none.
     started: Option<Timestamp>,
 }
 
-/// What a change of the endpoint list means to the rest of the gateway.
+/// The effects of a change of the endpoint list.
 pub struct AppliedChange {
-    /// The change as the decisions take it.
+    /// The change in the form that the scheduler takes.
     pub update: EndpointUpdate,
-    /// Where each named or removed engine is reached now.
+    /// The address of each engine that the change names or removes.
     pub addresses: Vec<EngineAddress>,
-    /// Engines that take nothing new from here on.
+    /// The engines that must not get new attempts, because they are draining or removed.
     pub not_ready: Vec<EngineId>,
 }
 
-/// Where an engine is reached.
+/// The address of an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EngineAddress {
-    /// The engine.
+    /// The id of the engine.
     pub engine: EngineId,
-    /// Its address; none: it is listed no longer.
+    /// The address at which the engine accepts connections; `None` if it is no longer listed.
     pub address: Option<SocketAddr>,
 }
 
 impl EngineRegistry {
-    /// A registry without engines. Locations and kinds of machine get their index in these lists as their number.
+    /// Creates a registry without engines. The id of a location or machine type is its index in
+    /// these lists.
     #[must_use]
     pub fn new(locations: Vec<String>, machines: Vec<String>) -> Self {
         EngineRegistry {
@@ -65,13 +67,13 @@
         }
     }
 
-    /// The number of a listed engine.
+    /// Returns the id of the listed engine with this uid.
     #[must_use]
     pub fn id(&self, uid: &str) -> Option<EngineId> {
         self.engines.get(uid).map(|engine| engine.id)
     }
 
-    /// The unique name of a listed engine.
+    /// Returns the uid of the listed engine with this id.
     #[must_use]
     pub fn uid(&self, id: EngineId) -> Option<&str> {
         self.engines
@@ -80,7 +82,7 @@
             .map(|(uid, _)| uid.as_str())
     }
 
-    /// Takes a change of the endpoint list in.
+    /// Applies a change of the endpoint list and returns its effects.
     pub fn apply(&mut self, now: Timestamp, change: &EndpointChange) -> AppliedChange {
         self.observe_start_times(now, change);
         let mut addresses = Vec::new();
@@ -96,7 +98,7 @@
         }
         let mut engines = Vec::new();
         for endpoint in change.endpoints() {
-            let listed = self.list(now, endpoint);
+            let listed = self.register(now, endpoint);
             let engine = listed.id;
             let is_listed = endpoint.stage != EngineStage::Removed;
             addresses.push(EngineAddress {
@@ -106,7 +108,7 @@
             if endpoint.stage != EngineStage::Ready {
                 not_ready.push(engine);
             }
-            engines.push(self.describe(listed, endpoint));
+            engines.push(self.engine_info(listed, endpoint));
         }
         let update = match change {
             EndpointChange::Snapshot(_) => EndpointUpdate::Snapshot(engines),
@@ -119,7 +121,7 @@
         }
     }
 
-    /// Removes all engines that a snapshot does not name, and returns them.
+    /// Removes all engines that a snapshot does not name, and returns their ids.
     fn remove_unlisted(&mut self, snapshot: &[Endpoint]) -> Vec<EngineId> {
         let is_listed = |uid: &String| snapshot.iter().any(|endpoint| endpoint.uid == *uid);
         self.engines
@@ -128,29 +130,32 @@
             .collect()
     }
 
-    /// Starts that are told for the first time date all others, so they are looked at first.
+    /// Observes the start times that a change lists for the first time. This must come before any
+    /// of them is converted to this gateway's clock, because each conversion depends on all of
+    /// them.
     fn observe_start_times(&mut self, now: Timestamp, change: &EndpointChange) {
         for endpoint in change.endpoints() {
             let known = self.engines.get(&endpoint.uid);
-            let is_new = known.is_none_or(|engine| engine.told_start != endpoint.started);
-            if let Some(told) = endpoint.started.filter(|_| is_new) {
-                self.start_times.observe(now, told);
+            let is_new = known.is_none_or(|engine| engine.listed_start != endpoint.started);
+            if let Some(listed_start) = endpoint.started.filter(|_| is_new) {
+                self.start_times.observe(now, listed_start);
             }
         }
     }
 
-    /// The engine with its number, a new one if it was not listed. A removed engine leaves the registry.
-    fn list(&mut self, now: Timestamp, endpoint: &Endpoint) -> ListedEngine {
+    /// Updates the registry with an endpoint and returns its engine, with a new id if it was not
+    /// listed. A removed engine is dropped from the registry.
+    fn register(&mut self, now: Timestamp, endpoint: &Endpoint) -> ListedEngine {
         let known = self.engines.get(&endpoint.uid).copied();
         let id = known.map_or_else(|| self.next_id(), |engine| engine.id);
         let engine = match known {
-            Some(engine) if engine.told_start == endpoint.started => engine,
+            Some(engine) if engine.listed_start == endpoint.started => engine,
             _ => ListedEngine {
                 id,
-                told_start: endpoint.started,
+                listed_start: endpoint.started,
                 started: endpoint
                     .started
-                    .map(|told| self.start_times.on_own_clock(now, told)),
+                    .map(|listed_start| self.start_times.on_own_clock(now, listed_start)),
             },
         };
         if endpoint.stage == EngineStage::Removed {
@@ -166,7 +171,7 @@
         EngineId(self.last_id)
     }
 
-    fn describe(&self, engine: ListedEngine, endpoint: &Endpoint) -> EngineInfo {
+    fn engine_info(&self, engine: ListedEngine, endpoint: &Endpoint) -> EngineInfo {
         EngineInfo {
             id: engine.id,
             scale: endpoint.scale,
@@ -179,7 +184,8 @@
     }
 }
 
-/// The index of a name. One that the settings do not hold gets the index past their end, where no query class is bound.
+/// Returns the index of a name. A name that is not in the settings gets the index past their end,
+/// to which no query class is bound.
 fn index_or_end(names: &[String], name: &str) -> u16 {
     let index = names
         .iter()
