--- a/crates/gateway/src/engines/connection.rs
+++ b/crates/gateway/src/engines/connection.rs
@@ -85,8 +85,8 @@
     /// When the last attempt ended, or when the connection was opened if it had none.
     pub idle_since: Timestamp,
     /// Whether the connection takes no more attempts because one on it ended without a response.
-    /// The engine's machine may have vanished without closing its connections, and a late response
-    /// to the attempt that ended must not be taken for the response to another.
+    /// The engine's machine may have vanished without closing its connections, an unusable response
+    /// may end the connection, and a late response must not be taken for that to another attempt.
     pub retired: bool,
     /// The time at which the connection times out next, equal to its entry in the pool.
     pub timeout: Timestamp,
--- a/crates/gateway/src/engines/ending.rs
+++ b/crates/gateway/src/engines/ending.rs
@@ -203,8 +203,8 @@
         counters.attempts_withdrawn += 1;
         self.finish_attempt(now, id, &request_id, event);
         if was_only_attempt {
-            // The connection is still being established for this attempt alone, or has sent part of
-            // it, which must not be completed.
+            // No other attempt needs the connection, and part of this one may have left, which must
+            // not be completed.
             self.pool.remove(id);
         } else {
             self.pool.update_timeout(id);
--- a/crates/gateway/src/service/mod.rs
+++ b/crates/gateway/src/service/mod.rs
@@ -278,7 +278,7 @@
             warn!(
                 ?scheduled,
                 ?on_sockets,
-                "the scheduler's attempts in flight differ from those on the sockets; changing neither"
+                "attempts in flight differ between scheduler and sockets; correcting neither count"
             );
         }
     }
