--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -1,7 +1,8 @@
-//! The clocks of this machine, read as [`Timestamp`]s.
+//! The system clocks, read as [`Timestamp`]s.
 //!
-//! The standard library panics where a clock cannot be read or tells no time. Here such a reading counts as the last one
-//! that was good: time stands still for that long, and nothing ends.
+//! The standard library panics when a clock cannot be read or returns an invalid time. Here the
+//! last valid reading is used in that case: time stands still for as long, and the process
+//! continues.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
@@ -11,50 +12,51 @@
 
 const NANOS_PER_SECOND: u32 = 1_000_000_000;
 
-/// How often a clock is asked that tells nothing.
-const MAX_READINGS: usize = 3;
+/// Attempts to read a clock that returns no valid time.
+const MAX_READ_ATTEMPTS: usize = 3;
 
-/// No later Unix time, of the year 2061, is believed at a start: [`Timestamp`]s end a few years after it, and time would stand still.
-const MAX_STARTED_UNIX: Duration = Duration::from_secs(2_900_000_000);
+/// Latest Unix time accepted at a start, in the year 2061. The range of [`Timestamp`] ends a few
+/// years after it, and time would stand still from then on.
+const MAX_UNIX_TIME_AT_START: Duration = Duration::from_secs(2_900_000_000);
 
-/// A clock of the machine, and its last good reading.
-struct MachineClock {
+/// A system clock with its last valid reading.
+struct SystemClock {
     id: clockid_t,
     /// In nanoseconds.
-    last_reading: AtomicU64,
+    last_valid_nanos: AtomicU64,
 }
 
-static WALL: MachineClock = MachineClock::new(libc::CLOCK_REALTIME);
-static MONOTONIC: MachineClock = MachineClock::new(libc::CLOCK_MONOTONIC);
-static BOOTTIME: MachineClock = MachineClock::new(libc::CLOCK_BOOTTIME);
+static WALL: SystemClock = SystemClock::new(libc::CLOCK_REALTIME);
+static MONOTONIC: SystemClock = SystemClock::new(libc::CLOCK_MONOTONIC);
+static BOOTTIME: SystemClock = SystemClock::new(libc::CLOCK_BOOTTIME);
 
-impl MachineClock {
+impl SystemClock {
     const fn new(id: clockid_t) -> Self {
-        MachineClock {
+        SystemClock {
             id,
-            last_reading: AtomicU64::new(0),
+            last_valid_nanos: AtomicU64::new(0),
         }
     }
 
-    /// The time since the clock's zero; a time before it counts as zero.
+    /// Returns the time since the clock's epoch. A time before the epoch is returned as zero.
     fn now(&self) -> Duration {
-        let reading = (0..MAX_READINGS).find_map(|_| read(self.id));
+        let reading = (0..MAX_READ_ATTEMPTS).find_map(|_| read(self.id));
         let Some(reading) = reading else {
-            return Duration::from_nanos(self.last_reading.load(Ordering::Relaxed));
+            return Duration::from_nanos(self.last_valid_nanos.load(Ordering::Relaxed));
         };
         let nanos = u64::try_from(reading.as_nanos()).unwrap_or(u64::MAX);
-        self.last_reading.store(nanos, Ordering::Relaxed);
+        self.last_valid_nanos.store(nanos, Ordering::Relaxed);
         reading
     }
 }
 
-/// One reading of a clock; none: it failed, or is no time.
+/// Reads a clock once. Returns `None` when the call fails or returns an invalid time.
 fn read(id: clockid_t) -> Option<Duration> {
     let mut time = timespec {
         tv_sec: 0,
         tv_nsec: 0,
     };
-    // SAFETY: there is room for the time.
+    // SAFETY: `time` is a valid place for the result.
     let result = unsafe { libc::clock_gettime(id, &raw mut time) };
     let nanos = u32::try_from(time.tv_nsec).ok()?;
     if result != 0 || nanos >= NANOS_PER_SECOND {
@@ -64,31 +66,31 @@
     Some(Duration::new(seconds, nanos))
 }
 
-/// The Unix time, read once and then run on by the monotonic clock: a step of the system's clock would end attempts early
-/// or never.
+/// The Unix time read once at the start and advanced by the monotonic clock. Later steps of the
+/// system clock must not end attempts early or keep them open.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     /// The Unix time at the start.
-    started_unix: Duration,
-    /// The same point on the monotonic clock.
-    started: Duration,
+    unix_time_at_start: Duration,
+    /// The monotonic clock at the start.
+    monotonic_at_start: Duration,
 }
 
 impl Clock {
-    /// A clock that begins with the Unix time as the machine tells it now.
+    /// Starts a clock at the current Unix time.
     #[must_use]
     pub fn start() -> Self {
         Clock {
-            started_unix: WALL.now().min(MAX_STARTED_UNIX),
-            started: MONOTONIC.now(),
+            unix_time_at_start: WALL.now().min(MAX_UNIX_TIME_AT_START),
+            monotonic_at_start: MONOTONIC.now(),
         }
     }
 
-    /// The time now. It never steps, so that it measures lengths of time.
+    /// Returns the current time. It never steps, so differences of it are durations.
     #[must_use]
     pub fn now(&self) -> Timestamp {
-        let elapsed = MONOTONIC.now().saturating_sub(self.started);
-        Timestamp::from_secs((self.started_unix + elapsed).as_secs_f64())
+        let elapsed = MONOTONIC.now().saturating_sub(self.monotonic_at_start);
+        Timestamp::from_secs((self.unix_time_at_start + elapsed).as_secs_f64())
     }
 
     /// See [`boottime_now`].
@@ -97,7 +99,7 @@
         boottime_now()
     }
 
-    /// The same point in time on the standard library's clock; the past counts as now.
+    /// Converts a time to the standard library's clock. A past time becomes the current one.
     #[must_use]
     pub fn to_instant(&self, timestamp: Timestamp) -> Instant {
         let remaining_s = (timestamp - self.now()).secs().max(0.0);
@@ -105,26 +107,27 @@
     }
 }
 
-/// The time on the monotonic clock, which starts anywhere and never steps.
+/// Returns the time on the monotonic clock, which has an arbitrary epoch and never steps.
 #[must_use]
 pub fn monotonic_now() -> Duration {
     MONOTONIC.now()
 }
 
-/// The Unix time as the machine tells it now, to compare with what other machines dated. It may step, so it does not measure
-/// lengths of time.
+/// Returns the current Unix time, to compare with timestamps from other hosts. It may step, so it
+/// must not be used to measure durations.
 #[must_use]
 pub fn unix_now() -> Timestamp {
     Timestamp::from_secs(WALL.now().as_secs_f64())
 }
 
-/// The time since the Unix epoch as the machine tells it now, to the nanosecond.
+/// Returns the time since the Unix epoch, with nanosecond resolution.
 #[must_use]
 pub fn since_epoch() -> Duration {
     WALL.now()
 }
 
-/// The time since the machine started. Nobody sets this clock, and it runs on while the machine sleeps: leases end by it.
+/// Returns the time since the system was booted. This clock is never set and includes time in
+/// suspend, so leases expire by it.
 #[must_use]
 pub fn boottime_now() -> Timestamp {
     Timestamp::from_secs(BOOTTIME.now().as_secs_f64())
--- a/crates/gateway/src/cluster/endpoint.rs
+++ b/crates/gateway/src/cluster/endpoint.rs
@@ -1,4 +1,5 @@
-//! The UDP socket between gateways on the event loop. What arrives is read in bounded parts a turn; sending never waits.
+//! The UDP socket to the other gateways, driven by the event loop. Reads are bounded per turn, and
+//! sends never block.
 
 use std::io::{self, ErrorKind};
 use std::net::{SocketAddr, UdpSocket};
@@ -23,24 +24,26 @@
 use crate::socket::{EventLoopHandle, EventSource, LoopEvents};
 use crate::socket_queries::{self, ReceivedDatagram};
 
-/// Datagrams read in one turn: a flood costs a turn no more than checking so many authentication tags.
+/// Datagrams read per turn. A flood costs a turn no more than the verification of this many
+/// authentication tags.
 const MAX_READS_PER_TURN: usize = 64;
-/// Larger than any datagram of another gateway; what is longer is cut and rejected.
+/// Larger than any datagram that a gateway sends. A longer datagram is truncated, and then
+/// rejected.
 const RECEIVE_BUFFER_BYTES: usize = 2048;
 
-/// Why the endpoint cannot start or change.
+/// Why the endpoint cannot start or be reconfigured.
 #[derive(Debug, Error)]
 pub enum ClusterError {
-    /// The address cannot be bound or watched.
+    /// The address cannot be bound, or its socket cannot be watched.
     #[error("fleet: {0}: {1}")]
     Bind(SocketAddr, io::Error),
-    /// The folder of keys cannot be used.
+    /// The key folder cannot be used.
     #[error("fleet: {0}")]
     Keys(#[from] KeyFolderError),
 }
 
 impl ClusterError {
-    /// Whether it may pass by itself.
+    /// Whether the error may be transient, so that a retry makes sense.
     #[must_use]
     pub fn may_be_transient(&self) -> bool {
         match self {
@@ -50,24 +53,25 @@
     }
 }
 
-/// The socket to the other gateways, and the control plane that it carries datagrams for.
+/// The socket to the other gateways, with the control plane whose datagrams it carries.
 pub struct ClusterEndpoint {
     config: MembershipConfig,
     control: ControlPlane<QuotaLeases>,
     socket: Rc<UdpSocket>,
     handle: EventLoopHandle,
-    /// Of the socket at the event loop; taken when it is removed there.
+    /// The socket's registration with the event loop. `None` once it is removed.
     registration: Option<RegistrationToken>,
-    /// The socket may hold datagrams that no further edge will announce.
+    /// The socket may hold datagrams that no further edge-triggered event will report.
     readable: bool,
     engine_gossip: EngineGossip,
     event_log: EventLog,
-    /// Datagrams that the machine did not take.
+    /// Datagrams that the kernel did not accept.
     send_failures: u64,
 }
 
 impl ClusterEndpoint {
-    /// Binds the socket and starts membership without quota leases.
+    /// Binds the socket and starts membership. Quota leases are added with
+    /// [`ClusterEndpoint::set_quota_leases`].
     ///
     /// # Errors
     /// The address cannot be bound, or a key cannot be used.
@@ -108,10 +112,11 @@
         })
     }
 
-    /// Takes over seeds, keys and the protocol's times. Returns the settings that differ and wait for a restart.
+    /// Applies the seeds, the keys and the protocol's timing. Returns the changed settings that
+    /// take effect only after a restart.
     ///
     /// # Errors
-    /// A key cannot be used; nothing has changed then.
+    /// A key cannot be used. Nothing has changed then.
     pub fn reconfigure(
         &mut self,
         config: &MembershipConfig,
@@ -130,11 +135,11 @@
             ("advertise", old.advertise != config.advertise),
             ("zone or region", old.locality != config.locality),
         ];
-        let waiting = differs.into_iter().filter(|(_, differs)| *differs);
-        Ok(waiting.map(|(setting, _)| setting).collect())
+        let changed = differs.into_iter().filter(|(_, differs)| *differs);
+        Ok(changed.map(|(setting, _)| setting).collect())
     }
 
-    /// The event loop saw that datagrams arrived; the next turn reads them.
+    /// Handles a readiness event of the socket. The next turn reads the datagrams.
     pub fn set_readable(&mut self) {
         self.readable = true;
     }
@@ -149,7 +154,8 @@
         control.min(self.engine_gossip.next_exchange())
     }
 
-    /// Reads what arrived, does what is due, sends what follows and logs it.
+    /// Reads the received datagrams, runs the due work of the control plane, sends its datagrams
+    /// and logs its events.
     pub fn turn(&mut self, now: Timestamp) {
         self.read(now);
         let receive_queue = if self.readable {
@@ -172,7 +178,8 @@
                 return;
             }
             match socket_queries::receive_datagram(&*self.socket, &mut buffer) {
-                // A rejected datagram is counted by its reason in membership; one from nowhere cannot be answered.
+                // Membership counts rejected datagrams by reason. A datagram without a sender
+                // address cannot be answered, and is dropped.
                 Ok(ReceivedDatagram { length, from }) => {
                     if let Some(from) = from {
                         let _ = self.control.receive(now, from, &buffer[..length]);
@@ -180,9 +187,10 @@
                 }
                 Err(error) => match error.kind() {
                     ErrorKind::WouldBlock => self.readable = false,
-                    // Without buffers the next datagram announces itself, as each one does.
+                    // The kernel is out of buffers. Every further datagram raises a new event.
                     _ if is_transfer_shortage(&error) => self.readable = false,
-                    // What became of an earlier datagram of ours, refused or unreachable; the next one here is fine.
+                    // An ICMP error about an earlier datagram that this gateway sent. The next read
+                    // may succeed.
                     _ => {}
                 },
             }
@@ -203,13 +211,13 @@
         self.control.set_quota_owner(leases);
     }
 
-    /// The quota leases; none where no budget is shared.
+    /// The quota leases, or `None` when no budget is shared.
     pub fn quota_leases(&mut self) -> Option<&mut QuotaLeases> {
         self.control.quota_owner_mut()
     }
 
-    /// Tells other gateways which engines this one ejected or uses again, and returns the engines that enough of the others
-    /// report.
+    /// Tells the other gateways which engines this one ejected or uses again. Returns the engines
+    /// that enough other gateways report as failing.
     pub fn exchange_engine_health(
         &mut self,
         now: Timestamp,
@@ -220,7 +228,8 @@
             .exchange(now, health, registry, self.control.membership_mut())
     }
 
-    /// Leaves the fleet in order: the lease goes back, and no other gateway suspects this one.
+    /// Leaves the fleet gracefully: the lease is returned, and the other gateways do not suspect
+    /// this one.
     pub fn leave(&mut self, now: Timestamp) {
         self.control.leave(clock_readings(now));
         self.flush();
@@ -231,7 +240,8 @@
         self.control.membership_mut()
     }
 
-    /// All counters as `name=value` pairs, each followed by a space. Their names are read by operators' tools.
+    /// All counters as `name=value` pairs, each followed by a space. Operators' tools parse the
+    /// names.
     pub fn counters(&mut self, now: Timestamp) -> String {
         let membership = self.control.membership();
         let mut text: String = membership
@@ -290,7 +300,8 @@
     }
 }
 
-/// The configuration's seed may be the same at every start, but the boot id that is drawn by this one must not be.
+/// Derives the seed of the random boot id. The configuration's seed may be the same at every start,
+/// but the boot id must differ, so the process id and the start time are mixed in.
 fn boot_seed(now: Timestamp, seed: u64) -> u64 {
     let process = u64::from(std::process::id()) << 32;
     let start = (now - Timestamp::from_secs(0.0)).secs().to_bits();
--- a/crates/gateway/src/cluster/engine_gossip.rs
+++ b/crates/gateway/src/cluster/engine_gossip.rs
@@ -1,4 +1,5 @@
-//! Which engines this gateway ejected, told to the others, and which ones enough of the others report.
+//! Announces the engines that this gateway ejected, and collects those that enough other gateways
+//! report.
 
 use std::collections::BTreeMap;
 
@@ -7,18 +8,19 @@
 
 use crate::discovery::registry::EngineRegistry;
 
-/// How often the engines' health is compared with what was announced.
+/// Interval between two comparisons of the engines' health with what was announced.
 const EXCHANGE_INTERVAL: TimeDelta = TimeDelta::from_micros(100_000);
 
-/// What this gateway announced of engines.
+/// What this gateway has announced about engines.
 pub(super) struct EngineGossip {
     next_exchange: Timestamp,
-    /// This gateway's own ejections that were announced, with their ends. One leaves as it ends.
+    /// The announced ejections that this gateway decided itself, with the time at which each ends.
+    /// An entry is removed when its ejection ends.
     announced: BTreeMap<EngineId, Timestamp>,
 }
 
 impl EngineGossip {
-    /// Nothing announced yet.
+    /// Creates the state with nothing announced.
     pub(super) fn new(now: Timestamp) -> Self {
         EngineGossip {
             next_exchange: now,
@@ -31,7 +33,8 @@
         self.next_exchange
     }
 
-    /// Announces changes of `health` and returns what enough other gateways report; nothing before it is due.
+    /// Announces the changes of `health`, and returns what enough other gateways report. Does
+    /// nothing before it is due.
     pub(super) fn exchange(
         &mut self,
         now: Timestamp,
@@ -89,7 +92,8 @@
     }
 }
 
-/// An ejection by what this gateway saw itself; one by gossip is no news to the others.
+/// Returns an ejection that this gateway based on its own observations. An ejection that follows
+/// gossip is not announced, because the other gateways know of it.
 fn own_ejection(health: EngineHealth) -> Option<(EngineId, Timestamp)> {
     if health.by_gossip {
         return None;
@@ -97,7 +101,8 @@
     Some((health.id, health.ejected_until?))
 }
 
-/// Engines go by their names between gateways and by numbers within one; none: this gateway does not know the engine.
+/// Translates the engine's uid, which gateways use among themselves, to this gateway's local id.
+/// Returns `None` for an engine that this gateway does not know.
 fn outlier_report(outlier: &EngineOutlier, registry: &EngineRegistry) -> Option<OutlierReport> {
     Some(OutlierReport {
         id: registry.id(&outlier.engine)?,
--- a/crates/gateway/src/cluster/event_log.rs
+++ b/crates/gateway/src/cluster/event_log.rs
@@ -1,54 +1,55 @@
-//! Membership's events as log lines, at a bounded rate.
+//! Writes membership events to the log, at a limited rate.
 
 use ::membership::{Event, Incarnation, MemberState, Name, Node};
 use admission::interface::Timestamp;
 use tracing::{info, warn};
 
-/// Events in the log a second; further ones are only counted.
-const LINES_PER_S: f64 = 5.0;
-/// Events in the log at once after a quiet time.
-const BURST_LINES: f64 = LINES_PER_S * 4.0;
+/// Events logged per second. Further events are only counted.
+const MAX_LINES_PER_S: f64 = 5.0;
+/// Largest burst of logged events after a quiet period.
+const MAX_BURST_LINES: f64 = MAX_LINES_PER_S * 4.0;
 
-/// Writes membership's events to the log.
+/// Logs membership events through a token bucket.
 pub(super) struct EventLog {
-    /// Lines that may be written now.
-    available: f64,
-    refilled: Timestamp,
+    /// Tokens in the bucket: lines that may be written now.
+    available_lines: f64,
+    refilled_at: Timestamp,
     suppressed: u64,
 }
 
 impl EventLog {
-    /// A log that may write a second's lines at once.
+    /// Creates a log that may write one second's worth of lines at once.
     pub(super) fn new(now: Timestamp) -> Self {
         EventLog {
-            available: LINES_PER_S,
-            refilled: now,
+            available_lines: MAX_LINES_PER_S,
+            refilled_at: now,
             suppressed: 0,
         }
     }
 
-    /// Events that were not written because there were too many.
+    /// Events that were dropped by the rate limit.
     pub(super) fn suppressed(&self) -> u64 {
         self.suppressed
     }
 
-    /// Writes all events that membership has by now.
+    /// Logs all pending membership events.
     pub(super) fn log(&mut self, now: Timestamp, membership: &mut Node) {
-        let elapsed_s = (now - self.refilled).secs().max(0.0);
-        self.available = (self.available + elapsed_s * LINES_PER_S).min(BURST_LINES);
-        self.refilled = now;
+        let elapsed_s = (now - self.refilled_at).secs().max(0.0);
+        self.available_lines =
+            (self.available_lines + elapsed_s * MAX_LINES_PER_S).min(MAX_BURST_LINES);
+        self.refilled_at = now;
         for event in membership.take_events() {
-            if self.available < 1.0 {
+            if self.available_lines < 1.0 {
                 self.suppressed += 1;
                 continue;
             }
-            self.available -= 1.0;
-            write_line(&event, membership);
+            self.available_lines -= 1.0;
+            write_event(&event, membership);
         }
     }
 }
 
-fn write_line(event: &Event, membership: &Node) {
+fn write_event(event: &Event, membership: &Node) {
     match event {
         Event::MemberChanged {
             name,
@@ -64,14 +65,14 @@
         ),
         Event::Refuted(incarnation) => warn!(
             incarnation = incarnation.0,
-            "membership: refuted that this gateway is gone"
+            "membership: refuted a suspicion or death report about this gateway"
         ),
         Event::LoopStalled(duration) => {
             warn!(seconds = duration.secs(), "membership: event loop stalled");
         }
         Event::NameConflict { .. } => warn!(
             name = %membership.local_record().name,
-            "membership: name conflict with another process; this one stays out for now"
+            "membership: another process uses this gateway's name; not joining for now"
         ),
     }
 }
--- a/crates/gateway/src/cluster/key_folder.rs
+++ b/crates/gateway/src/cluster/key_folder.rs
@@ -1,5 +1,5 @@
-//! The folder of the fleet's keys: `NAME.key` for each accepted key, 64 hexadecimal digits, and `signs`, which names the
-//! signing key.
+//! The folder of the fleet's keys. It holds `NAME.key` with 64 hexadecimal digits for each accepted
+//! key, and the file `signs` with the name of the signing key.
 
 use std::fs;
 use std::io;
@@ -12,14 +12,14 @@
 use crate::keyfiles::{self, KeyFileError};
 use crate::machine_errors::is_transient_file_error;
 
-/// Bytes of a key.
+/// Length of a key in bytes.
 const KEY_BYTES: usize = 32;
-/// Longest name of a key.
-const MAX_NAME_LEN: usize = 32;
+/// Maximum length of a key's name in bytes.
+const MAX_NAME_BYTES: usize = 32;
 /// The file that names the signing key.
 const SIGNING_KEY_FILE: &str = "signs";
 
-/// Why the folder cannot be used or changed.
+/// Why the folder cannot be read or changed.
 #[derive(Debug, Error)]
 pub enum KeyFolderError {
     /// A file cannot be read, written or removed.
@@ -28,28 +28,29 @@
     /// A key file cannot be used.
     #[error(transparent)]
     File(#[from] KeyFileError),
-    /// The keys make no key ring.
+    /// The keys do not form a valid key ring.
     #[error("{0}: {1}")]
     Keys(PathBuf, KeyError),
-    /// This file does not name a key of the folder, or names the key that was to be removed.
+    /// This file does not name a key of the folder, or the key that it names was to be removed.
     #[error("{0}: names no key of this folder")]
     SigningKey(PathBuf),
-    /// This is not the name of a key.
+    /// This is not a valid name for a key.
     #[error("'{0}' is no name of 1 to 32 letters, digits, underscores and hyphens")]
     InvalidName(String),
 }
 
-/// The names of the keys of a folder.
+/// The names of the keys in a folder.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeyNames {
-    /// Accepted keys, in order.
+    /// Accepted keys, sorted by name.
     pub accepted: Vec<String>,
-    /// The name in the file `signs`, whether or not there is such a key; none: there is no such file.
+    /// The name in the file `signs`, even when the folder has no such key. `None` when the file
+    /// does not exist.
     pub signing: Option<String>,
 }
 
 impl KeyFolderError {
-    /// Whether a file could not be read for a reason that may pass by itself.
+    /// Whether a file could not be read for a reason that may be transient.
     #[must_use]
     pub fn may_be_transient(&self) -> bool {
         match self {
@@ -62,7 +63,7 @@
 
 fn check_name(name: &str) -> Result<(), KeyFolderError> {
     let is_allowed = |c: char| c.is_ascii_alphanumeric() || c == '_' || c == '-';
-    let has_allowed_length = (1..=MAX_NAME_LEN).contains(&name.len());
+    let has_allowed_length = (1..=MAX_NAME_BYTES).contains(&name.len());
     if has_allowed_length && name.chars().all(is_allowed) {
         Ok(())
     } else {
@@ -104,24 +105,26 @@
 /// Reads all keys of the folder.
 ///
 /// # Errors
-/// The folder or a key in it cannot be used, or no key signs.
+/// The folder or one of its keys cannot be used, or no key is the signing key.
 pub fn read(folder: &Path) -> Result<KeyRing, KeyFolderError> {
     let KeyNames { accepted, signing } = list(folder)?;
     let signing = signing
         .filter(|signing| accepted.contains(signing))
         .ok_or_else(|| KeyFolderError::SigningKey(folder.join(SIGNING_KEY_FILE)))?;
-    let mut others = Zeroizing::new(Vec::new());
+    let mut verification_keys = Zeroizing::new(Vec::new());
     for name in accepted.iter().filter(|name| **name != signing) {
-        others.push(*keyfiles::read_hex::<KEY_BYTES>(&key_path(folder, name))?);
+        verification_keys.push(*keyfiles::read_hex::<KEY_BYTES>(&key_path(folder, name))?);
     }
     let signing_key = keyfiles::read_hex::<KEY_BYTES>(&key_path(folder, &signing))?;
-    KeyRing::new(&signing_key, &others).map_err(|error| KeyFolderError::Keys(folder.into(), error))
+    KeyRing::new(&signing_key, &verification_keys)
+        .map_err(|error| KeyFolderError::Keys(folder.into(), error))
 }
 
-/// Writes a new key, which is accepted wherever the folder is read. The first key of a folder signs.
+/// Writes a new key. Every gateway that reads the folder accepts it from then on. The first key of
+/// a folder becomes the signing key.
 ///
 /// # Errors
-/// The name is not allowed or taken, or a file cannot be written.
+/// The name is invalid or taken, or a file cannot be written.
 pub fn add(folder: &Path, name: &str, key: &[u8; KEY_BYTES]) -> Result<(), KeyFolderError> {
     check_name(name)?;
     let path = key_path(folder, name);
@@ -136,7 +139,7 @@
     Ok(())
 }
 
-/// Makes a key of the folder the signing one, from the next reading on.
+/// Makes a key of the folder the signing key. Gateways use it once they read the folder again.
 ///
 /// # Errors
 /// There is no such key, or the file cannot be written.
@@ -151,10 +154,10 @@
     Ok(())
 }
 
-/// Removes a key: what it signed is accepted nowhere from the next reading on.
+/// Removes a key. Gateways reject what it signed once they read the folder again.
 ///
 /// # Errors
-/// It signs, or is not there.
+/// The key is the signing key or does not exist.
 pub fn remove(folder: &Path, name: &str) -> Result<(), KeyFolderError> {
     check_name(name)?;
     if list(folder)?.signing.as_deref() == Some(name) {
--- a/crates/gateway/src/cluster/mod.rs
+++ b/crates/gateway/src/cluster/mod.rs
@@ -1,15 +1,17 @@
-//! This gateway among the others: the I/O of the control plane (`crates/control`), which decides everything itself.
+//! The gateway's side of the fleet: the I/O for the control plane (`crates/control`), which makes
+//! all decisions.
 //!
-//! | state | owner | bound | what empties it |
+//! | state | owner | bound | released by |
 //! | --- | --- | --- | --- |
-//! | UDP socket, membership | [`ClusterEndpoint`] | one descriptor; [`endpoint`] reads 64 datagrams a turn | the process's end |
-//! | quota leases and their use | [`QuotaLeases`] | a budget an index, a usage record a tenant | a reload that drops the budget or tenant |
-//! | ejections announced to others | `engine_gossip::EngineGossip` | one for each ejected engine | the ejection's end |
-//! | log lines that may be written | `event_log::EventLog` | 20 at once, 5 a second | refilled with time |
-//! | key files | the operator, by [`key_folder`] | 8 keys | the operator |
+//! | UDP socket, membership | [`ClusterEndpoint`] | one descriptor; [`endpoint`] reads 64 datagrams per turn | process exit |
+//! | quota leases and their use | [`QuotaLeases`] | an index per budget, a usage record per tenant | a reload that removes the budget or tenant |
+//! | announced ejections | `engine_gossip::EngineGossip` | one per ejected engine | the end of the ejection |
+//! | tokens for log lines | `event_log::EventLog` | 20 at once, 5 per second | refilled over time |
+//! | key files | the operator, through [`key_folder`] | 8 keys | the operator |
 //!
-//! The event loop calls [`ClusterEndpoint::turn`] when the socket is readable or [`ClusterEndpoint::next_wakeup`] has come.
-//! Nothing waits: a datagram that the machine does not take at once is counted and lost, as the network may lose it too.
+//! The event loop calls [`ClusterEndpoint::turn`] when the socket is readable or when
+//! [`ClusterEndpoint::next_wakeup`] is reached. Nothing blocks: a datagram that the kernel does not
+//! accept at once is counted and dropped, since the protocols tolerate datagram loss anyway.
 
 pub mod endpoint;
 mod engine_gossip;
--- a/crates/gateway/src/cluster/quota_leases.rs
+++ b/crates/gateway/src/cluster/quota_leases.rs
@@ -1,5 +1,5 @@
-//! This gateway's leases on the budgets that all gateways share: what the decisions may use of them, and what of them is
-//! spent where attempts are sent.
+//! This gateway's leases on the budgets that all gateways share: how much the scheduling decisions
+//! may use, and how much the sent attempts have spent.
 
 use ::control::QuotaOwner;
 use ::membership::{BootId, Name};
@@ -10,23 +10,23 @@
 
 use crate::clock::Clock;
 
-/// What an attempt about to be sent is charged for.
+/// The budgets that an attempt is charged to when it is sent.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptCharge {
-    /// The query class of its statement, by its index in the settings.
+    /// Index of the statement's query class in the settings.
     pub class: usize,
-    /// It counts against the class's retry budget.
+    /// Whether the attempt is charged to the class's retry budget.
     pub is_retry: bool,
-    /// It counts against the budget of probe attempts at ejected engines.
+    /// Whether the attempt is charged to the budget for probes of ejected engines.
     pub is_outlier_probe: bool,
 }
 
-/// Where each use finds its budget: indexes into the configuration's budgets; none where the use is not shared.
+/// Indexes into the configured budgets, by use. `None` when the use has no shared budget.
 #[derive(Default)]
 struct BudgetIndexes {
-    /// By query class.
+    /// Indexed by query class.
     retries: Vec<Option<usize>>,
-    /// By tenant, as the scheduler numbers them.
+    /// Indexed by tenant, in the scheduler's numbering.
     tenants: Vec<Option<usize>>,
     outlier_probes: Option<usize>,
     slow_start: Option<usize>,
@@ -54,16 +54,16 @@
     }
 }
 
-/// The quotas of this gateway and how its parts use them.
+/// The quotas of this gateway, and how its parts use them.
 pub struct QuotaLeases {
     quotas: FleetQuotas,
     clock: Clock,
     indexes: BudgetIndexes,
     classes: Vec<String>,
     tenants: Vec<String>,
-    /// What each tenant had demanded and spent when it was last taken in.
+    /// Each tenant's total demand and spending at the last update.
     recorded_usage: Vec<TenantUsage>,
-    /// Attempts that found their quota used up or expired as they were to be sent.
+    /// Attempts that were not sent because their quota was used up or had expired.
     rejected_attempts: u64,
 }
 
@@ -78,8 +78,9 @@
 }
 
 impl QuotaLeases {
-    /// The leases of a gateway that starts now, known to the others by `name` and `boot_id`. `classes` and `tenants` are the
-    /// names by the indexes that calls use.
+    /// Creates the leases of a gateway that starts now and that the others know by `name` and
+    /// `boot_id`. The other methods refer to query classes and tenants by their indexes in
+    /// `classes` and `tenants`.
     #[must_use]
     pub fn new(
         clock: Clock,
@@ -103,10 +104,10 @@
         }
     }
 
-    /// Takes over other budgets, and the tenants as the scheduler numbers them now. Returns the settings that differ and
-    /// wait for a restart.
+    /// Applies new budgets, and tenants as the scheduler numbers them now. Returns the changed
+    /// settings that take effect only after a restart.
     pub fn reconfigure(&mut self, config: Config, tenants: &[String]) -> Vec<&'static str> {
-        let waiting = settings_that_wait(self.quotas.participant().config(), &config);
+        let changed = settings_requiring_restart(self.quotas.participant().config(), &config);
         self.quotas.reconfigure(self.clock.boottime_now(), config);
         self.recorded_usage = tenants
             .iter()
@@ -114,7 +115,7 @@
             .collect();
         self.tenants = tenants.to_vec();
         self.indexes = BudgetIndexes::find(&self.quotas, &self.classes, &self.tenants);
-        waiting
+        changed
     }
 
     fn recorded_usage_of(&self, tenant: &str) -> TenantUsage {
@@ -122,8 +123,9 @@
         index.map_or(TenantUsage::default(), |index| self.recorded_usage[index])
     }
 
-    /// What the decisions may use until the next grant. `traffic_share`: this gateway's traffic in even shares of `peers`
-    /// gateways; `ejected_engines`: engines that wait for a probe attempt.
+    /// Returns how much the scheduling decisions may use until the next grant. `traffic_share` is
+    /// this gateway's traffic in multiples of an even share among `peers` gateways, and
+    /// `ejected_engines` is the number of engines that wait for a probe.
     pub fn grant(&mut self, traffic_share: f64, peers: f64, ejected_engines: usize) -> QuotaGrant {
         let now = self.clock.boottime_now();
         let quotas = &mut self.quotas;
@@ -138,7 +140,8 @@
             quotas.available_units(now, budget)
         });
         let slow_start = self.indexes.slow_start.map(|budget| {
-            // As much of every engine in slow start as it has of the traffic.
+            // The demand is the fraction of each engine in slow start that matches this gateway's
+            // fraction of the traffic.
             quotas.set_demand(now, budget, (traffic_share / peers).min(1.0));
             quotas.rate(now, budget)
         });
@@ -149,8 +152,8 @@
         }
     }
 
-    /// Charges an attempt that is about to be sent, by the clock as it is now. False: a quota that the decisions relied on
-    /// is used up or expired by now, and nothing is charged.
+    /// Charges an attempt that is about to be sent, at the current time. Returns false, and charges
+    /// nothing, when a quota that the decision relied on is used up or has expired.
     #[must_use]
     pub fn charge(&mut self, charge: AttemptCharge) -> bool {
         let now = self.clock.boottime_now();
@@ -176,7 +179,8 @@
         true
     }
 
-    /// An attempt of this query class failed: a retry is wanted, whether or not it can be had.
+    /// Records that an attempt of this query class failed and that a retry is wanted, whether or
+    /// not one is possible.
     pub fn record_retry_demand(&mut self, class: usize) {
         if let Some(budget) = self.indexes.retry_budget(class) {
             self.quotas
@@ -184,8 +188,8 @@
         }
     }
 
-    /// Takes in what the tenants demanded and spent since the start, in predicted CPU seconds, and returns what each may
-    /// spend a second; none where its budget is not shared.
+    /// Records what the tenants demanded and spent since the start, in predicted CPU seconds.
+    /// Returns what each tenant may spend per second, or `None` when its budget is not shared.
     pub fn update_tenants(&mut self, usage: &[TenantUsage]) -> Vec<Option<f64>> {
         let now = self.clock.boottime_now();
         let mut rates = Vec::with_capacity(self.indexes.tenants.len());
@@ -195,11 +199,11 @@
                 continue;
             };
             let total = usage.get(tenant).copied().unwrap_or_default();
-            let before = std::mem::replace(&mut self.recorded_usage[tenant], total);
+            let recorded = std::mem::replace(&mut self.recorded_usage[tenant], total);
             self.quotas
-                .record_demand(now, budget, total.demanded - before.demanded);
+                .record_demand(now, budget, total.demanded - recorded.demanded);
             self.quotas
-                .record_spent(now, budget, total.spent - before.spent);
+                .record_spent(now, budget, total.spent - recorded.spent);
             rates.push(Some(self.quotas.rate(now, budget)));
         }
         rates
@@ -211,13 +215,14 @@
         self.indexes.tenants.iter().any(Option::is_some)
     }
 
-    /// The steady clock and all budgets as operators see them then.
+    /// The time since boot and the status of all budgets at that time, for operators.
     pub fn status(&mut self) -> (Timestamp, Status) {
         let now = self.clock.boottime_now();
         (now, self.quotas.status(now))
     }
 
-    /// All counters as `name=value` pairs, each followed by a space. Their names are read by operators' tools.
+    /// All counters as `name=value` pairs, each followed by a space. Operators' tools parse the
+    /// names.
     pub fn counters(&mut self) -> String {
         let (_, status) = self.status();
         let metrics = self.quotas.metrics();
@@ -249,16 +254,17 @@
         text
     }
 
-    /// Writes the events of the lease protocol to the log.
+    /// Logs the events of the lease protocol.
     pub fn log_events(&mut self) {
         for event in self.quotas.take_events() {
-            write_line(event);
+            log_event(event);
         }
     }
 }
 
-/// Settings that only a restart of all gateways changes, by their names in the operator's file.
-fn settings_that_wait(old: &Config, new: &Config) -> Vec<&'static str> {
+/// Returns the changed settings that take effect only when all gateways restart, by their names in
+/// the operator's file.
+fn settings_requiring_restart(old: &Config, new: &Config) -> Vec<&'static str> {
     let differs = [
         ("voters", old.voters != new.voters),
         ("most_gateways", old.max_gateways != new.max_gateways),
@@ -266,23 +272,23 @@
         ("term_ms", old.term_duration != new.term_duration),
         ("drift", old.drift_ppm != new.drift_ppm),
     ];
-    let waiting = differs.into_iter().filter(|(_, differs)| *differs);
-    waiting.map(|(setting, _)| setting).collect()
+    let changed = differs.into_iter().filter(|(_, differs)| *differs);
+    changed.map(|(setting, _)| setting).collect()
 }
 
-fn write_line(event: Event) {
+fn log_event(event: Event) {
     match event {
         Event::BecameLeader { term } => info!(term, "quota: this gateway became leader"),
         Event::LostLeadership => warn!("quota: this gateway lost leadership"),
         Event::LeaseAcquired { leader } => info!(%leader, "quota: lease acquired"),
         Event::LeaseExpired => {
-            warn!("quota: lease expired without renewal; guaranteed minimums only");
+            warn!("quota: lease expired without renewal; using only the guaranteed minimums");
         }
         Event::ClocksDrift(gateways) => {
             let gateways: Vec<String> = gateways.iter().map(ToString::to_string).collect();
             warn!(
                 gateways = gateways.join(", "),
-                "quota: clocks drift beyond the stated bound; guaranteed minimums only for these"
+                "quota: clocks drift beyond the bound; these gateways get guaranteed minimums only"
             );
         }
         Event::ConfigsDiffer(differences) => {
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -1,4 +1,5 @@
-//! The configuration: one JSON file, named by the environment.
+//! The configuration, which is one JSON file named by an environment variable, and the operator's
+//! file.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -26,31 +27,34 @@
     /// The configuration is not JSON.
     #[error("configuration: {0}")]
     Json(#[from] serde_json::Error),
-    /// A field of the configuration is missing or has a value of no use.
+    /// A field of the configuration is missing or invalid.
     #[error("configuration: {0} is missing or cannot be used")]
     Field(&'static str),
-    /// The events that the configuration holds cannot be read.
+    /// The endpoint events in the configuration cannot be parsed.
     #[error("configuration: known: {0}")]
     Known(#[from] EndpointListError),
-    /// A setting is missing or cannot be used.
+    /// A setting is missing or invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
     /// The operator's file cannot be used.
     #[error(transparent)]
     Operator(#[from] OperatorConfigError),
-    /// In this file a queue's tenant is not the configuration's.
+    /// The operator's file defines a queue for a tenant that the configuration does not have. The
+    /// fields are the file and the tenant.
     #[error("{0}: queues.member.{1}: the configuration knows no such member")]
     Member(String, String),
-    /// In this file a budget's query class is not the configuration's.
+    /// The operator's file defines a retry budget for a query class that the configuration does not
+    /// have. The fields are the file and the class.
     #[error("{0}: shares.relays_per_s.{1}: the configuration knows no such product")]
     QueryClass(String, String),
-    /// Beside this file the configuration's name is no name of a gateway.
+    /// The operator's file gives this gateway no name, and the configuration's name is not valid in
+    /// a fleet. The first field is the file.
     #[error("{0}: fleet.name: the configuration's name cannot be taken: {1}")]
     Name(String, ::membership::InvalidName),
 }
 
 impl ConfigError {
-    /// Whether a file could not be read for a reason that may pass by itself.
+    /// Whether a file could not be read for a reason that may be transient.
     #[must_use]
     pub fn may_be_transient(&self) -> bool {
         match self {
@@ -58,30 +62,30 @@
             | ConfigError::Operator(OperatorConfigError::Unreadable(_, error)) => {
                 is_transient_file_error(error)
             }
-            // Whoever writes it has not come to its end.
+            // The file is incomplete, probably because it is still being written.
             ConfigError::Json(error) => error.is_eof(),
             _ => false,
         }
     }
 }
 
-/// The operator's file beside the configuration: what of it is in force at this gateway.
+/// The settings from the operator's file that are in force at this gateway.
 #[derive(Clone, Debug, Default)]
 pub struct OperatorSettings {
-    /// Where it was read from; none: there is none.
+    /// The path of the file, or `None` when there is none.
     pub file: Option<PathBuf>,
-    /// Budgets as this gateway's part of those of all; nothing where there are no queues.
+    /// The queues, with this gateway's share of the tenants' budgets. `None` when queues are off.
     pub queues: Option<QueueConfig>,
-    /// Files and terms by which callers are known; nothing where they are not.
+    /// How callers are authenticated. `None` when they are not.
     pub identity: Option<IdentityConfig>,
-    /// Budgets that are divided among all gateways; nothing where they are not.
+    /// The budgets that all gateways share. `None` when no budget is shared.
     pub shares: Option<::quota::Config>,
-    /// How gateways know each other, and this one's name; nothing where they don't.
+    /// This gateway's name in the fleet and the membership settings. `None` when there is no fleet.
     pub fleet: Option<(Name, MembershipConfig)>,
 }
 
 impl OperatorSettings {
-    /// Reads the operator's file; without one nothing of it is in force.
+    /// Reads the operator's file. Without a file all settings are off.
     ///
     /// # Errors
     /// The file cannot be used, or contradicts the configuration.
@@ -107,7 +111,7 @@
         })
     }
 
-    /// Tenants of the queues, in their order.
+    /// The names of the tenants with queues, in the order of the file.
     #[must_use]
     pub fn tenant_names(&self) -> Vec<String> {
         let tenants = self.queues.iter().flat_map(|queues| &queues.tenants);
@@ -115,7 +119,8 @@
     }
 }
 
-/// Queues name no tenant that the configuration does not know; one without tenants knows all.
+/// Checks that queues refer only to tenants of the configuration. A configuration without tenants
+/// allows any.
 fn check_tenants(
     operator: &OperatorConfig,
     config: &Config,
@@ -135,7 +140,7 @@
     }
 }
 
-/// Budgets of retries name no query class that the configuration does not know.
+/// Checks that retry budgets refer only to query classes of the configuration.
 fn check_retry_budgets(
     operator: &OperatorConfig,
     config: &Config,
@@ -154,8 +159,9 @@
     Ok(())
 }
 
-/// This gateway's part of the tenants' budgets: an even share, but all of each where leases divide them, since what of it is
-/// this gateway's is told as it changes.
+/// This gateway's fraction of the tenants' budgets: an even share of all gateways. It is 1 when the
+/// budgets are shared through leases, because the leases then tell this gateway its share as it
+/// changes.
 fn queue_share(operator: &OperatorConfig, config: &Config) -> Result<f64, ConfigError> {
     let mut budgets = operator.quota.iter().flat_map(|quota| &quota.budgets);
     if budgets.any(|budget| matches!(budget.kind, BudgetKind::Tenant(_))) {
@@ -164,7 +170,8 @@
     Ok(1.0 / config.settings.peers()?)
 }
 
-/// Membership under the name that the operator's file gives this gateway, else under the configuration's.
+/// Returns the membership settings with this gateway's name, which comes from the operator's file
+/// or else from the configuration.
 fn named_membership(
     membership: MembershipConfig,
     config: &Config,
@@ -178,31 +185,32 @@
     Ok((name, membership))
 }
 
-/// What one gateway is told by its platform.
+/// The configuration that the platform gives to one gateway.
 pub struct Config {
-    /// The gateway's name, the same after a restart.
+    /// The gateway's name, which stays the same after a restart.
     pub name: String,
-    /// Where clients connect.
+    /// The address where clients connect.
     pub listen: SocketAddr,
-    /// Of all chance.
+    /// The seed of all random generators.
     pub seed: u64,
-    /// Descriptors that the process may hold.
+    /// The number of descriptors that the process may hold.
     pub max_descriptors: usize,
-    /// Memory that the process may take, in MB.
+    /// The memory that the process may use, in MB.
     pub memory_mb: f64,
-    /// Where the discovery service is.
+    /// The address of the discovery service.
     pub discovery_address: SocketAddr,
-    /// The discovery service's events up to now.
+    /// The endpoint events of the discovery service that are already known.
     pub known_endpoints: EventBatch,
     /// The settings that all gateways share.
     pub settings: Settings,
 }
 
 impl Config {
-    /// What another file says otherwise and a running program cannot take over; its board and list it can.
+    /// The fields that differ in `other` and that a running gateway cannot apply. It can apply the
+    /// address of the discovery service and the endpoint events.
     #[must_use]
     pub fn settings_requiring_restart(&self, other: &Config) -> Vec<&'static str> {
-        let same = [
+        let fields = [
             ("name", self.name == other.name),
             ("listen", self.listen == other.listen),
             ("seed", self.seed == other.seed),
@@ -213,26 +221,27 @@
             ("limits.memory_mb", self.memory_mb == other.memory_mb),
             ("settings", self.settings == other.settings),
         ];
-        same.into_iter()
+        fields
+            .into_iter()
             .filter(|(_, same)| !same)
             .map(|(name, _)| name)
             .collect()
     }
 
-    /// Reads the file.
+    /// Reads the configuration from a file.
     ///
     /// # Errors
-    /// It cannot be read or used.
+    /// The file cannot be read, or its content is invalid.
     pub fn read(path: &Path) -> Result<Self, ConfigError> {
         let text = std::fs::read(path)
             .map_err(|error| ConfigError::Unreadable(path.display().to_string(), error))?;
         Self::parse(&text)
     }
 
-    /// Reads a configuration from its JSON form.
+    /// Parses a configuration in JSON.
     ///
     /// # Errors
-    /// The first field that is missing or cannot be used.
+    /// Returns the first field that is missing or invalid.
     pub fn parse(text: &[u8]) -> Result<Self, ConfigError> {
         let json: Value = serde_json::from_slice(text)?;
         let text = |name: &'static str| json[name].as_str().ok_or(ConfigError::Field(name));
--- a/crates/gateway/src/keyfiles.rs
+++ b/crates/gateway/src/keyfiles.rs
@@ -1,5 +1,5 @@
-//! The folder of token signing keys: `index.json`, `ID.pub` and `ID.key` for each key, and `revoked`. A file is only ever
-//! replaced by rename, so that a reader never meets half of one.
+//! The folder of token signing keys: `index.json`, `ID.pub` and `ID.key` for each key, and
+//! `revoked`. Files are replaced only by a rename, so that a reader never sees a partial file.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -15,72 +15,72 @@
 
 use crate::machine_errors::is_transient_file_error;
 
-/// The index of keys.
+/// The key index.
 const INDEX_FILE: &str = "index.json";
 /// The revocation list.
 const REVOCATION_FILE: &str = "revoked";
-/// Permissions of a file that only its owner may read.
+/// File mode of a file that only its owner can read.
 const SECRET_MODE: u32 = 0o600;
-/// Permissions of a file that all may read.
+/// File mode of a file that everyone can read.
 const PUBLIC_MODE: u32 = 0o644;
 
 /// Why a file of the folder cannot be used or written.
 #[derive(Debug, Error)]
 pub enum KeyFileError {
-    /// It cannot be read, written or renamed.
+    /// The file cannot be read, written or renamed.
     #[error("{0}: {1}")]
     Io(PathBuf, io::Error),
-    /// The index cannot be used.
+    /// The index is invalid.
     #[error("{0}: {1}")]
     Index(PathBuf, KeyIndexError),
-    /// It does not hold a key in hexadecimal digits.
+    /// The file does not contain a key of the right length in hexadecimal digits.
     #[error("{0}: no key of so many hexadecimal digits")]
     Key(PathBuf),
-    /// This line of the revocation list cannot be used.
+    /// The revocation list is invalid at this line, or has too many lines.
     #[error("{0}:{1}: neither caller NAME nor token ID, or too many lines")]
     Revocation(PathBuf, usize),
-    /// It would be overwritten.
+    /// The file exists already and is not overwritten.
     #[error("{0} is there already")]
     Exists(PathBuf),
 }
 
 impl KeyFileError {
-    /// Whether a file could not be read for a reason that may pass by itself.
+    /// Whether a file could not be read for a reason that may be transient.
     #[must_use]
     pub fn may_be_transient(&self) -> bool {
         matches!(self, KeyFileError::Io(_, error) if is_transient_file_error(error))
     }
 }
 
-/// All that the folder holds for those who verify tokens.
+/// The content of the folder that is needed to verify tokens.
 pub struct KeyFiles {
-    /// Which keys there are, and their lifecycle.
+    /// The keys and their lifecycle.
     pub index: KeyIndex,
     /// The public key of each entry of the index.
     pub public_keys: BTreeMap<KeyId, PublicKey>,
-    /// Revoked callers and tokens; empty where there is no such file.
+    /// Revoked callers and tokens. Empty when the file does not exist.
     pub revoked: RevocationList,
 }
 
-/// Where the public half of a key is.
+/// Returns the path of a public key.
 #[must_use]
 pub fn public_path(folder: &Path, id: &KeyId) -> PathBuf {
     folder.join(format!("{id}.pub"))
 }
 
-/// Where the secret half of a key is.
+/// Returns the path of a secret key.
 #[must_use]
 pub fn secret_path(folder: &Path, id: &KeyId) -> PathBuf {
     folder.join(format!("{id}.key"))
 }
 
-/// Where the index is.
+/// Returns the path of the index.
 #[must_use]
 pub fn index_path(folder: &Path) -> PathBuf {
     folder.join(INDEX_FILE)
 }
 
-/// Where the revocation list is.
+/// Returns the path of the revocation list.
 #[must_use]
 pub fn revocation_path(folder: &Path) -> PathBuf {
     folder.join(REVOCATION_FILE)
@@ -93,11 +93,11 @@
     }
 }
 
-/// Reads a file; none: there is no such file. Any other failure is an error, since a file that cannot be looked at may well
-/// be there.
+/// Reads a file. Returns `None` only when the file does not exist: after any other failure it may
+/// exist.
 ///
 /// # Errors
-/// It cannot be read.
+/// The file cannot be read.
 pub fn read_if_present(path: &Path) -> Result<Option<String>, KeyFileError> {
     match fs::read_to_string(path) {
         Ok(text) => Ok(Some(text)),
@@ -106,10 +106,10 @@
     }
 }
 
-/// Reads a file of `N` bytes in hexadecimal digits.
+/// Reads a file that contains `N` bytes as hexadecimal digits.
 ///
 /// # Errors
-/// It cannot be read, or holds something else.
+/// The file cannot be read, or contains anything else.
 pub fn read_hex<const N: usize>(path: &Path) -> Result<Zeroizing<[u8; N]>, KeyFileError> {
     let text = read_text(path)?;
     let digits = text.trim().as_bytes();
@@ -131,7 +131,7 @@
     u8::try_from(value).ok()
 }
 
-/// Bytes as a line of hexadecimal digits.
+/// Encodes bytes as a line of hexadecimal digits.
 #[must_use]
 pub fn hex(bytes: &[u8]) -> Zeroizing<String> {
     let mut line: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
@@ -139,10 +139,10 @@
     Zeroizing::new(line)
 }
 
-/// Reads the index; an empty one where there is no such file yet.
+/// Reads the index, or returns an empty one when the file does not exist.
 ///
 /// # Errors
-/// There is an index that cannot be used.
+/// The index exists but cannot be used.
 pub fn read_index_or_default(folder: &Path) -> Result<KeyIndex, KeyFileError> {
     let path = index_path(folder);
     match read_if_present(&path)? {
@@ -161,18 +161,18 @@
     KeyIndex::parse(text).map_err(|error| KeyFileError::Index(path, error))
 }
 
-/// Reads the secret half of a key.
+/// Reads a secret key.
 ///
 /// # Errors
-/// It is missing or cannot be used.
+/// The file is missing or invalid.
 pub fn read_secret(folder: &Path, id: &KeyId) -> Result<Zeroizing<SecretKey>, KeyFileError> {
     read_hex(&secret_path(folder, id))
 }
 
-/// Reads all that is needed to verify tokens.
+/// Reads everything that is needed to verify tokens.
 ///
 /// # Errors
-/// The index or a public key that it names is missing, or any file cannot be used.
+/// The index or one of its public keys is missing, or a file is invalid.
 pub fn read(folder: &Path) -> Result<KeyFiles, KeyFileError> {
     let index = read_index(folder)?;
     let mut public_keys = BTreeMap::new();
@@ -194,23 +194,23 @@
     RevocationList::parse(&text).map_err(|error| KeyFileError::Revocation(path, error.line))
 }
 
-/// Replaces a file that only its owner may read.
+/// Replaces a file that only its owner can read.
 ///
 /// # Errors
-/// It cannot be written.
+/// The file cannot be written.
 pub fn write_secret(path: &Path, content: &[u8]) -> Result<(), KeyFileError> {
     replace(path, content, SECRET_MODE)
 }
 
-/// Replaces a file that all may read.
+/// Replaces a file that everyone can read.
 ///
 /// # Errors
-/// It cannot be written.
+/// The file cannot be written.
 pub fn write_public(path: &Path, content: &[u8]) -> Result<(), KeyFileError> {
     replace(path, content, PUBLIC_MODE)
 }
 
-/// Writes a temporary file beside it and renames that.
+/// Writes a temporary file in the same folder and renames it to `path`.
 fn replace(path: &Path, content: &[u8], mode: u32) -> Result<(), KeyFileError> {
     let io_error = |error| KeyFileError::Io(path.into(), error);
     let temporary = path.with_extension(format!("new-{}", std::process::id()));
@@ -225,7 +225,7 @@
         .and_then(|()| file.sync_all())
         .and_then(|()| fs::rename(&temporary, path));
     if let Err(error) = written {
-        // The first error says what is wrong; the file that is left over harms nobody.
+        // The first error is the relevant one, and a leftover temporary file is harmless.
         let _ = fs::remove_file(&temporary);
         return Err(io_error(error));
     }
@@ -235,10 +235,10 @@
 /// Replaces the index.
 ///
 /// # Errors
-/// It cannot be written.
+/// The file cannot be written.
 ///
 /// # Panics
-/// Never: an index is plain values.
+/// Never, because an index always serializes to JSON.
 pub fn write_index(folder: &Path, index: &KeyIndex) -> Result<(), KeyFileError> {
     let mut text = serde_json::to_string_pretty(index).expect("an index is plain values");
     text.push('\n');
--- a/crates/gateway/src/keywatch.rs
+++ b/crates/gateway/src/keywatch.rs
@@ -1,6 +1,7 @@
-//! Watches the token key folder and the TLS certificate of a running gateway. A thread of its own reads the files, so that
-//! the event loop never waits for a disk. What it read goes over a channel that holds one message; while that is full the
-//! thread waits, and a change in that time is seen afterwards.
+//! Watches the token key folder and the TLS certificate of a running gateway. A separate thread
+//! reads the files, so that the event loop never waits for a disk. It sends the result over a
+//! channel that holds one message. While the channel is full, the thread blocks, and it notices
+//! changes of that time afterwards.
 
 use std::io;
 use std::path::PathBuf;
@@ -18,10 +19,11 @@
 use crate::keyfiles::{self, KeyFileError, KeyFiles};
 use crate::machine_errors::is_transient_file_error;
 
-/// How often the files are looked at. With the time to read them it bounds the time from a change to its effect.
+/// Interval between two checks of the files. A change takes effect after at most this interval plus
+/// the time to read the files.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
-/// How often files that cannot be read for now are read again before that is told: 5 s.
+/// Retries while files are temporarily unreadable, before the error is reported. They take 5 s.
 const MAX_READ_RETRIES: usize = 20;
 
 /// Why the files cannot be used.
@@ -30,16 +32,16 @@
     /// The key folder cannot be used.
     #[error(transparent)]
     KeyFiles(#[from] KeyFileError),
-    /// A certificate or its private key is not PEM.
+    /// A certificate or its private key is not valid PEM, or cannot be read.
     #[error("{0}: {1}")]
     Pem(PathBuf, PemError),
-    /// The certificate does not fit its private key.
+    /// The certificate does not match its private key.
     #[error("{0}: {1}")]
     Tls(PathBuf, rustls::Error),
 }
 
 impl WatchError {
-    /// Whether a file could not be read for a reason that may pass by itself.
+    /// Whether a file could not be read for a reason that may be transient.
     #[must_use]
     pub fn may_be_transient(&self) -> bool {
         match self {
@@ -50,34 +52,34 @@
     }
 }
 
-/// Everything that authentication of callers needs.
+/// Everything that is needed to authenticate callers.
 pub struct AuthMaterial {
-    /// The key folder.
+    /// The content of the key folder.
     pub files: KeyFiles,
-    /// For new handshakes.
+    /// The TLS configuration for new handshakes.
     pub tls: Arc<ServerConfig>,
 }
 
 /// Reads all files.
 ///
 /// # Errors
-/// One of them is missing or cannot be used.
-pub fn read(callers: &IdentityConfig) -> Result<AuthMaterial, WatchError> {
+/// A file is missing or invalid.
+pub fn read(identity_config: &IdentityConfig) -> Result<AuthMaterial, WatchError> {
     Ok(AuthMaterial {
-        files: keyfiles::read(&callers.keys_folder)?,
-        tls: Arc::new(read_tls(callers)?),
+        files: keyfiles::read(&identity_config.keys_folder)?,
+        tls: Arc::new(read_tls(identity_config)?),
     })
 }
 
-fn read_tls(callers: &IdentityConfig) -> Result<ServerConfig, WatchError> {
-    let certificate_error = |error| WatchError::Pem(callers.certificate.clone(), error);
-    let chain = CertificateDer::pem_file_iter(&callers.certificate)
+fn read_tls(identity_config: &IdentityConfig) -> Result<ServerConfig, WatchError> {
+    let certificate_error = |error| WatchError::Pem(identity_config.certificate.clone(), error);
+    let chain = CertificateDer::pem_file_iter(&identity_config.certificate)
         .map_err(certificate_error)?
         .collect::<Result<Vec<_>, _>>()
         .map_err(certificate_error)?;
-    let private_key = PrivateKeyDer::from_pem_file(&callers.private_key)
-        .map_err(|error| WatchError::Pem(callers.private_key.clone(), error))?;
-    let tls_error = |error| WatchError::Tls(callers.certificate.clone(), error);
+    let private_key = PrivateKeyDer::from_pem_file(&identity_config.private_key)
+        .map_err(|error| WatchError::Pem(identity_config.private_key.clone(), error))?;
+    let tls_error = |error| WatchError::Tls(identity_config.certificate.clone(), error);
     let provider = Arc::new(rustls::crypto::ring::default_provider());
     ServerConfig::builder_with_provider(provider)
         .with_safe_default_protocol_versions()
@@ -87,7 +89,8 @@
         .map_err(tls_error)
 }
 
-/// When each watched file was modified last; none: it cannot be told. Every change of the key folder rewrites its index.
+/// The modification time of each watched file, or `None` when it is unknown. Every change of the
+/// key folder rewrites its index.
 #[derive(PartialEq)]
 struct ModificationTimes {
     index: Option<SystemTime>,
@@ -96,52 +99,53 @@
 }
 
 impl ModificationTimes {
-    fn read(callers: &IdentityConfig) -> Self {
+    fn read(identity_config: &IdentityConfig) -> Self {
         let modified = |path: &PathBuf| {
             std::fs::metadata(path)
                 .and_then(|data| data.modified())
                 .ok()
         };
         ModificationTimes {
-            index: modified(&keyfiles::index_path(&callers.keys_folder)),
-            certificate: modified(&callers.certificate),
-            private_key: modified(&callers.private_key),
+            index: modified(&keyfiles::index_path(&identity_config.keys_folder)),
+            certificate: modified(&identity_config.certificate),
+            private_key: modified(&identity_config.private_key),
         }
     }
 }
 
-/// What the watching thread sends: the files, or why they cannot be used.
-type ReadResult = Result<AuthMaterial, WatchError>;
+/// The message of the watching thread: the content of the files, or why they cannot be used.
+type WatchResult = Result<AuthMaterial, WatchError>;
 
-/// Starts the thread. It ends once the channel is dropped and a file changes.
+/// Starts the watching thread. After the channel is dropped, the thread ends at the next change of
+/// a file.
 ///
 /// # Errors
-/// The machine is short of threads or memory. It may be tried again.
-pub fn watch(callers: IdentityConfig) -> io::Result<Channel<ReadResult>> {
+/// The thread cannot be started, because threads or memory are short. The call may be repeated.
+pub fn watch(identity_config: IdentityConfig) -> io::Result<Channel<WatchResult>> {
     let (sender, channel) = sync_channel(1);
-    let seen = ModificationTimes::read(&callers);
+    let seen = ModificationTimes::read(&identity_config);
     thread::Builder::new()
         .name("key files".to_owned())
-        .spawn(move || send_changes(&callers, seen, &sender))?;
+        .spawn(move || send_changes(&identity_config, seen, &sender))?;
     Ok(channel)
 }
 
 fn send_changes(
-    callers: &IdentityConfig,
+    identity_config: &IdentityConfig,
     mut seen: ModificationTimes,
-    sender: &SyncSender<ReadResult>,
+    sender: &SyncSender<WatchResult>,
 ) {
     let mut retries = 0;
     loop {
         thread::sleep(POLL_INTERVAL);
-        let current = ModificationTimes::read(callers);
+        let current = ModificationTimes::read(identity_config);
         if current == seen {
             continue;
         }
-        let result = read(callers);
-        // The change is still there to be seen at the next look.
-        let is_unreadable_for_now = result.as_ref().is_err_and(WatchError::may_be_transient);
-        if is_unreadable_for_now && retries < MAX_READ_RETRIES {
+        let result = read(identity_config);
+        // `seen` is unchanged, so the next check finds the change again.
+        let is_transient_error = result.as_ref().is_err_and(WatchError::may_be_transient);
+        if is_transient_error && retries < MAX_READ_RETRIES {
             retries += 1;
             continue;
         }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,8 +1,8 @@
-//! The gateway: MySQL clients before engines with limited memory. Network code only; what becomes of a
-//! statement is asked of `dispatch`.
+//! The gateway between MySQL clients and engines with limited memory. This crate contains the
+//! network code, and the `dispatch` crate decides what happens to a statement.
 
-// The macros that print panic where the machine does not take what they print. The log is `log_output`, what commands print
-// goes through `command::output`.
+// The print macros panic when the output cannot be written. The log goes through `log_output`, and
+// the output of commands through `command::output`.
 #![deny(clippy::print_stderr, clippy::print_stdout)]
 
 pub mod clients;
--- a/crates/gateway/src/log_output.rs
+++ b/crates/gateway/src/log_output.rs
@@ -1,8 +1,8 @@
-//! The log: whole lines on standard error.
+//! The log, written as whole lines to standard error.
 //!
-//! A log that cannot be written costs lines and nothing else: the disk below it may be full, its reader may be gone or
-//! behind. No write here fails, panics or waits; lines that the machine does not take are counted, and the next line that
-//! it takes is preceded by their number.
+//! A log line that cannot be written is dropped, because the disk may be full or the reader gone or
+//! slow. Writing never fails, panics or blocks. Dropped lines are counted, and the next line that
+//! can be written is preceded by their number.
 
 use std::io::{self, Write};
 use std::os::fd::BorrowedFd;
@@ -12,35 +12,36 @@
 use rustix::fs::FileType;
 use rustix::io::Errno;
 
-/// The most that a pipe takes at once without waiting, where it tells that it has room: PIPE_BUF of Linux.
+/// The most that a pipe reported as writable accepts without blocking, which is PIPE_BUF on Linux.
 const MAX_WRITE_BYTES: usize = 4096;
 
-/// How often one write is tried again because a signal interrupted it.
-const MAX_INTERRUPTIONS: usize = 16;
+/// How often a write that a signal interrupts is repeated.
+const MAX_WRITE_RETRIES: usize = 16;
 
-/// What became of the lines so far.
+/// The state of the log.
 struct LogState {
-    /// Lines that were lost since the start.
+    /// Lines that were dropped since the start.
     lost: u64,
-    /// Of these, lines of which the log does not tell yet.
-    untold: u64,
-    /// The last line was cut in its middle.
-    is_cut: bool,
+    /// Dropped lines that the log does not mention yet.
+    unreported: u64,
+    /// The last line was written only in part.
+    last_line_cut: bool,
 }
 
-/// One process has one standard error.
+/// A process has only one standard error.
 static STATE: Mutex<LogState> = Mutex::new(LogState {
     lost: 0,
-    untold: 0,
-    is_cut: false,
+    unreported: 0,
+    last_line_cut: false,
 });
 
-/// Writes one line to the log; the line's end is added.
+/// Writes one line to the log and adds the line end.
 pub fn write_line(line: &str) {
     write_record(format!("{line}\n").as_bytes());
 }
 
-/// The same, for whoever may have interrupted the writing of another line on the same thread: then the line is lost.
+/// Writes one line like [`write_line`], or drops it if the log is locked. A panic hook needs this,
+/// because it may run while the same thread is writing a line.
 pub fn write_line_unless_writing(line: &str) {
     match STATE.try_lock() {
         Ok(mut state) => state.write_record(format!("{line}\n").as_bytes()),
@@ -52,13 +53,13 @@
     }
 }
 
-/// Lines that the machine did not take since the start.
+/// The number of lines dropped since the start.
 #[must_use]
 pub fn lost_lines() -> u64 {
     STATE.lock().unwrap_or_else(PoisonError::into_inner).lost
 }
 
-/// Standard error for a library that logs: each write is one record, and succeeds.
+/// Standard error for a logging library. Each write is one record, and always succeeds.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LogWriter;
 
@@ -80,25 +81,25 @@
 
 impl LogState {
     fn write_record(&mut self, record: &[u8]) {
-        let is_written = self.tell_lost_lines().is_ok() && self.write(record).is_ok();
+        let is_written = self.report_lost_lines().is_ok() && self.write(record).is_ok();
         if !is_written {
             self.lost += 1;
-            self.untold += 1;
+            self.unreported += 1;
         }
     }
 
-    /// Says how many lines are missing at this place, if any are.
-    fn tell_lost_lines(&mut self) -> rustix::io::Result<()> {
-        if self.untold == 0 {
+    /// Writes the number of lines that are missing at this place, if any.
+    fn report_lost_lines(&mut self) -> rustix::io::Result<()> {
+        if self.unreported == 0 {
             return Ok(());
         }
-        let line_end = if self.is_cut { "\n" } else { "" };
+        let line_end = if self.last_line_cut { "\n" } else { "" };
         let notice = format!(
             "{line_end}log: {} lines could not be written\n",
-            self.untold
+            self.unreported
         );
         self.write(notice.as_bytes())?;
-        self.untold = 0;
+        self.unreported = 0;
         Ok(())
     }
 
@@ -108,24 +109,24 @@
             match write_once(rest) {
                 Ok(length) => rest = &rest[length..],
                 Err(error) => {
-                    self.is_cut |= rest.len() < record.len();
+                    self.last_line_cut |= rest.len() < record.len();
                     return Err(error);
                 }
             }
         }
-        self.is_cut = false;
+        self.last_line_cut = false;
         Ok(())
     }
 }
 
-/// Writes what the machine takes of these bytes at once.
+/// Writes as many of the bytes as possible without blocking.
 fn write_once(bytes: &[u8]) -> rustix::io::Result<usize> {
     let stderr = rustix::stdio::stderr();
-    if may_wait(stderr) {
+    if may_block(stderr) {
         return Err(Errno::AGAIN);
     }
     let part = &bytes[..bytes.len().min(MAX_WRITE_BYTES)];
-    for _ in 0..MAX_INTERRUPTIONS {
+    for _ in 0..MAX_WRITE_RETRIES {
         match rustix::io::write(stderr, part) {
             Ok(0) => return Err(Errno::IO),
             Err(Errno::INTR) => {}
@@ -135,8 +136,9 @@
     Err(Errno::INTR)
 }
 
-/// Whether a write would wait for the reader: a pipe or a socket without room. What cannot be told counts as ready.
-fn may_wait(stderr: BorrowedFd<'_>) -> bool {
+/// Whether a write may block because a pipe or a socket is full. Returns false when the kernel
+/// cannot tell.
+fn may_block(stderr: BorrowedFd<'_>) -> bool {
     let has_reader = rustix::fs::fstat(stderr).is_ok_and(|status| {
         let file_type = FileType::from_raw_mode(status.st_mode);
         matches!(file_type, FileType::Fifo | FileType::Socket)
@@ -145,10 +147,10 @@
         return false;
     }
     let mut watched = [PollFd::new(&stderr, PollFlags::OUT)];
-    let no_wait = Timespec {
+    let zero_timeout = Timespec {
         tv_sec: 0,
         tv_nsec: 0,
     };
-    let is_told = poll(&mut watched, Some(&no_wait)).is_ok();
-    is_told && watched[0].revents().is_empty()
+    let is_known = poll(&mut watched, Some(&zero_timeout)).is_ok();
+    is_known && watched[0].revents().is_empty()
 }
--- a/crates/gateway/src/log_time.rs
+++ b/crates/gateway/src/log_time.rs
@@ -1,4 +1,4 @@
-//! The time in front of each line of the log.
+//! The timestamp at the start of each log line.
 
 use std::fmt;
 
@@ -8,8 +8,8 @@
 
 use crate::clock::since_epoch;
 
-/// The UTC time to the microsecond, as in `2026-12-02T22:52:14.740658Z`. The library's own panics where the clock cannot be
-/// read.
+/// Formats the UTC time in microseconds, as in `2026-12-02T22:52:14.740658Z`. The formatter of the
+/// logging library is not used, because it panics when the clock cannot be read.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct UtcTime;
 
@@ -18,7 +18,7 @@
         let now = since_epoch();
         let nanos = i128::try_from(now.as_nanos()).unwrap_or(i128::MAX);
         let Ok(time) = OffsetDateTime::from_unix_timestamp_nanos(nanos) else {
-            // Past the year 9999.
+            // After the year 9999.
             return write!(line, "{}s", now.as_secs());
         };
         write!(
--- a/crates/gateway/src/machine_errors.rs
+++ b/crates/gateway/src/machine_errors.rs
@@ -1,12 +1,12 @@
-//! Errors of system calls, by what they say: a shortage of this machine, a connection that has gone, or something that
-//! passes by itself. The classes follow the calls' manual pages.
+//! Classifies the errors of system calls: resource shortages of the host, failed connections and
+//! transient file errors. The classes follow the manual pages of the calls.
 
 use std::io;
 
 use rustix::io::Errno;
 
-/// Out of descriptors, buffers, memory, ports or watches.
-const SHORTAGES: [Errno; 7] = [
+/// The host or process is out of descriptors, buffers, memory, ports or watches.
+const RESOURCE_SHORTAGES: [Errno; 7] = [
     Errno::AGAIN,
     Errno::MFILE,
     Errno::NFILE,
@@ -16,8 +16,9 @@
     Errno::ADDRNOTAVAIL,
 ];
 
-/// accept(2) passes these on from a connection that failed while it waited: the next one may be good.
-const FAILED_WHILE_WAITING: [Errno; 15] = [
+/// Errors that accept(2) reports for a pending connection that has already failed. The next
+/// connection may be good.
+const PENDING_CONNECTION_ERRORS: [Errno; 15] = [
     Errno::INTR,
     Errno::CONNABORTED,
     Errno::CONNRESET,
@@ -35,8 +36,8 @@
     Errno::TIMEDOUT,
 ];
 
-/// What may keep a file from being read for a while.
-const FILE_UNREADABLE_FOR_NOW: [Errno; 5] = [
+/// Errors that may temporarily keep a file from being read.
+const TRANSIENT_FILE_ERRORS: [Errno; 5] = [
     Errno::BUSY,
     Errno::INTR,
     Errno::IO,
@@ -44,31 +45,32 @@
     Errno::TIMEDOUT,
 ];
 
-fn is_one_of(error: &io::Error, class: &[Errno]) -> bool {
+fn is_in_class(error: &io::Error, class: &[Errno]) -> bool {
     Errno::from_io_error(error).is_some_and(|errno| class.contains(&errno))
 }
 
-/// Whether this machine or process is out of something; the peer has no part in it.
+/// Whether the host or the process has run out of a resource. Such an error says nothing about the
+/// peer.
 #[must_use]
 pub fn is_resource_exhaustion(error: &io::Error) -> bool {
-    is_one_of(error, &SHORTAGES)
+    is_in_class(error, &RESOURCE_SHORTAGES)
 }
 
-/// Whether a read or a write on a connection that is up found the machine short of buffers. The connection stands, and no
-/// event tells when there are some again.
+/// Whether the kernel lacked buffers for a read or write on an open connection. The connection
+/// stays open, and no event reports when buffers are available again.
 #[must_use]
 pub fn is_transfer_shortage(error: &io::Error) -> bool {
-    is_one_of(error, &[Errno::NOBUFS, Errno::NOMEM])
+    is_in_class(error, &[Errno::NOBUFS, Errno::NOMEM])
 }
 
-/// Whether accepting failed because of the one connection that was next, which is gone.
+/// Whether accepting failed only because the next pending connection has already failed.
 #[must_use]
 pub fn is_pending_connection_error(error: &io::Error) -> bool {
-    is_one_of(error, &FAILED_WHILE_WAITING)
+    is_in_class(error, &PENDING_CONNECTION_ERRORS)
 }
 
-/// Whether a file that cannot be read now may be readable soon.
+/// Whether a file that cannot be read now may become readable soon.
 #[must_use]
 pub fn is_transient_file_error(error: &io::Error) -> bool {
-    is_resource_exhaustion(error) || is_one_of(error, &FILE_UNREADABLE_FOR_NOW)
+    is_resource_exhaustion(error) || is_in_class(error, &TRANSIENT_FILE_ERRORS)
 }
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -1,4 +1,4 @@
-//! The gateway's program and its sub-commands.
+//! The gateway's executable and its subcommands.
 
 #![deny(clippy::print_stderr, clippy::print_stdout)]
 
--- a/crates/gateway/src/panic_containment.rs
+++ b/crates/gateway/src/panic_containment.rs
@@ -1,7 +1,8 @@
-//! Keeps a panic to the piece of work that it came from.
+//! Contains a panic in the piece of work that caused it.
 //!
-//! A gateway is one thread and holds the statements of hundreds of clients. What one connection, one wait of the event loop
-//! or one library meets must not take all of them along, so each such piece of work runs contained.
+//! A gateway runs on one thread and holds the statements of hundreds of clients. A fault in one
+//! connection, one wait of the event loop or one library must not end all of them, so each piece of
+//! work runs contained.
 
 use std::any::Any;
 use std::fmt;
@@ -11,7 +12,7 @@
 
 use crate::log_output;
 
-/// A piece of work panicked.
+/// A contained panic.
 #[derive(Debug, Error)]
 #[error("panicked: {}", message(&**payload))]
 pub struct Panicked {
@@ -19,21 +20,23 @@
 }
 
 impl Panicked {
-    /// Panics on, so that the process ends as if the panic had not been contained.
+    /// Resumes the panic, so that the process ends as if it had not been contained.
     pub fn resume(self) -> ! {
         panic::resume_unwind(self.payload)
     }
 }
 
-/// Runs a piece of work. What it had changed when it panicked stays changed: whoever calls gives up what the work was on.
+/// Runs a piece of work and catches its panics. Changes made before the panic remain, so the caller
+/// has to discard the state that the work operated on.
 ///
 /// # Errors
-/// It panicked.
+/// The work panicked.
 pub fn contain<T>(work: impl FnOnce() -> T) -> Result<T, Panicked> {
     panic::catch_unwind(AssertUnwindSafe(work)).map_err(|payload| Panicked { payload })
 }
 
-/// From here on a panic is one line of the log. The language's own report waits for whoever reads standard error.
+/// Reports panics as single lines of the log from now on. The default report would block while the
+/// reader of standard error is slow.
 pub fn log_panics() {
     panic::set_hook(Box::new(|panicked| {
         log_output::write_line_unless_writing(&PanicLine(panicked).to_string());
@@ -48,15 +51,15 @@
         if let Some(location) = self.0.location() {
             write!(f, " at {location}")?;
         }
-        // One line, whatever the message is.
+        // A message with several lines is joined into one.
         let message = message(self.0.payload()).replace('\n', "; ");
         write!(f, ": {message}")
     }
 }
 
-/// What a panic says; those of other kinds than text say nothing.
+/// Returns the message of a panic, or a fixed text when the payload is not a string.
 fn message(payload: &(dyn Any + Send)) -> &str {
-    let fixed = payload.downcast_ref::<&str>().copied();
-    let composed = payload.downcast_ref::<String>().map(String::as_str);
-    fixed.or(composed).unwrap_or("no message")
+    let static_text = payload.downcast_ref::<&str>().copied();
+    let formatted_text = payload.downcast_ref::<String>().map(String::as_str);
+    static_text.or(formatted_text).unwrap_or("no message")
 }
--- a/crates/gateway/src/socket.rs
+++ b/crates/gateway/src/socket.rs
@@ -1,7 +1,7 @@
-//! One non-blocking socket with its buffers, and what the event loop tells of sockets.
+//! A non-blocking TCP socket with its buffers, and the events that the event loop reports.
 //!
-//! A socket is registered once, edge-triggered, for both directions. Whoever gets its event reads until nothing is left,
-//! and writes whenever something is to be written.
+//! A socket is registered once, edge-triggered, for both directions. The handler of its event must
+//! read until nothing is left. Data is written as soon as it is enqueued and flushed.
 
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -25,83 +25,90 @@
 use rustix::net::{AddressFamily, SocketFlags, SocketType, connect, ipproto, socket_with};
 use rustls::{ServerConfig, ServerConnection};
 
-/// What a readiness event is of.
+/// The source of a readiness event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum EventSource {
-    /// The listener for clients.
+    /// The listening socket for clients.
     Listener,
-    /// The session of this number.
+    /// The session with this number.
     Client(u32),
     /// A connection to an engine.
     Engine(ConnectionId),
-    /// The poll of the discovery service of this number.
+    /// The poll of the discovery service with this number.
     Discovery(u64),
-    /// The datagram socket to other gateways.
+    /// The UDP socket to the other gateways.
     PeerGateways,
 }
 
-/// What one wait of the event loop brought. Event sources only note it here; it is processed in order afterwards.
+/// The events of one wait of the event loop. Event callbacks only record them here, and they are
+/// handled in order afterwards.
 #[derive(Default)]
 pub struct LoopEvents {
-    /// Sources that are ready, in the order in which they became so; one may stand here twice.
+    /// Ready sources, in the order in which they became ready. A source may occur twice.
     pub sources: Vec<EventSource>,
-    /// Signals came, and are to be read.
+    /// Signals are ready to be read.
     pub has_signals: bool,
-    /// The timer has fired, and is removed.
+    /// The timer has fired, and the event loop has removed it.
     pub timer_fired: bool,
-    /// Key files that changed, or why they cannot be used.
+    /// The content of changed key files, or why they cannot be used.
     pub key_changes: Vec<Result<AuthMaterial, WatchError>>,
 }
 
-/// A handle of the event loop, by which sources are registered.
+/// A handle of the event loop, used to register event sources.
 pub type EventLoopHandle = LoopHandle<'static, LoopEvents>;
 
-/// The most that is read from the machine at a time, and the largest write buffer that an idle socket keeps, in bytes.
+/// Size of one read from the kernel, and the largest write buffer that an idle socket keeps.
 const CHUNK_BYTES: usize = 16 << 10;
 
-/// How soon a transfer is tried again for which the machine had no buffers: no event tells when it has some.
-const SHORTAGE_PAUSE: Duration = Duration::from_millis(5);
+/// Delay before a transfer is repeated that failed because the kernel lacked buffers. No event
+/// reports when buffers are available again.
+const SHORTAGE_RETRY_DELAY: Duration = Duration::from_millis(5);
 
-/// A connection to a client, an engine or the discovery service; it closes as it is dropped.
+/// A connection to a client, an engine or the discovery service. Dropping it closes the connection.
 pub struct Socket {
     stream: Rc<TcpStream>,
-    /// Whose events it makes.
+    /// The source under which its events are recorded.
     source: EventSource,
-    /// None once it is dropped.
+    /// `None` once the socket is dropped.
     registration: Option<RegistrationToken>,
     event_loop: EventLoopHandle,
-    /// What the peer sent and nobody has processed yet. Its bound is its user's, by [`read_up_to`](Self::read_up_to).
+    /// Received data that was not processed yet. The user bounds its size through
+    /// [`read_up_to`](Self::read_up_to).
     pub read_buffer: BytesMut,
     write_buffer: BytesMut,
-    /// Bytes that the machine has taken so far, of all that were ever enqueued. Within TLS these are bytes of its records.
+    /// Bytes that the kernel has accepted since the socket was created. With TLS these are bytes of
+    /// TLS records.
     pub bytes_written: u64,
-    /// Bytes that were ever enqueued, less those that were retracted.
+    /// Bytes enqueued since the socket was created, less those that were retracted.
     pub bytes_enqueued: u64,
-    /// The peer has finished its direction.
+    /// The peer has closed its sending direction.
     pub peer_finished: bool,
-    /// This side has finished its own.
+    /// This side has closed its sending direction.
     write_finished: bool,
-    /// The machine may hold bytes that no further event will tell of.
+    /// The kernel may hold received bytes that no further event will report.
     may_be_readable: bool,
-    /// A transfer found no buffers, and an event that makes it be tried again is on its way.
+    /// A timer is set that repeats a transfer for which the kernel lacked buffers.
     retry_scheduled: bool,
-    /// From the start of its handshake on, all that is read and written goes through it.
+    /// The TLS state. `None` until a TLS handshake starts. From then on all data passes through it.
     tls: Option<Box<ServerConnection>>,
 }
 
 impl Socket {
-    /// A socket of a stream that is up, or coming up. Its events are noted as those of `source`.
+    /// Creates a socket from a stream that is connected or connecting. Its events are recorded
+    /// under `source`.
     ///
     /// # Errors
     ///
-    /// The stream cannot be set up, or the event loop cannot take it. Whoever holds on to the stream may try again.
+    /// The stream cannot be configured or registered with the event loop. A caller that still holds
+    /// the stream may repeat the call.
     pub fn new(
         stream: Rc<TcpStream>,
         event_loop: &EventLoopHandle,
         source: EventSource,
     ) -> io::Result<Self> {
         stream.set_nonblocking(true)?;
-        // Responses and attempts are small and written at once: waiting to fill a segment would only delay them.
+        // Responses and attempts are small and written at once, so Nagle's algorithm would only
+        // delay them.
         stream.set_nodelay(true)?;
         let readiness = Generic::new(stream.clone(), Interest::BOTH, Mode::Edge);
         let registration = event_loop
@@ -127,7 +134,7 @@
         })
     }
 
-    /// Starts to connect; [`is_connected`](Self::is_connected) tells how it went.
+    /// Starts to connect. [`is_connected`](Self::is_connected) reports the result.
     ///
     /// # Errors
     ///
@@ -145,7 +152,7 @@
         let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
         let fd: OwnedFd = socket_with(family, SocketType::STREAM, flags, Some(ipproto::TCP))?;
         match connect(&fd, &address) {
-            // Interrupted, it goes on as one that does not wait.
+            // An interrupted connect(2) continues in the background.
             Ok(()) | Err(Errno::INPROGRESS | Errno::INTR) => {
                 Self::new(Rc::new(TcpStream::from(fd)), event_loop, source)
             }
@@ -153,23 +160,24 @@
         }
     }
 
-    /// Whether the connection is up; false while it is coming up.
+    /// Whether the connection is established. Returns false while it is still being established.
     ///
     /// # Errors
     ///
-    /// It failed.
+    /// The connection failed.
     pub fn is_connected(&self) -> io::Result<bool> {
         socket_queries::take_connection_error(&self.stream)?;
         socket_queries::has_peer(&self.stream)
     }
 
-    /// There may be something to read, or the peer's end: an event of the socket told so.
+    /// Handles a readiness event: data or the end of the stream may be available.
     pub fn mark_readable(&mut self) {
         self.may_be_readable = true;
         self.retry_scheduled = false;
     }
 
-    /// The machine has no buffers for a transfer: makes an event a little later, since the machine will make none.
+    /// Sets a timer to repeat a transfer for which the kernel lacked buffers, because no event
+    /// reports when they are available.
     fn schedule_retry(&mut self) {
         if self.retry_scheduled {
             return;
@@ -179,24 +187,24 @@
             events.sources.push(source);
             TimeoutAction::Drop
         };
-        let timer = Timer::from_duration(SHORTAGE_PAUSE);
-        // A timer of the event loop makes no system call: this fails only where the loop has ended.
+        let timer = Timer::from_duration(SHORTAGE_RETRY_DELAY);
+        // Inserting a timer makes no system call, and fails only when the event loop has ended.
         self.retry_scheduled = self.event_loop.insert_source(timer, on_due).is_ok();
     }
 
-    /// Starts TLS, as its server. All from here on is TLS, what has come already too: bytes that were sent before the
-    /// handshake must not count as a command.
+    /// Starts TLS as the server. Bytes that were already received are treated as TLS too: bytes
+    /// sent before the handshake must not be accepted as a command.
     ///
     /// # Errors
     ///
-    /// The configuration cannot be used, or what has come is no TLS.
+    /// The configuration cannot be used, or the received bytes are not TLS.
     pub fn start_tls(&mut self, config: Arc<ServerConfig>) -> io::Result<()> {
         let mut tls = ServerConnection::new(config).map_err(io::Error::other)?;
-        // What may wait to be written is bounded by whoever enqueues it.
+        // The code that enqueues data bounds what waits to be written.
         tls.set_buffer_limit(None);
         self.tls = Some(Box::new(tls));
         let received = self.read_buffer.split();
-        self.take_received(&received)
+        self.append_received(&received)
     }
 
     /// Whether TLS was started.
@@ -205,9 +213,9 @@
         self.tls.is_some()
     }
 
-    /// Takes what the peer sent into the read buffer, within TLS its plain text. A record that cannot be used is an error,
-    /// which ends the connection.
-    fn take_received(&mut self, mut received: &[u8]) -> io::Result<()> {
+    /// Appends received bytes to the read buffer, decrypted if TLS was started. An invalid record
+    /// is an error that ends the connection.
+    fn append_received(&mut self, mut received: &[u8]) -> io::Result<()> {
         let Some(tls) = &mut self.tls else {
             self.read_buffer.extend_from_slice(received);
             return Ok(());
@@ -217,7 +225,8 @@
             let state = match tls.process_new_packets() {
                 Ok(state) => state,
                 Err(error) => {
-                    // Its alert goes out first, or the client would only see a reset.
+                    // The TLS alert is sent first, because otherwise the client would only see a
+                    // reset.
                     let mut alert = Vec::new();
                     let _ = tls.write_tls(&mut alert);
                     let _ = (&*self.stream).write(&alert);
@@ -234,18 +243,19 @@
         Ok(())
     }
 
-    /// Reads what is there, until the read buffer holds `limit` bytes or somewhat more: a peer that sends without end gets
-    /// no more of a turn. The buffer has the size of what waits in it, and not of what could.
+    /// Reads available data until the read buffer holds at least `limit` bytes, which it may exceed
+    /// by one chunk. The limit keeps a peer that sends continuously from taking up the turn. The
+    /// buffer grows with its content only.
     ///
     /// # Errors
     ///
-    /// The connection failed, or brought what is no TLS.
+    /// The connection failed, or the received data is not valid TLS.
     pub fn read_up_to(&mut self, limit: usize) -> io::Result<()> {
         let mut chunk = [0; CHUNK_BYTES];
         while self.may_have_more() && self.read_buffer.len() < limit {
             match (&*self.stream).read(&mut chunk) {
                 Ok(0) => self.peer_finished = true,
-                Ok(length) => self.take_received(&chunk[..length])?,
+                Ok(length) => self.append_received(&chunk[..length])?,
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(error) if error.kind() == ErrorKind::WouldBlock => self.may_be_readable = false,
                 Err(error) if is_transfer_shortage(&error) => {
@@ -258,27 +268,27 @@
         Ok(())
     }
 
-    /// Whether there may be more to read than the last [`read_up_to`](Self::read_up_to) had room for.
+    /// Whether there may be more data than the last [`read_up_to`](Self::read_up_to) had room for.
     #[must_use]
     pub fn may_have_more(&self) -> bool {
         self.may_be_readable && !self.peer_finished
     }
 
-    /// Whether the peer has finished behind bytes for which there is no room. To be asked where
-    /// [`read_up_to`](Self::read_up_to) may not read on: an end that is found only by reading would stay unseen for as
-    /// long as the bytes before it wait.
+    /// Whether the peer has closed its sending direction behind unread bytes. It is for sockets on
+    /// which [`read_up_to`](Self::read_up_to) has reached its limit: reading would find the end of
+    /// the stream only after the bytes before it were processed.
     ///
     /// # Errors
     ///
     /// The connection was reset.
     pub fn peer_hung_up(&self) -> io::Result<bool> {
         let mut watched = [PollFd::new(&*self.stream, PollFlags::RDHUP)];
-        let no_wait = Timespec {
+        let zero_timeout = Timespec {
             tv_sec: 0,
             tv_nsec: 0,
         };
-        // A machine that cannot tell has not told of an end.
-        if poll(&mut watched, Some(&no_wait)).is_err() {
+        // When the state is unknown, the peer counts as connected.
+        if poll(&mut watched, Some(&zero_timeout)).is_err() {
             return Ok(false);
         }
         let events = watched[0].revents();
@@ -288,25 +298,28 @@
         Ok(events.contains(PollFlags::RDHUP))
     }
 
-    /// When the peer's last segment came to this machine, whether or not it was read since: its end, if it has finished. A
-    /// segment that only acknowledges counts too. `now` where the machine cannot tell.
+    /// When the last segment from the peer arrived, whether or not its data was read. Pure
+    /// acknowledgements and the end of the stream count too. Returns `now` when the kernel does not
+    /// report it.
     #[must_use]
     pub fn last_received(&self, now: Timestamp) -> Timestamp {
-        let silent = socket_queries::time_since_last_receive(&self.stream).unwrap_or_default();
-        now + TimeDelta::from_secs(-silent.as_secs_f64())
+        let since_last_receive =
+            socket_queries::time_since_last_receive(&self.stream).unwrap_or_default();
+        now + TimeDelta::from_secs(-since_last_receive.as_secs_f64())
     }
 
-    /// Puts bytes behind those that are to be written; [`flush`](Self::flush) writes them.
+    /// Appends bytes to the data to be written. [`flush`](Self::flush) writes them.
     pub fn enqueue(&mut self, bytes: &[u8]) {
         self.bytes_enqueued += bytes.len() as u64;
         match &mut self.tls {
-            // Into its buffer, which has no limit: this cannot fail.
+            // The TLS buffer has no limit, so this cannot fail.
             Some(tls) => drop(tls.writer().write_all(bytes)),
             None => self.write_buffer.extend_from_slice(bytes),
         }
     }
 
-    /// Writes what the machine takes; the rest follows when an event tells that there is room.
+    /// Writes as much as the kernel accepts. The rest follows when an event reports that the socket
+    /// is writable.
     ///
     /// # Errors
     ///
@@ -331,16 +344,17 @@
                 Err(error) => return Err(error),
             }
         }
-        // An idle peer keeps no memory of its largest response.
+        // An idle connection does not keep the memory of its largest response.
         if self.write_buffer.capacity() > CHUNK_BYTES {
             self.write_buffer = BytesMut::new();
         }
         Ok(())
     }
 
-    /// Takes enqueued bytes back, by their place among all that were ever enqueued; what stands behind them moves up. True:
-    /// they are gone, and were never written. False: some have been written, or there is no such range. Bytes within TLS
-    /// cannot be taken back.
+    /// Removes enqueued bytes that were not written yet. `bytes` is a range of positions in the
+    /// stream of all enqueued bytes, and what follows it moves up. Returns whether the bytes were
+    /// removed: false when some of them were written already, the range is empty or invalid, or TLS
+    /// is in use.
     pub fn retract(&mut self, bytes: Range<u64>) -> bool {
         let is_unwritten = bytes.start >= self.bytes_written && bytes.end <= self.bytes_enqueued;
         if self.is_tls() || !is_unwritten || bytes.is_empty() {
@@ -348,14 +362,14 @@
         }
         let start = (bytes.start - self.bytes_written) as usize;
         let end = (bytes.end - self.bytes_written) as usize;
-        let behind = self.write_buffer.split_off(end);
+        let suffix = self.write_buffer.split_off(end);
         self.write_buffer.truncate(start);
-        self.write_buffer.unsplit(behind);
+        self.write_buffer.unsplit(suffix);
         self.bytes_enqueued -= bytes.end - bytes.start;
         true
     }
 
-    /// Bytes that wait to be written; what waits within TLS counts as one.
+    /// The number of bytes that wait to be written. Data inside the TLS state counts as one byte.
     #[must_use]
     pub fn unwritten_bytes(&self) -> usize {
         let tls_waits = self.tls.as_ref().is_some_and(|tls| tls.wants_write());
@@ -366,8 +380,9 @@
         }
     }
 
-    /// Finishes this side's direction: the peer reads to the end and then finds it. Does so once: the machine makes an
-    /// event of each shutdown, so that one at every look would bring the next look at once.
+    /// Closes this side's sending direction: the peer reads the remaining data and then the end of
+    /// the stream. It does so only once, because the kernel reports an event for each shutdown, and
+    /// a shutdown in every handler of the event would wake the event loop without end.
     pub fn finish_writing(&mut self) {
         if self.write_finished {
             return;
--- a/crates/gateway/src/socket_queries.rs
+++ b/crates/gateway/src/socket_queries.rs
@@ -1,8 +1,9 @@
-//! What the machine tells of sockets, taken as it comes.
+//! Queries to the kernel about sockets, which accept results of any length.
 //!
-//! The length of such an answer differs between versions of Linux, and the libraries that ask these questions assert the one
-//! that they were built for: where it differed, the gateway ended with its first connection. So they are asked here, and an
-//! answer that is too short for what is looked for counts as none.
+//! The length of such a result differs between versions of Linux. Libraries that make these queries
+//! assert the length that they were built for, and with another version the gateway ended at its
+//! first connection. The queries are therefore made here, and a result that is too short for the
+//! wanted field counts as missing.
 
 use std::io;
 use std::mem::offset_of;
@@ -12,13 +13,13 @@
 
 use nix::libc::{self, c_int, c_void, sockaddr, sockaddr_in, sockaddr_in6, socklen_t, tcp_info};
 
-/// Room for the answer to any question that is asked here; what Linux tells of a TCP connection takes 280 bytes in 2026.
+/// Buffer size for any option that is read here. Linux returned 280 bytes for TCP_INFO in 2026.
 const MAX_OPTION_BYTES: usize = 512;
 
-/// Room for an address of any family.
+/// Buffer size for an address of any family.
 const MAX_ADDRESS_BYTES: usize = size_of::<libc::sockaddr_storage>();
 
-/// The value of a socket's option, of the length that the machine gave it.
+/// The value of a socket option, with the length that the kernel returned.
 struct OptionValue {
     buffer: [u8; MAX_OPTION_BYTES],
     length: usize,
@@ -28,7 +29,7 @@
     fn read(socket: BorrowedFd<'_>, level: c_int, name: c_int) -> io::Result<Self> {
         let mut buffer = [0; MAX_OPTION_BYTES];
         let mut length = MAX_OPTION_BYTES as socklen_t;
-        // SAFETY: the buffer has room for as many bytes as the machine is told.
+        // SAFETY: the buffer has room for as many bytes as `length` tells the kernel.
         let result = unsafe {
             libc::getsockopt(
                 socket.as_raw_fd(),
@@ -45,18 +46,18 @@
         Ok(OptionValue { buffer, length })
     }
 
-    /// The four bytes at this place, where the value has them.
+    /// Returns the four bytes at an offset, or `None` when the value is too short.
     fn bytes_at(&self, offset: usize) -> Option<[u8; 4]> {
         let value = &self.buffer[..self.length];
         value.get(offset..)?.first_chunk().copied()
     }
 }
 
-/// Takes the error that a connection has met since it was last asked for. What the machine does not tell shows when the
-/// connection is used.
+/// Returns and clears the pending error of a connection. When the kernel returns no value, the
+/// connection counts as good, and an error shows when it is used.
 ///
 /// # Errors
-/// That error, or the machine cannot tell.
+/// The connection's error, or the query failed.
 pub fn take_connection_error(stream: &TcpStream) -> io::Result<()> {
     let value = OptionValue::read(stream.as_fd(), libc::SOL_SOCKET, libc::SO_ERROR)?;
     match value.bytes_at(0).map_or(0, i32::from_ne_bytes) {
@@ -65,21 +66,23 @@
     }
 }
 
-/// How long ago the peer's last segment came; none where the machine does not tell.
+/// How long ago the last segment of the peer arrived. `None` when the kernel does not report it.
 #[must_use]
 pub fn time_since_last_receive(stream: &TcpStream) -> Option<Duration> {
     let value = OptionValue::read(stream.as_fd(), libc::IPPROTO_TCP, libc::TCP_INFO).ok()?;
-    let silent_ms = value.bytes_at(offset_of!(tcp_info, tcpi_last_ack_recv))?;
-    Some(Duration::from_millis(u32::from_ne_bytes(silent_ms).into()))
+    let since_last_receive_ms = value.bytes_at(offset_of!(tcp_info, tcpi_last_ack_recv))?;
+    Some(Duration::from_millis(
+        u32::from_ne_bytes(since_last_receive_ms).into(),
+    ))
 }
 
-/// Whether the connection has a peer; false while it is coming up.
+/// Whether the connection has a peer. Returns false while it is being established.
 ///
 /// # Errors
-/// The machine cannot tell.
+/// The query failed.
 pub fn has_peer(stream: &TcpStream) -> io::Result<bool> {
-    let mut address = ReceivedAddress::room();
-    // SAFETY: the address has room for as many bytes as the machine is told.
+    let mut address = ReceivedAddress::empty();
+    // SAFETY: the address has room for as many bytes as its length tells the kernel.
     let result = unsafe {
         libc::getpeername(
             stream.as_raw_fd(),
@@ -97,21 +100,21 @@
     Err(error)
 }
 
-/// A connection that was taken off the backlog.
+/// An accepted connection.
 pub struct AcceptedSocket {
-    /// It waits for nothing, and is closed in programs that this one starts.
+    /// The connection, which is non-blocking and close-on-exec.
     pub stream: TcpStream,
-    /// Where its peer is; none where the machine did not tell.
+    /// The address of its peer. `None` when the kernel does not report it.
     pub peer: Option<SocketAddr>,
 }
 
-/// Takes the next connection off the backlog of a listening socket.
+/// Accepts the next connection from the backlog of a listening socket.
 ///
 /// # Errors
-/// Nobody waits there, the one who waited is gone, or the machine is short of something.
+/// No connection is waiting, the next one has already failed, or a resource is short.
 pub fn accept(listener: impl AsFd) -> io::Result<AcceptedSocket> {
-    let mut address = ReceivedAddress::room();
-    // SAFETY: the address has room for as many bytes as the machine is told.
+    let mut address = ReceivedAddress::empty();
+    // SAFETY: the address has room for as many bytes as its length tells the kernel.
     let descriptor = unsafe {
         libc::accept4(
             listener.as_fd().as_raw_fd(),
@@ -123,7 +126,7 @@
     if descriptor < 0 {
         return Err(io::Error::last_os_error());
     }
-    // SAFETY: the machine has just made this descriptor, and nobody else knows it.
+    // SAFETY: the kernel has just created this descriptor, and nothing else owns it.
     let socket = unsafe { OwnedFd::from_raw_fd(descriptor) };
     Ok(AcceptedSocket {
         stream: TcpStream::from(socket),
@@ -133,20 +136,21 @@
 
 /// A datagram that was read into a buffer.
 pub struct ReceivedDatagram {
-    /// Its bytes in the buffer; what was longer is cut.
+    /// Its length in the buffer. A longer datagram is truncated.
     pub length: usize,
-    /// Where it came from; none where the machine did not tell.
+    /// The address of the sender. `None` when the kernel does not report it.
     pub from: Option<SocketAddr>,
 }
 
 /// Reads the next datagram.
 ///
 /// # Errors
-/// There is none, or the machine reports what became of an earlier one.
+/// No datagram is available, or the kernel reports an error about an earlier one.
 pub fn receive_datagram(socket: impl AsFd, buffer: &mut [u8]) -> io::Result<ReceivedDatagram> {
     const NO_FLAGS: c_int = 0;
-    let mut address = ReceivedAddress::room();
-    // SAFETY: the buffer and the address have room for as many bytes as the machine is told.
+    let mut address = ReceivedAddress::empty();
+    // SAFETY: the buffer and the address have room for as many bytes as their lengths tell the
+    // kernel.
     let received = unsafe {
         libc::recvfrom(
             socket.as_fd().as_raw_fd(),
@@ -164,7 +168,7 @@
     })
 }
 
-/// An address as the machine writes it, of the length that it says.
+/// A socket address as the kernel writes it, with the length that it returns.
 #[repr(C, align(8))]
 struct ReceivedAddress {
     bytes: [u8; MAX_ADDRESS_BYTES],
@@ -172,7 +176,7 @@
 }
 
 impl ReceivedAddress {
-    fn room() -> Self {
+    fn empty() -> Self {
         ReceivedAddress {
             bytes: [0; MAX_ADDRESS_BYTES],
             length: MAX_ADDRESS_BYTES as socklen_t,
@@ -187,11 +191,11 @@
         &raw mut self.length
     }
 
-    /// The address, where the machine gave all of one.
+    /// Decodes the address. Returns `None` when it is incomplete or of another family than IP.
     fn socket_address(&self) -> Option<SocketAddr> {
         let length = (self.length as usize).min(MAX_ADDRESS_BYTES);
-        let told = &self.bytes[..length];
-        let family = u16::from_ne_bytes(*told.first_chunk()?);
+        let address_bytes = &self.bytes[..length];
+        let family = u16::from_ne_bytes(*address_bytes.first_chunk()?);
         let is_long_enough = match c_int::from(family) {
             libc::AF_INET => length >= size_of::<sockaddr_in>(),
             libc::AF_INET6 => length >= size_of::<sockaddr_in6>(),
@@ -200,15 +204,18 @@
         if !is_long_enough {
             return None;
         }
-        // Port and addresses stand in the order of the network.
+        // The port and the address are in network byte order.
         if c_int::from(family) == libc::AF_INET {
-            let port =
-                u16::from_be_bytes(*told[offset_of!(sockaddr_in, sin_port)..].first_chunk()?);
-            let ip: [u8; 4] = *told[offset_of!(sockaddr_in, sin_addr)..].first_chunk()?;
+            let port = u16::from_be_bytes(
+                *address_bytes[offset_of!(sockaddr_in, sin_port)..].first_chunk()?,
+            );
+            let ip: [u8; 4] = *address_bytes[offset_of!(sockaddr_in, sin_addr)..].first_chunk()?;
             return Some((Ipv4Addr::from(ip), port).into());
         }
-        let port = u16::from_be_bytes(*told[offset_of!(sockaddr_in6, sin6_port)..].first_chunk()?);
-        let ip: [u8; 16] = *told[offset_of!(sockaddr_in6, sin6_addr)..].first_chunk()?;
+        let port = u16::from_be_bytes(
+            *address_bytes[offset_of!(sockaddr_in6, sin6_port)..].first_chunk()?,
+        );
+        let ip: [u8; 16] = *address_bytes[offset_of!(sockaddr_in6, sin6_addr)..].first_chunk()?;
         Some((Ipv6Addr::from(ip), port).into())
     }
 }
--- a/crates/gateway/src/status.rs
+++ b/crates/gateway/src/status.rs
@@ -1,12 +1,13 @@
-//! What operators are shown of this gateway, as rows of text: the same for the answers to `SHOW` and for the command line
-//! that asks for them. Names of columns and texts of values are an interface and never change.
+//! What operators can see of this gateway, as rows of text. The answers to `SHOW` statements and
+//! the command line that sends them use the same rows. The column names and the texts of values are
+//! an interface and never change.
 
 use ::membership::{MemberSummary, Name, Node, Record};
 use ::quota::{Amount, BudgetStatus, Holding, Status};
 use admission::interface::Timestamp;
 use scheduler::{StatementStatus, SubQueueStatus, WaitEstimate};
 
-/// Columns of `SHOW QUEUE`: one row a sub-queue.
+/// Columns of `SHOW QUEUE`, which has one row per sub-queue.
 pub const SUB_QUEUE_COLUMNS: [&str; 10] = [
     "member",
     "desk",
@@ -20,7 +21,7 @@
     "next_wait_p90_ms",
 ];
 
-/// Columns of `SHOW QUEUE FOR 'RID'`; there is no row for a statement that does not wait.
+/// Columns of `SHOW QUEUE FOR 'RID'`. The result is empty for a statement that is not queued.
 pub const STATEMENT_COLUMNS: [&str; 7] = [
     "rid",
     "member",
@@ -31,9 +32,12 @@
     "wait_p90_ms",
 ];
 
-/// Columns of `SHOW FLEET`: this gateway first, with its view state and the digest of its view, then the members that it
-/// knows. `heard_s` of this gateway: seconds since it heard from any other, which is the age of its view while it is
-/// partitioned; of another one: since that acknowledged a probe of this one. `-`: never.
+/// Columns of `SHOW FLEET`. The first row is this gateway, with its view state and the digest of
+/// its view. The other rows are the members that it knows.
+///
+/// `heard_s` is a number of seconds. In the first row it is the time since this gateway heard from
+/// any other one, which is the age of its view while it is partitioned. In other rows it is the
+/// time since that member acknowledged a probe of this gateway. `-` stands for never.
 pub const FLEET_COLUMNS: [&str; 13] = [
     "name",
     "state",
@@ -50,13 +54,14 @@
     "heard_s",
 ];
 
-/// Columns of `SHOW SHARES`: what this gateway holds of each budget; at the leader then what the others hold.
+/// Columns of `SHOW SHARES`: what this gateway holds of each budget, followed at the leader by what
+/// the other gateways hold.
 pub const QUOTA_COLUMNS: [&str; 14] = [
     "budget", "holder", "unit", "whole", "floor", "leased", "until_ms", "wanted", "spent",
     "allowed", "refused", "steward", "term", "differs",
 ];
 
-/// Stands for a value that there is not.
+/// The text for a missing value.
 const NO_VALUE: &str = "-";
 
 fn milliseconds(secs: f64) -> String {
@@ -74,7 +79,7 @@
     }
 }
 
-/// The estimate for the query class whose next statement would wait longest.
+/// Returns the estimate for the query class whose next statement would wait longest.
 fn longest_wait(estimates: &[WaitEstimate]) -> WaitEstimate {
     estimates
         .iter()
@@ -83,7 +88,7 @@
         .unwrap_or_default()
 }
 
-/// Rows of `SHOW QUEUE`.
+/// Returns the rows of `SHOW QUEUE`.
 #[must_use]
 pub fn sub_queue_rows(sub_queues: &[SubQueueStatus]) -> Vec<[String; SUB_QUEUE_COLUMNS.len()]> {
     sub_queues.iter().map(sub_queue_row).collect()
@@ -105,7 +110,7 @@
     ]
 }
 
-/// The row of `SHOW QUEUE FOR 'RID'`.
+/// Returns the row of `SHOW QUEUE FOR 'RID'`.
 #[must_use]
 pub fn statement_row(rid: &str, status: &StatementStatus) -> [String; STATEMENT_COLUMNS.len()] {
     [
@@ -119,7 +124,7 @@
     ]
 }
 
-/// What `SHOW FLEET` shows of this gateway's view, in its own row only.
+/// The cells of `SHOW FLEET` that describe this gateway's view. Other rows leave them empty.
 #[derive(Default)]
 struct ViewCells {
     state: String,
@@ -127,7 +132,7 @@
     size: String,
 }
 
-/// Rows of `SHOW FLEET`.
+/// Returns the rows of `SHOW FLEET`.
 #[must_use]
 pub fn fleet_rows(now: Timestamp, membership: &mut Node) -> Vec<[String; FLEET_COLUMNS.len()]> {
     let digest = membership.view().digest;
@@ -180,7 +185,7 @@
     ]
 }
 
-/// What `SHOW SHARES` shows of one holder of a budget.
+/// The cells of `SHOW SHARES` for one holder of a budget.
 struct HolderCells<'a> {
     holder: &'a Name,
     leased: Amount,
@@ -220,7 +225,7 @@
     }
 }
 
-/// Rows of `SHOW SHARES`. `now` is the steady clock at which the status was taken.
+/// Returns the rows of `SHOW SHARES`. `now` is the time since boot at which the status was taken.
 #[must_use]
 pub fn quota_rows(now: Timestamp, status: &Status) -> Vec<[String; QUOTA_COLUMNS.len()]> {
     let mut rows = Vec::new();
