--- a/crates/simulator/examples/membership.rs
+++ b/crates/simulator/examples/membership.rs
@@ -1,4 +1,5 @@
-//! What membership sends and how soon it settles, in simulated time: `membership GATEWAYS bounded|plain|mixed CASE...`.
+//! What membership sends and how soon it settles, in simulated time: `membership GATEWAYS
+//! bounded|plain|mixed CASE...`.
 
 use std::time::Instant;
 
--- a/crates/simulator/src/control/command.rs
+++ b/crates/simulator/src/control/command.rs
@@ -44,7 +44,8 @@
     /// Part of the datagrams lost in the last situation.
     #[arg(long, default_value_t = 0.33)]
     loss: f64,
-    /// Room of each gateway's table; without it the default, or one more than the size if that is larger.
+    /// Room of each gateway's table; without it the default, or one more than the size if that is
+    /// larger.
     #[arg(long)]
     most_gateways: Option<usize>,
     /// Real seconds that each situation may take.
@@ -64,7 +65,8 @@
     /// Writes the figures there.
     #[arg(long)]
     json: Option<PathBuf>,
-    /// Membership only: also fits the rows of these files, as `--json` wrote them, separated by commas.
+    /// Membership only: also fits the rows of these files, as `--json` wrote them, separated by
+    /// commas.
     #[arg(long, value_delimiter = ',')]
     with: Vec<PathBuf>,
 }
--- a/crates/simulator/src/control/coordinator.rs
+++ b/crates/simulator/src/control/coordinator.rs
@@ -1,5 +1,6 @@
-//! A change of the coordinator of divided budgets, by the number of holders. Its computing takes no simulated time here,
-//! so that the times are those of the protocol alone; what it computes is measured by `crates/quota/benches`.
+//! A change of the coordinator of divided budgets, by the number of holders. Its computing takes no
+//! simulated time here, so that the times are those of the protocol alone; what it computes is
+//! measured by `crates/quota/benches`.
 
 use std::time::Duration;
 
--- a/crates/simulator/src/control/ledger.rs
+++ b/crates/simulator/src/control/ledger.rs
@@ -1,6 +1,7 @@
-//! What the coordinator of divided budgets computes for each question of a holder, by holders and budgets, and how many
-//! bytes question and answer take in the fleet's datagrams. One coordinator of the real code; its holders are as many
-//! plain askers, each at the default rate, so that the ledger is as full as in a fleet of that size.
+//! What the coordinator of divided budgets computes for each question of a holder, by holders and
+//! budgets, and how many bytes question and answer take in the fleet's datagrams. One coordinator
+//! of the real code; its holders are as many plain askers, each at the default rate, so that the
+//! ledger is as full as in a fleet of that size.
 
 use std::time::Duration;
 
@@ -196,7 +197,8 @@
         }
     }
 
-    /// Waits out the promise of an earlier life, is chosen, and waits out the leases of an earlier coordinator.
+    /// Waits out the promise of an earlier life, is chosen, and waits out the leases of an earlier
+    /// coordinator.
     fn be_chosen(&mut self) {
         let full = self.terms.term_duration.secs() + self.terms.lease_duration.secs() + 2.0;
         while self.now < Timestamp::from_secs(full) {
--- a/crates/simulator/src/control/membership.rs
+++ b/crates/simulator/src/control/membership.rs
@@ -1,4 +1,5 @@
-//! Membership between all gateways of a fleet, by size: started together, at rest, one killed, datagrams lost.
+//! Membership between all gateways of a fleet, by size: started together, at rest, one killed,
+//! datagrams lost.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -171,7 +172,8 @@
     limits: Limits,
 }
 
-/// Plays all situations at one size, in their order; what follows one that hit a limit of the machine is not played.
+/// Plays all situations at one size, in their order; what follows one that hit a limit of the
+/// machine is not played.
 pub fn play(plan: &Plan) -> Vec<Row> {
     let mut play = Play::new(plan);
     let mut rows = vec![play.situation(Situation::Start, |play, watch| play.start(plan, watch))];
--- a/crates/simulator/src/control/mod.rs
+++ b/crates/simulator/src/control/mod.rs
@@ -1,7 +1,8 @@
-//! What the control traffic of a fleet costs by its size, in simulated time: membership between all gateways, the
-//! ledger of the coordinator of divided budgets, and a change of that coordinator.
+//! What the control traffic of a fleet costs by its size, in simulated time: membership between all
+//! gateways, the ledger of the coordinator of divided budgets, and a change of that coordinator.
 //!
-//! Counts follow from the seed alone. CPU time and memory are measured on the machine at hand and kept apart from them.
+//! Counts follow from the seed alone. CPU time and memory are measured on the machine at hand and
+//! kept apart from them.
 
 pub mod command;
 pub mod coordinator;
--- a/crates/simulator/src/engine.rs
+++ b/crates/simulator/src/engine.rs
@@ -1,182 +1,222 @@
-//! One emulated engine: all it is sent shares its cores, memory and time at once.
+//! An emulated engine with processor sharing: all running attempts share its cores and memory.
 
 use std::collections::BTreeMap;
 
 use crate::scenario::Engines;
 
+/// What an engine does with the attempts that it is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    Well,
+    /// Runs attempts and answers them.
+    Healthy,
+    /// Accepts attempts but runs none until it resumes.
     Paused,
+    /// Accepts attempts but never answers them.
     Silent,
+    /// Answers each attempt with an error.
     Failing,
-    /// Not there; connections are refused.
+    /// Refuses connections.
     Down,
 }
 
-/// An attempt that runs.
+/// An attempt that an engine runs.
 #[derive(Clone, Copy, Debug)]
-pub struct Run {
+pub struct RunningAttempt {
     pub statement: u64,
     pub attempt: u16,
+    /// CPU seconds that the attempt needs in all.
     pub cpu: f64,
     pub threads: f64,
     pub memory_mb: f64,
+    /// When it was sent, in simulated seconds.
     pub sent: f64,
 }
 
-/// Slack on what tips a cold engine: a single heavy statement is chance.
-const CHANCE: f64 = 1.25;
+/// Tolerance of the crash threshold of a cold engine, so that a single heavy statement does not
+/// exceed it.
+const CRASH_TOLERANCE: f64 = 1.25;
 
+/// An emulated engine. Times are in simulated seconds.
 pub struct Engine {
-    of: Engines,
+    settings: Engines,
     pub state: State,
+    /// When the engine last restarted. `None` if it has been running since before the simulation.
     pub started: Option<f64>,
-    /// Times slower than it should be.
+    /// The factor by which a fault slows the engine down. 1 is full speed.
     pub slow: f64,
-    /// Seconds that one thread has run since the start: a run ends when this reaches its mark.
-    done: f64,
-    at: f64,
+    /// Virtual time: the seconds that one thread has attempt so far. An attempt completes when this
+    /// reaches its finish tag.
+    virtual_time: f64,
+    /// The simulated time of `virtual_time`.
+    advanced_to: f64,
     threads: f64,
     memory_mb: f64,
-    /// By mark; the number makes marks unique.
-    runs: BTreeMap<(u64, u64), Run>,
-    marks: BTreeMap<(u64, u16), (u64, u64)>,
-    next: u64,
-    /// Work sent lately, for whether it tips: `tip_s` in slices of a tenth.
+    /// Running attempts by finish tag: the bits of the virtual finish time, which order like the
+    /// time itself, and a sequence number that makes tags unique.
+    attempts: BTreeMap<(u64, u64), RunningAttempt>,
+    /// Finish tags by statement and attempt number.
+    finish_tags: BTreeMap<(u64, u16), (u64, u64)>,
+    next_sequence: u64,
+    /// Send time and CPU seconds of the attempts sent within the last `tip_s`, while the engine is
+    /// cold.
     sent: Vec<(f64, f64)>,
+    /// CPU seconds spent so far.
     pub cpu_done: f64,
-    /// Moments it fell over: a broken rule.
-    pub fell: u32,
-    /// Of each change; an event of before it is void.
-    pub turn: u64,
+    /// How often it crashed because it was sent too much work while cold.
+    pub crashes: u32,
+    /// Incremented by each change of the running attempts or of the state; events scheduled before
+    /// it are obsolete.
+    pub generation: u64,
 }
 
 impl Engine {
-    pub fn new(of: Engines) -> Self {
+    pub fn new(settings: Engines) -> Self {
         Engine {
-            of,
-            state: State::Well,
+            settings,
+            state: State::Healthy,
             started: None,
             slow: 1.0,
-            done: 0.0,
-            at: 0.0,
+            virtual_time: 0.0,
+            advanced_to: 0.0,
             threads: 0.0,
             memory_mb: 0.0,
-            runs: BTreeMap::new(),
-            marks: BTreeMap::new(),
-            next: 0,
+            attempts: BTreeMap::new(),
+            finish_tags: BTreeMap::new(),
+            next_sequence: 0,
             sent: Vec::new(),
             cpu_done: 0.0,
-            fell: 0,
-            turn: 0,
+            crashes: 0,
+            generation: 0,
         }
     }
 
-    /// Part of its work that it can do by now.
-    pub fn warmth(&self, now: f64) -> f64 {
-        let age = self
-            .started
-            .map_or(f64::INFINITY, |started| (now - started) / self.of.cold_s);
+    /// The fraction of its full speed that the engine has reached while it warms up.
+    pub fn warm_fraction(&self, now: f64) -> f64 {
+        let age = self.started.map_or(f64::INFINITY, |started| {
+            (now - started) / self.settings.cold_s
+        });
         if age >= 1.0 {
             1.0
         } else {
-            self.of.cold_share + (1.0 - self.of.cold_share) * age.max(0.0)
+            self.settings.cold_share + (1.0 - self.settings.cold_share) * age.max(0.0)
         }
     }
 
-    /// Seconds that each thread runs in a second.
-    fn pace(&self, now: f64) -> f64 {
-        if self.state != State::Well || self.threads <= 0.0 {
+    /// Virtual seconds per simulated second, that is, the speed of each thread. 0 if nothing runs.
+    fn speed(&self, now: f64) -> f64 {
+        if self.state != State::Healthy || self.threads <= 0.0 {
             return 0.0;
         }
-        let crowd = (self.threads / self.of.cores - self.of.threads_a_core).max(0.0);
-        let spill = (self.memory_mb / self.of.memory_mb).max(1.0);
-        let cores = self.of.cores * self.warmth(now)
+        let excess_threads =
+            (self.threads / self.settings.cores - self.settings.threads_a_core).max(0.0);
+        let memory_excess = (self.memory_mb / self.settings.memory_mb).max(1.0);
+        let cores = self.settings.cores * self.warm_fraction(now)
             / self.slow
-            / (1.0 + self.of.crowd_loss * crowd)
-            / spill;
+            / (1.0 + self.settings.crowd_loss * excess_threads)
+            / memory_excess;
         (cores / self.threads).min(1.0 / self.slow)
     }
 
+    /// Advances the running attempts to `now`.
     pub fn advance(&mut self, now: f64) {
-        let gone = now - self.at;
-        let pace = self.pace((self.at + now) / 2.0);
-        self.done += pace * gone;
-        self.cpu_done += pace * gone * self.threads;
-        self.at = now;
+        let elapsed = now - self.advanced_to;
+        let speed = self.speed((self.advanced_to + now) / 2.0);
+        self.virtual_time += speed * elapsed;
+        self.cpu_done += speed * elapsed * self.threads;
+        self.advanced_to = now;
     }
 
-    /// When the next run ends if nothing changes. While it warms up it is looked at more often.
+    /// When the next attempt completes if nothing changes. `None` if nothing runs. Limited to 0.1 s
+    /// ahead while the engine warms up, because its speed changes.
     pub fn next(&self) -> Option<f64> {
-        let pace = self.pace(self.at);
-        let ((mark, _), _) = self.runs.first_key_value().filter(|_| pace > 0.0)?;
-        let left = (f64::from_bits(*mark) - self.done).max(0.0) / pace;
-        let warming = self.warmth(self.at) < 1.0;
-        Some(self.at + if warming { left.min(0.1) } else { left })
+        let speed = self.speed(self.advanced_to);
+        let ((tag, _), _) = self.attempts.first_key_value().filter(|_| speed > 0.0)?;
+        let left = (f64::from_bits(*tag) - self.virtual_time).max(0.0) / speed;
+        let warming = self.warm_fraction(self.advanced_to) < 1.0;
+        Some(self.advanced_to + if warming { left.min(0.1) } else { left })
     }
 
-    /// Takes runs that have ended by now.
-    pub fn ended(&mut self, now: f64) -> Vec<Run> {
+    /// Removes and returns the attempts that have completed by `now`.
+    pub fn take_completed(&mut self, now: f64) -> Vec<RunningAttempt> {
         self.advance(now);
-        let mut ended = Vec::new();
-        while let Some(((mark, _), _)) = self.runs.first_key_value()
-            && self.state == State::Well
-            && f64::from_bits(*mark) <= self.done + 1e-9
+        let mut completed = Vec::new();
+        while let Some(((tag, _), _)) = self.attempts.first_key_value()
+            && self.state == State::Healthy
+            && f64::from_bits(*tag) <= self.virtual_time + 1e-9
         {
-            let (_, run) = self.runs.pop_first().expect("just seen");
-            self.marks.remove(&(run.statement, run.attempt));
-            (self.threads, self.memory_mb) =
-                (self.threads - run.threads, self.memory_mb - run.memory_mb);
-            ended.push(run);
+            let (_, attempt) = self
+                .attempts
+                .pop_first()
+                .expect("the first attempt was checked above");
+            self.finish_tags
+                .remove(&(attempt.statement, attempt.attempt));
+            (self.threads, self.memory_mb) = (
+                self.threads - attempt.threads,
+                self.memory_mb - attempt.memory_mb,
+            );
+            completed.push(attempt);
         }
-        if self.runs.is_empty() {
+        if self.attempts.is_empty() {
             (self.threads, self.memory_mb) = (0.0, 0.0);
         }
-        self.turn += u64::from(!ended.is_empty());
-        ended
+        self.generation += u64::from(!completed.is_empty());
+        completed
     }
 
-    /// Takes an attempt. True: it was cold, had too much, and falls over with all it has.
-    pub fn take(&mut self, now: f64, run: Run) -> bool {
+    /// Starts an attempt. Returns true if this overloads a cold engine, which the caller then has
+    /// to crash.
+    pub fn start(&mut self, now: f64, attempt: RunningAttempt) -> bool {
         self.advance(now);
-        self.turn += 1;
-        let mark = ((self.done + run.cpu / run.threads).to_bits(), self.next);
-        self.next += 1;
-        (self.threads, self.memory_mb) =
-            (self.threads + run.threads, self.memory_mb + run.memory_mb);
-        self.marks.insert((run.statement, run.attempt), mark);
-        self.runs.insert(mark, run);
-        let warmth = self.warmth(now);
-        if warmth >= 1.0 {
+        self.generation += 1;
+        let tag = (
+            (self.virtual_time + attempt.cpu / attempt.threads).to_bits(),
+            self.next_sequence,
+        );
+        self.next_sequence += 1;
+        (self.threads, self.memory_mb) = (
+            self.threads + attempt.threads,
+            self.memory_mb + attempt.memory_mb,
+        );
+        self.finish_tags
+            .insert((attempt.statement, attempt.attempt), tag);
+        self.attempts.insert(tag, attempt);
+        let warm_fraction = self.warm_fraction(now);
+        if warm_fraction >= 1.0 {
             self.sent.clear();
             return false;
         }
-        self.sent.retain(|(at, _)| now - at < self.of.tip_s);
-        self.sent.push((now, run.cpu));
+        self.sent.retain(|(at, _)| now - at < self.settings.tip_s);
+        self.sent.push((now, attempt.cpu));
         let sent: f64 = self.sent.iter().map(|(_, cpu)| cpu).sum();
-        sent > self.of.tip_multiple * warmth * self.of.cores * self.of.tip_s * CHANCE
+        sent > self.settings.tip_multiple
+            * warm_fraction
+            * self.settings.cores
+            * self.settings.tip_s
+            * CRASH_TOLERANCE
     }
 
-    pub fn runs(&self, statement: u64, attempt: u16) -> Option<&Run> {
-        self.runs.get(self.marks.get(&(statement, attempt))?)
+    /// The running attempt of this statement and number. `None` if it does not run here.
+    pub fn running(&self, statement: u64, attempt: u16) -> Option<&RunningAttempt> {
+        self.attempts
+            .get(self.finish_tags.get(&(statement, attempt))?)
     }
 
-    /// The part of a run that is done.
-    pub fn share(&self, run: &Run) -> f64 {
-        let mark = self
-            .marks
-            .get(&(run.statement, run.attempt))
-            .map_or(0, |mark| mark.0);
-        1.0 - ((f64::from_bits(mark) - self.done) / (run.cpu / run.threads)).clamp(0.0, 1.0)
+    /// The completed fraction of a running attempt.
+    pub fn progress(&self, attempt: &RunningAttempt) -> f64 {
+        let tag = self
+            .finish_tags
+            .get(&(attempt.statement, attempt.attempt))
+            .map_or(0, |tag| tag.0);
+        1.0 - ((f64::from_bits(tag) - self.virtual_time) / (attempt.cpu / attempt.threads))
+            .clamp(0.0, 1.0)
     }
 
-    /// Everything that runs, taken off it.
-    pub fn drop_all(&mut self, now: f64) -> Vec<Run> {
+    /// Removes and returns all running attempts.
+    pub fn take_all(&mut self, now: f64) -> Vec<RunningAttempt> {
         self.advance(now);
-        self.turn += 1;
+        self.generation += 1;
         (self.threads, self.memory_mb) = (0.0, 0.0);
-        self.marks.clear();
-        std::mem::take(&mut self.runs).into_values().collect()
+        self.finish_tags.clear();
+        std::mem::take(&mut self.attempts).into_values().collect()
     }
 }
--- a/crates/simulator/src/figures.rs
+++ b/crates/simulator/src/figures.rs
@@ -1,38 +1,43 @@
-//! What a run comes to: counts, service, fairness and how estimates held.
+//! The figures of a run: counts, service, fairness and the accuracy of wait estimates.
 
 use std::collections::BTreeMap;
 
 use serde::Serialize;
 
-/// One member, summed over the run.
+/// Totals of one tenant over the run.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Member {
-    /// CPU seconds a second, of all gateways together; zero without queues.
+    /// The guaranteed CPU seconds per second over all gateways. 0 without queues.
     pub budget: f64,
-    /// Clients' wishes, their repeats not counted again.
+    /// Requests of clients. Retries are not counted again.
     pub asked: u64,
     pub served_in_time: u64,
     pub served_late: u64,
-    /// Gain answered in time over gain asked for.
+    /// The priority weight served divided by the weight requested. A late answer counts with the
+    /// late weight.
     pub service: f64,
-    /// CPU seconds a second asked for and completed.
+    /// CPU seconds per second that were requested.
     pub cpu_asked: f64,
+    /// CPU seconds per second that were completed.
     pub cpu_served: f64,
-    /// The least part of what weighted max-min fairness would give it, over spans of five seconds in which it asked for
-    /// a tenth of its budget or more.
+    /// The lowest ratio of the service received to the weighted max-min fair share, over the spans
+    /// of five seconds in which the tenant requested more than a tenth of its budget.
     pub worst_of_fair: f64,
 }
 
+/// Totals of one query class over the run.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct QueryClass {
     pub asked: u64,
     pub served_in_time: u64,
     pub share_in_time: f64,
-    /// From taking to sending, and from sending to the answer.
+    /// From accepting a statement to sending the attempt that completed it.
     pub before: Waits,
+    /// From sending this attempt to its answer.
     pub running: Waits,
 }
 
+/// The distribution of a set of durations.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Waits {
     pub p50_ms: f64,
@@ -40,44 +45,57 @@
     pub longest_ms: f64,
 }
 
+/// The figures of one run.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Figures {
     pub policy: String,
     pub seed: u64,
     pub rules_broken: u64,
     pub rules: BTreeMap<String, u64>,
-    /// Taken by gateways, repeats of clients among them.
+    /// Statements accepted by gateways, including retries of clients.
     pub statements: u64,
     pub completed: u64,
+    /// Rejected statements.
     pub denied: u64,
-    /// Of the rejected, those rejected within 50 ms of their taking.
+    /// Statements that were rejected within 50 ms of being accepted.
     pub denied_at_once: u64,
+    /// Statements that were answered with an error.
     pub scrapped: u64,
-    /// Lost with their gateway, which was killed.
+    /// Statements that were lost when their gateway was killed.
     pub died: u64,
     #[serde(rename = "relays")]
     pub attempts: u64,
-    /// Attempts that brought no answer in their time.
+    /// Attempts that timed out.
     pub timed_out: u64,
-    /// Connections opened to engines, and the most that stood at one engine at a time.
+    /// Connections opened to engines.
     pub handshakes: u64,
+    /// The largest number of open connections at any one engine.
     pub most_connections: u64,
-    /// Changes of the list told, over all gateways.
+    /// Engine list changes delivered, over all gateways.
     pub lists_told: u64,
+    /// The priority weight served divided by the weight requested.
     pub service: f64,
-    /// Part of the estimates told at entry that came within a fifth, or 20 ms, of the wait.
+    /// The fraction of the wait estimates at entry that were within 20% or 20 ms of the actual
+    /// wait.
     pub estimate_within_20: f64,
-    /// The same among those who waited over 20 ms.
+    /// The same among the statements that waited, or were estimated to wait, more than 20 ms.
     pub estimate_within_20_waiting: f64,
-    /// The same for estimators to compare with.
+    /// The same for a baseline estimator: the last wait.
     pub last_wait_within_20: f64,
+    /// The same for a baseline estimator: the mean wait.
     pub mean_wait_within_20: f64,
+    /// The same for a baseline estimator: the statements ahead times the mean interval between
+    /// releases.
     pub count_ahead_within_20: f64,
-    /// Part of the waits that ended by the 90th percentile told.
+    /// The fraction of the waits that were at most 20 ms longer than their estimated 90th
+    /// percentile.
     pub within_p90: f64,
+    /// Statements that waited, or were estimated to wait, more than 20 ms.
     pub waited: u64,
     pub waits: Waits,
+    /// The lowest `worst_of_fair` of all tenants.
     pub worst_member_of_fair: f64,
+    /// The longest time for which a waiting statement was overtaken by later ones.
     pub longest_passed_over_ms: f64,
     pub members: BTreeMap<String, Member>,
     #[serde(rename = "products")]
@@ -85,66 +103,80 @@
     pub simulated_s: f64,
 }
 
-/// An estimate against what came of it.
+/// A wait estimate and the actual wait, in seconds.
 #[derive(Clone, Copy, Debug)]
-pub struct Told {
+pub struct WaitEstimate {
+    /// When the wait ended, in simulated seconds.
     pub at: f64,
     pub gateway: usize,
-    pub desk: u32,
+    pub queue: u32,
     pub class: usize,
-    pub told: f64,
+    /// The estimated median.
+    pub median: f64,
+    /// The estimated 90th percentile.
     pub p90: f64,
-    pub real: f64,
-    /// Last wait, mean wait, statements ahead by the mean time between releases.
-    pub plain: [f64; 3],
+    /// The actual wait.
+    pub actual: f64,
+    /// The baseline estimates: the last wait, the mean wait, and the statements ahead times the
+    /// mean interval between releases.
+    pub baselines: [f64; 3],
 }
 
-pub fn well(told: f64, real: f64) -> bool {
-    (told - real).abs() <= (0.2 * real).max(0.02)
+/// Whether an estimate is within 20% or 20 ms of the actual wait. Both are in seconds.
+pub fn is_accurate(estimate: f64, actual: f64) -> bool {
+    (estimate - actual).abs() <= (0.2 * actual).max(0.02)
 }
 
-/// Weighted max-min shares of a capacity: what is owed first, then by weight what others leave.
-pub fn fair(capacity: f64, asked: &[f64], owed: &[f64], weights: &[f64]) -> Vec<f64> {
-    let total: f64 = owed
+/// Weighted max-min fair shares of a capacity: each demand up to its guarantee first, then the rest
+/// by weight. If the guarantees exceed the capacity, they are scaled down in proportion.
+pub fn max_min_shares(
+    capacity: f64,
+    asked: &[f64],
+    guaranteed: &[f64],
+    weights: &[f64],
+) -> Vec<f64> {
+    let total: f64 = guaranteed
         .iter()
         .zip(asked)
-        .map(|(owed, asked)| owed.min(*asked))
+        .map(|(guaranteed, asked)| guaranteed.min(*asked))
         .sum();
-    let cut = if total > capacity {
+    let scale = if total > capacity {
         capacity / total
     } else {
         1.0
     };
-    let mut given: Vec<f64> = owed
+    let mut shares: Vec<f64> = guaranteed
         .iter()
         .zip(asked)
-        .map(|(owed, asked)| owed.min(*asked) * cut)
+        .map(|(guaranteed, asked)| guaranteed.min(*asked) * scale)
         .collect();
-    let mut left = capacity - given.iter().sum::<f64>();
+    let mut left = capacity - shares.iter().sum::<f64>();
     for _ in 0..asked.len() {
         let open: Vec<usize> = (0..asked.len())
-            .filter(|at| asked[*at] > given[*at] + 1e-9)
+            .filter(|index| asked[*index] > shares[*index] + 1e-9)
             .collect();
-        let weight: f64 = open.iter().map(|at| weights[*at]).sum();
+        let weight: f64 = open.iter().map(|index| weights[*index]).sum();
         if left <= 1e-9 || open.is_empty() || weight <= 0.0 {
             break;
         }
         let mut used = 0.0;
-        for at in open {
-            let more = (left * weights[at] / weight).min(asked[at] - given[at]);
-            given[at] += more;
+        for index in open {
+            let more = (left * weights[index] / weight).min(asked[index] - shares[index]);
+            shares[index] += more;
             used += more;
         }
         left -= used;
     }
-    given
+    shares
 }
 
-pub fn waits(mut of: Vec<f64>) -> Waits {
-    of.sort_by(f64::total_cmp);
-    let last = of.len().saturating_sub(1);
+/// The distribution of these durations, given in seconds. All zero if there are none.
+pub fn waits(mut durations: Vec<f64>) -> Waits {
+    durations.sort_by(f64::total_cmp);
+    let last = durations.len().saturating_sub(1);
     let at = |part: f64| {
-        of.get(((of.len() as f64 * part) as usize).min(last))
+        durations
+            .get(((durations.len() as f64 * part) as usize).min(last))
             .copied()
             .unwrap_or(0.0)
     };
@@ -156,7 +188,7 @@
     }
 }
 
-/// Ratios as figures show them.
+/// A ratio rounded to four decimal places. 1 if the denominator is not positive.
 pub fn ratio(part: f64, of: f64) -> f64 {
     if of > 0.0 {
         (part / of * 1e4).round() / 1e4
--- a/crates/simulator/src/front.rs
+++ b/crates/simulator/src/front.rs
@@ -1,5 +1,5 @@
-//! What stands before the decisions of one emulated gateway: the lines, one line for all as without them, or a plain
-//! round robin by member to compare with.
+//! The scheduler of one emulated gateway: the production scheduler with or without tenant queues,
+//! or a round robin over tenants as a baseline.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -7,15 +7,20 @@
 use dispatch::{Decision, Dispatcher, FollowUp, StatementRequest, Tick};
 use scheduler::{Config, FinishedWait, Scheduler, SubQueueId, TenantQueues};
 
+/// How a gateway orders its waiting statements.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Policy {
+    /// The scenario's tenant queues.
     Queues,
+    /// One queue for all statements.
     OneLine,
+    /// One statement of each tenant in turn.
     RoundRobin,
 }
 
 impl Policy {
-    pub fn named(name: &str) -> Option<Policy> {
+    /// The policy of this name. `None` if there is without_progress.
+    pub fn from_name(name: &str) -> Option<Policy> {
         let all = [Policy::Queues, Policy::OneLine, Policy::RoundRobin];
         all.into_iter().find(|policy| policy.name() == name)
     }
@@ -29,27 +34,30 @@
     }
 }
 
+/// The scheduler of one gateway, by policy.
 pub enum Front {
     Scheduler(Box<Scheduler>),
-    Turns(Box<Turns>),
+    RoundRobin(Box<RoundRobinScheduler>),
 }
 
 impl Front {
+    /// Builds the scheduler for `policy`. Without queue settings, every policy uses one queue for
+    /// all statements.
     pub fn new(
         policy: Policy,
         dispatch: Dispatcher,
-        terms: Option<&Config>,
+        config: Option<&Config>,
         classes: usize,
         seed: u64,
     ) -> Self {
         let now = Timestamp::from_secs(0.0);
-        match (policy, terms) {
-            (Policy::RoundRobin, Some(terms)) => {
-                Front::Turns(Box::new(Turns::new(dispatch, terms)))
+        match (policy, config) {
+            (Policy::RoundRobin, Some(config)) => {
+                Front::RoundRobin(Box::new(RoundRobinScheduler::new(dispatch, config)))
             }
-            (Policy::Queues, Some(terms)) => Front::Scheduler(Box::new(Scheduler::new(
+            (Policy::Queues, Some(config)) => Front::Scheduler(Box::new(Scheduler::new(
                 dispatch,
-                Some(TenantQueues::new(now, terms.clone(), classes, seed)),
+                Some(TenantQueues::new(now, config.clone(), classes, seed)),
             ))),
             _ => Front::Scheduler(Box::new(Scheduler::new(dispatch, None))),
         }
@@ -59,12 +67,12 @@
         &mut self,
         now: Timestamp,
         id: StatementId,
-        desk: SubQueueId,
-        wants: &StatementRequest,
+        queue: SubQueueId,
+        request: &StatementRequest,
     ) -> Decision {
         match self {
-            Front::Scheduler(scheduler) => scheduler.pick(now, id, desk, wants),
-            Front::Turns(turns) => turns.pick(now, id, desk, wants),
+            Front::Scheduler(scheduler) => scheduler.pick(now, id, queue, request),
+            Front::RoundRobin(round_robin) => round_robin.pick(now, id, queue, request),
         }
     }
 
@@ -73,72 +81,79 @@
         now: Timestamp,
         id: StatementId,
         attempt: AttemptNumber,
-        news: AttemptEvent,
+        event: AttemptEvent,
         latency: TimeDelta,
         settled: bool,
     ) -> FollowUp {
         match self {
             Front::Scheduler(scheduler) => {
-                scheduler.report(now, id, attempt, news, latency, settled)
+                scheduler.report(now, id, attempt, event, latency, settled)
             }
-            Front::Turns(turns) => turns
+            Front::RoundRobin(round_robin) => round_robin
                 .dispatch
-                .report(now, id, attempt, news, latency, settled),
+                .report(now, id, attempt, event, latency, settled),
         }
     }
 
     pub fn tick(&mut self, now: Timestamp) -> Tick {
         match self {
             Front::Scheduler(scheduler) => scheduler.tick(now),
-            Front::Turns(turns) => turns.tick(now),
+            Front::RoundRobin(round_robin) => round_robin.tick(now),
         }
     }
 
-    pub fn on_endpoint_update(&mut self, now: Timestamp, news: &EndpointUpdate) {
+    pub fn on_endpoint_update(&mut self, now: Timestamp, update: &EndpointUpdate) {
         match self {
-            Front::Scheduler(scheduler) => scheduler.on_endpoint_update(now, news),
-            Front::Turns(turns) => turns.dispatch.on_endpoint_update(now, news),
+            Front::Scheduler(scheduler) => scheduler.on_endpoint_update(now, update),
+            Front::RoundRobin(round_robin) => round_robin.dispatch.on_endpoint_update(now, update),
         }
     }
 
+    /// The production scheduler. `None` for the round robin.
     pub fn scheduler(&mut self) -> Option<&mut Scheduler> {
         match self {
             Front::Scheduler(scheduler) => Some(scheduler),
-            Front::Turns(_) => None,
+            Front::RoundRobin(_) => None,
         }
     }
 
+    /// The waits that ended in the latest tick. The round robin records without_progress.
     pub fn waits(&self) -> &[FinishedWait] {
         match self {
             Front::Scheduler(scheduler) => scheduler.finished_waits(),
-            Front::Turns(_) => &[],
+            Front::RoundRobin(_) => &[],
         }
     }
 }
 
-/// Members in turn, one statement each, in the order they came; no budgets, no estimates.
-pub struct Turns {
+/// Serves tenants in turn, one statement each, in arrival order within a tenant. It has no budgets
+/// and no estimates.
+pub struct RoundRobinScheduler {
     dispatch: Dispatcher,
-    member_of: Vec<usize>,
-    lines: Vec<VecDeque<StatementId>>,
-    next: usize,
-    useful: BTreeMap<StatementId, Timestamp>,
+    /// The tenant of each queue.
+    tenant_of_queue: Vec<usize>,
+    /// The waiting statements of each tenant.
+    waiting: Vec<VecDeque<StatementId>>,
+    /// The number of turns so far; modulo the number of tenants, the tenant that is next.
+    turns: usize,
+    /// The time at which each waiting statement is no longer useful to answer.
+    useful_until: BTreeMap<StatementId, Timestamp>,
 }
 
-impl Turns {
-    fn new(dispatch: Dispatcher, terms: &Config) -> Self {
-        let desks = terms
+impl RoundRobinScheduler {
+    fn new(dispatch: Dispatcher, config: &Config) -> Self {
+        let queues = config
             .tenants
             .iter()
             .enumerate()
-            .flat_map(|(at, m)| m.sub_queues.iter().map(move |_| at));
-        let lines = vec![VecDeque::new(); terms.tenants.len()];
-        Turns {
+            .flat_map(|(index, tenant)| tenant.sub_queues.iter().map(move |_| index));
+        let waiting = vec![VecDeque::new(); config.tenants.len()];
+        RoundRobinScheduler {
             dispatch,
-            member_of: desks.collect(),
-            lines,
-            next: 0,
-            useful: BTreeMap::new(),
+            tenant_of_queue: queues.collect(),
+            waiting,
+            turns: 0,
+            useful_until: BTreeMap::new(),
         }
     }
 
@@ -146,64 +161,64 @@
         &mut self,
         now: Timestamp,
         id: StatementId,
-        desk: SubQueueId,
-        wants: &StatementRequest,
+        queue: SubQueueId,
+        request: &StatementRequest,
     ) -> Decision {
-        if let Some((_, forecast)) = self.dispatch.register(now, id, wants, |_| false) {
-            self.lines[self.member_of[desk.0 as usize]].push_back(id);
-            self.useful.insert(id, forecast.useful_until);
+        if let Some((_, forecast)) = self.dispatch.register(now, id, request, |_| false) {
+            self.waiting[self.tenant_of_queue[queue.0 as usize]].push_back(id);
+            self.useful_until.insert(id, forecast.useful_until);
         }
         Decision::Queued
     }
 
     fn tick(&mut self, now: Timestamp) -> Tick {
         let mut due = Vec::new();
-        for place in self.dispatch.queue_positions() {
-            let pick = self.dispatch.place(now, place.id);
-            if pick != Decision::Queued {
-                due.push((place.id, pick));
+        for position in self.dispatch.queue_positions() {
+            let decision = self.dispatch.place(now, position.id);
+            if decision != Decision::Queued {
+                due.push((position.id, decision));
             }
         }
-        let past: Vec<_> = self
-            .useful
+        let expired: Vec<_> = self
+            .useful_until
             .iter()
-            .filter(|(_, at)| **at <= now)
+            .filter(|(_, until)| **until <= now)
             .map(|(id, _)| *id)
             .collect();
-        for id in past {
-            let pick = self.dispatch.offer(now, id, false);
-            if pick != Decision::Queued {
-                self.lines
+        for id in expired {
+            let decision = self.dispatch.offer(now, id, false);
+            if decision != Decision::Queued {
+                self.waiting
                     .iter_mut()
-                    .for_each(|line| line.retain(|other| *other != id));
-                self.useful.remove(&id);
-                due.push((id, pick));
+                    .for_each(|queue| queue.retain(|other| *other != id));
+                self.useful_until.remove(&id);
+                due.push((id, decision));
             }
         }
-        let count = self.lines.len();
-        let mut none = 0;
-        while none < count {
-            let member = self.next % count;
-            self.next += 1;
-            let Some(id) = self.lines[member].front().copied() else {
-                none += 1;
+        let count = self.waiting.len();
+        let mut without_progress = 0;
+        while without_progress < count {
+            let tenant = self.turns % count;
+            self.turns += 1;
+            let Some(id) = self.waiting[tenant].front().copied() else {
+                without_progress += 1;
                 continue;
             };
-            let pick = self.dispatch.offer(now, id, false);
-            if pick == Decision::Queued {
-                none += 1;
+            let decision = self.dispatch.offer(now, id, false);
+            if decision == Decision::Queued {
+                without_progress += 1;
                 continue;
             }
-            none = 0;
-            self.lines[member].pop_front();
-            self.useful.remove(&id);
-            due.push((id, pick));
+            without_progress = 0;
+            self.waiting[tenant].pop_front();
+            self.useful_until.remove(&id);
+            due.push((id, decision));
         }
         let Wakeup {
             wait,
             probe,
             discovery,
-        } = self.dispatch.end_turn(now, self.useful.len());
+        } = self.dispatch.end_turn(now, self.useful_until.len());
         Tick {
             due,
             probe,
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -1,5 +1,6 @@
-//! A small emulator of what the gateways balance, in simulated time: engines, clients with members and desks, the list
-//! seconds late, and scripted trouble, around the real `dispatch` and `queues`. Same file and seed, same bytes out.
+//! Emulates a deployment in simulated time: engines, clients of several tenants and queues, engine
+//! list updates that arrive late, and scripted faults. The gateways run the production code of the
+//! `dispatch` and `scheduler` crates. The same scenario file and seed always give the same output.
 
 pub mod control;
 pub mod engine;
--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -8,7 +8,7 @@
 use simulator::scenario::{Budgets, Scenario};
 use simulator::{mesh, parts};
 
-/// Emulates a deployment in simulated time, around the real decisions.
+/// Emulates a deployment in simulated time, with the production decision code.
 #[derive(Parser)]
 #[command(version)]
 struct Arguments {
@@ -18,60 +18,64 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Plays a scenario once.
+    /// Runs a scenario once.
     Run {
         file: PathBuf,
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// queues, one-line or round-robin.
+        /// The policy of the gateways: queues, one-line or round-robin.
         #[arg(long, default_value = "queues")]
         policy: String,
-        /// Writes the figures there.
+        /// Writes the figures to this file, as JSON.
         #[arg(long)]
         json: Option<PathBuf>,
-        /// Writes each wait there, as told and as it was, in lines of comma-separated values.
+        /// Writes each estimated and actual wait to this file, as CSV.
         #[arg(long)]
         waits: Option<PathBuf>,
-        /// Draws waits, estimates and members into this folder, as SVG.
+        /// Writes plots of waits, estimates and tenants to this folder, as SVG.
         #[arg(long)]
         plot: Option<PathBuf>,
     },
-    /// Plays it with a field set to each of some values.
+    /// Runs a scenario once for each of several values of one field.
     Sweep {
         file: PathBuf,
-        /// As `traffic.valley-water.counter.per_s.lookup=40,80`.
+        /// The field and its values, such as `traffic.valley-water.counter.per_s.lookup=40,80`.
         #[arg(long)]
         over: String,
         #[arg(long, default_value_t = 1)]
         seed: u64,
     },
-    /// Gateways that know each other, beside two plainer ways: joining, deaths, loss, a partition.
+    /// Measures cluster membership during joins, deaths, packet loss and a partition, next to two
+    /// simpler protocols.
     Fleet {
         #[arg(long, default_value = "20,100,300")]
         gateways: String,
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// fleet, heartbeats or hasty; all of them without it.
+        /// The protocol to measure: fleet, heartbeats or hasty. Without it, all of them.
         #[arg(long)]
         way: Option<String>,
     },
-    /// Budgets divided among gateways, beside even parts and each one's own guess: uneven, moving, cut off, killed,
-    /// restarted in turn, with a third of all words lost.
+    /// Measures budget leases next to even shares and local estimates: with uneven and moving
+    /// demand, during a partition, with killed and restarted gateways, and with a third of all
+    /// messages lost.
     Shares {
         #[arg(long, default_value = "3,20,100,300")]
         gateways: String,
         #[arg(long, default_value_t = 1)]
         seed: u64,
     },
-    /// What control traffic costs by size: membership, the coordinator of budgets and its change.
+    /// Measures the cost of control traffic by cluster size: membership, the budget coordinator and
+    /// its failover.
     Control(control::command::Arguments),
-    /// Plays it with queues, members' budgets divided by each one's guess, evenly and by leases, over some seeds.
+    /// Runs a scenario with tenant budgets divided by local estimates, evenly and by leases, over
+    /// several seeds.
     Divide {
         file: PathBuf,
         #[arg(long, default_value_t = 3)]
         seeds: u64,
     },
-    /// Plays it with two policies, over some seeds.
+    /// Runs a scenario with two policies, over several seeds.
     Compare {
         file: PathBuf,
         first: String,
@@ -81,17 +85,18 @@
     },
 }
 
-fn policy(name: &str) -> Result<Policy, String> {
-    Policy::named(name).ok_or_else(|| format!("no policy {name}: queues, one-line or round-robin"))
+fn parse_policy(name: &str) -> Result<Policy, String> {
+    Policy::from_name(name)
+        .ok_or_else(|| format!("no policy {name}: queues, one-line or round-robin"))
 }
 
-fn play(scenario: &Scenario, policy: Policy, seed: u64) -> Result<Outcome, String> {
+fn run_scenario(scenario: &Scenario, policy: Policy, seed: u64) -> Result<Outcome, String> {
     Ok(Play::new(scenario, policy, seed)?.run())
 }
 
-const HEAD: &str = "policy       seed broken statements service est<20% est<20%w last mean ahead  p90  worst/fair passed ms  denied at once";
+const TABLE_HEADER: &str = "policy       seed broken statements service est<20% est<20%w last mean ahead  p90  worst/fair passed ms  denied at once";
 
-fn line(outcome: &Outcome) -> String {
+fn table_row(outcome: &Outcome) -> String {
     let f = &outcome.figures;
     format!(
         "{:<12} {:>4} {:>6} {:>10} {:>7.4} {:>7.3} {:>8.3} {:.2} {:.2} {:.2} {:.3} {:>10.3} {:>9.0} {:>7} {:>7}",
@@ -113,8 +118,8 @@
     )
 }
 
-fn print(outcome: &Outcome) {
-    println!("{HEAD}\n{}", line(outcome));
+fn print_outcome(outcome: &Outcome) {
+    println!("{TABLE_HEADER}\n{}", table_row(outcome));
     for (name, m) in &outcome.figures.members {
         println!(
             "  {name:<14} budget {:>6.2}  asked {:>7} ({:.2} cpu/s)  in time {:>7} ({:.2} cpu/s)  service {:.4}  worst of fair {:.3}",
@@ -150,7 +155,7 @@
 }
 
 fn run() -> Result<bool, Box<dyn std::error::Error>> {
-    let kept = |outcome: &Outcome| outcome.figures.rules_broken == 0;
+    let rules_kept = |outcome: &Outcome| outcome.figures.rules_broken == 0;
     match Arguments::parse().command {
         Command::Run {
             file,
@@ -161,41 +166,41 @@
             plot,
         } => {
             let scenario = Scenario::read(&file)?;
-            let outcome = play(&scenario, policy(&name)?, seed)?;
-            print(&outcome);
+            let outcome = run_scenario(&scenario, parse_policy(&name)?, seed)?;
+            print_outcome(&outcome);
             if let Some(json) = json {
                 std::fs::write(json, serde_json::to_string_pretty(&outcome.figures)? + "\n")?;
             }
             if let Some(path) = waits {
-                let line = |t: &simulator::figures::Told| {
+                let csv_row = |t: &simulator::figures::WaitEstimate| {
                     format!(
                         "{:.6},{},{},{},{:.6},{:.6},{:.6}\n",
-                        t.at, t.gateway, t.desk, t.class, t.told, t.p90, t.real
+                        t.at, t.gateway, t.queue, t.class, t.median, t.p90, t.actual
                     )
                 };
-                let head = "at_s,gateway,desk,product,told_s,p90_s,real_s\n".to_owned();
+                let header = "at_s,gateway,desk,product,told_s,p90_s,real_s\n".to_owned();
                 std::fs::write(
                     path,
-                    head + &outcome.told.iter().map(line).collect::<String>(),
+                    header + &outcome.told.iter().map(csv_row).collect::<String>(),
                 )?;
             }
             if let Some(folder) = plot {
                 simulator::plot::draw(&outcome, &folder)?;
             }
-            Ok(kept(&outcome))
+            Ok(rules_kept(&outcome))
         }
         Command::Sweep { file, over, seed } => {
             let (path, values) = over.split_once('=').ok_or("--over wants FIELD=A,B,C")?;
             let base = Scenario::value(&file)?;
-            let mut all = true;
-            println!("{path:<20} {HEAD}");
+            let mut all_kept = true;
+            println!("{path:<20} {TABLE_HEADER}");
             for value in values.split(',') {
                 let scenario = Scenario::with(base.clone(), path, value.trim().parse()?)?;
-                let outcome = play(&scenario, Policy::Queues, seed)?;
-                println!("{value:<20} {}", line(&outcome));
-                all &= kept(&outcome);
+                let outcome = run_scenario(&scenario, Policy::Queues, seed)?;
+                println!("{value:<20} {}", table_row(&outcome));
+                all_kept &= rules_kept(&outcome);
             }
-            Ok(all)
+            Ok(all_kept)
         }
         Command::Shares { gateways, seed } => {
             println!(
@@ -231,34 +236,38 @@
             );
             for count in gateways.split(',') {
                 let count: usize = count.trim().parse()?;
-                let terms = membership::Config::default;
-                let wanted = |name: &str| way.as_deref().is_none_or(|way| way == name);
-                let mut all = Vec::new();
-                if wanted("fleet") {
-                    all.push(mesh::measure("fleet", mesh::gateways(count, seed, terms())));
+                let config = membership::Config::default;
+                let is_selected = |name: &str| way.as_deref().is_none_or(|way| way == name);
+                let mut measured = Vec::new();
+                if is_selected("fleet") {
+                    measured.push(mesh::measure(
+                        "fleet",
+                        mesh::gateways(count, seed, config()),
+                    ));
                 }
-                if wanted("heartbeats") {
-                    all.push(mesh::measure(
+                if is_selected("heartbeats") {
+                    measured.push(mesh::measure(
                         "heartbeats",
-                        mesh::heartbeats(count, seed, terms()),
+                        mesh::heartbeats(count, seed, config()),
                     ));
                 }
-                if wanted("hasty") {
-                    all.push(mesh::measure("hasty", mesh::hasty(count, seed, terms())));
+                if is_selected("hasty") {
+                    measured.push(mesh::measure("hasty", mesh::hasty(count, seed, config())));
                 }
-                let secs =
-                    |of: Option<f64>| of.map_or("never".to_owned(), |secs| format!("{secs:.1}"));
-                for f in all {
+                let seconds_or_never = |span: Option<f64>| {
+                    span.map_or("never".to_owned(), |secs| format!("{secs:.1}"))
+                };
+                for f in measured {
                     println!(
                         "{:<11} {:>8} {:>8} {:>16.1} {:>4.1} {:>10} {:>21.0} {:>9} {:>12.1} {:>13.0} {:>5.1}",
                         f.way,
                         f.gateways,
-                        secs(f.joined_s),
+                        seconds_or_never(f.joined_s),
                         f.detect_median_s,
                         f.detect_99th_s,
-                        secs(f.settle_after_deaths_s),
+                        seconds_or_never(f.settle_after_deaths_s),
                         f.false_deaths_an_hour,
-                        secs(f.settle_after_healing_s),
+                        seconds_or_never(f.settle_after_healing_s),
                         f.datagrams_s,
                         f.bytes_s,
                         f.largest_share
@@ -273,12 +282,12 @@
         }
         Command::Divide { file, seeds } => {
             let mut scenario = Scenario::read(&file)?;
-            let mut all = true;
+            let mut all_kept = true;
             println!("budgets  seed broken service  by member; worst of fair");
             for seed in 1..=seeds {
                 for budgets in Budgets::ALL {
                     scenario.budgets = budgets;
-                    let outcome = play(&scenario, Policy::Queues, seed)?;
+                    let outcome = run_scenario(&scenario, Policy::Queues, seed)?;
                     let f = &outcome.figures;
                     let members: Vec<String> = f
                         .members
@@ -295,10 +304,10 @@
                         members.join(", "),
                         f.worst_member_of_fair
                     );
-                    all &= kept(&outcome);
+                    all_kept &= rules_kept(&outcome);
                 }
             }
-            Ok(all)
+            Ok(all_kept)
         }
         Command::Compare {
             file,
@@ -307,16 +316,16 @@
             seeds,
         } => {
             let scenario = Scenario::read(&file)?;
-            let mut all = true;
-            println!("{HEAD}");
+            let mut all_kept = true;
+            println!("{TABLE_HEADER}");
             for seed in 1..=seeds {
                 for name in [&first, &second] {
-                    let outcome = play(&scenario, policy(name)?, seed)?;
-                    println!("{}", line(&outcome));
-                    all &= kept(&outcome);
+                    let outcome = run_scenario(&scenario, parse_policy(name)?, seed)?;
+                    println!("{}", table_row(&outcome));
+                    all_kept &= rules_kept(&outcome);
                 }
             }
-            Ok(all)
+            Ok(all_kept)
         }
     }
 }
--- a/crates/simulator/src/mesh.rs
+++ b/crates/simulator/src/mesh.rs
@@ -1,5 +1,6 @@
-//! Hundreds of gateways that know each other, in simulated time: the code of `crates/membership` itself, and two plainer ways
-//! of our own to compare with, between the same faults of network and processes, drawn from the same seed.
+//! Hundreds of gateways that know each other, in simulated time: the code of `crates/membership`
+//! itself, and two plainer ways of our own to compare with, between the same faults of network and
+//! processes, drawn from the same seed.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -160,8 +161,8 @@
     }
 }
 
-/// Each probes one by chance every period and takes it for dead when no answer came; word of it goes along. No
-/// suspicion, no others asked.
+/// Each probes one by chance every period and takes it for dead when no answer came; word of it
+/// goes along. No suspicion, no others asked.
 pub struct Hasty {
     at: usize,
     period: f64,
@@ -578,7 +579,8 @@
             match event {
                 Happens::Arrives { to, from, bytes } => {
                     let slot = &mut self.slots[to];
-                    // A process that stands still has a socket's buffer full for it; that is lost here, which is worse.
+                    // A process that stands still has a socket's buffer full for it; that is lost
+                    // here, which is worse.
                     if slot.stopped {
                         continue;
                     }
@@ -757,7 +759,8 @@
     pub largest_share: f64,
 }
 
-/// Joins; a tenth killed; a minute of a third of datagrams lost; a partition of 20 s in a third and two; healed.
+/// Joins; a tenth killed; a minute of a third of datagrams lost; a partition of 20 s in a third and
+/// two; healed.
 pub fn measure<P: Peer>(way: &'static str, mut mesh: Mesh<P>) -> Figures {
     let count = mesh.len();
     mesh.start_all();
--- a/crates/simulator/src/parts.rs
+++ b/crates/simulator/src/parts.rs
@@ -1,5 +1,6 @@
-//! Budgets divided among hundreds of gateways, in simulated time: the code of `crates/quota` itself between the faults of
-//! `mesh`, with work that wants to be spent, beside two plainer ways on the same work.
+//! Budgets divided among hundreds of gateways, in simulated time: the code of `crates/quota` itself
+//! between the faults of `mesh`, with work that wants to be spent, beside two plainer ways on the
+//! same work.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -62,7 +63,8 @@
     }
 }
 
-/// A gateway's part alone, without the rest of it: words carry the sender's life ahead, as the fleet's letters do.
+/// A gateway's part alone, without the rest of it: words carry the sender's life ahead, as the
+/// fleet's letters do.
 pub struct Part {
     pub quotas: FleetQuotas,
     life: u64,
@@ -219,7 +221,8 @@
     pub record: Record,
     /// The largest sum of what all may spend, of the whole.
     pub worst_sum: f64,
-    /// By time in steps: spent, and what an all-knowing divider would have: all that is wanted up to the whole.
+    /// By time in steps: spent, and what an all-knowing divider would have: all that is wanted up
+    /// to the whole.
     pub spent: f64,
     pub could: f64,
     plain: BTreeMap<usize, TokenBucket>,
@@ -428,7 +431,8 @@
     }
 }
 
-/// Seconds until all that can be had is out again: after one more joined, after one left in order, after one was killed.
+/// Seconds until all that can be had is out again: after one more joined, after one left in order,
+/// after one was killed.
 pub fn times(count: usize, seed: u64) -> [Option<f64>; 3] {
     let mut work = Work::new(
         parts(count + 1, seed, terms(count + 1)),
--- a/crates/simulator/src/play.rs
+++ b/crates/simulator/src/play.rs
@@ -1,5 +1,5 @@
-//! One run of a scenario: events in the order of simulated time, emulated engines and clients, and the real decisions
-//! between them.
+//! One run of a scenario: a discrete-event simulation of engines and clients, with the production
+//! decision code of the gateways between them.
 
 mod attempts;
 mod connections;
@@ -30,18 +30,19 @@
 use self::requests::Request;
 use self::statements::Statement;
 use crate::engine::Engine;
-use crate::figures::{Figures, Told};
+use crate::figures::{Figures, WaitEstimate};
 use crate::front::Policy;
 use crate::mesh::Mesh;
 use crate::parts::Part;
 use crate::rules::Rules;
-use crate::scenario::{Budgets, ClassSpec, Kind, Scenario, Trouble};
+use crate::scenario::{Budgets, ClassSpec, Fault, FaultKind, Scenario};
 
-/// Keeps the random stream of the run apart from those of the clients.
+/// Separates the random stream of the run from those of the clients.
 const RUN_SEED: u64 = 0x5eed;
-/// A gateway learns changes of the engine list after at least this part of the scenario's delay.
+/// The shortest delay of an engine list update to a gateway, as a fraction of the scenario's
+/// `list_delay_ms`.
 const LEAST_LIST_DELAY: f64 = 0.2;
-/// A run goes on for so long after the last deadline.
+/// How long a run continues after the last possible deadline.
 const END_SLACK_S: f64 = 1.0;
 
 /// One run of a scenario, under one policy and from one seed.
@@ -56,56 +57,59 @@
     fronts: FrontFactory<'a>,
     gateways: Vec<Gateway>,
     engines: Vec<Engine>,
-    /// By engine, as the engine list has it now.
+    /// The current engine list, by engine.
     listed: Vec<ListEntry>,
     connections: Connections,
-    /// By engine: the part of its answers that is lost.
+    /// The fraction of each engine's answers that is lost.
     lost_answers: Vec<f64>,
     health_mesh: Option<Mesh<membership::Node>>,
     lease_mesh: Option<Mesh<Part>>,
-    /// By gateway and tenant: what its queues had used when budgets were last divided.
+    /// What each gateway's queues had used of each tenant's budget when budgets were last divided.
     usage: Vec<Vec<Usage>>,
-    faults: Vec<(Kind, Trouble)>,
+    faults: Vec<(FaultKind, Fault)>,
     requests: Vec<Request>,
-    /// By number; they are kept for the whole run.
+    /// All statements of the run, indexed by statement id.
     statements: Vec<Statement>,
-    /// Of waiting statements: what the plain estimators said.
-    plain_estimates: BTreeMap<StatementId, [f64; 3]>,
+    /// What the baseline estimators predicted for each waiting statement.
+    baseline_estimates: BTreeMap<StatementId, [f64; 3]>,
     rules: Rules,
     measurements: Measurements,
     started: std::time::Instant,
 }
 
-/// The name of [`Emulation`] in earlier releases.
+/// Alias of [`Emulation`], its name in earlier releases.
 pub type Play<'a> = Emulation<'a>;
 
-/// A kind of query, by its number.
+/// A query class of the scenario.
 struct QueryClass<'a> {
     name: &'a str,
     settings: &'a ClassSpec,
 }
 
+/// An engine as the engine list has it.
 #[derive(Clone, Copy)]
 struct ListEntry {
     stage: EngineStage,
     started_s: Option<f64>,
 }
 
-/// What a run leaves.
+/// The results of a run.
 pub struct Outcome {
     pub figures: Figures,
-    /// Waits that ended, beside what was estimated of them.
-    pub told: Vec<Told>,
-    /// Tenants by number.
+    /// Finished waits with their estimates.
+    pub told: Vec<WaitEstimate>,
+    /// The tenants' names, by index.
     pub members: Vec<String>,
-    /// By span of time and tenant: CPU seconds asked for and served.
+    /// CPU seconds requested and served, by time span and tenant.
     pub spans: Vec<Vec<(f64, f64)>>,
     pub span_s: f64,
-    /// Real time it took; no figure, since no two runs have the same.
+    /// The real time that the run took. It is not among the figures because it differs between
+    /// runs.
     pub took_s: f64,
 }
 
-fn moment(secs: f64) -> Timestamp {
+/// A time of the run as the gateways' code represents it.
+fn timestamp(secs: f64) -> Timestamp {
     Timestamp::from_secs(secs)
 }
 
@@ -113,21 +117,21 @@
     /// Draws all requests of the run and starts its gateways.
     ///
     /// # Errors
-    /// The scenario's queues, traffic or script cannot be used.
+    /// Fails if the scenario's queues, traffic or script are not valid.
     pub fn new(scenario: &'a Scenario, policy: Policy, seed: u64) -> Result<Self, String> {
-        let site_terms = scenario.terms()?;
-        let resolver = site_terms.as_ref().map(QueueResolver::new);
+        let cluster_queue_config = scenario.queue_config()?;
+        let resolver = cluster_queue_config.as_ref().map(QueueResolver::new);
         let requests = requests::draw(scenario, resolver.as_ref(), seed)?;
         let mut rng = Pcg64Mcg::seed_from_u64(seed ^ RUN_SEED);
-        let queue_terms = gateway_terms(scenario, site_terms.as_ref());
-        let lease_mesh = coordination::lease_mesh(scenario, site_terms.as_ref(), seed);
+        let queue_config = gateway_queue_config(scenario, cluster_queue_config.as_ref());
+        let lease_mesh = coordination::lease_mesh(scenario, cluster_queue_config.as_ref(), seed);
         let fronts = FrontFactory {
             scenario,
             policy,
-            queue_terms,
+            queue_config,
         };
         let gateways = new_gateways(scenario, &fronts, seed, &mut rng);
-        let tenants = tenants(scenario, site_terms.as_ref());
+        let tenants = tenants(scenario, cluster_queue_config.as_ref());
         let classes: Vec<_> = scenario
             .class
             .iter()
@@ -165,18 +169,18 @@
             health_mesh: coordination::health_mesh(scenario, seed),
             lease_mesh,
             usage: vec![Vec::new(); scenario.gateways],
-            faults: scenario.troubles()?,
+            faults: scenario.faults()?,
             requests,
             statements: Vec::new(),
-            plain_estimates: BTreeMap::new(),
-            rules: Rules::new(deployment::rules(), scenario.gateways),
+            baseline_estimates: BTreeMap::new(),
+            rules: Rules::new(deployment::rule_limits(), scenario.gateways),
             started: std::time::Instant::now(),
         };
         emulation.start();
         Ok(emulation)
     }
 
-    /// Schedules what is known beforehand, and starts the gateways.
+    /// Schedules the requests and the faults, and starts the gateways.
     fn start(&mut self) {
         for index in 0..self.requests.len() {
             self.schedule(self.requests[index].arrival_s, Event::Request(index));
@@ -193,7 +197,7 @@
         self.start_coordination();
     }
 
-    /// Runs to the end: until the last request that can be answered has been.
+    /// Runs until the deadline of every request has passed.
     pub fn run(mut self) -> Outcome {
         let deadlines_s = self
             .scenario
@@ -225,7 +229,7 @@
                 }
             }
             Event::EngineTick { engine, generation } => {
-                if self.engines[engine].turn == generation {
+                if self.engines[engine].generation == generation {
                     self.tick_engine(engine);
                 }
             }
@@ -257,7 +261,7 @@
         }
     }
 
-    /// Schedules an event; one whose time is past happens now.
+    /// Schedules an event, at the current time if `at_s` has passed.
     fn schedule(&mut self, at_s: f64, event: Event) {
         self.events.schedule(at_s.max(self.now_s), event);
     }
@@ -267,16 +271,17 @@
     }
 }
 
-/// The queues of one gateway: the file's budgets are of all gateways together.
-fn gateway_terms(
+/// The queue settings of one gateway. The scenario's budgets apply to all gateways together, so
+/// each one starts with an equal part where it estimates its own.
+fn gateway_queue_config(
     scenario: &Scenario,
-    site_terms: Option<&scheduler::Config>,
+    cluster_queue_config: Option<&scheduler::Config>,
 ) -> Option<scheduler::Config> {
     let share = match scenario.budgets {
         Budgets::Guess => 1.0 / scenario.gateways as f64,
         Budgets::Even | Budgets::Leases => 1.0,
     };
-    site_terms.map(|terms| terms.scaled(share))
+    cluster_queue_config.map(|config| config.scaled(share))
 }
 
 fn new_gateways(
@@ -293,12 +298,13 @@
     gateways.collect()
 }
 
-/// The scenario's tenants, with what its queues guarantee them.
-fn tenants(scenario: &Scenario, site_terms: Option<&scheduler::Config>) -> Vec<Tenant> {
+/// The scenario's tenants with their guaranteed budgets and weights.
+fn tenants(scenario: &Scenario, cluster_queue_config: Option<&scheduler::Config>) -> Vec<Tenant> {
     let tenant = |name: &String| {
-        let settings =
-            site_terms.and_then(|terms| terms.tenants.iter().find(|of| of.name == *name));
-        let (budget, weight) = settings.map_or((0.0, 1.0), |of| (of.share.budget, of.share.weight));
+        let settings = cluster_queue_config
+            .and_then(|config| config.tenants.iter().find(|entry| entry.name == *name));
+        let (budget, weight) =
+            settings.map_or((0.0, 1.0), |entry| (entry.share.budget, entry.share.weight));
         Tenant {
             name: name.clone(),
             budget,
--- a/crates/simulator/src/play/attempts.rs
+++ b/crates/simulator/src/play/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts at engines: sent, run, and their outcome brought back to the gateway.
+//! Attempts: sending them to engines, running them and reporting their outcomes to the gateways.
 
 use admission::interface::*;
 use dispatch::{AttemptOrder, FollowUp};
@@ -6,21 +6,23 @@
 
 use super::events::Event;
 use super::statements::Attempt;
-use super::{Emulation, moment};
-use crate::engine::{Run, State};
+use super::{Emulation, timestamp};
+use crate::engine::{RunningAttempt, State};
 
-/// A failing engine answers with an error this soon.
+/// The time that a failing engine takes to answer with an error.
 const ERROR_AFTER_S: f64 = 0.005;
-/// An engine is looked at this long after a run is due, so that rounding does not leave it unfinished.
-const ENGINE_TICK_SLACK_S: f64 = 1e-6;
+/// Delay of an engine tick after an attempt is due, so that rounding of event times does not leave
+/// it unfinished.
+const ENGINE_TICK_DELAY_S: f64 = 1e-6;
 
 impl Emulation<'_> {
-    /// Sends an attempt to the engine that was picked.
+    /// Sends an attempt to the engine that the gateway picked.
     pub(super) fn send_attempt(&mut self, id: StatementId, order: AttemptOrder) {
         let statement = id.0 as usize;
         let engine = order.engine.0 as usize;
         let attempt = order.attempt;
-        self.rules.sent(self.now_s, id.0, engine, self.zone(engine));
+        self.rules
+            .attempt_sent(self.now_s, id.0, engine, self.zone(engine));
         self.connections
             .acquire(self.now_s, self.statements[statement].gateway, engine);
         self.measurements.figures.attempts += 1;
@@ -37,20 +39,20 @@
                     Event::AttemptError { statement, attempt },
                 );
             }
-            State::Well | State::Paused | State::Silent => {
-                let due_s = (order.due - moment(0.0)).secs();
+            State::Healthy | State::Paused | State::Silent => {
+                let due_s = (order.due - timestamp(0.0)).secs();
                 self.schedule(due_s, Event::AttemptTimeout { statement, attempt });
                 self.schedule_progress(engine, statement, attempt);
-                self.start_run(engine, statement, attempt);
+                self.start_attempt(engine, statement, attempt);
             }
         }
     }
 
-    /// Starts an attempt's run; a cold engine with too much of it falls over.
-    fn start_run(&mut self, engine: usize, statement: usize, attempt: AttemptNumber) {
+    /// Starts an attempt on its engine. A cold engine that this overloads crashes.
+    fn start_attempt(&mut self, engine: usize, statement: usize, attempt: AttemptNumber) {
         let request = &self.requests[self.statements[statement].request];
         let class = self.classes[request.class].settings;
-        let run = Run {
+        let run = RunningAttempt {
             statement: statement as u64,
             attempt: attempt.0,
             cpu: request.cpu_s,
@@ -58,19 +60,19 @@
             memory_mb: class.memory_mb,
             sent: self.now_s,
         };
-        if self.engines[engine].take(self.now_s, run) {
-            self.rules.fell_over();
-            self.engines[engine].fell += 1;
+        if self.engines[engine].start(self.now_s, run) {
+            self.rules.engine_overloaded();
+            self.engines[engine].crashes += 1;
             self.engines[engine].state = State::Down;
             self.reset_engine(engine);
         }
         self.schedule_engine_tick(engine);
     }
 
-    /// Ends all that an engine runs, and its connections.
+    /// Resets all attempts that an engine runs, and closes its idle connections.
     pub(super) fn reset_engine(&mut self, engine: usize) {
         self.connections.close_idle_to_engine(engine);
-        for run in self.engines[engine].drop_all(self.now_s) {
+        for run in self.engines[engine].take_all(self.now_s) {
             self.end_attempt(
                 run.statement as usize,
                 AttemptNumber(run.attempt),
@@ -79,20 +81,20 @@
         }
     }
 
-    /// Completes the runs that have ended by now.
+    /// Processes the attempts that an engine has completed.
     pub(super) fn tick_engine(&mut self, engine: usize) {
-        for run in self.engines[engine].ended(self.now_s) {
-            self.complete_run(&run);
+        for run in self.engines[engine].take_completed(self.now_s) {
+            self.complete_attempt(&run);
         }
         self.schedule_engine_tick(engine);
     }
 
-    /// Schedules a look at an engine for when its next run ends.
+    /// Schedules the engine's next tick, for when its next attempt completes.
     pub(super) fn schedule_engine_tick(&mut self, engine: usize) {
-        let generation = self.engines[engine].turn;
+        let generation = self.engines[engine].generation;
         if let Some(at_s) = self.engines[engine].next() {
             self.schedule(
-                at_s + ENGINE_TICK_SLACK_S,
+                at_s + ENGINE_TICK_DELAY_S,
                 Event::EngineTick { engine, generation },
             );
         }
@@ -110,7 +112,8 @@
         );
     }
 
-    /// An engine tells the gateway how far an attempt is, as long as it runs.
+    /// Reports the progress of a running attempt to its gateway, and schedules the next report. An
+    /// engine that is not healthy skips the report.
     pub(super) fn report_progress(
         &mut self,
         engine: usize,
@@ -118,25 +121,26 @@
         attempt: AttemptNumber,
     ) {
         self.engines[engine].advance(self.now_s);
-        let Some(run) = self.engines[engine].runs(statement as u64, attempt.0) else {
+        let Some(run) = self.engines[engine].running(statement as u64, attempt.0) else {
             return;
         };
-        let news = AttemptEvent::Progress(self.engines[engine].share(run));
+        let event = AttemptEvent::Progress(self.engines[engine].progress(run));
         let latency = TimeDelta::from_secs(self.now_s - run.sent);
         let in_flight = self.statements[statement].in_flight;
-        let followed =
+        let is_current =
             in_flight.is_some_and(|sent| sent.engine == engine && sent.number == attempt);
-        if followed && self.engines[engine].state == State::Well {
+        if is_current && self.engines[engine].state == State::Healthy {
             let gateway = self.statements[statement].gateway;
             let id = StatementId(statement as u64);
             let front = &mut self.gateways[gateway].front;
-            front.report(moment(self.now_s), id, attempt, news, latency, false);
+            front.report(timestamp(self.now_s), id, attempt, event, latency, false);
         }
         self.schedule_progress(engine, statement, attempt);
     }
 
-    /// A run has ended: its answer reaches the gateway, unless it is lost or nobody waits for it.
-    fn complete_run(&mut self, run: &Run) {
+    /// Delivers the answer of a completed attempt to the gateway, unless the answer is lost or the
+    /// gateway has given the attempt up.
+    fn complete_attempt(&mut self, run: &RunningAttempt) {
         let statement = run.statement as usize;
         let in_flight = self.statements[statement].in_flight;
         let Some(attempt) = in_flight.filter(|sent| sent.number.0 == run.attempt) else {
@@ -151,15 +155,15 @@
             self.rules.answered(self.now_s, run.statement, false);
             self.record_answer(statement, run);
         }
-        let news = AttemptEvent::Completed {
+        let event = AttemptEvent::Completed {
             cpu: Some(TimeDelta::from_secs(run.cpu)),
             memory_mb: Some(run.memory_mb),
         };
-        self.end_attempt(statement, attempt.number, news);
+        self.end_attempt(statement, attempt.number, event);
     }
 
     /// Reports the outcome of an attempt to its gateway, if the attempt is still in flight.
-    pub(super) fn end_attempt(&mut self, index: usize, number: AttemptNumber, news: AttemptEvent) {
+    pub(super) fn end_attempt(&mut self, index: usize, number: AttemptNumber, event: AttemptEvent) {
         let statement = &mut self.statements[index];
         let Some(attempt) = statement
             .in_flight
@@ -168,18 +172,18 @@
             return;
         };
         let (gateway, answered) = (statement.gateway, statement.answered);
-        self.measurements.figures.timed_out += u64::from(news == AttemptEvent::TimedOut);
-        if ends_connection(&news) {
+        self.measurements.figures.timed_out += u64::from(event == AttemptEvent::TimedOut);
+        if ends_connection(&event) {
             self.connections.close(attempt.engine);
         } else {
             self.connections
                 .release(self.now_s, gateway, attempt.engine);
         }
-        self.rules.relay_over(index as u64, may_have_run(&news));
+        self.rules.attempt_ended(index as u64, may_have_run(&event));
         let id = StatementId(index as u64);
         let latency = TimeDelta::from_secs(self.now_s - attempt.sent_s);
         let front = &mut self.gateways[gateway].front;
-        match front.report(moment(self.now_s), id, number, news, latency, answered) {
+        match front.report(timestamp(self.now_s), id, number, event, latency, answered) {
             FollowUp::None | FollowUp::Cancel(_) => {}
             FollowUp::Reject { retry_after } => self.reject(id, retry_after),
             FollowUp::Fail => self.fail(id),
@@ -188,17 +192,18 @@
     }
 }
 
-/// Whether a connection is of no further use after this outcome.
-fn ends_connection(news: &AttemptEvent) -> bool {
+/// Whether an attempt with this outcome closes its connection.
+fn ends_connection(event: &AttemptEvent) -> bool {
     matches!(
-        news,
+        event,
         AttemptEvent::TimedOut | AttemptEvent::Reset | AttemptEvent::Unreachable
     )
 }
 
-fn may_have_run(news: &AttemptEvent) -> bool {
+/// Whether the engine may have run the statement, given the outcome of the attempt.
+fn may_have_run(event: &AttemptEvent) -> bool {
     !matches!(
-        news,
+        event,
         AttemptEvent::Unreachable
             | AttemptEvent::Rejected
             | AttemptEvent::NeverSent
--- a/crates/simulator/src/play/connections.rs
+++ b/crates/simulator/src/play/connections.rs
@@ -1,20 +1,22 @@
-//! Connections between gateways and engines: reused while they are idle, closed after the idle timeout.
+//! Connections between gateways and engines. Idle ones are reused until the idle timeout.
 
 use std::collections::BTreeMap;
 
+/// The connections of all gateways and engines.
 pub(super) struct Connections {
     idle_timeout_s: f64,
-    /// By gateway and engine: since when each idle connection is idle.
+    /// When each idle connection became idle, by gateway and engine.
     idle_since_s: BTreeMap<(usize, usize), Vec<f64>>,
-    /// By engine: its open connections, idle or in use.
+    /// The number of open connections of each engine, idle or in use.
     open: Vec<u64>,
-    /// Connections opened in all.
+    /// The number of connections opened during the run.
     pub(super) handshakes: u64,
-    /// The most that were open at one engine at a time.
+    /// The largest number of connections that were open to one engine at a time.
     pub(super) most_open: u64,
 }
 
 impl Connections {
+    /// `idle_timeout_s` is `None` if idle connections are never closed.
     pub(super) fn new(engines: usize, idle_timeout_s: Option<f64>) -> Self {
         Connections {
             idle_timeout_s: idle_timeout_s.unwrap_or(f64::INFINITY),
@@ -25,7 +27,7 @@
         }
     }
 
-    /// Takes an idle connection into use, or opens one.
+    /// Reuses an idle connection or opens a new one.
     pub(super) fn acquire(&mut self, now_s: f64, gateway: usize, engine: usize) {
         let idle = self.idle_since_s.entry((gateway, engine)).or_default();
         let before = idle.len();
@@ -38,7 +40,7 @@
         self.most_open = self.most_open.max(self.open[engine]);
     }
 
-    /// A connection in use becomes idle.
+    /// Returns a connection that was in use to the idle ones.
     pub(super) fn release(&mut self, now_s: f64, gateway: usize, engine: usize) {
         self.idle_since_s
             .entry((gateway, engine))
@@ -46,7 +48,7 @@
             .push(now_s);
     }
 
-    /// A connection in use is closed.
+    /// Closes a connection that was in use.
     pub(super) fn close(&mut self, engine: usize) {
         self.open[engine] -= 1;
     }
--- a/crates/simulator/src/play/deployment.rs
+++ b/crates/simulator/src/play/deployment.rs
@@ -1,4 +1,5 @@
-//! The emulated deployment: its limits, and the decisions of one gateway built from them and the scenario.
+//! The settings of the emulated deployment, and the construction of a gateway's scheduler from them
+//! and the scenario.
 
 use admission::interface::*;
 use admission::policy::{Policy as AdmissionPolicy, PolicyConfig};
@@ -9,38 +10,39 @@
 use crate::scenario::{self, Scenario};
 
 const MAX_ATTEMPTS: usize = 6;
-const LONGEST_RETRY_AFTER_S: f64 = 0.5;
-/// After an attempt with an unknown outcome, the next statement of its order key waits so long.
+const MAX_RETRY_AFTER_S: f64 = 0.5;
+/// How long the next statement of an order key waits after an attempt with an unknown outcome.
 const ORDERED_PAUSE_S: f64 = 0.5;
 const LIST_REQUEST_PERIOD_S: f64 = 10.0;
-/// A statement may still be sent to a draining engine for so long.
+/// How long statements may still be sent to an engine that is listed as draining.
 const DRAIN_GRACE_S: f64 = 0.25;
-/// An answer may come so long after the deadline.
+/// How late after its deadline a statement may be answered.
 const ANSWER_GRACE_S: f64 = 0.02;
-/// Part of a statement's value that is left when its tenant is over its quota.
-const OVER_ALLOWANCE_VALUE: f64 = 0.05;
-/// The retry budget: so many retries, and this part of the statements accepted, within the window.
-const FREE_RETRIES: f64 = 20.0;
+/// The factor on a statement's priority weight when its tenant is over its quota.
+const OVER_QUOTA_WEIGHT: f64 = 0.05;
+/// The retry budget: the number of retries that is always allowed within the window. Further ones
+/// are allowed in proportion to the statements accepted.
+const MIN_RETRIES: f64 = 20.0;
 const RETRIES_PER_STATEMENT: f64 = 0.25;
 const RETRY_WINDOW_S: f64 = 10.0;
-/// Keeps the random streams of one seed's gateways apart from those of the next.
+/// Separates the random streams of one seed's gateways from those of the next seed.
 const SEED_STRIDE: u64 = 7919;
 
-/// What the rules hold the deployment to.
-pub(super) fn rules() -> rules::Terms {
-    rules::Terms {
+/// The limits that the rules check.
+pub(super) fn rule_limits() -> rules::RuleLimits {
+    rules::RuleLimits {
         drain_grace_s: DRAIN_GRACE_S,
         answer_grace_s: ANSWER_GRACE_S,
-        ration: Some((FREE_RETRIES, RETRIES_PER_STATEMENT, RETRY_WINDOW_S)),
+        retry_budget: Some((MIN_RETRIES, RETRIES_PER_STATEMENT, RETRY_WINDOW_S)),
     }
 }
 
-/// Builds the front of each gateway, at its start and at each restart.
+/// Builds the scheduler of each gateway, at its start and at each restart.
 pub(super) struct FrontFactory<'a> {
     pub(super) scenario: &'a Scenario,
     pub(super) policy: Policy,
-    /// As one gateway is configured.
-    pub(super) queue_terms: Option<scheduler::Config>,
+    /// The queue settings of one gateway. `None` if the scenario has no queues.
+    pub(super) queue_config: Option<scheduler::Config>,
 }
 
 impl FrontFactory<'_> {
@@ -51,7 +53,7 @@
         Front::new(
             self.policy,
             dispatch,
-            self.queue_terms.as_ref(),
+            self.queue_config.as_ref(),
             classes,
             seed,
         )
@@ -73,7 +75,7 @@
     };
     let config = PolicyConfig {
         classes,
-        tenant_quotas: tenancy(scenario),
+        tenant_quotas: tenant_quotas(scenario),
         fleet: engine_fleet(scenario),
         slow_start: Some(cold_start),
         retry_policy: retries(),
@@ -118,21 +120,21 @@
 
 fn retries() -> RetryPolicy {
     let budget = RetryBudget {
-        min_retries: FREE_RETRIES,
+        min_retries: MIN_RETRIES,
         ratio: RETRIES_PER_STATEMENT,
         window: TimeDelta::from_secs(RETRY_WINDOW_S),
     };
     RetryPolicy {
         max_attempts: MAX_ATTEMPTS,
         can_cancel: false,
-        max_retry_after: Some(TimeDelta::from_secs(LONGEST_RETRY_AFTER_S)),
+        max_retry_after: Some(TimeDelta::from_secs(MAX_RETRY_AFTER_S)),
         order_settle: TimeDelta::from_secs(ORDERED_PAUSE_S),
         retry_budget: Some(budget),
     }
 }
 
-/// Quotas in proportion to each tenant's usual traffic, where the scenario has any.
-fn tenancy(scenario: &Scenario) -> TenantQuotas {
+/// Quotas in proportion to each tenant's usual traffic, if the scenario has quotas.
+fn tenant_quotas(scenario: &Scenario) -> TenantQuotas {
     let Some(times) = scenario.allowance_times else {
         return TenantQuotas::default();
     };
@@ -145,6 +147,6 @@
     });
     TenantQuotas {
         quotas: quotas.collect(),
-        over_quota_weight: OVER_ALLOWANCE_VALUE,
+        over_quota_weight: OVER_QUOTA_WEIGHT,
     }
 }
--- a/crates/simulator/src/play/events.rs
+++ b/crates/simulator/src/play/events.rs
@@ -1,4 +1,4 @@
-//! The queue of events in the order of simulated time.
+//! The events of the simulation and their queue.
 
 use std::collections::BTreeMap;
 
@@ -6,18 +6,19 @@
 
 const MICROSECONDS_PER_SECOND: f64 = 1e6;
 
-/// What happens at one moment of simulated time. Gateways, engines, requests, statements and faults are named by
+/// An event of the simulation. Gateways, engines, requests, statements and faults are identified by
 /// their index.
 #[derive(Clone, Debug)]
 pub(super) enum Event {
-    /// A client sends a request, for the first time or once more.
+    /// A client submits a request, for the first time or as a retry.
     Request(usize),
-    /// A gateway looks at its waiting statements; void if the gateway was woken for another time since.
+    /// A gateway processes its waiting statements. Ignored if the gateway's next tick has been
+    /// rescheduled since.
     GatewayTick {
         gateway: usize,
         generation: u64,
     },
-    /// An attempt may have completed; void if the engine's work has changed since.
+    /// An attempt may have completed. Ignored if the engine's running attempts have changed since.
     EngineTick {
         engine: usize,
         generation: u64,
@@ -28,7 +29,7 @@
         statement: usize,
         attempt: AttemptNumber,
     },
-    /// The time of an attempt is over.
+    /// An attempt times out.
     AttemptTimeout {
         statement: usize,
         attempt: AttemptNumber,
@@ -38,7 +39,7 @@
         statement: usize,
         attempt: AttemptNumber,
     },
-    /// A gateway learns a change of the engine list.
+    /// A change of the engine list reaches a gateway.
     EngineListed {
         gateway: usize,
         engine: usize,
@@ -47,13 +48,14 @@
     },
     FaultBegins(usize),
     FaultEnds(usize),
-    /// Gateways exchange what they see of engines.
+    /// Gateways exchange engine health.
     ExchangeHealth,
     /// Tenants' budgets are divided among gateways.
     DivideBudgets,
 }
 
-/// Pending events, by time in microseconds and, within one microsecond, in the order they were scheduled.
+/// Pending events, ordered by time in microseconds. Events of the same microsecond keep the order
+/// in which they were scheduled.
 #[derive(Default)]
 pub(super) struct EventQueue {
     pending: BTreeMap<(i64, u64), Event>,
@@ -67,7 +69,7 @@
         self.pending.insert((at_us, self.scheduled), event);
     }
 
-    /// The next event and its time in seconds.
+    /// Removes the next event and returns it with its time in seconds. `None` if none is pending.
     pub(super) fn pop(&mut self) -> Option<(f64, Event)> {
         let ((at_us, _), event) = self.pending.pop_first()?;
         Some((at_us as f64 / MICROSECONDS_PER_SECOND, event))
--- a/crates/simulator/src/play/gateways.rs
+++ b/crates/simulator/src/play/gateways.rs
@@ -1,4 +1,5 @@
-//! Emulated gateways: their start and end, and what they are told of engines.
+//! Emulated gateways: their start, shutdown and crash, and the engine list updates that they
+//! receive.
 
 use std::collections::BTreeMap;
 
@@ -7,26 +8,27 @@
 use super::events::Event;
 use super::statements::Statement;
 use super::wait_history::WaitHistory;
-use super::{Emulation, moment};
+use super::{Emulation, timestamp};
 use crate::front::Front;
 
-/// A gateway that is stopped in order has so long to finish what it holds.
-const SHUTDOWN_S: f64 = 2.0;
-/// A client whose gateway was killed asks again after this.
-const DEATH_NOTICED_S: f64 = 0.2;
+/// How long a gateway that shuts down gracefully may take to finish its statements.
+const SHUTDOWN_GRACE_S: f64 = 2.0;
+/// How long a client takes to notice that its gateway was killed, and to retry.
+const CRASH_NOTICED_S: f64 = 0.2;
 
+/// An emulated gateway.
 pub(super) struct Gateway {
     pub(super) front: Front,
-    /// Changes of the engine list reach it this late.
+    /// The delay with which changes of the engine list reach this gateway.
     pub(super) list_delay_s: f64,
-    /// Its clients go to the next gateway.
+    /// Whether its clients go to the next gateway instead.
     pub(super) away: bool,
     pub(super) next_tick_s: f64,
-    /// Counts its ticks scheduled, so that only the latest one is followed.
+    /// The number of ticks scheduled so far. Only the latest one is processed.
     pub(super) tick_generation: u64,
-    /// By queue and query class.
+    /// Past waits, by queue and query class.
     pub(super) wait_history: BTreeMap<(u32, usize), WaitHistory>,
-    /// Its own ejections of engines that other gateways were told of, and when each ends.
+    /// Its own ejections of engines as last published to other gateways, and when each ends.
     pub(super) published_ejections: BTreeMap<EngineId, Timestamp>,
 }
 
@@ -45,7 +47,7 @@
 }
 
 impl Emulation<'_> {
-    /// Schedules a gateway's next tick, unless an earlier one is scheduled already.
+    /// Schedules a gateway's next tick at `at_s`, unless an earlier one is already scheduled.
     pub(super) fn wake_gateway(&mut self, gateway: usize, at_s: f64) {
         let woken = &mut self.gateways[gateway];
         if woken.next_tick_s <= at_s {
@@ -63,7 +65,8 @@
         );
     }
 
-    /// The gateway that serves clients of this one: itself, or the next that is not away.
+    /// The gateway that serves the clients of `preferred`: itself, or the next one that is not
+    /// away.
     pub(super) fn serving_gateway(&self, preferred: usize) -> usize {
         let count = self.gateways.len();
         let mut candidates = (0..count).map(|step| (preferred + step) % count);
@@ -72,12 +75,13 @@
             .unwrap_or(preferred)
     }
 
-    /// Ends a gateway in order: its clients go elsewhere, and it has a while to finish what it holds.
+    /// Shuts a gateway down gracefully: its clients go to the next gateway, and it has
+    /// [`SHUTDOWN_GRACE_S`] to finish its statements.
     pub(super) fn stop_gateway(&mut self, gateway: usize) {
-        let end_s = self.now_s + SHUTDOWN_S;
+        let end_s = self.now_s + SHUTDOWN_GRACE_S;
         self.gateways[gateway].away = true;
         if let Some(scheduler) = self.gateways[gateway].front.scheduler() {
-            scheduler.drain_by(moment(end_s));
+            scheduler.drain_by(timestamp(end_s));
         }
         for statement in self.open_statements(gateway) {
             if let Some(attempt) = self.statements[statement].in_flight {
@@ -98,13 +102,13 @@
         }
     }
 
-    /// Kills a gateway with all it holds.
+    /// Kills a gateway. All its statements are lost.
     pub(super) fn kill_gateway(&mut self, gateway: usize) {
         self.gateways[gateway].away = true;
         for statement in self.open_statements(gateway) {
             self.lose_statement(statement);
         }
-        // Its decisions must not go on answering what it held.
+        // A new scheduler replaces the old one, which must not go on answering the lost statements.
         self.gateways[gateway].front = self.fronts.build(self.seed, gateway);
         self.connections.close_idle_of_gateway(gateway);
         if let Some(mesh) = &mut self.health_mesh {
@@ -115,7 +119,7 @@
         }
     }
 
-    /// Starts a gateway that knows nothing of what it knew before.
+    /// Restarts a gateway with empty state.
     pub(super) fn restart_gateway(&mut self, gateway: usize) {
         let seed = self.seed ^ (self.now_s * 1e3) as u64;
         let restarted = &mut self.gateways[gateway];
@@ -133,7 +137,7 @@
         self.usage[gateway].clear();
     }
 
-    /// Statements of a gateway that wait for an answer or for the end of an attempt.
+    /// The statements of a gateway that are not answered yet or have an attempt in flight.
     fn open_statements(&self, gateway: usize) -> Vec<usize> {
         let is_open = |statement: &Statement| !statement.answered || statement.in_flight.is_some();
         let all = self.statements.iter().enumerate();
@@ -141,7 +145,7 @@
         open.map(|(index, _)| index).collect()
     }
 
-    /// A statement dies with its gateway; its client notices, and asks again if it has tries left.
+    /// Ends a statement whose gateway was killed. Its client retries if it has tries and time left.
     fn lose_statement(&mut self, index: usize) {
         let statement = &mut self.statements[index];
         let in_flight = statement.in_flight.take();
@@ -150,32 +154,32 @@
         if let Some(attempt) = in_flight {
             self.connections.close(attempt.engine);
         }
-        self.rules.died(index as u64);
+        self.rules.statement_lost(index as u64);
         if was_answered {
             return;
         }
         self.measurements.figures.died += 1;
-        let noticed_s = self.now_s + DEATH_NOTICED_S;
+        let noticed_s = self.now_s + CRASH_NOTICED_S;
         let client = &self.requests[request];
         if client.tries_left > 0 && noticed_s < client.deadline_s {
             self.schedule(noticed_s, Event::Request(request));
         }
     }
 
-    /// Tells a gateway that starts of all engines that are ready.
+    /// Sends a starting gateway the list of all engines that are ready.
     pub(super) fn send_full_list(&mut self, gateway: usize) {
         let listed = self.listed.iter().enumerate();
         let ready = listed.filter(|(_, entry)| entry.stage == EngineStage::Ready);
-        let facts =
+        let engines =
             ready.map(|(engine, entry)| self.engine_info(engine, entry.stage, entry.started_s));
-        let list = EndpointUpdate::Snapshot(facts.collect());
+        let list = EndpointUpdate::Snapshot(engines.collect());
         self.gateways[gateway]
             .front
-            .on_endpoint_update(moment(self.now_s), &list);
+            .on_endpoint_update(timestamp(self.now_s), &list);
         self.wake_gateway(gateway, self.now_s);
     }
 
-    /// Tells a gateway of one engine's change.
+    /// Sends a gateway the change of one engine.
     pub(super) fn send_list_change(
         &mut self,
         gateway: usize,
@@ -187,9 +191,9 @@
         self.measurements.figures.lists_told += 1;
         self.gateways[gateway]
             .front
-            .on_endpoint_update(moment(self.now_s), &change);
+            .on_endpoint_update(timestamp(self.now_s), &change);
         self.rules
-            .told(self.now_s, gateway, engine, stage == EngineStage::Ready);
+            .engine_listed(self.now_s, gateway, engine, stage == EngineStage::Ready);
         self.wake_gateway(gateway, self.now_s);
     }
 
@@ -201,7 +205,7 @@
             machine: MachineId(0),
             cell: CellId(0),
             stage,
-            started: started_s.map(moment),
+            started: started_s.map(timestamp),
         }
     }
 }
--- a/crates/simulator/src/play/measurements.rs
+++ b/crates/simulator/src/play/measurements.rs
@@ -1,22 +1,22 @@
-//! What a run measures while it goes on.
+//! Measurements that a run collects.
 
-use crate::engine::Run;
-use crate::figures::{Figures, Told};
+use crate::engine::RunningAttempt;
+use crate::figures::{Figures, WaitEstimate};
 
 use super::Emulation;
 
-/// Fairness is judged over spans of this length.
+/// The length of the time spans over which fairness is computed.
 pub(super) const FAIRNESS_SPAN_S: f64 = 5.0;
 
-/// A tenant's claim to the engines.
+/// A tenant with its guarantee and weight.
 pub(super) struct Tenant {
     pub(super) name: String,
-    /// Guaranteed CPU seconds a second.
+    /// The guaranteed CPU seconds per second.
     pub(super) budget: f64,
     pub(super) weight: f64,
 }
 
-/// Of the completed statements of one query class.
+/// Durations of the completed statements of one query class.
 #[derive(Clone, Default)]
 pub(super) struct Durations {
     /// From accepting a statement to sending the attempt that answered it.
@@ -25,15 +25,16 @@
     pub(super) running_s: Vec<f64>,
 }
 
+/// The measurements of one run.
 pub(super) struct Measurements {
     pub(super) figures: Figures,
-    /// Waits that ended, beside their estimates.
-    pub(super) estimates: Vec<Told>,
-    /// By query class.
+    /// Finished waits with their estimates.
+    pub(super) estimates: Vec<WaitEstimate>,
+    /// Durations, by query class.
     pub(super) durations: Vec<Durations>,
-    /// The longest that a statement was passed over.
-    pub(super) longest_passed_s: f64,
-    /// By span and tenant: CPU seconds asked for and served.
+    /// The longest time for which a waiting statement was overtaken by later ones.
+    pub(super) longest_overtaken_s: f64,
+    /// CPU seconds requested and served, by span and tenant.
     pub(super) spans: Vec<Vec<(f64, f64)>>,
     tenants: usize,
 }
@@ -44,21 +45,23 @@
             figures,
             estimates: Vec::new(),
             durations: vec![Durations::default(); classes],
-            longest_passed_s: 0.0,
+            longest_overtaken_s: 0.0,
             spans: Vec::new(),
             tenants,
         }
     }
 
-    /// A tenant asked for so much CPU time.
+    /// Records CPU time that a tenant requested.
     pub(super) fn record_demand(&mut self, now_s: f64, tenant: usize, cpu_s: f64) {
         self.span(now_s, tenant).0 += cpu_s;
     }
 
-    pub(super) fn record_passed(&mut self, passed_s: f64) {
-        self.longest_passed_s = self.longest_passed_s.max(passed_s);
+    /// Records for how long a waiting statement was overtaken by later ones.
+    pub(super) fn record_overtaken(&mut self, overtaken_s: f64) {
+        self.longest_overtaken_s = self.longest_overtaken_s.max(overtaken_s);
     }
 
+    /// The CPU seconds requested and served by a tenant in the current span.
     fn span(&mut self, now_s: f64, tenant: usize) -> &mut (f64, f64) {
         let index = (now_s / FAIRNESS_SPAN_S) as usize;
         while self.spans.len() <= index {
@@ -69,8 +72,8 @@
 }
 
 impl Emulation<'_> {
-    /// A statement has its answer by this run.
-    pub(super) fn record_answer(&mut self, index: usize, run: &Run) {
+    /// Records that this attempt completed a statement.
+    pub(super) fn record_answer(&mut self, index: usize, run: &RunningAttempt) {
         let statement = &self.statements[index];
         let (request, accepted_s) = (statement.request, statement.accepted_s);
         self.measurements.figures.completed += 1;
@@ -80,7 +83,7 @@
         self.record_served(request);
     }
 
-    /// A request has its first answer, in time or late.
+    /// Records the first answer to a request, in time or late. Further ones are ignored.
     fn record_served(&mut self, index: usize) {
         let request = &mut self.requests[index];
         if std::mem::replace(&mut request.served, true) {
@@ -94,19 +97,19 @@
         let (tenant, cpu_s) = (request.tenant, request.cpu_s);
         self.measurements.span(self.now_s, tenant).1 += cpu_s;
         let figures = &mut self.measurements.figures;
-        let counted = figures
+        let totals = figures
             .members
             .entry(self.tenants[tenant].name.clone())
             .or_default();
-        counted.served_in_time += u64::from(in_time);
-        counted.served_late += u64::from(!in_time);
-        counted.service += if in_time {
+        totals.served_in_time += u64::from(in_time);
+        totals.served_late += u64::from(!in_time);
+        totals.service += if in_time {
             settings.priority_weight
         } else {
             late_value
         };
-        counted.cpu_served += cpu_s;
-        let counted = figures.classes.entry(class.name.to_owned()).or_default();
-        counted.served_in_time += u64::from(in_time);
+        totals.cpu_served += cpu_s;
+        let totals = figures.classes.entry(class.name.to_owned()).or_default();
+        totals.served_in_time += u64::from(in_time);
     }
 }
--- a/crates/simulator/src/play/requests.rs
+++ b/crates/simulator/src/play/requests.rs
@@ -1,20 +1,23 @@
-//! Clients' requests of one run, drawn before anything is decided, so that every policy meets the same ones.
+//! The clients' requests of one run. They are drawn before the run, so that every policy gets the
+//! same ones.
 
 use rand::{RngExt, SeedableRng};
 use rand_distr::{Distribution, Exp, StandardNormal};
 use rand_pcg::Pcg64Mcg;
 use scheduler::{QueueResolver, SubQueueId};
 
-use crate::scenario::{ClassSpec, Kind, Scenario, Trouble};
+use crate::scenario::{ClassSpec, Fault, FaultKind, Scenario};
 
-/// Keeps the random streams of one seed apart from those of the next.
+/// Separates the random streams of one seed from those of the next.
 const SEED_STRIDE: u64 = 1_000_003;
-/// Estimates lie in one direction for each table group, as statistics do.
+/// The bias of estimates by table group. An engine's statistics also err in one direction for each
+/// table.
 const TABLE_GROUP_BIAS: [f64; 3] = [0.5, 1.0, 2.0];
-/// Tenants prefer gateways in the same order, each from another start.
+/// The offset between consecutive tenants' most preferred gateways. All tenants rank gateways in
+/// the same cyclic order.
 const PREFERENCE_STEP: usize = 7;
 
-/// A request of a client, the same whatever the policy.
+/// A request of a client, independent of the policy.
 #[derive(Clone, Debug)]
 pub(super) struct Request {
     pub(super) arrival_s: f64,
@@ -29,29 +32,33 @@
     pub(super) order_key: Option<u64>,
     pub(super) tries_left: u32,
     pub(super) deadline_s: f64,
+    /// Whether it has been answered with a result.
     pub(super) served: bool,
 }
 
-/// All requests of a run, in the order of their arrival.
+/// Draws all requests of a run, in order of arrival.
+///
+/// # Errors
+/// Fails if the script or a traffic rate is not valid.
 pub(super) fn draw(
     scenario: &Scenario,
     resolver: Option<&QueueResolver>,
     seed: u64,
 ) -> Result<Vec<Request>, String> {
-    let mut floods = scenario.troubles()?;
-    floods.retain(|(kind, _)| *kind == Kind::Flood);
+    let mut floods = scenario.faults()?;
+    floods.retain(|(kind, _)| *kind == FaultKind::Flood);
     let gateways = GatewayPreference::new(scenario);
     let mut requests = Vec::new();
     let mut queues = 0;
     let mut streams = 0;
     for (tenant, (tenant_name, traffic_by_queue)) in scenario.traffic.iter().enumerate() {
         for (queue_name, traffic) in traffic_by_queue {
-            let found = resolver.map(|known| {
+            let resolved = resolver.map(|known| {
                 known
                     .resolve(Some(tenant_name), Some(queue_name), None)
                     .sub_queue
             });
-            let queue = found.unwrap_or(SubQueueId(queues));
+            let queue = resolved.unwrap_or(SubQueueId(queues));
             queues += 1;
             for (class, (class_name, settings)) in scenario.class.iter().enumerate() {
                 streams += 1;
@@ -67,7 +74,7 @@
                     settings,
                     usual_per_s: traffic.per_s.get(class_name).copied().unwrap_or(0.0),
                     floods: floods
-                        .filter(|flood| concerns(flood, tenant_name, class_name))
+                        .filter(|flood| applies_to(flood, tenant_name, class_name))
                         .collect(),
                 };
                 source.draw(&mut rng, &mut requests)?;
@@ -78,13 +85,13 @@
     Ok(requests)
 }
 
-/// Whether a flood raises the traffic of this tenant and query class.
-fn concerns(flood: &Trouble, tenant: &str, class: &str) -> bool {
+/// Whether a flood applies to the traffic of this tenant and query class.
+fn applies_to(flood: &Fault, tenant: &str, class: &str) -> bool {
     flood.member.as_ref().is_none_or(|name| name == tenant)
         && flood.class.as_ref().is_none_or(|name| name == class)
 }
 
-/// The requests of one query class in one queue of a tenant.
+/// The source of the requests of one query class in one queue of a tenant.
 struct Source<'a> {
     scenario: &'a Scenario,
     gateways: &'a GatewayPreference,
@@ -93,7 +100,7 @@
     class: usize,
     settings: &'a ClassSpec,
     usual_per_s: f64,
-    floods: Vec<&'a Trouble>,
+    floods: Vec<&'a Fault>,
 }
 
 impl Source<'_> {
@@ -111,31 +118,33 @@
             }
             let request = self.request(now_s, rng);
             let rate_per_s =
-                self.rate_under(self.floods.iter().filter(|flood| lasts(flood, now_s)));
-            // Thinned after all draws, so that the usual traffic is the same with and without a flood.
+                self.rate_under(self.floods.iter().filter(|flood| is_active(flood, now_s)));
+            // Requests are drawn at the peak rate and then thinned to the current one. The thinning
+            // draw comes last, so that every candidate request takes the same draws.
             if rng.random::<f64>() * peak_per_s < rate_per_s {
                 requests.push(request);
             }
         }
     }
 
-    /// Requests a second while these floods last.
-    fn rate_under<'f>(&self, floods: impl Iterator<Item = &'f &'f Trouble>) -> f64 {
+    /// Requests per second under these floods, of which the strongest applies.
+    fn rate_under<'f>(&self, floods: impl Iterator<Item = &'f &'f Fault>) -> f64 {
         floods.fold(self.usual_per_s, |most, flood| {
             most.max(self.usual_per_s * flood.times)
         })
     }
 
-    /// One request; the order of the draws is part of what a seed means.
+    /// Draws one request. The order of the draws has to stay, because the requests of a seed depend
+    /// on it.
     fn request(&self, arrival_s: f64, rng: &mut Pcg64Mcg) -> Request {
         let settings = self.settings;
-        let cost: f64 = StandardNormal.sample(rng);
-        let misjudgement: f64 = StandardNormal.sample(rng);
+        let cpu_deviation: f64 = StandardNormal.sample(rng);
+        let estimate_error: f64 = StandardNormal.sample(rng);
         let table_group = rng.random_range(0..settings.table_groups.max(1));
         let gateway = self.gateways.draw(self.tenant, rng);
         let order_key = (settings.keys > 0).then(|| rng.random_range(0..settings.keys.max(1)));
         let spread = settings.cpu_spread;
-        let cpu_s = settings.cpu_ms / 1e3 * (spread * cost - spread * spread / 2.0).exp();
+        let cpu_s = settings.cpu_ms / 1e3 * (spread * cpu_deviation - spread * spread / 2.0).exp();
         let bias = TABLE_GROUP_BIAS[table_group as usize % TABLE_GROUP_BIAS.len()]
             * settings.estimate_times;
         Request {
@@ -145,7 +154,7 @@
             class: self.class,
             gateway,
             cpu_s,
-            estimate_s: cpu_s * bias * (settings.estimate_spread * misjudgement).exp(),
+            estimate_s: cpu_s * bias * (settings.estimate_spread * estimate_error).exp(),
             table_group,
             order_key,
             tries_left: self.scenario.client_tries,
@@ -155,15 +164,17 @@
     }
 }
 
-fn lasts(flood: &Trouble, now_s: f64) -> bool {
+/// Whether a flood is active at this time.
+fn is_active(flood: &Fault, now_s: f64) -> bool {
     flood.at_s <= now_s && now_s < flood.at_s + flood.for_s
 }
 
-/// Which gateways clients connect to: all alike, or mostly a few, in an order of the tenant's own.
+/// The distribution of a tenant's clients over gateways: uniform or, if skewed, by rank in the
+/// tenant's own order.
 struct GatewayPreference {
     count: usize,
     skewed: bool,
-    /// By rank, the sum of the weights up to it.
+    /// The sum of the weights up to and including each rank.
     cumulative_weights: Vec<f64>,
 }
 
--- a/crates/simulator/src/play/statements.rs
+++ b/crates/simulator/src/play/statements.rs
@@ -1,4 +1,4 @@
-//! Statements at gateways: from a client's request to an answer, a rejection or a failure.
+//! Statements at gateways, from a client's request to an answer, a rejection or an error.
 
 use admission::interface::*;
 use dispatch::{Decision, StatementRequest};
@@ -7,18 +7,18 @@
 
 use super::events::Event;
 use super::requests::Request;
-use super::{Emulation, moment};
-use crate::figures::Told;
-use crate::rules::Seen;
+use super::{Emulation, timestamp};
+use crate::figures::WaitEstimate;
+use crate::rules::TrackedStatement;
 
-/// A rejection within so long counts as one at once.
-const REJECTED_AT_ONCE_S: f64 = 0.05;
-/// A client that is told no time asks again after this.
+/// A rejection within this time after accepting a statement counts as immediate.
+const IMMEDIATE_REJECTION_S: f64 = 0.05;
+/// How long a client waits to retry when the rejection names no time.
 const DEFAULT_RETRY_AFTER_S: f64 = 0.1;
-/// A client does not ask again with less than this left.
-const LEAST_TIME_LEFT_S: f64 = 0.05;
+/// A client does not retry when less than this is left until its deadline.
+const MIN_RETRY_TIME_S: f64 = 0.05;
 
-/// A request as one gateway accepted it.
+/// A request that a gateway has accepted.
 pub(super) struct Statement {
     pub(super) request: usize,
     pub(super) gateway: usize,
@@ -36,7 +36,7 @@
 }
 
 impl Emulation<'_> {
-    /// A client sends a request to its gateway, for the first time or once more.
+    /// Submits a client's request to its gateway, for the first time or as a retry.
     pub(super) fn submit(&mut self, index: usize) {
         let request = self.requests[index].clone();
         if request.tries_left == self.scenario.client_tries {
@@ -46,23 +46,26 @@
         self.requests[index].tries_left -= 1;
         let gateway = self.serving_gateway(request.gateway);
         let id = self.accept(index, gateway);
-        let wants = self.wants(&request);
-        let pick = self.gateways[gateway]
-            .front
-            .pick(moment(self.now_s), id, request.queue, &wants);
-        if pick == Decision::Queued {
-            self.record_plain_estimates(gateway, id, request.queue, request.class);
+        let statement_request = self.statement_request(&request);
+        let decision = self.gateways[gateway].front.pick(
+            timestamp(self.now_s),
+            id,
+            request.queue,
+            &statement_request,
+        );
+        if decision == Decision::Queued {
+            self.record_baseline_estimates(gateway, id, request.queue, request.class);
         }
-        self.apply_pick(id, pick);
+        self.apply_decision(id, decision);
         self.wake_gateway(gateway, self.now_s);
     }
 
-    /// Enters a request as a new statement of this gateway.
+    /// Records a request as a new statement of this gateway.
     fn accept(&mut self, index: usize, gateway: usize) -> StatementId {
         let request = &self.requests[index];
         let class = self.classes[request.class].settings;
         let id = StatementId(self.statements.len() as u64);
-        let seen = Seen::new(
+        let tracked = TrackedStatement::new(
             gateway,
             request.deadline_s,
             class.unrepeatable,
@@ -77,11 +80,12 @@
             answered: false,
         });
         self.measurements.figures.statements += 1;
-        self.rules.took(self.now_s, id.0, seen);
+        self.rules.statement_accepted(self.now_s, id.0, tracked);
         id
     }
 
-    fn wants(&self, request: &Request) -> StatementRequest {
+    /// What a gateway knows of a request.
+    fn statement_request(&self, request: &Request) -> StatementRequest {
         StatementRequest {
             class: ClassId(request.class),
             tenant: TenantId(request.tenant),
@@ -94,8 +98,8 @@
         }
     }
 
-    /// Notes what the plain estimators say of a statement that came to wait.
-    fn record_plain_estimates(
+    /// Records the baseline estimates of a statement that has to wait.
+    fn record_baseline_estimates(
         &mut self,
         gateway: usize,
         id: StatementId,
@@ -106,7 +110,7 @@
         let Some(scheduler) = gateway.front.scheduler() else {
             return;
         };
-        let Some(status) = scheduler.statement_status(moment(self.now_s), id) else {
+        let Some(status) = scheduler.statement_status(timestamp(self.now_s), id) else {
             return;
         };
         let history = gateway
@@ -114,13 +118,13 @@
             .get(&(queue.0, class))
             .copied()
             .unwrap_or_default();
-        self.plain_estimates
+        self.baseline_estimates
             .insert(id, history.estimates(status.ahead));
     }
 
-    /// A gateway looks at its waiting statements and releases those that are due.
+    /// Runs a gateway's tick and applies the decisions on the statements that are due.
     pub(super) fn tick_gateway(&mut self, gateway: usize) {
-        let now = moment(self.now_s);
+        let now = timestamp(self.now_s);
         let ticked = &mut self.gateways[gateway];
         ticked.next_tick_s = f64::INFINITY;
         let tick = ticked.front.tick(now);
@@ -130,37 +134,37 @@
         }
         if let Some(scheduler) = self.gateways[gateway].front.scheduler() {
             self.measurements
-                .record_passed(scheduler.longest_passed_over().secs());
+                .record_overtaken(scheduler.longest_passed_over().secs());
         }
-        for (id, pick) in tick.due {
-            self.apply_pick(id, pick);
+        for (id, decision) in tick.due {
+            self.apply_decision(id, decision);
         }
         self.wake_gateway(gateway, self.now_s + tick.wait.secs());
     }
 
-    /// Notes a wait that ended beside what was estimated of it.
+    /// Records a finished wait with its estimates.
     fn record_wait(&mut self, gateway: usize, wait: &FinishedWait) {
         let (queue, class) = (wait.sub_queue.0, wait.class.0);
-        let real_s = wait.actual.secs();
-        self.measurements.estimates.push(Told {
+        let actual_s = wait.actual.secs();
+        self.measurements.estimates.push(WaitEstimate {
             at: self.now_s,
             gateway,
-            desk: queue,
+            queue,
             class,
-            told: wait.estimated.median.secs(),
+            median: wait.estimated.median.secs(),
             p90: wait.estimated.p90.secs(),
-            real: real_s,
-            plain: self.plain_estimates.remove(&wait.id).unwrap_or_default(),
+            actual: actual_s,
+            baselines: self.baseline_estimates.remove(&wait.id).unwrap_or_default(),
         });
         let history = self.gateways[gateway]
             .wait_history
             .entry((queue, class))
             .or_default();
-        history.record(self.now_s, real_s);
+        history.record(self.now_s, actual_s);
     }
 
-    fn apply_pick(&mut self, id: StatementId, pick: Decision) {
-        match pick {
+    fn apply_decision(&mut self, id: StatementId, decision: Decision) {
+        match decision {
             Decision::Queued => {}
             Decision::Forward(order) => self.send_attempt(id, order),
             Decision::Reject { retry_after } => self.reject(id, retry_after),
@@ -168,28 +172,28 @@
         }
     }
 
-    /// Rejects a statement; its client asks again if it has tries and time left.
+    /// Rejects a statement. Its client retries if it has tries and time left.
     pub(super) fn reject(&mut self, id: StatementId, retry_after: Option<TimeDelta>) {
-        self.plain_estimates.remove(&id);
+        self.baseline_estimates.remove(&id);
         self.rules.answered(self.now_s, id.0, true);
         let statement = &mut self.statements[id.0 as usize];
         statement.answered = true;
-        let at_once = self.now_s - statement.accepted_s <= REJECTED_AT_ONCE_S;
+        let immediate = self.now_s - statement.accepted_s <= IMMEDIATE_REJECTION_S;
         self.measurements.figures.denied += 1;
-        self.measurements.figures.denied_at_once += u64::from(at_once);
+        self.measurements.figures.denied_at_once += u64::from(immediate);
         let jitter = self.rng.random_range(1.0..1.2);
         let retry_s =
             self.now_s + retry_after.map_or(DEFAULT_RETRY_AFTER_S, TimeDelta::secs) * jitter;
         let index = statement.request;
         let request = &self.requests[index];
-        if request.tries_left > 0 && retry_s < request.deadline_s - LEAST_TIME_LEFT_S {
+        if request.tries_left > 0 && retry_s < request.deadline_s - MIN_RETRY_TIME_S {
             self.schedule(retry_s, Event::Request(index));
         }
     }
 
-    /// Answers a statement with an error.
+    /// Answers a statement with an error. Its client does not retry.
     pub(super) fn fail(&mut self, id: StatementId) {
-        self.plain_estimates.remove(&id);
+        self.baseline_estimates.remove(&id);
         self.rules.answered(self.now_s, id.0, false);
         self.measurements.figures.scrapped += 1;
         self.statements[id.0 as usize].answered = true;
--- a/crates/simulator/src/play/wait_history.rs
+++ b/crates/simulator/src/play/wait_history.rs
@@ -1,9 +1,10 @@
-//! Plain wait estimators, to compare the estimates of the queues with.
+//! Baseline wait estimators, with which the estimates of the scheduler are compared.
 
-/// Weights of the mean so far and of the new interval.
+/// The weight of the previous value in the exponential moving average of the intervals between
+/// releases.
 const MEAN_WEIGHT: f64 = 0.9;
 const INTERVAL_WEIGHT: f64 = 0.1;
-const LONGEST_INTERVAL_S: f64 = 10.0;
+const MAX_INTERVAL_S: f64 = 10.0;
 
 /// Past waits of one query class in one queue of a gateway.
 #[derive(Clone, Copy, Debug, Default)]
@@ -16,8 +17,8 @@
 }
 
 impl WaitHistory {
-    /// Three estimates of a wait: the last wait, the mean wait, and the statements ahead by the mean time between
-    /// releases.
+    /// Three estimates of a wait in seconds: the last wait, the mean wait, and the statements ahead
+    /// times the mean interval between releases.
     pub(super) fn estimates(&self, statements_ahead: u32) -> [f64; 3] {
         let mean_wait_s = self.total_wait_s / self.count.max(1.0);
         [
@@ -27,9 +28,9 @@
         ]
     }
 
-    /// A statement was released after this wait.
+    /// Records that a statement was released after this wait.
     pub(super) fn record(&mut self, now_s: f64, wait_s: f64) {
-        let interval_s = (now_s - self.last_release_s).min(LONGEST_INTERVAL_S);
+        let interval_s = (now_s - self.last_release_s).min(MAX_INTERVAL_S);
         self.mean_interval_s = if self.count > 0.0 {
             self.mean_interval_s * MEAN_WEIGHT + interval_s * INTERVAL_WEIGHT
         } else {
--- a/crates/simulator/src/plot.rs
+++ b/crates/simulator/src/plot.rs
@@ -1,4 +1,5 @@
-//! Pictures of a run as SVG: told against real waits, waits over time, service by member over time.
+//! Plots of a run as SVG: estimated against actual waits, waits over time, and service by tenant
+//! over time.
 
 use std::path::Path;
 
@@ -6,17 +7,22 @@
 
 use crate::play::Outcome;
 
-type Drawn = Result<(), Box<dyn std::error::Error>>;
+type DrawResult = Result<(), Box<dyn std::error::Error>>;
 
+/// The size of a plot in pixels.
 const SIZE: (u32, u32) = (900, 560);
 
-/// Writes `estimates.svg`, `waits.svg` and `members.svg`.
-pub fn draw(outcome: &Outcome, folder: &Path) -> Drawn {
+/// Writes `estimates.svg`, `waits.svg` and `members.svg` to `folder`, which is created if it does
+/// not exist.
+///
+/// # Errors
+/// Fails if the folder or a file cannot be written.
+pub fn draw(outcome: &Outcome, folder: &Path) -> DrawResult {
     std::fs::create_dir_all(folder)?;
     let longest = outcome
         .told
         .iter()
-        .fold(0.1f64, |most, told| most.max(told.real).max(told.told));
+        .fold(0.1f64, |most, wait| most.max(wait.actual).max(wait.median));
     let path = folder.join("estimates.svg");
     let area = SVGBackend::new(&path, SIZE).into_drawing_area();
     area.fill(&WHITE)?;
@@ -32,13 +38,13 @@
         .y_desc("real wait, s")
         .draw()?;
     chart.draw_series(LineSeries::new([(0.0, 0.0), (longest, longest)], &BLACK))?;
-    // Thinned evenly: a million points are no picture.
-    let every = (outcome.told.len() / 5000).max(1);
+    // Only about 5000 evenly spaced points are drawn, because a plot of a million is unreadable.
+    let step = (outcome.told.len() / 5000).max(1);
     let points = outcome
         .told
         .iter()
-        .step_by(every)
-        .map(|told| Circle::new((told.told, told.real), 2, BLUE));
+        .step_by(step)
+        .map(|wait| Circle::new((wait.median, wait.actual), 2, BLUE));
     chart.draw_series(points)?;
     area.present()?;
 
@@ -60,8 +66,8 @@
     let points = outcome
         .told
         .iter()
-        .step_by(every)
-        .map(|told| Circle::new((told.at, told.real), 2, RED));
+        .step_by(step)
+        .map(|wait| Circle::new((wait.at, wait.actual), 2, RED));
     chart.draw_series(points)?;
     area.present()?;
 
@@ -84,14 +90,14 @@
         .x_desc("simulated s")
         .y_desc("CPU s a second, asked (pale) and served")
         .draw()?;
-    for at in 0..outcome.members.len() {
-        let color = Palette99::pick(at).to_rgba();
-        let line = |of: fn(&(f64, f64)) -> f64| {
+    for tenant in 0..outcome.members.len() {
+        let color = Palette99::pick(tenant).to_rgba();
+        let line = |select: fn(&(f64, f64)) -> f64| {
             let spans = outcome.spans.iter().enumerate();
-            spans.map(move |(no, span)| {
+            spans.map(move |(index, span)| {
                 (
-                    (no as f64 + 0.5) * outcome.span_s,
-                    of(&span[at]) / outcome.span_s,
+                    (index as f64 + 0.5) * outcome.span_s,
+                    select(&span[tenant]) / outcome.span_s,
                 )
             })
         };
--- a/crates/simulator/tests/cases.rs
+++ b/crates/simulator/tests/cases.rs
@@ -1,4 +1,5 @@
-//! The hard cases of waiting work in simulated time, with the real decisions: each by name, some seeds, no rule broken.
+//! The hard cases of waiting work in simulated time, with the real decisions: each by name, some
+//! seeds, no rule broken.
 
 use simulator::figures::Figures;
 use simulator::front::Policy;
--- a/crates/simulator/tests/control.rs
+++ b/crates/simulator/tests/control.rs
@@ -1,4 +1,5 @@
-//! Control traffic by size: the same seed gives the same counts, situations end, fits say what the points are.
+//! Control traffic by size: the same seed gives the same counts, situations end, fits say what the
+//! points are.
 
 use std::time::Duration;
 
--- a/crates/simulator/tests/fleet.rs
+++ b/crates/simulator/tests/fleet.rs
@@ -1,4 +1,5 @@
-//! The hard cases of gateways that know each other, at 20 and 300 in simulated time, over the very code.
+//! The hard cases of gateways that know each other, at 20 and 300 in simulated time, over the very
+//! code.
 
 use std::collections::BTreeSet;
 
--- a/crates/simulator/tests/fleet_bounded.rs
+++ b/crates/simulator/tests/fleet_bounded.rs
@@ -1,12 +1,13 @@
-//! Membership with limits on what it sends, in simulated time: what it takes while much happens at once.
+//! Membership with limits on what it sends, in simulated time: what it takes while much happens at
+//! once.
 
 use membership::{Config, Node, TrafficLimits};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use simulator::mesh::{self, Mesh, gateways};
 
-/// Sent by one gateway a second in the mean, at most, whatever happens: half of 6 KB in both directions together, less some for
-/// leases.
+/// Sent by one gateway a second in the mean, at most, whatever happens: half of 6 KB in both
+/// directions together, less some for leases.
 const MOST_SENT_BYTES_PER_S: f64 = 2_600.0;
 
 fn bounded() -> Config {
--- a/crates/simulator/tests/mass.rs
+++ b/crates/simulator/tests/mass.rs
@@ -1,5 +1,6 @@
-//! Days of three hundred gateways: the shapes of a whole fleet in trouble, with rules checked at every step. What is
-//! harmless in one gateway and hurts in hundreds is counted over all of them: handshakes, connections, lists.
+//! Days of three hundred gateways: the shapes of a whole fleet in trouble, with rules checked at
+//! every step. What is harmless in one gateway and hurts in hundreds is counted over all of them:
+//! handshakes, connections, lists.
 
 use std::path::Path;
 
@@ -71,7 +72,8 @@
     );
 }
 
-/// A third of the engines hang before 222 gateways that see little each: told by others, few lose a statement.
+/// A third of the engines hang before 222 gateways that see little each: told by others, few lose a
+/// statement.
 #[test]
 fn gateways_that_know_each_other_lose_fewer_statements_to_a_hung_third() {
     let mut knowing = scenario("hung-third");
--- a/crates/simulator/tests/shares.rs
+++ b/crates/simulator/tests/shares.rs
@@ -1,5 +1,6 @@
-//! The hard cases of divided budgets at 20 and 300 gateways in simulated time, over the very code: the sum of what all may
-//! spend is looked at every 50 ms, and what was spent in every window of a second.
+//! The hard cases of divided budgets at 20 and 300 gateways in simulated time, over the very code:
+//! the sum of what all may spend is looked at every 50 ms, and what was spent in every window of a
+//! second.
 
 use simulator::parts::{Part, STEP_S, WHOLE, Way, Work, parts, terms, times};
 
@@ -106,7 +107,8 @@
             }
             until(&mut work, 0.95, 30.0);
         }
-        // One change is not felt: leases outlast it. Two within a lease leave floors to some until the second's wait is over.
+        // One change is not felt: leases outlast it. Two within a lease leave floors to some until
+        // the second's wait is over.
         let used = work.in_use();
         assert!(used > 0.55, "{count}: {used}");
         held(&work, "stewards killed");
@@ -229,7 +231,8 @@
 
 #[test]
 fn clocks_at_the_bound_hold_and_beyond_it_they_are_noticed_and_not_leased_to() {
-    // Every clock of a fleet of the lab lies by chance within the bound, see `parts`; here at both its ends.
+    // Every clock of a fleet of the lab lies by chance within the bound, see `parts`; here at both
+    // its ends.
     let mut work = started(20, 10);
     for at in 0..20 {
         work.mesh.peer_mut(at).unwrap().fast_ppm = if at % 2 == 0 { 10_000 } else { -10_000 };
