--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -12,7 +12,7 @@
 
 const NANOS_PER_SECOND: u32 = 1_000_000_000;
 
-/// Attempts to read a clock that returns no valid time.
+/// How often a clock is read before its last valid reading is used instead.
 const MAX_READ_ATTEMPTS: usize = 3;
 
 /// Latest Unix time accepted at a start, in the year 2061. The range of [`Timestamp`] ends a few
@@ -22,7 +22,7 @@
 /// A system clock with its last valid reading.
 struct SystemClock {
     id: clockid_t,
-    /// In nanoseconds.
+    /// The last valid reading in nanoseconds, or 0 before the first one.
     last_valid_nanos: AtomicU64,
 }
 
--- a/crates/gateway/src/cluster/engine_gossip.rs
+++ b/crates/gateway/src/cluster/engine_gossip.rs
@@ -101,8 +101,8 @@
     Some((health.id, health.ejected_until?))
 }
 
-/// Translates the engine's uid, which gateways use among themselves, to this gateway's local id.
-/// Returns `None` for an engine that this gateway does not know.
+/// Converts a report from gossip, which names the engine by its uid, to one with this gateway's
+/// local id. Returns `None` for an engine that this gateway does not know.
 fn outlier_report(outlier: &EngineOutlier, registry: &EngineRegistry) -> Option<OutlierReport> {
     Some(OutlierReport {
         id: registry.id(&outlier.engine)?,
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -201,13 +201,13 @@
     pub discovery_address: SocketAddr,
     /// The endpoint events of the discovery service that are already known.
     pub known_endpoints: EventBatch,
-    /// The settings that all gateways share.
+    /// The settings that are the same at all gateways.
     pub settings: Settings,
 }
 
 impl Config {
-    /// The fields that differ in `other` and that a running gateway cannot apply. It can apply the
-    /// address of the discovery service and the endpoint events.
+    /// Returns the fields that differ in `other` and that a running gateway cannot apply. It can
+    /// apply the address of the discovery service and the endpoint events.
     #[must_use]
     pub fn settings_requiring_restart(&self, other: &Config) -> Vec<&'static str> {
         let fields = [
--- a/crates/gateway/src/counters.rs
+++ b/crates/gateway/src/counters.rs
@@ -47,7 +47,7 @@
     queue_received: "Statements that entered the queues.",
     queue_rejected_at_entry: "Queued statements rejected at entry, because the queue was full \
         or the wait too long.",
-    queue_evicted: "Queued statements rejected in favor of one with higher priority.",
+    queue_evicted: "Queued statements rejected in favor of one that ranks higher.",
     queue_released: "Queued statements that were sent to an engine.",
     queue_rejected_while_waiting: "Queued statements that the scheduling decisions rejected.",
     queue_client_left: "Queued statements whose client disconnected.",
@@ -87,12 +87,13 @@
         force.",
     turns: "Turns, that is iterations, of the event loop.",
     late_turns: "Turns that began over 5 ms after they were due.",
-    busy_ms: "Time in ms that the event loop worked, without waits.",
+    busy_ms: "Time in ms that the event loop worked, without waits. Divided by the accepted \
+        statements, it is the time per statement.",
     log_lines_lost: "Log lines that could not be written.",
     accepts_failed: "Failed accepts, because the connection had already failed or a resource \
         was short.",
     event_loop_failures: "Failed waits of the event loop. All sockets are polled after each one.",
-    panics: "Contained panics, caused by a fault of the gateway or a kernel result that a \
+    panics: "Contained panics. The cause is a fault of the gateway, or a kernel result that a \
         library does not expect.",
 }
 
--- a/crates/gateway/src/lifecycle/acceptor.rs
+++ b/crates/gateway/src/lifecycle/acceptor.rs
@@ -113,7 +113,7 @@
     /// A connection that was accepted but has no session yet, because of a resource shortage. It is
     /// kept for a retry, since the client may have sent a statement already.
     pending_client: Option<AcceptedClient>,
-    /// The maximum number of sessions is open.
+    /// There is no room for a further session, so accepting waits until one closes.
     at_capacity: bool,
     /// When to try again after a resource shortage.
     retry_at: Option<Timestamp>,
--- a/crates/gateway/src/lifecycle/reload.rs
+++ b/crates/gateway/src/lifecycle/reload.rs
@@ -34,7 +34,7 @@
 }
 
 impl Lifecycle {
-    /// Reloads the files. The phase does not matter.
+    /// Starts to reload the files, in any phase.
     pub(super) fn reload(&mut self, now: Timestamp) {
         self.pending_reload = None;
         self.try_reload(now, now + RETRY_TIMEOUT);
@@ -123,7 +123,7 @@
         Ok(())
     }
 
-    /// Applies the operator's file, either all of it or nothing. Features cannot be enabled or
+    /// Applies the operator's file. An invalid file changes nothing. Features cannot be enabled or
     /// disabled, because sessions learned at their start which ones are on.
     fn reload_operator_file(&mut self, now: Timestamp) -> Result<(), ConfigError> {
         let Some(path) = self.operator_settings.file.clone() else {
@@ -154,8 +154,8 @@
         }
     }
 
-    /// Applies the budgets by name. The lease duration, the voters and the maximum number of
-    /// gateways change only when all gateways restart.
+    /// Applies the budgets, which are matched by name. The lease duration, the voters and the
+    /// maximum number of gateways change only when all gateways restart.
     fn reload_shares(&mut self, operator_settings: &OperatorSettings) {
         let tenants = operator_settings.tenant_names();
         let leases = self
--- a/crates/gateway/src/lifecycle/start.rs
+++ b/crates/gateway/src/lifecycle/start.rs
@@ -38,7 +38,7 @@
 /// these and the clients leave.
 const RESERVED_DESCRIPTORS: usize = 24;
 
-/// Fraction of the memory limit for incomplete requests, over all clients.
+/// Fraction of the memory limit that incomplete requests of all clients together may use.
 const UNREAD_MEMORY_FRACTION: f64 = 0.1;
 
 const BYTES_PER_MB: f64 = (1 << 20) as f64;
--- a/crates/gateway/src/lifecycle/start_retry.rs
+++ b/crates/gateway/src/lifecycle/start_retry.rs
@@ -37,7 +37,7 @@
 /// The retry policy of one start.
 #[derive(Clone)]
 pub struct StartRetry {
-    /// When to give up, on the monotonic clock.
+    /// When to give up, as a time on the monotonic clock.
     give_up_at: Duration,
     /// A termination signal ends the retries. `None` before signals can be read.
     signals: Option<Rc<SignalReceiver>>,
--- a/crates/gateway/src/log_output.rs
+++ b/crates/gateway/src/log_output.rs
@@ -136,8 +136,8 @@
     Err(Errno::INTR)
 }
 
-/// Whether a write may block because a pipe or a socket is full. Returns false when the kernel
-/// cannot tell.
+/// Whether a write may block because standard error is a full pipe or socket. Returns false when
+/// this cannot be determined.
 fn may_block(stderr: BorrowedFd<'_>) -> bool {
     let has_reader = rustix::fs::fstat(stderr).is_ok_and(|status| {
         let file_type = FileType::from_raw_mode(status.st_mode);
--- a/crates/gateway/src/socket.rs
+++ b/crates/gateway/src/socket.rs
@@ -1,7 +1,8 @@
 //! A non-blocking TCP socket with its buffers, and the events that the event loop reports.
 //!
 //! A socket is registered once, edge-triggered, for both directions. The handler of its event must
-//! read until nothing is left. Data is written as soon as it is enqueued and flushed.
+//! read until nothing is left. Writes do not wait for an event: they are tried whenever there is
+//! data.
 
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -57,7 +58,8 @@
 /// A handle of the event loop, used to register event sources.
 pub type EventLoopHandle = LoopHandle<'static, LoopEvents>;
 
-/// Size of one read from the kernel, and the largest write buffer that an idle socket keeps.
+/// Size in bytes of one read from the kernel, and of the largest write buffer that an idle socket
+/// keeps.
 const CHUNK_BYTES: usize = 16 << 10;
 
 /// Delay before a transfer is repeated that failed because the kernel lacked buffers. No event
@@ -72,7 +74,7 @@
     /// `None` once the socket is dropped.
     registration: Option<RegistrationToken>,
     event_loop: EventLoopHandle,
-    /// Received data that was not processed yet. The user bounds its size through
+    /// Received data that was not processed yet. The caller bounds its size through
     /// [`read_up_to`](Self::read_up_to).
     pub read_buffer: BytesMut,
     write_buffer: BytesMut,
--- a/crates/gateway/src/socket_queries.rs
+++ b/crates/gateway/src/socket_queries.rs
@@ -1,8 +1,8 @@
 //! Queries to the kernel about sockets, which accept results of any length.
 //!
 //! The length of such a result differs between versions of Linux. Libraries that make these queries
-//! assert the length that they were built for, and with another version the gateway ended at its
-//! first connection. The queries are therefore made here, and a result that is too short for the
+//! assert the length that they were built for, which made the gateway panic at its first connection
+//! on another version. The queries are therefore made here, and a result that is too short for the
 //! wanted field counts as missing.
 
 use std::io;
@@ -53,11 +53,11 @@
     }
 }
 
-/// Returns and clears the pending error of a connection. When the kernel returns no value, the
-/// connection counts as good, and an error shows when it is used.
+/// Checks a connection for a pending error, and clears the error. When the kernel returns no value,
+/// the connection counts as good, and the next read or write reports the error.
 ///
 /// # Errors
-/// The connection's error, or the query failed.
+/// Returns the connection's error, or the error of the query.
 pub fn take_connection_error(stream: &TcpStream) -> io::Result<()> {
     let value = OptionValue::read(stream.as_fd(), libc::SOL_SOCKET, libc::SO_ERROR)?;
     match value.bytes_at(0).map_or(0, i32::from_ne_bytes) {
