--- a/crates/gateway/src/clients/input.rs
+++ b/crates/gateway/src/clients/input.rs
@@ -39,8 +39,8 @@
         Ok(false)
     }
 
-    /// Whether the next turn should continue with this session. A blocked session continues when
-    /// its response is given or when its client has read enough instead.
+    /// Whether the next turn should continue with this session. A blocked session is not continued
+    /// then, but when its response is given or its client has read enough.
     fn has_more_work(&self) -> bool {
         let can_read =
             self.socket.may_have_more() && self.socket.read_buffer.len() < MAX_READ_BUFFER_BYTES;
@@ -67,9 +67,8 @@
         }
     }
 
-    /// Reads from the socket, processes complete packets until one is left waiting for a response
-    /// or the limit per turn is reached, and then writes. Removes the session if the connection
-    /// fails.
+    /// Reads from the socket, processes complete packets until a response is pending or the limit
+    /// per turn is reached, and then writes. Removes the session if the connection fails.
     pub(super) fn process(&mut self, now: Timestamp, id: SessionId, counters: &mut Counters) {
         let received = self.read(id).and_then(|()| self.detect_client_end(now, id));
         if let Err(error) = received {
--- a/crates/gateway/src/clients/timeouts.rs
+++ b/crates/gateway/src/clients/timeouts.rs
@@ -18,7 +18,7 @@
 /// much longer has been forgotten by its client.
 const IDLE_TIMEOUT_S: f64 = 30.0;
 
-/// How long a client may read nothing of a pending response before it counts as stalled.
+/// How long a client may read nothing of a response before it counts as stalled.
 const UNREAD_RESPONSE_TIMEOUT_S: f64 = 10.0;
 
 /// How long a client may take to read its last response and close before the socket is closed.
--- a/crates/gateway/src/command/arguments.rs
+++ b/crates/gateway/src/command/arguments.rs
@@ -1,4 +1,4 @@
-//! The command line's arguments. Their comments are the help that clap prints.
+//! The command-line arguments. Clap prints their doc comments as the program's help.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -7,7 +7,7 @@
 
 use crate::credentials;
 
-/// A front for query engines with limited memory.
+/// A gateway with admission control for query engines with limited memory.
 #[derive(Debug, Parser)]
 #[command(name = "laurelhitch", version)]
 pub struct CommandLine {
@@ -19,10 +19,10 @@
 
 #[derive(Args, Debug)]
 pub struct Common {
-    /// The operator's file (HCL); without one all of its subsystems are off.
+    /// The operator's file (HCL). Without it, all subsystems that it configures are off.
     #[arg(long, env = "LAURELHITCH_OPERATOR", global = true)]
     pub operator: Option<PathBuf>,
-    /// The form of the log on standard error.
+    /// The format of the log on standard error.
     #[arg(long, value_enum, default_value_t = LogFormat::Text, global = true)]
     pub log_format: LogFormat,
 }
@@ -35,68 +35,64 @@
 
 #[derive(Debug, Subcommand)]
 pub enum Command {
-    /// Serves, with the configuration that RELAY_CONFIG names.
+    /// Runs the gateway with the configuration file that RELAY_CONFIG names. This is the default.
     Serve,
-    /// Reads the operator's file and the configuration, and prints what would be in force.
+    /// Checks the configuration and the operator's file, and prints the resulting settings.
     Check {
-        /// The configuration; without it, that of RELAY_CONFIG.
+        /// The configuration file. Without it, the one that RELAY_CONFIG names.
         config: Option<PathBuf>,
     },
-    /// Asks a running gateway what waits.
+    /// Prints the desks of a running gateway with the statements that wait in them.
     Queue {
         address: SocketAddr,
-        /// Only this member's desks.
+        /// Print only the desks of this member.
         #[arg(long)]
         member: Option<String>,
-        /// One statement, by its id.
+        /// Print only the statement with this request id.
         #[arg(long, conflicts_with = "member")]
         rid: Option<String>,
+        /// Print JSON instead of a table.
         #[arg(long)]
         json: bool,
     },
-    /// Asks a running gateway which others it knows, and how they agree.
+    /// Prints the other gateways that a running gateway knows, and whether their views agree.
     Fleet {
         address: SocketAddr,
+        /// Print JSON instead of a table.
         #[arg(long)]
         json: bool,
     },
-    /// Asks a running gateway what it holds of the budgets of all, and the steward who holds how much.
+    /// Prints the parts of the fleet's budgets that a running gateway holds and, if it is the
+    /// steward, those that each gateway holds.
     Shares {
         address: SocketAddr,
+        /// Print JSON instead of a table.
         #[arg(long)]
         json: bool,
     },
-    /// The folder of the fleet's keys.
+    /// Manages the folder of the fleet's keys.
     #[command(subcommand)]
     FleetKeys(FleetKeys),
-    /// The folder of signing keys.
+    /// Manages the folder of signing keys for tokens.
     #[command(subcommand)]
     Keys(credentials::Keys),
-    /// Tokens of callers.
+    /// Issues, shows, verifies and revokes tokens.
     #[command(subcommand)]
     Token(credentials::Token),
-    /// Prints completions for a shell.
+    /// Prints a completion script for a shell.
     Completions { shell: clap_complete::Shell },
 }
 
 #[derive(Debug, Subcommand)]
 pub enum FleetKeys {
-    /// Makes a key that is accepted from the next reading on; the first of a folder signs.
-    Add {
-        folder: PathBuf,
-        name: String,
-    },
-    /// From the next reading on this one signs: first let every gateway accept it.
-    Sign {
-        folder: PathBuf,
-        name: String,
-    },
-    /// Takes a key away that signs nowhere any more.
-    Remove {
-        folder: PathBuf,
-        name: String,
-    },
-    List {
-        folder: PathBuf,
-    },
+    /// Generates a key, which gateways accept once they have read the folder again. The first key
+    /// of a folder becomes the signing key.
+    Add { folder: PathBuf, name: String },
+    /// Makes a key the signing key once gateways have read the folder again. Every gateway must
+    /// accept the key before.
+    Sign { folder: PathBuf, name: String },
+    /// Removes a key. No gateway may still sign with it.
+    Remove { folder: PathBuf, name: String },
+    /// Lists the accepted keys and marks the signing key.
+    List { folder: PathBuf },
 }
--- a/crates/gateway/src/command/check.rs
+++ b/crates/gateway/src/command/check.rs
@@ -1,4 +1,5 @@
-//! `laurelhitch check`: what the configuration and the operator's file would put in force.
+//! `laurelhitch check`: validates the configuration and the operator's file, and prints the
+//! settings that a gateway would use with them.
 
 use std::path::{Path, PathBuf};
 
@@ -12,7 +13,8 @@
 use crate::config::{Config, Operated};
 use crate::service::NETWORK_DELAY;
 
-/// Reads both files and prints them by sections.
+/// Reads both files and prints their settings section by section. Fails if either file is invalid
+/// or cannot be read.
 pub(super) fn check(operator: Option<PathBuf>, config: Option<PathBuf>) -> CommandResult {
     let path = config_path(config)?;
     let config = Config::read(&path)?;
@@ -23,8 +25,8 @@
             format!("operator's file {}", path.display())
         });
     let operated = Operated::read(operator, &config)?;
-    if let Some((name, terms)) = &operated.fleet {
-        print_fleet(&file, name, terms)?;
+    if let Some((name, membership)) = &operated.fleet {
+        print_fleet(&file, name, membership)?;
     }
     if let Some(shares) = &operated.shares {
         print_shares(&file, shares)?;
@@ -55,27 +57,27 @@
     Ok(())
 }
 
-fn print_fleet(file: &str, name: &Name, terms: &MembershipConfig) -> CommandResult {
-    let keys = key_folder::read(&terms.keys_folder)?;
+fn print_fleet(file: &str, name: &Name, membership: &MembershipConfig) -> CommandResult {
+    let keys = key_folder::read(&membership.keys_folder)?;
     print_line(&format!(
         "{file}: fleet {} is on; this is {name}, bound to {}, reached at {}",
-        terms.fleet, terms.bind, terms.advertise
+        membership.fleet, membership.bind, membership.advertise
     ))?;
-    let seeds: Vec<String> = terms.seeds.iter().map(ToString::to_string).collect();
+    let seeds: Vec<String> = membership.seeds.iter().map(ToString::to_string).collect();
     print_line(&format!(
         "  seeds {}; {} keys accepted",
         seeds.join(", "),
         keys.accepted_keys().count()
     ))?;
-    let paces = &terms.protocol;
+    let protocol = &membership.protocol;
     print_line(&format!(
         "  probes each {} s, answers within {} s, {} helpers; hearsay counts from {} gateways on",
-        paces.probe_period.secs(),
-        paces.probe_timeout.secs(),
-        paces.indirect_probes,
-        paces.required_witnesses()
+        protocol.probe_period.secs(),
+        protocol.probe_timeout.secs(),
+        protocol.indirect_probes,
+        protocol.required_witnesses()
     ))?;
-    if let Some(limits) = &paces.traffic_limits {
+    if let Some(limits) = &protocol.traffic_limits {
         print_line(&format!(
             "  bounded: {} confirmations, {} verifiers, {} direct probes a period, {} bytes a second of gossip and {} of tables",
             limits.confirmations,
--- a/crates/gateway/src/command/fleet_keys.rs
+++ b/crates/gateway/src/command/fleet_keys.rs
@@ -1,4 +1,5 @@
-//! `laurelhitch fleet-keys`: the folder of keys by which gateways know each other's datagrams.
+//! `laurelhitch fleet-keys`: manages the folder of keys with which gateways authenticate each
+//! other's datagrams.
 
 use std::fs;
 use std::path::Path;
@@ -11,7 +12,7 @@
 
 const KEY_BYTES: usize = 32;
 
-/// Changes or lists the keys of a folder.
+/// Runs a `laurelhitch fleet-keys` command.
 pub(super) fn fleet_keys(command: FleetKeys) -> CommandResult {
     match command {
         FleetKeys::Add { folder, name } => add(&folder, &name),
@@ -26,7 +27,7 @@
     let random = rustls::crypto::ring::default_provider().secure_random;
     random
         .fill(&mut *key)
-        .map_err(|_| "the machine gives no random bytes")?;
+        .map_err(|_| "cannot get random bytes from the operating system")?;
     fs::create_dir_all(folder)?;
     key_folder::add(folder, name, &key)?;
     Ok(())
--- a/crates/gateway/src/command/mod.rs
+++ b/crates/gateway/src/command/mod.rs
@@ -1,4 +1,5 @@
-//! The program's sub-commands. Without one it serves, so that operators' old command lines go on working.
+//! The program's subcommands. Without one, the program runs `serve`, so that command lines from
+//! before subcommands existed keep working.
 
 mod arguments;
 mod check;
@@ -18,16 +19,17 @@
 use crate::config::ConfigError;
 use crate::credentials;
 
-/// The environment's name of the configuration.
+/// The environment variable that holds the path of the configuration file.
 const CONFIG_VARIABLE: &str = "RELAY_CONFIG";
 
-/// What a sub-command ends with; the error is the one line that its user reads.
+/// The result of a subcommand. The error is printed to the user as a single line.
 type CommandResult = Result<(), Box<dyn Error>>;
 
-/// Runs what the command line asks for.
+/// Runs the subcommand of a command line.
 ///
 /// # Errors
-/// The sub-command failed: a file cannot be used, or a gateway does not answer.
+/// Fails if the subcommand does, for example because a file is invalid or a gateway does not
+/// answer.
 pub fn run(line: CommandLine) -> CommandResult {
     let Common {
         operator,
@@ -53,13 +55,14 @@
 
 fn print_completions(shell: Shell) -> CommandResult {
     let mut command = CommandLine::command();
-    // The library panics where what it writes to fails.
+    // `generate` panics if writing fails, so it writes to memory first.
     let mut script = Vec::new();
     clap_complete::generate(shell, &mut command, "laurelhitch", &mut script);
     Ok(output::print(&String::from_utf8(script)?)?)
 }
 
-/// The configuration named on the command line, or else by the environment.
+/// The path of the configuration file from the command line or, without one there, from
+/// `RELAY_CONFIG`. Fails if neither names a file.
 fn config_path(named: Option<PathBuf>) -> Result<PathBuf, ConfigError> {
     named
         .or_else(|| std::env::var_os(CONFIG_VARIABLE).map(PathBuf::from))
--- a/crates/gateway/src/command/output.rs
+++ b/crates/gateway/src/command/output.rs
@@ -1,12 +1,12 @@
-//! What sub-commands print. Output that cannot be written is an error of the command, or its end where its reader has read
-//! enough: `laurelhitch queue ADDRESS | head -1`.
+//! Prints the output of subcommands. A failed write is an error of the command, except when the
+//! reader of a pipe has closed it, as in `laurelhitch queue ADDRESS | head -1`.
 
 use std::io::{self, ErrorKind, Write};
 
-/// Prints text as it is.
+/// Prints text without a line feed.
 ///
 /// # Errors
-/// Standard output cannot be written.
+/// Fails if standard output cannot be written, unless it is a pipe that the reader has closed.
 pub(crate) fn print(text: &str) -> io::Result<()> {
     let mut stdout = io::stdout().lock();
     let printed = stdout
@@ -18,10 +18,10 @@
     }
 }
 
-/// Prints a line.
+/// Prints text followed by a line feed.
 ///
 /// # Errors
-/// Standard output cannot be written.
+/// Fails if standard output cannot be written, unless it is a pipe that the reader has closed.
 pub(crate) fn print_line(line: &str) -> io::Result<()> {
     print(&format!("{line}\n"))
 }
--- a/crates/gateway/src/command/query.rs
+++ b/crates/gateway/src/command/query.rs
@@ -1,4 +1,5 @@
-//! What a running gateway is asked, as a client of it: its queues, its fleet and its shares.
+//! `laurelhitch queue`, `fleet` and `shares`: connect to a running gateway as a client and print
+//! its answer to a `SHOW` query.
 
 use std::error::Error;
 use std::net::SocketAddr;
@@ -11,7 +12,7 @@
 
 type Rows = Vec<Vec<String>>;
 
-/// `laurelhitch queue`: all sub-queues, or those of one tenant, or one statement.
+/// `laurelhitch queue`: prints all sub-queues, the sub-queues of one tenant, or one statement.
 pub(super) fn queue(
     address: SocketAddr,
     tenant: Option<&str>,
@@ -32,23 +33,24 @@
     print_table(columns, &rows, format)
 }
 
-/// `laurelhitch fleet`.
+/// `laurelhitch fleet`: prints the other gateways that a gateway knows.
 pub(super) fn fleet(address: SocketAddr, format: OutputFormat) -> CommandResult {
     let if_off = "knows no other gateways: its fleet is off";
     let rows = show(address, "SHOW FLEET", if_off)?;
     print_table(&status::FLEET_COLUMNS, &rows, format)
 }
 
-/// `laurelhitch shares`.
+/// `laurelhitch shares`: prints the quotas that a gateway knows.
 pub(super) fn shares(address: SocketAddr, format: OutputFormat) -> CommandResult {
     let if_off = "divides no budgets: its shares are off";
     let rows = show(address, "SHOW SHARES", if_off)?;
     print_table(&status::QUOTA_COLUMNS, &rows, format)
 }
 
-/// The rows that a gateway answers with.
+/// Sends a query to a gateway and returns the rows of its answer.
 ///
-/// `if_off`: what is wrong where it answers with an error, as one does where the subsystem is off.
+/// Fails if the gateway cannot be reached or answers with anything else. A gateway answers with an
+/// error if the subsystem is off, so `if_off` is the message for every error answer.
 fn show(address: SocketAddr, query: &str, if_off: &str) -> Result<Rows, Box<dyn Error>> {
     match Client::login(address)?.ask(query)? {
         Answer::Rows(rows) => Ok(rows),
--- a/crates/gateway/src/command/serve.rs
+++ b/crates/gateway/src/command/serve.rs
@@ -1,4 +1,4 @@
-//! `laurelhitch serve`.
+//! `laurelhitch serve`: runs the gateway.
 
 use std::error::Error;
 use std::fmt;
@@ -16,19 +16,20 @@
 use crate::log_time::UtcTime;
 use crate::panic_containment::{self, Panicked};
 
-/// The environment's name of the log's level.
+/// The environment variable that holds the log level.
 const LOG_VARIABLE: &str = "LAURELHITCH_LOG";
 const DEFAULT_LOG_LEVEL: &str = "info";
 
-/// Serves until SIGTERM.
+/// Runs the gateway until SIGTERM.
 pub(super) fn serve(operator: Option<PathBuf>, format: LogFormat) -> CommandResult {
-    // Before all else: a signal that comes while the program still starts waits.
+    // Set up signals first, so that a signal during startup stays pending until it can be handled.
     let retry = StartRetry::begin();
     let signals = Rc::new(retry.run("signals", |_| true, SignalReceiver::new)?);
     let retry = retry.until_terminated(signals.clone());
     panic_containment::log_panics();
-    // Nothing is taken before the start's end, so one that panics may begin anew.
-    let started = retry.run("start", StartFailure::passes_by_itself, || {
+    // No connection is accepted before the start is complete, so a start that panics can be
+    // retried.
+    let started = retry.run("start", StartFailure::is_transient, || {
         let start = || start(operator.clone(), format, signals.clone(), &retry);
         match panic_containment::contain(start) {
             Ok(result) => result.map_err(StartFailure::Failed),
@@ -37,22 +38,24 @@
     });
     match started {
         Ok(gateway) => Ok(gateway.run()?),
-        // Told to end while it waited for the machine: it has taken nothing, and owes nothing.
+        // Terminated while the start was being retried. No client is waiting for a response.
         Err(_) if signals.is_termination_pending() => Ok(()),
         Err(StartFailure::Failed(error)) => Err(error),
         Err(StartFailure::Panicked(panicked)) => Err(panicked.into()),
     }
 }
 
-/// Why a start brought no gateway.
+/// Why the gateway could not be started.
 enum StartFailure {
-    /// Its own retries are over.
+    /// A step of the start failed for good, or still failed after its own retries.
     Failed(Box<dyn Error>),
+    /// The start panicked.
     Panicked(Panicked),
 }
 
 impl StartFailure {
-    fn passes_by_itself(&self) -> bool {
+    /// Whether the start may be retried as a whole.
+    fn is_transient(&self) -> bool {
         matches!(self, StartFailure::Panicked(_))
     }
 }
@@ -91,10 +94,10 @@
         .with_env_filter(level)
         .with_timer(UtcTime)
         .with_writer(|| LogWriter)
-        // The library would print its own errors, and panic where that fails.
+        // Otherwise the library prints its own errors to standard error, and panics if that fails.
         .log_internal_errors(false)
         .with_ansi(false);
-    // A start that begins anew finds its log there.
+    // In a retried start the log is already set up, and `try_init` fails.
     let _ = match format {
         LogFormat::Text => log.try_init(),
         LogFormat::Json => log.json().try_init(),
--- a/crates/gateway/src/command/table.rs
+++ b/crates/gateway/src/command/table.rs
@@ -1,24 +1,25 @@
-//! Rows as a table for people, or as JSON for programs.
+//! Prints rows as a text table or as JSON.
 
 use serde_json::{Map, Value, json};
 
 use super::CommandResult;
 use super::output::{print, print_line};
 
-/// Columns of names, to the left; those after them hold numbers, to the right.
+/// The number of leading columns that hold names and are aligned left. The columns after them hold
+/// numbers and are aligned right.
 const NAME_COLUMNS: usize = 2;
 
-/// How a table is printed.
+/// The output format of a table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum OutputFormat {
-    /// Aligned columns below their names.
+    /// Aligned columns with a header line.
     Text,
-    /// An array of objects.
+    /// An array with one object per row.
     Json,
 }
 
 impl From<bool> for OutputFormat {
-    /// The flag `--json`.
+    /// Converts the flag `--json`.
     fn from(json: bool) -> Self {
         if json {
             OutputFormat::Json
@@ -28,10 +29,10 @@
     }
 }
 
-/// Prints rows of as many cells as there are columns.
+/// Prints a table. Each row has one cell per column.
 ///
 /// # Panics
-/// If a row has fewer cells.
+/// Panics in the text format if a row has fewer cells than there are columns.
 pub(super) fn print_table(
     columns: &[&str],
     rows: &[Vec<String>],
@@ -56,7 +57,7 @@
     Value::Object(fields.collect::<Map<_, _>>())
 }
 
-/// A number where the cell is one, else its text.
+/// Converts a cell to a JSON number if it parses as one, and to a string otherwise.
 fn json_value(cell: &str) -> Value {
     match cell.parse::<f64>() {
         Ok(number) => json!(number),
--- a/crates/gateway/src/credentials/keys.rs
+++ b/crates/gateway/src/credentials/keys.rs
@@ -1,4 +1,4 @@
-//! `laurelhitch keys`: the folder of signing keys.
+//! `laurelhitch keys`: manages the folder of signing keys.
 
 use std::error::Error;
 use std::fs;
@@ -14,38 +14,42 @@
 
 #[derive(Debug, Subcommand)]
 pub enum Keys {
-    /// Makes a pair: ID.key, readable by its owner alone, and ID.pub. It signs nothing until announced.
+    /// Generates a key pair: ID.key, readable only by its owner, and ID.pub. Tokens that it signs
+    /// are not accepted before it is announced.
     New { folder: PathBuf, id: String },
-    /// The keys of the index, and where each stands now.
+    /// Lists the keys of the index with their current states.
     List { folder: PathBuf },
-    /// Lists a key: it is known from now on, and signs later.
+    /// Adds a key to the index, so that gateways know it before it starts to sign.
     Announce {
         folder: PathBuf,
         id: String,
-        /// Longer than files take to reach every gateway.
+        /// Seconds until the key may sign. Use more than the files take to reach every gateway.
         #[arg(long, default_value_t = 60.0)]
         signs_in_s: f64,
     },
-    /// It signs nothing new from then on; what it signed holds.
+    /// Stops a key from signing new tokens. Tokens that it has signed stay valid.
     Retire {
         folder: PathBuf,
         id: String,
+        /// Seconds until the key retires.
         #[arg(long, default_value_t = 0.0)]
         in_s: f64,
     },
-    /// Nothing that it signed holds from then on. This cannot be taken back.
+    /// Invalidates a key and every token that it has signed. This cannot be undone.
     Withdraw {
         folder: PathBuf,
         id: String,
+        /// Seconds until the key is withdrawn.
         #[arg(long, default_value_t = 0.0)]
         in_s: f64,
     },
 }
 
-/// Runs one command on a folder of keys.
+/// Runs a `laurelhitch keys` command.
 ///
 /// # Errors
-/// The id, the folder or its index cannot be used, or the step is not allowed to the key.
+/// Fails if the id, the folder or its index is invalid or not accessible, or if the key's lifecycle
+/// does not allow the change.
 pub fn keys(command: Keys) -> CommandResult {
     match command {
         Keys::New { folder, id } => create(&folder, &key_id(id)?),
@@ -91,7 +95,7 @@
 fn announce(folder: &Path, id: KeyId, signs_in_s: f64) -> CommandResult {
     let public_path = keyfiles::public_path(folder, &id);
     if !public_path.exists() {
-        return Err(format!("{}: make it first", public_path.display()).into());
+        return Err(format!("{}: create the key first", public_path.display()).into());
     }
     update_index(folder, |index| {
         if index.keys.iter().any(|key| key.id == id) {
@@ -111,8 +115,8 @@
 
 fn retire(folder: &Path, id: &KeyId, in_s: f64) -> CommandResult {
     update_index(folder, |index| {
-        let key = find(index, id)?;
-        // A key does not retire before it signs.
+        let key = find_key(index, id)?;
+        // A key cannot retire before the time from which it signs.
         let earliest_s = key.signing_s.unwrap_or(0.0);
         key.retired_s = Some((unix_now_s() + in_s).max(earliest_s));
         Ok(())
@@ -121,9 +125,9 @@
 
 fn withdraw(folder: &Path, id: &KeyId, in_s: f64) -> CommandResult {
     update_index(folder, |index| {
-        let key = find(index, id)?;
+        let key = find_key(index, id)?;
         let withdrawn_s = unix_now_s() + in_s;
-        // Steps that were still to come will not be.
+        // Drop the steps that were planned for after the withdrawal.
         key.signing_s = key.signing_s.filter(|signing| *signing <= withdrawn_s);
         key.retired_s = key.retired_s.filter(|retired| *retired <= withdrawn_s);
         key.withdrawn_s = Some(withdrawn_s);
@@ -131,7 +135,7 @@
     })
 }
 
-fn find<'a>(index: &'a mut KeyIndex, id: &KeyId) -> Result<&'a mut KeyEntry, Box<dyn Error>> {
+fn find_key<'a>(index: &'a mut KeyIndex, id: &KeyId) -> Result<&'a mut KeyEntry, Box<dyn Error>> {
     let key = index.keys.iter_mut().find(|key| key.id == *id);
     key.ok_or_else(|| format!("{} is not in the index", id.as_str()).into())
 }
--- a/crates/gateway/src/credentials/mod.rs
+++ b/crates/gateway/src/credentials/mod.rs
@@ -1,4 +1,5 @@
-//! `laurelhitch keys` and `laurelhitch token`: the folder of keys kept, and tokens made, shown and revoked.
+//! `laurelhitch keys` and `laurelhitch token`: manage the folder of signing keys, and issue, show,
+//! verify and revoke tokens.
 
 mod keys;
 mod token;
@@ -13,20 +14,21 @@
 use crate::clock::since_epoch;
 use crate::keyfiles;
 
-/// What a command ends with; the error is the one line that its user reads.
+/// The result of a command. The error is printed to the user as a single line.
 type CommandResult = Result<(), Box<dyn Error>>;
 
-/// The Unix time, in seconds.
+/// The current Unix time, in seconds.
 fn unix_now_s() -> f64 {
     since_epoch().as_secs_f64()
 }
 
-/// A key's id, if it is a valid one.
+/// Parses a key id. Fails if it is invalid.
 fn key_id(name: String) -> Result<KeyId, Box<dyn Error>> {
     Ok(KeyId::try_from(name)?)
 }
 
-/// Changes the index of a folder's keys and writes it, one version on, if it then passes its own checks.
+/// Applies `change` to the key index of a folder, increments its version, and writes it. Fails, and
+/// writes nothing, if the change fails or the changed index is invalid.
 fn update_index(
     folder: &Path,
     change: impl FnOnce(&mut KeyIndex) -> CommandResult,
--- a/crates/gateway/src/credentials/token.rs
+++ b/crates/gateway/src/credentials/token.rs
@@ -1,4 +1,4 @@
-//! `laurelhitch token`: tokens of callers.
+//! `laurelhitch token`: issues, shows, verifies and revokes tokens.
 
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
@@ -15,22 +15,24 @@
 use crate::command::output::print_line;
 use crate::keyfiles::{self, FilesError};
 
-/// Random bytes in the id of a token.
+/// The number of random bytes in a token id.
 const TOKEN_ID_BYTES: usize = 8;
 
 #[derive(Debug, Subcommand)]
 pub enum Token {
     /// Signs a token and prints it.
     Issue(Issue),
-    /// What a token says, unchecked.
+    /// Prints the claims of a token without verifying it.
     Show { token: String },
-    /// What a gateway with this folder would say of it now; exit 1 unless it is granted.
+    /// Checks whether a gateway with this folder would accept a token now, and exits with 1 if not.
     Verify { folder: PathBuf, token: String },
-    /// Revokes one token by its id, or all of a caller.
+    /// Revokes one token by its id, or all tokens of a caller.
     Revoke {
         folder: PathBuf,
+        /// The id of the token to revoke.
         #[arg(long, required_unless_present = "caller")]
         token: Option<String>,
+        /// The caller whose tokens are revoked.
         #[arg(long)]
         caller: Option<String>,
     },
@@ -39,28 +41,35 @@
 #[derive(Args, Debug)]
 pub struct Issue {
     folder: PathBuf,
+    /// The id of the key that signs the token.
     key: String,
+    /// The caller that the token identifies.
     #[arg(long)]
     caller: String,
+    /// The member whose statements the caller may send.
     #[arg(long = "member", value_name = "MEMBER")]
     tenant: String,
-    /// Desks, query classes, table groups (`3-5` or `7`) and networks that it is limited to; without one, all.
+    /// A desk that the token is limited to; may be repeated. All desks without it.
     #[arg(long = "desk", value_name = "DESK")]
     sub_queues: Vec<String>,
+    /// A query class that the token is limited to; may be repeated. All classes without it.
     #[arg(long = "product", value_name = "PRODUCT")]
     classes: Vec<String>,
+    /// Table groups that the token is limited to, as `3-5` or `7`; may be repeated. All without it.
     #[arg(long = "groups", value_name = "GROUPS", value_parser = table_group_range)]
     table_groups: Vec<TableGroupRange>,
+    /// A network that the token may be used from; may be repeated. All networks without it.
     #[arg(long = "network", value_name = "NETWORK")]
     networks: Vec<IpNet>,
-    /// Most statements open at a time.
+    /// The maximum number of statements that may be open at a time.
     #[arg(long = "most-open", value_name = "MOST_OPEN")]
     max_open_statements: Option<u32>,
+    /// How many minutes the token is valid.
     #[arg(long, default_value_t = 60.0)]
     minutes: f64,
 }
 
-/// `3-5`, or `7` for that one alone.
+/// Parses a range of table groups such as `3-5`, or a single one such as `7`.
 fn table_group_range(text: &str) -> Result<TableGroupRange, String> {
     let (from, to) = text.split_once('-').unwrap_or((text, text));
     let number = |text: &str| text.parse::<u32>().map_err(|e| e.to_string());
@@ -70,10 +79,11 @@
     })
 }
 
-/// Runs one command on tokens.
+/// Runs a `laurelhitch token` command.
 ///
 /// # Errors
-/// The folder or the token cannot be used, or the token is not granted.
+/// Fails if the folder or the token is invalid or not accessible, or if the token to verify is not
+/// accepted.
 pub fn token(command: Token) -> CommandResult {
     match command {
         Token::Issue(issue) => issue_token(issue),
@@ -116,7 +126,7 @@
     Ok(())
 }
 
-/// Without a name, no limit.
+/// Converts the names that a token is limited to. No names mean no limit, that is, `None`.
 fn limited_to(names: Vec<String>) -> Option<BTreeSet<String>> {
     (!names.is_empty()).then(|| names.into_iter().collect())
 }
@@ -143,7 +153,10 @@
             Ok(())
         }
         Authentication::RetryLater { retry_after } => {
-            let text = format!("not yet; come back in {} ms", retry_after.secs() * 1e3);
+            let text = format!(
+                "not accepted yet; come back in {} ms",
+                retry_after.secs() * 1e3
+            );
             Err(text.into())
         }
         Authentication::Rejected(reason) => Err(reason.to_string().into()),
@@ -166,6 +179,7 @@
         return Err(FilesError::Revocation(path, error.line).into());
     }
     keyfiles::write_public(&path, text.as_bytes())?;
-    // Gateways look at the index: its version tells them that something is new.
+    // Gateways watch the version of the index, so a new version makes them read the revocation
+    // list.
     update_index(folder, |_| Ok(()))
 }
