--- a/crates/gateway/src/command/check.rs
+++ b/crates/gateway/src/command/check.rs
@@ -10,7 +10,7 @@
 use super::output::print_line;
 use super::{CommandResult, config_path};
 use crate::cluster::key_folder;
-use crate::config::{Config, Operated};
+use crate::config::{Config, OperatorSettings};
 use crate::service::NETWORK_DELAY;
 
 /// Reads both files and prints their settings section by section. Fails if either file is invalid
@@ -24,7 +24,7 @@
         .map_or("no operator's file".to_owned(), |path| {
             format!("operator's file {}", path.display())
         });
-    let operated = Operated::read(operator, &config)?;
+    let operated = OperatorSettings::read(operator, &config)?;
     if let Some((name, membership)) = &operated.fleet {
         print_fleet(&file, name, membership)?;
     }
--- a/crates/gateway/src/command/serve.rs
+++ b/crates/gateway/src/command/serve.rs
@@ -8,7 +8,7 @@
 use tracing_subscriber::EnvFilter;
 
 use super::{CommandResult, LogFormat, config_path};
-use crate::config::{Config, ConfigError, Operated};
+use crate::config::{Config, ConfigError, OperatorSettings};
 use crate::lifecycle::Lifecycle;
 use crate::lifecycle::signals::SignalReceiver;
 use crate::lifecycle::start_retry::StartRetry;
@@ -29,7 +29,7 @@
     panic_containment::log_panics();
     // No connection is accepted before the start is complete, so a start that panics can be
     // retried.
-    let started = retry.run("start", StartFailure::is_transient, || {
+    let started = retry.run("start", StartFailure::may_be_transient, || {
         let start = || start(operator.clone(), format, signals.clone(), &retry);
         match panic_containment::contain(start) {
             Ok(result) => result.map_err(StartFailure::Failed),
@@ -55,7 +55,7 @@
 
 impl StartFailure {
     /// Whether the start may be retried as a whole.
-    fn is_transient(&self) -> bool {
+    fn may_be_transient(&self) -> bool {
         matches!(self, StartFailure::Panicked(_))
     }
 }
@@ -78,11 +78,11 @@
     retry.seed_hash_tables()?;
     start_log(format);
     let path = config_path(None)?;
-    let config = retry.run("start", ConfigError::passes_by_itself, || {
+    let config = retry.run("start", ConfigError::may_be_transient, || {
         Config::read(&path)
     })?;
-    let operated = retry.run("start", ConfigError::passes_by_itself, || {
-        Operated::read(operator.clone(), &config)
+    let operated = retry.run("start", ConfigError::may_be_transient, || {
+        OperatorSettings::read(operator.clone(), &config)
     })?;
     Ok(Lifecycle::start(signals, path, config, operated, retry)?)
 }
