--- a/crates/gateway/src/clients/comment.rs
+++ b/crates/gateway/src/clients/comment.rs
@@ -144,8 +144,8 @@
         let Some(value) = self.text(name)? else {
             return Ok(None);
         };
-        let is_plain = value.bytes().all(|byte| byte.is_ascii_alphanumeric());
-        if value.len() > MAX_KEY_BYTES || !is_plain {
+        let is_alphanumeric = value.bytes().all(|byte| byte.is_ascii_alphanumeric());
+        if value.len() > MAX_KEY_BYTES || !is_alphanumeric {
             return Err(CommentError::InvalidField(name));
         }
         Ok(Some(value))
--- a/crates/gateway/src/clients/events.rs
+++ b/crates/gateway/src/clients/events.rs
@@ -21,8 +21,8 @@
     Renewal,
 }
 
-/// A request from a session, which the gateway has to answer, or the end of a session with a
-/// statement ([`SessionEvent::StatementAbandoned`]), which needs no response.
+/// An event of a session. Every event is a request that the gateway has to answer, except
+/// [`SessionEvent::StatementAbandoned`].
 pub enum SessionEvent {
     /// The client has sent a statement to run.
     Statement {
@@ -97,8 +97,8 @@
 pub struct ClientEnd {
     /// The time of the turn in which the gateway noticed it.
     pub detected: Timestamp,
-    /// When it reached this machine. This is long before `detected` if the gateway was stalled or
-    /// the connection waited in the accept backlog.
+    /// When the end of the client's data reached this machine. This is long before `detected` if
+    /// the gateway was stalled or the connection waited in the accept backlog.
     pub arrived: Timestamp,
 }
 
--- a/crates/gateway/src/clients/login.rs
+++ b/crates/gateway/src/clients/login.rs
@@ -73,8 +73,8 @@
                     let tls = tls.clone();
                     self.start_tls(id, tls, counters);
                 }
-                // Reject the login without reading it: a client must not learn to send credentials
-                // unencrypted.
+                // Any login without TLS is rejected unread, so that no client gets used to sending
+                // credentials unencrypted.
                 FirstPacket::Login => session.reject_login(LoginError::TlsRequired, counters),
             },
             (SessionState::AwaitingTlsLogin, _) => {
--- a/crates/gateway/src/clients/protocol/command.rs
+++ b/crates/gateway/src/clients/protocol/command.rs
@@ -94,17 +94,17 @@
             return Query::Statement;
         };
         let words = Words::split(text);
-        let first_is = |keyword: &&str| is(words.first, keyword);
+        let first_is = |keyword: &&str| is_keyword(words.first, keyword);
         if first_is(&"kill") {
-            return words.kill();
+            return words.parse_kill();
         }
         if first_is(&"show") {
-            return words.show();
+            return words.parse_show();
         }
         if first_is(&"select") {
-            return words.select();
+            return words.parse_select();
         }
-        if first_is(&"set") && is(words.second, TOKEN_VARIABLE) && words.third == "=" {
+        if first_is(&"set") && is_keyword(words.second, TOKEN_VARIABLE) && words.third == "=" {
             return unquote(words.fourth).map_or(Query::Statement, Query::SetToken);
         }
         if SETUP_KEYWORDS.iter().any(first_is) {
@@ -128,10 +128,10 @@
     }
 
     /// Parses `KILL 7`, `KILL CONNECTION 7` or `KILL QUERY 7`.
-    fn kill(self) -> Query<'a> {
-        let (scope, connection_id) = if is(self.second, "query") {
+    fn parse_kill(self) -> Query<'a> {
+        let (scope, connection_id) = if is_keyword(self.second, "query") {
             (KillScope::Query, self.third)
-        } else if is(self.second, "connection") {
+        } else if is_keyword(self.second, "connection") {
             (KillScope::Connection, self.third)
         } else {
             (KillScope::Connection, self.second)
@@ -146,18 +146,18 @@
     }
 
     /// Parses `SHOW FLEET`, `SHOW SHARES`, `SHOW QUEUE` or `SHOW QUEUE FOR 'id'`.
-    fn show(self) -> Query<'a> {
+    fn parse_show(self) -> Query<'a> {
         let has_no_more_words = self.third.is_empty();
-        if is(self.second, "fleet") && has_no_more_words {
+        if is_keyword(self.second, "fleet") && has_no_more_words {
             return Query::ShowFleet;
         }
-        if is(self.second, "shares") && has_no_more_words {
+        if is_keyword(self.second, "shares") && has_no_more_words {
             return Query::ShowShares;
         }
-        if is(self.second, "queue") && has_no_more_words {
+        if is_keyword(self.second, "queue") && has_no_more_words {
             return Query::ShowQueue(None);
         }
-        if is(self.second, "queue") && is(self.third, "for") {
+        if is_keyword(self.second, "queue") && is_keyword(self.third, "for") {
             let id = unquote(self.fourth);
             return id.map_or(Query::Statement, |id| Query::ShowQueue(Some(id)));
         }
@@ -165,8 +165,8 @@
     }
 
     /// Parses `SELECT @@name`, optionally with a `LIMIT`.
-    fn select(self) -> Query<'a> {
-        let has_limit = is(self.third, "limit") && !self.fourth.is_empty();
+    fn parse_select(self) -> Query<'a> {
+        let has_limit = is_keyword(self.third, "limit") && !self.fourth.is_empty();
         let has_no_more_words = self.third.is_empty() || has_limit;
         if self.second.starts_with("@@") && has_no_more_words {
             Query::SystemVariable(self.second)
@@ -176,7 +176,7 @@
     }
 }
 
-fn is(word: &str, keyword: &str) -> bool {
+fn is_keyword(word: &str, keyword: &str) -> bool {
     word.eq_ignore_ascii_case(keyword)
 }
 
--- a/crates/gateway/src/clients/protocol/handshake.rs
+++ b/crates/gateway/src/clients/protocol/handshake.rs
@@ -197,7 +197,7 @@
 ///
 /// Fails if the login is malformed, names a wrong user or an unknown database, or has a password.
 pub fn check_login(body: &[u8]) -> Result<(), LoginError> {
-    check(body, USER, PasswordRule::Empty)
+    check_login_packet(body, USER, PasswordRule::Empty)
 }
 
 /// Checks a login by token. The token itself follows in a later packet.
@@ -206,10 +206,10 @@
 ///
 /// Fails if the login is malformed, or names a wrong user or an unknown database.
 pub fn check_token_login(body: &[u8]) -> Result<(), LoginError> {
-    check(body, TOKEN_USER, PasswordRule::Ignored)
+    check_login_packet(body, TOKEN_USER, PasswordRule::Ignored)
 }
 
-fn check(body: &[u8], user: &[u8], password: PasswordRule) -> Result<(), LoginError> {
+fn check_login_packet(body: &[u8], user: &[u8], password: PasswordRule) -> Result<(), LoginError> {
     // The layout of a login depends on the capabilities that both sides have. Clients also announce
     // flags that the greeting did not offer, so those are cleared before parsing.
     let mut body = body.to_vec();
--- a/crates/gateway/src/clients/session.rs
+++ b/crates/gateway/src/clients/session.rs
@@ -63,8 +63,8 @@
     /// The client has closed the connection and no response is pending.
     #[error("closed by its client")]
     ClosedByClient,
-    /// The client did not read its response, or did not close the connection after its last one, in
-    /// time.
+    /// The client did not read its response in time, or did not close the connection in time after
+    /// its last response.
     #[error("not read or not closed by its client in time")]
     ClientStalled,
     /// The session made room for another connection.
@@ -210,8 +210,8 @@
         });
     }
 
-    /// Updates since when a packet has waited behind a pending response and since when the next
-    /// packet has been incomplete.
+    /// Updates [`Self::queued_since`] and [`Self::partial_packet_since`] after packets have been
+    /// read and processed.
     pub(super) fn update_waiting_times(&mut self, now: Timestamp) {
         self.queued_since = match self.queued_since {
             _ if !self.has_packet() => None,
--- a/crates/gateway/src/command/check.rs
+++ b/crates/gateway/src/command/check.rs
@@ -24,14 +24,14 @@
         .map_or("no operator's file".to_owned(), |path| {
             format!("operator's file {}", path.display())
         });
-    let operated = OperatorSettings::read(operator, &config)?;
-    if let Some((name, membership)) = &operated.fleet {
+    let operator_settings = OperatorSettings::read(operator, &config)?;
+    if let Some((name, membership)) = &operator_settings.fleet {
         print_fleet(&file, name, membership)?;
     }
-    if let Some(shares) = &operated.shares {
+    if let Some(shares) = &operator_settings.shares {
         print_shares(&file, shares)?;
     }
-    match &operated.queues {
+    match &operator_settings.queues {
         Some(queues) => print_queues(&file, queues)?,
         None => print_line(&format!("{file}: queues are off"))?,
     }
--- a/crates/gateway/src/command/serve.rs
+++ b/crates/gateway/src/command/serve.rs
@@ -81,10 +81,10 @@
     let config = retry.run("start", ConfigError::may_be_transient, || {
         Config::read(&path)
     })?;
-    let operated = retry.run("start", ConfigError::may_be_transient, || {
+    let settings = retry.run("start", ConfigError::may_be_transient, || {
         OperatorSettings::read(operator.clone(), &config)
     })?;
-    Ok(Lifecycle::start(signals, path, config, operated, retry)?)
+    Ok(Lifecycle::start(signals, path, config, settings, retry)?)
 }
 
 fn start_log(format: LogFormat) {
