--- a/crates/gateway/src/discovery/http.rs
+++ b/crates/gateway/src/discovery/http.rs
@@ -64,7 +64,8 @@
     /// The status is not 200.
     #[error("status {0:?}")]
     Status(Option<u16>),
-    /// A chunk is malformed or too large, or the chunks end too early or too late.
+    /// A chunk is malformed or too large, or the input ends or exceeds [`MAX_RESPONSE_BYTES`]
+    /// before the last chunk.
     #[error("an invalid chunk")]
     Chunk,
     /// The length of the body is not a number or exceeds [`MAX_RESPONSE_BYTES`].
--- a/crates/gateway/src/engines/connection.rs
+++ b/crates/gateway/src/engines/connection.rs
@@ -125,7 +125,7 @@
     }
 
     /// Returns the earliest time at which the connection fails to be established, stalls or is idle
-    /// for too long.
+    /// for too long. If none of these applies, the result lies beyond any deadline.
     pub(super) fn next_timeout(&self, idle_timeout: TimeDelta) -> Timestamp {
         let results = self
             .attempts
--- a/crates/gateway/src/engines/paged_result.rs
+++ b/crates/gateway/src/engines/paged_result.rs
@@ -6,7 +6,7 @@
 
 use super::protocol::Response;
 
-/// The maximum number of pages of a result. Valid results hold at most 48,000 bytes; a response
+/// The maximum number of pages of a result. Valid results hold at most 48,000 bytes. A response
 /// beyond this limit or [`MAX_RESULT_BYTES`] is invalid and must not fill the memory of the
 /// gateway.
 const MAX_PAGES: usize = 64;
--- a/crates/gateway/src/service/endings.rs
+++ b/crates/gateway/src/service/endings.rs
@@ -15,9 +15,8 @@
 const LONGEST_RETRY_AFTER: TimeDelta = TimeDelta::from_micros(3_600_000_000);
 
 /// A statement that arrives together with the end of its client's input is still sent if that end
-/// is younger than this, since the client may have closed only its sending side and still read. If
-/// the client has left for good, no attempt of its statement may be sent later than 0.1 s after
-/// that.
+/// is younger than this. The client may have closed only its sending side and still read. The limit
+/// stays below 0.1 s because no attempt may be sent later than 0.1 s after its client has left.
 const JUST_DISCONNECTED_S: f64 = 0.05;
 
 /// Returns the error text of a rejection, with the delay until a retry in milliseconds if there is
