--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -9,7 +9,7 @@
 use ::membership::{
     BootId, EngineReport, EngineStatus, Incarnation, KeyRing, Locality, MemberState, Name, Record,
 };
-use process_harness::fleet::{Fleet, Wanted, name};
+use process_harness::fleet::{Fleet, FleetOptions, name};
 use rustix::process::Signal;
 use stand_ins::client::{Answer, Client};
 
@@ -22,8 +22,10 @@
 
 /// So many, known to each other.
 fn together(gateways: usize) -> Fleet {
-    let fleet = Fleet::start(Wanted::new(PROGRAM, gateways), &[]).unwrap();
-    fleet.settled(SOON, &fleet.everyone()).unwrap();
+    let fleet = Fleet::start(FleetOptions::new(PROGRAM, gateways), &[]).unwrap();
+    fleet
+        .wait_until_settled(SOON, &fleet.running_gateways())
+        .unwrap();
     fleet
 }
 
@@ -32,13 +34,13 @@
     let text = format!(
         "/* method=point,rid={number:016x},budget=1500,acct=water,est=5.0,mem=8 */ SELECT 1 FROM ledger_1.bills"
     );
-    Client::login(fleet.all[at].listen)
+    Client::login(fleet.gateways[at].listen)
         .and_then(|mut client| client.ask(&text))
         .unwrap()
 }
 
 fn serve(fleet: &Fleet) {
-    for at in fleet.everyone() {
+    for at in fleet.running_gateways() {
         let answer = ask(fleet, at, 1_000_000 + at as u64);
         assert!(
             matches!(answer, Answer::Rows(_)),
@@ -54,7 +56,7 @@
     let wrong = |(_, _, what): &&(Duration, String, String)| {
         what.ends_with(" dead") && !allowed.contains(what)
     };
-    let line = fleet.time_line();
+    let line = fleet.membership_events();
     let wrong: Vec<_> = line.iter().filter(wrong).collect();
     assert!(wrong.is_empty(), "{wrong:?}");
 }
@@ -63,8 +65,8 @@
 fn half_of_twenty_killed_at_once_leave_the_right_ten() {
     let mut fleet = together(20);
     (0..10).for_each(|at| fleet.kill(at * 2));
-    let rest = fleet.everyone();
-    fleet.settled(SOON, &rest).unwrap();
+    let rest = fleet.running_gateways();
+    fleet.wait_until_settled(SOON, &rest).unwrap();
     serve(&fleet);
     only_died(&fleet, &(0..10).map(|at| at * 2).collect::<Vec<_>>());
 }
@@ -76,36 +78,43 @@
     fleet
         .switch
         .faults(|faults| faults.partition(&[few.clone(), many.clone()]));
-    fleet.settled(SOON, &many).unwrap();
-    let cut_off = fleet.until(SOON, &few, |_, shown| {
+    fleet.wait_until_settled(SOON, &many).unwrap();
+    let cut_off = fleet.wait_until_view(SOON, &few, |_, shown| {
         shown.standing.starts_with("cut off") && shown.size == 2
     });
     cut_off.unwrap();
     serve(&fleet);
     fleet.switch.faults(process_harness::switch::Faults::heal);
-    fleet.settled(SOON, &fleet.everyone()).unwrap();
+    fleet
+        .wait_until_settled(SOON, &fleet.running_gateways())
+        .unwrap();
 }
 
 #[test]
 fn one_that_is_cut_off_serves_on_and_says_how_old_what_it_knows_is() {
-    let mut wanted = Wanted::new(PROGRAM, 5);
+    let mut wanted = FleetOptions::new(PROGRAM, 5);
     wanted.block += "\n  bounded = true";
     let fleet = Fleet::start(wanted, &[]).unwrap();
-    fleet.settled(SOON, &fleet.everyone()).unwrap();
-    assert!(fleet.shown(0).unwrap().heard_s.unwrap() < 5.0);
+    fleet
+        .wait_until_settled(SOON, &fleet.running_gateways())
+        .unwrap();
+    assert!(fleet.query_fleet_view(0).unwrap().heard_s.unwrap() < 5.0);
     let (one, others) = (vec![0], vec![1, 2, 3, 4]);
     fleet
         .switch
         .faults(|faults| faults.partition(&[one.clone(), others.clone()]));
-    let cut_off = fleet.until(SOON, &one, |_, shown| shown.standing.starts_with("cut off"));
+    let cut_off =
+        fleet.wait_until_view(SOON, &one, |_, shown| shown.standing.starts_with("cut off"));
     cut_off.unwrap();
     serve(&fleet);
-    let old = fleet.shown(0).unwrap();
+    let old = fleet.query_fleet_view(0).unwrap();
     assert!(old.heard_s.unwrap() > 2.0 && old.rows.len() == 4, "{old:?}");
-    assert!(fleet.shown(1).unwrap().heard_s.unwrap() < old.heard_s.unwrap());
+    assert!(fleet.query_fleet_view(1).unwrap().heard_s.unwrap() < old.heard_s.unwrap());
     fleet.switch.faults(process_harness::switch::Faults::heal);
-    fleet.settled(SOON, &fleet.everyone()).unwrap();
-    assert!(fleet.shown(0).unwrap().heard_s.unwrap() < 5.0);
+    fleet
+        .wait_until_settled(SOON, &fleet.running_gateways())
+        .unwrap();
+    assert!(fleet.query_fleet_view(0).unwrap().heard_s.unwrap() < 5.0);
 }
 
 #[test]
@@ -116,7 +125,9 @@
     std::thread::sleep(secs(12));
     only_died(&fleet, &[]);
     fleet.switch.faults(process_harness::switch::Faults::heal);
-    fleet.settled(SOON, &fleet.everyone()).unwrap();
+    fleet
+        .wait_until_settled(SOON, &fleet.running_gateways())
+        .unwrap();
 }
 
 #[test]
@@ -124,10 +135,12 @@
     let fleet = together(6);
     fleet.signal(3, Signal::STOP);
     let others: Vec<usize> = [0, 1, 2, 4, 5].to_vec();
-    fleet.settled(SOON, &others).unwrap();
+    fleet.wait_until_settled(SOON, &others).unwrap();
     std::thread::sleep(secs(1));
     fleet.signal(3, Signal::CONT);
-    fleet.settled(SOON, &fleet.everyone()).unwrap();
+    fleet
+        .wait_until_settled(SOON, &fleet.running_gateways())
+        .unwrap();
     serve(&fleet);
     only_died(&fleet, &[3]);
     fleet.print_counters(3);
@@ -197,13 +210,13 @@
         while Instant::now() < until {
             if next <= Instant::now() {
                 next += Duration::from_millis(50);
-                for at in 0..fleet.all.len() {
+                for at in 0..fleet.gateways.len() {
                     said += 1;
-                    let victims = (0..fleet.all.len()).map(|of| Record {
+                    let victims = (0..fleet.gateways.len()).map(|of| Record {
                         name: Name::new(&name(of)).unwrap(),
                         boot_id: BootId(said),
                         incarnation: Incarnation(u32::MAX - (of as u32 % 2)),
-                        address: fleet.all[of].advertised,
+                        address: fleet.gateways[of].advertised,
                         locality: Locality::default(),
                         state: MemberState::Dead,
                     });
@@ -218,7 +231,7 @@
                         age_ms: 0,
                     };
                     let engines = (0..fleet.engines.len()).map(bad).collect();
-                    self.send(fleet.all[at].bound, Body::Gossip, records, engines);
+                    self.send(fleet.gateways[at].bound, Body::Gossip, records, engines);
                 }
             }
             let Ok((size, from)) = self.socket.recv_from(&mut bytes) else {
@@ -237,16 +250,18 @@
 #[test]
 fn a_liar_with_the_key_changes_neither_who_is_there_nor_where_statements_go() {
     // Without a switch: gateways at their own addresses, the liar at one more.
-    let mut wanted = Wanted::new(PROGRAM, 5);
+    let mut wanted = FleetOptions::new(PROGRAM, 5);
     wanted.engines = 4;
     let fleet = Fleet::start(wanted, &[]).unwrap();
-    fleet.settled(SOON, &fleet.everyone()).unwrap();
-    let IpTo(address) = IpTo::beside(fleet.all[0].bound);
+    fleet
+        .wait_until_settled(SOON, &fleet.running_gateways())
+        .unwrap();
+    let IpTo(address) = IpTo::beside(fleet.gateways[0].bound);
     let mut liar = Liar::new(address);
     let said = liar.lie(&fleet, secs(5));
     assert!(said > 100);
     only_died(&fleet, &[]);
-    for at in fleet.everyone() {
+    for at in fleet.running_gateways() {
         for number in 0..12 {
             assert!(matches!(
                 ask(&fleet, at, 5000 + at as u64 * 100 + number),
@@ -261,8 +276,8 @@
             name(at)
         );
         assert!(fleet.counter(at, "fleet_table").unwrap() < 200);
-        let shown = fleet.shown(at).unwrap();
-        let there = shown.there();
+        let shown = fleet.query_fleet_view(at).unwrap();
+        let there = shown.live_members();
         assert!(
             (0..5)
                 .filter(|of| *of != at)
@@ -292,41 +307,45 @@
 fn all_restarted_in_turn_and_then_at_once() {
     let mut fleet = together(5);
     for at in 0..5 {
-        assert!(fleet.end(at, secs(10)));
-        let rest = fleet.everyone();
-        fleet.settled(SOON, &rest).unwrap();
-        fleet.run(at).unwrap();
-        fleet.ready(at);
-        fleet.settled(SOON, &fleet.everyone()).unwrap();
+        assert!(fleet.terminate(at, secs(10)));
+        let rest = fleet.running_gateways();
+        fleet.wait_until_settled(SOON, &rest).unwrap();
+        fleet.start_gateway(at).unwrap();
+        fleet.wait_until_ready(at);
+        fleet
+            .wait_until_settled(SOON, &fleet.running_gateways())
+            .unwrap();
     }
     // Planned leaving is no failure.
     only_died(&fleet, &[]);
     (0..5).for_each(|at| fleet.kill(at));
-    (0..5).for_each(|at| fleet.run(at).unwrap());
-    (0..5).for_each(|at| fleet.ready(at));
-    fleet.settled(SOON, &fleet.everyone()).unwrap();
+    (0..5).for_each(|at| fleet.start_gateway(at).unwrap());
+    (0..5).for_each(|at| fleet.wait_until_ready(at));
+    fleet
+        .wait_until_settled(SOON, &fleet.running_gateways())
+        .unwrap();
     serve(&fleet);
 }
 
 #[test]
 fn seeds_that_name_nobody_alive_leave_one_alone_and_serving() {
-    let mut fleet = Fleet::start(Wanted::new(PROGRAM, 4), &[0, 1, 2]).unwrap();
+    let mut fleet = Fleet::start(FleetOptions::new(PROGRAM, 4), &[0, 1, 2]).unwrap();
     fleet
-        .until(SOON, &[3], |_, shown| {
+        .wait_until_view(SOON, &[3], |_, shown| {
             shown.standing == "alone" && shown.size == 1
         })
         .unwrap();
     serve(&fleet);
-    fleet.run(1).unwrap();
-    fleet.ready(1);
-    fleet.settled(SOON, &[1, 3]).unwrap();
+    fleet.start_gateway(1).unwrap();
+    fleet.wait_until_ready(1);
+    fleet.wait_until_settled(SOON, &[1, 3]).unwrap();
 }
 
 #[test]
 fn a_third_lost_and_all_repeated_late_kills_nobody() {
     let fleet = together(6);
     fleet.switch.faults(|faults| {
-        (faults.lost, faults.repeated, faults.spoilt) = (1.0 / 3.0, 1.0, 0.02);
+        (faults.lost, faults.repeated, faults.corrupted) = (1.0 / 3.0, 1.0, 0.02);
         faults.delay = (Duration::ZERO, Duration::from_millis(30));
         faults.repeat_after = Duration::from_millis(400);
     });
@@ -335,10 +354,12 @@
         .switch
         .faults(|faults| *faults = process_harness::switch::Faults::none(6));
     only_died(&fleet, &[]);
-    fleet.settled(SOON, &fleet.everyone()).unwrap();
+    fleet
+        .wait_until_settled(SOON, &fleet.running_gateways())
+        .unwrap();
     let refused = |of: &str| -> i64 {
         fleet
-            .everyone()
+            .running_gateways()
             .into_iter()
             .map(|at| {
                 fleet.print_counters(at);
@@ -359,10 +380,12 @@
             std::thread::sleep(Duration::from_millis(500));
         }
     };
-    step(&|at| fleet.key(at, "second", 2).unwrap());
-    step(&|at| fleet.signs(at, "second").unwrap());
+    step(&|at| fleet.write_key(at, "second", 2).unwrap());
+    step(&|at| fleet.set_signing_key(at, "second").unwrap());
     step(&|at| std::fs::remove_file(fleet.keys(at).join("first.key")).unwrap());
-    fleet.settled(SOON, &fleet.everyone()).unwrap();
+    fleet
+        .wait_until_settled(SOON, &fleet.running_gateways())
+        .unwrap();
     only_died(&fleet, &[]);
     for at in 0..4 {
         fleet.print_counters(at);
@@ -374,7 +397,7 @@
 #[test]
 fn a_flood_of_forged_datagrams_leaves_statements_and_the_fleet_alone() {
     let fleet = together(3);
-    let to = fleet.all[1].bound;
+    let to = fleet.gateways[1].bound;
     let stop = std::sync::Arc::new(std::sync::atomic::AtomicBool::new(false));
     let ends = stop.clone();
     let flood = std::thread::spawn(move || {
@@ -400,7 +423,9 @@
     std::thread::sleep(secs(2));
     stop.store(true, std::sync::atomic::Ordering::Relaxed);
     let sent = flood.join().unwrap();
-    fleet.settled(SOON, &fleet.everyone()).unwrap();
+    fleet
+        .wait_until_settled(SOON, &fleet.running_gateways())
+        .unwrap();
     only_died(&fleet, &[]);
     fleet.print_counters(1);
     let refused = fleet.counter(1, "fleet_refused_key").unwrap();
@@ -411,7 +436,7 @@
 #[test]
 fn the_command_line_shows_the_fleet_and_check_shows_the_block() {
     let fleet = together(3);
-    let address = fleet.all[0].listen.to_string();
+    let address = fleet.gateways[0].listen.to_string();
     let run = |arguments: &[&str]| Command::new(PROGRAM).args(arguments).output().unwrap();
     let table = String::from_utf8(run(&["fleet", &address]).stdout).unwrap();
     assert!(
@@ -450,14 +475,14 @@
         "{check}"
     );
     // Off: no socket, and no word of it.
-    let mut wanted = Wanted::new(PROGRAM, 1);
+    let mut wanted = FleetOptions::new(PROGRAM, 1);
     wanted.fleet = false;
     let alone = Fleet::start(wanted, &[]).unwrap();
-    let off = run(&["fleet", &alone.all[0].listen.to_string()]);
+    let off = run(&["fleet", &alone.gateways[0].listen.to_string()]);
     assert!(
         !off.status.success() && String::from_utf8_lossy(&off.stderr).contains("its fleet is off")
     );
-    assert!(UdpSocket::bind(alone.all[0].bound).is_ok());
+    assert!(UdpSocket::bind(alone.gateways[0].bound).is_ok());
 }
 
 #[test]
--- a/crates/gateway/tests/shares.rs
+++ b/crates/gateway/tests/shares.rs
@@ -8,7 +8,7 @@
 use std::thread::{JoinHandle, sleep};
 use std::time::{Duration, Instant};
 
-use process_harness::fleet::{Fleet, Part, Wanted, name};
+use process_harness::fleet::{Fleet, FleetOptions, ShareRow, name};
 use rustix::process::Signal;
 use stand_ins::client::Client;
 use stand_ins::engine::{Engine, Mood};
@@ -30,27 +30,27 @@
 
 /// So many, known to each other, with the whole out.
 fn divided(gateways: usize) -> Fleet {
-    let mut wanted = Wanted::new(PROGRAM, gateways);
+    let mut wanted = FleetOptions::new(PROGRAM, gateways);
     wanted.further = block(gateways, WHOLE);
     let fleet = Fleet::start(wanted, &[]).unwrap();
-    let all = fleet.everyone();
-    fleet.settled(SOON, &all).unwrap();
+    let all = fleet.running_gateways();
+    fleet.wait_until_settled(SOON, &all).unwrap();
     fleet
-        .until_parts(SOON, &all, |parts| out(parts) > WHOLE * 0.99)
+        .wait_until_shares(SOON, &all, |parts| out(parts) > WHOLE * 0.99)
         .unwrap();
     fleet
 }
 
-fn may(part: &Part) -> f64 {
+fn may(part: &ShareRow) -> f64 {
     part.floor + part.leased
 }
 
 /// What these may spend of it together, as each said.
-fn out(parts: &[BTreeMap<String, Part>]) -> f64 {
+fn out(parts: &[BTreeMap<String, ShareRow>]) -> f64 {
     parts.iter().map(|parts| may(&parts[BUDGET])).sum()
 }
 
-fn stewards(parts: &[BTreeMap<String, Part>]) -> usize {
+fn stewards(parts: &[BTreeMap<String, ShareRow>]) -> usize {
     parts
         .iter()
         .filter(|parts| parts[BUDGET].is_steward)
@@ -60,11 +60,11 @@
 fn steward(fleet: &Fleet) -> usize {
     let is = |at: &usize| {
         fleet
-            .parts(*at)
+            .query_shares(*at)
             .is_some_and(|parts| parts[BUDGET].is_steward)
     };
     fleet
-        .everyone()
+        .running_gateways()
         .into_iter()
         .find(is)
         .expect("one of them is")
@@ -92,7 +92,7 @@
             Arc::new(AtomicU64::new(0)),
         );
         let client = |at: &usize| {
-            let (listen, ends, asked) = (fleet.all[*at].listen, ends.clone(), asked.clone());
+            let (listen, ends, asked) = (fleet.gateways[*at].listen, ends.clone(), asked.clone());
             std::thread::spawn(move || {
                 while !ends.load(Ordering::Relaxed) {
                     let Ok(mut client) = Client::login(listen) else {
@@ -174,7 +174,7 @@
         for (to, after) in &spent.seen[at..] {
             // Seen a tenth of a second late at most, at either end.
             let window = (*to - *from).as_secs_f64() + 0.2;
-            let most = whole * (window + BURST_S) + fleet.all.len() as f64;
+            let most = whole * (window + BURST_S) + fleet.gateways.len() as f64;
             let came = after - before;
             assert!(
                 came as f64 <= most,
@@ -200,9 +200,9 @@
         spent.asked
     );
     let said: f64 = fleet
-        .everyone()
+        .running_gateways()
         .into_iter()
-        .map(|at| fleet.parts(at).unwrap()[BUDGET].spent)
+        .map(|at| fleet.query_shares(at).unwrap()[BUDGET].spent)
         .sum();
     assert!(
         (said - spent.all() as f64).abs() <= 5.0,
@@ -214,11 +214,11 @@
 #[test]
 fn nine_tenths_at_one_and_then_at_another_follow_the_work() {
     let fleet = divided(4);
-    let all = fleet.everyone();
+    let all = fleet.running_gateways();
     for hot in [1, 3] {
         let flood = Flood::at(&fleet, &[hot, hot, hot]);
-        let most = |parts: &[BTreeMap<String, Part>]| may(&parts[hot][BUDGET]) > WHOLE * 0.7;
-        fleet.until_parts(SOON, &all, most).unwrap();
+        let most = |parts: &[BTreeMap<String, ShareRow>]| may(&parts[hot][BUDGET]) > WHOLE * 0.7;
+        fleet.wait_until_shares(SOON, &all, most).unwrap();
         held(&fleet, &flood.end(), WHOLE);
     }
 }
@@ -245,19 +245,21 @@
             .faults(|faults| faults.partition(&[few.clone(), many.clone()]));
         // The many have a steward among them, and all that the few do not keep as floors.
         let floors = WHOLE * 0.2 / 5.0 * few.len() as f64;
-        let whole = |parts: &[BTreeMap<String, Part>]| {
+        let whole = |parts: &[BTreeMap<String, ShareRow>]| {
             stewards(parts) == 1 && out(parts) > (WHOLE - floors) * 0.99
         };
-        fleet.until_parts(SOON, &many, whole).unwrap();
+        fleet.wait_until_shares(SOON, &many, whole).unwrap();
         // The few have their floors, and serve.
         fleet
-            .until_parts(SOON, &few, |parts| {
+            .wait_until_shares(SOON, &few, |parts| {
                 parts.iter().all(|of| of[BUDGET].leased == 0.0)
             })
             .unwrap();
         fleet.switch.faults(process_harness::switch::Faults::heal);
         fleet
-            .until_parts(SOON, &fleet.everyone(), |parts| out(parts) > WHOLE * 0.99)
+            .wait_until_shares(SOON, &fleet.running_gateways(), |parts| {
+                out(parts) > WHOLE * 0.99
+            })
             .unwrap();
         held(&fleet, &flood.end(), WHOLE);
     }
@@ -269,21 +271,21 @@
     let flood = Flood::at(&fleet, &[0, 1, 2, 3, 4]);
     let first = steward(&fleet);
     fleet.kill(first);
-    let rest = fleet.everyone();
+    let rest = fleet.running_gateways();
     let floor = WHOLE * 0.2 / 5.0;
-    let back = |parts: &[BTreeMap<String, Part>]| {
+    let back = |parts: &[BTreeMap<String, ShareRow>]| {
         stewards(parts) == 1 && out(parts) > (WHOLE - floor) * 0.99
     };
-    fleet.until_parts(SOON, &rest, back).unwrap();
+    fleet.wait_until_shares(SOON, &rest, back).unwrap();
     // Killed again during the hand-over, and started anew without memory.
-    fleet.run(first).unwrap();
-    fleet.ready(first);
+    fleet.start_gateway(first).unwrap();
+    fleet.wait_until_ready(first);
     let second = steward(&fleet);
     fleet.kill(second);
-    fleet.run(second).unwrap();
-    fleet.ready(second);
+    fleet.start_gateway(second).unwrap();
+    fleet.wait_until_ready(second);
     fleet
-        .until_parts(SOON, &fleet.everyone(), |parts| {
+        .wait_until_shares(SOON, &fleet.running_gateways(), |parts| {
             stewards(parts) == 1 && out(parts) > WHOLE * 0.99
         })
         .unwrap();
@@ -297,13 +299,13 @@
     let first = steward(&fleet);
     let rest: Vec<usize> = (0..5).filter(|at| *at != first).collect();
     fleet.signal(first, Signal::STOP);
-    let other = |parts: &[BTreeMap<String, Part>]| stewards(parts) == 1;
-    fleet.until_parts(SOON, &rest, other).unwrap();
+    let other = |parts: &[BTreeMap<String, ShareRow>]| stewards(parts) == 1;
+    fleet.wait_until_shares(SOON, &rest, other).unwrap();
     // Beyond its own lease, with questions waiting for it.
     sleep(Duration::from_millis(LEASE_MS));
     fleet.signal(first, Signal::CONT);
     fleet
-        .until_parts(SOON, &fleet.everyone(), |parts| {
+        .wait_until_shares(SOON, &fleet.running_gateways(), |parts| {
             stewards(parts) == 1 && out(parts) > WHOLE * 0.99
         })
         .unwrap();
@@ -321,9 +323,9 @@
     let mut fleet = divided(6);
     let flood = Flood::at(&fleet, &[0, 1, 2, 3, 4, 5]);
     [2, 3, 5].into_iter().for_each(|at| fleet.kill(at));
-    let (rest, floors) = (fleet.everyone(), WHOLE * 0.2 / 6.0 * 3.0);
+    let (rest, floors) = (fleet.running_gateways(), WHOLE * 0.2 / 6.0 * 3.0);
     fleet
-        .until_parts(SOON, &rest, |parts| out(parts) > (WHOLE - floors) * 0.99)
+        .wait_until_shares(SOON, &rest, |parts| out(parts) > (WHOLE - floors) * 0.99)
         .unwrap();
     held(&fleet, &flood.end(), WHOLE);
 }
@@ -336,16 +338,18 @@
         // Voters among them, one at a time.
         let at = [3, 1, 4, 0, 3, 2][round];
         if round % 2 == 0 {
-            assert!(fleet.end(at, Duration::from_secs(10)));
+            assert!(fleet.terminate(at, Duration::from_secs(10)));
         } else {
             fleet.kill(at);
         }
-        fleet.run(at).unwrap();
-        fleet.ready(at);
+        fleet.start_gateway(at).unwrap();
+        fleet.wait_until_ready(at);
     }
     let whole =
-        |parts: &[BTreeMap<String, Part>]| stewards(parts) == 1 && out(parts) > WHOLE * 0.99;
-    fleet.until_parts(SOON, &fleet.everyone(), whole).unwrap();
+        |parts: &[BTreeMap<String, ShareRow>]| stewards(parts) == 1 && out(parts) > WHOLE * 0.99;
+    fleet
+        .wait_until_shares(SOON, &fleet.running_gateways(), whole)
+        .unwrap();
     held(&fleet, &flood.end(), WHOLE);
 }
 
@@ -353,19 +357,19 @@
 #[test]
 fn idle_all_have_an_even_part_and_short_nobody_has_less() {
     let fleet = divided(4);
-    let (all, even) = (fleet.everyone(), WHOLE / 4.0);
-    let evenly = |parts: &[BTreeMap<String, Part>]| {
+    let (all, even) = (fleet.running_gateways(), WHOLE / 4.0);
+    let evenly = |parts: &[BTreeMap<String, ShareRow>]| {
         parts
             .iter()
             .all(|parts| (may(&parts[BUDGET]) - even).abs() < even * 0.05)
     };
-    fleet.until_parts(SOON, &all, evenly).unwrap();
+    fleet.wait_until_shares(SOON, &all, evenly).unwrap();
     let flood = Flood::at(&fleet, &all);
-    let fair = |parts: &[BTreeMap<String, Part>]| {
+    let fair = |parts: &[BTreeMap<String, ShareRow>]| {
         let wanted = parts.iter().all(|parts| parts[BUDGET].wanted > WHOLE);
         wanted && parts.iter().all(|parts| may(&parts[BUDGET]) > even * 0.9)
     };
-    fleet.until_parts(SOON, &all, fair).unwrap();
+    fleet.wait_until_shares(SOON, &all, fair).unwrap();
     held(&fleet, &flood.end(), WHOLE);
 }
 
@@ -373,22 +377,22 @@
 fn one_that_leaves_gives_its_part_back_long_before_its_lease() {
     let mut fleet = divided(4);
     let flood = Flood::at(&fleet, &[3, 3, 0]);
-    let all = fleet.everyone();
+    let all = fleet.running_gateways();
     fleet
-        .until_parts(SOON, &all, |parts| may(&parts[3][BUDGET]) > WHOLE * 0.4)
+        .wait_until_shares(SOON, &all, |parts| may(&parts[3][BUDGET]) > WHOLE * 0.4)
         .unwrap();
     let (began, mut leased) = (Instant::now(), Duration::ZERO);
     fleet.signal(3, Signal::TERM);
     let floor = WHOLE * 0.2 / 4.0;
     // A question that is out at the time is answered to nobody: its part is free a renewal later all the same.
     leased += fleet
-        .until_parts(SOON, &[0, 1, 2], |parts| {
+        .wait_until_shares(SOON, &[0, 1, 2], |parts| {
             out(parts) > (WHOLE - floor) * 0.99
         })
         .unwrap();
     assert!(leased <= began.elapsed());
     assert!(leased < Duration::from_millis(LEASE_MS), "{leased:?}");
-    assert!(fleet.ended(3, Duration::from_secs(10)));
+    assert!(fleet.wait_for_exit(3, Duration::from_secs(10)));
     held(&fleet, &flood.end(), WHOLE);
 }
 
@@ -407,7 +411,7 @@
         .switch
         .faults(|faults| *faults = process_harness::switch::Faults::none(5));
     fleet
-        .until_parts(SOON, &fleet.everyone(), |parts| {
+        .wait_until_shares(SOON, &fleet.running_gateways(), |parts| {
             stewards(parts) == 1 && out(parts) > WHOLE * 0.99
         })
         .unwrap();
@@ -423,21 +427,21 @@
     let order: Vec<usize> = (0..4).filter(|at| *at != first).chain([first]).collect();
     // One voter's smaller file is enough: the steward grants no more than that leaves, long before it reads its own.
     let voter = *order.iter().find(|at| **at < 3).unwrap();
-    fleet.rewrite(&[voter], &smaller).unwrap();
+    fleet.rewrite_operator_files(&[voter], &smaller).unwrap();
     fleet
-        .until_parts(SOON, &order, |parts| out(parts) < WHOLE / 3.0)
+        .wait_until_shares(SOON, &order, |parts| out(parts) < WHOLE / 3.0)
         .unwrap();
     for at in &order {
-        fleet.rewrite(&[*at], &smaller).unwrap();
+        fleet.rewrite_operator_files(&[*at], &smaller).unwrap();
         sleep(Duration::from_millis(400));
     }
     fleet
-        .until_parts(SOON, &order, |parts| {
+        .wait_until_shares(SOON, &order, |parts| {
             (out(parts) - WHOLE / 3.0).abs() < 0.01
         })
         .unwrap();
     let _ = flood.end();
-    let named = |line: &process_harness::fleet::Line| {
+    let named = |line: &process_harness::fleet::LogLine| {
         line.fields["message"]
             == "quota: configurations differ; the smallest capacity of a voter counts"
     };
@@ -455,30 +459,30 @@
 
 #[test]
 fn members_budgets_come_from_the_ledger_and_sum_to_the_whole() {
-    let mut wanted = Wanted::new(PROGRAM, 3);
+    let mut wanted = FleetOptions::new(PROGRAM, 3);
     wanted.further = block(3, WHOLE).replace("members = false", "members = true")
         + "queues {\n  default_member = \"water\"\n  member \"water\" { cpu_s_per_s = 9 }\n  member \"power\" { cpu_s_per_s = 3 }\n}\n";
     let fleet = Fleet::start(wanted, &[]).unwrap();
-    let all = fleet.everyone();
-    fleet.settled(SOON, &all).unwrap();
-    let sum = |parts: &[BTreeMap<String, Part>], of: &str| -> f64 {
+    let all = fleet.running_gateways();
+    fleet.wait_until_settled(SOON, &all).unwrap();
+    let sum = |parts: &[BTreeMap<String, ShareRow>], of: &str| -> f64 {
         parts.iter().map(|parts| may(&parts[of])).sum()
     };
-    let whole = |parts: &[BTreeMap<String, Part>]| {
+    let whole = |parts: &[BTreeMap<String, ShareRow>]| {
         (sum(parts, "member.water") - 9.0).abs() < 0.01
             && (sum(parts, "member.power") - 3.0).abs() < 0.01
     };
-    fleet.until_parts(SOON, &all, whole).unwrap();
+    fleet.wait_until_shares(SOON, &all, whole).unwrap();
     // The lines go by what is held here, not by a guess of it.
     let (mut lines, mut held) = (0.0, 0.0);
     for at in &all {
-        let mut client = Client::login(fleet.all[*at].listen).unwrap();
+        let mut client = Client::login(fleet.gateways[*at].listen).unwrap();
         let stand_ins::client::Answer::Rows(rows) = client.ask("SHOW QUEUE").unwrap() else {
             panic!("rows")
         };
         let water = rows.iter().find(|row| row[0] == "water").unwrap();
         lines += water[4].parse::<f64>().unwrap();
-        held += may(&fleet.parts(*at).unwrap()["member.water"]);
+        held += may(&fleet.query_shares(*at).unwrap()["member.water"]);
     }
     assert!(
         (lines - 9.0).abs() < 0.3 && (held - 9.0).abs() < 0.3,
@@ -490,7 +494,7 @@
 fn the_command_line_shows_who_holds_how_much_and_off_is_off() {
     let fleet = divided(3);
     let run = |arguments: &[&str]| Command::new(PROGRAM).args(arguments).output().unwrap();
-    let address = fleet.all[steward(&fleet)].listen.to_string();
+    let address = fleet.gateways[steward(&fleet)].listen.to_string();
     let table = String::from_utf8(run(&["shares", &address]).stdout).unwrap();
     assert!(
         (0..3).all(|at| table.contains(&name(at))) && table.contains(BUDGET),
@@ -513,8 +517,8 @@
         check.contains("among 3 gateways at most") && check.contains(BUDGET),
         "{check}"
     );
-    let off = Fleet::start(Wanted::new(PROGRAM, 1), &[]).unwrap();
-    let said = run(&["shares", &off.all[0].listen.to_string()]);
+    let off = Fleet::start(FleetOptions::new(PROGRAM, 1), &[]).unwrap();
+    let said = run(&["shares", &off.gateways[0].listen.to_string()]);
     assert!(!said.status.success());
     assert!(String::from_utf8_lossy(&said.stderr).contains("its shares are off"));
 }
--- a/crates/process_harness/src/fleet.rs
+++ b/crates/process_harness/src/fleet.rs
@@ -19,7 +19,7 @@
 
 /// What a fleet is to be.
 #[derive(Clone, Debug)]
-pub struct Wanted {
+pub struct FleetOptions {
     /// The gateway's program.
     pub program: PathBuf,
     pub gateways: usize,
@@ -42,12 +42,12 @@
     pub peers: usize,
 }
 
-impl Wanted {
+impl FleetOptions {
     /// Paces for tests: short enough for minutes, long enough for loaded machines.
     pub fn new(program: impl Into<PathBuf>, gateways: usize) -> Self {
         let block = "period_ms = 250\n  answer_ms = 110\n  suspicion_periods = 8\n  hold_ms = 500\n  keep_gone_ms = 30000".to_owned();
         let (engine_delay, program) = (Duration::from_millis(5), program.into());
-        Wanted {
+        FleetOptions {
             program,
             gateways,
             engines: 2,
@@ -66,25 +66,25 @@
 
 /// One line of a gateway's log, as it came.
 #[derive(Clone, Debug)]
-pub struct Line {
+pub struct LogLine {
     pub at: Duration,
     pub fields: Value,
 }
 
-pub struct One {
+pub struct GatewayProcess {
     pub name: String,
     pub listen: SocketAddr,
     pub bound: SocketAddr,
     pub advertised: SocketAddr,
     child: Option<Child>,
-    lines: Arc<Mutex<Vec<Line>>>,
+    lines: Arc<Mutex<Vec<LogLine>>>,
     /// The last counters printed.
     counters: Arc<Mutex<String>>,
 }
 
 /// A gateway as another one holds it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Row {
+pub struct MemberRow {
     pub state: String,
     pub incarnation: u64,
     pub known: bool,
@@ -92,20 +92,20 @@
 
 /// What one gateway answers to `SHOW FLEET`.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Shown {
+pub struct FleetView {
     pub standing: String,
     pub digest: String,
     pub size: usize,
     /// Seconds since it heard from any other; `None`: never.
     pub heard_s: Option<f64>,
     /// Without itself.
-    pub rows: BTreeMap<String, Row>,
+    pub rows: BTreeMap<String, MemberRow>,
 }
 
-impl Shown {
+impl FleetView {
     /// Those it counts as there.
-    pub fn there(&self) -> Vec<&str> {
-        let there = |row: &Row| row.known && (row.state == "alive" || row.state == "suspect");
+    pub fn live_members(&self) -> Vec<&str> {
+        let there = |row: &MemberRow| row.known && (row.state == "alive" || row.state == "suspect");
         self.rows
             .iter()
             .filter(|(_, row)| there(row))
@@ -116,7 +116,7 @@
 
 /// One budget as one gateway shows it.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Part {
+pub struct ShareRow {
     pub whole: f64,
     pub floor: f64,
     pub leased: f64,
@@ -128,8 +128,8 @@
 }
 
 pub struct Fleet {
-    pub wanted: Wanted,
-    pub all: Vec<One>,
+    pub options: FleetOptions,
+    pub gateways: Vec<GatewayProcess>,
     pub engines: Vec<Engine>,
     pub board: Board,
     pub switch: Switch,
@@ -153,14 +153,14 @@
 
 impl Fleet {
     /// Starts engines, board and switch, and all gateways but those in `later`; waits until each answers.
-    pub fn start(wanted: Wanted, later: &[usize]) -> io::Result<Fleet> {
+    pub fn start(options: FleetOptions, later: &[usize]) -> io::Result<Fleet> {
         let rig = RIGS.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
         let process = std::process::id();
         let (run, half) = ((process % 50) as u8, (rig as u8) << 1);
         let folder = std::env::temp_dir().join(format!("laurelhitch-harness-{process}-{rig}"));
         std::fs::create_dir_all(folder.join("keys"))?;
-        let engines: io::Result<Vec<Engine>> = (0..wanted.engines)
-            .map(|_| Engine::start("127.0.0.1:0", wanted.engine_delay))
+        let engines: io::Result<Vec<Engine>> = (0..options.engines)
+            .map(|_| Engine::start("127.0.0.1:0", options.engine_delay))
             .collect();
         let engines = engines?;
         let board = Board::start("127.0.0.1:0")?;
@@ -170,8 +170,8 @@
             .map(|(at, e)| target(&format!("e-{at}"), e.address, "in_service"));
         board.tell(true, listed.collect());
         let port = 20_000 + (process % 10_000) as u16;
-        let all: Vec<One> = (0..wanted.gateways)
-            .map(|at| One {
+        let gateways: Vec<GatewayProcess> = (0..options.gateways)
+            .map(|at| GatewayProcess {
                 name: name(at),
                 listen: address(run, half, at, port),
                 bound: address(run, half, at, port + 1),
@@ -181,30 +181,33 @@
                 counters: Arc::default(),
             })
             .collect();
-        let ports: Vec<_> = all.iter().map(|one| (one.advertised, one.bound)).collect();
-        let switch = Switch::start(&ports, wanted.seed)?;
+        let ports: Vec<_> = gateways
+            .iter()
+            .map(|one| (one.advertised, one.bound))
+            .collect();
+        let switch = Switch::start(&ports, options.seed)?;
         let mut fleet = Fleet {
-            wanted,
-            all,
+            options,
+            gateways,
             engines,
             board,
             switch,
             started: Instant::now(),
             folder,
         };
-        for at in 0..fleet.all.len() {
+        for at in 0..fleet.gateways.len() {
             let folder = fleet.keys(at);
             std::fs::create_dir_all(&folder)?;
-            fleet.key(at, "first", 1)?;
-            fleet.signs(at, "first")?;
+            fleet.write_key(at, "first", 1)?;
+            fleet.set_signing_key(at, "first")?;
         }
-        let first: Vec<usize> = (0..fleet.all.len())
+        let first: Vec<usize> = (0..fleet.gateways.len())
             .filter(|at| !later.contains(at))
             .collect();
         for at in &first {
-            fleet.run(*at)?;
+            fleet.start_gateway(*at)?;
         }
-        first.iter().for_each(|at| fleet.ready(*at));
+        first.iter().for_each(|at| fleet.wait_until_ready(*at));
         Ok(fleet)
     }
 
@@ -213,24 +216,30 @@
     }
 
     /// Puts a key into a gateway's folder; SIGHUP has it read.
-    pub fn key(&self, at: usize, key: &str, byte: u8) -> io::Result<()> {
+    pub fn write_key(&self, at: usize, key: &str, byte: u8) -> io::Result<()> {
         std::fs::write(
             self.keys(at).join(format!("{key}.key")),
             format!("{byte:02x}").repeat(32) + "\n",
         )
     }
 
-    pub fn signs(&self, at: usize, key: &str) -> io::Result<()> {
+    pub fn set_signing_key(&self, at: usize, key: &str) -> io::Result<()> {
         std::fs::write(self.keys(at).join("signs"), format!("{key}\n"))
     }
 
     /// Where nobody says otherwise, the seeds of all are the first three.
     fn seeds(&self) -> String {
-        let first = || self.all.iter().take(3).map(|one| one.advertised).collect();
-        let seeds = if self.wanted.seeds.is_empty() {
+        let first = || {
+            self.gateways
+                .iter()
+                .take(3)
+                .map(|one| one.advertised)
+                .collect()
+        };
+        let seeds = if self.options.seeds.is_empty() {
             first()
         } else {
-            self.wanted.seeds.clone()
+            self.options.seeds.clone()
         };
         seeds
             .iter()
@@ -240,14 +249,14 @@
     }
 
     fn place(&self, at: usize) -> String {
-        let place = self.wanted.places.get(at);
+        let place = self.options.places.get(at);
         place.map_or_else(String::new, |(zone, region)| {
             format!("  zone = \"{zone}\"\n  region = \"{region}\"\n")
         })
     }
 
     fn operator(&self, at: usize) -> String {
-        let one = &self.all[at];
+        let one = &self.gateways[at];
         format!(
             "fleet {{\n  fleet = \"rig\"\n  bind = \"{}\"\n  advertise = \"{}\"\n  seeds = [{}]\n  keys_folder = \"{}\"\n{}  {}\n}}\n{}\n",
             one.bound,
@@ -255,39 +264,39 @@
             self.seeds(),
             self.keys(at).display(),
             self.place(at),
-            self.wanted.block,
-            self.wanted.further
+            self.options.block,
+            self.options.further
         )
     }
 
     /// Starts the process of one, which must not run.
-    pub fn run(&mut self, at: usize) -> io::Result<()> {
-        let (listen, own) = (self.all[at].listen, self.all[at].name.clone());
+    pub fn start_gateway(&mut self, at: usize) -> io::Result<()> {
+        let (listen, own) = (self.gateways[at].listen, self.gateways[at].name.clone());
         let mut config: Value = serde_json::from_str(include_str!("../../../examples/config.json"))
             .map_err(io::Error::other)?;
         config["name"] = json!(own);
         config["listen"] = json!(listen.to_string());
-        config["seed"] = json!(format!("{:016x}", self.wanted.seed + at as u64));
+        config["seed"] = json!(format!("{:016x}", self.options.seed + at as u64));
         config["board"] = json!(self.board.address.to_string());
         config["known"] = self.board.known();
-        let peers = if self.wanted.peers == 0 {
-            self.wanted.gateways
+        let peers = if self.options.peers == 0 {
+            self.options.gateways
         } else {
-            self.wanted.peers
+            self.options.peers
         };
         config["settings"]["PeersTotal"] = json!(peers);
         if let Some(tenants) = config["settings"]["Tenants"].as_array_mut() {
-            let further = self.wanted.tenants.iter();
+            let further = self.options.tenants.iter();
             tenants.extend(further.map(|name| json!({ "Name": name, "AllowancePerS": 1.0 })));
         }
         let path = self.folder.join(format!("{own}.json"));
         std::fs::write(&path, config.to_string())?;
-        let mut command = Command::new(&self.wanted.program);
+        let mut command = Command::new(&self.options.program);
         command
             .env("RELAY_CONFIG", &path)
             .env_remove("LAURELHITCH_OPERATOR")
             .args(["--log-format", "json"]);
-        if self.wanted.fleet {
+        if self.options.fleet {
             let operator = self.folder.join(format!("{own}.hcl"));
             std::fs::write(&operator, self.operator(at))?;
             command.arg("--operator").arg(operator);
@@ -295,15 +304,15 @@
         let mut child = command.stderr(Stdio::piped()).spawn()?;
         let log = BufReader::new(child.stderr.take().expect("piped"));
         let (lines, counters, started) = (
-            self.all[at].lines.clone(),
-            self.all[at].counters.clone(),
+            self.gateways[at].lines.clone(),
+            self.gateways[at].counters.clone(),
             self.started,
         );
         thread::spawn(move || {
             for line in log.lines().map_while(Result::ok) {
                 match serde_json::from_str::<Value>(&line) {
                     Ok(fields) => {
-                        let line = Line {
+                        let line = LogLine {
                             at: started.elapsed(),
                             fields: fields["fields"].clone(),
                         };
@@ -313,15 +322,15 @@
                 }
             }
         });
-        self.all[at].child = Some(child);
+        self.gateways[at].child = Some(child);
         Ok(())
     }
 
     /// Other further blocks for these gateways, which run: written, and read on SIGHUP.
-    pub fn rewrite(&mut self, of: &[usize], further: &str) -> io::Result<()> {
-        self.wanted.further = further.to_owned();
+    pub fn rewrite_operator_files(&mut self, of: &[usize], further: &str) -> io::Result<()> {
+        self.options.further = further.to_owned();
         for at in of {
-            let path = self.folder.join(format!("{}.hcl", self.all[*at].name));
+            let path = self.folder.join(format!("{}.hcl", self.gateways[*at].name));
             std::fs::write(path, self.operator(*at))?;
             self.signal(*at, Signal::HUP);
         }
@@ -329,16 +338,18 @@
     }
 
     /// What one holds of each budget: whole, floor, leased, spent; and whom it takes for steward.
-    pub fn parts(&self, at: usize) -> Option<BTreeMap<String, Part>> {
-        self.all[at].child.as_ref()?;
-        let mut client = Client::login(self.all[at].listen).ok()?;
+    pub fn query_shares(&self, at: usize) -> Option<BTreeMap<String, ShareRow>> {
+        self.gateways[at].child.as_ref()?;
+        let mut client = Client::login(self.gateways[at].listen).ok()?;
         let Ok(Answer::Rows(rows)) = client.ask("SHOW SHARES") else {
             return None;
         };
-        let own = rows.into_iter().filter(|row| row[1] == self.all[at].name);
+        let own = rows
+            .into_iter()
+            .filter(|row| row[1] == self.gateways[at].name);
         let number = |text: &str| text.parse().unwrap_or(0.0);
         let part = |row: Vec<String>| {
-            let part = Part {
+            let part = ShareRow {
                 whole: number(&row[3]),
                 floor: number(&row[4]),
                 leased: number(&row[5]),
@@ -346,7 +357,7 @@
                 spent: number(&row[8]),
                 allowed: number(&row[9]),
                 steward: row[11].clone(),
-                is_steward: row[11] == self.all[at].name,
+                is_steward: row[11] == self.gateways[at].name,
             };
             (row[0].clone(), part)
         };
@@ -357,17 +368,17 @@
     ///
     /// # Errors
     /// It did not within the time; what each held last.
-    pub fn until_parts(
+    pub fn wait_until_shares(
         &self,
         within: Duration,
         of: &[usize],
-        holds: impl Fn(&[BTreeMap<String, Part>]) -> bool,
+        holds: impl Fn(&[BTreeMap<String, ShareRow>]) -> bool,
     ) -> Result<Duration, String> {
         let began = Instant::now();
         loop {
             let all: Vec<_> = of
                 .iter()
-                .map(|at| self.parts(*at).unwrap_or_default())
+                .map(|at| self.query_shares(*at).unwrap_or_default())
                 .collect();
             if all.iter().all(|parts| !parts.is_empty()) && holds(&all) {
                 return Ok(began.elapsed());
@@ -380,9 +391,9 @@
     }
 
     /// Waits until one answers its clients.
-    pub fn ready(&self, at: usize) {
+    pub fn wait_until_ready(&self, at: usize) {
         let until = Instant::now() + Duration::from_secs(20);
-        while Client::login(self.all[at].listen)
+        while Client::login(self.gateways[at].listen)
             .and_then(|mut client| client.ping())
             .is_err()
         {
@@ -396,40 +407,40 @@
         }
     }
 
-    pub fn runs(&self, at: usize) -> bool {
-        self.all[at].child.is_some()
+    pub fn is_running(&self, at: usize) -> bool {
+        self.gateways[at].child.is_some()
     }
 
     /// By gateway; nothing for one that does not run.
     pub fn process_ids(&self) -> Vec<Option<u32>> {
-        self.all
+        self.gateways
             .iter()
             .map(|one| one.child.as_ref().map(Child::id))
             .collect()
     }
 
     pub fn signal(&self, at: usize, signal: Signal) {
-        if let Some(child) = &self.all[at].child {
+        if let Some(child) = &self.gateways[at].child {
             kill_process(Pid::from_child(child), signal).expect("it runs");
         }
     }
 
     /// At once, with all it holds.
     pub fn kill(&mut self, at: usize) {
-        if let Some(mut child) = self.all[at].child.take() {
+        if let Some(mut child) = self.gateways[at].child.take() {
             let _ = child.kill();
             let _ = child.wait();
         }
     }
 
     /// SIGTERM, and waits for its end. True: it ended well.
-    pub fn end(&mut self, at: usize, within: Duration) -> bool {
+    pub fn terminate(&mut self, at: usize, within: Duration) -> bool {
         self.signal(at, Signal::TERM);
-        self.ended(at, within)
+        self.wait_for_exit(at, within)
     }
 
-    pub fn ended(&mut self, at: usize, within: Duration) -> bool {
-        let Some(mut child) = self.all[at].child.take() else {
+    pub fn wait_for_exit(&mut self, at: usize, within: Duration) -> bool {
+        let Some(mut child) = self.gateways[at].child.take() else {
             return true;
         };
         let until = Instant::now() + within;
@@ -446,13 +457,17 @@
         }
     }
 
-    pub fn lines(&self, at: usize) -> Vec<Line> {
-        self.all[at].lines.lock().expect("no holder panics").clone()
+    pub fn lines(&self, at: usize) -> Vec<LogLine> {
+        self.gateways[at]
+            .lines
+            .lock()
+            .expect("no holder panics")
+            .clone()
     }
 
     /// A counter out of the last that were printed (SIGUSR1, exit).
     pub fn counter(&self, at: usize, of: &str) -> Option<i64> {
-        let line = self.all[at]
+        let line = self.gateways[at]
             .counters
             .lock()
             .expect("no holder panics")
@@ -462,10 +477,10 @@
     }
 
     pub fn print_counters(&self, at: usize) {
-        *self.all[at].counters.lock().expect("no holder panics") = String::new();
+        *self.gateways[at].counters.lock().expect("no holder panics") = String::new();
         self.signal(at, Signal::USR1);
         let until = Instant::now() + Duration::from_secs(5);
-        while self.all[at]
+        while self.gateways[at]
             .counters
             .lock()
             .expect("no holder panics")
@@ -477,13 +492,13 @@
     }
 
     /// What one shows of the fleet; nothing where it does not answer.
-    pub fn shown(&self, at: usize) -> Option<Shown> {
-        self.all[at].child.as_ref()?;
-        let mut client = Client::login(self.all[at].listen).ok()?;
+    pub fn query_fleet_view(&self, at: usize) -> Option<FleetView> {
+        self.gateways[at].child.as_ref()?;
+        let mut client = Client::login(self.gateways[at].listen).ok()?;
         let Ok(Answer::Rows(rows)) = client.ask("SHOW FLEET") else {
             return None;
         };
-        let mut shown = Shown::default();
+        let mut shown = FleetView::default();
         for row in rows {
             let [
                 name,
@@ -500,7 +515,7 @@
                 return None;
             };
             if standing.is_empty() {
-                let row = Row {
+                let row = MemberRow {
                     state: state.clone(),
                     incarnation: incarnation.parse().ok()?,
                     known: known == "yes",
@@ -519,16 +534,19 @@
     ///
     /// # Errors
     /// It did not within the time; what each showed last.
-    pub fn until(
+    pub fn wait_until_view(
         &self,
         within: Duration,
         of: &[usize],
-        holds: impl Fn(usize, &Shown) -> bool,
+        holds: impl Fn(usize, &FleetView) -> bool,
     ) -> Result<Duration, String> {
         let began = Instant::now();
         loop {
-            let shown: Vec<_> = of.iter().map(|at| (*at, self.shown(*at))).collect();
-            let wrong = |(at, shown): &&(usize, Option<Shown>)| {
+            let shown: Vec<_> = of
+                .iter()
+                .map(|at| (*at, self.query_fleet_view(*at)))
+                .collect();
+            let wrong = |(at, shown): &&(usize, Option<FleetView>)| {
                 !shown.as_ref().is_some_and(|shown| holds(*at, shown))
             };
             let wrong: Vec<_> = shown.iter().filter(wrong).collect();
@@ -550,26 +568,28 @@
     }
 
     /// All of these hold each other, and nobody else, and say that they are together.
-    pub fn settled(&self, within: Duration, of: &[usize]) -> Result<Duration, String> {
-        self.until(within, of, |at, shown| {
+    pub fn wait_until_settled(&self, within: Duration, of: &[usize]) -> Result<Duration, String> {
+        self.wait_until_view(within, of, |at, shown| {
             let others: Vec<String> = of
                 .iter()
                 .filter(|other| **other != at)
                 .map(|other| name(*other))
                 .collect();
             shown.standing == "together"
-                && shown.there() == others.iter().map(|name| &name[..]).collect::<Vec<_>>()
+                && shown.live_members() == others.iter().map(|name| &name[..]).collect::<Vec<_>>()
         })
     }
 
-    pub fn everyone(&self) -> Vec<usize> {
-        (0..self.all.len()).filter(|at| self.runs(*at)).collect()
+    pub fn running_gateways(&self) -> Vec<usize> {
+        (0..self.gateways.len())
+            .filter(|at| self.is_running(*at))
+            .collect()
     }
 
     /// Who held whom for what, when: all events of the fleet in the order of time.
-    pub fn time_line(&self) -> Vec<(Duration, String, String)> {
+    pub fn membership_events(&self) -> Vec<(Duration, String, String)> {
         let mut all = Vec::new();
-        for (at, one) in self.all.iter().enumerate() {
+        for (at, one) in self.gateways.iter().enumerate() {
             for line in self.lines(at) {
                 let text = |field: &str| line.fields[field].as_str().unwrap_or("").to_owned();
                 let message = text("message");
@@ -594,7 +614,7 @@
 
 impl Drop for Fleet {
     fn drop(&mut self) {
-        (0..self.all.len()).for_each(|at| self.kill(at));
+        (0..self.gateways.len()).for_each(|at| self.kill(at));
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
--- a/crates/process_harness/src/main.rs
+++ b/crates/process_harness/src/main.rs
@@ -3,7 +3,7 @@
 use std::process::ExitCode;
 
 use clap::{Args, Parser, Subcommand};
-use process_harness::fleet::{Fleet, Wanted, name};
+use process_harness::fleet::{Fleet, FleetOptions, name};
 use process_harness::scale::{self, Options};
 use process_harness::script::Script;
 
@@ -127,7 +127,7 @@
     alone: bool,
 ) -> Result<(), Box<dyn std::error::Error>> {
     let script = Script::parse(&std::fs::read_to_string(&file)?)?;
-    let mut wanted = Wanted::new(program.map_or_else(beside, Ok)?, script.gateways);
+    let mut wanted = FleetOptions::new(program.map_or_else(beside, Ok)?, script.gateways);
     wanted.engines = script.engines;
     wanted.fleet = !alone;
     wanted.seed = seed.unwrap_or(script.seed);
@@ -137,15 +137,15 @@
     wanted.further.clone_from(&script.further);
     let mut fleet = Fleet::start(wanted, &[])?;
     script.play(&mut fleet)?;
-    for (at, who, what) in fleet.time_line() {
+    for (at, who, what) in fleet.membership_events() {
         println!("{:9.3} s  {who}  {what}", at.as_secs_f64());
     }
-    for at in fleet.everyone() {
+    for at in fleet.running_gateways() {
         fleet.print_counters(at);
         let busy = fleet.counter(at, "busy_ms").unwrap_or(-1);
-        let shown = fleet.shown(at).unwrap_or_default();
-        let there = shown.there().join(" ");
-        let held = fleet.parts(at).unwrap_or_default();
+        let shown = fleet.query_fleet_view(at).unwrap_or_default();
+        let there = shown.live_members().join(" ");
+        let held = fleet.query_shares(at).unwrap_or_default();
         for (budget, part) in held {
             println!(
                 "at the end  {}  {budget}  floor {} leased {} of {}; spent {} of {} allowed; steward {}",
--- a/crates/process_harness/src/scale/run.rs
+++ b/crates/process_harness/src/scale/run.rs
@@ -18,7 +18,7 @@
 use super::truth::Truth;
 use super::workers::{News, Workers, parts};
 use super::{Options, ScaleError};
-use crate::fleet::{Fleet, Wanted};
+use crate::fleet::{Fleet, FleetOptions};
 
 /// All gateways start within this.
 const START_S: f64 = 1.0;
@@ -130,7 +130,7 @@
 
 fn real_processes(options: &Options, script: &Script) -> io::Result<Fleet> {
     let layout = layout(options, Vec::new());
-    let mut wanted = Wanted::new(&options.gateway, options.real);
+    let mut wanted = FleetOptions::new(&options.gateway, options.real);
     wanted.engines = options.engines;
     wanted.seed = options.seed;
     wanted.seeds = layout.seeds();
@@ -168,7 +168,7 @@
 impl Run {
     fn start(options: Options, script: Script) -> Result<Run, ScaleError> {
         let real = real_processes(&options, &script)?;
-        let addresses = real.all.iter();
+        let addresses = real.gateways.iter();
         let addresses = addresses.map(|one| RealAddress {
             bound: one.bound,
             advertised: one.advertised,
@@ -227,7 +227,7 @@
 
     fn real_sent(&self) -> Vec<(i64, i64)> {
         let sent = |at: usize| {
-            if !self.real.runs(at) {
+            if !self.real.is_running(at) {
                 return (0, 0);
             }
             self.real.print_counters(at);
@@ -422,10 +422,10 @@
 
     fn real_agree(&self, digest: u64, size: usize) -> bool {
         let agrees = |at: usize| {
-            let shown = self.real.shown(at).unwrap_or_default();
+            let shown = self.real.query_fleet_view(at).unwrap_or_default();
             shown.size == size && shown.digest == format!("{digest:016x}")
         };
-        self.real.everyone().into_iter().all(agrees)
+        self.real.running_gateways().into_iter().all(agrees)
     }
 
     fn faults(&mut self, mut report: Report) -> Result<Report, ScaleError> {
@@ -598,7 +598,7 @@
                 self.workers
                     .tell_owners(&members, |members| Command::Start { members, within_s })?;
                 for at in self.real_of(&members) {
-                    self.real.run(at)?;
+                    self.real.start_gateway(at)?;
                 }
             }
             Action::Links(links) => self.set_links(links)?,
--- a/crates/process_harness/src/scale/workers.rs
+++ b/crates/process_harness/src/scale/workers.rs
@@ -186,12 +186,14 @@
         Ok(std::mem::take(&mut self.news))
     }
 
-    fn runs(&self, at: usize) -> bool {
+    fn is_running(&self, at: usize) -> bool {
         self.all[at].child.is_some() && !self.all[at].stopped
     }
 
     fn running(&self) -> Vec<usize> {
-        (0..self.all.len()).filter(|at| self.runs(*at)).collect()
+        (0..self.all.len())
+            .filter(|at| self.is_running(*at))
+            .collect()
     }
 
     /// Tells all. A process that is stopped reads it as it wakes.
--- a/crates/process_harness/src/script.rs
+++ b/crates/process_harness/src/script.rs
@@ -113,8 +113,8 @@
             match self.what {
                 What::Kill => fleet.kill(*at),
                 What::Start => {
-                    fleet.ended(*at, Duration::from_secs(5));
-                    fleet.run(*at)?;
+                    fleet.wait_for_exit(*at, Duration::from_secs(5));
+                    fleet.start_gateway(*at)?;
                 }
                 _ => signal
                     .into_iter()
@@ -132,7 +132,7 @@
             What::Repeat => {
                 (faults.repeated, faults.repeat_after) = (self.value, Duration::from_millis(300))
             }
-            What::Spoil => faults.spoilt = self.value,
+            What::Spoil => faults.corrupted = self.value,
             What::DelayMs => faults.delay.1 = Duration::from_secs_f64(self.value / 1e3),
             _ => {}
         });
--- a/crates/process_harness/src/switch.rs
+++ b/crates/process_harness/src/switch.rs
@@ -20,7 +20,7 @@
     /// Shares of all datagrams.
     pub lost: f64,
     pub repeated: f64,
-    pub spoilt: f64,
+    pub corrupted: f64,
     /// Each takes some time between these, so that later ones overtake earlier ones.
     pub delay: (Duration, Duration),
     /// How much later a repeat comes.
@@ -34,7 +34,7 @@
         Faults {
             lost: 0.0,
             repeated: 0.0,
-            spoilt: 0.0,
+            corrupted: 0.0,
             delay: (Duration::ZERO, Duration::ZERO),
             repeat_after: Duration::ZERO,
             cut: vec![vec![false; gateways]; gateways],
@@ -70,7 +70,7 @@
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Carried {
+pub struct SentTraffic {
     pub datagrams: u64,
     pub bytes: u64,
     pub lost: u64,
@@ -84,7 +84,7 @@
 
 pub struct Switch {
     faults: Arc<Mutex<Faults>>,
-    carried: Arc<Mutex<Vec<Carried>>>,
+    carried: Arc<Mutex<Vec<SentTraffic>>>,
     end: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
 }
@@ -102,7 +102,7 @@
             });
         }
         let faults = Arc::new(Mutex::new(Faults::none(ports.len())));
-        let carried = Arc::new(Mutex::new(vec![Carried::default(); ports.len()]));
+        let carried = Arc::new(Mutex::new(vec![SentTraffic::default(); ports.len()]));
         let end = Arc::new(AtomicBool::new(false));
         let run = Run {
             ports: made,
@@ -127,7 +127,7 @@
     }
 
     /// By sender.
-    pub fn carried(&self) -> Vec<Carried> {
+    pub fn carried(&self) -> Vec<SentTraffic> {
         self.carried.lock().expect("no holder panics").clone()
     }
 }
@@ -148,7 +148,7 @@
 struct Run {
     ports: Vec<Port>,
     faults: Arc<Mutex<Faults>>,
-    carried: Arc<Mutex<Vec<Carried>>>,
+    carried: Arc<Mutex<Vec<SentTraffic>>>,
     rng: Pcg64Mcg,
     late: BinaryHeap<Late>,
     next: u64,
@@ -208,13 +208,14 @@
         carried[from].datagrams += 1;
         carried[from].bytes += bytes.len() as u64;
         // Drawn for each, whatever becomes of it: the same seed gives the same chances.
-        let [lost, repeated, spoilt, delay]: [f64; 4] = std::array::from_fn(|_| self.rng.random());
+        let [lost, repeated, corrupted, delay]: [f64; 4] =
+            std::array::from_fn(|_| self.rng.random());
         if faults.cut[from][to] || lost < faults.lost {
             carried[from].lost += 1;
             return;
         }
         let mut bytes = bytes.to_vec();
-        if spoilt < faults.spoilt && !bytes.is_empty() {
+        if corrupted < faults.corrupted && !bytes.is_empty() {
             let at = self.rng.random_range(0..bytes.len());
             bytes[at] ^= 1 << self.rng.random_range(0..8);
         }
