--- a/crates/simulator/src/figures.rs
+++ b/crates/simulator/src/figures.rs
@@ -109,7 +109,7 @@
     /// When the wait ended, in simulated seconds.
     pub at: f64,
     pub gateway: usize,
-    pub queue: u32,
+    pub sub_queue: u32,
     pub class: usize,
     /// The estimated median.
     pub median: f64,
--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -175,7 +175,7 @@
                 let csv_row = |t: &simulator::figures::WaitEstimate| {
                     format!(
                         "{:.6},{},{},{},{:.6},{:.6},{:.6}\n",
-                        t.at, t.gateway, t.queue, t.class, t.median, t.p90, t.actual
+                        t.at, t.gateway, t.sub_queue, t.class, t.median, t.p90, t.actual
                     )
                 };
                 let header = "at_s,gateway,desk,product,told_s,p90_s,real_s\n".to_owned();
--- a/crates/simulator/src/play/statements.rs
+++ b/crates/simulator/src/play/statements.rs
@@ -149,7 +149,7 @@
         self.measurements.estimates.push(WaitEstimate {
             at: self.now_s,
             gateway,
-            queue,
+            sub_queue: queue,
             class,
             median: wait.estimated.median.secs(),
             p90: wait.estimated.p90.secs(),
