--- a/crates/gateway/tests/machine_answers.rs
+++ b/crates/gateway/tests/machine_answers.rs
@@ -1,17 +1,15 @@
-//! What users saw: now and then a gateway exited with status 101 in the first second of its life, before it had taken a
-//! statement; its like had run for days elsewhere.
+//! The gateway must not rely on the length or the value of what the kernel returns, because a
+//! library that asserts it would end the process and every statement that it holds.
 //!
-//! What happened: a gateway is ready, and the first connection comes, which only asks whether it is. The gateway accepts it
-//! and asks its machine how long that client has been silent (`getsockopt`, `TCP_INFO`). The answer's length differs between
-//! versions of Linux, and the library that asked asserts that it is the one that it was built for: 280 bytes. A machine that
-//! knows less, or more, ends the gateway, and with it every statement that it holds.
+//! The failure: a gateway exited with status 101 at its first connection. Upon accepting it, the
+//! gateway reads `TCP_INFO` with `getsockopt`. The length of that structure differs between
+//! versions of Linux, and the library asserted that it was the one it had been built for, 280
+//! bytes; any other length caused a panic ("invalid getsockopt implementation"). The same assertion
+//! applied to `SO_ERROR`, which is read at the first discovery poll, and to the addresses of peers.
+//! The standard library also asserts that each clock can be read and returns less than a second of
+//! nanoseconds.
 //!
-//! What proved it: under ptrace the one length in the machine's answer was changed, and nothing else. The program of that day
-//! exits with 101 ("invalid getsockopt implementation") at its first connection, at each length but 280. The same assertion
-//! stood behind `SO_ERROR` (101 at the first poll of discovery) and behind the addresses of peers; and the standard library
-//! asserts that each clock can be read and tells less than a second of nanoseconds.
-//!
-//! The class: a library that takes the machine's answer for a promise, and a process that one broken promise ends.
+//! The tests change these results under ptrace, and nothing else.
 
 #![cfg(all(target_os = "linux", target_arch = "x86_64"))]
 
@@ -36,77 +34,78 @@
 const HOUR_S: i64 = 3600;
 const YEAR_S: i64 = 365 * 24 * HOUR_S;
 
-/// What a gateway asks its machine for, with an answer of some length.
+/// A request to the kernel whose result has a variable length.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Question {
-    /// What the machine knows of a connection.
+enum KernelQuery {
+    /// `TCP_INFO` of a connection.
     ConnectionInfo,
-    /// The error of a connection.
+    /// `SO_ERROR` of a connection.
     ConnectionError,
-    /// The next client, and its address.
+    /// The next client's connection and address.
     Accept,
-    /// The address of a connection's peer.
+    /// The peer address of a connection.
     PeerAddress,
 }
 
-impl Question {
-    fn is_asked_by(self, call: &SystemCall) -> bool {
+impl KernelQuery {
+    fn matches(self, call: &SystemCall) -> bool {
         match self {
-            Question::ConnectionInfo => reads_option(call, libc::IPPROTO_TCP, libc::TCP_INFO),
-            Question::ConnectionError => reads_option(call, libc::SOL_SOCKET, libc::SO_ERROR),
-            Question::Accept => call.number == libc::SYS_accept4,
-            Question::PeerAddress => call.number == libc::SYS_getpeername,
+            KernelQuery::ConnectionInfo => reads_option(call, libc::IPPROTO_TCP, libc::TCP_INFO),
+            KernelQuery::ConnectionError => reads_option(call, libc::SOL_SOCKET, libc::SO_ERROR),
+            KernelQuery::Accept => call.number == libc::SYS_accept4,
+            KernelQuery::PeerAddress => call.number == libc::SYS_getpeername,
         }
     }
 
-    /// Which of the call's arguments points to the length of the answer.
+    /// Index of the call's argument that points to the length of the result.
     fn length_argument(self) -> usize {
         match self {
-            Question::ConnectionInfo | Question::ConnectionError => 4,
-            Question::Accept | Question::PeerAddress => 2,
+            KernelQuery::ConnectionInfo | KernelQuery::ConnectionError => 4,
+            KernelQuery::Accept | KernelQuery::PeerAddress => 2,
         }
     }
 }
 
 fn reads_option(call: &SystemCall, level: c_int, name: c_int) -> bool {
-    let is_asked = call.arguments[1] == level as u64 && call.arguments[2] == name as u64;
-    call.number == libc::SYS_getsockopt && is_asked
+    let is_match = call.arguments[1] == level as u64 && call.arguments[2] == name as u64;
+    call.number == libc::SYS_getsockopt && is_match
 }
 
-/// All answers to a question have another length than the machine gave.
+/// Every result of a request gets a length other than the one that the kernel returned.
 #[derive(Clone, Copy, Debug)]
-struct OtherLength {
-    question: Question,
+struct WrongLength {
+    query: KernelQuery,
     bytes: u32,
 }
 
-impl OtherLength {
+impl WrongLength {
     fn plan(self) -> impl FaultPlan {
-        let argument = self.question.length_argument();
+        let argument = self.query.length_argument();
         let bytes = self.bytes;
         let effect = move |_| Effect::AnswerLength { argument, bytes };
-        by_occurrence(move |call| self.question.is_asked_by(call), effect)
+        by_occurrence(move |call| self.query.matches(call), effect)
     }
 }
 
 #[test]
-fn answers_of_any_length_end_nothing() {
-    // Of TCP_INFO: none, less than is read, those of older versions of Linux, and one of a version to come.
-    let infos = [0, 1, 43, 104, 192, 224, 232, 240, 248, 300];
-    let errors = [0, 1, 2, 3, 8];
-    let addresses = [0, 1, 2, 3, 15, 17, 28, 128, 129, 1000];
-    let lengths: [(Question, &[u32]); 4] = [
-        (Question::ConnectionInfo, &infos),
-        (Question::ConnectionError, &errors),
-        (Question::Accept, &addresses),
-        (Question::PeerAddress, &addresses),
+fn results_of_any_length_do_not_end_the_gateway() {
+    // For TCP_INFO: no bytes, fewer than the gateway reads, the lengths of older versions of Linux,
+    // and a length greater than today's.
+    let info_lengths = [0, 1, 43, 104, 192, 224, 232, 240, 248, 300];
+    let error_lengths = [0, 1, 2, 3, 8];
+    let address_lengths = [0, 1, 2, 3, 15, 17, 28, 128, 129, 1000];
+    let lengths: [(KernelQuery, &[u32]); 4] = [
+        (KernelQuery::ConnectionInfo, &info_lengths),
+        (KernelQuery::ConnectionError, &error_lengths),
+        (KernelQuery::Accept, &address_lengths),
+        (KernelQuery::PeerAddress, &address_lengths),
     ];
-    let faults: Vec<OtherLength> = lengths
+    let faults: Vec<WrongLength> = lengths
         .into_iter()
-        .flat_map(|(question, lengths)| {
+        .flat_map(|(query, lengths)| {
             let faults = lengths.iter();
-            faults.map(move |bytes| OtherLength {
-                question,
+            faults.map(move |bytes| WrongLength {
+                query,
                 bytes: *bytes,
             })
         })
@@ -115,29 +114,30 @@
     assert!(failures.is_empty(), "{}", failures.join("\n"));
 }
 
-/// A datagram is received with the place for its sender's address, as no read of a connection is.
+/// Whether the call receives a datagram. Unlike reads from a TCP connection, it passes a buffer for
+/// the sender's address.
 fn receives_datagram(call: &SystemCall) -> bool {
     call.number == libc::SYS_recvfrom && call.arguments[4] != 0
 }
 
 #[test]
-fn a_datagram_from_an_address_of_any_length_ends_nothing() {
+fn a_sender_address_of_any_length_does_not_end_the_gateway() {
     let keys = std::env::temp_dir().join(format!("laurelhitch-keys-{}", std::process::id()));
-    let added = Command::new(env!("CARGO_BIN_EXE_laurelhitch"))
+    let status = Command::new(env!("CARGO_BIN_EXE_laurelhitch"))
         .args(["fleet-keys", "add"])
         .arg(&keys)
         .arg("k-1")
         .status()
         .unwrap();
-    assert!(added.success());
+    assert!(status.success());
     for bytes in [0, 1, 2, 15, 17, 129] {
         let bind = free_address();
         let operator = format!(
             "fleet {{\n  fleet = \"f\"\n  bind = \"{bind}\"\n  seeds = []\n  keys_folder = {keys:?}\n}}\n"
         );
-        let length = move |_| Effect::AnswerLength { argument: 5, bytes };
+        let wrong_length = move |_| Effect::AnswerLength { argument: 5, bytes };
         let environment = TestEnvironment::new();
-        let plan = by_occurrence(receives_datagram, length);
+        let plan = by_occurrence(receives_datagram, wrong_length);
         let gateway = environment.start_with_operator_file(plan, &operator);
         drop(gateway.connect_when_listening(&[]).unwrap());
         let peer = UdpSocket::bind("127.0.0.1:0").unwrap();
@@ -155,26 +155,26 @@
     call.number == libc::SYS_clock_gettime && call.arguments[0] == clock as u64
 }
 
-/// Readings of a clock that are of no use.
+/// A clock with unusable readings.
 #[derive(Clone, Copy, Debug)]
-struct UnreadableClock {
+struct UnusableClock {
     clock: c_int,
     effect: Effect,
     readings: Readings,
 }
 
-/// Which of the program's readings of a clock are hit.
+/// Which readings of the clock are replaced.
 #[derive(Clone, Copy, Debug)]
 enum Readings {
-    /// The one of this number, from one.
+    /// The reading with this number, counted from one.
     Only(usize),
-    /// All.
+    /// All readings.
     Always,
-    /// So many in a thousand, by chance.
+    /// This many of a thousand readings, at random.
     PerThousand(u32),
 }
 
-impl UnreadableClock {
+impl UnusableClock {
     fn plan(self) -> impl FaultPlan {
         const SEED: u64 = 11;
         let mut rng = Pcg64Mcg::seed_from_u64(SEED);
@@ -184,32 +184,36 @@
                 return Effect::Proceed;
             }
             seen += 1;
-            let is_hit = match self.readings {
+            let is_replaced = match self.readings {
                 Readings::Only(reading) => seen == reading,
                 Readings::Always => true,
-                Readings::PerThousand(part) => rng.random_ratio(part, 1000),
+                Readings::PerThousand(count) => rng.random_ratio(count, 1000),
             };
-            if is_hit { self.effect } else { Effect::Proceed }
+            if is_replaced {
+                self.effect
+            } else {
+                Effect::Proceed
+            }
         }
     }
 }
 
 #[test]
-fn clocks_that_are_of_no_use_end_nothing() {
-    const READINGS_OF_A_START: usize = 12;
-    let unusable = [
+fn unusable_clock_readings_do_not_end_the_gateway() {
+    const STARTUP_READINGS: usize = 12;
+    let unusable_readings = [
         Effect::Fail(Errno::EINVAL),
         Effect::SetNanoseconds(-1),
         Effect::SetNanoseconds(1_000_000_000),
     ];
     let mut faults = Vec::new();
     for clock in [libc::CLOCK_REALTIME, libc::CLOCK_MONOTONIC] {
-        for effect in unusable {
-            let single = (1..=READINGS_OF_A_START).map(Readings::Only);
-            let later = [40, 200, 500].map(Readings::Only);
-            let by_chance = [Readings::PerThousand(20)];
-            for readings in single.chain(later).chain(by_chance) {
-                faults.push(UnreadableClock {
+        for effect in unusable_readings {
+            let first_readings = (1..=STARTUP_READINGS).map(Readings::Only);
+            let later_readings = [40, 200, 500].map(Readings::Only);
+            let random_readings = [Readings::PerThousand(20)];
+            for readings in first_readings.chain(later_readings).chain(random_readings) {
+                faults.push(UnusableClock {
                     clock,
                     effect,
                     readings,
@@ -218,8 +222,8 @@
         }
     }
     let far_ahead = [40 * YEAR_S, 300 * YEAR_S].map(Effect::ShiftTime);
-    for effect in unusable.into_iter().chain(far_ahead) {
-        faults.push(UnreadableClock {
+    for effect in unusable_readings.into_iter().chain(far_ahead) {
+        faults.push(UnusableClock {
             clock: libc::CLOCK_REALTIME,
             effect,
             readings: Readings::Always,
@@ -235,11 +239,12 @@
     );
 }
 
-/// A wall clock that is wrong from the start on, or that steps there and back with each reading.
+/// A wall clock that is off by `seconds`, either in every reading or in every nth one, so that it
+/// steps back and forth.
 #[derive(Clone, Copy, Debug)]
 struct WrongWallClock {
     seconds: i64,
-    /// One reading in so many is wrong.
+    /// Every nth reading is wrong, where this is n.
     every: usize,
 }
 
@@ -261,7 +266,7 @@
 }
 
 #[test]
-fn a_wall_clock_that_steps_ends_nothing() {
+fn a_wrong_or_stepping_wall_clock_does_not_end_the_gateway() {
     let steps = [5, -5, HOUR_S, -HOUR_S, -60 * YEAR_S];
     let faults: Vec<WrongWallClock> = steps
         .into_iter()
@@ -271,14 +276,15 @@
     assert!(failures.is_empty(), "{}", failures.join("\n"));
 }
 
-/// Work of each statement here, in milliseconds on one core.
-const WORK_MS: f64 = 2000.0;
+/// Estimated work of each statement, in milliseconds on one core.
+const ESTIMATE_MS: f64 = 2000.0;
 
-/// Clients that send a statement at once.
+/// Number of clients, each of which sends one statement at the same time.
 const CLIENTS: usize = 60;
 
-/// How many of them a cold engine gets from a gateway whose wall clock is this wrong, which hears of the engine as it starts.
-fn sent_to_a_cold_engine(wall_clock: WrongWallClock) -> usize {
+/// Returns how many statements a cold engine receives within `OBSERVATION_TIME` from a gateway with
+/// this wall clock. The gateway is told of the engine just as the engine starts.
+fn statements_sent_to_cold_engine(wall_clock: WrongWallClock) -> usize {
     const ENGINE_DELAY_MS: u64 = 6000;
     let environment = TestEnvironment::with_engine(engine(ENGINE_DELAY_MS));
     let mut gateway = environment.start_with(wall_clock.plan(), |config| {
@@ -289,45 +295,46 @@
     drop(gateway.connect_when_listening(&[]).unwrap());
     let cold = engine(ENGINE_DELAY_MS);
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap();
-    let mut described = target("e-cold", cold.address, "in_service");
-    described["boot_ms"] = json!(since_epoch.as_millis() as u64);
-    environment.announce(vec![described]);
+    let mut description = target("e-cold", cold.address, "in_service");
+    description["boot_ms"] = json!(since_epoch.as_millis() as u64);
+    environment.announce(vec![description]);
     gateway.wait_for_log("snapshot=false");
     let clients: Vec<Client> = (0..CLIENTS)
         .map(|_| {
-            let statement = scan();
-            let both = [&login_packet("app", b"", "warehouse")[..], &statement].concat();
-            Client::open(gateway.listen, &both).unwrap()
+            let statement = scan_query();
+            let bytes = [&login_packet("app", b"", "warehouse")[..], &statement].concat();
+            Client::open(gateway.listen, &bytes).unwrap()
         })
         .collect();
-    sleep(WINDOW);
+    sleep(OBSERVATION_TIME);
     drop(clients);
     let sent = cold.lines().into_iter();
     sent.filter(|line| line.starts_with("do ")).count()
 }
 
-/// Shorter than the window of the settings.
-const WINDOW: Duration = Duration::from_millis(1500);
+/// Time for which statements to the cold engine are counted; shorter than the admission window of
+/// the settings.
+const OBSERVATION_TIME: Duration = Duration::from_millis(1500);
 
-fn scan() -> Vec<u8> {
+fn scan_query() -> Vec<u8> {
     let statement = commented(8000, "SELECT 1");
-    let heavy = format!("est={WORK_MS}");
+    let estimate = format!("est={ESTIMATE_MS}");
     query_packet(
         &statement
             .replace("method=point", "method=scan")
-            .replace("est=12.0", &heavy),
+            .replace("est=12.0", &estimate),
     )
 }
 
 #[test]
-fn a_cold_engine_is_spared_by_a_gateway_whose_wall_clock_is_wrong() {
-    let sent = |seconds| sent_to_a_cold_engine(WrongWallClock { seconds, every: 1 });
-    let with_the_right_time = sent(0);
+fn a_wrong_wall_clock_does_not_send_more_statements_to_a_cold_engine() {
+    let sent = |seconds| statements_sent_to_cold_engine(WrongWallClock { seconds, every: 1 });
+    let with_correct_clock = sent(0);
     for seconds in [-HOUR_S, HOUR_S] {
         let sent = sent(seconds);
         assert!(
-            sent <= with_the_right_time,
-            "{seconds} s off: {sent} statements, and {with_the_right_time} with the right time"
+            sent <= with_correct_clock,
+            "wall clock off by {seconds} s: {sent} statements sent, {with_correct_clock} with the correct time"
         );
     }
 }
--- a/crates/gateway/tests/support/clients.rs
+++ b/crates/gateway/tests/support/clients.rs
@@ -1,4 +1,4 @@
-//! Clients that leave while something is owed to them, and the statements that are owed.
+//! Helpers for tests in which a client leaves while its statement is open.
 
 use std::io::Write;
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -13,7 +13,8 @@
 };
 use super::{Gateway, assert_counters_balance, commented, millis};
 
-/// Statements may wait for long, and what is begun is never out of time: only the ending that is tried ends anything.
+/// Raises the deadlines of the first two query classes, the connect timeout and the number of
+/// attempts, so that a statement ends only by the event under test and never by a timeout.
 pub(crate) fn allow_long_waits(config: &mut Value) {
     let settings = &mut config["settings"];
     for class in 0..2 {
@@ -24,33 +25,39 @@
     settings["Limits"]["MaxAttempts"] = json!(6);
 }
 
+/// A statement with the leading comment that carries its fields, and the request id from that
+/// comment.
 pub(crate) struct TaggedStatement {
     pub rid: String,
     pub query: String,
 }
 
-pub(crate) fn tagged_statement(mem: u32, statement: &str) -> TaggedStatement {
-    let query = commented(500_000, statement).replace("mem=8", &format!("mem={mem}"));
+/// Returns a statement with a budget of 500 s, this memory estimate and a request id of its own.
+pub(crate) fn tagged_statement(memory_mb: u32, sql: &str) -> TaggedStatement {
+    let query = commented(500_000, sql).replace("mem=8", &format!("mem={memory_mb}"));
     TaggedStatement {
         rid: query.split("rid=").nth(1).unwrap()[..16].to_owned(),
         query,
     }
 }
 
-/// So much memory that only one such statement runs at a time.
+/// Memory estimate, in MB, at which the engine runs only one such statement at a time.
 pub(crate) const LARGE_MEMORY_MB: u32 = 5000;
 
-/// Sends it, and waits until the gateway's machine has it.
-pub(crate) fn send(client: &mut Client, text: &TaggedStatement) {
-    client.stream.write_all(&query_packet(&text.query)).unwrap();
+/// Sends the statement and waits until the gateway's kernel has received it.
+pub(crate) fn send(client: &mut Client, statement: &TaggedStatement) {
+    client
+        .stream
+        .write_all(&query_packet(&statement.query))
+        .unwrap();
     wait_delivered(&[client.stream.local_addr().unwrap()]);
 }
 
-/// Ways in which a client leaves.
+/// The way in which a client gives up its open statement.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Departure {
     Close,
-    /// It sends no more, and still reads.
+    /// The client shuts down its sending side and can still read.
     HalfClose,
     Reset,
     KillQuery,
@@ -63,35 +70,42 @@
     Departure::KillQuery,
 ];
 
-/// The client leaves, and the gateway's machine knows; what is returned keeps the connection open where the way does.
-pub(crate) fn leave(way: Departure, client: Client, gateway: SocketAddr) -> Vec<TcpStream> {
-    leave_all(way, vec![client], gateway)
+/// Makes the client leave, and waits until the gateway's kernel has received everything that was
+/// sent for that. Returns the streams that have to stay open for this kind of departure.
+pub(crate) fn leave(departure: Departure, client: Client, gateway: SocketAddr) -> Vec<TcpStream> {
+    leave_all(departure, vec![client], gateway)
 }
 
+/// Does the same as `leave` for several clients, and waits only once.
 pub(crate) fn leave_all(
-    way: Departure,
+    departure: Departure,
     clients: Vec<Client>,
     gateway: SocketAddr,
 ) -> Vec<TcpStream> {
-    let mut ends: Vec<SocketAddr> = clients
+    let mut addresses: Vec<SocketAddr> = clients
         .iter()
         .map(|client| client.stream.local_addr().unwrap())
         .collect();
-    let kept: Vec<TcpStream> = clients
+    let open_streams: Vec<TcpStream> = clients
         .into_iter()
-        .flat_map(|client| leave_without_waiting(way, client, gateway))
+        .flat_map(|client| leave_without_waiting(departure, client, gateway))
         .collect();
-    ends.extend(kept.iter().map(|stream| stream.local_addr().unwrap()));
-    wait_delivered(&ends);
-    kept
+    addresses.extend(
+        open_streams
+            .iter()
+            .map(|stream| stream.local_addr().unwrap()),
+    );
+    wait_delivered(&addresses);
+    open_streams
 }
 
+/// Makes the client leave without waiting for delivery. Returns the streams that have to stay open.
 pub(crate) fn leave_without_waiting(
-    way: Departure,
+    departure: Departure,
     client: Client,
     gateway: SocketAddr,
 ) -> Vec<TcpStream> {
-    match way {
+    match departure {
         Departure::Close => Vec::new(),
         Departure::HalfClose => {
             client.stream.shutdown(Shutdown::Write).unwrap();
@@ -102,18 +116,21 @@
             Vec::new()
         }
         Departure::KillQuery => {
-            // All at once, since a gateway that stands still sends no greeting.
-            let mut other = TcpStream::connect(gateway).unwrap();
+            // The login and the command are sent together because a suspended gateway sends no
+            // greeting.
+            let mut killer = TcpStream::connect(gateway).unwrap();
             let kill = query_packet(&format!("KILL QUERY {}", client.connection));
-            other
+            killer
                 .write_all(&[login_packet("app", b"", "warehouse"), kill].concat())
                 .unwrap();
-            vec![client.stream, other]
+            vec![client.stream, killer]
         }
     }
 }
 
-/// One statement that fills the engine, so that others are held: its client and its engine's side.
+/// Sends one statement that takes up all memory of the engine, so that later ones have to wait.
+/// Returns its client, the engine's side of the connection and the statement as the engine received
+/// it.
 pub(crate) fn fill_engine(
     gateway: &Gateway,
     engine: &ScriptedEngine,
@@ -123,21 +140,24 @@
         tagged_statement(LARGE_MEMORY_MB, "SELECT 'fills'"),
     );
     send(&mut client, &first);
-    let mut link = engine.accept();
-    let asked = link.receive_statement();
-    assert_eq!(asked.id, first.rid);
-    (client, link, asked)
+    let mut connection = engine.accept();
+    let received = connection.receive_statement();
+    assert_eq!(received.id, first.rid);
+    (client, connection, received)
 }
 
-pub(crate) fn for_each_concurrently<T: Copy + Send + Sync>(of: &[T], case: impl Fn(T) + Sync) {
+/// Runs each case in a thread of its own, and waits for all of them.
+pub(crate) fn for_each_concurrently<T: Copy + Send + Sync>(cases: &[T], run: impl Fn(T) + Sync) {
     thread::scope(|scope| {
-        for one in of {
-            let case = &case;
-            scope.spawn(move || case(*one));
+        for item in cases {
+            let run = &run;
+            scope.spawn(move || run(*item));
         }
     });
 }
 
+/// Sends SIGTERM and waits for the exit. Checks the exit status and the counters, and returns the
+/// log.
 pub(crate) fn terminate(gateway: Gateway) -> String {
     gateway.signal(Signal::TERM);
     let (status, log) = gateway.wait_for_exit(millis(8000));
--- a/crates/gateway/tests/support/faults.rs
+++ b/crates/gateway/tests/support/faults.rs
@@ -1,4 +1,5 @@
-//! A gateway whose system calls fail as a plan says, and the life that it has to lead all the same.
+//! A gateway whose system calls fail according to a plan, and the lifecycle that it has to complete
+//! nevertheless.
 
 use std::cell::Cell;
 use std::io::{self, Read, Write};
@@ -24,24 +25,25 @@
 
 use super::{GatewayConfig, announce_engines, commented, configure, engine, millis};
 
-/// A gateway has to be ready so soon after its start.
+/// Time from its start within which a gateway has to accept connections.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
-/// Budget of each statement: its client is owed an answer by then.
+/// Time budget of each statement; its client has to have an answer within it.
 const STATEMENT_BUDGET: Duration = Duration::from_secs(5);
-/// A line of the log that is waited for comes by then.
+/// Time within which an expected log line has to appear.
 const LOG_LINE_TIMEOUT: Timespec = Timespec {
     tv_sec: 10,
     tv_nsec: 0,
 };
-/// After SIGTERM it ends by then, with no statement open.
+/// Time within which a gateway with no open statement has to exit after SIGTERM.
 const EXIT_TIMEOUT: Duration = Duration::from_secs(6);
 
 const COM_PING: [u8; 1] = [0x0e];
 
-/// The first system call of the program's own; all before it are the loader's and the language's.
+/// The first system call that the program itself makes; all earlier ones come from the dynamic
+/// loader and the Rust runtime.
 const FIRST_OWN_CALL: c_long = libc::SYS_signalfd4;
 
-/// What may go wrong with a call for a moment, by the calls' manual pages.
+/// Transient errors of each system call, according to its manual page.
 pub(crate) const TRANSIENT_ERRORS: &[(c_long, &[Errno])] = &[
     (libc::SYS_accept4, ACCEPT_ERRORS),
     (libc::SYS_bind, &[Errno::EADDRINUSE, Errno::EADDRNOTAVAIL]),
@@ -86,45 +88,48 @@
 
 pub(crate) const WRITE_ERRORS: &[Errno] = &[Errno::EINTR, Errno::EAGAIN, Errno::EIO, Errno::ENOSPC];
 
-/// Whether the program's own calls have begun.
+/// Tracks whether the program's own system calls have begun.
 #[derive(Default)]
 pub(crate) struct OwnCalls {
-    begun: bool,
+    started: bool,
 }
 
 impl OwnCalls {
-    pub(crate) fn contain(&mut self, call: &SystemCall) -> bool {
-        self.begun |= call.number == FIRST_OWN_CALL;
-        self.begun
+    /// Whether this call, or an earlier one, was the first of the program's own.
+    pub(crate) fn includes(&mut self, call: &SystemCall) -> bool {
+        self.started |= call.number == FIRST_OWN_CALL;
+        self.started
     }
 }
 
-/// Notes the number of each call of the program's own, and changes nothing.
+/// Returns a plan that records the number of each of the program's own calls and changes none.
 pub(crate) fn record_calls(calls: Arc<Mutex<Vec<c_long>>>) -> impl FaultPlan {
     let mut own_calls = OwnCalls::default();
     move |call: &SystemCall| {
-        if own_calls.contain(call) {
+        if own_calls.includes(call) {
             calls.lock().unwrap().push(call.number);
         }
         Effect::Proceed
     }
 }
 
-/// One failure of one call.
+/// A single failure of a single system call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct SingleFault {
     pub number: c_long,
-    /// Which one of the program's own calls of this number, from one.
+    /// The position, counted from one, of the failing call among the program's own calls with this
+    /// number.
     pub occurrence: usize,
     pub errno: Errno,
 }
 
 impl SingleFault {
+    /// Returns the plan that injects this failure.
     pub(crate) fn plan(self) -> impl FaultPlan {
         let mut own_calls = OwnCalls::default();
         let mut seen = 0;
         move |call: &SystemCall| {
-            if !own_calls.contain(call) || call.number != self.number {
+            if !own_calls.includes(call) || call.number != self.number {
                 return Effect::Proceed;
             }
             seen += 1;
@@ -137,15 +142,16 @@
     }
 }
 
-/// The file descriptor of the log.
+/// File descriptor to which the log is written.
 const STDERR: u64 = 2;
 
-/// Whether the call writes a line of the log.
+/// Whether the call writes to the log.
 pub(crate) fn writes_log(call: &SystemCall) -> bool {
     call.number == libc::SYS_write && call.arguments[0] == STDERR
 }
 
-/// A plan by the number of a call among the program's own that `matches`, from one.
+/// Returns a plan that chooses the effect by the position, counted from one, of a call among the
+/// program's own calls that `matches` accepts.
 pub(crate) fn by_occurrence(
     matches: impl Fn(&SystemCall) -> bool + Send + 'static,
     effect: impl Fn(usize) -> Effect + Send + 'static,
@@ -153,7 +159,7 @@
     let mut own_calls = OwnCalls::default();
     let mut seen = 0;
     move |call: &SystemCall| {
-        if !own_calls.contain(call) || !matches(call) {
+        if !own_calls.includes(call) || !matches(call) {
             return Effect::Proceed;
         }
         seen += 1;
@@ -161,7 +167,8 @@
     }
 }
 
-/// Every second wait of the event loop fails after it took its events: they are lost.
+/// Returns a plan in which every second `epoll_pwait` loses its events: the next `epoll_ctl` call
+/// fails, after the events were taken from the kernel and before they are handled.
 pub(crate) fn lose_events_of_every_second_wait() -> impl FaultPlan {
     let mut own_calls = OwnCalls::default();
     let mut waits: usize = 0;
@@ -174,7 +181,7 @@
         } else if after_wait {
             has_waited = false;
         }
-        if own_calls.contain(call) && after_wait && waits.is_multiple_of(2) {
+        if own_calls.includes(call) && after_wait && waits.is_multiple_of(2) {
             Effect::Fail(Errno::ENOMEM)
         } else {
             Effect::Proceed
@@ -182,11 +189,11 @@
     }
 }
 
-/// Reads and writes move one byte each.
+/// Returns a plan in which each read or write transfers one byte.
 pub(crate) fn one_byte_transfers() -> impl FaultPlan {
     let mut own_calls = OwnCalls::default();
     move |call: &SystemCall| {
-        if own_calls.contain(call) && transfers_stream_bytes(call) {
+        if own_calls.includes(call) && transfers_stream_bytes(call) {
             Effect::Shorten(1)
         } else {
             Effect::Proceed
@@ -194,13 +201,14 @@
     }
 }
 
-/// Whether the call may move any part of the bytes that it is asked for.
+/// Whether the call may transfer fewer bytes than requested.
 fn transfers_stream_bytes(call: &SystemCall) -> bool {
     let moves = [libc::SYS_recvfrom, libc::SYS_sendto].contains(&call.number);
     moves || writes_log(call)
 }
 
-/// Of the calls that may fail, and of the transfers, a part does so, by chance.
+/// Returns a plan that fails a random share of the calls that can fail, and shortens a random share
+/// of the transfers.
 pub(crate) fn random_faults(seed: u64) -> impl FaultPlan {
     const FAILURE_PROBABILITY: f64 = 0.04;
     const SHORT_TRANSFER_PROBABILITY: f64 = 0.2;
@@ -208,7 +216,7 @@
     let mut own_calls = OwnCalls::default();
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     move |call: &SystemCall| {
-        if !own_calls.contain(call) {
+        if !own_calls.includes(call) {
             return Effect::Proceed;
         }
         if transfers_stream_bytes(call) && rng.random_bool(SHORT_TRANSFER_PROBABILITY) {
@@ -226,20 +234,21 @@
     }
 }
 
-/// Lives that are led side by side.
+/// Number of gateways that run at the same time.
 const WORKERS: usize = 6;
 
-/// Leads a life for each fault, a few side by side; the faults that broke one, with what was seen.
+/// Runs a gateway through its lifecycle once for each fault, several at a time. Returns a
+/// description of each failure with the last lines of the gateway's log.
 pub(crate) fn lifecycle_failures<F, P>(faults: &[F], plan: impl Fn(&F) -> P + Sync) -> Vec<String>
 where
     F: std::fmt::Debug + Sync,
     P: FaultPlan,
 {
     let environment = TestEnvironment::new();
-    let next = AtomicUsize::new(0);
+    let next_fault = AtomicUsize::new(0);
     let failures = Mutex::new(Vec::new());
-    let work = || {
-        while let Some(fault) = faults.get(next.fetch_add(1, Ordering::Relaxed)) {
+    let worker = || {
+        while let Some(fault) = faults.get(next_fault.fetch_add(1, Ordering::Relaxed)) {
             let run = environment.run_lifecycle(plan(fault));
             if let Err(error) = run.outcome {
                 let last_lines: Vec<&str> = run.log.lines().rev().take(3).collect();
@@ -250,32 +259,33 @@
     };
     thread::scope(|scope| {
         for _ in 0..WORKERS {
-            scope.spawn(work);
+            scope.spawn(worker);
         }
     });
     failures.into_inner().unwrap()
 }
 
-/// An engine and a discovery service that many gateways share, one after the other or side by side.
+/// An engine and a discovery service that are shared by several gateways, one after another or at
+/// the same time.
 pub(crate) struct TestEnvironment {
     board: Board,
     _engine: Engine,
 }
 
-/// What a life under faults has come to.
+/// Result of a lifecycle under faults.
 #[derive(Debug)]
 pub(crate) struct RunResult {
     pub outcome: Result<(), String>,
     pub log: String,
 }
 
-/// One gateway under a plan.
+/// A gateway that runs under a fault plan.
 pub(crate) struct FaultyGateway {
     process: TracedProcess,
     pub config: PathBuf,
     pub listen: SocketAddr,
     started: Instant,
-    /// When the machine took the last connection.
+    /// When the last connection attempt was begun.
     connected: Cell<Instant>,
 }
 
@@ -284,7 +294,7 @@
         Self::with_engine(engine(1))
     }
 
-    /// With this engine, which the list holds from the start.
+    /// Creates an environment in which this engine is listed from the start.
     pub(crate) fn with_engine(engine: Engine) -> Self {
         let board = Board::start("127.0.0.1:0").unwrap();
         announce_engines(&board, &[engine.address]);
@@ -294,12 +304,12 @@
         }
     }
 
-    /// Tells an event of the list that describes these engines.
+    /// Publishes a discovery event that describes these engines.
     pub(crate) fn announce(&self, engines: Vec<Value>) {
         self.board.tell(false, engines);
     }
 
-    /// The discovery service says nothing from here on: none of its answers wakes a gateway.
+    /// Makes the discovery service stop answering, so that none of its answers wakes a gateway.
     pub(crate) fn silence_discovery(&self) {
         self.board.set(Mood::Silent);
     }
@@ -308,7 +318,7 @@
         self.start_with(plan, |_| {})
     }
 
-    /// Starts a gateway whose configuration is changed like this.
+    /// Starts a gateway with a changed configuration.
     pub(crate) fn start_with(
         &self,
         plan: impl FaultPlan,
@@ -317,7 +327,7 @@
         self.start_configured(plan, configure(&self.board, "", change))
     }
 
-    /// Starts a gateway with an operator's file.
+    /// Starts a gateway with an operator file.
     pub(crate) fn start_with_operator_file(
         &self,
         plan: impl FaultPlan,
@@ -339,8 +349,9 @@
         }
     }
 
-    /// A whole life under a plan: a start, statements, a reload, counters, a drain and an end. Each client that the machine
-    /// has connected gets an answer to all it sends.
+    /// Runs a gateway under the plan through its lifecycle: start, statements, reload, counters,
+    /// drain and exit. Every client whose connection was accepted has to get an answer to each
+    /// command.
     pub(crate) fn run_lifecycle(&self, plan: impl FaultPlan) -> RunResult {
         let mut gateway = self.start(plan);
         let mut stderr = gateway.process.stderr.take().unwrap();
@@ -370,12 +381,13 @@
 }
 
 impl FaultyGateway {
+    /// Takes the gateway through its lifecycle; the error names the step that failed.
     pub(crate) fn run_lifecycle(&self) -> Result<(), String> {
         let mut first = self.connect_when_listening(&packet(0, &COM_PING))?;
         expect_ok(&mut first, "ping")?;
         run_statement(&mut first, "first statement")?;
         let mut second = self.connect_when_listening(&query())?;
-        expect_answer(second.answer(), "statement behind its login")?;
+        expect_answer(second.answer(), "statement sent with the login")?;
         self.process.signal(Signal::SIGHUP);
         self.process.signal(Signal::SIGUSR1);
         run_statement(&mut first, "statement after a reload")?;
@@ -385,12 +397,13 @@
         self.expect_clean_exit()
     }
 
-    /// Logs in at once and sends `commands` behind that, as soon as the machine takes a connection.
+    /// Connects as soon as the gateway listens, and sends the login with `commands` directly after
+    /// it.
     pub(crate) fn connect_when_listening(&self, commands: &[u8]) -> Result<Client, String> {
-        let both = [&login_packet("app", b"", "warehouse")[..], commands].concat();
+        let bytes = [&login_packet("app", b"", "warehouse")[..], commands].concat();
         loop {
             self.connected.set(Instant::now());
-            match Client::open(self.listen, &both) {
+            match Client::open(self.listen, &bytes) {
                 Ok(mut client) => {
                     let timeout = client.stream.set_read_timeout(Some(STATEMENT_BUDGET));
                     timeout.map_err(|error| error.to_string())?;
@@ -409,17 +422,18 @@
         }
     }
 
-    /// How long ago the last connection was begun.
+    /// Returns the time since the last connection attempt was begun.
     pub(crate) fn time_since_connect(&self) -> Duration {
         self.connected.get().elapsed()
     }
 
-    /// Waits until its log has a further line with these words.
+    /// Waits for the next log line that contains `pattern`. Panics if none appears in time.
     pub(crate) fn wait_for_log(&mut self, pattern: &str) {
         let stderr = self.process.stderr.as_mut().unwrap();
         let mut line = Vec::new();
         let mut byte = [0];
-        // One byte at a time: what follows the line is for the next call.
+        // The log is read one byte at a time so that the lines after this one are left for the next
+        // call.
         while !(byte == [b'\n'] && String::from_utf8_lossy(&line).contains(pattern)) {
             if byte == [b'\n'] {
                 line.clear();
@@ -431,7 +445,7 @@
             } else {
                 0
             };
-            assert!(read > 0, "never said {pattern:?}");
+            assert!(read > 0, "no log line contains {pattern:?}");
             line.extend(byte);
         }
     }
@@ -440,6 +454,7 @@
         self.process.signal(signal);
     }
 
+    /// Waits for the gateway to exit with status 0.
     pub(crate) fn expect_clean_exit(&self) -> Result<(), String> {
         match self.process.wait(EXIT_TIMEOUT) {
             Some(ProcessEnd::Exited(0)) => Ok(()),
@@ -457,20 +472,21 @@
     }
 }
 
+/// Returns the packet of a statement with the budget `STATEMENT_BUDGET`.
 pub(crate) fn query() -> Vec<u8> {
     query_packet(&commented(STATEMENT_BUDGET.as_millis() as u64, "SELECT 1"))
 }
 
-/// Sends a statement and waits for its answer.
+/// Sends a statement and waits for its answer, of whatever kind.
 pub(crate) fn run_statement(client: &mut Client, step: &str) -> Result<(), String> {
     client
         .stream
         .write_all(&query())
-        .map_err(|error| format!("{step}: not taken: {error}"))?;
+        .map_err(|error| format!("{step}: could not be sent: {error}"))?;
     expect_answer(client.answer(), step)
 }
 
-/// Any answer is one: rows, a rejection or a failure.
+/// Accepts any answer: rows, a rejection or a failure. Fails only when there is none.
 fn expect_answer(answer: io::Result<Answer>, step: &str) -> Result<(), String> {
     answer
         .map(drop)
@@ -485,7 +501,7 @@
     }
 }
 
-/// Waits a little, for something that is to happen by itself.
+/// Sleeps for a short time between two polls of a condition.
 pub(crate) fn pause() {
     sleep(millis(10));
 }
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -1,4 +1,5 @@
-//! A gateway process between our own stand-ins, for all tests on sockets.
+//! A gateway process with stand-ins for its engines and its discovery service, for all tests that
+//! use sockets.
 #![allow(dead_code)]
 
 pub(crate) mod clients;
@@ -20,24 +21,27 @@
 use stand_ins::client::{Answer, Client};
 use stand_ins::engine::Engine;
 
-/// A gateway, ended with the test whatever became of it.
+/// A running gateway process, which is killed when the value is dropped.
 pub(crate) struct Gateway {
     pub child: Child,
     pub config: PathBuf,
     pub listen: SocketAddr,
     pub board: Board,
-    /// Its log so far, and the lines still to be taken in, where it is watched.
+    /// The log lines read so far, and the channel of further lines. The channel is `None` until
+    /// `wait_for_log` is first called.
     log: String,
     lines: Option<Receiver<String>>,
 }
 
+/// The source of numbers that are unique within this process, for addresses, files and request ids.
 pub(crate) static NEXT_ID: AtomicU32 = AtomicU32::new(0);
 
 pub(crate) fn millis(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
-/// An address of this run's own: a port that was free a moment ago may be another test's by now.
+/// Returns a loopback address that only this test run uses. Asking the kernel for a free port is
+/// not enough, because another test may take it before the gateway listens.
 pub(crate) fn free_address() -> SocketAddr {
     let [high, low] = (1 + NEXT_ID.fetch_add(1, Ordering::Relaxed) as u16).to_be_bytes();
     let run = 64 + (std::process::id() % 128) as u8;
@@ -48,6 +52,8 @@
     Engine::start("127.0.0.1:0", millis(delay_ms)).unwrap()
 }
 
+/// Starts the gateway program with this configuration, and with the operator file next to it, if
+/// any.
 pub(crate) fn spawn(config: &Path) -> Child {
     let program = env!("CARGO_BIN_EXE_laurelhitch");
     let mut command = Command::new(program);
@@ -55,7 +61,8 @@
         .env("RELAY_CONFIG", config)
         .env_remove("LAURELHITCH_OPERATOR")
         .stderr(Stdio::piped());
-    // The operator's file of this run, if it has one.
+    // The operator file has the same name as the configuration, with another extension, and is
+    // optional.
     let operator = config.with_extension("hcl");
     if operator.exists() {
         command.arg("--operator").arg(operator);
@@ -63,20 +70,22 @@
     command.spawn().unwrap()
 }
 
-/// A configuration that was written for one gateway.
+/// The configuration file of one gateway, and the address on which that gateway listens.
 pub(crate) struct GatewayConfig {
     pub path: PathBuf,
     pub listen: SocketAddr,
 }
 
-/// Lists these engines, and no others.
+/// Publishes a list of exactly these engines.
 pub(crate) fn announce_engines(board: &Board, engines: &[SocketAddr]) {
-    let names = engines.iter().enumerate();
-    let targets = names.map(|(at, address)| target(&format!("e-{at}"), *address, "in_service"));
+    let numbered = engines.iter().enumerate();
+    let targets =
+        numbered.map(|(index, address)| target(&format!("e-{index}"), *address, "in_service"));
     board.tell(true, targets.collect());
 }
 
-/// Writes the configuration of a gateway that knows the engines listed by now, and its operator's file unless that is empty.
+/// Writes the configuration of a gateway that knows the engines listed so far, and an operator file
+/// unless `operator` is empty.
 pub(crate) fn configure(
     board: &Board,
     operator: &str,
@@ -99,16 +108,17 @@
 }
 
 impl Gateway {
+    /// Starts a gateway with the configuration of the example, which knows these engines.
     pub(crate) fn start(engines: &[SocketAddr]) -> Self {
         Self::with_config(engines, |_| {})
     }
 
-    /// Starts one that knows these engines, and waits until it answers.
+    /// Starts a gateway that knows these engines, and waits until it answers.
     pub(crate) fn with_config(engines: &[SocketAddr], change: impl FnOnce(&mut Value)) -> Self {
         Self::spawned_by(spawn, engines, "", change)
     }
 
-    /// The same with an operator's file.
+    /// Starts a gateway like `with_config`, with an operator file in addition.
     pub(crate) fn with_operator_file(
         engines: &[SocketAddr],
         operator: &str,
@@ -117,6 +127,7 @@
         Self::spawned_by(spawn, engines, operator, change)
     }
 
+    /// Starts a gateway by means of `spawn`, which gets the path of the configuration.
     pub(crate) fn spawned_by(
         spawn: fn(&Path) -> Child,
         engines: &[SocketAddr],
@@ -139,7 +150,7 @@
         gateway
     }
 
-    /// Waits for its next line that holds these words.
+    /// Returns the next log line that contains `pattern`. Panics if none appears within 10 s.
     pub(crate) fn wait_for_log(&mut self, pattern: &str) -> String {
         if let Some(stderr) = self.child.stderr.take() {
             let (sender, lines) = channel();
@@ -153,7 +164,8 @@
         }
         loop {
             let line = self.lines.as_ref().unwrap().recv_timeout(millis(10_000));
-            let line = line.unwrap_or_else(|_| panic!("never said {pattern:?}: {}", self.log));
+            let line =
+                line.unwrap_or_else(|_| panic!("no log line contains {pattern:?}: {}", self.log));
             self.log += &format!("{line}\n");
             if line.contains(pattern) {
                 return line;
@@ -161,20 +173,22 @@
         }
     }
 
-    /// Its counters by now.
+    /// Makes the gateway log its counters, and returns that line.
     pub(crate) fn print_counters(&mut self) -> String {
         self.signal(Signal::USR1);
         self.wait_for_log("counters:")
     }
 
-    /// All that had reached its machine before this call was read and worked off: a turn prints its counters before it
-    /// reads, so between two prints lies a whole one.
+    /// Waits until the gateway has handled everything that its kernel had received before the call,
+    /// and returns the counters after that. An event-loop turn logs its counters before it reads
+    /// from sockets, so that a whole turn lies between two such lines.
     pub(crate) fn settle(&mut self) -> String {
         self.print_counters();
         self.print_counters()
     }
 
-    /// Stands still from here on: what comes meanwhile meets it in one turn.
+    /// Suspends the process. Everything that arrives until `resume` is handled in one turn of its
+    /// event loop.
     pub(crate) fn suspend(&self) {
         self.signal(Signal::STOP);
         self.wait_for_state('T');
@@ -201,7 +215,8 @@
 
     pub(crate) fn wait_ready(&self) {
         let deadline = Instant::now() + millis(10_000);
-        // Where callers are to be known, a word that TLS is required is readiness enough.
+        // With `identity` configured, a login without TLS is refused with error 3159; that shows
+        // that the gateway is ready as well.
         let ready = || match Client::login(self.listen).and_then(|mut client| client.ping()) {
             Ok(_) => true,
             Err(error) => error.to_string().contains("3159"),
@@ -220,7 +235,7 @@
         kill_process(Pid::from_child(&self.child), signal).unwrap();
     }
 
-    /// Its end, and all it logged.
+    /// Waits until the gateway exits, and returns its exit status and its whole log.
     pub(crate) fn wait_for_exit(mut self, timeout: Duration) -> (ExitStatus, String) {
         let deadline = Instant::now() + timeout;
         let status = loop {
@@ -255,6 +270,8 @@
     }
 }
 
+/// Returns the statement with a leading comment that carries its fields, among them a new request
+/// id.
 pub(crate) fn commented(budget_ms: u64, statement: &str) -> String {
     let rid = NEXT_ID.fetch_add(1, Ordering::Relaxed);
     format!(
@@ -262,6 +279,7 @@
     )
 }
 
+/// Returns the rows of an answer. Panics if it is anything else.
 pub(crate) fn rows(answer: Answer) -> Vec<Vec<String>> {
     let Answer::Rows(rows) = answer else {
         panic!("{answer:?}")
@@ -269,11 +287,12 @@
     rows
 }
 
+/// Whether the answer is a rejection: error 1226 with a back-off time of 400 ms in its text.
 pub(crate) fn denied(answer: &Answer) -> bool {
     matches!(answer, Answer::Error(1226, text) if text.contains("backoff=400"))
 }
 
-/// A number out of the counters' last line.
+/// Returns the value of a counter from the last counters line of the log.
 pub(crate) fn counter(log: &str, name: &str) -> i64 {
     let line = log
         .lines()
@@ -286,6 +305,8 @@
         .unwrap_or_else(|| panic!("no {name} in {line}"))
 }
 
+/// Asserts that each accepted statement is counted under exactly one outcome, that the finished
+/// attempts do not exceed those sent, and that no statement was overdue.
 pub(crate) fn assert_counters_balance(log: &str) {
     let sum = |names: &[&str]| names.iter().map(|name| counter(log, name)).sum::<i64>();
     assert_eq!(
@@ -296,8 +317,8 @@
         (0, 0),
         "{log}"
     );
-    let ends = ["completed", "rejected", "failed", "client_left", "open"];
-    assert_eq!(counter(log, "statements_accepted"), sum(&ends), "{log}");
+    let outcomes = ["completed", "rejected", "failed", "client_left", "open"];
+    assert_eq!(counter(log, "statements_accepted"), sum(&outcomes), "{log}");
     let attempts = [
         "completed",
         "rejected",
--- a/crates/gateway/tests/support/script.rs
+++ b/crates/gateway/tests/support/script.rs
@@ -1,4 +1,5 @@
-//! An engine whose every step a test takes itself, and what clients do at their ends of a connection.
+//! An engine whose every step is controlled by a test, and helpers for both ends of a TCP
+//! connection.
 
 use std::io::{self, BufRead, BufReader, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -10,19 +11,19 @@
 
 const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Listens; nothing is taken, read or answered unless a test says so.
+/// A listening engine that accepts, reads and answers only when a test tells it to.
 pub(crate) struct ScriptedEngine {
     listener: TcpListener,
     pub address: SocketAddr,
 }
 
-/// One connection of a gateway.
+/// The engine's side of one connection from a gateway.
 pub(crate) struct EngineConnection {
     pub stream: TcpStream,
     input: BufReader<TcpStream>,
 }
 
-/// A statement that came to an engine.
+/// A statement as an engine received it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct ReceivedStatement {
     pub id: String,
@@ -36,7 +37,8 @@
         ScriptedEngine { listener, address }
     }
 
-    /// One whose machine answers no connection until `Deaf::hear`.
+    /// An engine whose kernel completes no connection until `UnreachableEngine::make_reachable` is
+    /// called.
     pub(crate) fn unreachable() -> UnreachableEngine {
         let engine = ScriptedEngine::new();
         rustix::net::listen(&engine.listener, 0).unwrap();
@@ -53,7 +55,7 @@
         self.try_accept().expect("a connection")
     }
 
-    /// The next connection, if one comes in time.
+    /// Returns the next connection, or `None` if none arrives within the timeout.
     pub(crate) fn try_accept(&self) -> Option<EngineConnection> {
         let mut watched = [PollFd::new(&self.listener, PollFlags::IN)];
         poll(
@@ -68,7 +70,8 @@
             .then(|| EngineConnection::new(self.listener.accept().unwrap().0))
     }
 
-    /// All lines of all connections from here on, in the order of their coming.
+    /// Accepts all further connections and returns a channel with every line that arrives on any of
+    /// them, in order of arrival.
     pub(crate) fn collect_lines(self) -> Receiver<String> {
         let (sender, lines) = channel();
         thread::spawn(move || {
@@ -84,18 +87,19 @@
     }
 }
 
-/// An engine whose connections do not come up: the machine's queue for them is full.
+/// An engine to which connections stay pending because the listen backlog of its socket is full.
 pub(crate) struct UnreachableEngine {
     pub engine: ScriptedEngine,
     backlog_fillers: Vec<io::Result<TcpStream>>,
 }
 
 impl UnreachableEngine {
-    /// From here on connections come up, also those that wait: their machine tries again a second after the first time.
+    /// Lets connections complete, including pending ones: the client's kernel sends its SYN again
+    /// one second after the first.
     pub(crate) fn make_reachable(self) -> ScriptedEngine {
         drop(self.backlog_fillers);
         rustix::net::listen(&self.engine.listener, 64).unwrap();
-        // Those that only filled the queue come first, and have ended.
+        // The connections that filled the backlog are accepted first; they are already closed.
         self.engine
     }
 }
@@ -110,7 +114,8 @@
         }
     }
 
-    /// The next line; none at the gateway's end of it.
+    /// Returns the next line without its line ending, or `None` once the gateway has closed or
+    /// reset the connection.
     pub(crate) fn read_line(&mut self) -> Option<String> {
         let mut line = String::new();
         match self.input.read_line(&mut line) {
@@ -121,7 +126,7 @@
         }
     }
 
-    /// The next statement, whatever other lines come before it.
+    /// Returns the next statement and skips all other lines before it.
     pub(crate) fn receive_statement(&mut self) -> ReceivedStatement {
         loop {
             let line = self.read_line().expect("a statement");
@@ -138,18 +143,19 @@
         }
     }
 
-    /// Says it, and waits until the gateway's machine has it.
+    /// Sends the bytes and waits until the gateway's kernel has received them.
     pub(crate) fn send(&mut self, bytes: &str) {
         self.stream.write_all(bytes.as_bytes()).unwrap();
         wait_delivered(&[self.stream.local_addr().unwrap()]);
     }
 
-    /// Completes it with one row that tells what was asked.
+    /// Answers the statement with one row that contains the statement's text.
     pub(crate) fn complete(&mut self, statement: &ReceivedStatement) {
         self.send(&completed_answer(statement));
     }
 
-    /// No further byte of the gateway's has come: told by one that stands at its end, or has sent nothing.
+    /// Whether no unread byte from the gateway has arrived. This is conclusive only while the
+    /// gateway is settled or suspended, or when it has already reacted to everything sent to it.
     pub(crate) fn has_no_input(&mut self) -> bool {
         self.stream
             .set_read_timeout(Some(Duration::from_millis(1)))
@@ -167,37 +173,38 @@
     }
 }
 
-/// Waits until all that was written or ended at these ends of connections has reached the machine of the other: a
-/// machine under load passes even its own packets on some time later.
-pub(crate) fn wait_delivered(ends: &[SocketAddr]) {
-    let table_address = |end: &SocketAddr| match end {
-        SocketAddr::V4(end) => format!(
+/// Waits until everything that was written or closed at these local addresses has reached the
+/// kernel of the other end. On a loaded machine even loopback packets are delivered with a delay.
+pub(crate) fn wait_delivered(addresses: &[SocketAddr]) {
+    let table_address = |address: &SocketAddr| match address {
+        SocketAddr::V4(address) => format!(
             "{:08X}:{:04X}",
-            u32::from(*end.ip()).swap_bytes(),
-            end.port()
+            u32::from(*address.ip()).swap_bytes(),
+            address.port()
         ),
-        SocketAddr::V6(_) => panic!("{end}"),
+        SocketAddr::V6(_) => panic!("{address}"),
     };
-    let ends: Vec<String> = ends.iter().map(table_address).collect();
+    let addresses: Vec<String> = addresses.iter().map(table_address).collect();
     let deadline = Instant::now() + TIMEOUT;
     loop {
         let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
         let in_transit = table.lines().skip(1).any(|line| {
             let fields: Vec<&str> = line.split_whitespace().collect();
-            // With bytes that were not taken yet, or an end that was not.
+            // Either the send queue holds unacknowledged bytes, or the state is FIN_WAIT1, LAST_ACK
+            // or CLOSING, in which the FIN is unacknowledged.
             let undelivered =
                 !fields[4].starts_with("00000000:") || ["04", "09", "0B"].contains(&fields[3]);
-            undelivered && ends.iter().any(|end| end == fields[1])
+            undelivered && addresses.iter().any(|address| address == fields[1])
         });
         if !in_transit {
             return;
         }
-        assert!(Instant::now() < deadline, "never delivered: {ends:?}");
+        assert!(Instant::now() < deadline, "never delivered: {addresses:?}");
         thread::yield_now();
     }
 }
 
-/// The whole answer to a statement.
+/// Returns the complete answer to a statement, with one row.
 pub(crate) fn completed_answer(statement: &ReceivedStatement) -> String {
     let row = format!("0\t{}\tx\n", statement.text);
     format!(
@@ -207,12 +214,12 @@
     )
 }
 
-/// An answer of one word and no rows.
+/// Returns an answer with this status word and no rows.
 pub(crate) fn answer_without_rows(statement: &ReceivedStatement, word: &str) -> String {
     format!("{} {word} - 0\r\n\r\n", statement.id)
 }
 
-/// Ends a connection by a reset, at once and whatever other handles of it there are.
+/// Resets a connection at once, even when other handles of the stream are open.
 pub(crate) fn reset_connection(stream: &TcpStream) {
     rustix::net::connect_unspec(stream).unwrap();
 }
--- a/crates/gateway/tests/system_calls.rs
+++ b/crates/gateway/tests/system_calls.rs
@@ -1,5 +1,5 @@
-//! System calls that fail in the ways that Linux documents, and a log that cannot be written: neither ends a gateway, keeps
-//! it from starting, nor costs a client its answer.
+//! System calls that fail in the ways that Linux documents, and a log that cannot be written,
+//! neither end a gateway nor prevent its start, and every client still gets an answer.
 
 #![cfg(all(target_os = "linux", target_arch = "x86_64"))]
 
@@ -21,10 +21,12 @@
 use support::faults::*;
 use support::*;
 
-/// Of the calls of one kind so many are failed, from the first: the later ones come in no other place.
+/// Number of calls of one kind that are failed in turn, starting with the first. Later calls come
+/// from the same places in the code.
 const MAX_OCCURRENCES: usize = 12;
 
-/// Each call that a life without faults makes, with each error that it may return for a moment.
+/// Returns a fault for each system call that a lifecycle without faults makes, and each transient
+/// error of that call.
 fn single_faults() -> Vec<SingleFault> {
     let calls = Arc::new(Mutex::new(Vec::new()));
     let run = TestEnvironment::new().run_lifecycle(record_calls(calls.clone()));
@@ -35,8 +37,8 @@
     }
     let mut faults = Vec::new();
     for (number, errors) in TRANSIENT_ERRORS {
-        let made = occurrences.get(number).copied().unwrap_or_default();
-        for occurrence in 1..=made.min(MAX_OCCURRENCES) {
+        let call_count = occurrences.get(number).copied().unwrap_or_default();
+        for occurrence in 1..=call_count.min(MAX_OCCURRENCES) {
             for errno in *errors {
                 faults.push(SingleFault {
                     number: *number,
@@ -50,7 +52,7 @@
 }
 
 #[test]
-fn no_single_failure_of_a_system_call_ends_the_gateway_or_loses_a_statement() {
+fn a_single_failed_system_call_neither_ends_the_gateway_nor_loses_a_statement() {
     let faults = single_faults();
     assert!(faults.len() > 100, "{} faults", faults.len());
     let failures = lifecycle_failures(&faults, |fault| fault.plan());
@@ -63,7 +65,7 @@
     );
 }
 
-/// A kind of call that fails from the start on, for a while.
+/// A kind of system call that fails from the start, for some time.
 #[derive(Clone, Copy, Debug)]
 struct LastingFault {
     number: c_long,
@@ -76,7 +78,7 @@
         let mut own_calls = OwnCalls::default();
         let started = Instant::now();
         move |call: &SystemCall| {
-            let applies = own_calls.contain(call) && call.number == self.number;
+            let applies = own_calls.includes(call) && call.number == self.number;
             if applies && started.elapsed() < self.lasts {
                 Effect::Fail(self.errno)
             } else {
@@ -87,45 +89,45 @@
 }
 
 #[test]
-fn failures_that_last_a_while_end_nothing() {
-    let lasting = |number, errno| LastingFault {
+fn system_calls_that_fail_for_two_seconds_do_not_end_the_gateway() {
+    let two_seconds = |number, errno| LastingFault {
         number,
         errno,
         lasts: Duration::from_secs(2),
     };
     let faults = [
-        lasting(libc::SYS_accept4, Errno::ENFILE),
-        lasting(libc::SYS_accept4, Errno::ENOBUFS),
-        lasting(libc::SYS_bind, Errno::EADDRINUSE),
-        lasting(libc::SYS_bind, Errno::EADDRNOTAVAIL),
-        lasting(libc::SYS_connect, Errno::EADDRNOTAVAIL),
-        lasting(libc::SYS_connect, Errno::ENETUNREACH),
-        lasting(libc::SYS_epoll_create1, Errno::EMFILE),
-        lasting(libc::SYS_epoll_ctl, Errno::ENOMEM),
-        lasting(libc::SYS_epoll_pwait, Errno::EINTR),
-        lasting(libc::SYS_eventfd2, Errno::ENFILE),
-        lasting(libc::SYS_listen, Errno::EADDRINUSE),
-        lasting(libc::SYS_openat, Errno::ENFILE),
-        lasting(libc::SYS_openat, Errno::EIO),
-        lasting(libc::SYS_read, Errno::EIO),
-        lasting(libc::SYS_recvfrom, Errno::EINTR),
-        lasting(libc::SYS_sendto, Errno::EINTR),
-        lasting(libc::SYS_sendto, Errno::ENOBUFS),
-        lasting(libc::SYS_signalfd4, Errno::ENFILE),
-        lasting(libc::SYS_socket, Errno::ENFILE),
-        lasting(libc::SYS_socket, Errno::ENOBUFS),
-        lasting(libc::SYS_timerfd_create, Errno::ENFILE),
-        lasting(libc::SYS_write, Errno::EAGAIN),
-        lasting(libc::SYS_write, Errno::ENOSPC),
+        two_seconds(libc::SYS_accept4, Errno::ENFILE),
+        two_seconds(libc::SYS_accept4, Errno::ENOBUFS),
+        two_seconds(libc::SYS_bind, Errno::EADDRINUSE),
+        two_seconds(libc::SYS_bind, Errno::EADDRNOTAVAIL),
+        two_seconds(libc::SYS_connect, Errno::EADDRNOTAVAIL),
+        two_seconds(libc::SYS_connect, Errno::ENETUNREACH),
+        two_seconds(libc::SYS_epoll_create1, Errno::EMFILE),
+        two_seconds(libc::SYS_epoll_ctl, Errno::ENOMEM),
+        two_seconds(libc::SYS_epoll_pwait, Errno::EINTR),
+        two_seconds(libc::SYS_eventfd2, Errno::ENFILE),
+        two_seconds(libc::SYS_listen, Errno::EADDRINUSE),
+        two_seconds(libc::SYS_openat, Errno::ENFILE),
+        two_seconds(libc::SYS_openat, Errno::EIO),
+        two_seconds(libc::SYS_read, Errno::EIO),
+        two_seconds(libc::SYS_recvfrom, Errno::EINTR),
+        two_seconds(libc::SYS_sendto, Errno::EINTR),
+        two_seconds(libc::SYS_sendto, Errno::ENOBUFS),
+        two_seconds(libc::SYS_signalfd4, Errno::ENFILE),
+        two_seconds(libc::SYS_socket, Errno::ENFILE),
+        two_seconds(libc::SYS_socket, Errno::ENOBUFS),
+        two_seconds(libc::SYS_timerfd_create, Errno::ENFILE),
+        two_seconds(libc::SYS_write, Errno::EAGAIN),
+        two_seconds(libc::SYS_write, Errno::ENOSPC),
     ];
     let failures = lifecycle_failures(&faults, |fault| fault.plan());
     assert!(failures.is_empty(), "{}", failures.join("\n"));
 }
 
 #[test]
-fn a_client_whose_connection_could_not_be_accepted_at_once_is_served_soon() {
-    // Without an answer of the discovery service nothing else wakes the gateway for a second and a half.
-    const SOON: Duration = Duration::from_secs(1);
+fn a_client_whose_accept_failed_once_is_served_within_a_second() {
+    // While the discovery service does not answer, nothing else wakes the gateway for 1.5 s.
+    const MAX_DELAY: Duration = Duration::from_secs(1);
     let environment = TestEnvironment::new();
     environment.silence_discovery();
     let additional_errors = [Errno::EMFILE, Errno::ENOMEM, Errno::EHOSTUNREACH];
@@ -139,28 +141,28 @@
         let mut client = gateway.connect_when_listening(&query()).unwrap();
         client.answer().unwrap();
         let waited = gateway.time_since_connect();
-        assert!(waited < SOON, "{errno}: answered after {waited:?}");
+        assert!(waited < MAX_DELAY, "{errno}: answered after {waited:?}");
     }
 }
 
 #[test]
-fn a_gateway_whose_waits_lose_their_events_still_serves() {
+fn a_gateway_whose_event_loop_loses_events_still_serves() {
     let run = TestEnvironment::new().run_lifecycle(lose_events_of_every_second_wait());
     run.outcome.unwrap();
     assert!(counter(&run.log, "event_loop_failures") > 0);
 }
 
 #[test]
-fn transfers_of_one_byte_each_lose_nothing() {
+fn transfers_of_one_byte_lose_no_data() {
     let run = TestEnvironment::new().run_lifecycle(one_byte_transfers());
     run.outcome.unwrap();
     assert_eq!(counter(&run.log, "log_lines_lost"), 0, "{}", run.log);
 }
 
 #[test]
-fn a_configuration_that_cannot_be_read_at_a_reload_is_read_later() {
+fn a_reload_that_cannot_open_the_configuration_is_retried() {
     let is_open = |call: &SystemCall| call.number == libc::SYS_openat;
-    // The first is that of the start.
+    // The first open is that of the start.
     let reload_fails = |occurrence| match occurrence {
         2..=4 => Effect::Fail(Errno::EMFILE),
         _ => Effect::Proceed,
@@ -175,70 +177,71 @@
 }
 
 #[test]
-fn a_configuration_that_is_half_written_is_read_once_it_is_whole() {
+fn a_half_written_configuration_is_read_again_once_complete() {
     let environment = TestEnvironment::new();
     let mut gateway = environment.start(|_: &SystemCall| Effect::Proceed);
     drop(gateway.connect_when_listening(&[]).unwrap());
-    let whole = std::fs::read(&gateway.config).unwrap();
-    for length in [0, whole.len() / 2] {
-        std::fs::write(&gateway.config, &whole[..length]).unwrap();
+    let complete = std::fs::read(&gateway.config).unwrap();
+    for length in [0, complete.len() / 2] {
+        std::fs::write(&gateway.config, &complete[..length]).unwrap();
         gateway.signal(process_harness::system_calls::Signal::SIGHUP);
         gateway.wait_for_log("reload: tried again");
-        std::fs::write(&gateway.config, &whole).unwrap();
+        std::fs::write(&gateway.config, &complete).unwrap();
         gateway.wait_for_log("configuration read again");
     }
 }
 
-/// A read of the descriptor of signals: its records are of this size, and nothing else is read in such pieces.
+/// Whether the call reads from the signalfd. Its records have this size, and no other read uses it.
 fn reads_signal(call: &SystemCall) -> bool {
     const RECORD_BYTES: u64 = 128;
     call.number == libc::SYS_read && call.arguments[2] == RECORD_BYTES
 }
 
 #[test]
-fn a_signal_that_is_read_in_part_ends_nothing() {
-    let half_a_record = |occurrence| match occurrence {
+fn a_partial_read_of_a_signal_does_not_end_the_gateway() {
+    let half_record = |occurrence| match occurrence {
         1 => Effect::Return(64),
         2 => Effect::Fail(Errno::EINTR),
         3 => Effect::Fail(Errno::EIO),
         _ => Effect::Proceed,
     };
-    let run = TestEnvironment::new().run_lifecycle(by_occurrence(reads_signal, half_a_record));
+    let run = TestEnvironment::new().run_lifecycle(by_occurrence(reads_signal, half_record));
     run.outcome.unwrap();
     assert_eq!(counter(&run.log, "reloads"), 1, "{}", run.log);
 }
 
-/// The start's first connection is that of its first poll, and the first client's address comes soon after.
+/// `accept4` and `getpeername` return an address that is cut to 4 bytes. The first such call is
+/// made for the first discovery poll, and the first client's address is read soon after.
 #[test]
-fn an_address_that_is_cut_ends_nothing() {
-    let tells_address =
+fn a_truncated_peer_address_does_not_end_the_gateway() {
+    let returns_address =
         |call: &SystemCall| [libc::SYS_accept4, libc::SYS_getpeername].contains(&call.number);
-    let cut = |_| Effect::AnswerLength {
+    let truncate = |_| Effect::AnswerLength {
         argument: 2,
         bytes: 4,
     };
-    let run = TestEnvironment::new().run_lifecycle(by_occurrence(tells_address, cut));
+    let run = TestEnvironment::new().run_lifecycle(by_occurrence(returns_address, truncate));
     run.outcome.unwrap();
 }
 
 #[test]
-fn a_start_that_waits_for_the_machine_heeds_sigterm() {
+fn sigterm_ends_a_start_that_is_being_retried() {
     let is_open = |call: &SystemCall| call.number == libc::SYS_openat;
-    let never = |_| Effect::Fail(Errno::ENFILE);
+    let always_fail = |_| Effect::Fail(Errno::ENFILE);
     let environment = TestEnvironment::new();
-    let mut gateway = environment.start(by_occurrence(is_open, never));
+    let mut gateway = environment.start(by_occurrence(is_open, always_fail));
     gateway.wait_for_log("it is tried again");
     gateway.signal(process_harness::system_calls::Signal::SIGTERM);
     gateway.expect_clean_exit().unwrap();
 }
 
 #[test]
-fn a_log_tells_how_many_of_its_lines_were_lost() {
-    let some_fail = |occurrence| match occurrence {
+fn the_log_reports_the_number_of_lost_lines() {
+    let two_writes_fail = |occurrence| match occurrence {
         2..=3 => Effect::Fail(Errno::ENOSPC),
         _ => Effect::Proceed,
     };
-    let run = TestEnvironment::new().run_lifecycle(by_occurrence(writes_log, some_fail));
+    let run = TestEnvironment::new().run_lifecycle(by_occurrence(writes_log, two_writes_fail));
     run.outcome.unwrap();
     let notice = "log: 2 lines could not be written\n";
     assert!(run.log.contains(notice), "{}", run.log);
@@ -246,13 +249,13 @@
 }
 
 #[test]
-fn failures_by_chance_lose_no_statement() {
+fn random_failures_lose_no_statement() {
     let seeds: Vec<u64> = (1..=24).collect();
     let failures = lifecycle_failures(&seeds, |seed| random_faults(*seed));
     assert!(failures.is_empty(), "{}", failures.join("\n"));
 }
 
-/// A sub-command that prints more than a line, with its standard output there.
+/// Runs a subcommand that prints more than one line, with this standard output.
 fn print_to(stdout: OwnedFd) -> Output {
     let board = Board::start("127.0.0.1:0").unwrap();
     let GatewayConfig { path, .. } = configure(&board, "", |_| {});
@@ -268,49 +271,49 @@
 }
 
 #[test]
-fn a_command_whose_output_cannot_be_written_says_so_in_one_line() {
-    let (disk, _) = unwritable(Unwritable::FullDisk);
-    let output = print_to(disk);
-    let said = String::from_utf8_lossy(&output.stderr).into_owned();
-    assert_eq!(output.status.code(), Some(1), "{said}");
-    assert_eq!(said.lines().count(), 1, "{said}");
+fn a_command_that_cannot_write_its_output_prints_one_error_line() {
+    let (full_disk, _) = unwritable(Unwritable::FullDisk);
+    let output = print_to(full_disk);
+    let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
+    assert_eq!(output.status.code(), Some(1), "{stderr}");
+    assert_eq!(stderr.lines().count(), 1, "{stderr}");
 }
 
 #[test]
-fn a_command_whose_reader_has_gone_ends_quietly() {
-    let (pipe, _) = unwritable(Unwritable::NobodyReads);
+fn a_command_whose_output_pipe_is_closed_exits_without_an_error() {
+    let (pipe, _) = unwritable(Unwritable::ClosedPipe);
     let output = print_to(pipe);
-    let said = String::from_utf8_lossy(&output.stderr).into_owned();
-    assert_eq!(output.status.code(), Some(0), "{said}");
-    assert_eq!(said, "");
+    let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
+    assert_eq!(output.status.code(), Some(0), "{stderr}");
+    assert_eq!(stderr, "");
 }
 
-/// Where a log goes that cannot be written.
+/// A kind of log destination that cannot be written.
 #[derive(Clone, Copy, Debug)]
 enum Unwritable {
     /// The disk is full.
     FullDisk,
-    /// Whoever read it has gone.
-    NobodyReads,
-    /// Whoever reads it is behind, and the pipe refuses more.
-    FullPipe,
-    /// Whoever reads it is behind, and a write would wait for it.
-    FullPipeThatBlocks,
+    /// The reader of the pipe has closed it.
+    ClosedPipe,
+    /// The pipe is full, and a write fails with `EAGAIN`.
+    NonblockingFullPipe,
+    /// The pipe is full, and a write blocks.
+    BlockingFullPipe,
 }
 
-/// The log's descriptor, and what keeps it as it is.
+/// Returns a descriptor for the log, and for a full pipe its read end, which has to stay open.
 fn unwritable(kind: Unwritable) -> (OwnedFd, Option<OwnedFd>) {
     if let Unwritable::FullDisk = kind {
         let full = File::options().write(true).open("/dev/full").unwrap();
         return (full.into(), None);
     }
     let (reader, writer) = rustix::pipe::pipe().unwrap();
-    if let Unwritable::NobodyReads = kind {
+    if let Unwritable::ClosedPipe = kind {
         return (writer, None);
     }
     fcntl_setfl(writer.as_fd(), OFlags::NONBLOCK).unwrap();
     while rustix::io::write(&writer, &[b'x'; 512]).is_ok() {}
-    if let Unwritable::FullPipeThatBlocks = kind {
+    if let Unwritable::BlockingFullPipe = kind {
         fcntl_setfl(writer.as_fd(), OFlags::empty()).unwrap();
     }
     (writer, Some(reader))
@@ -320,9 +323,9 @@
     kill_process(Pid::from_child(child), signal).unwrap();
 }
 
-/// Serves with such a log, from its start to its end.
-fn serve_with_log(kind: Unwritable) -> Result<(), String> {
-    let (log, _kept) = unwritable(kind);
+/// Runs a gateway with such a log from its start to its exit.
+fn run_with_log(kind: Unwritable) -> Result<(), String> {
+    let (log, _reader) = unwritable(kind);
     let engine = engine(1);
     let board = Board::start("127.0.0.1:0").unwrap();
     announce_engines(&board, &[engine.address]);
@@ -332,7 +335,7 @@
         .stderr(Stdio::from(log))
         .spawn()
         .unwrap();
-    let until = Instant::now() + Duration::from_secs(10);
+    let deadline = Instant::now() + Duration::from_secs(10);
     let outcome = loop {
         if let Some(status) = child.try_wait().unwrap() {
             break Err(format!("{kind:?}: ended before it was ready: {status}"));
@@ -341,14 +344,16 @@
             Ok(mut client) => {
                 signal(&child, Signal::USR1);
                 signal(&child, Signal::HUP);
-                let mut answered = run_statement(&mut client, "a statement after a signal");
+                let mut result = run_statement(&mut client, "statement after signals");
                 signal(&child, Signal::TERM);
                 answered =
-                    answered.and_then(|()| run_statement(&mut client, "a statement after SIGTERM"));
+                    result.and_then(|()| run_statement(&mut client, "statement after SIGTERM"));
                 drop(client);
-                break answered.map_err(|error| format!("{kind:?}: {error}"));
+                break result.map_err(|error| format!("{kind:?}: {error}"));
+            }
+            Err(_) if Instant::now() > deadline => {
+                break Err(format!("{kind:?}: not ready in time"));
             }
-            Err(_) if Instant::now() > until => break Err(format!("{kind:?}: never ready")),
             Err(_) => pause(),
         }
     };
@@ -360,28 +365,28 @@
 }
 
 fn expect_clean_exit(kind: Unwritable, child: &mut Child) -> Result<(), String> {
-    let until = Instant::now() + Duration::from_secs(6);
+    let deadline = Instant::now() + Duration::from_secs(6);
     loop {
         match child.try_wait().unwrap() {
             Some(status) if status.success() => return Ok(()),
-            Some(status) => return Err(format!("{kind:?}: ended by {status}")),
-            None if Instant::now() > until => return Err(format!("{kind:?}: did not end")),
+            Some(status) => return Err(format!("{kind:?}: exited with {status}")),
+            None if Instant::now() > deadline => return Err(format!("{kind:?}: did not exit")),
             None => pause(),
         }
     }
 }
 
 #[test]
-fn a_log_that_cannot_be_written_ends_nothing() {
+fn an_unwritable_log_does_not_end_the_gateway() {
     let kinds = [
         Unwritable::FullDisk,
-        Unwritable::NobodyReads,
-        Unwritable::FullPipe,
-        Unwritable::FullPipeThatBlocks,
+        Unwritable::ClosedPipe,
+        Unwritable::NonblockingFullPipe,
+        Unwritable::BlockingFullPipe,
     ];
     let failures: Vec<String> = kinds
         .into_iter()
-        .filter_map(|kind| serve_with_log(kind).err())
+        .filter_map(|kind| run_with_log(kind).err())
         .collect();
     assert!(failures.is_empty(), "{}", failures.join("\n"));
 }
