--- a/crates/gateway/tests/connections.rs
+++ b/crates/gateway/tests/connections.rs
@@ -1,4 +1,5 @@
-//! Connections to engines in one process with the test, so that it chooses what each turn gets to see.
+//! Tests of engine connections, discovery and sessions inside the test process, so that a test
+//! controls which events each turn of the event loop sees.
 
 mod support;
 
@@ -15,33 +16,33 @@
 
 use support::script::{EngineConnection, ScriptedEngine, completed_answer, wait_delivered};
 
-struct Turns {
+struct EngineTest {
     event_loop: EventLoop<'static, LoopEvents>,
     engines: EngineTransport,
     counters: Counters,
     now: f64,
-    next: u64,
+    last_number: u64,
 }
 
 const ENGINE: EngineId = EngineId(1);
 
-impl Turns {
-    fn new(engine: SocketAddr, connections: usize) -> Turns {
+impl EngineTest {
+    fn new(engine: SocketAddr, connections: usize) -> EngineTest {
         let event_loop = EventLoop::try_new().unwrap();
-        let span = TimeDelta::from_secs;
-        let links = ConnectionSettings {
-            connect_timeout: span(5.0),
-            idle_timeout: span(100.0),
+        let seconds = TimeDelta::from_secs;
+        let settings = ConnectionSettings {
+            connect_timeout: seconds(5.0),
+            idle_timeout: seconds(100.0),
             multiplex: 10,
         };
-        let mut engines = EngineTransport::new(&event_loop.handle(), links, connections);
+        let mut engines = EngineTransport::new(&event_loop.handle(), settings, connections);
         engines.set_address(ENGINE, Some(engine));
-        Turns {
+        EngineTest {
             event_loop,
             engines,
             counters: Counters::default(),
             now: 1000.0,
-            next: 0,
+            last_number: 0,
         }
     }
 
@@ -53,10 +54,11 @@
         format!("{number:016x}").into_bytes().try_into().unwrap()
     }
 
-    /// One statement, without any turn before or after it.
+    /// Sends one statement without running the event loop. Returns its number, and the connection
+    /// that took it, if any.
     fn send(&mut self, send_by: Option<Timestamp>) -> (u64, Option<ConnectionId>) {
-        self.next += 1;
-        let (number, deadline) = (self.next, Timestamp::from_secs(self.now + 60.0));
+        self.last_number += 1;
+        let (number, deadline) = (self.last_number, Timestamp::from_secs(self.now + 60.0));
         let outgoing = OutgoingAttempt {
             statement: StatementId(number),
             attempt: AttemptNumber(0),
@@ -76,135 +78,140 @@
         )
     }
 
-    /// Turns until an outcome is there.
+    /// Runs the event loop until an attempt has an outcome, and returns it.
     fn outcome(&mut self) -> AttemptUpdate {
         let mut ready = LoopEvents::default();
         loop {
             self.event_loop
                 .dispatch(std::time::Duration::from_secs(10), &mut ready)
                 .unwrap();
-            for peer in std::mem::take(&mut ready.sources) {
-                let EventSource::Engine(at) = peer else {
-                    panic!("{peer:?}")
+            for source in std::mem::take(&mut ready.sources) {
+                let EventSource::Engine(at) = source else {
+                    panic!("{source:?}")
                 };
                 self.engines
                     .on_socket_event(self.at(), at, &mut self.counters);
             }
-            if let Some(report) = self.engines.take_updates().pop() {
-                return report;
+            if let Some(update) = self.engines.take_updates().pop() {
+                return update;
             }
         }
     }
 
     fn complete_one(
         &mut self,
-        script: &ScriptedEngine,
+        engine: &ScriptedEngine,
     ) -> (EngineConnection, Option<ConnectionId>) {
         let (_, at) = self.send(None);
-        // Its connection comes up in the first turn, and takes the statement then.
-        let mut link = script.accept();
+        // The connection is established in the first turn of the event loop, and takes the
+        // statement in that turn.
+        let mut engine_side = engine.accept();
         let mut ready = LoopEvents::default();
         self.event_loop
             .dispatch(std::time::Duration::from_secs(10), &mut ready)
             .unwrap();
-        for peer in std::mem::take(&mut ready.sources) {
-            let EventSource::Engine(at) = peer else {
-                panic!("{peer:?}")
+        for source in std::mem::take(&mut ready.sources) {
+            let EventSource::Engine(at) = source else {
+                panic!("{source:?}")
             };
             self.engines
                 .on_socket_event(self.at(), at, &mut self.counters);
         }
-        let asked = link.receive_statement();
-        link.send(&completed_answer(&asked));
+        let received = engine_side.receive_statement();
+        engine_side.send(&completed_answer(&received));
         assert!(matches!(
             self.outcome().event,
             AttemptEvent::Completed { .. }
         ));
-        (link, at)
+        (engine_side, at)
     }
 }
 
-/// Closed, reset or spoilt by its engine after this turn's events were taken: what is written on it then may have run for
-/// all that can be known, and what may not run twice would be lost.
+/// An idle connection is closed, reset or corrupted by its engine after the events of this turn
+/// were read. A statement written on it would count as one that may have run, and would be lost if
+/// it must not run twice.
 #[test]
-fn an_idle_connection_that_ended_in_this_very_turn_takes_nothing() {
+fn an_idle_connection_that_ended_in_this_turn_takes_no_statement() {
     for ends in ["closes", "resets", "says half a line"] {
-        let script = ScriptedEngine::new();
-        let mut turns = Turns::new(script.address, 4);
-        let (mut link, first) = turns.complete_one(&script);
-        let near = link.stream.local_addr().unwrap();
+        let engine = ScriptedEngine::new();
+        let mut test = EngineTest::new(engine.address, 4);
+        let (mut engine_side, first) = test.complete_one(&engine);
+        let local_address = engine_side.stream.local_addr().unwrap();
         match ends {
-            "closes" => drop(link),
-            "resets" => link.reset(),
-            _ => link.send("00000000000"),
+            "closes" => drop(engine_side),
+            "resets" => engine_side.reset(),
+            _ => engine_side.send("00000000000"),
         }
-        wait_delivered(&[near]);
-        // No turn in between.
-        let (number, at) = turns.send(None);
+        wait_delivered(&[local_address]);
+        // The event loop does not run in between.
+        let (number, at) = test.send(None);
         assert!(at.is_some() && at != first, "{ends}");
-        let mut fresh = script.accept();
-        let report = std::thread::scope(|scope| {
+        let mut new_connection = engine.accept();
+        let update = std::thread::scope(|scope| {
             let engine = scope.spawn(|| {
-                let asked = fresh.receive_statement();
-                fresh.complete(&asked);
-                asked
+                let received = new_connection.receive_statement();
+                new_connection.complete(&received);
+                received
             });
-            let report = turns.outcome();
-            assert_eq!(engine.join().unwrap().id.as_bytes(), Turns::rid(number));
-            report
+            let update = test.outcome();
+            assert_eq!(
+                engine.join().unwrap().id.as_bytes(),
+                EngineTest::rid(number)
+            );
+            update
         });
         assert!(
-            matches!(report.event, AttemptEvent::Completed { .. }),
-            "{ends}: {report:?}"
+            matches!(update.event, AttemptEvent::Completed { .. }),
+            "{ends}: {update:?}"
         );
     }
 }
 
-/// With descriptors short an idle connection goes for a new one, but never the one that was just taken.
+/// When file descriptors are short, an idle connection is closed for a new one, but never one that
+/// was just claimed.
 #[test]
-fn a_claimed_connection_is_not_the_one_that_makes_room() {
-    let (script, other) = (ScriptedEngine::new(), ScriptedEngine::new());
-    let mut turns = Turns::new(script.address, 1);
-    let (mut link, first) = turns.complete_one(&script);
-    let (_, claimed) = turns.send(None);
+fn a_claimed_connection_is_not_closed_to_make_room() {
+    let (engine, other) = (ScriptedEngine::new(), ScriptedEngine::new());
+    let mut test = EngineTest::new(engine.address, 1);
+    let (mut engine_side, first) = test.complete_one(&engine);
+    let (_, claimed) = test.send(None);
     assert_eq!(claimed, first);
-    // The only connection is claimed: a statement for another engine has no room, and never ran.
-    turns.engines.set_address(EngineId(2), Some(other.address));
+    // The only connection is claimed, so that a statement for another engine finds no room and
+    // never runs.
+    test.engines.set_address(EngineId(2), Some(other.address));
     let outgoing = OutgoingAttempt {
         statement: StatementId(100),
         attempt: AttemptNumber(0),
         engine: EngineId(2),
-        request_id: Turns::rid(100),
+        request_id: EngineTest::rid(100),
         class: "point",
         keys: &StatementKeys::default(),
         text: b"SELECT 1",
-        deadline: Timestamp::from_secs(turns.now + 60.0),
+        deadline: Timestamp::from_secs(test.now + 60.0),
         priority: None,
         send_by: None,
         avoid: &[],
     };
     assert_eq!(
-        turns
-            .engines
-            .send(turns.at(), &outgoing, &mut turns.counters),
+        test.engines.send(test.at(), &outgoing, &mut test.counters),
         None
     );
-    let refused = turns.engines.take_updates().pop().unwrap();
+    let refused = test.engines.take_updates().pop().unwrap();
     assert_eq!(
         (refused.statement, refused.event),
         (StatementId(100), AttemptEvent::NeverSent)
     );
-    let asked = link.receive_statement();
-    link.send(&completed_answer(&asked));
+    let received = engine_side.receive_statement();
+    engine_side.send(&completed_answer(&received));
     assert!(matches!(
-        turns.outcome().event,
+        test.outcome().event,
         AttemptEvent::Completed { .. }
     ));
 }
 
-/// Gateways that lose the discovery service in one instant do not poll it again in step.
+/// Gateways that lose the discovery service at the same time do not poll it again in lockstep.
 #[test]
-fn a_lost_discovery_service_is_polled_again_at_an_instant_of_each_gateways_own() {
+fn gateways_that_lose_the_discovery_service_poll_it_at_different_times() {
     let closed = std::net::TcpListener::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
@@ -214,47 +221,52 @@
         .map(|seed| {
             let mut event_loop: EventLoop<'static, LoopEvents> = EventLoop::try_new().unwrap();
             let mut discovery = DiscoveryClient::new(&event_loop.handle(), closed, 0, seed, begun);
-            let (mut now, mut asked, mut counters) = (begun, Vec::new(), Counters::default());
-            while asked.len() < 8 {
+            let (mut now, mut polls, mut counters) = (begun, Vec::new(), Counters::default());
+            while polls.len() < 8 {
                 discovery.on_timer(now, &mut counters);
-                // Refused at once, in the same instant for all.
+                // The connection is refused at once, at the same time for all of them.
                 let mut ready = LoopEvents::default();
                 while ready.sources.is_empty()
-                    && counters.discovery_polls_failed as usize == asked.len()
+                    && counters.discovery_polls_failed as usize == polls.len()
                 {
                     event_loop
                         .dispatch(std::time::Duration::from_secs(10), &mut ready)
                         .unwrap();
                 }
-                for peer in ready.sources {
-                    let EventSource::Discovery(poll_id) = peer else {
-                        panic!("{peer:?}")
+                for source in ready.sources {
+                    let EventSource::Discovery(poll_id) = source else {
+                        panic!("{source:?}")
                     };
                     discovery.on_ready(now, poll_id, &mut counters);
                 }
                 now = discovery.next_due().unwrap();
-                asked.push(now);
+                polls.push(now);
             }
-            asked
+            polls
         })
         .collect();
     for round in 0..8 {
-        let mut at: Vec<Timestamp> = poll_times.iter().map(|of| of[round]).collect();
-        at.sort_unstable();
-        at.dedup();
-        assert_eq!(at.len(), 20, "round {round}");
+        let mut round_times: Vec<Timestamp> = poll_times.iter().map(|times| times[round]).collect();
+        round_times.sort_unstable();
+        round_times.dedup();
+        assert_eq!(round_times.len(), 20, "round {round}");
     }
-    // Bounded all the same: never over a second between two, and no more than a few at once.
-    for of in &poll_times {
-        assert!(of.windows(2).all(|pair| (pair[1] - pair[0]).secs() <= 1.0));
-        assert!((of[7] - begun).secs() > 1.0, "{of:?}");
+    // The intervals are bounded nevertheless: at most one second between two polls, and more than
+    // one second for the first eight.
+    for times in &poll_times {
+        assert!(
+            times
+                .windows(2)
+                .all(|pair| (pair[1] - pair[0]).secs() <= 1.0)
+        );
+        assert!((times[7] - begun).secs() > 1.0, "{times:?}");
     }
 }
 
-/// A statement that came whole after this turn's events were taken, just as the gateway would end: it is taken, and nobody
-/// is sent away before it has its answer.
+/// A complete statement arrives after the events of this turn were read, just as the gateway would
+/// exit. It is accepted, and no session is closed before its answer.
 #[test]
-fn the_last_look_before_all_sessions_are_shut_down_takes_what_has_come() {
+fn shutting_down_all_sessions_first_accepts_what_has_arrived() {
     use gateway::clients::{ProgressReports, SessionEvent, SessionLimits, Sessions};
     use stand_ins::client::{login_packet, query_packet};
     let event_loop: EventLoop<'static, LoopEvents> = EventLoop::try_new().unwrap();
@@ -271,11 +283,13 @@
         wait_delivered(&[client.local_addr().unwrap()]);
     };
     send(&login_packet("app", b"", "warehouse"));
-    let (near, from) = listener.accept().unwrap();
-    let near = std::rc::Rc::new(near);
-    clients.accept(now, near, from.ip(), &mut counters).unwrap();
+    let (server_side, from) = listener.accept().unwrap();
+    let server_side = std::rc::Rc::new(server_side);
+    clients
+        .accept(now, server_side, from.ip(), &mut counters)
+        .unwrap();
     send(&query_packet(&support::commented(5000, "SELECT 1")));
-    // No turn in between.
+    // The event loop does not run in between.
     assert!(!clients.try_shut_down_all(now, &mut counters));
     assert!(matches!(
         clients.take_events()[..],
--- a/crates/gateway/tests/endings.rs
+++ b/crates/gateway/tests/endings.rs
@@ -1,8 +1,9 @@
-//! The ways in which something ends while something is owed, each made to happen in its bad order every time: by
-//! what the stand-ins at both ends do and see, and by a gateway that stands still while the order is laid out.
-//! docs/endings.md has a row for each.
+//! The ways in which a connection, an attempt, a session or a process ends while a statement is
+//! open. Each test forces the order of events that is most likely to go wrong, through the
+//! stand-ins at both ends and by suspending the gateway while events accumulate. docs/endings.md
+//! lists each case.
 
-// A test tells one story from top to bottom, and tables of cases are long.
+// The tests are long because each one describes a single scenario from start to end.
 #![allow(clippy::too_many_lines)]
 
 mod support;
@@ -24,47 +25,48 @@
 };
 use support::*;
 
-/// The same where the first query class has another effect.
-fn effect(effect: &'static str, window_s: f64) -> impl FnOnce(&mut Value) {
+/// Returns a change of the configuration that sets the effect and the repeat window of the first
+/// query class, in addition to `allow_long_waits`.
+fn with_effect(class_effect: &'static str, window_s: f64) -> impl FnOnce(&mut Value) {
     move |config| {
         allow_long_waits(config);
         let class = &mut config["settings"]["Grades"][0];
-        class["Effect"] = json!(effect);
+        class["Effect"] = json!(class_effect);
         (class["KeyScope"], class["WindowS"]) = (json!("all"), json!(window_s));
     }
 }
 
 #[test]
-fn who_leaves_while_held_is_not_sent_on() {
-    for_each_concurrently(&DEPARTURES, |way| {
+fn a_waiting_statement_is_not_sent_after_its_client_left() {
+    for_each_concurrently(&DEPARTURES, |departure| {
         let engine = ScriptedEngine::new();
         let mut gateway = Gateway::with_config(&[engine.address], allow_long_waits);
-        let (mut first, mut link, asked) = fill_engine(&gateway, &engine);
-        let (mut waits, held) = (
+        let (mut first, mut connection, received) = fill_engine(&gateway, &engine);
+        let (mut waiting, statement) = (
             gateway.client(),
             tagged_statement(LARGE_MEMORY_MB, "SELECT 'held'"),
         );
-        send(&mut waits, &held);
+        send(&mut waiting, &statement);
         gateway.settle();
-        let kept = leave(way, waits, gateway.listen);
+        let open_streams = leave(departure, waiting, gateway.listen);
         let counts = gateway.settle();
-        // Room for it, and for the one behind it.
-        link.complete(&asked);
+        // This frees capacity for the departed client's statement and for the next one.
+        connection.complete(&received);
         assert_eq!(rows(first.answer().unwrap()).len(), 1);
         let last = tagged_statement(LARGE_MEMORY_MB, "SELECT 'last'");
         send(&mut first, &last);
-        let next = link.receive_statement();
+        let next = connection.receive_statement();
         assert_eq!(
             next.id, last.rid,
-            "{way:?}: the one whose client left was sent on"
+            "{departure:?}: the statement was sent although its client had left"
         );
-        link.complete(&next);
+        connection.complete(&next);
         assert_eq!(rows(first.answer().unwrap()).len(), 1);
-        assert_eq!(counter(&counts, "client_left"), 1, "{way:?}");
-        if way == Departure::HalfClose {
-            // It may still read, and is owed one final answer.
+        assert_eq!(counter(&counts, "client_left"), 1, "{departure:?}");
+        if departure == Departure::HalfClose {
+            // The client can still read, and gets one final answer.
             let mut reads = Client {
-                stream: kept[0].try_clone().unwrap(),
+                stream: open_streams[0].try_clone().unwrap(),
                 connection: 0,
             };
             assert!(denied(&reads.answer().unwrap()));
@@ -75,53 +77,57 @@
 }
 
 #[test]
-fn who_leaves_a_queue_is_not_sent_on() {
+fn a_queued_statement_is_not_sent_after_its_client_left() {
     const QUEUES: &str = r#"queues {
   default_member = "water"
   ageing_ms      = 500
   burst_ms       = 500
   member "water" { cpu_s_per_s = 4.0 }
 }"#;
-    for_each_concurrently(&DEPARTURES, |way| {
+    for_each_concurrently(&DEPARTURES, |departure| {
         let engine = ScriptedEngine::new();
         let mut gateway = Gateway::with_operator_file(&[engine.address], QUEUES, allow_long_waits);
-        let (mut first, mut link, asked) = fill_engine(&gateway, &engine);
-        let (mut waits, held) = (
+        let (mut first, mut connection, received) = fill_engine(&gateway, &engine);
+        let (mut waiting, statement) = (
             gateway.client(),
             tagged_statement(LARGE_MEMORY_MB, "SELECT 'held'"),
         );
-        send(&mut waits, &held);
+        send(&mut waiting, &statement);
         let counts = gateway.settle();
         assert_eq!(counter(&counts, "waiting"), 1, "{counts}");
-        let _kept = leave(way, waits, gateway.listen);
+        let _open_streams = leave(departure, waiting, gateway.listen);
         let counts = gateway.settle();
-        link.complete(&asked);
+        connection.complete(&received);
         assert_eq!(rows(first.answer().unwrap()).len(), 1);
         let last = tagged_statement(LARGE_MEMORY_MB, "SELECT 'last'");
         send(&mut first, &last);
-        let next = link.receive_statement();
+        let next = connection.receive_statement();
         assert_eq!(
             next.id, last.rid,
-            "{way:?}: the one whose client left was sent on"
+            "{departure:?}: the statement was sent although its client had left"
         );
-        link.complete(&next);
+        connection.complete(&next);
         assert_eq!(rows(first.answer().unwrap()).len(), 1);
         let seen = (
             counter(&counts, "client_left"),
             counter(&counts, "queue_client_left"),
         );
-        assert_eq!((seen, counter(&counts, "waiting")), ((1, 1), 0), "{way:?}");
+        assert_eq!(
+            (seen, counter(&counts, "waiting")),
+            ((1, 1), 0),
+            "{departure:?}"
+        );
         terminate(gateway);
     });
 }
 
 #[test]
-fn who_leaves_while_its_connection_comes_up_is_not_sent_on() {
-    for_each_concurrently(&DEPARTURES, |way| {
-        let deaf = ScriptedEngine::unreachable();
-        let mut gateway = Gateway::with_config(&[deaf.engine.address], allow_long_waits);
-        let (mut waits, held) = (gateway.client(), tagged_statement(8, "SELECT 'held'"));
-        send(&mut waits, &held);
+fn a_statement_is_not_sent_if_its_client_left_during_the_connect() {
+    for_each_concurrently(&DEPARTURES, |departure| {
+        let unreachable = ScriptedEngine::unreachable();
+        let mut gateway = Gateway::with_config(&[unreachable.engine.address], allow_long_waits);
+        let (mut waiting, statement) = (gateway.client(), tagged_statement(8, "SELECT 'held'"));
+        send(&mut waiting, &statement);
         let counts = gateway.settle();
         assert_eq!(
             (
@@ -131,9 +137,9 @@
             (1, 1),
             "{counts}"
         );
-        let _kept = leave(way, waits, gateway.listen);
+        let _open_streams = leave(departure, waiting, gateway.listen);
         let counts = gateway.settle();
-        let lines = deaf.make_reachable().collect_lines();
+        let lines = unreachable.make_reachable().collect_lines();
         let (mut other, last) = (gateway.client(), tagged_statement(8, "SELECT 'last'"));
         send(&mut other, &last);
         let mut seen = Vec::new();
@@ -141,55 +147,59 @@
             seen.push(
                 lines
                     .recv_timeout(millis(10_000))
-                    .expect("the last one comes"),
+                    .expect("the last statement"),
             );
         }
         assert!(
-            !seen.iter().any(|line| line.contains(&held.rid)),
-            "{way:?}: {seen:?}"
+            !seen.iter().any(|line| line.contains(&statement.rid)),
+            "{departure:?}: {seen:?}"
         );
-        assert_eq!(counter(&counts, "client_left"), 1, "{way:?}");
-        // Its connection went with it: nothing can carry it on any more.
-        let gone = (
+        assert_eq!(counter(&counts, "client_left"), 1, "{departure:?}");
+        // Its connection was closed too, so that nothing can carry the statement any more.
+        let after_departure = (
             counter(&counts, "attempts_withdrawn"),
             counter(&counts, "engine_connections_open"),
         );
-        assert_eq!(gone, (1, 0), "{way:?}");
+        assert_eq!(after_departure, (1, 0), "{departure:?}");
     });
 }
 
 #[test]
-fn who_leaves_in_the_turn_in_which_a_further_relay_is_due_is_not_sent_on() {
-    for_each_concurrently(&DEPARTURES, |way| {
+fn a_retry_is_not_sent_if_its_client_left_in_the_same_turn() {
+    for_each_concurrently(&DEPARTURES, |departure| {
         let engine = ScriptedEngine::new();
         let mut gateway = Gateway::with_config(&[engine.address], allow_long_waits);
-        let (mut waits, held) = (gateway.client(), tagged_statement(8, "SELECT 'held'"));
-        send(&mut waits, &held);
-        let mut link = engine.accept();
-        let asked = link.receive_statement();
-        assert_eq!(asked.id, held.rid);
+        let (mut waiting, statement) = (gateway.client(), tagged_statement(8, "SELECT 'held'"));
+        send(&mut waiting, &statement);
+        let mut connection = engine.accept();
+        let received = connection.receive_statement();
+        assert_eq!(received.id, statement.rid);
         gateway.suspend();
-        link.send(&answer_without_rows(&asked, "WAIT"));
-        let kept = leave(way, waits, gateway.listen);
+        connection.send(&answer_without_rows(&received, "WAIT"));
+        let open_streams = leave(departure, waiting, gateway.listen);
         gateway.resume();
         let counts = gateway.settle();
-        // Any further line would be of its second attempt.
-        assert!(link.has_no_input(), "{way:?}: it was sent on");
-        assert_eq!(counter(&counts, "client_left"), 1, "{way:?}: {counts}");
-        drop(kept);
+        // Any further line would belong to a second attempt.
+        assert!(connection.has_no_input(), "{departure:?}: it was sent");
+        assert_eq!(
+            counter(&counts, "client_left"),
+            1,
+            "{departure:?}: {counts}"
+        );
+        drop(open_streams);
         terminate(gateway);
     });
 }
 
 #[test]
-fn a_thousand_that_leave_in_one_turn_are_all_taken_out() {
-    for_each_concurrently(&[Departure::Close, Departure::Reset], |way| {
+fn a_thousand_clients_that_leave_in_one_turn_are_all_removed() {
+    for_each_concurrently(&[Departure::Close, Departure::Reset], |departure| {
         let engine = ScriptedEngine::new();
         let mut gateway = Gateway::with_config(&[engine.address], |config| {
             allow_long_waits(config);
             config["limits"]["sockets"] = json!(4096);
         });
-        let (mut first, mut link, asked) = fill_engine(&gateway, &engine);
+        let (mut first, mut connection, received) = fill_engine(&gateway, &engine);
         let clients: Vec<Client> = (0..1000)
             .map(|_| {
                 let mut client = gateway.client();
@@ -218,25 +228,25 @@
             "{counts}"
         );
         gateway.suspend();
-        leave_all(way, clients, gateway.listen);
+        leave_all(departure, clients, gateway.listen);
         gateway.resume();
         let counts = gateway.settle();
         assert_eq!(
             (counter(&counts, "client_left"), counter(&counts, "open")),
             (1000, 1),
-            "{way:?}"
+            "{departure:?}"
         );
-        link.complete(&asked);
+        connection.complete(&received);
         assert_eq!(rows(first.answer().unwrap()).len(), 1);
-        // All room is back, and no other statement came in between.
+        // All capacity is free again, and no other statement was sent in between.
         let last = tagged_statement(LARGE_MEMORY_MB, "SELECT 'last'");
         send(&mut first, &last);
-        assert_eq!(link.receive_statement().id, last.rid, "{way:?}");
+        assert_eq!(connection.receive_statement().id, last.rid, "{departure:?}");
     });
 }
 
 #[test]
-fn what_stands_behind_the_statement_of_one_that_left_is_not_sent_on() {
+fn a_pipelined_statement_is_not_sent_after_its_client_left() {
     let engine = ScriptedEngine::new();
     let mut gateway = Gateway::with_config(&[engine.address], allow_long_waits);
     let (one, two) = (
@@ -249,31 +259,33 @@
         .write_all(&[query_packet(&one.query), query_packet(&two.query)].concat())
         .unwrap();
     client.stream.shutdown(Shutdown::Write).unwrap();
-    let mut link = engine.accept();
-    let asked = link.receive_statement();
-    assert_eq!(asked.id, one.rid);
+    let mut connection = engine.accept();
+    let received = connection.receive_statement();
+    assert_eq!(received.id, one.rid);
     gateway.settle();
-    // What was sent before its client left goes on, and its answer is read by one that only shut its sending side.
-    link.complete(&asked);
+    // The attempt that was sent before the client left continues, and the client, which only shut
+    // down its sending side, reads its answer.
+    connection.complete(&received);
     assert_eq!(rows(client.answer().unwrap())[0][1], "SELECT 'one'");
-    assert!(denied(&client.answer().unwrap()), "it was sent on");
+    assert!(denied(&client.answer().unwrap()), "it was sent");
     assert!(client.answer().is_err());
-    assert!(link.has_no_input());
+    assert!(connection.has_no_input());
     terminate(gateway);
 }
 
-/// With no room to read on, the end of a connection is not found by reading.
+/// While the receive buffer is full the gateway does not read, so it cannot notice the end of the
+/// connection by reading.
 #[test]
-fn who_leaves_behind_more_than_is_read_is_seen_to() {
+fn a_departure_behind_unread_data_is_noticed() {
     for_each_concurrently(
         &[Departure::Close, Departure::HalfClose, Departure::Reset],
-        |way| {
+        |departure| {
             let engine = ScriptedEngine::new();
             let mut gateway = Gateway::with_config(&[engine.address], allow_long_waits);
-            let (_first, mut link, asked) = fill_engine(&gateway, &engine);
-            let mut waits = gateway.client();
+            let (_first, mut connection, received) = fill_engine(&gateway, &engine);
+            let mut waiting = gateway.client();
             send(
-                &mut waits,
+                &mut waiting,
                 &tagged_statement(LARGE_MEMORY_MB, "SELECT 'held'"),
             );
             let behind = query_packet(
@@ -281,49 +293,51 @@
                     .query,
             );
             for _ in 0..9 {
-                waits.stream.write_all(&behind).unwrap();
+                waiting.stream.write_all(&behind).unwrap();
             }
-            wait_delivered(&[waits.stream.local_addr().unwrap()]);
+            wait_delivered(&[waiting.stream.local_addr().unwrap()]);
             let counts = gateway.settle();
             assert_eq!(counter(&counts, "open"), 2, "{counts}");
-            let kept = leave(way, waits, gateway.listen);
+            let open_streams = leave(departure, waiting, gateway.listen);
             let counts = gateway.settle();
-            assert_eq!(counter(&counts, "open"), 1, "{way:?}: {counts}");
-            assert!(counter(&counts, "client_left") >= 1, "{way:?}");
-            link.complete(&asked);
+            assert_eq!(counter(&counts, "open"), 1, "{departure:?}: {counts}");
+            assert!(counter(&counts, "client_left") >= 1, "{departure:?}");
+            connection.complete(&received);
             assert!(
-                link.has_no_input(),
-                "{way:?}: it was sent on: {:?}",
-                link.read_line()
+                connection.has_no_input(),
+                "{departure:?}: it was sent: {:?}",
+                connection.read_line()
             );
-            drop(kept);
+            drop(open_streams);
             terminate(gateway);
         },
     );
 }
 
-/// Nothing is known against an engine by clients that leave before their connections to it are up.
+/// Clients that leave before their connections to the engine are established say nothing about the
+/// engine's health.
 #[test]
-fn a_burst_of_leaving_clients_puts_no_engine_out_of_use() {
-    let deaf = ScriptedEngine::unreachable();
-    let mut gateway = Gateway::with_config(&[deaf.engine.address], |config| {
+fn a_burst_of_departures_ejects_no_engine() {
+    let unreachable = ScriptedEngine::unreachable();
+    let mut gateway = Gateway::with_config(&[unreachable.engine.address], |config| {
         allow_long_waits(config);
         config["settings"]["Extra"]["ProgressPaceS"] = json!(600.0);
     });
     let clients: Vec<Client> = (0..8)
         .map(|_| {
             let mut client = gateway.client();
-            // An engine that says nothing is ejected after four times the predicted time and half a second, whoever leaves:
-            // with the usual 12 ms this test would have to be over by then, however slow its machine is.
-            let held = tagged_statement(8, "SELECT 'held'");
-            let query = held.query.replace("est=12.0", "est=900.0");
-            send(&mut client, &TaggedStatement { query, ..held });
+            // An engine that does not answer is ejected after four times the predicted time plus
+            // half a second, whether or not its clients leave. With the usual estimate of 12 ms the
+            // test would have to finish within that time even on a slow machine.
+            let statement = tagged_statement(8, "SELECT 'held'");
+            let query = statement.query.replace("est=12.0", "est=900.0");
+            send(&mut client, &TaggedStatement { query, ..statement });
             client
         })
         .collect();
     gateway.settle();
     gateway.suspend();
-    let kept = leave_all(Departure::KillQuery, clients, gateway.listen);
+    let open_streams = leave_all(Departure::KillQuery, clients, gateway.listen);
     gateway.resume();
     let counts = gateway.settle();
     assert_eq!(
@@ -335,12 +349,12 @@
         "{counts}"
     );
     assert_eq!(counter(&counts, "engines_ejected"), 0, "{counts}");
-    drop(kept);
+    drop(open_streams);
 }
 
-/// A client's time runs while its statement stands behind another on its session.
+/// The budget of a statement also runs while the statement waits behind another one on its session.
 #[test]
-fn what_waited_behind_another_past_its_time_is_denied_at_once() {
+fn a_pipelined_statement_that_exceeded_its_budget_is_rejected_at_once() {
     let engine = ScriptedEngine::new();
     let gateway = Gateway::with_config(&[engine.address], allow_long_waits);
     let (one, two) = (
@@ -353,38 +367,42 @@
         .stream
         .write_all(&[query_packet(&one.query), query_packet(&short)].concat())
         .unwrap();
-    let mut link = engine.accept();
-    let asked = link.receive_statement();
+    let mut connection = engine.accept();
+    let received = connection.receive_statement();
     sleep(millis(600));
-    link.complete(&asked);
+    connection.complete(&received);
     assert_eq!(rows(client.answer().unwrap())[0][1], "SELECT 'one'");
     assert!(denied(&client.answer().unwrap()));
-    assert!(link.has_no_input(), "it was sent on after its time");
+    assert!(
+        connection.has_no_input(),
+        "it was sent after its budget had passed"
+    );
     terminate(gateway);
 }
 
-/// The grace runs from the telling, and a connection that comes up after it must not carry anything new.
+/// The grace period runs from the discovery event. A connection that is established later must not
+/// carry a new statement.
 #[test]
-fn an_engine_told_draining_or_gone_gets_nothing_by_a_connection_that_comes_up_later() {
+fn a_draining_or_terminated_engine_gets_nothing_on_a_connection_established_later() {
     for_each_concurrently(&["terminating", "terminated"], |state| {
-        let (deaf, other) = (ScriptedEngine::unreachable(), ScriptedEngine::new());
-        let gateway = Gateway::with_config(&[deaf.engine.address], allow_long_waits);
+        let (unreachable, other) = (ScriptedEngine::unreachable(), ScriptedEngine::new());
+        let gateway = Gateway::with_config(&[unreachable.engine.address], allow_long_waits);
         let (mut client, statement) = (gateway.client(), tagged_statement(8, "SELECT 'moves'"));
         send(&mut client, &statement);
         let mut gateway = gateway;
         assert_eq!(counter(&gateway.settle(), "attempts_sent"), 1);
-        let drains = target("e-0", deaf.engine.address, state);
+        let draining = target("e-0", unreachable.engine.address, state);
         gateway.board.tell(
             false,
-            vec![drains, target("e-1", other.address, "in_service")],
+            vec![draining, target("e-1", other.address, "in_service")],
         );
-        let mut link = other
+        let mut connection = other
             .try_accept()
             .expect("it moves to the other engine at once");
-        let asked = link.receive_statement();
-        assert_eq!(asked.id, statement.rid);
-        let lines = deaf.make_reachable().collect_lines();
-        link.complete(&asked);
+        let received = connection.receive_statement();
+        assert_eq!(received.id, statement.rid);
+        let lines = unreachable.make_reachable().collect_lines();
+        connection.complete(&received);
         assert_eq!(rows(client.answer().unwrap()).len(), 1);
         let counts = gateway.settle();
         assert_eq!(
@@ -395,37 +413,43 @@
             (1, 2),
             "{counts}"
         );
-        // Only the one to the other engine is open, so that nothing can come up any more.
+        // Only the connection to the other engine is open, so that no pending connection can be
+        // established any more.
         assert_eq!(counter(&counts, "engine_connections_open"), 1, "{counts}");
         assert!(lines.try_iter().next().is_none());
         terminate(gateway);
     });
 }
 
-/// Engines forget a mark in time: a repeat that only then comes up on a late connection would take effect twice.
+/// Engines forget an idempotency key after the window. A retry sent after that, on a connection
+/// that is established late, would take effect twice.
 #[test]
-fn a_repeat_that_cannot_leave_within_the_window_never_leaves() {
-    let (first, deaf) = (ScriptedEngine::new(), ScriptedEngine::unreachable());
-    let mut gateway = Gateway::with_config(&[first.address], effect("keyed", 1.5));
+fn a_retry_that_cannot_be_sent_within_the_window_is_never_sent() {
+    let (first, unreachable) = (ScriptedEngine::new(), ScriptedEngine::unreachable());
+    let mut gateway = Gateway::with_config(&[first.address], with_effect("keyed", 1.5));
     let mut client = gateway.client();
     let plain = tagged_statement(8, "INSERT INTO ledger_1.bills SELECT 1");
     let statement = plain
         .query
         .replace("mem=8", "mem=8,token=00112233445566778899aabbccddeeff");
     client.stream.write_all(&query_packet(&statement)).unwrap();
-    let mut link = first.accept();
-    assert_eq!(link.receive_statement().id, plain.rid);
+    let mut connection = first.accept();
+    assert_eq!(connection.receive_statement().id, plain.rid);
     gateway.board.tell(
         false,
-        vec![target("e-1", deaf.engine.address, "in_service")],
+        vec![target("e-1", unreachable.engine.address, "in_service")],
     );
     while counter(&gateway.settle(), "watch_events") < 1 {}
-    let begun = Instant::now();
-    link.reset();
-    // It may have run, and can't be told to be harmless any more.
+    let started_at = Instant::now();
+    connection.reset();
+    // The first attempt may have run, and no retry can rule that out any more.
     let answer = client.answer().unwrap();
     assert!(matches!(answer, Answer::Error(1105, _)), "{answer:?}");
-    assert!(begun.elapsed() < millis(2500), "{:?}", begun.elapsed());
+    assert!(
+        started_at.elapsed() < millis(2500),
+        "{:?}",
+        started_at.elapsed()
+    );
     let counts = gateway.settle();
     assert_eq!(
         (
@@ -437,7 +461,8 @@
     );
     assert_eq!(counter(&counts, "engine_connections_open"), 0, "{counts}");
     assert!(
-        deaf.make_reachable()
+        unreachable
+            .make_reachable()
             .collect_lines()
             .recv_timeout(millis(1500))
             .is_err()
@@ -445,12 +470,13 @@
     terminate(gateway);
 }
 
-/// Engines of other deployments drop repeats by their mark, and run in turn what has one key: both go on as they came.
+/// Engines deduplicate by the idempotency key and serialize statements that share an object key.
+/// The gateway passes both on unchanged, whatever their form.
 #[test]
-fn marks_and_keys_go_on_as_they_came() {
+fn idempotency_and_object_keys_are_forwarded_unchanged() {
     let engine = ScriptedEngine::new();
-    let gateway = Gateway::with_config(&[engine.address], effect("keyed", 30.0));
-    let mut link = None;
+    let gateway = Gateway::with_config(&[engine.address], with_effect("keyed", 30.0));
+    let mut connection = None;
     for (fields, wanted) in [
         ("token=dcf358aa9f07adc5", Some(",replay=dcf358aa9f07adc5 ")),
         ("obj=000a1e5da4310133", Some(",thing=000a1e5da4310133 ")),
@@ -470,11 +496,11 @@
             );
             continue;
         };
-        let link = link.get_or_insert_with(|| engine.accept());
-        let line = link.read_line().unwrap();
+        let connection = connection.get_or_insert_with(|| engine.accept());
+        let line = connection.read_line().unwrap();
         assert!(line.contains(wanted), "{fields}: {line}");
-        link.read_line().unwrap();
-        link.complete(&ReceivedStatement {
+        connection.read_line().unwrap();
+        connection.complete(&ReceivedStatement {
             id: statement.rid,
             text: "x".to_owned(),
         });
@@ -483,112 +509,128 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Fails {
-    /// An answer of one word: it never ran (`WAIT`, `PAST`), or may have (`BROKE`).
-    Says(&'static str),
+enum EngineFailure {
+    /// A one-word answer. After `WAIT` or `PAST` the statement did not run; after `BROKE` it may
+    /// have run.
+    Answers(&'static str),
     Resets,
     Closes,
-    /// Half of its answer, and then nothing.
-    Half,
-    /// Half of its answer, and the end.
-    HalfAndCloses,
-    /// Its answer a byte at a time, each soon after the one before: it never ends.
-    Drips,
+    /// Half of the answer, then silence.
+    HalfAnswer,
+    /// Half of the answer, then the end of the connection.
+    HalfThenCloses,
+    /// The answer one byte at a time, without ever completing.
+    OneByteAtATime,
     Garbage,
-    /// Its answer and a second word for it at once: the first counts.
+    /// The answer followed by a second one for the same statement; only the first counts.
     Twice,
 }
 
-/// For each way in which an engine fails under a statement: whether the statement may have run, by effect whether it
-/// is sent again, and that its client has one answer that says so.
+/// For each way in which an engine fails during a statement, and for each effect: a statement that
+/// may have run is sent again only if its effect allows it, and the client gets exactly one answer
+/// that reflects this.
 #[test]
-fn what_an_engines_failure_means_hangs_on_the_effect() {
-    let ways = [
-        (Fails::Says("WAIT"), false),
-        (Fails::Says("PAST"), false),
-        (Fails::Says("BROKE"), true),
-        (Fails::Resets, true),
-        (Fails::Closes, true),
-        (Fails::Half, true),
-        (Fails::HalfAndCloses, true),
-        (Fails::Drips, true),
-        (Fails::Garbage, true),
-        (Fails::Twice, true),
+fn the_reaction_to_an_engine_failure_depends_on_the_effect() {
+    let failures = [
+        (EngineFailure::Answers("WAIT"), false),
+        (EngineFailure::Answers("PAST"), false),
+        (EngineFailure::Answers("BROKE"), true),
+        (EngineFailure::Resets, true),
+        (EngineFailure::Closes, true),
+        (EngineFailure::HalfAnswer, true),
+        (EngineFailure::HalfThenCloses, true),
+        (EngineFailure::OneByteAtATime, true),
+        (EngineFailure::Garbage, true),
+        (EngineFailure::Twice, true),
     ];
-    // By effect, with a mark or not: whether one that may have run is sent again.
+    // Per effect, with an idempotency key or without: whether a statement that may have run is sent
+    // again.
     let effects = [
         ("safe", false, true),
         ("unsafe", true, false),
         ("keyed", true, true),
         ("keyed", false, false),
     ];
-    let cases: Vec<_> = ways
+    let cases: Vec<_> = failures
         .iter()
-        .flat_map(|way| effects.iter().map(move |effect| (*way, *effect)))
+        .flat_map(|failure| effects.iter().map(move |effect| (*failure, *effect)))
         .collect();
     for_each_concurrently(
         &cases,
-        |((fails, may_have_run), (name, has_idempotency_key, repeatable))| {
+        |((failure, may_have_run), (name, has_idempotency_key, repeatable))| {
             let engine = ScriptedEngine::new();
-            let gateway = Gateway::with_config(&[engine.address], effect(name, 30.0));
+            let gateway = Gateway::with_config(&[engine.address], with_effect(name, 30.0));
             let (mut client, statement) = (gateway.client(), tagged_statement(8, "SELECT 'fails'"));
-            let mark = if has_idempotency_key {
+            let fields = if has_idempotency_key {
                 "mem=8,token=0123456789abcdef"
             } else {
                 "mem=8"
             };
-            let query = statement.query.replace("mem=8", mark);
+            let query = statement.query.replace("mem=8", fields);
             client.stream.write_all(&query_packet(&query)).unwrap();
-            let mut link = engine.accept();
-            let asked = link.receive_statement();
-            let whole = completed_answer(&asked);
-            match fails {
-                Fails::Says(word) => link.send(&answer_without_rows(&asked, word)),
-                Fails::Resets => reset_connection(&link.stream),
-                Fails::Closes => link.stream.shutdown(Shutdown::Both).unwrap(),
-                Fails::Half => link.send(&whole[..whole.len() / 2]),
-                Fails::HalfAndCloses => {
-                    link.send(&whole[..whole.len() / 2]);
-                    link.stream.shutdown(Shutdown::Both).unwrap();
+            let mut connection = engine.accept();
+            let received = connection.receive_statement();
+            let complete = completed_answer(&received);
+            match failure {
+                EngineFailure::Answers(word) => {
+                    connection.send(&answer_without_rows(&received, word))
                 }
-                Fails::Drips => {
-                    let mut stream = link.stream.try_clone().unwrap();
-                    let head = format!("{} DONE total=1 6000\r\n", asked.id);
+                EngineFailure::Resets => reset_connection(&connection.stream),
+                EngineFailure::Closes => connection.stream.shutdown(Shutdown::Both).unwrap(),
+                EngineFailure::HalfAnswer => connection.send(&complete[..complete.len() / 2]),
+                EngineFailure::HalfThenCloses => {
+                    connection.send(&complete[..complete.len() / 2]);
+                    connection.stream.shutdown(Shutdown::Both).unwrap();
+                }
+                EngineFailure::OneByteAtATime => {
+                    let mut stream = connection.stream.try_clone().unwrap();
+                    let head = format!("{} DONE total=1 6000\r\n", received.id);
                     thread::spawn(move || {
-                        let drip = |byte: &[u8]| stream.write_all(byte).map(|()| sleep(millis(20)));
+                        let send_byte =
+                            |byte: &[u8]| stream.write_all(byte).map(|()| sleep(millis(20)));
                         head.as_bytes()
                             .chunks(1)
                             .chain(std::iter::repeat(&b"x"[..]))
                             .take(500)
-                            .try_for_each(drip)
+                            .try_for_each(send_byte)
                     });
                 }
-                Fails::Garbage => link.send("what is this\r\n"),
-                Fails::Twice => {
-                    link.send(
-                        &[whole.clone(), answer_without_rows(&asked, "BROKE"), whole].concat(),
+                EngineFailure::Garbage => connection.send("what is this\r\n"),
+                EngineFailure::Twice => {
+                    connection.send(
+                        &[
+                            complete.clone(),
+                            answer_without_rows(&received, "BROKE"),
+                            complete,
+                        ]
+                        .concat(),
                     );
-                    let got = client.answer().unwrap();
-                    assert_eq!(rows(got).len(), 1, "{name}");
-                    // One answer: the next word of the session is that of its next command.
+                    let answer = client.answer().unwrap();
+                    assert_eq!(rows(answer).len(), 1, "{name}");
+                    // Only one answer was sent: the next packet of the session answers its next
+                    // command.
                     assert_eq!(client.ping().unwrap(), Answer::Ok, "{name}");
                     return drop(terminate(gateway));
                 }
             }
             if !may_have_run || repeatable {
-                // On another connection, whatever became of the first.
+                // The retry uses another connection, whatever happened to the first.
                 let mut again = engine
                     .try_accept()
-                    .unwrap_or_else(|| panic!("{fails:?}, {name}: not sent again"));
-                let asked = again.receive_statement();
-                assert_eq!(asked.id, statement.rid);
-                again.complete(&asked);
-                assert_eq!(rows(client.answer().unwrap()).len(), 1, "{fails:?}, {name}");
+                    .unwrap_or_else(|| panic!("{failure:?}, {name}: not sent again"));
+                let received = again.receive_statement();
+                assert_eq!(received.id, statement.rid);
+                again.complete(&received);
+                assert_eq!(
+                    rows(client.answer().unwrap()).len(),
+                    1,
+                    "{failure:?}, {name}"
+                );
             } else {
                 let answer = client.answer().unwrap();
                 assert!(
                     matches!(answer, Answer::Error(1105, _)),
-                    "{fails:?}, {name}: {answer:?}"
+                    "{failure:?}, {name}: {answer:?}"
                 );
             }
             let log = terminate(gateway);
@@ -596,54 +638,56 @@
             assert_eq!(
                 counter(&log, "attempts_sent"),
                 sent,
-                "{fails:?}, {name}: {log}"
+                "{failure:?}, {name}: {log}"
             );
         },
     );
 }
 
-/// Half a line on a connection at rest: what is put on it next would end with it.
+/// An idle connection holds half a line from the engine, which would corrupt the answer to the next
+/// statement on it.
 #[test]
-fn a_connection_with_half_a_line_at_rest_takes_no_statement() {
+fn an_idle_connection_with_half_a_line_takes_no_statement() {
     let engine = ScriptedEngine::new();
-    let mut gateway = Gateway::with_config(&[engine.address], effect("unsafe", 30.0));
+    let mut gateway = Gateway::with_config(&[engine.address], with_effect("unsafe", 30.0));
     let mut client = gateway.client();
     let (one, two) = (
         tagged_statement(8, "SELECT 'one'"),
         tagged_statement(8, "SELECT 'two'"),
     );
     send(&mut client, &one);
-    let mut link = engine.accept();
-    let asked = link.receive_statement();
-    link.send(&(completed_answer(&asked) + "5eed00c0ff"));
+    let mut connection = engine.accept();
+    let received = connection.receive_statement();
+    connection.send(&(completed_answer(&received) + "5eed00c0ff"));
     assert_eq!(rows(client.answer().unwrap()).len(), 1);
     gateway.settle();
     send(&mut client, &two);
-    let mut fresh = engine.try_accept().expect("on a connection of its own");
-    let asked = fresh.receive_statement();
-    assert_eq!(asked.id, two.rid);
-    fresh.complete(&asked);
+    let mut new_connection = engine.try_accept().expect("a connection of its own");
+    let received = new_connection.receive_statement();
+    assert_eq!(received.id, two.rid);
+    new_connection.complete(&received);
     assert_eq!(rows(client.answer().unwrap()).len(), 1);
     terminate(gateway);
 }
 
-/// The answer of the first attempt comes in the turn in which it times out: it counts, and nothing is sent again.
+/// The first attempt's answer arrives in the same event-loop turn in which the attempt times out.
+/// The answer counts, and there is no retry.
 #[test]
-fn an_answer_in_the_turn_of_its_time_out_counts() {
+fn an_answer_in_the_turn_of_its_timeout_counts() {
     let engine = ScriptedEngine::new();
     let gateway = Gateway::with_config(&[engine.address], allow_long_waits);
     let (mut client, statement) = (gateway.client(), tagged_statement(8, "SELECT 'late'"));
     let short = statement.query.replace("budget=500000", "budget=700");
     client.stream.write_all(&query_packet(&short)).unwrap();
-    let mut link = engine.accept();
-    let asked = link.receive_statement();
+    let mut connection = engine.accept();
+    let received = connection.receive_statement();
     gateway.suspend();
-    link.complete(&asked);
-    // Its time passes while the gateway stands still.
+    connection.complete(&received);
+    // The attempt's time passes while the gateway is suspended.
     sleep(millis(800));
     gateway.resume();
     assert_eq!(rows(client.answer().unwrap()).len(), 1);
-    assert!(link.has_no_input());
+    assert!(connection.has_no_input());
     let log = terminate(gateway);
     assert_eq!(
         (
@@ -655,22 +699,22 @@
     );
 }
 
-/// A client rests with half a packet until the gateway ends: it reads what it had, then an end, never a reset; and what
-/// it asks across that end goes nowhere.
+/// A client is idle, with half a packet sent, when the gateway exits. It reads the outstanding
+/// answer and then EOF, never a reset, and what it sends after that is discarded.
 #[test]
-fn resting_clients_are_shut_and_read_before_they_are_closed() {
+fn idle_clients_are_shut_down_and_drained_before_the_close() {
     let engine = ScriptedEngine::new();
     let gateway = Gateway::with_config(&[engine.address], allow_long_waits);
     let (mut client, statement) = (gateway.client(), tagged_statement(8, "SELECT 'before'"));
     send(&mut client, &statement);
-    let mut link = engine.accept();
-    let asked = link.receive_statement();
-    link.complete(&asked);
+    let mut connection = engine.accept();
+    let received = connection.receive_statement();
+    connection.complete(&received);
     let half = query_packet(&tagged_statement(8, "SELECT 'half'").query);
     client.stream.write_all(&half[..half.len() / 2]).unwrap();
     gateway.signal(Signal::TERM);
     assert_eq!(rows(client.answer().unwrap()).len(), 1);
-    // The gateway has shut its side, and still reads.
+    // The gateway has shut down its sending side and still reads.
     assert_eq!(client.stream.read(&mut [0; 16]).unwrap(), 0);
     client.stream.write_all(&half[half.len() / 2..]).unwrap();
     send(&mut client, &tagged_statement(8, "SELECT 'across'"));
@@ -692,28 +736,29 @@
         (1, 1),
         "{log}"
     );
-    assert!(link.read_line().is_none());
+    assert!(connection.read_line().is_none());
 }
 
-/// Statements that come whole, on an old and on a new connection, in the very turn in which a gateway would end.
+/// Complete statements arrive on an existing and on a new connection in the very event-loop turn in
+/// which the gateway would exit.
 #[test]
-fn what_comes_in_the_last_turn_is_answered() {
+fn statements_that_arrive_in_the_last_turn_are_answered() {
     let engine = ScriptedEngine::new();
     let gateway = Gateway::with_config(&[engine.address], allow_long_waits);
-    let mut rests = gateway.client();
+    let mut idle = gateway.client();
     gateway.signal(Signal::TERM);
-    // It has begun to drain: the next word comes after that.
-    assert_eq!(rests.ping().unwrap(), Answer::Ok);
+    // The gateway has begun to drain before it answers the next command.
+    assert_eq!(idle.ping().unwrap(), Answer::Ok);
     gateway.suspend();
-    // What still comes is taken for 0.7 s, which pass while it stands still.
+    // New statements are accepted for 0.7 s, which pass while the gateway is suspended.
     sleep(millis(900));
     let (old, new) = (
         tagged_statement(8, "SELECT 'old'"),
         tagged_statement(8, "SELECT 'new'"),
     );
-    send(&mut rests, &old);
-    let mut comes = TcpStream::connect(gateway.listen).unwrap();
-    comes
+    send(&mut idle, &old);
+    let mut newcomer = TcpStream::connect(gateway.listen).unwrap();
+    newcomer
         .write_all(
             &[
                 login_packet("app", b"", "warehouse"),
@@ -723,22 +768,22 @@
         )
         .unwrap();
     gateway.resume();
-    let mut link = engine.accept();
-    let mut links = vec![engine.accept()];
-    let mut seen: Vec<ReceivedStatement> = links
+    let mut connection = engine.accept();
+    let mut connections = vec![engine.accept()];
+    let mut seen: Vec<ReceivedStatement> = connections
         .iter_mut()
         .map(EngineConnection::receive_statement)
         .collect();
-    seen.push(link.receive_statement());
-    links.push(link);
-    for (link, asked) in links.iter_mut().zip(&seen) {
-        link.complete(asked);
+    seen.push(connection.receive_statement());
+    connections.push(connection);
+    for (connection, received) in connections.iter_mut().zip(&seen) {
+        connection.complete(received);
     }
-    assert_eq!(rows(rests.answer().unwrap()).len(), 1);
-    let mut got = Vec::new();
-    comes.read_to_end(&mut got).unwrap();
+    assert_eq!(rows(idle.answer().unwrap()).len(), 1);
+    let mut bytes_read = Vec::new();
+    newcomer.read_to_end(&mut bytes_read).unwrap();
     assert!(
-        got.windows(12).any(|bytes| bytes == b"SELECT 'new'"),
+        bytes_read.windows(12).any(|bytes| bytes == b"SELECT 'new'"),
         "no whole answer"
     );
     let (status, log) = gateway.wait_for_exit(millis(5000));
@@ -752,13 +797,13 @@
 }
 
 #[test]
-fn a_second_sigterm_and_a_sighup_change_nothing_for_what_drains() {
+fn further_signals_during_the_drain_do_not_affect_open_statements() {
     let engine = ScriptedEngine::new();
     let gateway = Gateway::with_config(&[engine.address], allow_long_waits);
     let (mut client, statement) = (gateway.client(), tagged_statement(8, "SELECT 'drains'"));
     send(&mut client, &statement);
-    let mut link = engine.accept();
-    let asked = link.receive_statement();
+    let mut connection = engine.accept();
+    let received = connection.receive_statement();
     for signal in [
         Signal::TERM,
         Signal::TERM,
@@ -768,9 +813,9 @@
     ] {
         gateway.signal(signal);
     }
-    // The signals were taken in before this answer.
+    // The gateway handled the signals before it sent this answer.
     assert_eq!(gateway.client().ping().unwrap(), Answer::Ok);
-    link.complete(&asked);
+    connection.complete(&received);
     assert_eq!(rows(client.answer().unwrap()).len(), 1);
     let (status, log) = gateway.wait_for_exit(millis(5000));
     assert!(status.success());
@@ -782,17 +827,18 @@
     assert_counters_balance(&log);
 }
 
-/// One that comes after SIGTERM is to be answered by the same end, and its engine never answers: it is sent once.
+/// A statement that arrives after SIGTERM has to be answered by the same deadline, and its engine
+/// never answers. It is sent only once.
 #[test]
-fn what_is_taken_while_draining_is_given_up_at_its_end_and_not_sent_again() {
+fn a_statement_accepted_during_the_drain_is_rejected_at_its_end_without_a_retry() {
     let engine = ScriptedEngine::new();
     let gateway = Gateway::with_config(&[engine.address], allow_long_waits);
     gateway.signal(Signal::TERM);
     let mut client = gateway.client();
     let statement = tagged_statement(8, "SELECT 'silent'");
     send(&mut client, &statement);
-    let mut link = engine.accept();
-    assert_eq!(link.receive_statement().id, statement.rid);
+    let mut connection = engine.accept();
+    assert_eq!(connection.receive_statement().id, statement.rid);
     assert!(denied(&client.answer().unwrap()));
     let (status, log) = gateway.wait_for_exit(millis(5000));
     assert!(status.success());
@@ -804,16 +850,17 @@
     assert_counters_balance(&log);
 }
 
-/// A session that another one ends has its statement's answer, then an end.
+/// A session that is killed by another one gets an answer to its statement, and then EOF.
 #[test]
-fn a_killed_session_reads_its_answer_and_then_its_end() {
+fn a_killed_session_reads_its_answer_and_then_eof() {
     let engine = ScriptedEngine::new();
     let gateway = Gateway::with_config(&[engine.address], allow_long_waits);
     let (mut client, statement) = (gateway.client(), tagged_statement(8, "SELECT 'killed'"));
     send(&mut client, &statement);
-    let mut link = engine.accept();
-    assert_eq!(link.receive_statement().id, statement.rid);
-    // More stands behind it, unread by the gateway's commands: closed over it, the connection would be reset.
+    let mut connection = engine.accept();
+    assert_eq!(connection.receive_statement().id, statement.rid);
+    // The gateway has not read the second statement. Closing the socket with unread data would
+    // reset the connection.
     send(&mut client, &tagged_statement(8, "SELECT 'behind'"));
     assert_eq!(
         gateway
@@ -839,9 +886,9 @@
     terminate(gateway);
 }
 
-/// Signals that come before the program has read its configuration.
+/// Signals arrive before the program has read its configuration.
 #[test]
-fn a_signal_during_the_start_is_heeded_after_it() {
+fn a_signal_during_the_start_is_handled_after_it() {
     for_each_concurrently(&[Signal::HUP, Signal::TERM], |signal| {
         let engine = engine(1);
         let gateway = Gateway::start(&[engine.address]);
@@ -854,7 +901,8 @@
         assert!(made.success());
         drop(gateway);
         let mut child = spawn(&pipe);
-        // Opened for writing once the program has opened it to read its configuration; a second reading finds a file.
+        // Opening the pipe for writing blocks until the program has opened it for reading. A reload
+        // then finds a regular file in its place.
         let mut writes = std::fs::OpenOptions::new().write(true).open(&pipe).unwrap();
         rustix::process::kill_process(rustix::process::Pid::from_child(&child), signal).unwrap();
         let file = pipe.with_extension("file");
@@ -870,9 +918,9 @@
             drop(writes);
             let listen: Value = serde_json::from_slice(&config).unwrap();
             let listen: SocketAddr = listen["listen"].as_str().unwrap().parse().unwrap();
-            let until = Instant::now() + millis(10_000);
+            let deadline = Instant::now() + millis(10_000);
             while !Client::login(listen).is_ok_and(|mut client| client.ping().is_ok()) {
-                assert!(Instant::now() < until, "{:?}", child.try_wait());
+                assert!(Instant::now() < deadline, "{:?}", child.try_wait());
             }
             child.kill().unwrap();
             child.wait().unwrap();
@@ -881,9 +929,10 @@
     });
 }
 
-/// Nine in ten are to be ready within 10 s, whatever the discovery service does: slow, silent, or down, and with no list yet.
+/// Restarts have to be fast whatever the discovery service does: it is slow, silent or down, and
+/// the configuration may contain no list of engines.
 #[test]
-fn a_restart_is_ready_in_time_whatever_the_board_does() {
+fn a_restart_is_ready_in_time_in_any_state_of_the_discovery_service() {
     use stand_ins::board::Mood;
     for_each_concurrently(
         &[
@@ -907,10 +956,10 @@
                 gateway.child.kill().unwrap();
                 gateway.child.wait().unwrap();
                 gateway.child = spawn(&gateway.config);
-                let begun = Instant::now();
+                let started_at = Instant::now();
                 gateway.wait_ready();
                 assert!(
-                    begun.elapsed() < millis(if known { 1000 } else { 7000 }),
+                    started_at.elapsed() < millis(if known { 1000 } else { 7000 }),
                     "{mood:?}, {known}"
                 );
                 let mut client = gateway.client();
@@ -918,16 +967,16 @@
                 if known {
                     assert_eq!(rows(answer).len(), 1);
                 } else if mood == Some(Mood::Late) {
-                    // Late, and in time for the start all the same.
+                    // The answer is late, but in time for the start.
                     assert_eq!(rows(answer).len(), 1);
                 } else {
-                    // Rejected until a list comes, then served.
+                    // Statements are rejected until a list arrives, and then served.
                     assert!(denied(&answer), "{answer:?}");
                     if mood.is_some() {
                         gateway.board.set(Mood::Well);
-                        let until = Instant::now() + millis(9000);
+                        let deadline = Instant::now() + millis(9000);
                         while denied(&client.ask(&commented(3000, "SELECT 1")).unwrap()) {
-                            assert!(Instant::now() < until, "{mood:?}: the list never came");
+                            assert!(Instant::now() < deadline, "{mood:?}: the list never came");
                             sleep(millis(50));
                         }
                     }
@@ -937,15 +986,15 @@
     );
 }
 
-/// An answer that its client has not taken yet when the gateway is told to end is written to its end, then the client
-/// finds the end of the session.
+/// When SIGTERM arrives, the client has not read all of its answers. The gateway writes them
+/// completely, and the client then reads EOF.
 #[test]
-fn an_answer_half_written_at_sigterm_is_written_whole() {
+fn a_half_written_answer_is_completed_after_sigterm() {
     const MANY: i64 = 300;
     let engine = engine(1);
     let mut gateway = Gateway::with_config(&[engine.address], allow_long_waits);
     let mut client = gateway.client();
-    // Answers for more than the machines of both ends hold: the rest lies with the gateway.
+    // The answers exceed the socket buffers of both ends; the gateway holds the rest.
     rustix::net::sockopt::set_socket_recv_buffer_size(&client.stream, 64 << 10).unwrap();
     let question = tagged_statement(8, &format!("SELECT '{}' LIMIT 120", "x".repeat(260)));
     let many: Vec<u8> = (0..MANY)
@@ -956,39 +1005,48 @@
         .collect();
     client.stream.write_all(&many).unwrap();
     assert_eq!(rows(client.answer().unwrap()).len(), 120);
-    // It has stopped to take more, since what it has said is not read.
-    let mut taken = (0, 1);
-    while taken.0 != taken.1 {
-        taken = (taken.1, counter(&gateway.settle(), "statements_accepted"));
+    // The gateway stops accepting statements while its answers are not read.
+    let mut accepted = (0, 1);
+    while accepted.0 != accepted.1 {
+        accepted = (
+            accepted.1,
+            counter(&gateway.settle(), "statements_accepted"),
+        );
         sleep(millis(50));
     }
-    assert!(taken.1 < MANY, "{taken:?}");
+    assert!(accepted.1 < MANY, "{accepted:?}");
     gateway.signal(Signal::TERM);
-    let mut whole = 1;
+    let mut complete_answers = 1;
     while let Ok(answer) = client.answer() {
         assert!(
             matches!(answer, Answer::Rows(ref rows) if rows.len() == 120) || denied(&answer),
             "{answer:?}"
         );
-        whole += 1;
+        complete_answers += 1;
     }
     let (status, log) = gateway.wait_for_exit(millis(8000));
     assert!(status.success());
-    // All that were taken have a whole answer; what was never read of the session was not taken.
-    assert_eq!(counter(&log, "statements_accepted"), whole, "{log}");
+    // Every accepted statement has a complete answer; statements that were never read from the
+    // session were not accepted.
+    assert_eq!(
+        counter(&log, "statements_accepted"),
+        complete_answers,
+        "{log}"
+    );
     assert_counters_balance(&log);
 }
 
-/// The file again with all else changed, while a statement of the old settings is in hand: it ends by those, new ones go on
-/// by those too, what the new file names is unknown here, and the log says what waits for a restart.
+/// A reload changes every setting while a statement is open. The old settings apply to that
+/// statement and to later ones, classes that only the new file names stay unknown, and the log
+/// lists the settings that need a restart.
 #[test]
-fn a_reload_with_other_settings_changes_no_statement() {
+fn a_reload_with_other_settings_affects_no_statement() {
     let engine = ScriptedEngine::new();
-    let mut gateway = Gateway::with_config(&[engine.address], effect("unsafe", 30.0));
+    let mut gateway = Gateway::with_config(&[engine.address], with_effect("unsafe", 30.0));
     let (mut client, statement) = (gateway.client(), tagged_statement(8, "SELECT 'old'"));
     send(&mut client, &statement);
-    let mut link = engine.accept();
-    let asked = link.receive_statement();
+    let mut connection = engine.accept();
+    let received = connection.receive_statement();
     let old = std::fs::read_to_string(&gateway.config).unwrap();
     let mut new: Value = serde_json::from_str(&old).unwrap();
     new["settings"]["Grades"] =
@@ -1000,14 +1058,15 @@
     new["board"] = free.clone();
     std::fs::write(&gateway.config, new.to_string()).unwrap();
     gateway.signal(Signal::HUP);
-    let told = gateway.wait_for_log("configuration read again");
+    let log_line = gateway.wait_for_log("configuration read again");
     assert!(
-        told.contains(r#"kept=["limits.sockets", "settings"]"#),
-        "{told}"
+        log_line.contains(r#"kept=["limits.sockets", "settings"]"#),
+        "{log_line}"
     );
-    assert!(told.contains(free.as_str().unwrap()), "{told}");
-    // It may have run: by the old settings never again, by the new ones it would be.
-    link.send(&answer_without_rows(&asked, "BROKE"));
+    assert!(log_line.contains(free.as_str().unwrap()), "{log_line}");
+    // The statement may have run. It would be retried under the new settings, but not under the old
+    // ones.
+    connection.send(&answer_without_rows(&received, "BROKE"));
     assert!(matches!(client.answer().unwrap(), Answer::Error(1105, _)));
     let unknown = tagged_statement(8, "SELECT 1")
         .query
@@ -1018,29 +1077,30 @@
     ));
     let known = tagged_statement(8, "SELECT 'still'");
     send(&mut client, &known);
-    let asked = link.receive_statement();
-    assert_eq!(asked.id, known.rid);
-    link.complete(&asked);
+    let received = connection.receive_statement();
+    assert_eq!(received.id, known.rid);
+    connection.complete(&received);
     assert_eq!(rows(client.answer().unwrap()).len(), 1);
     terminate(gateway);
 }
 
-/// Two deployments in one process, a word each in turn: neither's effects serve the other's statements.
+/// Two dispatchers with different effects run in one process, and each reports outcomes in turn.
+/// Neither's settings apply to the other's statements.
 #[test]
-fn two_configurations_in_one_process_share_nothing() {
+fn two_configurations_in_one_process_share_no_state() {
     use admission::interface::*;
     use dispatch::{Decision, Dispatcher, FollowUp, StatementRequest};
     use settings::{NetworkDelay, Settings};
-    let at = Timestamp::from_secs;
+    let timestamp = Timestamp::from_secs;
     let config: Value =
         serde_json::from_str(include_str!("../../../examples/config.json")).unwrap();
-    let of = |effect: &str| {
+    let dispatcher = |effect: &str| {
         let mut settings = config["settings"].clone();
         settings["Grades"][0]["Effect"] = json!(effect);
         let policy = Settings::from_json(&settings)
             .policy(7, NetworkDelay(TimeDelta::ZERO))
             .unwrap();
-        let mut dispatch = Dispatcher::new(policy);
+        let mut dispatcher = Dispatcher::new(policy);
         let engine = EngineInfo {
             id: EngineId(1),
             scale: 1.0,
@@ -1050,11 +1110,11 @@
             stage: EngineStage::Ready,
             started: None,
         };
-        dispatch.on_endpoint_update(at(0.0), &EndpointUpdate::Snapshot(vec![engine]));
-        dispatch
+        dispatcher.on_endpoint_update(timestamp(0.0), &EndpointUpdate::Snapshot(vec![engine]));
+        dispatcher
     };
-    let mut both = [of("safe"), of("unsafe")];
-    let wants = StatementRequest {
+    let mut dispatchers = [dispatcher("safe"), dispatcher("unsafe")];
+    let request = StatementRequest {
         class: ClassId(0),
         tenant: TenantId(0),
         group: TableGroupId(1),
@@ -1065,49 +1125,49 @@
         budget: TimeDelta::from_secs(2.0),
     };
     for number in 0..20 {
-        let (id, now) = (StatementId(number), at(number as f64));
-        for of in &mut both {
-            assert_eq!(of.pick(now, id, &wants), Decision::Queued);
+        let (id, now) = (StatementId(number), timestamp(number as f64));
+        for dispatcher in &mut dispatchers {
+            assert_eq!(dispatcher.pick(now, id, &request), Decision::Queued);
         }
-        for (which, of) in both.iter_mut().enumerate() {
-            let due = of.tick(now).due;
-            let [(_, Decision::Forward(order))] = due[..] else {
+        for (index, dispatcher) in dispatchers.iter_mut().enumerate() {
+            let due = dispatcher.tick(now).due;
+            let [(_, Decision::Forward(attempt))] = due[..] else {
                 panic!("{due:?}")
             };
-            let news = if number % 2 == 0 {
+            let outcome = if number % 2 == 0 {
                 AttemptEvent::Error
             } else {
                 AttemptEvent::Reset
             };
-            let verdict = of.report(
+            let follow_up = dispatcher.report(
                 now,
                 id,
-                order.attempt,
-                news,
+                attempt.attempt,
+                outcome,
                 TimeDelta::from_secs(0.1),
                 false,
             );
-            let want = if which == 0 {
+            let expected = if index == 0 {
                 FollowUp::None
             } else {
                 FollowUp::Fail
             };
-            assert_eq!(verdict, want, "{number}, {which}");
-            of.client_left(id);
+            assert_eq!(follow_up, expected, "{number}, {index}");
+            dispatcher.client_left(id);
         }
     }
 }
 
-/// An id once more at once after its statement was killed: it is that of an open statement until its attempt is over, since
-/// of two with one id an engine's answer could be for either; then it is like any other.
+/// A client reuses the id of a statement that was killed. The id stays taken until the attempt
+/// ends, because with two attempts of one id the engine's answer could belong to either.
 #[test]
-fn the_id_of_a_killed_statement_is_free_once_its_relay_is_over() {
+fn the_id_of_a_killed_statement_is_free_once_its_attempt_ends() {
     let engine = ScriptedEngine::new();
     let mut gateway = Gateway::with_config(&[engine.address], allow_long_waits);
     let (mut client, statement) = (gateway.client(), tagged_statement(8, "SELECT 'once'"));
     send(&mut client, &statement);
-    let mut link = engine.accept();
-    let asked = link.receive_statement();
+    let mut connection = engine.accept();
+    let received = connection.receive_statement();
     assert_eq!(
         gateway
             .client()
@@ -1120,20 +1180,21 @@
         client.ask(&statement.query).unwrap(),
         Answer::Error(1064, _)
     ));
-    assert!(link.has_no_input());
-    link.complete(&asked);
+    assert!(connection.has_no_input());
+    connection.complete(&received);
     while counter(&gateway.settle(), "attempts_completed") < 1 {}
     send(&mut client, &statement);
-    let again = link.receive_statement();
-    assert_eq!(again, asked);
-    link.complete(&again);
+    let again = connection.receive_statement();
+    assert_eq!(again, received);
+    connection.complete(&again);
     assert_eq!(rows(client.answer().unwrap()).len(), 1);
     terminate(gateway);
 }
 
-/// A configuration that cannot be used is one line that names the place, and a status that is no success.
+/// An unusable configuration produces one error line that names the setting, and a non-zero exit
+/// status.
 #[test]
-fn a_bad_configuration_names_its_place() {
+fn an_unusable_configuration_is_reported_with_the_name_of_the_setting() {
     let config: Value =
         serde_json::from_str(include_str!("../../../examples/config.json")).unwrap();
     let changes: [(&str, Value, &str); 12] = [
@@ -1170,38 +1231,45 @@
         ),
         ("/settings/PeersTotal", json!("many"), "PeersTotal"),
     ];
-    for_each_concurrently(&(0..changes.len()).collect::<Vec<_>>(), |at| {
-        let (place, bad, named) = &changes[at];
+    for_each_concurrently(&(0..changes.len()).collect::<Vec<_>>(), |case| {
+        let (setting, value, name_in_error) = &changes[case];
         let mut config = config.clone();
-        *config.pointer_mut(place).unwrap() = bad.clone();
-        let path =
-            std::env::temp_dir().join(format!("laurelhitch-bad-{}-{at}.json", std::process::id()));
+        *config.pointer_mut(setting).unwrap() = value.clone();
+        let path = std::env::temp_dir().join(format!(
+            "laurelhitch-bad-{}-{case}.json",
+            std::process::id()
+        ));
         std::fs::write(&path, config.to_string()).unwrap();
-        let ended = spawn(&path).wait_with_output().unwrap();
+        let output = spawn(&path).wait_with_output().unwrap();
         std::fs::remove_file(&path).unwrap();
-        let said = String::from_utf8(ended.stderr).unwrap();
-        let faults: Vec<&str> = said
+        let stderr = String::from_utf8(output.stderr).unwrap();
+        let error_lines: Vec<&str> = stderr
             .lines()
             .filter(|line| line.starts_with("laurelhitch: "))
             .collect();
         assert!(
-            !ended.status.success() && faults.len() == 1,
-            "{place}: {said}"
+            !output.status.success() && error_lines.len() == 1,
+            "{setting}: {stderr}"
+        );
+        assert!(
+            error_lines[0].contains(name_in_error),
+            "{setting}: {stderr}"
         );
-        assert!(faults[0].contains(named), "{place}: {said}");
     });
 }
 
-/// A session that is shut and whose client does not close: what is shut is not looked at again and again until then.
+/// The gateway has shut down a session, and its client does not close the connection. The event
+/// loop must not spin on it meanwhile.
 #[test]
-fn a_client_that_does_not_close_costs_no_turns() {
+fn a_client_that_does_not_close_its_connection_causes_no_busy_loop() {
     let engine = engine(1);
     let mut gateway = Gateway::with_config(&[engine.address], allow_long_waits);
     let mut refused: Vec<Client> = (0..8).map(|_| gateway.client()).collect();
     for client in &mut refused {
         client.stream.write_all(&[0xff, 0xff, 0x7f, 0, 3]).unwrap();
         assert!(matches!(client.answer().unwrap(), Answer::Error(1153, _)));
-        // The gateway's end; ours stays away, for less than it waits for it.
+        // This is the gateway's EOF. The client keeps its end open, for less time than the gateway
+        // waits for it.
         assert_eq!(client.stream.read(&mut [0; 8]).unwrap(), 0);
     }
     let before = counter(&gateway.settle(), "turns");
--- a/crates/gateway/tests/machine_answers.rs
+++ b/crates/gateway/tests/machine_answers.rs
@@ -334,7 +334,7 @@
         let sent = sent(seconds);
         assert!(
             sent <= with_correct_clock,
-            "wall clock off by {seconds} s: {sent} statements sent, {with_correct_clock} with the correct time"
+            "clock off by {seconds} s: {sent} sent, {with_correct_clock} with the correct time"
         );
     }
 }
--- a/crates/gateway/tests/standing_terms.rs
+++ b/crates/gateway/tests/standing_terms.rs
@@ -1,7 +1,9 @@
-//! Terms that hold for every run of the gateway, each guarded by forced order: statements of clients that have gone,
-//! descriptors that idle clients fill, and restarts. docs/endings.md names them, and those of cold engines.
+//! Guarantees that hold for every run of the gateway: statements of departed clients are not sent,
+//! idle clients do not exhaust the file descriptors, and restarts are fast. Each test forces the
+//! order of events under which the guarantee could break. docs/endings.md lists these guarantees
+//! and those for cold engines.
 
-// A test tells one story from top to bottom, and tables of cases are long.
+// The tests are long because each one describes a single scenario from start to end.
 #![allow(clippy::too_many_lines)]
 
 mod support;
@@ -21,57 +23,69 @@
 use support::script::{EngineConnection, ScriptedEngine, answer_without_rows};
 use support::*;
 
-// Clients that have gone: no attempt may begin more than 0.1 s after a client closed or cancelled.
+// Departed clients: no attempt may begin more than 0.1 s after its client closed or cancelled.
 
-/// So long after its client has gone, the 0.1 s in which an attempt may still begin are over for certain.
-const PAST_GRACE: Duration = Duration::from_millis(150);
+/// Time after a client's departure by which the 0.1 s during which an attempt may still begin have
+/// passed.
+const GRACE_EXCEEDED: Duration = Duration::from_millis(150);
 
-/// Lets the grace pass, while the gateway goes on taking turns; its counters after it.
-fn grace_passes(gateway: &mut Gateway, left: Instant) -> String {
+/// Waits until the grace period is over while the gateway goes on handling events, and returns its
+/// counters after that.
+fn wait_past_grace(gateway: &mut Gateway, departed_at: Instant) -> String {
     loop {
         let counts = gateway.settle();
-        if left.elapsed() > PAST_GRACE {
+        if departed_at.elapsed() > GRACE_EXCEEDED {
             return counts;
         }
     }
 }
 
-/// The next statement that comes to the engine is that of a client that stands, and no other came before it.
-fn only_who_stands_is_sent(gateway: &Gateway, link: &mut EngineConnection, case: &str) {
-    let (mut stands, last) = (
+/// Checks that the next statement on the connection is that of a client that is still connected,
+/// and that no statement of a departed client came before it.
+fn assert_only_connected_client_is_sent(
+    gateway: &Gateway,
+    connection: &mut EngineConnection,
+    case: &str,
+) {
+    let (mut connected, last) = (
         gateway.client(),
         tagged_statement(LARGE_MEMORY_MB, "SELECT 'last'"),
     );
-    send(&mut stands, &last);
-    let asked = link.receive_statement();
+    send(&mut connected, &last);
+    let received = connection.receive_statement();
     assert_eq!(
-        asked.id, last.rid,
-        "{case}: a statement was sent on after its client had gone"
+        received.id, last.rid,
+        "{case}: a statement was sent although its client had departed"
     );
-    link.complete(&asked);
-    assert_eq!(rows(stands.answer().unwrap()).len(), 1, "{case}");
+    connection.complete(&received);
+    assert_eq!(rows(connected.answer().unwrap()).len(), 1, "{case}");
 }
 
-/// The same where the engine has no connection yet.
-fn only_who_stands_is_sent_first(gateway: &Gateway, engine: &ScriptedEngine, case: &str) {
-    let (mut stands, last) = (
+/// Does the same for an engine to which no connection is open yet.
+fn assert_only_connected_client_is_sent_on_new_connection(
+    gateway: &Gateway,
+    engine: &ScriptedEngine,
+    case: &str,
+) {
+    let (mut connected, last) = (
         gateway.client(),
         tagged_statement(LARGE_MEMORY_MB, "SELECT 'last'"),
     );
-    send(&mut stands, &last);
-    let mut link = engine.accept();
-    let asked = link.receive_statement();
+    send(&mut connected, &last);
+    let mut connection = engine.accept();
+    let received = connection.receive_statement();
     assert_eq!(
-        asked.id, last.rid,
-        "{case}: a statement was sent on after its client had gone"
+        received.id, last.rid,
+        "{case}: a statement was sent although its client had departed"
     );
-    link.complete(&asked);
-    assert_eq!(rows(stands.answer().unwrap()).len(), 1, "{case}");
+    connection.complete(&received);
+    assert_eq!(rows(connected.answer().unwrap()).len(), 1, "{case}");
 }
 
-/// It waits for room, in the module's line or in a queue of the operator's file.
+/// The statement waits for engine capacity, either in the scheduler's own line or in a queue of the
+/// operator file.
 #[test]
-fn room_that_comes_after_the_grace_is_not_for_who_has_gone() {
+fn capacity_freed_after_the_grace_is_not_used_for_a_departed_client() {
     const QUEUES: &str = r#"queues {
   default_member = "water"
   ageing_ms      = 500
@@ -80,16 +94,16 @@
 }"#;
     let cases: Vec<_> = DEPARTURES
         .iter()
-        .flat_map(|way| [("line", "", *way), ("queue", QUEUES, *way)])
+        .flat_map(|departure| [("line", "", *departure), ("queue", QUEUES, *departure)])
         .collect();
-    for_each_concurrently(&cases, |(place, operator, way)| {
+    for_each_concurrently(&cases, |(place, operator, departure)| {
         let engine = ScriptedEngine::new();
         let mut gateway =
             Gateway::with_operator_file(&[engine.address], operator, allow_long_waits);
-        let (_first, mut link, asked) = fill_engine(&gateway, &engine);
-        let mut waits = gateway.client();
+        let (_first, mut connection, received) = fill_engine(&gateway, &engine);
+        let mut waiting = gateway.client();
         send(
-            &mut waits,
+            &mut waiting,
             &tagged_statement(LARGE_MEMORY_MB, "SELECT 'gone'"),
         );
         let counts = gateway.settle();
@@ -98,23 +112,28 @@
             (2, 1),
             "{counts}"
         );
-        let left = Instant::now();
-        let _kept = leave(way, waits, gateway.listen);
-        grace_passes(&mut gateway, left);
-        link.complete(&asked);
-        only_who_stands_is_sent(&gateway, &mut link, &format!("{place}, {way:?}"));
+        let departed_at = Instant::now();
+        let _open_streams = leave(departure, waiting, gateway.listen);
+        wait_past_grace(&mut gateway, departed_at);
+        connection.complete(&received);
+        assert_only_connected_client_is_sent(
+            &gateway,
+            &mut connection,
+            &format!("{place}, {departure:?}"),
+        );
         terminate(gateway);
     });
 }
 
-/// It stands behind another statement of its session, unread. A cancel ends the statement in hand; the one behind it is in
-/// hand then, and ends by a cancel of its own.
+/// The statement is pipelined behind another one on its session and not yet read. A KILL QUERY ends
+/// the current statement only; the one behind it then becomes current, and is ended by a second
+/// KILL QUERY.
 #[test]
-fn a_statement_behind_another_of_a_client_that_has_gone_is_not_sent() {
-    for_each_concurrently(&DEPARTURES, |way| {
+fn a_pipelined_statement_of_a_departed_client_is_not_sent() {
+    for_each_concurrently(&DEPARTURES, |departure| {
         let engine = ScriptedEngine::new();
         let mut gateway = Gateway::with_config(&[engine.address], allow_long_waits);
-        let (one, two) = (
+        let (first, second) = (
             tagged_statement(LARGE_MEMORY_MB, "SELECT 'one'"),
             tagged_statement(LARGE_MEMORY_MB, "SELECT 'behind'"),
         );
@@ -122,45 +141,49 @@
         let connection = client.connection;
         client
             .stream
-            .write_all(&[query_packet(&one.query), query_packet(&two.query)].concat())
+            .write_all(&[query_packet(&first.query), query_packet(&second.query)].concat())
             .unwrap();
-        let mut link = engine.accept();
-        let asked = link.receive_statement();
-        assert_eq!(asked.id, one.rid);
+        let mut engine_side = engine.accept();
+        let received = engine_side.receive_statement();
+        assert_eq!(received.id, first.rid);
         gateway.settle();
-        let mut left = Instant::now();
-        let mut kept = leave(way, client, gateway.listen);
-        if way == Departure::KillQuery {
+        let mut departed_at = Instant::now();
+        let mut open_streams = leave(departure, client, gateway.listen);
+        if departure == Departure::KillQuery {
             assert_eq!(counter(&gateway.settle(), "client_left"), 1);
-            left = Instant::now();
-            let again = Client {
-                stream: kept.remove(0),
+            departed_at = Instant::now();
+            let same_client = Client {
+                stream: open_streams.remove(0),
                 connection,
             };
-            kept.extend(leave(way, again, gateway.listen));
+            open_streams.extend(leave(departure, same_client, gateway.listen));
         }
-        grace_passes(&mut gateway, left);
-        link.complete(&asked);
+        wait_past_grace(&mut gateway, departed_at);
+        engine_side.complete(&received);
         gateway.settle();
-        only_who_stands_is_sent(&gateway, &mut link, &format!("{way:?}"));
+        assert_only_connected_client_is_sent(&gateway, &mut engine_side, &format!("{departure:?}"));
         let log = terminate(gateway);
         assert_eq!(
             counter(&log, "client_left"),
-            if way == Departure::KillQuery { 2 } else { 1 },
-            "{way:?}: {log}"
+            if departure == Departure::KillQuery {
+                2
+            } else {
+                1
+            },
+            "{departure:?}: {log}"
         );
     });
 }
 
-/// It waits for a connection that still comes up.
+/// The statement waits for a connection that is still being established.
 #[test]
-fn a_connection_that_comes_up_after_the_grace_carries_nothing_of_who_has_gone() {
-    for_each_concurrently(&DEPARTURES, |way| {
-        let deaf = ScriptedEngine::unreachable();
-        let mut gateway = Gateway::with_config(&[deaf.engine.address], allow_long_waits);
-        let mut waits = gateway.client();
+fn a_connection_established_after_the_grace_carries_no_statement_of_a_departed_client() {
+    for_each_concurrently(&DEPARTURES, |departure| {
+        let unreachable = ScriptedEngine::unreachable();
+        let mut gateway = Gateway::with_config(&[unreachable.engine.address], allow_long_waits);
+        let mut waiting = gateway.client();
         let gone = tagged_statement(8, "SELECT 'gone'");
-        send(&mut waits, &gone);
+        send(&mut waiting, &gone);
         let counts = gateway.settle();
         assert_eq!(
             (
@@ -170,19 +193,19 @@
             (1, 1),
             "{counts}"
         );
-        let left = Instant::now();
-        let _kept = leave(way, waits, gateway.listen);
-        grace_passes(&mut gateway, left);
-        let lines = deaf.make_reachable().collect_lines();
-        let (mut stands, last) = (gateway.client(), tagged_statement(8, "SELECT 'last'"));
-        send(&mut stands, &last);
+        let departed_at = Instant::now();
+        let _open_streams = leave(departure, waiting, gateway.listen);
+        wait_past_grace(&mut gateway, departed_at);
+        let lines = unreachable.make_reachable().collect_lines();
+        let (mut connected, last) = (gateway.client(), tagged_statement(8, "SELECT 'last'"));
+        send(&mut connected, &last);
         loop {
             let line = lines
                 .recv_timeout(millis(10_000))
                 .expect("the last one comes");
             assert!(
                 !line.contains(&gone.rid),
-                "{way:?}: sent on after its client had gone: {line}"
+                "{departure:?}: the statement was sent although its client had departed: {line}"
             );
             if line.contains(&last.rid) {
                 return;
@@ -191,97 +214,103 @@
     });
 }
 
-/// It waits while the only engine drains, for its first attempt or for one after a failure; then another engine comes.
+/// The statement waits while the only engine drains, for its first attempt or for a retry; then
+/// another engine is added.
 #[test]
-fn an_engine_that_comes_after_the_grace_gets_nothing_of_who_has_gone() {
+fn an_engine_added_after_the_grace_gets_no_statement_of_a_departed_client() {
     let cases: Vec<_> = DEPARTURES
         .iter()
-        .flat_map(|way| [("first", *way), ("retry", *way)])
+        .flat_map(|departure| [("first", *departure), ("retry", *departure)])
         .collect();
-    for_each_concurrently(&cases, |(attempt, way)| {
-        let (drains, comes) = (ScriptedEngine::new(), ScriptedEngine::new());
-        let mut gateway = Gateway::with_config(&[drains.address], allow_long_waits);
-        let terminating = target("e-0", drains.address, "terminating");
-        let mut waits = gateway.client();
+    for_each_concurrently(&cases, |(attempt, departure)| {
+        let (draining, added) = (ScriptedEngine::new(), ScriptedEngine::new());
+        let mut gateway = Gateway::with_config(&[draining.address], allow_long_waits);
+        let terminating = target("e-0", draining.address, "terminating");
+        let mut waiting = gateway.client();
         let gone = tagged_statement(8, "SELECT 'gone'");
         if attempt == "retry" {
-            send(&mut waits, &gone);
-            let mut link = drains.accept();
-            let asked = link.receive_statement();
+            send(&mut waiting, &gone);
+            let mut connection = draining.accept();
+            let received = connection.receive_statement();
             gateway.board.tell(false, vec![terminating]);
             while counter(&gateway.settle(), "watch_events") < 1 {}
-            link.send(&answer_without_rows(&asked, "WAIT"));
+            connection.send(&answer_without_rows(&received, "WAIT"));
         } else {
             gateway.board.tell(false, vec![terminating]);
             while counter(&gateway.settle(), "watch_events") < 1 {}
-            send(&mut waits, &gone);
+            send(&mut waiting, &gone);
         }
         let counts = gateway.settle();
-        let attempts = if attempt == "retry" { 1 } else { 0 };
+        let attempts_sent = if attempt == "retry" { 1 } else { 0 };
         assert_eq!(
             (counter(&counts, "open"), counter(&counts, "attempts_sent")),
-            (1, attempts),
+            (1, attempts_sent),
             "{attempt}: {counts}"
         );
-        let left = Instant::now();
-        let _kept = leave(way, waits, gateway.listen);
-        grace_passes(&mut gateway, left);
+        let departed_at = Instant::now();
+        let _open_streams = leave(departure, waiting, gateway.listen);
+        wait_past_grace(&mut gateway, departed_at);
         gateway
             .board
-            .tell(false, vec![target("e-1", comes.address, "in_service")]);
+            .tell(false, vec![target("e-1", added.address, "in_service")]);
         while counter(&gateway.settle(), "watch_events") < 2 {}
-        only_who_stands_is_sent_first(&gateway, &comes, &format!("{attempt}, {way:?}"));
+        assert_only_connected_client_is_sent_on_new_connection(
+            &gateway,
+            &added,
+            &format!("{attempt}, {departure:?}"),
+        );
         terminate(gateway);
     });
 }
 
-/// It waits for room while the gateway itself was told to end.
+/// The statement waits for engine capacity while the gateway itself is draining.
 #[test]
-fn room_that_comes_while_the_gateway_drains_is_not_for_who_has_gone() {
-    for_each_concurrently(&DEPARTURES, |way| {
+fn capacity_freed_during_the_drain_is_not_used_for_a_departed_client() {
+    for_each_concurrently(&DEPARTURES, |departure| {
         let engine = ScriptedEngine::new();
         let mut gateway = Gateway::with_config(&[engine.address], allow_long_waits);
-        let (mut first, mut link, asked) = fill_engine(&gateway, &engine);
-        let mut waits = gateway.client();
+        let (mut first, mut connection, received) = fill_engine(&gateway, &engine);
+        let mut waiting = gateway.client();
         send(
-            &mut waits,
+            &mut waiting,
             &tagged_statement(LARGE_MEMORY_MB, "SELECT 'gone'"),
         );
         gateway.settle();
         gateway.signal(Signal::TERM);
         gateway.wait_for_log("draining");
-        let left = Instant::now();
-        let _kept = leave(way, waits, gateway.listen);
-        grace_passes(&mut gateway, left);
-        link.complete(&asked);
-        assert_eq!(rows(first.answer().unwrap()).len(), 1, "{way:?}");
+        let departed_at = Instant::now();
+        let _open_streams = leave(departure, waiting, gateway.listen);
+        wait_past_grace(&mut gateway, departed_at);
+        connection.complete(&received);
+        assert_eq!(rows(first.answer().unwrap()).len(), 1, "{departure:?}");
         let (status, log) = gateway.wait_for_exit(millis(8000));
         assert!(status.success(), "{log}");
         assert_eq!(
             (counter(&log, "attempts_sent"), counter(&log, "client_left")),
             (1, 1),
-            "{way:?}: {log}"
+            "{departure:?}: {log}"
         );
         assert!(
-            link.read_line().is_none(),
-            "{way:?}: sent on after its client had gone"
+            connection.read_line().is_none(),
+            "{departure:?}: the statement was sent although its client had departed"
         );
         assert_counters_balance(&log);
     });
 }
 
-/// It came whole before the gateway looked, and so did its client's end, longer ago than the grace: the gateway stood
-/// still, or its session had not been taken from the machine's backlog yet.
+/// Both the whole statement and the client's departure reached the kernel before the gateway read
+/// either, and the grace period has passed since: the gateway was suspended, with the session
+/// either established or still in the listen backlog.
 #[test]
-fn who_came_and_went_before_the_gateway_looked_is_not_sent() {
-    let of = ["session", "handshake"];
+fn a_statement_whose_client_departed_before_it_was_read_is_not_sent() {
+    let places = ["session", "handshake"];
     let cases: Vec<_> = DEPARTURES
         .iter()
-        .flat_map(|way| of.map(|place| (place, *way)))
+        .flat_map(|departure| places.map(|place| (place, *departure)))
         .collect();
-    for_each_concurrently(&cases, |(place, way)| {
-        if (place, way) == ("handshake", Departure::KillQuery) {
-            // Nobody has a number to kill before the greeting.
+    for_each_concurrently(&cases, |(place, departure)| {
+        if (place, departure) == ("handshake", Departure::KillQuery) {
+            // There is no connection id to kill before the greeting.
             return;
         }
         let engine = ScriptedEngine::new();
@@ -290,20 +319,24 @@
         let session = (place == "session").then(|| gateway.client());
         gateway.settle();
         gateway.suspend();
-        let mut client = session.unwrap_or_else(|| came_unseen(&gateway));
+        let mut client = session.unwrap_or_else(|| connect_unaccepted(&gateway));
         send(&mut client, &gone);
-        let _kept = leave(way, client, gateway.listen);
-        // Nothing else is waited for: time passes while the gateway stands still.
-        thread::sleep(PAST_GRACE);
+        let _open_streams = leave(departure, client, gateway.listen);
+        // There is no event to wait for: time has to pass while the gateway is suspended.
+        thread::sleep(GRACE_EXCEEDED);
         gateway.resume();
         gateway.settle();
-        only_who_stands_is_sent_first(&gateway, &engine, &format!("{place}, {way:?}"));
+        assert_only_connected_client_is_sent_on_new_connection(
+            &gateway,
+            &engine,
+            &format!("{place}, {departure:?}"),
+        );
         terminate(gateway);
     });
 }
 
-/// A connection that the gateway has not taken yet, with its login.
-fn came_unseen(gateway: &Gateway) -> Client {
+/// Opens a connection that the gateway has not accepted yet, and sends the login on it.
+fn connect_unaccepted(gateway: &Gateway) -> Client {
     let mut stream = TcpStream::connect(gateway.listen).unwrap();
     stream
         .write_all(&login_packet("app", b"", "warehouse"))
@@ -314,20 +347,22 @@
     }
 }
 
-/// It waits in the machine's backlog, since all sessions have an answer to come and none may go for it.
+/// The client waits in the kernel's listen backlog because every session has an open statement, so
+/// that none may be closed in its favour.
 #[test]
-fn who_gave_up_in_the_backlog_is_not_sent() {
-    /// Half the descriptors of the configuration.
+fn a_statement_of_a_client_that_departed_in_the_listen_backlog_is_not_sent() {
+    /// Half of the configured file descriptors.
     const SESSIONS: usize = 8;
     for_each_concurrently(
         &[Departure::Close, Departure::HalfClose, Departure::Reset],
-        |way| {
+        |departure| {
             let engine = ScriptedEngine::new();
             let mut gateway = Gateway::with_config(&[engine.address], |config| {
                 allow_long_waits(config);
                 config["limits"]["sockets"] = json!(2 * SESSIONS);
             });
-            // The session that saw it ready is gone before the others come: they are as many as there is room for.
+            // The session that `wait_ready` opened is closed before the others come, so that all of
+            // them fit.
             let counts = gateway.settle();
             assert_eq!(counter(&counts, "sessions"), 0, "{counts}");
             let mut clients: Vec<Client> = (0..SESSIONS).map(|_| gateway.client()).collect();
@@ -339,90 +374,99 @@
                 .iter_mut()
                 .zip(&texts)
                 .for_each(|(client, text)| send(client, text));
-            let mut link = engine.accept();
-            let mut asked = link.receive_statement();
+            let mut connection = engine.accept();
+            let mut received = connection.receive_statement();
             let counts = gateway.settle();
             assert_eq!(
                 (counter(&counts, "open"), counter(&counts, "sessions")),
                 (SESSIONS as i64, SESSIONS as i64),
                 "{counts}"
             );
-            // So small that there is room for it beside the one that runs.
-            let (mut client, gone) = (came_unseen(&gateway), tagged_statement(8, "SELECT 'gone'"));
+            // Its memory estimate is so small that it fits next to the running statement.
+            let (mut client, gone) = (
+                connect_unaccepted(&gateway),
+                tagged_statement(8, "SELECT 'gone'"),
+            );
             send(&mut client, &gone);
-            let left = Instant::now();
-            let _kept = leave(way, client, gateway.listen);
-            grace_passes(&mut gateway, left);
-            // Each answer makes room for it, and for the one behind it at the engine.
-            for done in 0..SESSIONS {
+            let departed_at = Instant::now();
+            let _open_streams = leave(departure, client, gateway.listen);
+            wait_past_grace(&mut gateway, departed_at);
+            // Each answer frees a session for it and engine capacity for the next statement.
+            for answered in 0..SESSIONS {
                 assert_ne!(
-                    asked.id, gone.rid,
-                    "{way:?}: sent on after its client had gone"
+                    received.id, gone.rid,
+                    "{departure:?}: the statement was sent although its client had departed"
                 );
-                link.complete(&asked);
-                let whose = texts
+                connection.complete(&received);
+                let index = texts
                     .iter()
-                    .position(|text| text.rid == asked.id)
-                    .expect("one of those held");
-                assert_eq!(rows(clients[whose].answer().unwrap()).len(), 1);
+                    .position(|text| text.rid == received.id)
+                    .expect("a statement of one of the sessions");
+                assert_eq!(rows(clients[index].answer().unwrap()).len(), 1);
                 gateway.settle();
-                if done + 1 < SESSIONS {
-                    asked = link.receive_statement();
+                if answered + 1 < SESSIONS {
+                    received = connection.receive_statement();
                 }
             }
-            only_who_stands_is_sent(&gateway, &mut link, &format!("{way:?}"));
+            assert_only_connected_client_is_sent(
+                &gateway,
+                &mut connection,
+                &format!("{departure:?}"),
+            );
             terminate(gateway);
         },
     );
 }
 
-/// It stands behind a word that ends its session: the client's own, or a kill of the whole session.
+/// The statement is pipelined behind a command that ends its session, either the client's own
+/// COM_QUIT or a KILL of the whole connection.
 #[test]
-fn what_stands_behind_the_end_of_a_session_is_not_sent() {
+fn a_statement_pipelined_behind_the_end_of_its_session_is_not_sent() {
     const QUIT: u8 = 1;
-    for_each_concurrently(&["quits", "killed"], |ends| {
+    for_each_concurrently(&["quits", "killed"], |ending| {
         let engine = ScriptedEngine::new();
         let mut gateway = Gateway::with_config(&[engine.address], allow_long_waits);
-        let (one, gone) = (
+        let (first, gone) = (
             tagged_statement(LARGE_MEMORY_MB, "SELECT 'one'"),
             tagged_statement(LARGE_MEMORY_MB, "SELECT 'behind'"),
         );
         let mut client = gateway.client();
-        let quit = if ends == "quits" {
+        let quit = if ending == "quits" {
             packet(0, &[QUIT])
         } else {
             Vec::new()
         };
-        let all = [query_packet(&one.query), quit, query_packet(&gone.query)].concat();
-        client.stream.write_all(&all).unwrap();
-        let mut link = engine.accept();
-        let asked = link.receive_statement();
-        assert_eq!(asked.id, one.rid);
+        let packets = [query_packet(&first.query), quit, query_packet(&gone.query)].concat();
+        client.stream.write_all(&packets).unwrap();
+        let mut connection = engine.accept();
+        let received = connection.receive_statement();
+        assert_eq!(received.id, first.rid);
         gateway.settle();
-        let left = Instant::now();
-        if ends == "killed" {
+        let departed_at = Instant::now();
+        if ending == "killed" {
             gateway
                 .client()
                 .ask(&format!("KILL {}", client.connection))
                 .unwrap();
         }
-        grace_passes(&mut gateway, left);
-        link.complete(&asked);
+        wait_past_grace(&mut gateway, departed_at);
+        connection.complete(&received);
         gateway.settle();
-        only_who_stands_is_sent(&gateway, &mut link, ends);
+        assert_only_connected_client_is_sent(&gateway, &mut connection, ending);
         terminate(gateway);
     });
 }
 
-// Descriptors that idle clients fill while the discovery service is down.
+// File descriptors held by idle clients while the discovery service is down.
 
-/// Opens sessions that have asked once and rest, far more than there are descriptors; those that were shut for others too.
+/// Opens this many sessions that have sent one ping and are idle since. The number may exceed the
+/// file descriptors, in which case the gateway closes earlier sessions for later ones.
 fn idle_clients(gateway: &Gateway, number: usize) -> Vec<TcpStream> {
-    let hello = [login_packet("app", b"", "warehouse"), packet(0, &[0x0e])].concat();
+    let login_and_ping = [login_packet("app", b"", "warehouse"), packet(0, &[0x0e])].concat();
     (0..number)
         .map(|_| {
             let mut stream = TcpStream::connect(gateway.listen).unwrap();
-            stream.write_all(&hello).unwrap();
+            stream.write_all(&login_and_ping).unwrap();
             stream
         })
         .collect()
@@ -442,29 +486,30 @@
         .unwrap()
 }
 
-/// Idle clients fill the descriptors while the board is down, then it comes back, with another engine in place of the one
-/// that was known: the gateway asks it again, though no client leaves and more keep coming, and serves by it. So does one
-/// whose machine allows it fewer descriptors than its configuration says.
+/// Idle clients use up the file descriptors while the discovery service is down. When the service
+/// returns, with another engine in place of the known one, the gateway has to reach it and serve
+/// from its list, although no client leaves and more keep connecting. The same holds for a gateway
+/// whose process limit is lower than the configured number of descriptors.
 #[test]
-fn idle_clients_that_fill_the_descriptors_do_not_keep_the_board_out() {
+fn idle_clients_that_use_up_the_descriptors_do_not_block_discovery() {
     const DESCRIPTORS: usize = 64;
     for_each_concurrently(&[DESCRIPTORS, 1024], |configured| {
         let (old, new) = (engine(1), engine(1));
-        let place = free_address();
+        let board_address = free_address();
         let mut gateway = Gateway::spawned_by(
             spawn_limited::<DESCRIPTORS>,
             &[old.address],
             "",
             |config: &mut Value| {
                 config["limits"]["sockets"] = json!(configured);
-                config["board"] = json!(place.to_string());
+                config["board"] = json!(board_address.to_string());
             },
         );
         let clients = idle_clients(&gateway, 4 * DESCRIPTORS);
-        let failed = counter(&gateway.settle(), "discovery_polls_failed");
-        // It has asked in vain with the descriptors full, and not only before.
-        while counter(&gateway.settle(), "discovery_polls_failed") < failed + 2 {}
-        let board = Board::start(&place.to_string()).unwrap();
+        let failed_polls = counter(&gateway.settle(), "discovery_polls_failed");
+        // At least one poll has to fail after the descriptors are used up, not only before.
+        while counter(&gateway.settle(), "discovery_polls_failed") < failed_polls + 2 {}
+        let board = Board::start(&board_address.to_string()).unwrap();
         board.tell(true, vec![target("e-0", old.address, "in_service")]);
         board.tell(
             false,
@@ -473,26 +518,27 @@
                 target("e-1", new.address, "in_service"),
             ],
         );
-        let until = Instant::now() + millis(10_000);
+        let deadline = Instant::now() + millis(10_000);
         let mut newcomers = Vec::new();
         while counter(&gateway.settle(), "watch_events") < 1 {
             assert!(
-                Instant::now() < until,
-                "{configured}: it never came back to the board"
+                Instant::now() < deadline,
+                "{configured}: the discovery service was not reached again"
             );
             if configured == DESCRIPTORS {
                 newcomers = idle_clients(&gateway, 4);
             }
         }
-        // A gateway that knows its limit gives newcomers the places of those that rest.
+        // A gateway whose configuration states the real limit closes idle sessions for new clients;
+        // one that assumes a higher limit does not, so that these clients leave first.
         if configured > DESCRIPTORS {
             drop((clients, newcomers));
         }
-        let ask = || Client::login(gateway.listen)?.ask(&commented(2000, "SELECT 1"));
-        while ask().map_or(true, |answer| denied(&answer)) {
+        let serve = || Client::login(gateway.listen)?.ask(&commented(2000, "SELECT 1"));
+        while serve().map_or(true, |answer| denied(&answer)) {
             assert!(
-                Instant::now() < until,
-                "{configured}: it never served again"
+                Instant::now() < deadline,
+                "{configured}: no statement was served again"
             );
         }
         assert!(
@@ -503,14 +549,15 @@
     });
 }
 
-// Restarts: nine in ten are ready within 6 s, and so within 10 s.
+// Restarts: nine gateways in ten are ready within 6 s, and therefore within 10 s.
 
-/// Gateways that are killed outright in one moment, with sessions and statements open, and started again under their
-/// addresses, whether their board answers or not and whether a list is known or not.
+/// Gateways are killed at the same time, with open sessions and statements, and restarted under
+/// their addresses. The cases vary in whether the discovery service answers and whether the
+/// configuration contains a list of engines.
 #[test]
-fn nine_in_ten_restarted_gateways_are_ready_in_time() {
-    const RESTARTED: usize = 20;
-    let ready_within = Duration::from_secs(6);
+fn nine_in_ten_restarted_gateways_are_ready_within_six_seconds() {
+    const RESTARTS: usize = 20;
+    let ready_timeout = Duration::from_secs(6);
     let moods = [
         Some(Mood::Well),
         Some(Mood::Silent),
@@ -518,10 +565,10 @@
         None,
     ];
     let engine = ScriptedEngine::new();
-    let start = |which: usize| {
+    let start = |index: usize| {
         let (mood, known) = (
-            moods[which % moods.len()],
-            (which / moods.len()).is_multiple_of(2),
+            moods[index % moods.len()],
+            (index / moods.len()).is_multiple_of(2),
         );
         let mut gateway = Gateway::with_config(&[engine.address], |config| {
             allow_long_waits(config);
@@ -542,8 +589,8 @@
         (gateway, client)
     };
     let mut gateways: Vec<(Gateway, Client)> = thread::scope(|scope| {
-        let starting: Vec<_> = (0..RESTARTED)
-            .map(|which| scope.spawn(move || start(which)))
+        let starting: Vec<_> = (0..RESTARTS)
+            .map(|index| scope.spawn(move || start(index)))
             .collect();
         starting
             .into_iter()
@@ -554,7 +601,7 @@
         gateway.child.kill().unwrap();
         gateway.child.wait().unwrap();
     }
-    let begun = Instant::now();
+    let started_at = Instant::now();
     gateways
         .iter_mut()
         .for_each(|(gateway, _)| gateway.child = spawn(&gateway.config));
@@ -564,7 +611,7 @@
             .map(|(gateway, _)| {
                 scope.spawn(move || {
                     gateway.wait_ready();
-                    begun.elapsed()
+                    started_at.elapsed()
                 })
             })
             .collect();
@@ -574,9 +621,9 @@
             .collect()
     });
     ready.sort();
-    let in_time = ready.iter().filter(|took| **took <= ready_within).count();
+    let in_time = ready.iter().filter(|took| **took <= ready_timeout).count();
     assert!(
-        10 * in_time >= 9 * RESTARTED,
-        "{in_time} of {RESTARTED} in time: {ready:?}"
+        10 * in_time >= 9 * RESTARTS,
+        "{in_time} of {RESTARTS} in time: {ready:?}"
     );
 }
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -287,7 +287,7 @@
     rows
 }
 
-/// Whether the answer is a rejection: error 1226 with a back-off time of 400 ms in its text.
+/// Whether the answer is a rejection: error 1226 with `backoff=400` in its text.
 pub(crate) fn denied(answer: &Answer) -> bool {
     matches!(answer, Answer::Error(1226, text) if text.contains("backoff=400"))
 }
--- a/crates/gateway/tests/system_calls.rs
+++ b/crates/gateway/tests/system_calls.rs
@@ -346,14 +346,12 @@
                 signal(&child, Signal::HUP);
                 let mut result = run_statement(&mut client, "statement after signals");
                 signal(&child, Signal::TERM);
-                answered =
+                result =
                     result.and_then(|()| run_statement(&mut client, "statement after SIGTERM"));
                 drop(client);
                 break result.map_err(|error| format!("{kind:?}: {error}"));
             }
-            Err(_) if Instant::now() > deadline => {
-                break Err(format!("{kind:?}: not ready in time"));
-            }
+            Err(_) if Instant::now() > deadline => break Err(format!("{kind:?}: not ready")),
             Err(_) => pause(),
         }
     };
