--- a/crates/gateway/tests/endings.rs
+++ b/crates/gateway/tests/endings.rs
@@ -512,7 +512,7 @@
 enum EngineFailure {
     /// A one-word answer. After `WAIT` or `PAST` the statement did not run; after `BROKE` it may
     /// have run.
-    Answers(&'static str),
+    Word(&'static str),
     Resets,
     Closes,
     /// Half of the answer, then silence.
@@ -532,9 +532,9 @@
 #[test]
 fn the_reaction_to_an_engine_failure_depends_on_the_effect() {
     let failures = [
-        (EngineFailure::Answers("WAIT"), false),
-        (EngineFailure::Answers("PAST"), false),
-        (EngineFailure::Answers("BROKE"), true),
+        (EngineFailure::Word("WAIT"), false),
+        (EngineFailure::Word("PAST"), false),
+        (EngineFailure::Word("BROKE"), true),
         (EngineFailure::Resets, true),
         (EngineFailure::Closes, true),
         (EngineFailure::HalfAnswer, true),
@@ -572,9 +572,7 @@
             let received = connection.receive_statement();
             let complete = completed_answer(&received);
             match failure {
-                EngineFailure::Answers(word) => {
-                    connection.send(&answer_without_rows(&received, word))
-                }
+                EngineFailure::Word(word) => connection.send(&answer_without_rows(&received, word)),
                 EngineFailure::Resets => reset_connection(&connection.stream),
                 EngineFailure::Closes => connection.stream.shutdown(Shutdown::Both).unwrap(),
                 EngineFailure::HalfAnswer => connection.send(&complete[..complete.len() / 2]),
