--- a/crates/gateway/tests/connections.rs
+++ b/crates/gateway/tests/connections.rs
@@ -16,6 +16,7 @@
 
 use support::script::{EngineConnection, ScriptedEngine, completed_answer, wait_delivered};
 
+/// Engine connections with an event loop of their own and a clock that stands still.
 struct EngineTest {
     event_loop: EventLoop<'static, LoopEvents>,
     engines: EngineTransport,
@@ -98,6 +99,8 @@
         }
     }
 
+    /// Sends a statement on a new connection and completes it. Returns both sides of the
+    /// connection.
     fn complete_one(
         &mut self,
         engine: &ScriptedEngine,
--- a/crates/gateway/tests/endings.rs
+++ b/crates/gateway/tests/endings.rs
@@ -470,8 +470,8 @@
     terminate(gateway);
 }
 
-/// Engines deduplicate by the idempotency key and serialize statements that share an object key.
-/// The gateway passes both on unchanged, whatever their form.
+/// Engines of some deployments deduplicate by the idempotency key and serialize statements that
+/// share an object key. The gateway forwards well-formed keys unchanged and rejects malformed ones.
 #[test]
 fn idempotency_and_object_keys_are_forwarded_unchanged() {
     let engine = ScriptedEngine::new();
@@ -927,8 +927,8 @@
     });
 }
 
-/// Restarts have to be fast whatever the discovery service does: it is slow, silent or down, and
-/// the configuration may contain no list of engines.
+/// Nine restarts in ten have to be ready within 10 s, whatever the discovery service does: it is
+/// slow, silent or down, and the configuration may contain no list of engines.
 #[test]
 fn a_restart_is_ready_in_time_in_any_state_of_the_discovery_service() {
     use stand_ins::board::Mood;
--- a/crates/gateway/tests/machine_answers.rs
+++ b/crates/gateway/tests/machine_answers.rs
@@ -316,6 +316,7 @@
 /// the settings.
 const OBSERVATION_TIME: Duration = Duration::from_millis(1500);
 
+/// Returns the packet of a table scan with the estimate `ESTIMATE_MS`.
 fn scan_query() -> Vec<u8> {
     let statement = commented(8000, "SELECT 1");
     let estimate = format!("est={ESTIMATE_MS}");
--- a/crates/gateway/tests/standing_terms.rs
+++ b/crates/gateway/tests/standing_terms.rs
@@ -472,6 +472,7 @@
         .collect()
 }
 
+/// Starts the gateway with this limit on its open file descriptors.
 fn spawn_limited<const DESCRIPTORS: usize>(config: &std::path::Path) -> Child {
     let command = format!(
         "ulimit -n {DESCRIPTORS}; exec {}",
--- a/crates/gateway/tests/support/script.rs
+++ b/crates/gateway/tests/support/script.rs
@@ -9,6 +9,7 @@
 
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 
+/// Time within which each expected connection, line or delivery has to arrive.
 const TIMEOUT: Duration = Duration::from_secs(10);
 
 /// A listening engine that accepts, reads and answers only when a test tells it to.
@@ -51,6 +52,7 @@
         }
     }
 
+    /// Accepts the next connection. Panics if none arrives within the timeout.
     pub(crate) fn accept(&self) -> EngineConnection {
         self.try_accept().expect("a connection")
     }
