--- a/crates/simulator/src/control/command.rs
+++ b/crates/simulator/src/control/command.rs
@@ -1,4 +1,4 @@
-//! The subcommand `control`: its arguments, tables and JSON.
+//! The `control` subcommand: its arguments, tables and JSON.
 
 use std::num::ParseIntError;
 use std::path::PathBuf;
@@ -14,20 +14,21 @@
 use crate::control::limits::{Ended, Limits};
 use crate::control::membership::{self, Plan, Row, Situation};
 
-/// What is played at each size.
+/// What is measured at each size.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum Play {
-    /// Gateways that know each other: started, at rest, one killed, datagrams lost.
+    /// The membership protocol: while all gateways start, at rest, after one is killed, and under
+    /// packet loss.
     Membership,
-    /// What the coordinator of budgets computes and sends for as many holders.
+    /// The computation and the traffic of the budget coordinator for this number of holders.
     Ledger,
-    /// The coordinator of budgets is killed.
+    /// The failover after the budget coordinator is killed.
     Change,
 }
 
 #[derive(Args, Debug)]
 pub struct Arguments {
-    /// Sizes of the fleet, one after the other.
+    /// Sizes of the cluster, separated by commas.
     #[arg(long, default_value = "100,300,1000,1900,3800")]
     gateways: String,
     #[arg(long, default_value_t = 1)]
@@ -38,14 +39,14 @@
     /// Simulated seconds between the start and the measurement at rest.
     #[arg(long, default_value_t = 60.0)]
     drain: f64,
-    /// Simulated seconds that a start, and an agreement on a death, may take.
+    /// Simulated seconds that the start, and the agreement on a death, may take.
     #[arg(long, default_value_t = 120.0)]
     settle: f64,
-    /// Part of the datagrams lost in the last situation.
+    /// Fraction of the datagrams that is lost in the last situation.
     #[arg(long, default_value_t = 0.33)]
     loss: f64,
-    /// Room of each gateway's table; without it the default, or one more than the size if that is
-    /// larger.
+    /// Capacity of each gateway's member table. Defaults to that of the protocol, or to one more
+    /// than the size if that is larger.
     #[arg(long)]
     most_gateways: Option<usize>,
     /// Real seconds that each situation may take.
@@ -56,22 +57,22 @@
     memory: u64,
     #[arg(long, value_enum, default_value_t = Play::Membership)]
     play: Play,
-    /// Numbers of budgets, for the ledger.
+    /// Numbers of budgets for the ledger, separated by commas.
     #[arg(long, default_value = "1,3,8,24")]
     budgets: String,
-    /// Questions measured at each size of the ledger.
+    /// Number of lease requests to measure at each size of the ledger.
     #[arg(long, default_value_t = 200)]
     questions: usize,
-    /// Writes the figures there.
+    /// Writes the figures to this file, as JSON.
     #[arg(long)]
     json: Option<PathBuf>,
-    /// Membership only: also fits the rows of these files, as `--json` wrote them, separated by
-    /// commas.
+    /// For membership only: files of `--json`, separated by commas, whose rows are included in the
+    /// tables and fits.
     #[arg(long, value_delimiter = ',')]
     with: Vec<PathBuf>,
 }
 
-/// A figure against the size of the fleet.
+/// A figure fitted against the size of the cluster.
 #[derive(Debug, Serialize)]
 struct Fitted {
     figure: &'static str,
@@ -100,7 +101,7 @@
     fits: &'a [LedgerFit],
 }
 
-/// A figure of the ledger against the number of holders, for one number of budgets.
+/// A figure of the ledger fitted against the number of holders, for one number of budgets.
 #[derive(Debug, Serialize)]
 struct LedgerFit {
     figure: &'static str,
@@ -178,21 +179,22 @@
     ),
 ];
 
-/// Plays what the arguments ask for. What did not end within its limits is told so in its row.
+/// Runs the measurements and prints their tables. The row of a measurement that exceeded a limit
+/// says so.
 ///
 /// # Errors
-/// A size that cannot be read, or a file that cannot be written.
+/// Fails if a number cannot be parsed, or if a file cannot be read or written.
 pub fn run(arguments: &Arguments) -> Result<(), Box<dyn std::error::Error>> {
-    let sizes = numbers(&arguments.gateways)?;
+    let sizes = parse_numbers(&arguments.gateways)?;
     match arguments.play {
-        Play::Membership => memberships(arguments, &sizes),
-        Play::Ledger => ledgers(arguments, &sizes),
-        Play::Change => changes(arguments, &sizes),
+        Play::Membership => measure_membership(arguments, &sizes),
+        Play::Ledger => measure_ledger(arguments, &sizes),
+        Play::Change => measure_failover(arguments, &sizes),
     }
 }
 
-/// None in an empty list.
-fn numbers(list: &str) -> Result<Vec<usize>, ParseIntError> {
+/// Parses numbers separated by commas. An empty list has none.
+fn parse_numbers(list: &str) -> Result<Vec<usize>, ParseIntError> {
     let items = list.split(',').filter(|item| !item.trim().is_empty());
     items.map(|number| number.trim().parse()).collect()
 }
@@ -226,11 +228,14 @@
     }
 }
 
-fn memberships(arguments: &Arguments, sizes: &[usize]) -> Result<(), Box<dyn std::error::Error>> {
+fn measure_membership(
+    arguments: &Arguments,
+    sizes: &[usize],
+) -> Result<(), Box<dyn std::error::Error>> {
     println!(
         "gateways situation  simulated s  datagrams sent, bytes sent, both ways a second each  CPU us a second each  emulator's part  MiB  real s  ended"
     );
-    let mut rows = earlier(&arguments.with)?;
+    let mut rows = read_earlier_rows(&arguments.with)?;
     rows.iter().for_each(print_row);
     for size in sizes {
         for row in membership::play(&arguments.plan(*size)) {
@@ -240,7 +245,7 @@
     }
     let fits: Vec<Fitted> = FIGURES
         .iter()
-        .filter_map(|figure| fitted(figure, &rows))
+        .filter_map(|figure| fit_figure(figure, &rows))
         .collect();
     fits.iter().for_each(print_fit);
     if let Some(path) = &arguments.json {
@@ -253,7 +258,8 @@
     Ok(())
 }
 
-fn earlier(files: &[PathBuf]) -> Result<Vec<Row>, Box<dyn std::error::Error>> {
+/// The rows of earlier runs.
+fn read_earlier_rows(files: &[PathBuf]) -> Result<Vec<Row>, Box<dyn std::error::Error>> {
     let mut rows = Vec::new();
     for file in files {
         let read: EarlierRows = serde_json::from_str(&std::fs::read_to_string(file)?)?;
@@ -314,7 +320,8 @@
     );
 }
 
-fn fitted(figure: &Figure, rows: &[Row]) -> Option<Fitted> {
+/// Fits a figure over the completed rows of its situation. `None` if there are too few.
+fn fit_figure(figure: &Figure, rows: &[Row]) -> Option<Fitted> {
     let (name, situation, value) = figure;
     let of =
         |row: &&Row| row.counted.situation == *situation && row.counted.ended == Ended::Completed;
@@ -363,12 +370,15 @@
     }
 }
 
-fn ledgers(arguments: &Arguments, sizes: &[usize]) -> Result<(), Box<dyn std::error::Error>> {
+fn measure_ledger(
+    arguments: &Arguments,
+    sizes: &[usize],
+) -> Result<(), Box<dyn std::error::Error>> {
     println!(
         "budgets holders  CPU us a question: rest, moving, frame  cores: rest, moving  bytes: question, answer, as datagrams, longest  bytes a second: holder, coordinator, a voter's  in ledger  real s  ended"
     );
     let (mut rows, mut fits) = (Vec::new(), Vec::new());
-    for budgets in numbers(&arguments.budgets)? {
+    for budgets in parse_numbers(&arguments.budgets)? {
         let first = rows.len();
         for holders in sizes {
             let (seed, questions, limits) =
@@ -386,7 +396,7 @@
         fits.extend(
             LEDGER_FIGURES
                 .iter()
-                .filter_map(|figure| ledger_fit(figure, budgets, &rows[first..])),
+                .filter_map(|figure| fit_ledger_figure(figure, budgets, &rows[first..])),
         );
     }
     for fit in &fits {
@@ -428,7 +438,8 @@
     );
 }
 
-fn ledger_fit(
+/// Fits a figure of the ledger over the completed rows. `None` if there are too few.
+fn fit_ledger_figure(
     (figure, value): &LedgerFigure,
     budgets: usize,
     rows: &[(ledger::Counted, ledger::Spent)],
@@ -449,7 +460,10 @@
     })
 }
 
-fn changes(arguments: &Arguments, sizes: &[usize]) -> Result<(), Box<dyn std::error::Error>> {
+fn measure_failover(
+    arguments: &Arguments,
+    sizes: &[usize],
+) -> Result<(), Box<dyn std::error::Error>> {
     println!(
         "holders  chosen s  all renewed s  in full s  most without lease  holder datagrams, bytes a second  coordinator datagrams, bytes a second  CPU ms a second: coordinator, holder  real s  ended"
     );
--- a/crates/simulator/src/control/coordinator.rs
+++ b/crates/simulator/src/control/coordinator.rs
@@ -1,6 +1,6 @@
-//! A change of the coordinator of divided budgets, by the number of holders. Its computing takes no
-//! simulated time here, so that the times are those of the protocol alone; what it computes is
-//! measured by `crates/quota/benches`.
+//! Measures the failover of the budget coordinator by the number of lease holders. Computation
+//! takes no simulated time, so the durations are those of the protocol alone. The benchmarks in
+//! `crates/quota/benches` measure the computation.
 
 use std::time::Duration;
 
@@ -11,33 +11,39 @@
 use crate::mesh::Mesh;
 use crate::parts::{Part, terms};
 
+/// The simulated time between two checks of the limits and of the holders' leases.
 const STEP_S: f64 = 0.02;
-/// From the start to the killing: a first coordinator grants in full one lease after it was chosen.
+/// The simulated time from the start until the coordinator is killed. A new coordinator grants the
+/// whole budget only one lease duration after its election.
 const SETTLE_S: f64 = 20.0;
-/// A change that is not over then is told so.
+/// The simulated time after which a failover counts as not completed.
 const CHANGE_WITHIN_S: f64 = 30.0;
 
-/// One killing of the coordinator.
+/// The failover after the coordinator was killed.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Change {
     pub holders: usize,
     pub ended: Ended,
-    /// From the killing to when another is chosen.
+    /// Seconds from the kill until another coordinator is elected. `None` if none was.
     pub chosen_s: Option<f64>,
-    /// To when every holder has a lease of the new coordinator.
+    /// Seconds from the kill until every holder has a lease of the new coordinator. `None` if that
+    /// was not reached.
     pub renewed_s: Option<f64>,
-    /// To when the new coordinator grants in full, one lease after it was chosen.
+    /// Seconds from the kill until the new coordinator grants the whole budget, one lease duration
+    /// after its election. `None` if none was elected.
     pub full_s: Option<f64>,
-    /// Most holders at once that had no lease, and so their guaranteed minimum alone.
+    /// The largest number of holders that had no lease at the same time, and so only their
+    /// guaranteed minimum.
     pub most_without_lease: usize,
-    /// At rest before the killing, a second: what one holder sent, without the fleet's frame.
+    /// What one holder sent per second at rest before the kill. Sizes exclude the cluster's message
+    /// framing.
     pub holder_datagrams_per_s: f64,
     pub holder_bytes_per_s: f64,
     pub coordinator_datagrams_per_s: f64,
     pub coordinator_bytes_per_s: f64,
 }
 
-/// CPU time a simulated second at rest, measured on the machine.
+/// The CPU time used per simulated second at rest, and the real time of the whole measurement.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct ChangeSpent {
     pub coordinator_cpu: Duration,
@@ -47,7 +53,8 @@
 
 type Parts = Mesh<Measured<Part>>;
 
-/// One budget, needs at rest, five voters; the coordinator is killed once all hold a lease of it.
+/// Measures a failover with one budget, constant demand and up to five voters. The coordinator is
+/// killed once it has run for [`SETTLE_S`].
 pub fn change(holders: usize, seed: u64, limits: Limits) -> (Change, ChangeSpent) {
     let watch = limits.start();
     let mut mesh = started(holders, seed);
@@ -72,16 +79,17 @@
     if change.ended == Ended::Completed
         && let Some(first) = coordinator(&mesh)
     {
-        rest(&mut mesh, first, &mut change, &mut spent, &watch);
+        measure_at_rest(&mut mesh, first, &mut change, &mut spent, &watch);
         if change.ended == Ended::Completed {
             mesh.kill(first);
-            change.ended = replaced(&mut mesh, &mut change, &watch);
+            change.ended = measure_failover(&mut mesh, &mut change, &watch);
         }
     }
     spent.real_time = watch.elapsed();
     (change, spent)
 }
 
+/// A mesh whose gateways have all been started.
 fn started(holders: usize, seed: u64) -> Parts {
     let terms = terms(holders);
     let make = move |at: usize, now, life| {
@@ -95,6 +103,7 @@
     mesh
 }
 
+/// Runs for `lasts_s` of simulated time, or until a limit is exceeded.
 fn run(mesh: &mut Parts, lasts_s: f64, watch: &Watch) -> Ended {
     let until = mesh.now + lasts_s;
     while mesh.now < until {
@@ -106,7 +115,8 @@
     Ended::Completed
 }
 
-fn rest(
+/// Measures the traffic and the CPU time of the coordinator `first` and of one holder at rest.
+fn measure_at_rest(
     mesh: &mut Parts,
     first: usize,
     change: &mut Change,
@@ -133,7 +143,8 @@
     spent.holder_cpu = (cpu(mesh, holder) - before[1]).div_f64(lasted);
 }
 
-fn replaced(mesh: &mut Parts, change: &mut Change, watch: &Watch) -> Ended {
+/// Runs until the failover has completed, and records its durations.
+fn measure_failover(mesh: &mut Parts, change: &mut Change, watch: &Watch) -> Ended {
     let killed = mesh.now;
     while mesh.now < killed + CHANGE_WITHIN_S {
         if let Some(exceeded) = watch.exceeded() {
@@ -144,17 +155,17 @@
         let without = mesh
             .lives()
             .iter()
-            .filter(|at| lease_number(mesh, **at).is_none())
+            .filter(|at| lease_term(mesh, **at).is_none())
             .count();
         change.most_without_lease = change.most_without_lease.max(without);
-        let Some(number) = coordinator(mesh).and_then(|at| coordinator_number(mesh, at)) else {
+        let Some(term) = coordinator(mesh).and_then(|at| coordinator_term(mesh, at)) else {
             continue;
         };
         change.chosen_s.get_or_insert(since);
         let renewed = mesh
             .lives()
             .iter()
-            .all(|at| lease_number(mesh, *at) == Some(number));
+            .all(|at| lease_term(mesh, *at) == Some(term));
         if renewed {
             change.renewed_s.get_or_insert(since);
         }
@@ -167,6 +178,7 @@
     Ended::SimulatedLimit
 }
 
+/// The running gateway that is the coordinator. `None` if there is none.
 fn coordinator(mesh: &Parts) -> Option<usize> {
     let now = admission::interface::Timestamp::from_secs(mesh.now);
     mesh.lives()
@@ -182,7 +194,8 @@
         })
 }
 
-fn coordinator_number(mesh: &Parts, at: usize) -> Option<u64> {
+/// The term of a coordinator. `None` if the gateway is not the coordinator.
+fn coordinator_term(mesh: &Parts, at: usize) -> Option<u64> {
     let now = admission::interface::Timestamp::from_secs(mesh.now);
     let part = &mesh.peer(at)?.peer;
     part.quotas
@@ -191,7 +204,8 @@
         .map(|leadership| leadership.term)
 }
 
-fn lease_number(mesh: &Parts, at: usize) -> Option<u64> {
+/// The term of a holder's lease. `None` if it has none.
+fn lease_term(mesh: &Parts, at: usize) -> Option<u64> {
     let now = admission::interface::Timestamp::from_secs(mesh.now);
     let part = &mesh.peer(at)?.peer;
     part.quotas
--- a/crates/simulator/src/control/fit.rs
+++ b/crates/simulator/src/control/fit.rs
@@ -1,8 +1,8 @@
-//! Least-squares fits of a figure against a size, with their spread.
+//! Least-squares fits of a value against the size of the cluster, with their residuals.
 
 use serde::Serialize;
 
-/// A fit is called a line only if no point is further from it than this part of its own value.
+/// The largest relative residual at which points still count as a line.
 const LINE_TOLERANCE: f64 = 0.10;
 
 /// `value = intercept + slope * size`, fitted by least squares.
@@ -10,9 +10,9 @@
 pub struct Line {
     pub intercept: f64,
     pub slope: f64,
-    /// Standard deviation of the residuals, in the unit of the value.
+    /// The standard deviation of the residuals, in the unit of the value.
     pub spread: f64,
-    /// Largest residual as a part of the value measured there.
+    /// The largest residual relative to the value of its point.
     pub worst_residual: f64,
 }
 
@@ -21,21 +21,23 @@
 pub struct Power {
     pub factor: f64,
     pub exponent: f64,
-    /// Standard deviation of the residuals' natural logarithms.
+    /// The standard deviation of the residuals of the natural logarithms.
     pub spread: f64,
 }
 
-/// The shape that the points have over the sizes measured.
+/// How a value grows over the measured sizes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum Shape {
     Constant,
     Line,
     Quadratic,
+    /// None of the other shapes fits.
     Bends,
 }
 
 impl Line {
-    /// None: fewer than three points, or all of one size.
+    /// Fits points of size and value. `None` if there are fewer than three, or all have the same
+    /// size.
     pub fn of(points: &[(f64, f64)]) -> Option<Self> {
         if points.len() < 3 {
             return None;
@@ -70,7 +72,8 @@
 }
 
 impl Power {
-    /// None: fewer than three points above zero.
+    /// Fits points of size and value. `None` if fewer than three are positive, or all of these have
+    /// the same size.
     pub fn of(points: &[(f64, f64)]) -> Option<Self> {
         let positive = points
             .iter()
@@ -86,6 +89,7 @@
         })
     }
 
+    /// The fitted value at a size.
     pub fn at(&self, size: f64) -> f64 {
         self.factor * size.powf(self.exponent)
     }
@@ -97,15 +101,15 @@
 }
 
 impl Shape {
-    /// What may be said of the points; `Bends` where neither a constant, a line nor a square holds.
+    /// Classifies points of size and value. `None` if they cannot be fitted.
     pub fn of(points: &[(f64, f64)]) -> Option<Self> {
         let (line, power) = (Line::of(points)?, Power::of(points)?);
-        let tight = power.spread <= LINE_TOLERANCE;
-        Some(if power.exponent.abs() < 0.05 && tight {
+        let fits_power_law = power.spread <= LINE_TOLERANCE;
+        Some(if power.exponent.abs() < 0.05 && fits_power_law {
             Shape::Constant
         } else if line.worst_residual <= LINE_TOLERANCE {
             Shape::Line
-        } else if (1.8..=2.2).contains(&power.exponent) && tight {
+        } else if (1.8..=2.2).contains(&power.exponent) && fits_power_law {
             Shape::Quadratic
         } else {
             Shape::Bends
--- a/crates/simulator/src/control/ledger.rs
+++ b/crates/simulator/src/control/ledger.rs
@@ -1,7 +1,7 @@
-//! What the coordinator of divided budgets computes for each question of a holder, by holders and
-//! budgets, and how many bytes question and answer take in the fleet's datagrams. One coordinator
-//! of the real code; its holders are as many plain askers, each at the default rate, so that the
-//! ledger is as full as in a fleet of that size.
+//! Measures the CPU time that the budget coordinator spends on each lease request, and the sizes of
+//! requests and grants in the cluster's datagrams, by the number of holders and budgets. The
+//! coordinator is the production code. Simple clients replace the holders and send requests at the
+//! default rate, so that the ledger is as full as in a cluster of that size.
 
 use std::time::Duration;
 
@@ -19,76 +19,79 @@
 use crate::mesh::{KEY, address, name};
 use crate::parts;
 
-/// What all holders together want of a budget, as a multiple of it: it is short.
-const WANTED: f64 = 1.3;
-/// Questions a renewal of a holder whose needs move all the time, see `quota::participant`.
-pub const MOST_QUESTIONS_A_RENEWAL: f64 = 4.0;
-/// Datagrams sealed and opened to measure what one takes.
-const FRAMES: u32 = 2000;
+/// The demand of all holders together as a multiple of a budget. The budget is overcommitted.
+const DEMAND_FACTOR: f64 = 1.3;
+/// The lease requests per renewal interval of a holder whose demand changes constantly, see
+/// `quota::participant`.
+pub const MAX_REQUESTS_PER_RENEWAL: f64 = 4.0;
+/// The number of datagrams that are sealed and opened to measure the CPU time of framing.
+const FRAMING_SAMPLES: u32 = 2000;
 
+/// What to measure.
 #[derive(Clone, Debug)]
 pub struct Plan {
     pub holders: usize,
     pub budgets: usize,
     pub seed: u64,
-    /// Questions measured, once all holders are in the ledger.
+    /// The number of lease requests to measure once all holders are in the ledger.
     pub questions: usize,
     pub limits: Limits,
 }
 
-/// What follows from the seed alone.
+/// The results that depend on the seed alone.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Counted {
     pub holders: usize,
     pub budgets: usize,
     pub ended: Ended,
-    /// Holders in the ledger at the end.
+    /// The number of holders in the ledger at the end.
     pub in_ledger: usize,
     pub answered: usize,
-    /// Mean message of a question and of its answer, alone and as a datagram of the fleet.
+    /// The mean size of a lease request without framing. The fields below hold the same of the
+    /// grant, and of both as datagrams of the cluster.
     pub question_bytes: f64,
     pub answer_bytes: f64,
     pub question_datagram_bytes: f64,
     pub answer_datagram_bytes: f64,
-    /// Longest question, alone.
+    /// The size of the longest lease request without framing.
     pub longest_question_bytes: usize,
-    /// Canvass and vote of one other voter, as datagrams.
+    /// The mean size of a vote request and its vote together, as datagrams.
     pub vote_datagram_bytes: f64,
-    /// Questions a second of one holder at rest.
+    /// Lease requests per second of one holder at rest.
     pub questions_per_s: f64,
 }
 
-/// CPU time of this machine.
+/// The results that depend on the machine.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Spent {
-    /// For one question, from its bytes to the answer's: needs as they were.
+    /// CPU time of one lease request with constant demand, from its bytes to those of the grant.
     pub at_rest: Duration,
-    /// The same where each question tells other needs.
+    /// The same with a demand that changes with each request.
     pub moving: Duration,
-    /// To open one datagram and seal another.
+    /// CPU time to open one datagram and to seal another.
     pub framing: Duration,
     pub real_time: Duration,
 }
 
 impl Counted {
-    /// Of the coordinator, in and out, all holders at rest.
+    /// Bytes per second that the coordinator sends and receives with all holders at rest.
     pub fn coordinator_bytes_per_s(&self) -> f64 {
         self.holder_bytes_per_s() * self.holders as f64
     }
 
-    /// Of one holder at rest, in and out.
+    /// Bytes per second that one holder sends and receives at rest.
     pub fn holder_bytes_per_s(&self) -> f64 {
         (self.question_datagram_bytes + self.answer_datagram_bytes) * self.questions_per_s
     }
 
-    /// CPU seconds a second of the coordinator at rest.
+    /// CPU seconds per second of the coordinator with all holders at rest.
     pub fn cores_at_rest(&self, spent: &Spent) -> f64 {
         self.cores(spent.at_rest + spent.framing)
     }
 
-    /// CPU seconds a second where all holders' needs move all the time.
+    /// CPU seconds per second of the coordinator when all holders' demands change constantly.
     pub fn cores_moving(&self, spent: &Spent) -> f64 {
-        self.cores(spent.moving + spent.framing) * MOST_QUESTIONS_A_RENEWAL
+        self.cores(spent.moving + spent.framing) * MAX_REQUESTS_PER_RENEWAL
     }
 
     fn cores(&self, question: Duration) -> f64 {
@@ -96,19 +99,20 @@
     }
 }
 
-/// One that asks as a holder does.
-struct Asker {
+/// A client that sends lease requests as a holder does.
+struct LeaseClient {
     who: HolderId,
     count: RequestId,
-    needs: Vec<Amount>,
+    demands: Vec<Amount>,
     held: Vec<Amount>,
 }
 
+/// A coordinator with its clients.
 struct Ledger {
     now: Timestamp,
     participant: Participant,
     terms: Config,
-    askers: Vec<Asker>,
+    clients: Vec<LeaseClient>,
     rng: Pcg64Mcg,
     frame: Frame,
     vote_bytes: (usize, usize),
@@ -125,11 +129,11 @@
     longest: usize,
 }
 
-/// Measures one number of holders and of budgets.
+/// Measures one number of holders and budgets.
 pub fn measure(plan: &Plan) -> (Counted, Spent) {
     let watch = plan.limits.start();
     let mut ledger = Ledger::new(plan);
-    ledger.be_chosen();
+    ledger.become_leader();
     let mut ended = ledger.fill(&watch);
     let mut rest = Measured::default();
     let mut moving = Measured::default();
@@ -178,34 +182,36 @@
         let terms = terms(plan.holders, plan.budgets);
         let mut rng = Pcg64Mcg::seed_from_u64(plan.seed);
         let now = Timestamp::from_secs(0.0);
-        let participant = Participant::new(now, who(0), terms.clone(), plan.seed);
-        let asker = |at: usize| Asker {
-            who: who(at),
+        let participant = Participant::new(now, holder_id(0), terms.clone(), plan.seed);
+        let client = |at: usize| LeaseClient {
+            who: holder_id(at),
             count: RequestId::default(),
-            needs: needs(&terms, plan.holders, &mut rng),
+            demands: demands(&terms, plan.holders, &mut rng),
             held: vec![Amount::ZERO; plan.budgets],
         };
-        let askers = (1..=plan.holders).map(asker).collect();
+        let clients = (1..=plan.holders).map(client).collect();
         Ledger {
             now,
             participant,
             terms,
-            askers,
+            clients,
             rng,
             frame: Frame::new(),
             vote_bytes: (0, 0),
         }
     }
 
-    /// Waits out the promise of an earlier life, is chosen, and waits out the leases of an earlier
-    /// coordinator.
-    fn be_chosen(&mut self) {
+    /// Advances until the coordinator is elected and grants in full: it first waits for promises
+    /// that it may have made before its start, and then for leases that an earlier coordinator may
+    /// have granted.
+    fn become_leader(&mut self) {
         let full = self.terms.term_duration.secs() + self.terms.lease_duration.secs() + 2.0;
         while self.now < Timestamp::from_secs(full) {
             self.advance(self.terms.renew_interval);
         }
     }
 
+    /// Advances the simulated time and answers the coordinator's vote requests.
     fn advance(&mut self, by: TimeDelta) {
         self.now = self.now + by;
         if self.participant.next_wakeup() > self.now {
@@ -230,15 +236,15 @@
                 .iter()
                 .position(|voter| *voter == sent.to)
                 .unwrap_or(0);
-            let _ = self.participant.receive(self.now, &who(voter), vote);
+            let _ = self.participant.receive(self.now, &holder_id(voter), vote);
         }
         let _ = self.participant.take_events();
     }
 
-    /// Every holder asks once: two rounds, so that each holds what it was granted.
+    /// Each client sends one lease request.
     fn fill(&mut self, watch: &Watch) -> Ended {
         let mut spent = Measured::default();
-        for at in 0..self.askers.len() {
+        for at in 0..self.clients.len() {
             if let Some(exceeded) = watch.exceeded() {
                 return exceeded;
             }
@@ -247,41 +253,43 @@
         Ended::Completed
     }
 
+    /// Measures lease requests of up to `count` clients, with changed demands if `moving`.
     fn questions(&mut self, count: usize, moving: bool, watch: &Watch) -> (Measured, Ended) {
         let mut measured = Measured::default();
-        for turn in 0..count.min(self.askers.len()) {
+        for turn in 0..count.min(self.clients.len()) {
             if let Some(exceeded) = watch.exceeded() {
                 return (measured, exceeded);
             }
             if moving {
-                self.askers[turn].needs = needs(&self.terms, self.askers.len(), &mut self.rng);
+                self.clients[turn].demands =
+                    demands(&self.terms, self.clients.len(), &mut self.rng);
             }
             self.question(turn, &mut measured);
         }
         (measured, Ended::Completed)
     }
 
-    /// One asks, when its turn in the renewal has come.
+    /// Sends the lease request of one client at its time in the renewal interval, and measures it.
     fn question(&mut self, at: usize, measured: &mut Measured) {
         self.advance(TimeDelta::from_secs(
-            self.terms.renew_interval.secs() / self.askers.len() as f64,
+            self.terms.renew_interval.secs() / self.clients.len() as f64,
         ));
-        let asker = &mut self.askers[at];
-        let holds = (asker.count > RequestId::default()).then_some(asker.count);
-        asker.count = asker.count.next();
+        let client = &mut self.clients[at];
+        let holds = (client.count > RequestId::default()).then_some(client.count);
+        client.count = client.count.next();
         let question = Payload::LeaseRequest(LeaseRequest {
-            request: asker.count,
+            request: client.count,
             held_lease: holds,
             leaving: false,
             clock_ms: ((self.now - Timestamp::from_secs(0.0)).secs() * 1e3) as u64,
-            budgets: asked(&self.terms, asker),
+            budgets: budget_demands(&self.terms, client),
         });
         let bytes = question.encode();
         let began = thread_cpu();
         let Ok(question) = Payload::decode(&bytes) else {
             return;
         };
-        let taken = self.participant.receive(self.now, &asker.who, question);
+        let taken = self.participant.receive(self.now, &client.who, question);
         let out: Vec<Vec<u8>> = self
             .participant
             .take_outgoing()
@@ -296,7 +304,7 @@
         let Ok(Payload::LeaseGrant(grant)) = Payload::decode(answer) else {
             return;
         };
-        asker.held = grant
+        client.held = grant
             .amounts
             .into_iter()
             .map(|granted| granted.amount)
@@ -310,7 +318,7 @@
     }
 }
 
-fn who(at: usize) -> HolderId {
+fn holder_id(at: usize) -> HolderId {
     HolderId {
         name: name(at),
         boot_id: BootId(0x9e37_79b9_7f4a_7c15 ^ at as u64),
@@ -318,9 +326,9 @@
 }
 
 fn terms(holders: usize, budgets: usize) -> Config {
-    let plain = parts::terms(holders + 1);
-    let capacity = plain.budgets[0].capacity;
-    let guaranteed = plain.budgets[0].guaranteed;
+    let single = parts::terms(holders + 1);
+    let capacity = single.budgets[0].capacity;
+    let guaranteed = single.budgets[0].guaranteed;
     let budget = |at: usize| Budget {
         kind: BudgetKind::Tenant(format!("member-{at:02}")),
         capacity,
@@ -328,12 +336,12 @@
     };
     Config {
         budgets: (0..budgets).map(budget).collect(),
-        ..plain
+        ..single
     }
 }
 
-fn needs(terms: &Config, holders: usize, rng: &mut Pcg64Mcg) -> Vec<Amount> {
-    let share = |budget: &Budget| budget.capacity.units() * WANTED / holders as f64;
+fn demands(terms: &Config, holders: usize, rng: &mut Pcg64Mcg) -> Vec<Amount> {
+    let share = |budget: &Budget| budget.capacity.units() * DEMAND_FACTOR / holders as f64;
     terms
         .budgets
         .iter()
@@ -341,18 +349,18 @@
         .collect()
 }
 
-fn asked(terms: &Config, asker: &Asker) -> Vec<BudgetDemand> {
+fn budget_demands(terms: &Config, client: &LeaseClient) -> Vec<BudgetDemand> {
     let need = |(at, budget): (usize, &Budget)| BudgetDemand {
         budget: budget.key(),
-        demand: asker.needs[at],
-        held: asker.held[at],
+        demand: client.demands[at],
+        held: client.held[at],
         capacity: budget.capacity,
         guaranteed: budget.guaranteed,
     };
     terms.budgets.iter().enumerate().map(need).collect()
 }
 
-/// The fleet's datagram around a message, in a fleet at rest: no gossip goes along.
+/// Builds the cluster's datagrams around messages. They carry no gossip, as in a cluster at rest.
 struct Frame {
     ring: KeyRing,
     fleet: Name,
@@ -361,28 +369,28 @@
 
 impl Frame {
     fn new() -> Self {
-        let part = |text: &str| Name::new(text).expect("a name");
+        let part = |text: &str| Name::new(text).expect("the name is valid");
         let locality = Locality {
             zone: Some(part("zone-1")),
             region: Some(part("region-1")),
         };
         let from = Record {
             name: name(1),
-            boot_id: who(1).boot_id,
+            boot_id: holder_id(1).boot_id,
             incarnation: Incarnation(1),
             address: address(1),
             locality,
             state: MemberState::Alive,
         };
         Frame {
-            ring: KeyRing::new(&KEY, &[]).expect("one key"),
+            ring: KeyRing::new(&KEY, &[]).expect("a single key is valid"),
             fleet: part("lab"),
             from,
         }
     }
 
     fn sealed(&self, message: Vec<u8>) -> Vec<u8> {
-        let letter = Message {
+        let envelope = Message {
             fleet: self.fleet.clone(),
             from: self.from.clone(),
             counter: 1 << 20,
@@ -394,7 +402,7 @@
             records: Vec::new(),
             engine_reports: Vec::new(),
         };
-        message::seal(&self.ring, &letter)
+        message::seal(&self.ring, &envelope)
     }
 
     fn size(&self, message: Vec<u8>) -> usize {
@@ -404,10 +412,10 @@
     fn cpu(&self, message_bytes: usize) -> Duration {
         let message = vec![0x55; message_bytes];
         let began = thread_cpu();
-        for _ in 0..FRAMES {
+        for _ in 0..FRAMING_SAMPLES {
             let sealed = self.sealed(message.clone());
             std::hint::black_box(message::open(&self.ring, &self.fleet, &sealed).is_ok());
         }
-        thread_cpu().saturating_sub(began) / FRAMES
+        thread_cpu().saturating_sub(began) / FRAMING_SAMPLES
     }
 }
--- a/crates/simulator/src/control/limits.rs
+++ b/crates/simulator/src/control/limits.rs
@@ -1,4 +1,4 @@
-//! Bounds in real time and memory, so that every situation ends and says how.
+//! Limits on real time and memory, which end a situation that takes too much of either.
 
 use std::time::{Duration, Instant};
 
@@ -7,18 +7,18 @@
 /// How a situation ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Ended {
-    /// It was played to its end.
+    /// It ran to its end.
     Completed,
-    /// What was waited for did not come within the simulated time allowed.
+    /// The awaited state was not reached within the allowed simulated time.
     SimulatedLimit,
-    /// The real time allowed was over first.
+    /// It exceeded the allowed real time.
     RealTimeLimit,
-    /// The process held more memory than allowed.
+    /// The process exceeded the allowed memory.
     MemoryLimit,
 }
 
 impl Ended {
-    /// In the words of a table.
+    /// The text in printed tables.
     pub fn text(self) -> &'static str {
         match self {
             Ended::Completed => "completed",
@@ -29,14 +29,14 @@
     }
 }
 
-/// What one situation may take of the machine.
+/// The limits of one situation.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     pub real_time: Duration,
     pub memory_bytes: u64,
 }
 
-/// The limits of a situation that has begun.
+/// Checks the limits of a running situation.
 #[derive(Clone, Copy, Debug)]
 pub struct Watch {
     limits: Limits,
@@ -44,6 +44,7 @@
 }
 
 impl Limits {
+    /// Starts measuring real time.
     pub fn start(self) -> Watch {
         Watch {
             limits: self,
@@ -53,7 +54,7 @@
 }
 
 impl Watch {
-    /// The limit that is exceeded, if one is.
+    /// The limit that is exceeded. `None` if none is.
     pub fn exceeded(&self) -> Option<Ended> {
         if self.began.elapsed() >= self.limits.real_time {
             Some(Ended::RealTimeLimit)
@@ -64,17 +65,18 @@
         }
     }
 
+    /// The real time since the start.
     pub fn elapsed(&self) -> Duration {
         self.began.elapsed()
     }
 }
 
-/// Resident memory of this process; zero where the system does not tell.
+/// The resident memory of this process. 0 if the system does not report it.
 pub fn resident_bytes() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
-    let kibibytes = line
+    let resident_kib = line
         .and_then(|line| line.split_whitespace().next())
         .and_then(|text| text.parse().ok());
-    kibibytes.unwrap_or(0u64) * 1024
+    resident_kib.unwrap_or(0u64) * 1024
 }
--- a/crates/simulator/src/control/measured.rs
+++ b/crates/simulator/src/control/measured.rs
@@ -1,4 +1,4 @@
-//! A peer of the emulated network whose CPU time and received bytes are counted.
+//! A wrapper that counts the CPU time and the received bytes of a peer of the emulated network.
 
 use std::cell::Cell;
 use std::collections::BTreeSet;
@@ -11,21 +11,23 @@
 
 use crate::mesh::Peer;
 
-/// CPU time that this thread has spent.
+/// The CPU time that the current thread has spent.
 pub fn thread_cpu() -> Duration {
     let time = clock_gettime(ClockId::ThreadCPUTime);
     Duration::new(time.tv_sec as u64, time.tv_nsec as u32)
 }
 
-/// What one peer has cost since its start.
+/// What a peer has used since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Cost {
-    /// In `receive`, `turn` and `due`.
+    /// CPU time in `receive`, `turn` and `due`.
     pub cpu: Duration,
+    /// Datagrams received.
     pub received: u64,
     pub received_bytes: u64,
 }
 
+/// A peer with its cost.
 pub struct Measured<P> {
     pub peer: P,
     cost: Cell<Cost>,
@@ -39,11 +41,13 @@
         }
     }
 
+    /// The cost since the start.
     pub fn cost(&self) -> Cost {
         self.cost.get()
     }
 
-    fn spent_since(&self, began: Duration) {
+    /// Adds the CPU time that this thread has spent since `began`.
+    fn add_cpu_since(&self, began: Duration) {
         let mut cost = self.cost.get();
         cost.cpu += thread_cpu().saturating_sub(began);
         self.cost.set(cost);
@@ -57,19 +61,19 @@
         cost.received_bytes += bytes.len() as u64;
         let began = thread_cpu();
         self.peer.receive(now, from, bytes);
-        self.spent_since(began);
+        self.add_cpu_since(began);
     }
 
     fn turn(&mut self, now: Timestamp) {
         let began = thread_cpu();
         self.peer.turn(now);
-        self.spent_since(began);
+        self.add_cpu_since(began);
     }
 
     fn due(&self) -> Timestamp {
         let began = thread_cpu();
         let due = self.peer.due();
-        self.spent_since(began);
+        self.add_cpu_since(began);
         due
     }
 
--- a/crates/simulator/src/control/membership.rs
+++ b/crates/simulator/src/control/membership.rs
@@ -1,5 +1,5 @@
-//! Membership between all gateways of a fleet, by size: started together, at rest, one killed,
-//! datagrams lost.
+//! Measures the membership protocol among all gateways of a cluster by its size: while all start,
+//! at rest, after one is killed, and under packet loss.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -11,62 +11,66 @@
 
 use crate::control::limits::{Ended, Limits, Watch, resident_bytes};
 use crate::control::measured::{Cost, Measured, thread_cpu};
-use crate::mesh::{GatewayFactory, Hearer, KEY, Mesh};
+use crate::mesh::{DatagramHook, GatewayFactory, KEY, Mesh};
 
-/// Simulated time between two looks at the limits.
+/// The simulated time between two checks of the limits.
 const STEP_S: f64 = 0.05;
-/// All gateways start within this.
+/// The simulated time within which all gateways start.
 const START_WITHIN_S: f64 = 1.0;
 
-/// What is played at one size.
+/// The measurements at one size.
 #[derive(Clone, Debug)]
 pub struct Plan {
     pub gateways: usize,
     pub seed: u64,
     pub terms: Config,
-    /// How long a start, and an agreement on a death, may take.
+    /// The simulated seconds that the start, and the agreement on a death, may take.
     pub settle_s: f64,
-    /// From the end of the start to the measurement at rest, for gossip to run out.
+    /// The simulated seconds between the start and the measurement at rest, during which the gossip
+    /// of the start ends.
     pub drain_s: f64,
-    /// Length of the measurements at rest and under loss.
+    /// The simulated seconds of the measurements at rest and under loss.
     pub measure_s: f64,
-    /// Part of the datagrams lost in the last situation.
+    /// The fraction of the datagrams that is lost in the last situation.
     pub loss: f64,
-    /// Of each situation.
+    /// The limits of each situation.
     pub limits: Limits,
 }
 
+/// The situations, in the order in which they are measured.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Situation {
-    /// All start within a second, until all hold just each other.
+    /// All gateways start within a second. It ends when they agree on the membership.
     Start,
-    /// Directly after that, while gossip of the start still goes along.
+    /// Directly after the start, while its gossip is still being sent.
     Drain,
-    /// Nothing happens.
+    /// No gateway changes.
     Rest,
-    /// One is killed, until all others hold just each other again.
+    /// One gateway is killed. It ends when the others agree on the membership again.
     Death,
-    /// A part of all datagrams is lost.
+    /// A fraction of all datagrams is lost.
     Loss,
 }
 
-/// Datagrams sent, by what they are.
+/// The datagrams sent, by kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Kinds {
     pub pings: u64,
     pub acknowledgements: u64,
-    /// Requests to probe in one's place.
+    /// Requests for an indirect probe.
     pub indirect_requests: u64,
-    /// Their answers: it answered, and it did not.
+    /// Reports that the target of an indirect probe answered; `indirect_failed` counts those that
+    /// it did not.
     pub indirect_answered: u64,
     pub indirect_failed: u64,
-    /// Requests for a page of a table or a comparison, and what answers them.
+    /// Requests for a page of the member table, a digest or a fingerprint; `pages` counts their
+    /// answers.
     pub page_requests: u64,
     pub pages: u64,
     pub other: u64,
 }
 
-/// Sums over all gateways that live, of what they count themselves.
+/// The sums of the running gateways' own counters.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counters {
     pub probes: u64,
@@ -75,13 +79,13 @@
     pub refuted: u64,
     pub died: u64,
     pub revived: u64,
-    /// Gossip that one witness alone told, which is probed directly.
+    /// Gossip from a single source, which is verified by a direct probe.
     pub unvouched: u64,
-    /// Questions beyond the rate at which they are answered.
+    /// Requests that were rejected because of the rate limit.
     pub refused_many: u64,
 }
 
-/// What follows from the seed alone.
+/// The results that depend on the seed alone.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Counted {
     pub gateways: usize,
@@ -94,23 +98,25 @@
     pub received_bytes: u64,
     pub kinds: Kinds,
     pub counters: Counters,
-    /// Datagrams that the busiest gateway received, and questions it refused as too many.
+    /// The most datagrams that any one gateway received; `most_refused` is the most requests that
+    /// any one gateway rejected because of the rate limit.
     pub most_received: u64,
     pub most_refused: u64,
-    /// Deaths that were told of gateways that lived and were reached.
+    /// Declarations of death of gateways that were running and reachable.
     pub false_deaths: usize,
-    /// From a killing: the first, the middle and the last other gateway that held it for dead.
+    /// Seconds from the kill until the first, the median and the last gateway declared the death.
+    /// `None` in other situations, or if no gateway did.
     pub detected_s: Option<[f64; 3]>,
-    /// Of those that live: how many hold as many others as there are.
+    /// How many running gateways know the right number of gateways.
     pub complete: usize,
 }
 
-/// What was measured on the machine.
+/// The results that depend on the machine.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct Spent {
-    /// CPU time in the gateways' own code.
+    /// CPU time of the gateways' code.
     pub gateways_cpu: Duration,
-    /// CPU time of the whole emulation.
+    /// CPU time of the is_complete emulation.
     pub total_cpu: Duration,
     pub real_time: Duration,
     pub resident_bytes: u64,
@@ -123,57 +129,59 @@
 }
 
 impl Counted {
-    fn each_second(&self, of: u64) -> f64 {
+    /// A count per second and gateway.
+    fn per_gateway_second(&self, of: u64) -> f64 {
         of as f64 / self.gateways as f64 / self.simulated_s.max(f64::MIN_POSITIVE)
     }
 
     pub fn datagrams_sent_per_s(&self) -> f64 {
-        self.each_second(self.sent)
+        self.per_gateway_second(self.sent)
     }
 
     pub fn bytes_sent_per_s(&self) -> f64 {
-        self.each_second(self.sent_bytes)
+        self.per_gateway_second(self.sent_bytes)
     }
 
-    /// Sent and received.
+    /// Bytes sent and received per second and gateway.
     pub fn bytes_both_per_s(&self) -> f64 {
-        self.each_second(self.sent_bytes + self.received_bytes)
+        self.per_gateway_second(self.sent_bytes + self.received_bytes)
     }
 
     pub fn per_s(&self, of: u64) -> f64 {
-        self.each_second(of)
+        self.per_gateway_second(of)
     }
 }
 
 impl Row {
-    /// Microseconds of CPU time a gateway and simulated second.
+    /// Microseconds of CPU time per simulated second and gateway.
     pub fn cpu_us_per_s(&self) -> f64 {
         let gateway_seconds = self.counted.gateways as f64 * self.counted.simulated_s;
         self.spent.gateways_cpu.as_secs_f64() * 1e6 / gateway_seconds.max(f64::MIN_POSITIVE)
     }
 }
 
-/// Totals at one instant; a situation's figures are the difference of two.
+/// Totals at one time. The figures of a situation are the difference between two of them.
 struct Totals {
     at_s: f64,
     sent: (u64, u64),
     cost: Cost,
     kinds: Kinds,
     counters: Counters,
-    /// By gateway: datagrams received, and questions refused as too many.
+    /// The datagrams received and the requests rejected because of the rate limit, by gateway.
     each: Vec<(u64, u64)>,
     false_deaths: usize,
     cpu: Duration,
 }
 
+/// A cluster that goes through the situations.
 struct Play {
     mesh: Mesh<Measured<Node>>,
     kinds: Rc<RefCell<Kinds>>,
     limits: Limits,
 }
 
-/// Plays all situations at one size, in their order; what follows one that hit a limit of the
-/// machine is not played.
+/// Measures all situations at one size in order. Stops after one that exceeded its real time or
+/// memory.
 pub fn play(plan: &Plan) -> Vec<Row> {
     let mut play = Play::new(plan);
     let mut rows = vec![play.situation(Situation::Start, |play, watch| play.start(plan, watch))];
@@ -211,7 +219,7 @@
         let make = move |at, now, life| Measured::new(factory.make(at, now, life));
         let mut mesh = Mesh::new(plan.gateways, plan.seed, make);
         let kinds = Rc::new(RefCell::new(Kinds::default()));
-        mesh.liar = Some(counter_of_kinds(Rc::clone(&kinds)));
+        mesh.liar = Some(kind_counter(Rc::clone(&kinds)));
         Play {
             mesh,
             kinds,
@@ -239,8 +247,8 @@
             received_bytes: after.cost.received_bytes - before.cost.received_bytes,
             kinds: after.kinds.since(&before.kinds),
             counters: after.counters.since(&before.counters),
-            most_received: most(&before.each, &after.each, |each| each.0),
-            most_refused: most(&before.each, &after.each, |each| each.1),
+            most_received: max_increase(&before.each, &after.each, |each| each.0),
+            most_refused: max_increase(&before.each, &after.each, |each| each.1),
             false_deaths: after.false_deaths - before.false_deaths,
             detected_s: (situation == Situation::Death)
                 .then(|| self.detected())
@@ -322,24 +330,26 @@
         }
     }
 
+    /// The first, the median and the last detection time. `None` if no death was declared.
     fn detected(&self) -> Option<[f64; 3]> {
         let all = self.mesh.detected();
         Some([*all.first()?, all[all.len() / 2], *all.last()?])
     }
 
+    /// The number of gateways that know the right number of gateways.
     fn complete(&self) -> usize {
         let lives = self.mesh.lives();
-        let whole = |at: &&usize| {
+        let is_complete = |at: &&usize| {
             self.mesh
                 .peer(**at)
                 .is_some_and(|peer| peer.peer.fleet_size() == lives.len())
         };
-        lives.iter().filter(whole).count()
+        lives.iter().filter(is_complete).count()
     }
 }
 
-/// The largest growth of one count at a gateway.
-fn most(before: &[(u64, u64)], after: &[(u64, u64)], count: fn(&(u64, u64)) -> u64) -> u64 {
+/// The largest increase of a count at any one gateway.
+fn max_increase(before: &[(u64, u64)], after: &[(u64, u64)], count: fn(&(u64, u64)) -> u64) -> u64 {
     let grown = before
         .iter()
         .zip(after)
@@ -347,9 +357,10 @@
     grown.max().unwrap_or(0)
 }
 
-fn counter_of_kinds(kinds: Rc<RefCell<Kinds>>) -> Hearer {
-    let ring = KeyRing::new(&KEY, &[]).expect("one key");
-    let fleet = Name::new("lab").expect("a name");
+/// A hook that counts datagrams by kind.
+fn kind_counter(kinds: Rc<RefCell<Kinds>>) -> DatagramHook {
+    let ring = KeyRing::new(&KEY, &[]).expect("a single key is valid");
+    let fleet = Name::new("lab").expect("the name is valid");
     Box::new(move |_, _, bytes| {
         let Ok(message) = message::open(&ring, &fleet, bytes) else {
             return;
--- a/crates/simulator/src/control/mod.rs
+++ b/crates/simulator/src/control/mod.rs
@@ -1,8 +1,7 @@
-//! What the control traffic of a fleet costs by its size, in simulated time: membership between all
-//! gateways, the ledger of the coordinator of divided budgets, and a change of that coordinator.
-//!
-//! Counts follow from the seed alone. CPU time and memory are measured on the machine at hand and
-//! kept apart from them.
+//! Measures, in simulated time, what the control traffic of a cluster costs by its size: membership
+//! among all gateways, the ledger of the budget coordinator, and the failover of the coordinator.
+//! Counts depend on the seed alone. CPU time and memory depend on the machine and are kept separate
+//! from them.
 
 pub mod command;
 pub mod coordinator;
--- a/crates/simulator/src/mesh.rs
+++ b/crates/simulator/src/mesh.rs
@@ -1,6 +1,6 @@
-//! Hundreds of gateways that know each other, in simulated time: the code of `crates/membership`
-//! itself, and two plainer ways of our own to compare with, between the same faults of network and
-//! processes, drawn from the same seed.
+//! Simulates the membership of hundreds of gateways: the production code of the `membership` crate
+//! and two simpler protocols as baselines, under the same network and process faults, drawn from
+//! the same seed.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -8,24 +8,28 @@
 
 use admission::interface::{TimeDelta, Timestamp};
 use membership::{
-    Config, Datagram, Event as Told, KeyRing, Locality, MemberState, Name, Node, NodeSetup,
-    ViewState,
+    Config, Datagram, Event as MembershipEvent, KeyRing, Locality, MemberState, Name, Node,
+    NodeSetup, ViewState,
 };
 use rand::seq::SliceRandom;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
+/// The cluster key of all emulated gateways.
 pub const KEY: [u8; 32] = [7; 32];
 
+/// The name of the gateway with this index.
 pub fn name(at: usize) -> Name {
-    Name::new(&format!("g{at:04}")).expect("a name")
+    Name::new(&format!("g{at:04}")).expect("the name is valid")
 }
 
+/// The address of the gateway with this index.
 pub fn address(at: usize) -> SocketAddr {
     let [high, low] = (at as u16).to_be_bytes();
     SocketAddr::new(IpAddr::V4(Ipv4Addr::new(10, 0, high, low)), 7946)
 }
 
+/// The index of the gateway at this address. `usize::MAX` if the address is not IPv4.
 pub fn number(address: SocketAddr) -> usize {
     let IpAddr::V4(ip) = address.ip() else {
         return usize::MAX;
@@ -34,20 +38,27 @@
     usize::from(u16::from_be_bytes([high, low]))
 }
 
-/// One gateway's way of knowing the others.
+/// One gateway's side of a membership protocol, or of another protocol that runs over the emulated
+/// network.
 pub trait Peer {
+    /// Processes a datagram.
     fn receive(&mut self, now: Timestamp, from: SocketAddr, bytes: &[u8]);
+    /// Runs the periodic work that is due.
     fn turn(&mut self, now: Timestamp);
+    /// When `turn` has to be called next.
     fn due(&self) -> Timestamp;
+    /// Removes and returns the datagrams to send.
     fn take_out(&mut self) -> Vec<Datagram>;
-    /// Gateways that it holds to be there, without itself.
+    /// The other gateways that it considers present.
     fn there(&self) -> BTreeSet<usize>;
-    /// How many; told apart from who, since it is asked far more often.
+    /// The number of the other gateways that it considers present. Separate from `there` because it
+    /// is called far more often.
     fn count(&self) -> usize {
         self.there().len()
     }
-    /// Whom it took for dead since the last ask.
+    /// The gateways that it declared dead since the last call.
     fn died(&mut self) -> Vec<usize>;
+    /// Prepares the datagrams that announce a graceful leave.
     fn leave(&mut self, _now: Timestamp) {}
 }
 
@@ -80,8 +91,8 @@
     }
 
     fn died(&mut self) -> Vec<usize> {
-        let dead = |event: Told| match event {
-            Told::MemberChanged {
+        let dead = |event: MembershipEvent| match event {
+            MembershipEvent::MemberChanged {
                 name,
                 state: MemberState::Dead,
                 ..
@@ -96,7 +107,8 @@
     }
 }
 
-/// All tell all, every period; whoever was not heard for some is gone.
+/// A baseline protocol: each gateway sends a heartbeat to every other one each period, and declares
+/// dead those that it has not heard from for `missed` periods.
 pub struct Heartbeats {
     at: usize,
     count: usize,
@@ -133,7 +145,7 @@
     fn turn(&mut self, now: Timestamp) {
         self.next = now + TimeDelta::from_secs(self.period);
         for to in (0..self.count).filter(|to| *to != self.at) {
-            // As long as a letter of ours that carries nothing.
+            // The size of an empty message of the production protocol.
             self.out.push(Datagram {
                 to: address(to),
                 bytes: vec![0; 70],
@@ -161,16 +173,18 @@
     }
 }
 
-/// Each probes one by chance every period and takes it for dead when no answer came; word of it
-/// goes along. No suspicion, no others asked.
+/// A baseline protocol: each gateway probes a random one each period and declares it dead if no
+/// answer comes in time. Messages carry gossip. There are no suspicions and no indirect probes.
 pub struct Hasty {
     at: usize,
     period: f64,
     answer: f64,
     next: Timestamp,
+    /// The gateway that is being probed, and since when. `None` between probes.
     asked: Option<(usize, Timestamp)>,
-    /// By gateway: the number of its last word, and whether it is there.
+    /// The highest known incarnation of each gateway, and whether it is considered present.
     held: BTreeMap<usize, (u32, bool)>,
+    /// The own incarnation.
     own: u32,
     seeds: Vec<usize>,
     out: Vec<Datagram>,
@@ -199,7 +213,8 @@
         }
     }
 
-    /// Kind, own number, then as many others as fit: gateway, number, there.
+    /// Sends a message: its kind (0 for a probe, 1 for an answer), the own incarnation, and index,
+    /// incarnation and presence of up to 40 random other gateways.
     fn send(&mut self, to: usize, kind: u8) {
         let mut bytes = vec![kind];
         bytes.extend(self.own.to_le_bytes());
@@ -210,7 +225,7 @@
             bytes.extend(number.to_le_bytes());
             bytes.push(u8::from(there));
         }
-        // Beside this, a letter's head and code.
+        // Padding for the header and the authentication code of a production message.
         bytes.resize(bytes.len() + 60, 0);
         self.out.push(Datagram {
             to: address(to),
@@ -222,9 +237,9 @@
 impl Peer for Hasty {
     fn receive(&mut self, _: Timestamp, from: SocketAddr, bytes: &[u8]) {
         let from = number(from);
-        let word = u32::from_le_bytes(std::array::from_fn(|at| bytes[1 + at]));
-        let held = self.held.entry(from).or_insert((word, true));
-        *held = (held.0.max(word), true);
+        let incarnation = u32::from_le_bytes(std::array::from_fn(|at| bytes[1 + at]));
+        let held = self.held.entry(from).or_insert((incarnation, true));
+        *held = (held.0.max(incarnation), true);
         if bytes[0] == 0 {
             self.send(from, 1);
         } else if self.asked.is_some_and(|asked| asked.0 == from) {
@@ -305,12 +320,16 @@
     }
 }
 
-/// What the network does to each datagram.
+/// The network faults that apply to each datagram.
 #[derive(Clone, Debug)]
 pub struct Faults {
+    /// The probability that a datagram is lost.
     pub lost: f64,
+    /// The probability that a datagram is delivered twice.
     pub repeated: f64,
+    /// The lowest and the highest delay.
     pub delay_s: (f64, f64),
+    /// How much later the second copy of a repeated datagram arrives.
     pub repeat_after_s: f64,
 }
 
@@ -325,18 +344,24 @@
     }
 }
 
+/// One gateway's process.
 struct Slot<P> {
-    /// None: killed, or never started.
+    /// `None` if it was killed or never started.
     peer: Option<P>,
+    /// Whether the process is suspended.
     stopped: bool,
-    /// Its loop is late by so much each turn.
+    /// The delay of each turn of its event loop, in seconds.
     slow: f64,
+    /// The number of the latest scheduled turn. Earlier ones are ignored.
     turn: u64,
+    /// When it last started, in simulated seconds.
     started: f64,
+    /// When it was killed or left. `None` while it runs.
     ended: Option<f64>,
 }
 
-enum Happens {
+/// An event of the simulation: a datagram arrives, or a gateway's turn is due.
+enum SimEvent {
     Arrives {
         to: usize,
         from: usize,
@@ -348,38 +373,45 @@
     },
 }
 
-/// A death that one took another for.
+/// One gateway's declaration that another is dead.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Death {
     pub at: f64,
     pub by: usize,
     pub of: usize,
-    /// It lived then, and could be reached by whoever took it for dead.
+    /// Whether the declaration was wrong: the gateway was running and reachable from the one that
+    /// declared it dead.
     pub false_one: bool,
 }
 
-/// Sees a datagram on its way, and may change it: sender, receiver, bytes.
-pub type Hearer = Box<dyn FnMut(usize, usize, &mut Vec<u8>)>;
+/// A hook that sees each datagram and may change it. Its arguments are the sender, the receiver and
+/// the bytes.
+pub type DatagramHook = Box<dyn FnMut(usize, usize, &mut Vec<u8>)>;
 
+/// The emulated network and the gateways that it connects. Gateways are identified by their index.
 pub struct Mesh<P> {
+    /// The simulated time in seconds.
     pub now: f64,
     slots: Vec<Slot<P>>,
     make: Box<dyn FnMut(usize, Timestamp, u32) -> P>,
     queue: BinaryHeap<Reverse<(i64, u64)>>,
-    events: BTreeMap<u64, Happens>,
+    events: BTreeMap<u64, SimEvent>,
     next: u64,
     pub faults: Faults,
-    /// By sender and receiver.
+    /// Whether the link from a sender to a receiver is cut, by sender and receiver.
     cut: Vec<Vec<bool>>,
     rng: Pcg64Mcg,
+    /// How often each gateway has been started.
     lives: Vec<u32>,
     pub deaths: Vec<Death>,
+    /// The datagrams and bytes that each gateway has sent.
     pub sent: Vec<(u64, u64)>,
-    /// Sees every datagram before it goes: for a liar.
-    pub liar: Option<Hearer>,
+    /// A hook that sees every datagram before it is sent. Tests use it to forge messages.
+    pub liar: Option<DatagramHook>,
 }
 
 impl<P: Peer> Mesh<P> {
+    /// `make` builds a gateway from its index, the time and the number of its earlier starts.
     pub fn new(
         count: usize,
         seed: u64,
@@ -422,7 +454,7 @@
         Timestamp::from_secs(self.now)
     }
 
-    fn put(&mut self, at: f64, what: Happens) {
+    fn put(&mut self, at: f64, what: SimEvent) {
         self.next += 1;
         self.queue.push(Reverse((
             (at.max(self.now) * 1e6).round() as i64,
@@ -431,6 +463,7 @@
         self.events.insert(self.next, what);
     }
 
+    /// Starts a gateway with empty state.
     pub fn start(&mut self, at: usize) {
         let life = self.lives[at];
         self.lives[at] += 1;
@@ -438,42 +471,47 @@
         let peer = (self.make)(at, now, life);
         let slot = &mut self.slots[at];
         (slot.peer, slot.stopped, slot.started, slot.ended) = (Some(peer), false, self.now, None);
-        self.arm(at);
+        self.schedule_turn(at);
     }
 
     pub fn start_all(&mut self) {
         (0..self.len()).for_each(|at| self.start(at));
     }
 
+    /// Ends a gateway without notice to the others.
     pub fn kill(&mut self, at: usize) {
         let now = self.now;
         let slot = &mut self.slots[at];
         (slot.peer, slot.ended) = (None, Some(now));
     }
 
+    /// Ends a gateway after it has announced that it leaves.
     pub fn leave(&mut self, at: usize) {
         let now = self.moment();
         if let Some(peer) = &mut self.slots[at].peer {
             peer.leave(now);
         }
-        self.pump(at);
+        self.flush(at);
         self.kill(at);
     }
 
+    /// Suspends a gateway's process.
     pub fn stop(&mut self, at: usize) {
         self.slots[at].stopped = true;
     }
 
+    /// Resumes a suspended process.
     pub fn wake(&mut self, at: usize) {
         self.slots[at].stopped = false;
-        self.arm(at);
+        self.schedule_turn(at);
     }
 
+    /// Delays each turn of a gateway's event loop by this many seconds.
     pub fn slow(&mut self, at: usize, by: f64) {
         self.slots[at].slow = by;
     }
 
-    /// It lives and does not stand still.
+    /// Whether a gateway is started and not suspended.
     pub fn runs(&self, at: usize) -> bool {
         self.slots[at].peer.is_some() && !self.slots[at].stopped
     }
@@ -486,12 +524,15 @@
         self.slots[at].peer.as_mut()
     }
 
+    /// The gateways that are started, including suspended ones.
     pub fn lives(&self) -> Vec<usize> {
         (0..self.len())
             .filter(|at| self.slots[*at].peer.is_some())
             .collect()
     }
 
+    /// Cuts the links for which `cut` returns true for sender and receiver, and restores all
+    /// others.
     pub fn cut(&mut self, cut: impl Fn(usize, usize) -> bool) {
         for (a, row) in self.cut.iter_mut().enumerate() {
             row.iter_mut()
@@ -500,16 +541,18 @@
         }
     }
 
+    /// Restores all links.
     pub fn heal(&mut self) {
         self.cut(|_, _| false);
     }
 
-    /// Sends bytes of anybody's making from a gateway's address.
+    /// Delivers arbitrary bytes as a datagram from a gateway's address.
     pub fn inject(&mut self, from: usize, to: usize, bytes: Vec<u8>) {
-        self.put(self.now, Happens::Arrives { to, from, bytes });
+        self.put(self.now, SimEvent::Arrives { to, from, bytes });
     }
 
-    fn arm(&mut self, at: usize) {
+    /// Schedules a gateway's next turn.
+    fn schedule_turn(&mut self, at: usize) {
         let slot = &mut self.slots[at];
         let Some(peer) = &slot.peer else { return };
         if slot.stopped {
@@ -518,10 +561,11 @@
         slot.turn += 1;
         let due = (peer.due() - Timestamp::from_secs(0.0)).secs() + slot.slow;
         let turn = slot.turn;
-        self.put(due, Happens::Due { at, turn });
+        self.put(due, SimEvent::Due { at, turn });
     }
 
-    fn pump(&mut self, from: usize) {
+    /// Records the deaths that a gateway declared, and sends its datagrams.
+    fn flush(&mut self, from: usize) {
         let Some(peer) = &mut self.slots[from].peer else {
             return;
         };
@@ -557,14 +601,14 @@
                 let bytes = bytes.clone();
                 self.put(
                     arrives + self.faults.repeat_after_s,
-                    Happens::Arrives { to, from, bytes },
+                    SimEvent::Arrives { to, from, bytes },
                 );
             }
-            self.put(arrives, Happens::Arrives { to, from, bytes });
+            self.put(arrives, SimEvent::Arrives { to, from, bytes });
         }
     }
 
-    /// Plays until then.
+    /// Runs until the simulated time `until`, in seconds.
     pub fn run(&mut self, until: f64) {
         while let Some(Reverse((at, number))) = self.queue.peek().copied() {
             if at as f64 / 1e6 > until {
@@ -577,19 +621,19 @@
             };
             let now = self.moment();
             match event {
-                Happens::Arrives { to, from, bytes } => {
+                SimEvent::Arrives { to, from, bytes } => {
                     let slot = &mut self.slots[to];
-                    // A process that stands still has a socket's buffer full for it; that is lost
-                    // here, which is worse.
+                    // The socket buffer of a real suspended process would keep some datagrams. Here
+                    // all are lost, which is the harder case.
                     if slot.stopped {
                         continue;
                     }
                     let Some(peer) = &mut slot.peer else { continue };
                     peer.receive(now, address(from), &bytes);
-                    self.pump(to);
-                    self.arm(to);
+                    self.flush(to);
+                    self.schedule_turn(to);
                 }
-                Happens::Due { at, turn } => {
+                SimEvent::Due { at, turn } => {
                     let slot = &mut self.slots[at];
                     if slot.turn != turn || slot.stopped {
                         continue;
@@ -597,15 +641,16 @@
                     if let Some(peer) = &mut slot.peer {
                         peer.turn(now);
                     }
-                    self.pump(at);
-                    self.arm(at);
+                    self.flush(at);
+                    self.schedule_turn(at);
                 }
             }
         }
         self.now = until;
     }
 
-    /// Plays on until all that live hold just each other, looking every tenth of a second.
+    /// Runs until all running gateways agree on the membership, checking every tenth of a second.
+    /// Returns the time taken in seconds, or `None` if it exceeds `within`.
     pub fn settle(&mut self, within: f64) -> Option<f64> {
         let began = self.now;
         while self.now < began + within {
@@ -617,6 +662,7 @@
         None
     }
 
+    /// Whether each running gateway considers exactly the other running ones present.
     pub fn agreed(&self) -> bool {
         let lives = self.lives();
         let others = lives.len().saturating_sub(1);
@@ -640,11 +686,13 @@
         })
     }
 
+    /// The number of wrong declarations of death so far.
     pub fn false_deaths(&self) -> usize {
         self.deaths.iter().filter(|death| death.false_one).count()
     }
 
-    /// Times from each killing to when each survivor took it for dead, sorted.
+    /// The sorted detection times: from the end of a gateway to each declaration of its death, in
+    /// seconds.
     pub fn detected(&self) -> Vec<f64> {
         let since = |death: &Death| Some(death.at - self.slots[death.of].ended?);
         let mut all: Vec<f64> = self
@@ -658,7 +706,7 @@
     }
 }
 
-/// Makes the gateways of one emulated fleet, the first three the seeds of all.
+/// Builds the gateways of one emulated cluster. The first three are the seeds of all.
 #[derive(Clone, Debug)]
 pub struct GatewayFactory {
     count: usize,
@@ -670,8 +718,8 @@
 
 impl GatewayFactory {
     pub fn new(count: usize, seed: u64, terms: Config) -> Self {
-        let ring = KeyRing::new(&KEY, &[]).expect("one key");
-        let fleet = Name::new("lab").expect("a name");
+        let ring = KeyRing::new(&KEY, &[]).expect("a single key is valid");
+        let fleet = Name::new("lab").expect("the name is valid");
         GatewayFactory {
             count,
             seed,
@@ -681,14 +729,14 @@
         }
     }
 
-    /// `life`: how often this gateway was started before.
+    /// Builds a gateway. `life` is the number of its earlier starts.
     pub fn make(&self, at: usize, now: Timestamp, life: u32) -> Node {
         let seeds = (0..3.min(self.count)).map(address).collect();
         let seed = self
             .seed
             .wrapping_mul(1_000_003)
             .wrapping_add(at as u64 * 64 + u64::from(life));
-        let zone = Some(Name::new(&format!("zone-{}", at % 3)).expect("a name"));
+        let zone = Some(Name::new(&format!("zone-{}", at % 3)).expect("the name is valid"));
         let locality = Locality { zone, region: None };
         let (fleet, ring, terms) = (self.fleet.clone(), self.ring.clone(), self.terms.clone());
         Node::new(
@@ -707,7 +755,7 @@
     }
 }
 
-/// Gateways of the real code.
+/// A mesh of gateways that run the production membership code.
 pub fn gateways(count: usize, seed: u64, terms: Config) -> Mesh<Node> {
     let factory = GatewayFactory::new(count, seed, terms);
     Mesh::new(count, seed, move |at, now, life| {
@@ -715,12 +763,14 @@
     })
 }
 
+/// A mesh of gateways that run the [`Heartbeats`] protocol.
 pub fn heartbeats(count: usize, seed: u64, terms: Config) -> Mesh<Heartbeats> {
     Mesh::new(count, seed, move |at, now, _| {
         Heartbeats::new(now, at, count, &terms, 5.0)
     })
 }
 
+/// A mesh of gateways that run the [`Hasty`] protocol.
 pub fn hasty(count: usize, seed: u64, terms: Config) -> Mesh<Hasty> {
     Mesh::new(count, seed, move |at, now, life| {
         Hasty::new(
@@ -733,17 +783,19 @@
     })
 }
 
-/// All that live say that they are together.
+/// Whether the view of every running gateway has converged.
 pub fn together(mesh: &Mesh<Node>) -> bool {
     mesh.lives().iter().all(|at| is_together(mesh, *at))
 }
 
+/// Whether the view of one gateway has converged.
 pub fn is_together(mesh: &Mesh<Node>, at: usize) -> bool {
     mesh.peer(at)
         .is_some_and(|peer| *peer.view_state() == ViewState::Converged)
 }
 
-/// One way's figures on one trouble.
+/// The figures of one protocol. A duration is `None` if the gateways did not agree within the time
+/// limit.
 #[derive(Clone, Debug)]
 pub struct Figures {
     pub way: &'static str,
@@ -759,8 +811,8 @@
     pub largest_share: f64,
 }
 
-/// Joins; a tenth killed; a minute of a third of datagrams lost; a partition of 20 s in a third and
-/// two; healed.
+/// Measures a protocol: all gateways join; a tenth is killed; a third of the datagrams is lost for
+/// a minute; one third is partitioned from the other two for 20 seconds; the partition heals.
 pub fn measure<P: Peer>(way: &'static str, mut mesh: Mesh<P>) -> Figures {
     let count = mesh.len();
     mesh.start_all();
--- a/crates/simulator/src/parts.rs
+++ b/crates/simulator/src/parts.rs
@@ -1,6 +1,6 @@
-//! Budgets divided among hundreds of gateways, in simulated time: the code of `crates/quota` itself
-//! between the faults of `mesh`, with work that wants to be spent, beside two plainer ways on the
-//! same work.
+//! Simulates the division of budgets among hundreds of gateways: the production code of the `quota`
+//! crate over the emulated network of `mesh`, under generated demand, next to two simpler divisions
+//! as baselines.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -15,25 +15,27 @@
 
 use crate::mesh::{Mesh, Peer, address, name, number};
 
-/// How often work comes.
+/// The step of simulated time in which demand arrives, in seconds.
 pub const STEP_S: f64 = 0.05;
-/// CPU seconds a second for all gateways together.
+/// The budget of all gateways together, in CPU seconds per second.
 pub const WHOLE: f64 = 60.0;
 const BURST_S: f64 = 2.0;
 
-/// How a budget of all is cut.
+/// How the shared budget is divided among the gateways.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Way {
+    /// By leases of the coordinator.
     Leases,
-    /// An even part each, by the most gateways that may run.
+    /// An equal part for each of the most gateways that may run.
     Even,
-    /// As a gateway alone does it: by its own traffic against an even part.
+    /// Each gateway estimates its part from its own traffic in relation to an equal part.
     Guess,
 }
 
 impl Way {
     pub const ALL: [Way; 3] = [Way::Leases, Way::Even, Way::Guess];
 
+    /// The name in printed tables.
     pub fn name(self) -> &'static str {
         match self {
             Way::Leases => "leases",
@@ -43,6 +45,7 @@
     }
 }
 
+/// The settings of one budget for at most `most` gateways.
 pub fn terms(most: usize) -> Config {
     let capacity = Amount::from_units(WHOLE);
     let guaranteed = Amount((capacity.0 as f64 * 0.2 / most as f64) as u64);
@@ -63,12 +66,12 @@
     }
 }
 
-/// A gateway's part alone, without the rest of it: words carry the sender's life ahead, as the
-/// fleet's letters do.
+/// The quota participant of one gateway without the rest of it. Its datagrams start with the
+/// sender's boot id, which the cluster's messages carry in their header.
 pub struct Part {
     pub quotas: FleetQuotas,
-    life: u64,
-    /// Millionths by which its clock runs fast, and where it started.
+    boot_id: u64,
+    /// The rate error of its clock in parts per million. Positive if the clock runs fast.
     pub fast_ppm: i64,
 }
 
@@ -76,29 +79,31 @@
     pub fn new(
         now: Timestamp,
         at: usize,
-        life: u32,
+        start_count: u32,
         terms: Config,
         fast_ppm: i64,
         seed: u64,
     ) -> Self {
-        let life = u64::from(life) << 16 | at as u64;
+        let boot_id = u64::from(start_count) << 16 | at as u64;
         let id = HolderId {
             name: name(at),
-            boot_id: BootId(life),
+            boot_id: BootId(boot_id),
         };
         let local = clock(now, fast_ppm);
         Part {
             quotas: FleetQuotas::new(local, id, terms, seed),
-            life,
+            boot_id,
             fast_ppm,
         }
     }
 
+    /// Its local time at simulated time `now`.
     pub fn clock(&self, now: Timestamp) -> Timestamp {
         clock(now, self.fast_ppm)
     }
 }
 
+/// The local time of a clock with this rate error.
 fn clock(now: Timestamp, fast_ppm: i64) -> Timestamp {
     let secs = (now - Timestamp::from_secs(0.0)).secs();
     Timestamp::from_secs(secs * (1.0 + fast_ppm as f64 / 1e6))
@@ -106,15 +111,15 @@
 
 impl Peer for Part {
     fn receive(&mut self, now: Timestamp, from: SocketAddr, bytes: &[u8]) {
-        let Some((life, words)) = bytes.split_first_chunk::<8>() else {
+        let Some((boot_id, payload)) = bytes.split_first_chunk::<8>() else {
             return;
         };
-        let who = HolderId {
+        let sender = HolderId {
             name: name(number(from)),
-            boot_id: BootId(u64::from_le_bytes(*life)),
+            boot_id: BootId(u64::from_le_bytes(*boot_id)),
         };
         let now = self.clock(now);
-        self.quotas.receive(now, &who, words);
+        self.quotas.receive(now, &sender, payload);
     }
 
     fn turn(&mut self, now: Timestamp) {
@@ -123,20 +128,21 @@
     }
 
     fn due(&self) -> Timestamp {
-        // A little later than by its own clock, never earlier: it is then due.
+        // Converted back to simulated time and rounded up, so that the wake-up time has passed by
+        // the local clock.
         let own = (self.quotas.next_wakeup() - Timestamp::from_secs(0.0)).secs();
         Timestamp::from_secs(own / (1.0 + self.fast_ppm as f64 / 1e6) + 2e-6)
     }
 
     fn take_out(&mut self) -> Vec<Datagram> {
-        let life = self.life.to_le_bytes();
+        let boot_id = self.boot_id.to_le_bytes();
         let datagram = |message: quota::Message| {
             let at: usize = message.to.as_str()[1..]
                 .parse()
                 .expect("a gateway of the lab");
             Datagram {
                 to: address(at),
-                bytes: [&life[..], &message.payload.encode()].concat(),
+                bytes: [&boot_id[..], &message.payload.encode()].concat(),
             }
         };
         self.quotas
@@ -161,7 +167,7 @@
     }
 }
 
-/// Budgets of these members, for so many gateways.
+/// The settings of these tenants' budgets, for at most `most` gateways.
 pub fn members(of: &[scheduler::TenantConfig], most: usize) -> Config {
     let budget = |member: &scheduler::TenantConfig| {
         let capacity = Amount::from_units(member.share.budget);
@@ -178,28 +184,31 @@
     }
 }
 
+/// The emulated gateways' quota participants, with random clock rate errors within the configured
+/// drift.
 pub fn parts(count: usize, seed: u64, terms: Config) -> Mesh<Part> {
     let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0x7061_7274);
     let bound = i64::from(terms.drift_ppm);
     let fast: Vec<i64> = (0..count)
         .map(|_| rng.random_range(-bound..=bound))
         .collect();
-    Mesh::new(count, seed, move |at, now, life| {
+    Mesh::new(count, seed, move |at, now, start_count| {
         let seed = seed
             .wrapping_mul(1_000_003)
-            .wrapping_add(at as u64 * 64 + u64::from(life));
-        Part::new(now, at, life, terms.clone(), fast[at], seed)
+            .wrapping_add(at as u64 * 64 + u64::from(start_count));
+        Part::new(now, at, start_count, terms.clone(), fast[at], seed)
     })
 }
 
-/// What was spent when, by gateway; looked through for the worst of any window.
+/// The CPU seconds spent by all gateways in each step.
 #[derive(Clone, Debug, Default)]
 pub struct Record {
     steps: VecDeque<f64>,
 }
 
 impl Record {
-    /// The most that was spent in any so many seconds, of what a whole and its burst allow.
+    /// The most spent in any window of `window_s`, as a fraction of what the budget and its burst
+    /// allow.
     pub fn worst(&self, window_s: f64, whole: f64, burst_s: f64) -> f64 {
         let steps = (window_s / STEP_S).round() as usize;
         let spent: Vec<f64> = self.steps.iter().copied().collect();
@@ -210,22 +219,23 @@
     }
 }
 
-/// Work before a mesh, and what became of it.
+/// Generates demand at the gateways of a mesh and records what they spend.
 pub struct Work {
     pub mesh: Mesh<Part>,
     pub way: Way,
     pub whole: f64,
     most: usize,
-    /// Wanted a second, by gateway.
+    /// The demand of each gateway, in CPU seconds per second.
     pub wants: Vec<f64>,
     pub record: Record,
-    /// The largest sum of what all may spend, of the whole.
+    /// The largest sum of all gateways' spendable rates, as a fraction of the budget.
     pub worst_sum: f64,
-    /// By time in steps: spent, and what an all-knowing divider would have: all that is wanted up
-    /// to the whole.
+    /// CPU seconds spent since the last call of [`Work::in_use`].
     pub spent: f64,
+    /// CPU seconds that an ideal division would have spent: the whole demand up to the budget.
     pub could: f64,
-    plain: BTreeMap<usize, TokenBucket>,
+    /// The token buckets of the gateways, where leases are not used.
+    buckets: BTreeMap<usize, TokenBucket>,
 }
 
 impl Work {
@@ -241,7 +251,7 @@
             worst_sum: 0.0,
             spent: 0.0,
             could: 0.0,
-            plain: BTreeMap::new(),
+            buckets: BTreeMap::new(),
         }
     }
 
@@ -249,12 +259,13 @@
         let even = self.whole / self.most as f64;
         match self.way {
             Way::Even => even,
-            // `Policy::carries`: own traffic over an even part, a fifth more, no less than one and no more than all.
+            // The scheduler's estimate of a gateway's part: its own traffic plus a fifth, at least
+            // an equal part and at most the whole budget.
             _ => even * (1.2 * self.wants[at] / even).clamp(1.0, self.most as f64),
         }
     }
 
-    /// What one may spend a second at present.
+    /// The rate that a gateway may spend now, in CPU seconds per second. 0 if it does not run.
     pub fn may(&mut self, at: usize) -> f64 {
         let now = Timestamp::from_secs(self.mesh.now);
         if self.way != Way::Leases {
@@ -272,10 +283,12 @@
         })
     }
 
+    /// The sum of all gateways' spendable rates, as a fraction of the budget.
     pub fn sum(&mut self) -> f64 {
         (0..self.mesh.len()).map(|at| self.may(at)).sum::<f64>() / self.whole
     }
 
+    /// Runs for `lasts_s` of simulated time.
     pub fn run(&mut self, lasts_s: f64) {
         let until = self.mesh.now + lasts_s;
         while self.mesh.now < until - 1e-9 {
@@ -292,7 +305,8 @@
                 continue;
             }
             wanted += wants;
-            // In ten pieces, as statements come, so that what is there is used up.
+            // The demand comes in ten pieces, as it would in statements, so that a part of it can
+            // still be spent when the budget does not cover all.
             let piece = wants / 10.0;
             spent += (0..10).filter(|_| self.take(at, piece)).count() as f64 * piece;
         }
@@ -302,7 +316,8 @@
         self.worst_sum = self.worst_sum.max(self.sum());
     }
 
-    /// One piece of work at one gateway, if its part has room for it.
+    /// Spends one piece of work at a gateway. Returns false if the gateway's part of the budget
+    /// does not cover it.
     fn take(&mut self, at: usize, piece: f64) -> bool {
         let (now, rate) = (Timestamp::from_secs(self.mesh.now), self.rate(at));
         if self.way == Way::Leases {
@@ -315,19 +330,19 @@
         }
         let secs = self.mesh.now;
         let bucket = self
-            .plain
+            .buckets
             .entry(at)
             .or_insert_with(|| TokenBucket::empty(secs, rate, BURST_S));
         bucket.set_rate(rate);
         bucket.refill(secs);
-        let owes = bucket.covers(piece);
-        if owes {
+        let is_covered = bucket.covers(piece);
+        if is_covered {
             bucket.withdraw(piece);
         }
-        owes
+        is_covered
     }
 
-    /// Spent of what could have been since the last call.
+    /// The fraction spent of what an ideal division would have spent, since the last call.
     pub fn in_use(&mut self) -> f64 {
         let (spent, could) = (
             std::mem::take(&mut self.spent),
@@ -337,22 +352,24 @@
     }
 }
 
-/// One situation's figures.
+/// The figures of one situation.
 #[derive(Clone, Debug)]
 pub struct Figures {
     pub way: &'static str,
     pub gateways: usize,
     pub what: &'static str,
-    /// The largest sum of what all might spend at one instant, of the whole.
+    /// The largest sum of all gateways' spendable rates at one time, as a fraction of the budget.
     pub worst_sum: f64,
-    /// The most that was spent in any second, of the whole and its burst.
+    /// The most spent in any second, as a fraction of what the budget and its burst allow.
     pub worst_second: f64,
-    /// Spent of what an all-knowing divider would have.
+    /// The fraction spent of what an ideal division would have spent.
     pub in_use: f64,
+    /// Datagrams sent per second and gateway.
     pub words_s: f64,
 }
 
-/// All wants some times the whole, spread unevenly: the first of them wants most.
+/// A skewed demand of the gateways whose sum is `times` the budget `whole`. The first gateway has
+/// the highest demand.
 fn uneven(count: usize, whole: f64, times: f64) -> Vec<f64> {
     let weights: Vec<f64> = (0..count)
         .map(|at| 1.0 / (1.0 + at as f64).powf(0.7))
@@ -364,7 +381,7 @@
         .collect()
 }
 
-/// A way through one situation, by name.
+/// Measures one division in the situation of this name, which is one of [`SITUATIONS`].
 pub fn measure(way: Way, count: usize, seed: u64, what: &'static str) -> Figures {
     let mut work = Work::new(parts(count, seed, terms(count)), way, count);
     work.mesh.start_all();
@@ -375,7 +392,7 @@
     let (before, from) = (sent(&work), work.mesh.now);
     match what {
         "steady" => work.run(40.0),
-        // One has nine tenths of it, then another.
+        // One gateway has nine tenths of the demand, then another one.
         "moving" => {
             for turn in 0..4 {
                 let hot = (turn * 7 + 1) % count;
@@ -395,7 +412,7 @@
             work.run(20.0);
         }
         "half killed" => {
-            // A majority of the voters lives.
+            // A majority of the voters stays alive.
             (0..count)
                 .filter(|at| at % 2 == 1)
                 .for_each(|at| work.mesh.kill(at));
@@ -431,8 +448,9 @@
     }
 }
 
-/// Seconds until all that can be had is out again: after one more joined, after one left in order,
-/// after one was killed.
+/// Three durations in seconds: until a joining gateway gets its first lease beyond its guaranteed
+/// minimum, and until the whole available budget is leased out again after a gateway left
+/// gracefully and after one was killed. Each is `None` if it takes more than 60 seconds.
 pub fn times(count: usize, seed: u64) -> [Option<f64>; 3] {
     let mut work = Work::new(
         parts(count + 1, seed, terms(count + 1)),
@@ -457,7 +475,7 @@
     work.mesh.start(count);
     work.wants[count] = WHOLE * 0.3;
     let began = work.mesh.now;
-    // Its first part, beyond the floor.
+    // The joining gateway has its first lease when it may spend more than its guaranteed minimum.
     while work.may(count) < 1.5 * floor * WHOLE && work.mesh.now < began + 60.0 {
         work.run(STEP_S);
     }
@@ -470,6 +488,7 @@
     [joined, left, out(&mut work, count - 1)]
 }
 
+/// The situations that [`measure`] knows.
 pub const SITUATIONS: [&str; 6] = [
     "steady",
     "moving",
