--- a/crates/process_harness/src/fleet.rs
+++ b/crates/process_harness/src/fleet.rs
@@ -1,4 +1,5 @@
-//! Gateways as processes, with engines and a discovery service of ours, a switch between them, and what each says.
+//! Runs a fleet of real gateway processes on loopback, with in-process engines, a discovery service
+//! and a UDP switch between the gateways, and reads their state through `SHOW` statements and logs.
 
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, BufReader};
@@ -17,33 +18,39 @@
 
 use crate::switch::Switch;
 
-/// What a fleet is to be.
+/// The settings of a [`Fleet`].
 #[derive(Clone, Debug)]
 pub struct FleetOptions {
-    /// The gateway's program.
+    /// The path of the gateway's executable.
     pub program: PathBuf,
+    /// The number of gateways.
     pub gateways: usize,
+    /// The number of engines that the gateways discover.
     pub engines: usize,
+    /// How long an engine takes to answer a statement.
     pub engine_delay: Duration,
+    /// The seed of the switch's faults and, plus its index, of each gateway.
     pub seed: u64,
-    /// Further lines of each `fleet` block.
+    /// Additional lines in the `fleet` block of each operator file.
     pub block: String,
-    /// Without, each gateway is alone: for comparison.
+    /// Whether the gateways form a fleet. When false, each gateway runs without an operator file,
+    /// as a baseline for comparison.
     pub fleet: bool,
-    /// Further blocks of each operator's file.
+    /// Additional blocks of each operator file.
     pub further: String,
-    /// Seeds of all; where empty, the first three gateways.
+    /// The seed addresses of every gateway. When empty, the first three gateways are the seeds.
     pub seeds: Vec<SocketAddr>,
-    /// Zone and region of each gateway; where empty, none is told.
+    /// The zone and region of each gateway, by index. A gateway without an entry announces neither.
     pub places: Vec<(String, String)>,
-    /// Further tenants of the configuration.
+    /// The names of tenants to add to those of the example configuration.
     pub tenants: Vec<String>,
-    /// Gateways that the configuration tells of; zero stands for those of this fleet.
+    /// The value of `PeersTotal` in the configuration. Zero stands for `gateways`.
     pub peers: usize,
 }
 
 impl FleetOptions {
-    /// Paces for tests: short enough for minutes, long enough for loaded machines.
+    /// Returns settings for tests. The protocol's periods are short enough for a test of minutes
+    /// and long enough for a loaded machine.
     pub fn new(program: impl Into<PathBuf>, gateways: usize) -> Self {
         let block = "period_ms = 250\n  answer_ms = 110\n  suspicion_periods = 8\n  hold_ms = 500\n  keep_gone_ms = 30000".to_owned();
         let (engine_delay, program) = (Duration::from_millis(5), program.into());
@@ -64,100 +71,139 @@
     }
 }
 
-/// One line of a gateway's log, as it came.
+/// One line of a gateway's JSON log.
 #[derive(Clone, Debug)]
 pub struct LogLine {
+    /// The time at which the harness read the line, since the start of the fleet.
     pub at: Duration,
+    /// The `fields` object of the line, with the message and its structured fields.
     pub fields: Value,
 }
 
+/// A gateway of the fleet with its addresses, whether or not its process is running.
 pub struct GatewayProcess {
     pub name: String,
+    /// The address for clients.
     pub listen: SocketAddr,
+    /// The address to which the gateway binds its UDP socket.
     pub bound: SocketAddr,
+    /// The address that the gateway announces to its peers, which is a socket of the switch.
     pub advertised: SocketAddr,
+    /// `None` while the process is not running.
     child: Option<Child>,
     lines: Arc<Mutex<Vec<LogLine>>>,
-    /// The last counters printed.
+    /// The line of counters that the gateway printed last, or an empty string.
     counters: Arc<Mutex<String>>,
 }
 
-/// A gateway as another one holds it.
+/// The state of one gateway in the membership view of another.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MemberRow {
     pub state: String,
     pub incarnation: u64,
+    /// The column `known`, which is true for `yes`.
     pub known: bool,
 }
 
-/// What one gateway answers to `SHOW FLEET`.
+/// A gateway's answer to `SHOW FLEET`.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FleetView {
+    /// How far the gateway is connected to the fleet, such as `together` or `cut off`.
     pub standing: String,
+    /// The digest of its membership view, in hexadecimal.
     pub digest: String,
+    /// The number of members in its view.
     pub size: usize,
-    /// Seconds since it heard from any other; `None`: never.
+    /// The seconds since it last heard from another gateway, or `None` if it never has.
     pub heard_s: Option<f64>,
-    /// Without itself.
+    /// The other members by name.
     pub rows: BTreeMap<String, MemberRow>,
 }
 
 impl FleetView {
-    /// Those it counts as there.
+    /// Returns the names of the known members that are alive or suspected.
     pub fn live_members(&self) -> Vec<&str> {
-        let there = |row: &MemberRow| row.known && (row.state == "alive" || row.state == "suspect");
+        let is_live =
+            |row: &MemberRow| row.known && (row.state == "alive" || row.state == "suspect");
         self.rows
             .iter()
-            .filter(|(_, row)| there(row))
+            .filter(|(_, row)| is_live(row))
             .map(|(name, _)| &name[..])
             .collect()
     }
 }
 
-/// One budget as one gateway shows it.
+/// One budget of a gateway, as its answer to `SHOW SHARES` has it. Amounts are in the budget's
+/// unit.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ShareRow {
+    /// The budget of the whole fleet.
     pub whole: f64,
+    /// The part that the gateway may spend without a lease.
     pub floor: f64,
+    /// The part that the gateway holds by a lease.
     pub leased: f64,
+    /// The gateway's demand.
     pub wanted: f64,
+    /// What the gateway has spent, as the column `spent` has it.
     pub spent: f64,
+    /// What the gateway was allowed to spend, as the column `allowed` has it.
     pub allowed: f64,
+    /// The name of the gateway that this one takes for the coordinator of the leases.
     pub steward: String,
+    /// Whether the gateway takes itself for the coordinator.
     pub is_steward: bool,
 }
 
+/// A running fleet. Dropping it kills all processes and removes the folder.
 pub struct Fleet {
     pub options: FleetOptions,
     pub gateways: Vec<GatewayProcess>,
     pub engines: Vec<Engine>,
+    /// The discovery service.
     pub board: Board,
     pub switch: Switch,
     pub started: Instant,
+    /// The folder of the fleet's configuration files and keys.
     pub folder: PathBuf,
 }
 
-/// Addresses of this run's own: each process and rig has a network of loopback for itself.
-fn address(run: u8, part: u8, at: usize, port: u16) -> SocketAddr {
+/// Returns a loopback address for gateway `index`. The process id selects the second octet, and
+/// each fleet of a process has two third octets: fleets that run at the same time get different
+/// addresses.
+fn loopback_address(second_octet: u8, third_octet: u8, index: usize, port: u16) -> SocketAddr {
     SocketAddr::new(
-        IpAddr::V4(Ipv4Addr::new(127, 200 + run % 50, part, 1 + at as u8)),
+        IpAddr::V4(Ipv4Addr::new(
+            127,
+            200 + second_octet % 50,
+            third_octet,
+            1 + index as u8,
+        )),
         port,
     )
 }
 
-static RIGS: std::sync::atomic::AtomicU32 = std::sync::atomic::AtomicU32::new(0);
+/// The number of fleets that this process has started.
+static FLEETS_STARTED: std::sync::atomic::AtomicU32 = std::sync::atomic::AtomicU32::new(0);
 
-pub fn name(at: usize) -> String {
-    format!("g{at:02}")
+/// Returns the name of the gateway with this index.
+pub fn name(index: usize) -> String {
+    format!("g{index:02}")
 }
 
 impl Fleet {
-    /// Starts engines, board and switch, and all gateways but those in `later`; waits until each answers.
+    /// Starts the engines, the discovery service, the switch and all gateways except those whose
+    /// indexes are in `later`, and waits until every started gateway answers its clients.
+    ///
+    /// # Errors
+    ///
+    /// A socket cannot be bound, a file cannot be written or a process cannot be started.
     pub fn start(options: FleetOptions, later: &[usize]) -> io::Result<Fleet> {
-        let rig = RIGS.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
+        let fleet_number = FLEETS_STARTED.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
         let process = std::process::id();
-        let (run, half) = ((process % 50) as u8, (rig as u8) << 1);
-        let folder = std::env::temp_dir().join(format!("laurelhitch-harness-{process}-{rig}"));
+        let (second_octet, third_octet) = ((process % 50) as u8, (fleet_number as u8) << 1);
+        let folder =
+            std::env::temp_dir().join(format!("laurelhitch-harness-{process}-{fleet_number}"));
         std::fs::create_dir_all(folder.join("keys"))?;
         let engines: io::Result<Vec<Engine>> = (0..options.engines)
             .map(|_| Engine::start("127.0.0.1:0", options.engine_delay))
@@ -167,15 +213,15 @@
         let listed = engines
             .iter()
             .enumerate()
-            .map(|(at, e)| target(&format!("e-{at}"), e.address, "in_service"));
+            .map(|(index, e)| target(&format!("e-{index}"), e.address, "in_service"));
         board.tell(true, listed.collect());
         let port = 20_000 + (process % 10_000) as u16;
         let gateways: Vec<GatewayProcess> = (0..options.gateways)
-            .map(|at| GatewayProcess {
-                name: name(at),
-                listen: address(run, half, at, port),
-                bound: address(run, half, at, port + 1),
-                advertised: address(run, half | 1, at, port + 1),
+            .map(|index| GatewayProcess {
+                name: name(index),
+                listen: loopback_address(second_octet, third_octet, index, port),
+                bound: loopback_address(second_octet, third_octet, index, port + 1),
+                advertised: loopback_address(second_octet, third_octet | 1, index, port + 1),
                 child: None,
                 lines: Arc::default(),
                 counters: Arc::default(),
@@ -183,7 +229,7 @@
             .collect();
         let ports: Vec<_> = gateways
             .iter()
-            .map(|one| (one.advertised, one.bound))
+            .map(|gateway| (gateway.advertised, gateway.bound))
             .collect();
         let switch = Switch::start(&ports, options.seed)?;
         let mut fleet = Fleet {
@@ -195,45 +241,50 @@
             started: Instant::now(),
             folder,
         };
-        for at in 0..fleet.gateways.len() {
-            let folder = fleet.keys(at);
+        for index in 0..fleet.gateways.len() {
+            let folder = fleet.keys(index);
             std::fs::create_dir_all(&folder)?;
-            fleet.write_key(at, "first", 1)?;
-            fleet.set_signing_key(at, "first")?;
+            fleet.write_key(index, "first", 1)?;
+            fleet.set_signing_key(index, "first")?;
         }
         let first: Vec<usize> = (0..fleet.gateways.len())
-            .filter(|at| !later.contains(at))
+            .filter(|index| !later.contains(index))
             .collect();
-        for at in &first {
-            fleet.start_gateway(*at)?;
+        for index in &first {
+            fleet.start_gateway(*index)?;
         }
-        first.iter().for_each(|at| fleet.wait_until_ready(*at));
+        first
+            .iter()
+            .for_each(|index| fleet.wait_until_ready(*index));
         Ok(fleet)
     }
 
-    pub fn keys(&self, at: usize) -> PathBuf {
-        self.folder.join("keys").join(name(at))
+    /// Returns the folder with the gateway's fleet keys.
+    pub fn keys(&self, index: usize) -> PathBuf {
+        self.folder.join("keys").join(name(index))
     }
 
-    /// Puts a key into a gateway's folder; SIGHUP has it read.
-    pub fn write_key(&self, at: usize, key: &str, byte: u8) -> io::Result<()> {
+    /// Writes a key, whose bytes are all `byte`, to the gateway's key folder. The gateway reads the
+    /// folder at its start and on SIGHUP.
+    pub fn write_key(&self, index: usize, key: &str, byte: u8) -> io::Result<()> {
         std::fs::write(
-            self.keys(at).join(format!("{key}.key")),
+            self.keys(index).join(format!("{key}.key")),
             format!("{byte:02x}").repeat(32) + "\n",
         )
     }
 
-    pub fn set_signing_key(&self, at: usize, key: &str) -> io::Result<()> {
-        std::fs::write(self.keys(at).join("signs"), format!("{key}\n"))
+    /// Selects the key that the gateway signs with from its next start or SIGHUP on.
+    pub fn set_signing_key(&self, index: usize, key: &str) -> io::Result<()> {
+        std::fs::write(self.keys(index).join("signs"), format!("{key}\n"))
     }
 
-    /// Where nobody says otherwise, the seeds of all are the first three.
-    fn seeds(&self) -> String {
+    /// Returns the seed addresses as the elements of an HCL list.
+    fn seed_list(&self) -> String {
         let first = || {
             self.gateways
                 .iter()
                 .take(3)
-                .map(|one| one.advertised)
+                .map(|gateway| gateway.advertised)
                 .collect()
         };
         let seeds = if self.options.seeds.is_empty() {
@@ -248,35 +299,44 @@
             .join(", ")
     }
 
-    fn place(&self, at: usize) -> String {
-        let place = self.options.places.get(at);
+    /// Returns the lines of the operator file that set the gateway's zone and region.
+    fn place_lines(&self, index: usize) -> String {
+        let place = self.options.places.get(index);
         place.map_or_else(String::new, |(zone, region)| {
             format!("  zone = \"{zone}\"\n  region = \"{region}\"\n")
         })
     }
 
-    fn operator(&self, at: usize) -> String {
-        let one = &self.gateways[at];
+    /// Returns the text of the gateway's operator file.
+    fn operator_file(&self, index: usize) -> String {
+        let gateway = &self.gateways[index];
         format!(
             "fleet {{\n  fleet = \"rig\"\n  bind = \"{}\"\n  advertise = \"{}\"\n  seeds = [{}]\n  keys_folder = \"{}\"\n{}  {}\n}}\n{}\n",
-            one.bound,
-            one.advertised,
-            self.seeds(),
-            self.keys(at).display(),
-            self.place(at),
+            gateway.bound,
+            gateway.advertised,
+            self.seed_list(),
+            self.keys(index).display(),
+            self.place_lines(index),
             self.options.block,
             self.options.further
         )
     }
 
-    /// Starts the process of one, which must not run.
-    pub fn start_gateway(&mut self, at: usize) -> io::Result<()> {
-        let (listen, own) = (self.gateways[at].listen, self.gateways[at].name.clone());
+    /// Starts the process of a gateway that is not running.
+    ///
+    /// # Errors
+    ///
+    /// Its files cannot be written or the program cannot be started.
+    pub fn start_gateway(&mut self, index: usize) -> io::Result<()> {
+        let (listen, gateway_name) = (
+            self.gateways[index].listen,
+            self.gateways[index].name.clone(),
+        );
         let mut config: Value = serde_json::from_str(include_str!("../../../examples/config.json"))
             .map_err(io::Error::other)?;
-        config["name"] = json!(own);
+        config["name"] = json!(gateway_name);
         config["listen"] = json!(listen.to_string());
-        config["seed"] = json!(format!("{:016x}", self.options.seed + at as u64));
+        config["seed"] = json!(format!("{:016x}", self.options.seed + index as u64));
         config["board"] = json!(self.board.address.to_string());
         config["known"] = self.board.known();
         let peers = if self.options.peers == 0 {
@@ -286,10 +346,10 @@
         };
         config["settings"]["PeersTotal"] = json!(peers);
         if let Some(tenants) = config["settings"]["Tenants"].as_array_mut() {
-            let further = self.options.tenants.iter();
-            tenants.extend(further.map(|name| json!({ "Name": name, "AllowancePerS": 1.0 })));
+            let added = self.options.tenants.iter();
+            tenants.extend(added.map(|name| json!({ "Name": name, "AllowancePerS": 1.0 })));
         }
-        let path = self.folder.join(format!("{own}.json"));
+        let path = self.folder.join(format!("{gateway_name}.json"));
         std::fs::write(&path, config.to_string())?;
         let mut command = Command::new(&self.options.program);
         command
@@ -297,59 +357,66 @@
             .env_remove("LAURELHITCH_OPERATOR")
             .args(["--log-format", "json"]);
         if self.options.fleet {
-            let operator = self.folder.join(format!("{own}.hcl"));
-            std::fs::write(&operator, self.operator(at))?;
+            let operator = self.folder.join(format!("{gateway_name}.hcl"));
+            std::fs::write(&operator, self.operator_file(index))?;
             command.arg("--operator").arg(operator);
         }
         let mut child = command.stderr(Stdio::piped()).spawn()?;
-        let log = BufReader::new(child.stderr.take().expect("piped"));
+        let stderr = BufReader::new(child.stderr.take().expect("stderr is piped"));
         let (lines, counters, started) = (
-            self.gateways[at].lines.clone(),
-            self.gateways[at].counters.clone(),
+            self.gateways[index].lines.clone(),
+            self.gateways[index].counters.clone(),
             self.started,
         );
         thread::spawn(move || {
-            for line in log.lines().map_while(Result::ok) {
+            for line in stderr.lines().map_while(Result::ok) {
                 match serde_json::from_str::<Value>(&line) {
                     Ok(fields) => {
                         let line = LogLine {
                             at: started.elapsed(),
                             fields: fields["fields"].clone(),
                         };
-                        lines.lock().expect("no holder panics").push(line);
+                        lines.lock().expect("the lock is not poisoned").push(line);
                     }
-                    Err(_) => *counters.lock().expect("no holder panics") = line,
+                    Err(_) => *counters.lock().expect("the lock is not poisoned") = line,
                 }
             }
         });
-        self.gateways[at].child = Some(child);
+        self.gateways[index].child = Some(child);
         Ok(())
     }
 
-    /// Other further blocks for these gateways, which run: written, and read on SIGHUP.
-    pub fn rewrite_operator_files(&mut self, of: &[usize], further: &str) -> io::Result<()> {
+    /// Replaces the additional blocks in the operator files of these running gateways and sends
+    /// each of them SIGHUP, on which it reads the file.
+    ///
+    /// # Errors
+    ///
+    /// A file cannot be written.
+    pub fn rewrite_operator_files(&mut self, indexes: &[usize], further: &str) -> io::Result<()> {
         self.options.further = further.to_owned();
-        for at in of {
-            let path = self.folder.join(format!("{}.hcl", self.gateways[*at].name));
-            std::fs::write(path, self.operator(*at))?;
-            self.signal(*at, Signal::HUP);
+        for index in indexes {
+            let path = self
+                .folder
+                .join(format!("{}.hcl", self.gateways[*index].name));
+            std::fs::write(path, self.operator_file(*index))?;
+            self.signal(*index, Signal::HUP);
         }
         Ok(())
     }
 
-    /// What one holds of each budget: whole, floor, leased, spent; and whom it takes for steward.
-    pub fn query_shares(&self, at: usize) -> Option<BTreeMap<String, ShareRow>> {
-        self.gateways[at].child.as_ref()?;
-        let mut client = Client::login(self.gateways[at].listen).ok()?;
+    /// Returns a gateway's own rows of `SHOW SHARES` by budget, or `None` if it does not answer.
+    pub fn query_shares(&self, index: usize) -> Option<BTreeMap<String, ShareRow>> {
+        self.gateways[index].child.as_ref()?;
+        let mut client = Client::login(self.gateways[index].listen).ok()?;
         let Ok(Answer::Rows(rows)) = client.ask("SHOW SHARES") else {
             return None;
         };
-        let own = rows
+        let own_rows = rows
             .into_iter()
-            .filter(|row| row[1] == self.gateways[at].name);
+            .filter(|row| row[1] == self.gateways[index].name);
         let number = |text: &str| text.parse().unwrap_or(0.0);
-        let part = |row: Vec<String>| {
-            let part = ShareRow {
+        let budget_share = |row: Vec<String>| {
+            let share = ShareRow {
                 whole: number(&row[3]),
                 floor: number(&row[4]),
                 leased: number(&row[5]),
@@ -357,97 +424,106 @@
                 spent: number(&row[8]),
                 allowed: number(&row[9]),
                 steward: row[11].clone(),
-                is_steward: row[11] == self.gateways[at].name,
+                is_steward: row[11] == self.gateways[index].name,
             };
-            (row[0].clone(), part)
+            (row[0].clone(), share)
         };
-        Some(own.map(part).collect())
+        Some(own_rows.map(budget_share).collect())
     }
 
-    /// Waits until this holds for what all of these hold together.
+    /// Waits until the condition holds for the shares of all these gateways together, and returns
+    /// the time that it took.
     ///
     /// # Errors
-    /// It did not within the time; what each held last.
+    ///
+    /// The condition does not hold within the time. The error contains the last shares of each
+    /// gateway.
     pub fn wait_until_shares(
         &self,
         within: Duration,
-        of: &[usize],
-        holds: impl Fn(&[BTreeMap<String, ShareRow>]) -> bool,
+        indexes: &[usize],
+        condition: impl Fn(&[BTreeMap<String, ShareRow>]) -> bool,
     ) -> Result<Duration, String> {
-        let began = Instant::now();
+        let started = Instant::now();
         loop {
-            let all: Vec<_> = of
+            let shares: Vec<_> = indexes
                 .iter()
-                .map(|at| self.query_shares(*at).unwrap_or_default())
+                .map(|index| self.query_shares(*index).unwrap_or_default())
                 .collect();
-            if all.iter().all(|parts| !parts.is_empty()) && holds(&all) {
-                return Ok(began.elapsed());
+            if shares.iter().all(|share| !share.is_empty()) && condition(&shares) {
+                return Ok(started.elapsed());
             }
-            if began.elapsed() > within {
-                return Err(format!("after {:?}: {all:#?}", began.elapsed()));
+            if started.elapsed() > within {
+                return Err(format!("after {:?}: {shares:#?}", started.elapsed()));
             }
             sleep(Duration::from_millis(25));
         }
     }
 
-    /// Waits until one answers its clients.
-    pub fn wait_until_ready(&self, at: usize) {
-        let until = Instant::now() + Duration::from_secs(20);
-        while Client::login(self.gateways[at].listen)
+    /// Waits until a gateway answers its clients, and panics after 20 s.
+    pub fn wait_until_ready(&self, index: usize) {
+        let deadline = Instant::now() + Duration::from_secs(20);
+        while Client::login(self.gateways[index].listen)
             .and_then(|mut client| client.ping())
             .is_err()
         {
             assert!(
-                Instant::now() < until,
-                "{} is never ready: {:?}",
-                name(at),
-                self.lines(at)
+                Instant::now() < deadline,
+                "gateway {} did not answer within 20 s: {:?}",
+                name(index),
+                self.lines(index)
             );
             sleep(Duration::from_millis(10));
         }
     }
 
-    pub fn is_running(&self, at: usize) -> bool {
-        self.gateways[at].child.is_some()
+    /// Returns whether the gateway was started and has not been killed or waited for since.
+    pub fn is_running(&self, index: usize) -> bool {
+        self.gateways[index].child.is_some()
     }
 
-    /// By gateway; nothing for one that does not run.
+    /// Returns the process ids by gateway index, with `None` for a gateway that is not running.
     pub fn process_ids(&self) -> Vec<Option<u32>> {
         self.gateways
             .iter()
-            .map(|one| one.child.as_ref().map(Child::id))
+            .map(|gateway| gateway.child.as_ref().map(Child::id))
             .collect()
     }
 
-    pub fn signal(&self, at: usize, signal: Signal) {
-        if let Some(child) = &self.gateways[at].child {
-            kill_process(Pid::from_child(child), signal).expect("it runs");
+    /// Sends a signal to a gateway, or does nothing if it is not running.
+    pub fn signal(&self, index: usize, signal: Signal) {
+        if let Some(child) = &self.gateways[index].child {
+            kill_process(Pid::from_child(child), signal)
+                .expect("the process has not been waited for");
         }
     }
 
-    /// At once, with all it holds.
-    pub fn kill(&mut self, at: usize) {
-        if let Some(mut child) = self.gateways[at].child.take() {
+    /// Kills a gateway with SIGKILL, so that it cannot leave the fleet in order.
+    pub fn kill(&mut self, index: usize) {
+        if let Some(mut child) = self.gateways[index].child.take() {
             let _ = child.kill();
             let _ = child.wait();
         }
     }
 
-    /// SIGTERM, and waits for its end. True: it ended well.
-    pub fn terminate(&mut self, at: usize, within: Duration) -> bool {
-        self.signal(at, Signal::TERM);
-        self.wait_for_exit(at, within)
+    /// Sends SIGTERM and waits for the exit. Returns the result of [`Fleet::wait_for_exit`].
+    pub fn terminate(&mut self, index: usize, within: Duration) -> bool {
+        self.signal(index, Signal::TERM);
+        self.wait_for_exit(index, within)
     }
 
-    pub fn wait_for_exit(&mut self, at: usize, within: Duration) -> bool {
-        let Some(mut child) = self.gateways[at].child.take() else {
+    /// Waits for a gateway to exit and returns whether its exit status was zero. A gateway that is
+    /// still running after this time is killed, which returns false; one that was not running
+    /// returns true.
+    pub fn wait_for_exit(&mut self, index: usize, within: Duration) -> bool {
+        let Some(mut child) = self.gateways[index].child.take() else {
             return true;
         };
-        let until = Instant::now() + within;
+        let deadline = Instant::now() + within;
         loop {
             match child.try_wait() {
                 Ok(Some(status)) => return status.success(),
-                Ok(None) if Instant::now() < until => sleep(Duration::from_millis(5)),
+                Ok(None) if Instant::now() < deadline => sleep(Duration::from_millis(5)),
                 _ => {
                     let _ = child.kill();
                     let _ = child.wait();
@@ -457,48 +533,54 @@
         }
     }
 
-    pub fn lines(&self, at: usize) -> Vec<LogLine> {
-        self.gateways[at]
+    /// Returns the JSON log lines that the gateway has written so far, over all its processes.
+    pub fn lines(&self, index: usize) -> Vec<LogLine> {
+        self.gateways[index]
             .lines
             .lock()
-            .expect("no holder panics")
+            .expect("the lock is not poisoned")
             .clone()
     }
 
-    /// A counter out of the last that were printed (SIGUSR1, exit).
-    pub fn counter(&self, at: usize, of: &str) -> Option<i64> {
-        let line = self.gateways[at]
+    /// Returns a counter from the line that the gateway printed last, on SIGUSR1 or at its exit, or
+    /// `None` if the line does not contain it.
+    pub fn counter(&self, index: usize, counter: &str) -> Option<i64> {
+        let line = self.gateways[index]
             .counters
             .lock()
-            .expect("no holder panics")
+            .expect("the lock is not poisoned")
             .clone();
         line.split(' ')
-            .find_map(|word| word.strip_prefix(of)?.strip_prefix('=')?.parse().ok())
+            .find_map(|word| word.strip_prefix(counter)?.strip_prefix('=')?.parse().ok())
     }
 
-    pub fn print_counters(&self, at: usize) {
-        *self.gateways[at].counters.lock().expect("no holder panics") = String::new();
-        self.signal(at, Signal::USR1);
-        let until = Instant::now() + Duration::from_secs(5);
-        while self.gateways[at]
+    /// Makes the gateway print its counters and waits up to 5 s for the line.
+    pub fn print_counters(&self, index: usize) {
+        *self.gateways[index]
+            .counters
+            .lock()
+            .expect("the lock is not poisoned") = String::new();
+        self.signal(index, Signal::USR1);
+        let deadline = Instant::now() + Duration::from_secs(5);
+        while self.gateways[index]
             .counters
             .lock()
-            .expect("no holder panics")
+            .expect("the lock is not poisoned")
             .is_empty()
-            && Instant::now() < until
+            && Instant::now() < deadline
         {
             sleep(Duration::from_millis(5));
         }
     }
 
-    /// What one shows of the fleet; nothing where it does not answer.
-    pub fn query_fleet_view(&self, at: usize) -> Option<FleetView> {
-        self.gateways[at].child.as_ref()?;
-        let mut client = Client::login(self.gateways[at].listen).ok()?;
+    /// Returns the gateway's answer to `SHOW FLEET`, or `None` if it does not answer.
+    pub fn query_fleet_view(&self, index: usize) -> Option<FleetView> {
+        self.gateways[index].child.as_ref()?;
+        let mut client = Client::login(self.gateways[index].listen).ok()?;
         let Ok(Answer::Rows(rows)) = client.ask("SHOW FLEET") else {
             return None;
         };
-        let mut shown = FleetView::default();
+        let mut view = FleetView::default();
         for row in rows {
             let [
                 name,
@@ -520,46 +602,49 @@
                     incarnation: incarnation.parse().ok()?,
                     known: known == "yes",
                 };
-                shown.rows.insert(name.clone(), row);
+                view.rows.insert(name.clone(), row);
             } else {
-                (shown.standing, shown.digest) = (standing.clone(), digest.clone());
-                shown.size = size.parse().ok()?;
-                shown.heard_s = heard.parse().ok();
+                (view.standing, view.digest) = (standing.clone(), digest.clone());
+                view.size = size.parse().ok()?;
+                view.heard_s = heard.parse().ok();
             }
         }
-        Some(shown)
+        Some(view)
     }
 
-    /// Waits until this holds for all of these gateways, or says how they stand.
+    /// Waits until the condition holds for the view of each of these gateways, and returns the time
+    /// that it took. The condition gets the gateway's index and its view.
     ///
     /// # Errors
-    /// It did not within the time; what each showed last.
+    ///
+    /// The condition does not hold within the time. The error contains the last view of each
+    /// gateway that does not fulfil it.
     pub fn wait_until_view(
         &self,
         within: Duration,
-        of: &[usize],
-        holds: impl Fn(usize, &FleetView) -> bool,
+        indexes: &[usize],
+        condition: impl Fn(usize, &FleetView) -> bool,
     ) -> Result<Duration, String> {
-        let began = Instant::now();
+        let started = Instant::now();
         loop {
-            let shown: Vec<_> = of
+            let views: Vec<_> = indexes
                 .iter()
-                .map(|at| (*at, self.query_fleet_view(*at)))
+                .map(|index| (*index, self.query_fleet_view(*index)))
                 .collect();
-            let wrong = |(at, shown): &&(usize, Option<FleetView>)| {
-                !shown.as_ref().is_some_and(|shown| holds(*at, shown))
+            let is_unmet = |(index, view): &&(usize, Option<FleetView>)| {
+                !view.as_ref().is_some_and(|view| condition(*index, view))
             };
-            let wrong: Vec<_> = shown.iter().filter(wrong).collect();
-            if wrong.is_empty() {
-                return Ok(began.elapsed());
+            let unmet: Vec<_> = views.iter().filter(is_unmet).collect();
+            if unmet.is_empty() {
+                return Ok(started.elapsed());
             }
-            if began.elapsed() > within {
-                let lines = wrong
+            if started.elapsed() > within {
+                let lines = unmet
                     .iter()
-                    .map(|(at, shown)| format!("{}: {shown:?}", name(*at)));
+                    .map(|(index, view)| format!("{}: {view:?}", name(*index)));
                 return Err(format!(
                     "after {:?}: {}",
-                    began.elapsed(),
+                    started.elapsed(),
                     lines.collect::<Vec<_>>().join("\n")
                 ));
             }
@@ -567,39 +652,50 @@
         }
     }
 
-    /// All of these hold each other, and nobody else, and say that they are together.
-    pub fn wait_until_settled(&self, within: Duration, of: &[usize]) -> Result<Duration, String> {
-        self.wait_until_view(within, of, |at, shown| {
-            let others: Vec<String> = of
+    /// Waits until each of these gateways has exactly the others as live members and reports the
+    /// standing `together`.
+    ///
+    /// # Errors
+    ///
+    /// As for [`Fleet::wait_until_view`].
+    pub fn wait_until_settled(
+        &self,
+        within: Duration,
+        indexes: &[usize],
+    ) -> Result<Duration, String> {
+        self.wait_until_view(within, indexes, |index, view| {
+            let others: Vec<String> = indexes
                 .iter()
-                .filter(|other| **other != at)
+                .filter(|other| **other != index)
                 .map(|other| name(*other))
                 .collect();
-            shown.standing == "together"
-                && shown.live_members() == others.iter().map(|name| &name[..]).collect::<Vec<_>>()
+            view.standing == "together"
+                && view.live_members() == others.iter().map(|name| &name[..]).collect::<Vec<_>>()
         })
     }
 
+    /// Returns the indexes of the running gateways.
     pub fn running_gateways(&self) -> Vec<usize> {
         (0..self.gateways.len())
-            .filter(|at| self.is_running(*at))
+            .filter(|index| self.is_running(*index))
             .collect()
     }
 
-    /// Who held whom for what, when: all events of the fleet in the order of time.
+    /// Returns the membership events of all logs in the order of time: the time since the start of
+    /// the fleet, the name of the gateway that logged the event, and the event.
     pub fn membership_events(&self) -> Vec<(Duration, String, String)> {
         let mut all = Vec::new();
-        for (at, one) in self.gateways.iter().enumerate() {
-            for line in self.lines(at) {
+        for (index, gateway) in self.gateways.iter().enumerate() {
+            for line in self.lines(index) {
                 let text = |field: &str| line.fields[field].as_str().unwrap_or("").to_owned();
                 let message = text("message");
                 if let Some(event) = message.strip_prefix("membership: ") {
-                    let what = match event {
+                    let description = match event {
                         "member changed" => format!("{} {}", text("gateway"), text("state")),
                         "view state changed" => format!("standing {}", text("detail")),
                         other => other.to_owned(),
                     };
-                    all.push((line.at, one.name.clone(), what));
+                    all.push((line.at, gateway.name.clone(), description));
                 }
             }
         }
@@ -614,7 +710,7 @@
 
 impl Drop for Fleet {
     fn drop(&mut self) {
-        (0..self.gateways.len()).for_each(|at| self.kill(at));
+        (0..self.gateways.len()).for_each(|index| self.kill(index));
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
--- a/crates/process_harness/src/lib.rs
+++ b/crates/process_harness/src/lib.rs
@@ -1,6 +1,9 @@
-//! A stand-in for a network and an operating system that fail: starts several real gateway processes on loopback, leads
-//! each datagram between them through a switch that loses, delays, repeats, spoils and cuts, and stops, wakes, kills and
-//! restarts the processes. Every child ends with the rig, also when a test panics.
+//! A harness that injects network and process faults into a fleet of gateways.
+//!
+//! It starts several real gateway processes on loopback and forwards the datagrams between them
+//! through a switch that loses, delays, duplicates and corrupts datagrams and partitions the
+//! network. It also stops, resumes, kills and restarts the processes. Every child process is killed
+//! when its owner is dropped, also when a test panics.
 
 pub mod fleet;
 pub mod scale;
--- a/crates/process_harness/src/main.rs
+++ b/crates/process_harness/src/main.rs
@@ -84,17 +84,18 @@
     }
 }
 
-/// The gateway's program where none is named: the one beside this.
-fn beside() -> std::io::Result<PathBuf> {
+/// Returns the default path of the gateway's program, in the folder of this executable.
+fn default_gateway_program() -> std::io::Result<PathBuf> {
     Ok(std::env::current_exe()?.with_file_name("laurelhitch"))
 }
 
 fn measure(arguments: Scale) -> Result<(), Box<dyn std::error::Error>> {
-    // Looked at first, so that a long run is not lost for a wrong path.
+    // The file is created before the run, so that a wrong path fails before a long run and not
+    // after.
     let mut json = arguments
         .json
         .as_ref()
-        .map(|path| create(path))
+        .map(|path| create_json_file(path))
         .transpose()?;
     let report = scale::run(Options {
         hollow: arguments.hollow,
@@ -106,7 +107,7 @@
         seed: arguments.seed,
         budgets: arguments.budgets,
         faults: arguments.faults,
-        gateway: arguments.program.map_or_else(beside, Ok)?,
+        gateway: arguments.program.map_or_else(default_gateway_program, Ok)?,
         rig: std::env::current_exe()?,
     })?;
     if let Some(json) = &mut json {
@@ -116,7 +117,7 @@
     Ok(())
 }
 
-fn create(path: &Path) -> Result<File, String> {
+fn create_json_file(path: &Path) -> Result<File, String> {
     File::create(path).map_err(|error| format!("--json: {}: {error}", path.display()))
 }
 
@@ -127,51 +128,54 @@
     alone: bool,
 ) -> Result<(), Box<dyn std::error::Error>> {
     let script = Script::parse(&std::fs::read_to_string(&file)?)?;
-    let mut wanted = FleetOptions::new(program.map_or_else(beside, Ok)?, script.gateways);
-    wanted.engines = script.engines;
-    wanted.fleet = !alone;
-    wanted.seed = seed.unwrap_or(script.seed);
+    let mut options = FleetOptions::new(
+        program.map_or_else(default_gateway_program, Ok)?,
+        script.gateways,
+    );
+    options.engines = script.engines;
+    options.fleet = !alone;
+    options.seed = seed.unwrap_or(script.seed);
     if !script.block.is_empty() {
-        wanted.block.clone_from(&script.block);
+        options.block.clone_from(&script.block);
     }
-    wanted.further.clone_from(&script.further);
-    let mut fleet = Fleet::start(wanted, &[])?;
+    options.further.clone_from(&script.further);
+    let mut fleet = Fleet::start(options, &[])?;
     script.play(&mut fleet)?;
-    for (at, who, what) in fleet.membership_events() {
-        println!("{:9.3} s  {who}  {what}", at.as_secs_f64());
+    for (time, gateway, event) in fleet.membership_events() {
+        println!("{:9.3} s  {gateway}  {event}", time.as_secs_f64());
     }
-    for at in fleet.running_gateways() {
-        fleet.print_counters(at);
-        let busy = fleet.counter(at, "busy_ms").unwrap_or(-1);
-        let shown = fleet.query_fleet_view(at).unwrap_or_default();
-        let there = shown.live_members().join(" ");
-        let held = fleet.query_shares(at).unwrap_or_default();
-        for (budget, part) in held {
+    for index in fleet.running_gateways() {
+        fleet.print_counters(index);
+        let busy = fleet.counter(index, "busy_ms").unwrap_or(-1);
+        let view = fleet.query_fleet_view(index).unwrap_or_default();
+        let live_members = view.live_members().join(" ");
+        let shares = fleet.query_shares(index).unwrap_or_default();
+        for (budget, share) in shares {
             println!(
                 "at the end  {}  {budget}  floor {} leased {} of {}; spent {} of {} allowed; steward {}",
-                name(at),
-                part.floor,
-                part.leased,
-                part.whole,
-                part.spent,
-                part.allowed,
-                part.steward
+                name(index),
+                share.floor,
+                share.leased,
+                share.whole,
+                share.spent,
+                share.allowed,
+                share.steward
             );
         }
         println!(
-            "at the end  {}  busy {busy} ms  {} of {}  {there}",
-            name(at),
-            shown.standing,
-            shown.size
+            "at the end  {}  busy {busy} ms  {} of {}  {live_members}",
+            name(index),
+            view.standing,
+            view.size
         );
     }
-    for (at, carried) in fleet.switch.carried().iter().enumerate() {
+    for (index, sent_traffic) in fleet.switch.sent_traffic().iter().enumerate() {
         println!(
             "sent  {}  {} datagrams, {} bytes, {} lost on the way",
-            name(at),
-            carried.datagrams,
-            carried.bytes,
-            carried.lost
+            name(index),
+            sent_traffic.datagrams,
+            sent_traffic.bytes,
+            sent_traffic.lost
         );
     }
     Ok(())
--- a/crates/process_harness/src/system_calls.rs
+++ b/crates/process_harness/src/system_calls.rs
@@ -1,8 +1,10 @@
-//! Makes chosen system calls of a process fail, or do only a part of their work, as Linux documents that they may.
+//! Injects faults into the system calls of a process: a call fails or does only a part of its work,
+//! in ways that Linux documents.
 //!
-//! The process runs under ptrace, which needs no special rights for a child of one's own. A [`FaultPlan`] sees each call
-//! before the kernel does, so the k-th call of a kind fails in the same way at each run. Clocks, which Linux lets a process
-//! read without a call, are read by calls here. Threads that the process starts run untraced.
+//! The process runs under ptrace, which needs no privileges for a child process. A [`FaultPlan`]
+//! decides on each call before the kernel executes it, so that the k-th call of a kind fails in the
+//! same way on each run. The vDSO is disabled, so that reading a clock is a system call too.
+//! Threads that the process starts are not traced.
 
 use std::io;
 use std::os::unix::process::CommandExt;
@@ -20,48 +22,53 @@
 use nix::sys::wait::{WaitStatus, waitpid};
 use nix::unistd::Pid;
 
-/// The value that the kernel takes for "no call": it skips the one that is about to be made.
+/// The system call number that makes the kernel skip the call that the process is about to make.
 const SKIPPED_CALL: u64 = u64::MAX;
 
-/// The size of a word of the process's memory.
+/// The size of a word that ptrace reads or writes in the process's memory.
 const WORD_BYTES: u64 = 8;
 
 /// A system call that the process is about to make.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SystemCall {
-    /// Its number, one of `libc::SYS_*`.
+    /// The number of the call, one of `libc::SYS_*`.
     pub number: libc::c_long,
-    /// Its arguments, in the kernel's order.
+    /// The arguments of the call, in the kernel's order.
     pub arguments: [u64; 6],
 }
 
-/// What becomes of a system call.
+/// What the tracer does with a system call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// The kernel makes it.
+    /// The call is executed unchanged.
     Proceed,
-    /// It is not made, and returns this error.
+    /// The call is skipped and returns this error.
     Fail(Errno),
-    /// It is not made, and returns this value as if it had been.
+    /// The call is skipped and returns this value as its result.
     Return(u64),
-    /// It is made, and the length that it gives back beside an answer becomes another one.
+    /// The call is executed, and the length that it writes to memory is replaced, such as the
+    /// length of a socket option.
     AnswerLength {
-        /// Which of the call's arguments points to the length, from zero.
+        /// The index, from zero, of the argument that points to the length.
         argument: usize,
-        /// The length that the process finds there, in bytes.
+        /// The new length in bytes.
         bytes: u32,
     },
-    /// It is made with its third argument, the length of a buffer, cut to this many bytes.
+    /// The call is executed with its third argument, the length of a buffer, limited to this many
+    /// bytes.
     Shorten(u64),
-    /// It is made, and the time that it writes, where its second argument points, is so many seconds later.
+    /// The call is executed, and this number of seconds is added to the time that it writes where
+    /// its second argument points.
     ShiftTime(i64),
-    /// It is made, and the time that it writes, where its second argument points, gets these nanoseconds.
+    /// The call is executed, and this value replaces the nanoseconds of the time that it writes
+    /// where its second argument points.
     SetNanoseconds(i64),
 }
 
-/// Decides what becomes of each system call of a process.
+/// Decides on the effect of each system call of a process.
 pub trait FaultPlan: Send + 'static {
-    /// Called before each system call, in the order in which they are made.
+    /// Returns the effect of a call. The tracer asks before each system call, in the order of the
+    /// calls.
     fn effect(&mut self, call: &SystemCall) -> Effect;
 }
 
@@ -77,27 +84,28 @@
 /// How a process ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessEnd {
-    /// It exited with this status.
+    /// The process exited with this status.
     Exited(i32),
-    /// This signal ended it.
+    /// This signal terminated the process.
     Signaled(Signal),
 }
 
-/// A process under a [`FaultPlan`]; it is killed when this is dropped.
+/// A process that is traced with a [`FaultPlan`]. Dropping the value kills the process.
 pub struct TracedProcess {
     pid: Pid,
-    /// Its standard error, where the command pipes it.
+    /// The standard error of the process, or `None` if the command does not pipe it.
     pub stderr: Option<ChildStderr>,
     end: Receiver<ProcessEnd>,
 }
 
+/// What the tracer's thread reports once the process runs.
 struct Started {
     pid: Pid,
     stderr: Option<ChildStderr>,
 }
 
 impl TracedProcess {
-    /// Starts a program; the plan sees its calls from the end of `execve` on.
+    /// Starts a program. The plan is asked for all system calls after `execve`.
     ///
     /// # Errors
     ///
@@ -105,11 +113,12 @@
     pub fn spawn(command: Command, plan: impl FaultPlan) -> io::Result<Self> {
         let (tell_start, start) = channel();
         let (tell_end, end) = channel();
-        // The thread that starts the process is its tracer: no other may make requests of ptrace.
+        // The thread that starts the process becomes its tracer, and ptrace accepts requests only
+        // from the tracer.
         thread::spawn(move || run_tracer(command, plan, &tell_start, &tell_end));
-        let started: Started = start
-            .recv()
-            .map_err(|_| io::Error::other("the tracer ended"))??;
+        let started: Started = start.recv().map_err(|_| {
+            io::Error::other("the tracer thread ended before it started the process")
+        })??;
         Ok(TracedProcess {
             pid: started.pid,
             stderr: started.stderr,
@@ -117,13 +126,17 @@
         })
     }
 
-    /// Sends it a signal; nothing happens where it has ended.
+    /// Sends a signal to the process, or does nothing if the process has ended.
     pub fn signal(&self, signal: Signal) {
-        // It may have ended a moment ago.
+        // The process may have ended already, which is no error here.
         let _ = kill(self.pid, signal);
     }
 
-    /// Waits for its end; none: it still runs.
+    /// Waits for the end of the process. Returns `None` if it is still running after this time.
+    ///
+    /// # Panics
+    ///
+    /// The tracer has failed.
     #[must_use]
     pub fn wait(&self, within: Duration) -> Option<ProcessEnd> {
         match self.end.recv_timeout(within) {
@@ -146,7 +159,8 @@
     tell_start: &Sender<io::Result<Started>>,
     tell_end: &Sender<ProcessEnd>,
 ) {
-    // SAFETY: between fork and exec the hook makes one system call and touches no memory of the parent.
+    // SAFETY: between fork and exec, the hook makes a single system call and accesses no memory of
+    // the parent.
     unsafe { command.pre_exec(|| Ok(ptrace::traceme()?)) };
     let mut child = match command.spawn() {
         Ok(child) => child,
@@ -160,19 +174,19 @@
     }
 }
 
-/// Follows a process from its first stop to its end.
+/// Traces a process from its first stop until it ends.
 fn trace(pid: Pid, plan: &mut impl FaultPlan) -> nix::Result<ProcessEnd> {
     if let Some(end) = process_end(waitpid(pid, None)?) {
         return Ok(end);
     }
     let options = ptrace::Options::PTRACE_O_TRACESYSGOOD | ptrace::Options::PTRACE_O_EXITKILL;
     ptrace::setoptions(pid, options)?;
-    hide_clock_page(pid)?;
+    hide_vdso(pid)?;
     let mut forwarded_signal = None;
     let mut after_call = AfterCall::Nothing;
     loop {
         match ptrace::syscall(pid, forwarded_signal.take()) {
-            // It was killed while it stood still; the next wait tells.
+            // ESRCH: the process was killed while it was stopped. The next wait returns its end.
             Ok(()) | Err(Errno::ESRCH) => {}
             Err(error) => return Err(error),
         }
@@ -191,6 +205,7 @@
     }
 }
 
+/// Returns how the process ended, or `None` for a status that is not an end.
 fn process_end(status: WaitStatus) -> Option<ProcessEnd> {
     match status {
         WaitStatus::Exited(_, code) => Some(ProcessEnd::Exited(code)),
@@ -199,30 +214,30 @@
     }
 }
 
-/// What is to be done once the call returns before which the process stands.
+/// What the tracer does when the current system call returns.
 #[derive(Clone, Copy)]
 enum AfterCall {
     Nothing,
-    /// It returns this.
+    /// Replaces the result of the call.
     SetResult(u64),
-    /// The length at this place of the process's memory becomes this one.
+    /// Replaces the length at this address of the process's memory.
     SetLength {
         place: u64,
         length: u32,
     },
-    /// The time at this place becomes so many seconds later.
+    /// Adds seconds to the time at this address.
     ShiftTime {
         place: u64,
         seconds: i64,
     },
-    /// The time at this place gets these nanoseconds.
+    /// Replaces the nanoseconds of the time at this address.
     SetNanoseconds {
         place: u64,
         nanoseconds: i64,
     },
 }
 
-/// The process stands before or behind a system call.
+/// Handles a stop of the process at the entry or the exit of a system call.
 fn on_system_call(
     pid: Pid,
     plan: &mut impl FaultPlan,
@@ -244,7 +259,7 @@
     if info.op != libc::PTRACE_SYSCALL_INFO_ENTRY {
         return Ok(());
     }
-    // SAFETY: `op` says which variant the kernel has filled.
+    // SAFETY: `op` is `PTRACE_SYSCALL_INFO_ENTRY`, for which the kernel fills the variant `entry`.
     let entry = unsafe { info.u.entry };
     let call = SystemCall {
         number: entry.nr as libc::c_long,
@@ -281,24 +296,25 @@
     }
 }
 
-/// What a call that fails returns to the process.
+/// Returns the result register's value for a call that fails with this error.
 fn error_result(errno: Errno) -> u64 {
     i64::from(-(errno as i32)).cast_unsigned()
 }
 
-/// The seconds of a time stand first in it.
+/// Adds seconds to a `timespec`, whose first word is the seconds.
 fn shift_time(pid: Pid, place: u64, seconds: i64) -> nix::Result<()> {
     let address = place as ptrace::AddressType;
-    let told = ptrace::read(pid, address)?;
-    ptrace::write(pid, address, told.wrapping_add(seconds))
+    let old_seconds = ptrace::read(pid, address)?;
+    ptrace::write(pid, address, old_seconds.wrapping_add(seconds))
 }
 
-/// Hides the machine's page of clocks from a process that has just been made, so that it asks for the time by system calls.
+/// Hides the vDSO from a new process, so that it reads the clocks by system calls.
 ///
-/// Above its stack pointer a new process finds the number of its arguments, the arguments, a zero, the environment, a zero,
-/// and pairs of a key and a value, one of which says where that page is.
+/// The stack of a new process starts with the number of arguments, the arguments, a zero, the
+/// environment, a zero and the auxiliary vector. The vector is a list of pairs of a key and a
+/// value, one of which holds the address of the vDSO; its key is replaced by `AT_IGNORE`.
 #[cfg(target_arch = "x86_64")]
-fn hide_clock_page(pid: Pid) -> nix::Result<()> {
+fn hide_vdso(pid: Pid) -> nix::Result<()> {
     let read = |place: u64| ptrace::read(pid, place as ptrace::AddressType);
     let stack = ptrace::getregs(pid)?.rsp;
     let arguments = read(stack)?.cast_unsigned();
@@ -319,7 +335,7 @@
     }
 }
 
-/// Writes four bytes of the process's memory, where there is a place to write to.
+/// Writes a 32-bit length to the process's memory, or does nothing if the address is null.
 fn write_length(pid: Pid, place: u64, length: u32) -> nix::Result<()> {
     const LOWER_HALF: i64 = 0xffff_ffff;
     if place == 0 {
@@ -330,6 +346,7 @@
     ptrace::write(pid, address, (word & !LOWER_HALF) | i64::from(length))
 }
 
+/// Makes the kernel skip the system call that the process is about to make.
 #[cfg(target_arch = "x86_64")]
 fn skip_call(pid: Pid) -> nix::Result<()> {
     let mut registers = ptrace::getregs(pid)?;
@@ -337,6 +354,7 @@
     ptrace::setregs(pid, registers)
 }
 
+/// Sets the result of the system call that has just returned.
 #[cfg(target_arch = "x86_64")]
 fn set_result(pid: Pid, result: u64) -> nix::Result<()> {
     let mut registers = ptrace::getregs(pid)?;
@@ -344,6 +362,7 @@
     ptrace::setregs(pid, registers)
 }
 
+/// Sets the third argument of the system call that the process is about to make.
 #[cfg(target_arch = "x86_64")]
 fn set_length(pid: Pid, length: u64) -> nix::Result<()> {
     let mut registers = ptrace::getregs(pid)?;
