--- a/crates/gateway/src/clients/session.rs
+++ b/crates/gateway/src/clients/session.rs
@@ -61,17 +61,17 @@
     #[error("connection failed: {0}")]
     ConnectionFailed(#[from] io::Error),
     /// The client has closed the connection and no response is pending.
-    #[error("closed by its client")]
+    #[error("the client closed the connection")]
     ClosedByClient,
     /// The client did not read its response in time, or did not close the connection in time after
     /// its last response.
-    #[error("not read or not closed by its client in time")]
+    #[error("the client did not read its response or close the connection in time")]
     ClientStalled,
     /// The session made room for another connection.
-    #[error("evicted")]
+    #[error("evicted to make room for another connection")]
     Evicted,
     /// The session's turn panicked.
-    #[error("a fault of the gateway")]
+    #[error("an internal error of the gateway")]
     Panicked,
 }
 
--- a/crates/gateway/src/cluster/endpoint.rs
+++ b/crates/gateway/src/cluster/endpoint.rs
@@ -35,7 +35,7 @@
 #[derive(Debug, Error)]
 pub enum ClusterError {
     /// The address cannot be bound, or its socket cannot be watched.
-    #[error("fleet: {0}: {1}")]
+    #[error("fleet: cannot set up the UDP socket on {0}: {1}")]
     Bind(SocketAddr, io::Error),
     /// The key folder cannot be used.
     #[error("fleet: {0}")]
--- a/crates/gateway/src/command/query.rs
+++ b/crates/gateway/src/command/query.rs
@@ -55,6 +55,6 @@
     match Client::login(address)?.ask(query)? {
         Answer::Rows(rows) => Ok(rows),
         Answer::Error(..) => Err(format!("{address} {if_off}").into()),
-        other => Err(format!("{address} answered {other:?}").into()),
+        other => Err(format!("{address} sent an unexpected answer: {other:?}").into()),
     }
 }
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -41,15 +41,17 @@
     Operator(#[from] OperatorConfigError),
     /// The operator's file defines a queue for a tenant that the configuration does not have. The
     /// fields are the file and the tenant.
-    #[error("{0}: queues.member.{1}: the configuration knows no such member")]
+    #[error("{0}: queues.member.{1}: the configuration defines no tenant with this name")]
     Member(String, String),
     /// The operator's file defines a retry budget for a query class that the configuration does not
     /// have. The fields are the file and the class.
-    #[error("{0}: shares.relays_per_s.{1}: the configuration knows no such product")]
+    #[error(
+        "{0}: shares.relays_per_s.{1}: the configuration defines no query class with this name"
+    )]
     QueryClass(String, String),
     /// The operator's file gives this gateway no name, and the configuration's name is not valid in
     /// a fleet. The first field is the file.
-    #[error("{0}: fleet.name: the configuration's name cannot be taken: {1}")]
+    #[error("{0}: fleet.name: not set, and the configuration's name is not valid in a fleet: {1}")]
     Name(String, ::membership::InvalidName),
 }
 
--- a/crates/gateway/src/credentials/keys.rs
+++ b/crates/gateway/src/credentials/keys.rs
@@ -95,7 +95,11 @@
 fn announce(folder: &Path, id: KeyId, signs_in_s: f64) -> CommandResult {
     let public_path = keyfiles::public_path(folder, &id);
     if !public_path.exists() {
-        return Err(format!("{}: create the key first", public_path.display()).into());
+        return Err(format!(
+            "{}: the public key file does not exist; create the key first",
+            public_path.display()
+        )
+        .into());
     }
     update_index(folder, |index| {
         if index.keys.iter().any(|key| key.id == id) {
--- a/crates/gateway/src/discovery/http.rs
+++ b/crates/gateway/src/discovery/http.rs
@@ -56,7 +56,7 @@
 #[derive(Debug, Error)]
 pub enum ResponseError {
     /// The head does not end within [`MAX_RESPONSE_BYTES`].
-    #[error("a head without an end")]
+    #[error("the head of the HTTP response does not end within the size limit")]
     UnendedHead,
     /// The head is not valid HTTP.
     #[error(transparent)]
@@ -66,10 +66,10 @@
     Status(Option<u16>),
     /// A chunk is malformed or too large, or the input ends or exceeds [`MAX_RESPONSE_BYTES`]
     /// before the last chunk.
-    #[error("an invalid chunk")]
+    #[error("a chunk of the HTTP response is malformed, incomplete or too large")]
     Chunk,
     /// The length of the body is not a number or exceeds [`MAX_RESPONSE_BYTES`].
-    #[error("an invalid length, or one too large")]
+    #[error("the body length of the HTTP response is invalid or too large")]
     Length,
     /// The body is not JSON.
     #[error(transparent)]
--- a/crates/gateway/src/discovery/poll.rs
+++ b/crates/gateway/src/discovery/poll.rs
@@ -31,7 +31,7 @@
 pub(super) enum PollError {
     #[error(transparent)]
     Connect(#[from] io::Error),
-    #[error("closed before its answer")]
+    #[error("the discovery service closed the connection before the end of its response")]
     Closed,
     #[error(transparent)]
     Response(#[from] ResponseError),
--- a/crates/gateway/src/engines/connection.rs
+++ b/crates/gateway/src/engines/connection.rs
@@ -28,15 +28,15 @@
 /// Why a connection can no longer be used.
 #[derive(Debug, Error)]
 pub(super) enum ConnectionError {
-    #[error("the connection did not come up in time")]
+    #[error("the connection was not established in time")]
     ConnectTimeout,
-    #[error("closed by the engine")]
+    #[error("the engine closed the connection")]
     ClosedByEngine,
-    #[error("a response that stopped half way")]
+    #[error("the rest of a response did not arrive in time")]
     StalledResponse,
-    #[error("half a response where none is expected")]
+    #[error("the engine sent part of a response although none was expected")]
     UnexpectedResponse,
-    #[error("a fault of the gateway")]
+    #[error("an internal error of the gateway")]
     Fault,
     #[error(transparent)]
     Decode(#[from] DecodeError),
--- a/crates/gateway/src/engines/mod.rs
+++ b/crates/gateway/src/engines/mod.rs
@@ -146,7 +146,10 @@
     ) -> Option<ConnectionId> {
         counters.attempts_sent += 1;
         let id = self.acquire_connection(now, outgoing, counters)?;
-        let connection = self.pool.get_mut(id).expect("acquired above");
+        let connection = self
+            .pool
+            .get_mut(id)
+            .expect("the connection was just acquired");
         connection.enqueue_attempt(now, outgoing);
         let location = AttemptLocation {
             connection: id,
--- a/crates/gateway/src/engines/paged_result.rs
+++ b/crates/gateway/src/engines/paged_result.rs
@@ -20,11 +20,11 @@
 /// Why an engine's result is invalid.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub(super) enum ResultError {
-    #[error("a result of over {MAX_PAGES} pages")]
+    #[error("the result has more than {MAX_PAGES} pages")]
     TooManyPages,
-    #[error("a result of over {MAX_RESULT_BYTES} bytes")]
+    #[error("the result is larger than {MAX_RESULT_BYTES} bytes")]
     TooLarge,
-    #[error("a result that is no rows of text")]
+    #[error("the result does not consist of rows of text")]
     NotRows,
 }
 
--- a/crates/gateway/src/engines/pool.rs
+++ b/crates/gateway/src/engines/pool.rs
@@ -26,10 +26,10 @@
 /// Why no connection could be opened.
 #[derive(Debug, Error)]
 pub(super) enum OpenError {
-    #[error("the engine is not listed")]
+    #[error("the discovery service does not list the engine")]
     NotListed,
     /// This machine has no file descriptor or buffer left, which does not count against the engine.
-    #[error("out of descriptors or buffers: {0}")]
+    #[error("no file descriptor or socket buffer is available: {0}")]
     ResourcesExhausted(#[source] io::Error),
     #[error(transparent)]
     Failed(io::Error),
--- a/crates/gateway/src/keyfiles.rs
+++ b/crates/gateway/src/keyfiles.rs
@@ -34,10 +34,12 @@
     #[error("{0}: {1}")]
     Index(PathBuf, KeyIndexError),
     /// The file does not contain a key of the right length in hexadecimal digits.
-    #[error("{0}: no key of so many hexadecimal digits")]
+    #[error("{0}: the file does not hold a key with the required number of hexadecimal digits")]
     Key(PathBuf),
     /// The revocation list is invalid at this line, or has too many lines.
-    #[error("{0}:{1}: neither caller NAME nor token ID, or too many lines")]
+    #[error(
+        "{0}:{1}: the line is neither 'caller NAME' nor 'token ID', or the list has too many lines"
+    )]
     Revocation(PathBuf, usize),
     /// The file exists already and is not overwritten.
     #[error("{0} is there already")]
@@ -240,7 +242,8 @@
 /// # Panics
 /// Never, because an index always serializes to JSON.
 pub fn write_index(folder: &Path, index: &KeyIndex) -> Result<(), KeyFileError> {
-    let mut text = serde_json::to_string_pretty(index).expect("an index is plain values");
+    let mut text =
+        serde_json::to_string_pretty(index).expect("a key index can always be encoded as JSON");
     text.push('\n');
     write_public(&index_path(folder), text.as_bytes())
 }
--- a/crates/gateway/src/lifecycle/mod.rs
+++ b/crates/gateway/src/lifecycle/mod.rs
@@ -47,13 +47,13 @@
 #[derive(Debug, Error)]
 pub enum StartError {
     /// The address for clients cannot be bound.
-    #[error("listen on {0}: {1}")]
+    #[error("cannot listen on {0}: {1}")]
     Listen(SocketAddr, io::Error),
     /// The event loop failed.
-    #[error("event loop: {0}")]
+    #[error("event loop failed: {0}")]
     Loop(#[from] calloop::Error),
     /// The thread that watches key files cannot be started.
-    #[error("watch of key files: {0}")]
+    #[error("cannot start the thread that watches the key files: {0}")]
     KeyWatch(io::Error),
     /// A setting is missing or invalid.
     #[error(transparent)]
--- a/crates/gateway/src/lifecycle/start_retry.rs
+++ b/crates/gateway/src/lifecycle/start_retry.rs
@@ -31,7 +31,7 @@
 
 /// The system provides no random bytes, which the standard library needs to create hash tables.
 #[derive(Clone, Copy, Debug, Error)]
-#[error("the machine gives no random bytes")]
+#[error("the operating system provides no random bytes")]
 pub struct NoRandomBytes;
 
 /// The retry policy of one start.
--- a/crates/membership/src/keys.rs
+++ b/crates/membership/src/keys.rs
@@ -25,10 +25,10 @@
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum KeyError {
     /// There is no signing key.
-    #[error("no key signs")]
+    #[error("there is no signing key")]
     NoSigningKey,
     /// There are more than [`MAX_KEYS`] keys. Holds their number.
-    #[error("{0} keys: at most {MAX_KEYS}")]
+    #[error("{0} keys exceed the limit of {MAX_KEYS}")]
     TooMany(usize),
 }
 
