--- a/crates/process_harness/src/fleet.rs
+++ b/crates/process_harness/src/fleet.rs
@@ -280,13 +280,7 @@
 
     /// Returns the seed addresses as the elements of an HCL list.
     fn seed_list(&self) -> String {
-        let first = || {
-            self.gateways
-                .iter()
-                .take(3)
-                .map(|gateway| gateway.advertised)
-                .collect()
-        };
+        let first = || self.gateways.iter().take(3).map(|g| g.advertised).collect();
         let seeds = if self.options.seeds.is_empty() {
             first()
         } else {
--- a/crates/process_harness/src/scale/hollow.rs
+++ b/crates/process_harness/src/scale/hollow.rs
@@ -1,4 +1,4 @@
-//! One hollow gateway: the control code of the program with a socket of its own, without clients and engines.
+//! A hollow gateway: the gateway's control plane with its own socket, without clients and engines.
 
 use std::io::ErrorKind;
 use std::net::{SocketAddr, UdpSocket};
@@ -16,37 +16,42 @@
 use super::message::Usage;
 use super::process;
 
-/// Datagrams read in one turn, as in the gateway's process.
-const READS: usize = 64;
-/// The key that the rig's real processes sign with.
+/// The greatest number of datagrams that are read in one turn, as in the gateway's process.
+const READS_PER_TURN: usize = 64;
+/// The key with which the real processes sign.
 const KEY: [u8; 32] = [1; 32];
 
-/// What all hollow gateways of a process are made from.
-pub struct Plan {
+/// The settings that all hollow gateways of a process share.
+pub struct SharedSetup {
     pub layout: Layout,
     pub fleet: MembershipConfig,
     pub shares: Option<quota::Config>,
     pub seed: u64,
 }
 
-/// What happened in a turn that the run wants to know.
+/// The events of one turn that the scale run evaluates.
 #[derive(Debug)]
-pub struct Happened {
+pub struct TurnEvents {
+    /// The membership events.
     pub events: Vec<Event>,
+    /// Whether the gateway has become the coordinator of the leases.
     pub chosen: bool,
 }
 
+/// A running hollow gateway.
 pub struct Hollow {
     pub member: usize,
     control: ControlPlane<FleetQuotas>,
     pub socket: UdpSocket,
+    /// Whether the socket may have datagrams to read.
     unread: bool,
     rng: Pcg64Mcg,
     pub usage: Usage,
+    /// The datagrams that the operating system did not accept.
     pub unsent: u64,
 }
 
-/// Both clocks now.
+/// Reads both clocks.
 pub fn times() -> ClockReadings {
     let moment = Timestamp::from_secs;
     ClockReadings {
@@ -56,35 +61,36 @@
 }
 
 fn name(text: &str) -> Name {
-    Name::new(text).expect("names of the layout are names")
+    Name::new(text).expect("names of the layout are valid")
 }
 
 impl Hollow {
-    /// `life`: counts the starts of this member.
+    /// Starts a hollow gateway. `life` distinguishes the starts of the same member.
     ///
     /// # Errors
-    /// Its address cannot be bound.
-    pub fn start(plan: &Plan, member: usize, life: u64) -> std::io::Result<Self> {
-        let address = plan.layout.advertised(member);
+    ///
+    /// The address of the member cannot be bound.
+    pub fn start(setup: &SharedSetup, member: usize, life: u64) -> std::io::Result<Self> {
+        let address = setup.layout.advertised(member);
         let socket = UdpSocket::bind(address)?;
         socket.set_nonblocking(true)?;
-        let seed = plan.seed ^ (member as u64) << 32 ^ life << 44;
+        let seed = setup.seed ^ (member as u64) << 32 ^ life << 44;
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let place = Locality {
-            zone: Some(name(&format!("z{}", plan.layout.zone(member)))),
-            region: Some(name(&format!("r{}", plan.layout.region(member)))),
+            zone: Some(name(&format!("z{}", setup.layout.zone(member)))),
+            region: Some(name(&format!("r{}", setup.layout.region(member)))),
         };
         let times = times();
         let membership = Node::new(
             times.now,
             NodeSetup {
-                fleet: plan.fleet.fleet.clone(),
-                name: name(&plan.layout.name(member)),
+                fleet: setup.fleet.fleet.clone(),
+                name: name(&setup.layout.name(member)),
                 address,
                 locality: place,
-                seeds: plan.fleet.seeds.clone(),
+                seeds: setup.fleet.seeds.clone(),
                 key_ring: KeyRing::new(&KEY, &[]).expect("one key"),
-                config: plan.fleet.protocol.clone(),
+                config: setup.fleet.protocol.clone(),
                 rng_seed: rng.random(),
             },
         );
@@ -93,7 +99,7 @@
             boot_id: membership.local_record().boot_id,
         };
         let mut control = ControlPlane::new(membership);
-        if let Some(terms) = &plan.shares {
+        if let Some(terms) = &setup.shares {
             control.set_quota_owner(FleetQuotas::new(
                 times.steady,
                 own,
@@ -116,10 +122,12 @@
         })
     }
 
+    /// Notes that the socket is readable.
     pub fn set_unread(&mut self) {
         self.unread = true;
     }
 
+    /// Returns the time at which the next turn is due.
     pub fn due(&self, times: ClockReadings) -> Timestamp {
         if self.unread {
             times.now
@@ -128,21 +136,25 @@
         }
     }
 
+    /// Returns the digest and the size of the membership view.
     pub fn view(&mut self) -> (u64, usize) {
         let digest = self.control.membership_mut().view().digest;
         (digest, self.control.membership().fleet_size())
     }
 
+    /// Returns how often the event loop was late.
     pub fn stalls(&self) -> u64 {
         self.control.membership().metrics.loop_stalls
     }
 
+    /// Returns the number of lease messages to gateways that are not present in the view.
     pub fn undelivered(&self) -> u64 {
         self.control.undelivered
     }
 
-    /// Reads what came, does what is due, sends what follows. `to_real`: counts what goes to real processes.
-    pub fn turn(&mut self, layout: &Layout, links: &Links, to_real: &mut [Usage]) -> Happened {
+    /// Reads datagrams, runs the control plane and sends its datagrams. Adds the traffic to real
+    /// processes to `to_real`.
+    pub fn turn(&mut self, layout: &Layout, links: &Links, to_real: &mut [Usage]) -> TurnEvents {
         let began = process::thread_cpu_s();
         let now = times().now;
         self.read(now, layout, links);
@@ -163,19 +175,20 @@
             .iter()
             .any(|event| matches!(event, quota::Event::BecameLeader { .. }));
         self.usage.cpu_s += process::thread_cpu_s() - began;
-        Happened { events, chosen }
+        TurnEvents { events, chosen }
     }
 
     fn read(&mut self, now: Timestamp, layout: &Layout, links: &Links) {
         let mut bytes = [0; 2048];
-        for _ in 0..READS {
+        for _ in 0..READS_PER_TURN {
             if !self.unread {
                 return;
             }
             match self.socket.recv_from(&mut bytes) {
-                Ok((size, from)) => self.take(now, from, &bytes[..size], layout, links),
+                Ok((size, from)) => self.receive(now, from, &bytes[..size], layout, links),
                 Err(error) if error.kind() == ErrorKind::WouldBlock => self.unread = false,
-                // An earlier datagram came to nobody; nothing is wrong with this socket.
+                // ECONNREFUSED reports that an earlier datagram reached no socket, which is no
+                // fault of this one.
                 Err(error)
                     if matches!(
                         error.kind(),
@@ -186,8 +199,9 @@
         }
     }
 
-    /// What a real process sent comes from its bound address, and its losses are drawn here.
-    fn take(
+    /// Passes a received datagram to the control plane. A datagram from a real process comes from
+    /// its bound address, and the network faults apply to it here.
+    fn receive(
         &mut self,
         now: Timestamp,
         from: SocketAddr,
@@ -203,16 +217,19 @@
         self.usage.datagrams += 1;
         self.usage.bytes += bytes.len() as u64;
         let from = sender.map_or(from, |sender| layout.advertised(sender));
-        // What counts for nothing is counted by its reason.
+        // The control plane counts rejected datagrams by their reason.
         let _ = self.control.receive(now, from, bytes);
     }
 
+    /// Returns whether the network faults drop a datagram.
     fn lost(&mut self, from: usize, to: usize, layout: &Layout, links: &Links) -> bool {
-        // Drawn for each, whatever becomes of it: the same seed gives the same chances.
+        // The number is drawn for every datagram, so that the same seed gives later datagrams the
+        // same numbers.
         let drawn: f64 = self.rng.random();
         drawn < links.lost || !links.direct(layout.region(from), layout.region(to))
     }
 
+    /// Sends the control plane's datagrams, apart from those that the network faults drop.
     fn flush(&mut self, layout: &Layout, links: &Links, to_real: &mut [Usage]) {
         for datagram in self.control.take_datagrams() {
             self.usage.datagrams += 1;
@@ -232,7 +249,7 @@
         }
     }
 
-    /// It gives its lease back and says that it goes.
+    /// Returns the gateway's lease and announces that it leaves the fleet.
     pub fn leave(&mut self, layout: &Layout, links: &Links, to_real: &mut [Usage]) {
         self.control.leave(times());
         self.flush(layout, links, to_real);
--- a/crates/process_harness/src/scale/limits.rs
+++ b/crates/process_harness/src/scale/limits.rs
@@ -1,23 +1,26 @@
-//! Bounds of a run, checked before it starts and while it goes on.
+//! Limits of a scale run, which are checked before it starts and while it is running.
 
 use thiserror::Error;
 
 use super::process;
 
-/// Processes of a run at most, the command among them.
-pub const MOST_PROCESSES: usize = 199;
-/// Gateways at most: as many as leases can be divided among.
-pub const MOST_GATEWAYS: usize = 4096;
-/// Real processes at most.
-pub const MOST_REAL: usize = 100;
-/// Memory that one gateway's record of another takes while views still differ: 3,023 bytes in the run of 1,900.
+/// The greatest number of processes of a run, including the harness itself.
+pub const MAX_PROCESSES: usize = 199;
+/// The greatest number of gateways, which is the number that leases can be divided among.
+pub const MAX_GATEWAYS: usize = 4096;
+/// The greatest number of real gateway processes.
+pub const MAX_REAL: usize = 100;
+/// The memory of one gateway's record of another. The records take 3,023 bytes each at 1,900
+/// gateways while the views still differ.
 const RECORD_BYTES: u64 = 3050;
-/// Memory of a gateway besides, and of a process besides its gateways.
+/// The memory of a gateway without its records.
 const GATEWAY_BYTES: u64 = 256 << 10;
+/// The memory of a process without its gateways.
 const PROCESS_BYTES: u64 = 32 << 20;
-/// Descriptors of a hollow process besides its sockets.
-const OTHER_FILES: u64 = 32;
+/// The file descriptors of a hollow process other than its gateways' sockets.
+const OTHER_DESCRIPTORS: u64 = 32;
 
+/// A limit that a run exceeds.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum LimitError {
     #[error("{flag}: {value} is not between {least} and {most}")]
@@ -41,11 +44,19 @@
     Files { needed: u64, bound: u64 },
 }
 
+/// Checks the value of a flag.
+///
 /// # Errors
-/// The value of a flag is outside of its bounds.
-pub fn flag(flag: &'static str, value: usize, least: usize, most: usize) -> Result<(), LimitError> {
-    let usable = (least..=most).contains(&value);
-    if usable {
+///
+/// The value is not between the least and the greatest allowed one.
+pub fn check_flag(
+    flag: &'static str,
+    value: usize,
+    least: usize,
+    most: usize,
+) -> Result<(), LimitError> {
+    let in_range = (least..=most).contains(&value);
+    if in_range {
         Ok(())
     } else {
         Err(LimitError::Flag {
@@ -65,12 +76,18 @@
     process::machine_memory_bytes() / 2
 }
 
-/// Before anything starts: `largest`: gateways of the largest hollow process.
+/// Checks the needs of a run before it starts. `largest` is the greatest number of gateways in one
+/// hollow process.
 ///
 /// # Errors
-/// It would take too much of something.
-pub fn before(gateways: usize, processes: usize, largest: usize) -> Result<(), LimitError> {
-    if processes > MOST_PROCESSES {
+///
+/// The run needs too many processes, too much memory or too many file descriptors.
+pub fn check_before_start(
+    gateways: usize,
+    processes: usize,
+    largest: usize,
+) -> Result<(), LimitError> {
+    if processes > MAX_PROCESSES {
         return Err(LimitError::Processes(processes));
     }
     let each = GATEWAY_BYTES + RECORD_BYTES * gateways as u64;
@@ -79,20 +96,21 @@
     if needed > bound {
         return Err(LimitError::Estimate { needed, bound });
     }
-    let needed = largest as u64 + OTHER_FILES;
-    let files = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
-    match files {
+    let needed = largest as u64 + OTHER_DESCRIPTORS;
+    let limit = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
+    match limit {
         Some(bound) if bound < needed => Err(LimitError::Files { needed, bound }),
         _ => Ok(()),
     }
 }
 
-/// While it runs.
+/// Checks the processes of a run while it is running, and returns their memory in bytes.
 ///
 /// # Errors
-/// These processes take more than half of the machine's memory.
-pub fn during(processes: &[u32]) -> Result<u64, LimitError> {
-    if processes.len() > MOST_PROCESSES {
+///
+/// There are too many processes, or they take more than half of the machine's memory.
+pub fn check_running(processes: &[u32]) -> Result<u64, LimitError> {
+    if processes.len() > MAX_PROCESSES {
         return Err(LimitError::Processes(processes.len()));
     }
     let taken: u64 = processes
--- a/crates/process_harness/src/scale/links.rs
+++ b/crates/process_harness/src/scale/links.rs
@@ -1,17 +1,18 @@
-//! What the network between regions does to datagrams, and who can reach whom by it.
+//! Faults of the simulated network between regions, and which regions can reach each other.
 
 use serde::{Deserialize, Serialize};
 
-/// Faults of the network, the same for all gateways until they are changed.
+/// Network faults, which apply to all gateways until they are changed.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Links {
-    /// Share of all datagrams that is lost.
+    /// The probability that a datagram is lost.
     pub lost: f64,
-    /// Pairs of regions between which nothing goes.
+    /// Pairs of regions whose direct link is cut in both directions.
     pub cut: Vec<(usize, usize)>,
 }
 
 impl Links {
+    /// Returns whether the direct link between two regions is intact.
     pub fn direct(&self, from: usize, to: usize) -> bool {
         !self
             .cut
@@ -19,9 +20,10 @@
             .any(|(a, b)| (*a, *b) == (from, to) || (*a, *b) == (to, from))
     }
 
-    /// Directly or by way of one other region: others can vouch for those there.
+    /// Returns whether two regions reach each other directly or through one other region, whose
+    /// members can probe a gateway for those that cannot.
     pub fn reachable(&self, from: usize, to: usize, regions: usize) -> bool {
-        let by_way = |way: usize| self.direct(from, way) && self.direct(way, to);
-        self.direct(from, to) || (0..regions).any(by_way)
+        let through = |region: usize| self.direct(from, region) && self.direct(region, to);
+        self.direct(from, to) || (0..regions).any(through)
     }
 }
--- a/crates/process_harness/src/scale/message.rs
+++ b/crates/process_harness/src/scale/message.rs
@@ -1,81 +1,76 @@
-//! What the command and its hollow processes say to each other: one JSON object a line.
+//! The messages between the scale run and its hollow processes, each a JSON object on one line.
 
 use serde::{Deserialize, Serialize};
 
 use super::layout::Layout;
 use super::links::Links;
 
-/// The first line to a hollow process.
+/// The first message to a hollow process.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Setup {
     pub seed: u64,
-    /// How many processes carried these members before.
+    /// The number of earlier processes that ran these members.
     pub generation: u64,
     pub layout: Layout,
-    /// Hollow members that this process is to carry.
+    /// The numbers of the hollow gateways that this process runs.
     pub members: Vec<usize>,
-    /// The operator's file of all, as the real processes read it; name and addresses are replaced for each member.
+    /// The text of the operator file, with the same settings as for the real processes. Each
+    /// gateway replaces the name and the addresses by its own.
     pub operator: String,
 }
 
+/// A command to a hollow process.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Command {
-    /// Starts these of its members, spread by chance over a time.
-    Start {
-        members: Vec<usize>,
-        within_s: f64,
-    },
-    /// Ends these of its members at once, without a word.
-    Kill {
-        members: Vec<usize>,
-    },
-    /// These say that they go, and end.
-    Leave {
-        members: Vec<usize>,
-    },
-    /// Any members, of whatever process, live from now on or do not.
-    Lives {
-        members: Vec<usize>,
-        lives: bool,
-    },
+    /// Starts these gateways of the process, each at a random time within `within_s` seconds.
+    Start { members: Vec<usize>, within_s: f64 },
+    /// Ends these gateways of the process at once, as in a crash.
+    Kill { members: Vec<usize> },
+    /// Makes these gateways of the process leave the fleet in order.
+    Leave { members: Vec<usize> },
+    /// Tells whether these gateways, of any process, live from now on.
+    Lives { members: Vec<usize>, lives: bool },
+    /// Replaces the network faults.
     Links(Links),
-    /// Figures count from now on.
+    /// Starts a new measurement window.
     Window,
+    /// Asks for the figures of the current window.
     Figures,
+    /// Asks for the membership views of all gateways of the process.
     Views,
 }
 
-/// What one hollow gateway did in a window.
+/// The resource usage of one gateway in a measurement window.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 pub struct Usage {
     pub member: usize,
     pub datagrams: u64,
-    /// Payload of UDP, both directions.
+    /// The UDP payload in both directions.
     pub bytes: u64,
     pub cpu_s: f64,
 }
 
-/// What a hollow process and its gateways did in a window.
+/// The measurements of a hollow process and its gateways in a window.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Figures {
     pub window_s: f64,
     pub gateways: Vec<Usage>,
     pub process_cpu_s: f64,
     pub memory_bytes: u64,
-    /// Memory before any gateway started.
+    /// The memory of the process before any gateway started.
     pub empty_memory_bytes: u64,
     pub false_deaths: u64,
-    /// Times that one of its gateways was late by more than half an answer's time.
+    /// How often a gateway's event loop was late by more than half the time for an answer.
     pub stalls: u64,
-    /// Lease messages to gateways that the sender did not hold to be there.
+    /// The lease messages to gateways that were not present in the sender's view.
     pub undelivered: u64,
-    /// Datagrams that the machine did not take.
+    /// The datagrams that the operating system did not accept.
     pub unsent: u64,
-    /// What its gateways sent to real processes, by real process.
+    /// The traffic from the gateways of this process to each real process.
     pub to_real: Vec<Usage>,
 }
 
-/// So many gateways hold this view.
+/// The number of gateways that have a certain membership view.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ViewCount {
     pub digest: u64,
@@ -83,21 +78,23 @@
     pub gateways: usize,
 }
 
+/// A message from a hollow process.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Answer {
+    /// The process is set up.
     Ready,
-    /// One that ended is held for gone by a gateway of this process for the first time.
+    /// A gateway of this process is the first one of the process to notice the end of this member.
     Detected {
         member: usize,
         at_s: f64,
     },
-    /// This member is coordinator of the leases.
+    /// This member has become the coordinator of the leases.
     Chosen {
         member: usize,
         at_s: f64,
     },
     Figures(Box<Figures>),
     Views(Vec<ViewCount>),
-    /// It cannot go on.
+    /// The process has failed for this reason.
     Failed(String),
 }
--- a/crates/process_harness/src/scale/mod.rs
+++ b/crates/process_harness/src/scale/mod.rs
@@ -1,9 +1,11 @@
-//! `scale`: hollow gateways by the hundred beside real processes, on loopback, with faults by script.
+//! Scale runs: hundreds of hollow gateways beside real gateway processes on loopback, with scripted
+//! faults.
 //!
-//! A hollow gateway is the control code of the program (`crates/control`) with a UDP socket at an address of its own,
-//! without clients and engines; some hundred share a process and a loop. Real processes are those of [`crate::fleet`],
-//! behind its switch. A fault of the network holds for datagrams of hollow gateways where they are sent, for those from
-//! real to hollow ones where they arrive, and between real ones in the switch.
+//! A hollow gateway is the gateway's control plane (`crates/control`) with its own UDP socket,
+//! without clients and engines. Up to a few hundred of them share a process and an event loop. The
+//! real processes belong to [`crate::fleet`] and are connected through its switch. Network faults
+//! are applied to a datagram of a hollow gateway when it is sent, to one from a real to a hollow
+//! gateway when it arrives, and to one between real gateways in the switch.
 
 pub mod hollow;
 pub mod layout;
@@ -26,26 +28,33 @@
 pub use report::Report;
 pub use run::run;
 
-/// What a run is to be.
+/// The settings of a scale run.
 #[derive(Clone, Debug)]
 pub struct Options {
+    /// The number of hollow gateways.
     pub hollow: usize,
+    /// The number of real gateway processes.
     pub real: usize,
+    /// The number of engines that the real gateways discover.
     pub engines: usize,
     pub regions: usize,
+    /// The number of zones in all regions together.
     pub zones: usize,
-    /// The part without faults: the first half is for the start, the second is measured.
+    /// The length of the phase before the faults, in seconds. Its first half is for the start and
+    /// its second half is measured.
     pub seconds: f64,
     pub seed: u64,
-    /// Budgets divided by leases among all.
+    /// The number of budgets that leases divide among all gateways.
     pub budgets: usize,
+    /// The file with the script of faults, or `None` for a run without faults.
     pub faults: Option<PathBuf>,
-    /// The gateway's program.
+    /// The path of the gateway's program.
     pub gateway: PathBuf,
-    /// This program, for the hollow processes.
+    /// The path of the harness's program, which is started for the hollow processes.
     pub rig: PathBuf,
 }
 
+/// Why a scale run cannot start or go on.
 #[derive(Debug, Error)]
 pub enum ScaleError {
     #[error(transparent)]
--- a/crates/process_harness/src/scale/operator_file.rs
+++ b/crates/process_harness/src/scale/operator_file.rs
@@ -1,20 +1,20 @@
-//! The operator's file of a run: one text for hollow and real gateways, so that both go by the same settings.
+//! The operator file of a scale run. Hollow and real gateways use the same settings.
 
 use super::layout::{Layout, VOTERS};
 
-/// Budgets that one file may have.
-pub const MOST_BUDGETS: usize = 24;
-/// Of these, what is not a tenant's.
-const OTHERS: usize = 2;
+/// The greatest number of budgets in a file.
+pub const MAX_BUDGETS: usize = 24;
+/// The number of budgets that do not belong to tenants: `relays_per_s` and `trials_per_s`.
+const SHARED_BUDGETS: usize = 2;
 
-/// Tenants whose budgets are divided.
+/// Returns the names of the tenants whose budgets are divided.
 pub fn tenants(budgets: usize) -> Vec<String> {
-    (0..budgets.saturating_sub(OTHERS))
+    (0..budgets.saturating_sub(SHARED_BUDGETS))
         .map(|at| format!("t{at:02}"))
         .collect()
 }
 
-/// The blocks of leases; empty without budgets.
+/// Returns the `shares` and `queues` blocks, or an empty text if there are no budgets.
 pub fn leases(layout: &Layout, budgets: usize) -> String {
     if budgets == 0 {
         return String::new();
@@ -43,15 +43,13 @@
     text
 }
 
-/// Further lines of all `fleet` blocks.
+/// Returns the additional lines of the `fleet` block in each operator file.
 pub fn fleet_lines(block: &str) -> String {
-    format!(
-        "most_gateways = {}\n  {block}",
-        super::limits::MOST_GATEWAYS
-    )
+    format!("most_gateways = {}\n  {block}", super::limits::MAX_GATEWAYS)
 }
 
-/// The whole file of one hollow gateway; its name, address and place are replaced for each.
+/// Returns the operator file of the hollow gateways. Each gateway replaces the name, the address,
+/// the zone and the region by its own.
 pub fn hollow(layout: &Layout, block: &str, budgets: usize) -> String {
     let seeds: Vec<String> = layout
         .seeds()
--- a/crates/process_harness/src/scale/process.rs
+++ b/crates/process_harness/src/scale/process.rs
@@ -1,4 +1,5 @@
-//! What the operating system says of processes and of the machine.
+//! Clocks, CPU time and memory of processes and of the machine, as the operating system reports
+//! them.
 
 use std::fs;
 
@@ -9,30 +10,31 @@
     now.tv_sec as f64 + now.tv_nsec as f64 / 1e9
 }
 
-/// The monotonic clock, the same in all processes of the machine.
+/// Returns the monotonic clock in seconds. All processes of the machine share it.
 pub fn monotonic_s() -> f64 {
     seconds(ClockId::Monotonic)
 }
 
-/// The clock that leases end by.
+/// Returns the boot-time clock in seconds, by which leases expire.
 pub fn boottime_s() -> f64 {
     seconds(ClockId::Boottime)
 }
 
-/// CPU time of the calling thread.
+/// Returns the CPU time of the calling thread in seconds.
 pub fn thread_cpu_s() -> f64 {
     seconds(ClockId::ThreadCPUTime)
 }
 
-/// CPU time of this process.
+/// Returns the CPU time of this process in seconds.
 pub fn process_cpu_s() -> f64 {
     seconds(ClockId::ProcessCPUTime)
 }
 
-/// CPU time of a process, user and system; nothing once it has ended.
+/// Returns the user and system CPU time of a process in seconds, or `None` if it has ended.
 pub fn cpu_s(pid: u32) -> Option<f64> {
     let stat = fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
-    // The command in parentheses may hold spaces; user and system time are the 12th and 13th fields after it.
+    // The name of the command is in parentheses and may contain spaces. User and system time are
+    // the 12th and 13th fields after it.
     let after = stat.rsplit_once(')')?.1;
     let ticks: Vec<u64> = after
         .split_whitespace()
@@ -44,6 +46,7 @@
     (ticks.len() == 2).then(|| ticks.iter().sum::<u64>() as f64 / per_second)
 }
 
+/// Returns a field of a file in `/proc` that is given in KiB.
 fn kilobytes(path: &str, field: &str) -> Option<u64> {
     let text = fs::read_to_string(path).ok()?;
     let line = text.lines().find_map(|line| line.strip_prefix(field))?;
@@ -54,11 +57,12 @@
         .ok()
 }
 
-/// Resident memory of a process; nothing once it has ended.
+/// Returns the resident memory of a process in bytes, or `None` if it has ended.
 pub fn memory_bytes(pid: u32) -> Option<u64> {
     kilobytes(&format!("/proc/{pid}/status"), "VmRSS").map(|kilobytes| kilobytes * 1024)
 }
 
+/// Returns the memory of the machine in bytes, or zero if it is unknown.
 pub fn machine_memory_bytes() -> u64 {
     kilobytes("/proc/meminfo", "MemTotal").unwrap_or(0) * 1024
 }
--- a/crates/process_harness/src/scale/report.rs
+++ b/crates/process_harness/src/scale/report.rs
@@ -1,11 +1,11 @@
-//! Figures of a run, as its JSON file and its table have them.
+//! The report of a scale run, which is written as JSON and as a table.
 
 use serde::Serialize;
 
 use super::message::Usage;
 use super::script::Fault;
 
-/// Over gateways.
+/// The distribution of a value over gateways.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Spread {
     pub median: f64,
@@ -14,7 +14,7 @@
 }
 
 impl Spread {
-    /// By nearest rank; zeros where there is nothing.
+    /// Computes the quantiles by nearest rank. Without values, they are zero.
     pub fn of(mut values: Vec<f64>) -> Spread {
         values.sort_by(f64::total_cmp);
         let rank = |part: f64| {
@@ -29,16 +29,16 @@
     }
 }
 
-/// What gateways took in a window.
+/// The resources that gateways used in a measurement window.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Cost {
-    /// Gateways counted.
+    /// The number of gateways that are counted.
     pub gateways: usize,
     pub window_s: f64,
-    /// Payload of UDP, both directions together.
+    /// The UDP payload in both directions together.
     pub bytes_per_second: Spread,
     pub datagrams_per_second: Spread,
-    /// Of one core.
+    /// The CPU time as a fraction of one core.
     pub cpu_part: Spread,
 }
 
@@ -57,7 +57,7 @@
     }
 }
 
-/// What hollow processes did besides in a window.
+/// Counts of irregular events in the hollow processes in a window.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct Troubles {
     pub false_deaths: u64,
@@ -66,50 +66,59 @@
     pub unsent_datagrams: u64,
 }
 
-/// How the views stand.
+/// How far the membership views of the gateways agree.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct Agreement {
-    /// Hollow gateways that hold the most common view, of so many asked.
+    /// The number of hollow gateways that have the most common view.
     pub largest_group: usize,
+    /// The number of hollow gateways that were asked.
     pub asked: usize,
+    /// The number of different views.
     pub views: usize,
-    /// Gateways in the most common view, and that really live.
+    /// The number of members in the most common view.
     pub size: usize,
+    /// The number of gateways that actually live.
     pub living: usize,
 }
 
-/// A fault and what followed until the next one.
+/// A fault and its effects until the next one.
 #[derive(Clone, Debug, Serialize)]
 pub struct FaultReport {
     #[serde(flatten)]
     pub fault: Fault,
-    /// Gateways that ended by it.
+    /// The number of gateways that the fault ended.
     pub ended: usize,
-    /// From its beginning until one living gateway held one that ended for gone, and until each that ended was so held.
+    /// The time from the start of the fault until a living gateway first noticed an ended one, or
+    /// `None` if none did.
     pub detected_s: Option<f64>,
+    /// The time from the start of the fault until every ended gateway was noticed, or `None`.
     pub all_detected_s: Option<f64>,
-    /// Until all views agreed and were right: from its beginning, or from its end where it lasts.
+    /// The time until all views agreed and were correct, from the start of the fault or, for one
+    /// that lasts, from its end. It is `None` if they never did.
     pub agreed_s: Option<f64>,
     pub false_deaths: u64,
+    /// The time from the start of the fault until another member became the coordinator, or `None`.
     pub coordinator_change_s: Option<f64>,
     pub at_the_end: Agreement,
     pub cost: Cost,
     pub troubles: Troubles,
 }
 
-/// Hollow and real ones compared.
+/// A comparison of hollow gateways with real ones.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Comparison {
-    /// CPU of hollow processes by their gateways, of a core; the voters' processes apart.
+    /// The CPU time of the hollow processes per gateway, as a fraction of one core and without the
+    /// processes of the voters.
     pub hollow_process_cpu_part: f64,
-    /// CPU of real processes, of a core, and how far the hollow ones are from their mean, as a part of it.
+    /// The CPU time of each real process, as a fraction of one core.
     pub real_cpu_part: Vec<f64>,
+    /// The relative deviation of `hollow_process_cpu_part` from the mean of `real_cpu_part`.
     pub hollow_from_real: f64,
     pub real: Cost,
     pub real_memory_bytes: Vec<u64>,
 }
 
-/// A whole run.
+/// The report of a whole run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
     pub hollow: usize,
@@ -121,14 +130,14 @@
     pub seconds: f64,
     pub seed: u64,
     pub processes: usize,
-    /// From the first start until all views agreed.
+    /// The time from the first start until all views agreed, or `None` if they never did.
     pub start_agreed_s: Option<f64>,
     #[serde(flatten)]
     pub cost: Cost,
     pub memory_bytes_per_gateway: Spread,
-    /// The largest sum of all processes that was seen.
+    /// The greatest memory of all processes together that was observed.
     pub memory_bytes: u64,
-    /// Of the coordinator of the leases alone.
+    /// The cost of the coordinator of the leases, or `None` if it is not a hollow gateway.
     pub coordinator: Option<Cost>,
     pub steady: Agreement,
     pub troubles: Troubles,
@@ -152,12 +161,13 @@
     }
 }
 
-fn shown(seconds: Option<f64>) -> String {
+/// Formats a time, or a dash for `None`.
+fn format_seconds(seconds: Option<f64>) -> String {
     seconds.map_or("-".to_owned(), |seconds| format!("{seconds:.2} s"))
 }
 
 impl Report {
-    /// For people.
+    /// Formats the report as a table for people.
     pub fn table(&self) -> String {
         let mut text = format!(
             "{} hollow, {} real, {} budgets, {} processes: agreed after the start: {}\n{}",
@@ -165,7 +175,7 @@
             self.real,
             self.budgets,
             self.processes,
-            shown(self.start_agreed_s),
+            format_seconds(self.start_agreed_s),
             self.cost.lines()
         );
         let memory = &self.memory_bytes_per_gateway;
@@ -194,11 +204,11 @@
                 fault.fault.what.name(),
                 fault.fault.at_s,
                 fault.ended,
-                shown(fault.detected_s),
-                shown(fault.all_detected_s),
-                shown(fault.agreed_s),
+                format_seconds(fault.detected_s),
+                format_seconds(fault.all_detected_s),
+                format_seconds(fault.agreed_s),
                 fault.false_deaths,
-                shown(fault.coordinator_change_s),
+                format_seconds(fault.coordinator_change_s),
                 fault.at_the_end,
                 fault.troubles,
                 fault.cost.lines()
--- a/crates/process_harness/src/scale/run.rs
+++ b/crates/process_harness/src/scale/run.rs
@@ -1,4 +1,4 @@
-//! One run: the start, the steady part that is measured, then the faults one after another.
+//! A scale run: the start, the measured phase without faults, then the faults one after another.
 
 use std::io;
 use std::time::Duration;
@@ -16,17 +16,18 @@
 use super::report::{Agreement, Comparison, Cost, FaultReport, Report, Spread, Troubles};
 use super::script::{Fault, Script, What};
 use super::truth::Truth;
-use super::workers::{News, Workers, parts};
+use super::workers::{UnsolicitedMessage, Workers, members_by_process};
 use super::{Options, ScaleError};
 use crate::fleet::{Fleet, FleetOptions};
 
-/// All gateways start within this.
+/// The time in seconds within which all gateways start.
 const START_S: f64 = 1.0;
-/// A restarted gateway is away for so long.
+/// The time in seconds between the end and the start of a gateway that restarts.
 const AWAY_S: f64 = 2.0;
-/// How often views are compared.
-const LOOK: Duration = Duration::from_millis(250);
+/// The interval between comparisons of the views.
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
+/// The state of a run.
 struct Run {
     options: Options,
     script: Script,
@@ -35,26 +36,38 @@
     workers: Workers,
     truth: Truth,
     rng: Pcg64Mcg,
+    /// The coordinator of the leases, or `None` until one is chosen.
     coordinator: Option<usize>,
     most_memory_bytes: u64,
+    /// The CPU time of each real process at the start of the window, or `None` if it is not
+    /// running.
     real_cpu_s: Vec<Option<f64>>,
+    /// The datagrams and bytes that each real process had sent at the start of the window.
     real_sent: Vec<(i64, i64)>,
 }
 
-/// What was seen of one fault until now.
+/// What the run has observed of one fault so far. All times are on the monotonic clock.
 #[derive(Default)]
-struct Seen {
+struct Observations {
+    /// The start of the fault.
     began_s: f64,
+    /// The time from which on the views are checked for agreement.
     agrees_from_s: f64,
+    /// The members that the fault has ended.
     ended: Vec<usize>,
+    /// The members whose end was noticed, with the time.
     detected: Vec<(usize, f64)>,
+    /// The time at which all views agreed and were correct, or `None` until then.
     agreed_s: Option<f64>,
+    /// The coordinator before the fault.
     before: Option<usize>,
+    /// The time at which another member became the coordinator, or `None` until then.
     changed_s: Option<f64>,
+    /// The result of the last comparison of the views.
     last: Agreement,
 }
 
-/// What is to be done at a time of a fault.
+/// One step of a fault. Members are given by number, processes by index.
 #[derive(Clone, Debug)]
 enum Action {
     Kill(Vec<usize>),
@@ -67,10 +80,11 @@
     StartProcess(usize),
 }
 
-/// Runs it to its end.
+/// Executes a run and returns its report.
 ///
 /// # Errors
-/// A flag or the file of faults cannot be used, a bound would be passed, or a process fails.
+///
+/// A flag or the script of faults is invalid, a limit is exceeded or a process fails.
 pub fn run(options: Options) -> Result<Report, ScaleError> {
     let script = check(&options)?;
     let mut run = Run::start(options, script)?;
@@ -78,19 +92,20 @@
     run.faults(report)
 }
 
+/// Checks the options and limits before anything starts, and returns the script of faults.
 fn check(options: &Options) -> Result<Script, ScaleError> {
-    limits::flag("--hollow", options.hollow, VOTERS, limits::MOST_GATEWAYS)?;
-    limits::flag("--real", options.real, 0, limits::MOST_REAL)?;
-    limits::flag(
+    limits::check_flag("--hollow", options.hollow, VOTERS, limits::MAX_GATEWAYS)?;
+    limits::check_flag("--real", options.real, 0, limits::MAX_REAL)?;
+    limits::check_flag(
         "--hollow, --real together",
         options.hollow + options.real,
         VOTERS,
-        limits::MOST_GATEWAYS,
+        limits::MAX_GATEWAYS,
     )?;
-    limits::flag("--engines", options.engines, 1, 1000)?;
-    limits::flag("--regions", options.regions, 1, 64)?;
-    limits::flag("--zones", options.zones, options.regions, 64)?;
-    limits::flag("--budgets", options.budgets, 0, operator_file::MOST_BUDGETS)?;
+    limits::check_flag("--engines", options.engines, 1, 1000)?;
+    limits::check_flag("--regions", options.regions, 1, 64)?;
+    limits::check_flag("--zones", options.zones, options.regions, 64)?;
+    limits::check_flag("--budgets", options.budgets, 0, operator_file::MAX_BUDGETS)?;
     if !(2.0..=3600.0).contains(&options.seconds) {
         return Err(ScaleError::Seconds(options.seconds));
     }
@@ -106,9 +121,9 @@
     let layout = layout(options, Vec::new());
     let text = operator_file::hollow(&layout, &script.block, options.budgets);
     operator_config::OperatorConfig::parse(std::path::Path::new("operator.hcl"), &text)?;
-    let parts = parts(&layout);
+    let parts = members_by_process(&layout);
     let largest = parts.iter().map(Vec::len).max().unwrap_or(0);
-    limits::before(
+    limits::check_before_start(
         options.hollow + options.real,
         parts.len() + options.real + 1,
         largest,
@@ -130,13 +145,13 @@
 
 fn real_processes(options: &Options, script: &Script) -> io::Result<Fleet> {
     let layout = layout(options, Vec::new());
-    let mut wanted = FleetOptions::new(&options.gateway, options.real);
-    wanted.engines = options.engines;
-    wanted.seed = options.seed;
-    wanted.seeds = layout.seeds();
-    wanted.peers = options.hollow + options.real;
-    wanted.block = operator_file::fleet_lines(&script.block);
-    wanted.places = (0..options.real)
+    let mut fleet_options = FleetOptions::new(&options.gateway, options.real);
+    fleet_options.engines = options.engines;
+    fleet_options.seed = options.seed;
+    fleet_options.seeds = layout.seeds();
+    fleet_options.peers = options.hollow + options.real;
+    fleet_options.block = operator_file::fleet_lines(&script.block);
+    fleet_options.places = (0..options.real)
         .map(|at| options.hollow + at)
         .map(|member| {
             (
@@ -145,19 +160,19 @@
             )
         })
         .collect();
-    wanted.tenants = operator_file::tenants(options.budgets);
-    wanted.further = operator_file::leases(
+    fleet_options.tenants = operator_file::tenants(options.budgets);
+    fleet_options.further = operator_file::leases(
         &Layout {
-            real: vec![unused(); options.real],
+            real: vec![placeholder_address(); options.real],
             ..layout
         },
         options.budgets,
     );
-    Fleet::start(wanted, &[])
+    Fleet::start(fleet_options, &[])
 }
 
-/// Stands for an address that is not needed, where only the number of gateways counts.
-fn unused() -> RealAddress {
+/// Returns a placeholder for an address, used where only the number of gateways matters.
+fn placeholder_address() -> RealAddress {
     let nowhere = std::net::SocketAddr::from(([127, 0, 0, 1], 0));
     RealAddress {
         bound: nowhere,
@@ -191,6 +206,7 @@
         })
     }
 
+    /// Starts the hollow gateways and measures the phase without faults.
     fn steady(&mut self) -> Result<Report, ScaleError> {
         let all: Vec<usize> = (0..self.layout.hollow).collect();
         let began_s = monotonic_s();
@@ -198,22 +214,22 @@
             members,
             within_s: START_S,
         })?;
-        let mut seen = Seen {
+        let mut observed = Observations {
             began_s,
             agrees_from_s: began_s + START_S,
-            ..Seen::default()
+            ..Observations::default()
         };
-        self.watch(began_s + self.options.seconds / 2.0, &mut seen)?;
-        self.window()?;
-        self.watch(began_s + self.options.seconds, &mut seen)?;
+        self.watch(began_s + self.options.seconds / 2.0, &mut observed)?;
+        self.start_window()?;
+        self.watch(began_s + self.options.seconds, &mut observed)?;
         let figures = self.workers.figures()?;
         let (real, real_cpu) = self.real_usage();
-        self.look(&mut seen)?;
-        Ok(self.report(&seen, &figures, &real, real_cpu))
+        self.compare_views(&mut observed)?;
+        Ok(self.report(&observed, &figures, &real, real_cpu))
     }
 
-    /// Figures count from now on.
-    fn window(&mut self) -> Result<(), ScaleError> {
+    /// Starts a new measurement window.
+    fn start_window(&mut self) -> Result<(), ScaleError> {
         self.workers.tell(&Command::Window)?;
         self.real_cpu_s = self
             .real
@@ -225,6 +241,7 @@
         Ok(())
     }
 
+    /// Returns the datagrams and bytes that each real process has sent, by its own counters.
     fn real_sent(&self) -> Vec<(i64, i64)> {
         let sent = |at: usize| {
             if !self.real.is_running(at) {
@@ -237,7 +254,7 @@
         (0..self.options.real).map(sent).collect()
     }
 
-    /// What real processes took since the window began: what they sent by their own counters, and their CPU.
+    /// Returns the usage and the CPU time of each real process in the current window.
     fn real_usage(&self) -> (Vec<Usage>, Vec<f64>) {
         let cpu: Vec<Option<f64>> = self
             .real
@@ -261,7 +278,7 @@
 
     fn report(
         &self,
-        seen: &Seen,
+        observed: &Observations,
         figures: &[Figures],
         real: &[Usage],
         real_cpu: Vec<f64>,
@@ -292,12 +309,12 @@
             seconds: self.options.seconds,
             seed: self.options.seed,
             processes: self.processes().len(),
-            start_agreed_s: seen.agreed_s.map(|at_s| at_s - seen.began_s),
+            start_agreed_s: observed.agreed_s.map(|at_s| at_s - observed.began_s),
             cost: Cost::of(&usages, window_s),
             memory_bytes_per_gateway: Spread::of(memory.collect()),
             memory_bytes: self.most_memory_bytes,
             coordinator: (!coordinator.is_empty()).then(|| Cost::of(&coordinator, window_s)),
-            steady: seen.last,
+            steady: observed.last,
             troubles: troubles(figures),
             comparison: self.comparison(figures, real, &real_cpu, window_s),
             faults: Vec::new(),
@@ -351,38 +368,40 @@
             .collect()
     }
 
-    /// Until a time; what is seen meanwhile is noted.
-    fn watch(&mut self, until_s: f64, seen: &mut Seen) -> Result<(), ScaleError> {
+    /// Waits until a time on the monotonic clock and records what happens meanwhile.
+    fn watch(&mut self, until_s: f64, observed: &mut Observations) -> Result<(), ScaleError> {
         loop {
             self.most_memory_bytes = self
                 .most_memory_bytes
-                .max(limits::during(&self.processes())?);
-            if seen.agreed_s.is_none() && monotonic_s() >= seen.agrees_from_s {
-                self.look(seen)?;
+                .max(limits::check_running(&self.processes())?);
+            if observed.agreed_s.is_none() && monotonic_s() >= observed.agrees_from_s {
+                self.compare_views(observed)?;
             }
-            self.note_news(seen)?;
+            self.record_messages(observed)?;
             let left = until_s - monotonic_s();
             if left <= 0.0 {
                 return Ok(());
             }
-            std::thread::sleep(LOOK.min(Duration::from_secs_f64(left)));
+            std::thread::sleep(CHECK_INTERVAL.min(Duration::from_secs_f64(left)));
         }
     }
 
-    fn note_news(&mut self, seen: &mut Seen) -> Result<(), ScaleError> {
-        for news in self.workers.news()? {
-            match news {
-                News::Detected { member, at_s } => {
-                    if at_s >= seen.began_s && !seen.detected.iter().any(|(of, _)| *of == member) {
-                        seen.detected.push((member, at_s));
+    fn record_messages(&mut self, observed: &mut Observations) -> Result<(), ScaleError> {
+        for message in self.workers.take_messages()? {
+            match message {
+                UnsolicitedMessage::Detected { member, at_s } => {
+                    if at_s >= observed.began_s
+                        && !observed.detected.iter().any(|(of, _)| *of == member)
+                    {
+                        observed.detected.push((member, at_s));
                     }
                 }
-                News::Chosen { member, at_s } => {
+                UnsolicitedMessage::Chosen { member, at_s } => {
                     self.coordinator = Some(member);
-                    if seen.before.is_some_and(|before| before != member)
-                        && seen.changed_s.is_none()
+                    if observed.before.is_some_and(|before| before != member)
+                        && observed.changed_s.is_none()
                     {
-                        seen.changed_s = Some(at_s);
+                        observed.changed_s = Some(at_s);
                     }
                 }
             }
@@ -391,7 +410,7 @@
     }
 
     /// Compares the views of all that live.
-    fn look(&mut self, seen: &mut Seen) -> Result<(), ScaleError> {
+    fn compare_views(&mut self, observed: &mut Observations) -> Result<(), ScaleError> {
         let views = self.workers.views()?;
         let now_s = monotonic_s();
         let mut by_view = std::collections::BTreeMap::new();
@@ -404,7 +423,7 @@
             .map_or(((0, 0), 0), |(view, group)| (*view, *group));
         let asked = by_view.values().sum();
         let living = self.truth.living();
-        seen.last = Agreement {
+        observed.last = Agreement {
             largest_group: group,
             asked,
             views: by_view.len(),
@@ -414,12 +433,13 @@
         let lives = |member: &usize| self.truth.lives(*member);
         let hollow = (0..self.layout.hollow).filter(lives).count();
         let all = group == hollow && asked == hollow && size == living;
-        if all && seen.agreed_s.is_none() && self.real_agree(digest, size) {
-            seen.agreed_s = Some(now_s);
+        if all && observed.agreed_s.is_none() && self.real_agree(digest, size) {
+            observed.agreed_s = Some(now_s);
         }
         Ok(())
     }
 
+    /// Returns whether all running real gateways have this view.
     fn real_agree(&self, digest: u64, size: usize) -> bool {
         let agrees = |at: usize| {
             let shown = self.real.query_fleet_view(at).unwrap_or_default();
@@ -432,42 +452,43 @@
         let began_s = monotonic_s();
         for (at, fault) in self.script.fault.clone().into_iter().enumerate() {
             let until_s = began_s + fault.at_s + self.script.watched_s(at);
-            self.watch(began_s + fault.at_s, &mut Seen::default())?;
+            self.watch(began_s + fault.at_s, &mut Observations::default())?;
             report.faults.push(self.fault(fault, until_s)?);
         }
         if !self.script.fault.is_empty() {
-            self.watch(began_s + self.script.seconds, &mut Seen::default())?;
+            self.watch(began_s + self.script.seconds, &mut Observations::default())?;
         }
         report.memory_bytes = self.most_memory_bytes;
         Ok(report)
     }
 
     fn fault(&mut self, fault: Fault, until_s: f64) -> Result<FaultReport, ScaleError> {
-        self.window()?;
+        self.start_window()?;
         let began_s = monotonic_s();
         let actions = self.plan(&fault);
-        // Views that agree before all is done say nothing of it.
+        // Views that agree before all actions of the fault are done are no sign of recovery, so the
+        // check starts after them.
         let before = self.coordinator;
-        let mut seen = Seen {
+        let mut observed = Observations {
             began_s,
             agrees_from_s: f64::INFINITY,
             before,
-            ..Seen::default()
+            ..Observations::default()
         };
         for (after_s, action) in actions {
-            self.watch((began_s + after_s).min(until_s), &mut seen)?;
-            self.act(action, &mut seen)?;
+            self.watch((began_s + after_s).min(until_s), &mut observed)?;
+            self.act(action, &mut observed)?;
         }
         let lasting_s = if fault.what.lasts() {
             fault.seconds
         } else {
             0.0
         };
-        seen.agrees_from_s = monotonic_s().max(began_s + lasting_s);
-        self.watch(until_s, &mut seen)?;
+        observed.agrees_from_s = monotonic_s().max(began_s + lasting_s);
+        self.watch(until_s, &mut observed)?;
         let figures = self.workers.figures()?;
-        self.look(&mut seen)?;
-        Ok(fault_report(fault, &seen, &figures))
+        self.compare_views(&mut observed)?;
+        Ok(fault_report(fault, &observed, &figures))
     }
 
     fn living_hollow(&self) -> Vec<usize> {
@@ -476,7 +497,8 @@
             .collect()
     }
 
-    /// What happens when, counted from the fault's beginning: drawn from the seed.
+    /// Returns the actions of a fault with their times in seconds after its start. Random choices
+    /// use the run's seed.
     fn plan(&mut self, fault: &Fault) -> Vec<(f64, Action)> {
         let mut living: Vec<usize> = self.living_hollow();
         living.retain(|member| *member >= VOTERS);
@@ -493,7 +515,7 @@
                 )]
             }
             What::Zone => {
-                // The coordinator's own among them, if it is there: zone 0 holds the first voter.
+                // Zone 0 contains the first voter, and so possibly the coordinator.
                 let members = (0..self.layout.len()).filter(|member| self.truth.lives(*member));
                 vec![(
                     0.0,
@@ -533,7 +555,10 @@
     }
 
     fn coordinator_fault(&self, fault: &Fault) -> Vec<(f64, Action)> {
-        let Some(process) = self.coordinator.and_then(|member| self.workers.of(member)) else {
+        let Some(process) = self
+            .coordinator
+            .and_then(|member| self.workers.process_of(member))
+        else {
             return Vec::new();
         };
         let (first, then) = match fault.what {
@@ -543,13 +568,14 @@
         vec![(0.0, first), (fault.seconds, then)]
     }
 
-    /// Single failures, which are replaced, and restarts, which say that they go.
+    /// Returns the crashes and restarts at the daily rates. A crashed gateway is started again; one
+    /// that restarts leaves the fleet in order first.
     fn daily(&mut self, fault: &Fault, living: Vec<usize>) -> Vec<(f64, Action)> {
         let (failures, restarts) = fault.daily_rates(self.layout.len());
         let mut actions = Vec::new();
         let mut at_s = 0.0;
         for member in living {
-            // Exponential times between events.
+            // The times between events have an exponential distribution.
             at_s += -(1.0 - self.rng.random::<f64>()).ln() / (failures + restarts);
             if at_s + AWAY_S >= fault.seconds {
                 break;
@@ -567,7 +593,8 @@
         actions
     }
 
-    fn lives(&mut self, members: &[usize], lives: bool) -> io::Result<()> {
+    /// Records, here and in all hollow processes, that members have started or ended.
+    fn set_lives(&mut self, members: &[usize], lives: bool) -> io::Result<()> {
         self.truth.set_lives(monotonic_s(), members, lives);
         self.workers.tell(&Command::Lives {
             members: members.to_vec(),
@@ -575,11 +602,11 @@
         })
     }
 
-    fn act(&mut self, action: Action, seen: &mut Seen) -> Result<(), ScaleError> {
+    fn act(&mut self, action: Action, observed: &mut Observations) -> Result<(), ScaleError> {
         match action {
             Action::Kill(members) => {
-                seen.ended.extend(&members);
-                self.lives(&members, false)?;
+                observed.ended.extend(&members);
+                self.set_lives(&members, false)?;
                 self.workers
                     .tell_owners(&members, |members| Command::Kill { members })?;
                 self.real_of(&members)
@@ -587,14 +614,14 @@
                     .for_each(|at| self.real.kill(at));
             }
             Action::Leave(members) => {
-                seen.ended.extend(&members);
-                self.lives(&members, false)?;
+                observed.ended.extend(&members);
+                self.set_lives(&members, false)?;
                 self.workers
                     .tell_owners(&members, |members| Command::Leave { members })?;
             }
             Action::Start(members) => {
                 let within_s = if members.len() > 1 { START_S } else { 0.0 };
-                self.lives(&members, true)?;
+                self.set_lives(&members, true)?;
                 self.workers
                     .tell_owners(&members, |members| Command::Start { members, within_s })?;
                 for at in self.real_of(&members) {
@@ -604,20 +631,20 @@
             Action::Links(links) => self.set_links(links)?,
             Action::StopProcess(process) => {
                 let members = self.workers.members(process).to_vec();
-                seen.ended.extend(&members);
+                observed.ended.extend(&members);
                 self.workers.stop(process)?;
-                self.lives(&members, false)?;
+                self.set_lives(&members, false)?;
             }
             Action::WakeProcess(process) => {
                 let members = self.workers.members(process).to_vec();
-                self.lives(&members, true)?;
-                self.workers.wake(process)?;
+                self.set_lives(&members, true)?;
+                self.workers.resume(process)?;
             }
             Action::KillProcess(process) => {
                 let members = self.workers.members(process).to_vec();
-                seen.ended.extend(&members);
+                observed.ended.extend(&members);
                 self.workers.kill(process);
-                self.lives(&members, false)?;
+                self.set_lives(&members, false)?;
             }
             Action::StartProcess(process) => self.start_process(process)?,
         }
@@ -634,7 +661,7 @@
             members: gone,
             lives: false,
         })?;
-        self.lives(&members, true)?;
+        self.set_lives(&members, true)?;
         self.set_links(self.truth.links().clone())?;
         self.workers
             .tell_owners(&members, |members| Command::Start {
@@ -658,7 +685,7 @@
         Ok(self.workers.tell(&Command::Links(links))?)
     }
 
-    /// Real ones among these members, by number.
+    /// Returns the indexes of the real gateways among these members.
     fn real_of(&self, members: &[usize]) -> Vec<usize> {
         members
             .iter()
@@ -682,36 +709,36 @@
     }
 }
 
-fn fault_report(fault: Fault, seen: &Seen, figures: &[Figures]) -> FaultReport {
+fn fault_report(fault: Fault, observed: &Observations, figures: &[Figures]) -> FaultReport {
     let usages: Vec<Usage> = figures
         .iter()
         .flat_map(|of| of.gateways.iter().copied())
         .collect();
-    let mut detected: Vec<f64> = seen
+    let mut detected: Vec<f64> = observed
         .detected
         .iter()
-        .map(|(_, at_s)| at_s - seen.began_s)
+        .map(|(_, at_s)| at_s - observed.began_s)
         .collect();
     detected.sort_by(f64::total_cmp);
-    let all = seen
+    let all = observed
         .ended
         .iter()
-        .all(|member| seen.detected.iter().any(|(of, _)| of == member));
+        .all(|member| observed.detected.iter().any(|(of, _)| of == member));
     let troubles = troubles(figures);
     FaultReport {
-        ended: seen.ended.len(),
+        ended: observed.ended.len(),
         detected_s: detected.first().copied(),
         all_detected_s: detected.last().copied().filter(|_| all),
-        agreed_s: seen.agreed_s.map(|at_s| {
+        agreed_s: observed.agreed_s.map(|at_s| {
             at_s - if fault.what.lasts() {
-                seen.agrees_from_s
+                observed.agrees_from_s
             } else {
-                seen.began_s
+                observed.began_s
             }
         }),
         false_deaths: troubles.false_deaths,
-        coordinator_change_s: seen.changed_s.map(|at_s| at_s - seen.began_s),
-        at_the_end: seen.last,
+        coordinator_change_s: observed.changed_s.map(|at_s| at_s - observed.began_s),
+        at_the_end: observed.last,
         cost: Cost::of(&usages, window_s(figures)),
         troubles,
         fault,
--- a/crates/process_harness/src/scale/script.rs
+++ b/crates/process_harness/src/scale/script.rs
@@ -1,4 +1,4 @@
-//! A file of faults for a scale run, in HCL as the rig's other scripts.
+//! Scripts of faults for scale runs, in HCL.
 
 use std::fmt;
 use std::path::{Path, PathBuf};
@@ -8,14 +8,16 @@
 use serde::{Deserialize, Deserializer, Serialize};
 use thiserror::Error;
 
-/// Ends a day at the users' size, and the gateways they are counted over.
+/// The failures and restarts per day of a fleet of `DAILY_GATEWAYS` gateways.
 const DAILY_FAILURES: f64 = 20.0;
 const DAILY_RESTARTS: f64 = 920.0;
+/// The size of the fleet to which the daily rates apply.
 const DAILY_GATEWAYS: f64 = 1900.0;
 const DAY_S: f64 = 86_400.0;
-/// Faults of one file at most.
-const MOST_FAULTS: usize = 64;
+/// The greatest number of faults in a file.
+const MAX_FAULTS: usize = 64;
 
+/// Why a script cannot be used.
 #[derive(Debug, Error)]
 pub enum ScriptError {
     #[error("{0}: {1}")]
@@ -35,19 +37,22 @@
     Top(PathBuf, &'static str, String),
 }
 
+/// A script of faults.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Script {
-    /// From the end of the part without faults to the end of the run.
+    /// The length of the phase with faults, up to the end of the run, in seconds.
     pub seconds: f64,
-    /// Further lines of the `fleet` blocks.
+    /// Additional lines of the `fleet` block in each operator file.
     #[serde(default)]
     pub block: String,
+    /// The faults, which [`Script::parse`] sorts by time.
     #[serde(default, deserialize_with = "one_or_more")]
     pub fault: Vec<Fault>,
 }
 
-/// HCL has a single block as itself, several of one name as a list.
+/// Deserializes one or more blocks: HCL gives a single block as a map and several of one name as a
+/// list.
 fn one_or_more<'de, D: Deserializer<'de>>(from: D) -> Result<Vec<Fault>, D::Error> {
     struct Faults;
     impl<'de> Visitor<'de> for Faults {
@@ -70,63 +75,65 @@
     from.deserialize_any(Faults)
 }
 
+/// One fault. Fields that do not apply to its kind are ignored.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// After the part without faults.
+    /// The time of the fault, in seconds after the phase without faults.
     pub at_s: f64,
     pub what: What,
-    /// How long it lasts, where it does.
+    /// The duration in seconds, for a fault that lasts.
     #[serde(default)]
     pub seconds: f64,
-    /// Gateways of a rack.
-    #[serde(default = "rack")]
+    /// The number of gateways in a rack.
+    #[serde(default = "default_rack_size")]
     pub gateways: usize,
-    /// How many days' ends happen in a day.
-    #[serde(default = "once")]
+    /// The factor by which the daily rates of failures and restarts are multiplied.
+    #[serde(default = "default_compression")]
     pub compressed: f64,
-    /// Share of datagrams lost.
-    #[serde(default = "third")]
+    /// The probability that a datagram is lost.
+    #[serde(default = "default_loss")]
     pub lost: f64,
 }
 
-fn rack() -> usize {
+fn default_rack_size() -> usize {
     40
 }
 
-fn once() -> f64 {
+fn default_compression() -> f64 {
     1.0
 }
 
-fn third() -> f64 {
+fn default_loss() -> f64 {
     1.0 / 3.0
 }
 
+/// The kinds of faults.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum What {
-    /// One gateway ends without a word.
+    /// One gateway crashes.
     Single,
-    /// Failures and restarts at the users' daily rate, compressed.
+    /// Gateways crash and restart at the daily rates, multiplied by `compressed`.
     Daily,
-    /// Gateways of one zone end at one instant.
+    /// Some gateways of one zone crash at the same time.
     Rack,
-    /// All gateways of a zone end at one instant.
+    /// All gateways of one zone crash at the same time.
     Zone,
-    /// Two regions don't reach each other; both reach the others.
+    /// The link between two regions is cut. Both still reach the other regions.
     Regions,
-    /// A share of all datagrams is lost.
+    /// Datagrams between all gateways are lost at random.
     Loss,
-    /// The coordinator's process is stopped, and woken.
+    /// The coordinator's process is stopped by SIGSTOP and resumed later.
     CoordinatorStop,
-    /// The coordinator's process is killed, and started again.
+    /// The coordinator's process is killed and started again later.
     CoordinatorKill,
-    /// All end, and start within one second.
+    /// All gateways crash and start again within one second.
     AllAtOnce,
 }
 
 impl What {
-    /// It lasts: agreement is counted from its end.
+    /// Returns whether the fault lasts for a time. Agreement is then measured from its end.
     pub fn lasts(self) -> bool {
         matches!(
             self,
@@ -138,6 +145,7 @@
         )
     }
 
+    /// Returns the name of the fault in scripts and reports.
     pub fn name(self) -> String {
         serde_json::to_value(self)
             .ok()
@@ -147,13 +155,14 @@
 }
 
 impl Fault {
-    /// Failures and restarts a second among so many gateways.
+    /// Returns the failures and the restarts per second in a fleet of this size.
     pub fn daily_rates(&self, gateways: usize) -> (f64, f64) {
-        let part = gateways as f64 / DAILY_GATEWAYS * self.compressed / DAY_S;
-        (DAILY_FAILURES * part, DAILY_RESTARTS * part)
+        let scale = gateways as f64 / DAILY_GATEWAYS * self.compressed / DAY_S;
+        (DAILY_FAILURES * scale, DAILY_RESTARTS * scale)
     }
 
-    fn fault(&self, watched_s: f64) -> Option<(&'static str, String)> {
+    /// Returns the first field with an unusable value and the reason, or `None` if all are usable.
+    fn invalid_field(&self, watched_s: f64) -> Option<(&'static str, String)> {
         if !self.at_s.is_finite() || self.at_s < 0.0 {
             return Some(("at_s", format!("{} is no time after the start", self.at_s)));
         }
@@ -178,18 +187,22 @@
 }
 
 impl Script {
+    /// Reads a script from a file.
+    ///
     /// # Errors
-    /// The file cannot be read, or a field of it cannot be used.
+    ///
+    /// The file cannot be read, or [`Script::parse`] fails.
     pub fn read(file: &Path) -> Result<Self, ScriptError> {
         let text =
             std::fs::read_to_string(file).map_err(|e| ScriptError::Unreadable(file.into(), e))?;
         Self::parse(file, &text)
     }
 
-    /// `file`: for errors only.
+    /// Parses a script and sorts its faults by time. `file` is only used in errors.
     ///
     /// # Errors
-    /// A field cannot be used.
+    ///
+    /// The text is not a valid script, or the value of a field is not allowed.
     pub fn parse(file: &Path, text: &str) -> Result<Self, ScriptError> {
         let mut script: Script =
             hcl::from_str(text).map_err(|e| ScriptError::Form(file.into(), e.to_string()))?;
@@ -197,13 +210,13 @@
             let why = format!("{} is not between 0 and 3600", script.seconds);
             return Err(ScriptError::Top(file.into(), "seconds", why));
         }
-        if script.fault.len() > MOST_FAULTS {
-            let why = format!("{} of them; {MOST_FAULTS} at most", script.fault.len());
+        if script.fault.len() > MAX_FAULTS {
+            let why = format!("{} of them; {MAX_FAULTS} at most", script.fault.len());
             return Err(ScriptError::Top(file.into(), "fault", why));
         }
         script.fault.sort_by(|a, b| a.at_s.total_cmp(&b.at_s));
         for (at, fault) in script.fault.iter().enumerate() {
-            if let Some((field, why)) = fault.fault(script.watched_s(at)) {
+            if let Some((field, why)) = fault.invalid_field(script.watched_s(at)) {
                 let (what, at_s) = (fault.what.name(), fault.at_s);
                 return Err(ScriptError::Field {
                     file: file.into(),
@@ -218,7 +231,7 @@
         Ok(script)
     }
 
-    /// From one fault to the next, or to the end.
+    /// Returns the time in seconds from a fault to the next one or to the end of the run.
     pub fn watched_s(&self, at: usize) -> f64 {
         let next = self
             .fault
--- a/crates/process_harness/src/scale/truth.rs
+++ b/crates/process_harness/src/scale/truth.rs
@@ -1,26 +1,31 @@
-//! Who really lives and can be reached: what the views of the gateways are held against.
+//! The actual state of all gateways and links, with which the gateways' membership views are
+//! compared.
 
 use std::collections::BTreeMap;
 
 use super::layout::Layout;
 use super::links::Links;
 
-/// So long after a gateway ended or started, or a region came back, its death in another's view is not counted as false:
-/// the longest suspicion at 1,900 gateways with the default settings lasts 39 s.
+/// The time in seconds after the start or end of a gateway, or after two regions can reach each
+/// other again, in which a declared death of the gateway is not counted as false. The longest
+/// suspicion at 1,900 gateways with the default settings lasts 39 s.
 pub const GRACE_S: f64 = 60.0;
 
-/// The state of all members as the run made it.
+/// The actual state of all members and links.
 #[derive(Clone, Debug)]
 pub struct Truth {
     layout: Layout,
     links: Links,
+    /// Whether each member lives, by its number.
     lives: Vec<bool>,
+    /// The time of each member's last start or end on the monotonic clock, in seconds.
     changed_s: Vec<f64>,
-    /// When pairs of regions that could not reach each other could again.
+    /// The last time at which a pair of regions could not reach each other, in seconds.
     healed_s: BTreeMap<(usize, usize), f64>,
 }
 
 impl Truth {
+    /// Creates the state in which all members live and all links are intact.
     pub fn new(layout: Layout) -> Self {
         let members = layout.len();
         Truth {
@@ -36,6 +41,7 @@
         &self.links
     }
 
+    /// Replaces the network faults.
     pub fn set_links(&mut self, now_s: f64, links: Links) {
         let regions = self.layout.regions;
         for from in 0..regions {
@@ -46,6 +52,7 @@
         self.links = links;
     }
 
+    /// Records that members have started or ended.
     pub fn set_lives(&mut self, now_s: f64, members: &[usize], lives: bool) {
         for member in members {
             (self.lives[*member], self.changed_s[*member]) = (lives, now_s);
@@ -56,11 +63,12 @@
         self.lives[member]
     }
 
+    /// Returns the number of members that live.
     pub fn living(&self) -> usize {
         self.lives.iter().filter(|lives| **lives).count()
     }
 
-    /// Whether `by` is wrong to hold `member` for dead now.
+    /// Returns whether it is wrong that `by` declares `member` dead now.
     pub fn false_death(&self, now_s: f64, by: usize, member: usize) -> bool {
         let (from, to) = (self.layout.region(by), self.layout.region(member));
         let healed = self
@@ -68,7 +76,7 @@
             .get(&(from, to))
             .copied()
             .unwrap_or(f64::NEG_INFINITY);
-        let steady = now_s - healed.max(self.changed_s[member]) > GRACE_S;
-        self.lives[member] && steady && self.links.reachable(from, to, self.layout.regions)
+        let grace_is_over = now_s - healed.max(self.changed_s[member]) > GRACE_S;
+        self.lives[member] && grace_is_over && self.links.reachable(from, to, self.layout.regions)
     }
 }
--- a/crates/process_harness/src/scale/worker.rs
+++ b/crates/process_harness/src/scale/worker.rs
@@ -1,4 +1,5 @@
-//! A hollow process: one loop that carries some hundred hollow gateways, told what to do by lines on its standard input.
+//! A hollow process: an event loop that runs many hollow gateways and reads commands, one per line,
+//! from its standard input.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{self, BufRead, Write};
@@ -12,63 +13,74 @@
 use rustix::fd::OwnedFd;
 use rustix::process::{Signal, set_parent_process_death_signal};
 
-use super::hollow::{Happened, Hollow, Plan, times};
+use super::hollow::{Hollow, SharedSetup, TurnEvents, times};
 use super::message::{Answer, Command, Figures, Setup, Usage, ViewCount};
 use super::process;
 use super::truth::Truth;
 
-/// Marks the standard input among the sockets.
+/// The epoll data of the standard input; for a socket it is the member's number.
 const INPUT: u64 = u64::MAX;
-/// Sockets told of in one turn of the loop.
-const READY: usize = 256;
-/// The loop looks at its clock at least so often.
+/// The greatest number of epoll events in one turn of the loop.
+const EVENTS_PER_TURN: usize = 256;
+/// The longest time in seconds that the loop waits for events.
 const LONGEST_WAIT_S: f64 = 0.5;
-/// Bytes of commands read at once.
+/// The greatest number of bytes of commands in one read.
 const INPUT_BYTES: usize = 1 << 16;
 
+/// The state of a hollow process.
 struct Worker {
-    plan: Plan,
+    setup: SharedSetup,
     truth: Truth,
     epoll: OwnedFd,
     hollows: BTreeMap<usize, Hollow>,
+    /// The due times of the gateways' next turns, in order.
     due: BTreeSet<(Timestamp, usize)>,
+    /// The due time of each gateway, as in `due`.
     due_of: BTreeMap<usize, Timestamp>,
+    /// The times at which members start, in order.
     starts: BTreeSet<(Timestamp, usize)>,
-    /// Starts of each member; those of an earlier process of the same members are other ones.
+    /// The life number of each member's last start. The generation of the process is part of it, so
+    /// that it differs from those in earlier processes.
     lives: BTreeMap<usize, u64>,
     generation: u64,
     rng: Pcg64Mcg,
+    /// The traffic to each real process in the current window.
     to_real: Vec<Usage>,
+    /// The ended members whose end a gateway of this process has noticed.
     detected: BTreeSet<usize>,
+    /// The monotonic time at the start of the window, in seconds.
     window_s: f64,
+    /// The CPU time of the process at the start of the window, in seconds.
     window_cpu_s: f64,
     empty_memory_bytes: u64,
     false_deaths: u64,
-    /// Stalls and the like of gateways that have ended.
+    /// The counts of stalls, undelivered messages and unsent datagrams of ended gateways.
     ended: Figures,
-    /// The same counts of all as the window began.
+    /// The counts of [`Worker::troubles`] at the start of the window.
     before: (u64, u64, u64),
 }
 
-/// Runs until its standard input ends.
+/// Runs the process until its standard input ends.
 ///
 /// # Errors
-/// It cannot be set up, or a gateway cannot be started.
+///
+/// The setup is invalid, or a gateway cannot be started.
 pub fn run() -> Result<(), Box<dyn std::error::Error>> {
-    // A stopped process would outlive the command that started it.
+    // The end of the standard input does not reach a stopped process, which would outlive its
+    // parent.
     set_parent_process_death_signal(Some(Signal::KILL))?;
     let mut first = String::new();
     io::stdin().lock().read_line(&mut first)?;
     let worker = Worker::new(serde_json::from_str(&first)?)?;
-    answer(&Answer::Ready)?;
+    send_answer(&Answer::Ready)?;
     let done = worker.run();
     if let Err(error) = &done {
-        answer(&Answer::Failed(error.to_string()))?;
+        send_answer(&Answer::Failed(error.to_string()))?;
     }
     Ok(done?)
 }
 
-fn answer(answer: &Answer) -> io::Result<()> {
+fn send_answer(answer: &Answer) -> io::Result<()> {
     let mut line = serde_json::to_vec(answer)?;
     line.push(b'\n');
     io::stdout().lock().write_all(&line)?;
@@ -84,7 +96,7 @@
         let fleet = operator
             .membership
             .ok_or("the operator's file has no fleet block")?;
-        let plan = Plan {
+        let shared_setup = SharedSetup {
             layout: setup.layout,
             fleet,
             shares: operator.quota,
@@ -98,9 +110,9 @@
             epoll::EventFlags::IN,
         )?;
         let first = setup.members.first().copied().unwrap_or(0) as u64;
-        let to_real = vec![Usage::default(); plan.layout.real.len()];
+        let to_real = vec![Usage::default(); shared_setup.layout.real.len()];
         Ok(Worker {
-            truth: Truth::new(plan.layout.clone()),
+            truth: Truth::new(shared_setup.layout.clone()),
             epoll,
             hollows: BTreeMap::new(),
             due: BTreeSet::new(),
@@ -117,12 +129,12 @@
             false_deaths: 0,
             ended: Figures::default(),
             before: (0, 0, 0),
-            plan,
+            setup: shared_setup,
         })
     }
 
     fn run(mut self) -> io::Result<()> {
-        let mut events = Vec::with_capacity(READY);
+        let mut events = Vec::with_capacity(EVENTS_PER_TURN);
         let mut input = Vec::new();
         loop {
             let wait = self.wait();
@@ -192,10 +204,10 @@
     fn start(&mut self, member: usize) -> io::Result<()> {
         let life = self.lives.entry(member).or_insert(self.generation << 8);
         *life += 1;
-        let hollow = Hollow::start(&self.plan, member, *life).map_err(|error| {
+        let hollow = Hollow::start(&self.setup, member, *life).map_err(|error| {
             io::Error::new(
                 error.kind(),
-                format!("{}: {error}", self.plan.layout.advertised(member)),
+                format!("{}: {error}", self.setup.layout.advertised(member)),
             )
         })?;
         let data = epoll::EventData::new_u64(member as u64);
@@ -216,30 +228,32 @@
             let Some(hollow) = self.hollows.get_mut(&member) else {
                 continue;
             };
-            let happened = hollow.turn(&self.plan.layout, self.truth.links(), &mut self.to_real);
-            self.tell(member, happened)?;
+            let turn_events =
+                hollow.turn(&self.setup.layout, self.truth.links(), &mut self.to_real);
+            self.report(member, turn_events)?;
             self.schedule(member);
         }
         Ok(())
     }
 
-    fn tell(&mut self, by: usize, happened: Happened) -> io::Result<()> {
+    /// Reports the events of gateway `by` to the scale run.
+    fn report(&mut self, by: usize, turn_events: TurnEvents) -> io::Result<()> {
         let at_s = process::monotonic_s();
-        if happened.chosen {
-            answer(&Answer::Chosen { member: by, at_s })?;
+        if turn_events.chosen {
+            send_answer(&Answer::Chosen { member: by, at_s })?;
         }
-        for event in happened.events {
+        for event in turn_events.events {
             let Event::MemberChanged { name, state, .. } = event else {
                 continue;
             };
-            let Some(member) = self.plan.layout.member_named(name.as_str()) else {
+            let Some(member) = self.setup.layout.member_named(name.as_str()) else {
                 continue;
             };
             if state.is_present() {
                 continue;
             }
             if !self.truth.lives(member) && self.detected.insert(member) {
-                answer(&Answer::Detected { member, at_s })?;
+                send_answer(&Answer::Detected { member, at_s })?;
             }
             let wrong = state == MemberState::Dead && self.truth.false_death(at_s, by, member);
             self.false_deaths += u64::from(wrong);
@@ -247,7 +261,7 @@
         Ok(())
     }
 
-    /// False: the input is over.
+    /// Reads and executes commands. Returns false at the end of the input.
     fn commands(&mut self, input: &mut Vec<u8>) -> io::Result<bool> {
         let mut bytes = vec![0; INPUT_BYTES];
         let size = rustix::io::read(io::stdin(), &mut bytes[..])?;
@@ -275,7 +289,7 @@
             Command::Leave { members } => {
                 for member in members {
                     if let Some(hollow) = self.hollows.get_mut(&member) {
-                        hollow.leave(&self.plan.layout, self.truth.links(), &mut self.to_real);
+                        hollow.leave(&self.setup.layout, self.truth.links(), &mut self.to_real);
                     }
                     self.end(member);
                 }
@@ -285,16 +299,16 @@
                 self.detected.retain(|member| !members.contains(member));
             }
             Command::Links(links) => self.truth.set_links(now_s, links),
-            Command::Window => self.window(),
-            Command::Figures => answer(&Answer::Figures(Box::new(self.figures())))?,
-            Command::Views => answer(&Answer::Views(self.views()))?,
+            Command::Window => self.start_window(),
+            Command::Figures => send_answer(&Answer::Figures(Box::new(self.figures())))?,
+            Command::Views => send_answer(&Answer::Views(self.views()))?,
         }
         Ok(())
     }
 
     fn end(&mut self, member: usize) {
         self.starts.retain(|(_, other)| *other != member);
-        // Its socket leaves the loop as it is closed.
+        // Closing the socket removes it from the epoll set.
         let Some(hollow) = self.hollows.remove(&member) else {
             return;
         };
@@ -304,7 +318,8 @@
         self.ended.unsent += hollow.unsent;
     }
 
-    /// Stalls, messages not delivered and datagrams not sent since the start.
+    /// Returns the stalls, undelivered lease messages and unsent datagrams since the start of the
+    /// process.
     fn troubles(&self) -> (u64, u64, u64) {
         let sum = |of: fn(&Hollow) -> u64| self.hollows.values().map(of).sum::<u64>();
         (
@@ -314,7 +329,8 @@
         )
     }
 
-    fn window(&mut self) {
+    /// Starts a new measurement window.
+    fn start_window(&mut self) {
         (self.window_s, self.window_cpu_s) = (process::monotonic_s(), process::process_cpu_s());
         self.before = self.troubles();
         self.false_deaths = 0;
--- a/crates/process_harness/src/scale/workers.rs
+++ b/crates/process_harness/src/scale/workers.rs
@@ -1,4 +1,4 @@
-//! The hollow processes as the command sees them: started, told, asked, stopped, woken and killed.
+//! Starts, controls and queries the hollow processes of a scale run.
 
 use std::io::{self, BufRead, BufReader, Write};
 use std::path::PathBuf;
@@ -11,39 +11,47 @@
 use super::layout::{Layout, VOTERS};
 use super::message::{Answer, Command, Figures, Setup, ViewCount};
 
-/// Gateways of one hollow process at most.
-pub const MOST_A_PROCESS: usize = 250;
-/// So long a process that runs has to answer.
-const ANSWER_WITHIN: Duration = Duration::from_secs(20);
+/// The greatest number of gateways in one hollow process.
+pub const MAX_GATEWAYS_PER_PROCESS: usize = 250;
+/// The time that a running process has to answer.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// What a process said by itself, as it came.
+/// A message that a process sends without a request.
 #[derive(Clone, Copy, Debug)]
-pub enum News {
+pub enum UnsolicitedMessage {
+    /// A gateway has noticed the end of this member.
     Detected { member: usize, at_s: f64 },
+    /// This member has become the coordinator of the leases.
     Chosen { member: usize, at_s: f64 },
 }
 
+/// One hollow process.
 struct Worker {
     setup: Setup,
+    /// `None` while the process is killed.
     child: Option<Child>,
+    /// Whether the process is stopped by SIGSTOP.
     stopped: bool,
 }
 
+/// The hollow processes of a run. Dropping the value kills them.
 pub struct Workers {
     program: PathBuf,
     all: Vec<Worker>,
+    /// Answers with the index of the process and its generation.
     answers: Receiver<(usize, u64, Answer)>,
     sender: Sender<(usize, u64, Answer)>,
-    news: Vec<News>,
+    messages: Vec<UnsolicitedMessage>,
 }
 
-/// Members by process: each voter alone, the others in even parts.
-pub fn parts(layout: &Layout) -> Vec<Vec<usize>> {
+/// Distributes the hollow members over processes: each voter has its own process and the others are
+/// divided evenly.
+pub fn members_by_process(layout: &Layout) -> Vec<Vec<usize>> {
     let mut parts: Vec<Vec<usize>> = (0..VOTERS.min(layout.hollow))
         .map(|voter| vec![voter])
         .collect();
     let others = layout.hollow - parts.len();
-    let processes = others.div_ceil(MOST_A_PROCESS);
+    let processes = others.div_ceil(MAX_GATEWAYS_PER_PROCESS);
     let first = parts.len();
     parts.extend((0..processes).map(|process| {
         (first + process..layout.hollow)
@@ -54,10 +62,11 @@
 }
 
 impl Workers {
-    /// Starts all processes; none of their gateways yet.
+    /// Starts all processes without starting their gateways.
     ///
     /// # Errors
-    /// One of them cannot be started or cannot use what it is told.
+    ///
+    /// A process cannot be started or rejects its setup.
     pub fn start(
         program: PathBuf,
         layout: &Layout,
@@ -70,9 +79,9 @@
             all: Vec::new(),
             answers,
             sender,
-            news: Vec::new(),
+            messages: Vec::new(),
         };
-        for members in parts(layout) {
+        for members in members_by_process(layout) {
             let setup = Setup {
                 seed,
                 generation: 0,
@@ -99,7 +108,7 @@
             .stdin(Stdio::piped())
             .stdout(Stdio::piped())
             .spawn()?;
-        let output = BufReader::new(child.stdout.take().expect("piped"));
+        let output = BufReader::new(child.stdout.take().expect("stdout is piped"));
         let (sender, generation) = (self.sender.clone(), self.all[at].setup.generation);
         std::thread::spawn(move || {
             for line in output.lines().map_while(Result::ok) {
@@ -119,7 +128,7 @@
         let Some(child) = &mut self.all[at].child else {
             return Ok(());
         };
-        let input = child.stdin.as_mut().expect("piped");
+        let input = child.stdin.as_mut().expect("stdin is piped");
         input.write_all(line.as_bytes())?;
         input.write_all(b"\n")
     }
@@ -131,13 +140,14 @@
         .map(drop)
     }
 
-    /// Waits until each of these answered so; what else comes is kept.
+    /// Waits until each of these processes has sent an answer that `wanted` accepts. Other answers
+    /// are handled as they arrive.
     fn gather<T>(
         &mut self,
         of: &mut Vec<usize>,
         wanted: impl Fn(&Answer) -> Option<T>,
     ) -> io::Result<Vec<T>> {
-        let (until, mut found) = (Instant::now() + ANSWER_WITHIN, Vec::new());
+        let (until, mut found) = (Instant::now() + ANSWER_TIMEOUT, Vec::new());
         while !of.is_empty() {
             match self
                 .answers
@@ -149,13 +159,13 @@
                             of.retain(|other| *other != at);
                             found.push(value);
                         }
-                        None => self.take(answer)?,
+                        None => self.handle(answer)?,
                     }
                 }
                 Ok(_) => {}
                 Err(RecvTimeoutError::Timeout | RecvTimeoutError::Disconnected) => {
                     let why =
-                        format!("hollow processes {of:?} did not answer within {ANSWER_WITHIN:?}");
+                        format!("hollow processes {of:?} did not answer within {ANSWER_TIMEOUT:?}");
                     return Err(io::Error::new(io::ErrorKind::TimedOut, why));
                 }
             }
@@ -163,27 +173,32 @@
         Ok(found)
     }
 
-    fn take(&mut self, answer: Answer) -> io::Result<()> {
+    fn handle(&mut self, answer: Answer) -> io::Result<()> {
         match answer {
-            Answer::Detected { member, at_s } => self.news.push(News::Detected { member, at_s }),
-            Answer::Chosen { member, at_s } => self.news.push(News::Chosen { member, at_s }),
+            Answer::Detected { member, at_s } => self
+                .messages
+                .push(UnsolicitedMessage::Detected { member, at_s }),
+            Answer::Chosen { member, at_s } => self
+                .messages
+                .push(UnsolicitedMessage::Chosen { member, at_s }),
             Answer::Failed(why) => return Err(io::Error::other(format!("hollow process: {why}"))),
             Answer::Ready | Answer::Figures(_) | Answer::Views(_) => {}
         }
         Ok(())
     }
 
-    /// What came by itself since the last call.
+    /// Returns the messages without a request since the last call.
     ///
     /// # Errors
-    /// A process cannot go on.
-    pub fn news(&mut self) -> io::Result<Vec<News>> {
+    ///
+    /// A process has reported a failure.
+    pub fn take_messages(&mut self) -> io::Result<Vec<UnsolicitedMessage>> {
         while let Ok((at, generation, answer)) = self.answers.try_recv() {
             if generation == self.all[at].setup.generation {
-                self.take(answer)?;
+                self.handle(answer)?;
             }
         }
-        Ok(std::mem::take(&mut self.news))
+        Ok(std::mem::take(&mut self.messages))
     }
 
     fn is_running(&self, at: usize) -> bool {
@@ -196,19 +211,21 @@
             .collect()
     }
 
-    /// Tells all. A process that is stopped reads it as it wakes.
+    /// Sends a command to all processes. A stopped process reads it when it is resumed.
     ///
     /// # Errors
-    /// One of them has ended.
+    ///
+    /// A process has ended.
     pub fn tell(&mut self, command: &Command) -> io::Result<()> {
         let line = serde_json::to_string(command)?;
         (0..self.all.len()).try_for_each(|at| self.write(at, &line))
     }
 
-    /// Tells each process of its own among these members.
+    /// Sends a command to each process that runs some of these members, with only its own members.
     ///
     /// # Errors
-    /// One of them has ended.
+    ///
+    /// A process has ended.
     pub fn tell_owners(
         &mut self,
         members: &[usize],
@@ -229,10 +246,11 @@
         Ok(())
     }
 
-    /// Of all that run.
+    /// Returns the membership views of the gateways in all running processes.
     ///
     /// # Errors
-    /// One of them does not answer.
+    ///
+    /// A process does not answer.
     pub fn views(&mut self) -> io::Result<Vec<ViewCount>> {
         let mut of = self.running();
         self.tell_running(&Command::Views)?;
@@ -243,10 +261,11 @@
         Ok(views.into_iter().flatten().collect())
     }
 
-    /// Of all that run, by process.
+    /// Returns the figures of each running process for the current window.
     ///
     /// # Errors
-    /// One of them does not answer.
+    ///
+    /// A process does not answer.
     pub fn figures(&mut self) -> io::Result<Vec<Figures>> {
         let mut of = self.running();
         self.tell_running(&Command::Figures)?;
@@ -263,13 +282,14 @@
             .try_for_each(|at| self.write(at, &line))
     }
 
-    /// The process that carries a member.
-    pub fn of(&self, member: usize) -> Option<usize> {
+    /// Returns the index of the process that runs a member, or `None` for a real one.
+    pub fn process_of(&self, member: usize) -> Option<usize> {
         self.all
             .iter()
             .position(|worker| worker.setup.members.contains(&member))
     }
 
+    /// Returns the members that a process runs.
     pub fn members(&self, at: usize) -> &[usize] {
         &self.all[at].setup.members
     }
@@ -281,20 +301,27 @@
         Ok(kill_process(Pid::from_child(child), signal)?)
     }
 
+    /// Stops a process by SIGSTOP.
+    ///
     /// # Errors
+    ///
     /// The signal cannot be sent.
     pub fn stop(&mut self, at: usize) -> io::Result<()> {
         self.all[at].stopped = true;
         self.signal(at, Signal::STOP)
     }
 
+    /// Resumes a stopped process.
+    ///
     /// # Errors
+    ///
     /// The signal cannot be sent.
-    pub fn wake(&mut self, at: usize) -> io::Result<()> {
+    pub fn resume(&mut self, at: usize) -> io::Result<()> {
         self.all[at].stopped = false;
         self.signal(at, Signal::CONT)
     }
 
+    /// Kills a process with all its gateways.
     pub fn kill(&mut self, at: usize) {
         if let Some(mut child) = self.all[at].child.take() {
             let _ = child.kill();
@@ -303,10 +330,11 @@
         self.all[at].stopped = false;
     }
 
-    /// Starts a killed process anew, with none of its gateways.
+    /// Starts a killed process again, without starting its gateways.
     ///
     /// # Errors
-    /// It cannot be started.
+    ///
+    /// The process cannot be started.
     pub fn respawn(&mut self, at: usize) -> io::Result<()> {
         self.all[at].setup.generation += 1;
         self.spawn(at)?;
--- a/crates/process_harness/src/switch.rs
+++ b/crates/process_harness/src/switch.rs
@@ -236,8 +236,8 @@
         let mut sent_traffic = self.sent_traffic.lock().expect("the lock is not poisoned");
         sent_traffic[from].datagrams += 1;
         sent_traffic[from].bytes += bytes.len() as u64;
-        // All four numbers are drawn for every datagram, even a lost one, so that the same seed gives
-        // later datagrams the same numbers.
+        // All four numbers are drawn for every datagram, even a lost one, so that the same seed
+        // gives later datagrams the same numbers.
         let [lost, repeated, corrupted, delay]: [f64; 4] =
             std::array::from_fn(|_| self.rng.random());
         if faults.cut[from][to] || lost < faults.lost {
--- a/crates/process_harness/src/system_calls.rs
+++ b/crates/process_harness/src/system_calls.rs
@@ -116,9 +116,9 @@
         // The thread that starts the process becomes its tracer, and ptrace accepts requests only
         // from the tracer.
         thread::spawn(move || run_tracer(command, plan, &tell_start, &tell_end));
-        let started: Started = start.recv().map_err(|_| {
-            io::Error::other("the tracer thread ended before it started the process")
-        })??;
+        let started: Started = start
+            .recv()
+            .map_err(|_| io::Error::other("the tracer thread ended before the start"))??;
         Ok(TracedProcess {
             pid: started.pid,
             stderr: started.stderr,
--- a/crates/process_harness/tests/scale.rs
+++ b/crates/process_harness/tests/scale.rs
@@ -1,5 +1,6 @@
-//! The small scale run: 60 hollow gateways beside two real processes, a rack of five that ends. Its bounds are some times
-//! what it takes, so that a regression breaks them and a loaded machine does not.
+//! A small scale run with 60 hollow gateways, two real processes and a rack of five that crashes.
+//! Each bound is several times the usual value, so that a regression exceeds it and a loaded
+//! machine does not.
 
 mod support;
 
@@ -7,11 +8,11 @@
 
 use support::{number, scale, scale_report};
 
-/// Longest that the whole run may take.
-const WITHIN: Duration = Duration::from_secs(30);
+/// The longest time that the whole run may take.
+const MAX_RUN_TIME: Duration = Duration::from_secs(30);
 
 #[test]
-fn sixty_hollow_beside_two_real_agree_again_after_a_rack_ends() {
+fn hollow_and_real_gateways_agree_again_after_a_rack_crashes() {
     let began = Instant::now();
     let flags = [
         "--hollow",
@@ -28,22 +29,19 @@
         "1",
     ];
     let report = scale_report("scale-small.hcl", &flags);
-    assert!(began.elapsed() < WITHIN, "{:?}", began.elapsed());
+    assert!(began.elapsed() < MAX_RUN_TIME, "{:?}", began.elapsed());
     assert!(number(&report, "/start_agreed_s") < 8.0, "{report:#}");
     assert_eq!(number(&report, "/gateways"), 60.0);
     assert_eq!(number(&report, "/troubles/false_deaths"), 0.0, "{report:#}");
     let median = |of: &str| number(&report, &format!("/{of}/median"));
-    assert!(median("bytes_per_second") < MOST_BYTES, "{report:#}");
-    assert!(
-        median("datagrams_per_second") < MOST_DATAGRAMS,
-        "{report:#}"
-    );
+    assert!(median("bytes_per_second") < MAX_BYTES, "{report:#}");
+    assert!(median("datagrams_per_second") < MAX_DATAGRAMS, "{report:#}");
     assert!(
         median("bytes_per_second") > 0.0 && median("cpu_part") > 0.0,
         "{report:#}"
     );
     assert!(
-        median("memory_bytes_per_gateway") < MOST_MEMORY,
+        median("memory_bytes_per_gateway") < MAX_MEMORY,
         "{report:#}"
     );
     let real = number(&report, "/comparison/real/bytes_per_second/median");
@@ -59,7 +57,7 @@
         number(fault, "/detected_s") > 0.0 && number(fault, "/agreed_s") < 9.9,
         "{report:#}"
     );
-    // Nobody agrees on an end that was not detected; views are compared four times a second.
+    // Views cannot agree before every crash is detected. They are compared four times a second.
     assert!(
         number(fault, "/agreed_s") >= number(fault, "/all_detected_s"),
         "{report:#}"
@@ -67,13 +65,13 @@
     assert_eq!(number(fault, "/false_deaths"), 0.0, "{report:#}");
 }
 
-/// Bounds of one gateway: bytes and datagrams a second in both directions, memory in bytes.
-const MOST_BYTES: f64 = 10_000.0;
-const MOST_DATAGRAMS: f64 = 60.0;
-const MOST_MEMORY: f64 = 600_000.0;
+/// Bounds for one gateway: bytes and datagrams per second in both directions, and memory in bytes.
+const MAX_BYTES: f64 = 10_000.0;
+const MAX_DATAGRAMS: f64 = 60.0;
+const MAX_MEMORY: f64 = 600_000.0;
 
 #[test]
-fn what_cannot_be_used_is_one_line_that_names_the_place() {
+fn an_invalid_flag_or_script_gives_one_line_that_names_it() {
     let folder = std::env::temp_dir().join(format!("laurelhitch-scale-bad-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let file = |name: &str, text: &str| {
--- a/crates/process_harness/tests/scale_parts.rs
+++ b/crates/process_harness/tests/scale_parts.rs
@@ -1,4 +1,4 @@
-//! The pure parts of the scale run.
+//! Tests of the scale run's parts that start no processes.
 
 use std::collections::BTreeSet;
 use std::path::Path;
@@ -9,7 +9,7 @@
 use process_harness::scale::report::Spread;
 use process_harness::scale::script::Script;
 use process_harness::scale::truth::{GRACE_S, Truth};
-use process_harness::scale::workers::{MOST_A_PROCESS, parts};
+use process_harness::scale::workers::{MAX_GATEWAYS_PER_PROCESS, members_by_process};
 
 fn layout(hollow: usize) -> Layout {
     let real = |at: u16| RealAddress {
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn every_gateway_has_one_name_and_one_address_and_is_found_by_them() {
+fn names_and_addresses_identify_each_gateway() {
     let layout = layout(1898);
     let addresses: BTreeSet<_> = (0..1900).map(|member| layout.advertised(member)).collect();
     assert_eq!(addresses.len(), 1900);
@@ -42,17 +42,21 @@
 }
 
 #[test]
-fn each_voter_has_a_process_of_its_own_and_each_gateway_one() {
-    let parts = parts(&layout(1898));
-    assert!((0..VOTERS).all(|voter| parts[voter] == [voter]));
-    assert!(parts.iter().all(|part| part.len() <= MOST_A_PROCESS));
-    let mut all: Vec<usize> = parts.into_iter().flatten().collect();
+fn each_voter_has_its_own_process_and_each_gateway_exactly_one() {
+    let processes = members_by_process(&layout(1898));
+    assert!((0..VOTERS).all(|voter| processes[voter] == [voter]));
+    assert!(
+        processes
+            .iter()
+            .all(|members| members.len() <= MAX_GATEWAYS_PER_PROCESS)
+    );
+    let mut all: Vec<usize> = processes.into_iter().flatten().collect();
     all.sort_unstable();
     assert_eq!(all, (0..1898).collect::<Vec<_>>());
 }
 
 #[test]
-fn a_death_is_false_only_of_one_that_lived_and_could_be_reached_for_long() {
+fn a_death_is_false_only_if_the_member_was_alive_and_reachable_for_the_grace_period() {
     let mut truth = Truth::new(layout(16));
     assert!(truth.false_death(0.0, 1, 2));
     truth.set_lives(10.0, &[2], false);
@@ -60,7 +64,7 @@
     truth.set_lives(500.0, &[2], true);
     assert!(!truth.false_death(500.0 + GRACE_S, 1, 2));
     assert!(truth.false_death(501.0 + GRACE_S, 1, 2));
-    // Two regions apart still hear of each other by way of a third.
+    // Two regions whose direct link is cut still reach each other through a third one.
     truth.set_links(
         1000.0,
         Links {
@@ -84,7 +88,7 @@
 }
 
 #[test]
-fn spreads_are_by_nearest_rank() {
+fn quantiles_use_the_nearest_rank() {
     let spread = Spread::of((1..=200).map(f64::from).collect());
     assert_eq!(
         (spread.median, spread.p99, spread.max),
@@ -94,21 +98,21 @@
 }
 
 #[test]
-fn bounds_are_told_before_anything_starts() {
+fn limits_are_checked_before_the_start() {
     assert_eq!(
-        limits::before(60, 200, 60).unwrap_err(),
+        limits::check_before_start(60, 200, 60).unwrap_err(),
         LimitError::Processes(200)
     );
     assert!(matches!(
-        limits::before(1_000_000, 10, 60),
+        limits::check_before_start(1_000_000, 10, 60),
         Err(LimitError::Estimate { .. })
     ));
-    assert!(limits::before(60, 6, 60).is_ok());
-    assert!(limits::during(&[std::process::id()]).unwrap() > 0);
+    assert!(limits::check_before_start(60, 6, 60).is_ok());
+    assert!(limits::check_running(&[std::process::id()]).unwrap() > 0);
 }
 
 #[test]
-fn the_examples_can_be_used_and_faults_last_no_longer_than_until_the_next() {
+fn the_example_scripts_are_valid_and_a_fault_must_end_before_the_next() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/harness");
     for name in ["small", "ends", "network", "coordinator"] {
         let script = Script::read(&folder.join(format!("scale-{name}.hcl"))).unwrap();
@@ -127,7 +131,7 @@
 }
 
 #[test]
-fn a_day_compressed_has_the_users_rates() {
+fn compressed_daily_faults_have_the_daily_rates() {
     let text = "seconds = 9\nfault {\n  at_s = 0\n  what = \"daily\"\n  seconds = 8\n  compressed = 600\n}\n";
     let script = Script::parse(Path::new("f.hcl"), text).unwrap();
     let (failures, restarts) = script.fault[0].daily_rates(1900);
--- a/crates/process_harness/tests/support/mod.rs
+++ b/crates/process_harness/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! The scale run's program, started by tests.
+//! Starts the harness's program for the tests of scale runs.
 
-// Each test file uses a part of this.
+// Each test file uses only some of these functions.
 #![allow(dead_code)]
 
 use std::path::{Path, PathBuf};
@@ -9,10 +9,11 @@
 
 use serde_json::Value;
 
-const RIG: &str = env!("CARGO_BIN_EXE_laurelhitch-harness");
-/// The gateway's program, built beside the rig's whenever the workspace's tests are.
+const HARNESS: &str = env!("CARGO_BIN_EXE_laurelhitch-harness");
+/// Returns the path of the gateway's program, which a build of the workspace's tests puts beside
+/// the harness's.
 pub fn gateway() -> PathBuf {
-    let program = Path::new(RIG).with_file_name("laurelhitch");
+    let program = Path::new(HARNESS).with_file_name("laurelhitch");
     assert!(
         program.is_file(),
         "{} is missing: cargo test --workspace builds it",
@@ -21,27 +22,31 @@
     program
 }
 
+/// Returns the path of a file in `examples/harness`.
 pub fn example(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("../../examples/harness")
         .join(name)
 }
 
+/// Runs the subcommand `scale` with these arguments.
 pub fn scale(arguments: &[&str]) -> Output {
-    Command::new(RIG)
+    Command::new(HARNESS)
         .arg("scale")
         .args(arguments)
         .output()
         .unwrap()
 }
 
-pub fn number(of: &Value, path: &str) -> f64 {
-    of.pointer(path)
+/// Returns the number at a JSON pointer, and panics if there is none.
+pub fn number(value: &Value, path: &str) -> f64 {
+    value
+        .pointer(path)
         .and_then(Value::as_f64)
-        .unwrap_or_else(|| panic!("{path} in {of:#}"))
+        .unwrap_or_else(|| panic!("{path} in {value:#}"))
 }
 
-/// What a run with this script of `examples/harness` reports.
+/// Executes a scale run with a script of `examples/harness` and returns its report.
 pub fn scale_report(script: &str, arguments: &[&str]) -> Value {
     static RUNS: AtomicUsize = AtomicUsize::new(0);
     let run = format!(
