--- a/crates/process_harness/src/scale/worker.rs
+++ b/crates/process_harness/src/scale/worker.rs
@@ -29,7 +29,7 @@
 
 /// The state of a hollow process.
 struct Worker {
-    setup: SharedSetup,
+    shared_setup: SharedSetup,
     truth: Truth,
     epoll: OwnedFd,
     hollows: BTreeMap<usize, Hollow>,
@@ -129,7 +129,7 @@
             false_deaths: 0,
             ended: Figures::default(),
             before: (0, 0, 0),
-            setup: shared_setup,
+            shared_setup,
         })
     }
 
@@ -204,10 +204,10 @@
     fn start(&mut self, member: usize) -> io::Result<()> {
         let life = self.lives.entry(member).or_insert(self.generation << 8);
         *life += 1;
-        let hollow = Hollow::start(&self.setup, member, *life).map_err(|error| {
+        let hollow = Hollow::start(&self.shared_setup, member, *life).map_err(|error| {
             io::Error::new(
                 error.kind(),
-                format!("{}: {error}", self.setup.layout.advertised(member)),
+                format!("{}: {error}", self.shared_setup.layout.advertised(member)),
             )
         })?;
         let data = epoll::EventData::new_u64(member as u64);
@@ -228,8 +228,11 @@
             let Some(hollow) = self.hollows.get_mut(&member) else {
                 continue;
             };
-            let turn_events =
-                hollow.turn(&self.setup.layout, self.truth.links(), &mut self.to_real);
+            let turn_events = hollow.turn(
+                &self.shared_setup.layout,
+                self.truth.links(),
+                &mut self.to_real,
+            );
             self.report(member, turn_events)?;
             self.schedule(member);
         }
@@ -246,7 +249,7 @@
             let Event::MemberChanged { name, state, .. } = event else {
                 continue;
             };
-            let Some(member) = self.setup.layout.member_named(name.as_str()) else {
+            let Some(member) = self.shared_setup.layout.member_named(name.as_str()) else {
                 continue;
             };
             if state.is_present() {
@@ -289,7 +292,11 @@
             Command::Leave { members } => {
                 for member in members {
                     if let Some(hollow) = self.hollows.get_mut(&member) {
-                        hollow.leave(&self.setup.layout, self.truth.links(), &mut self.to_real);
+                        hollow.leave(
+                            &self.shared_setup.layout,
+                            self.truth.links(),
+                            &mut self.to_real,
+                        );
                     }
                     self.end(member);
                 }
