--- a/crates/gateway/tests/codecs.rs
+++ b/crates/gateway/tests/codecs.rs
@@ -1,4 +1,4 @@
-//! The codecs under every split of their bytes, and under bytes that are nothing at all.
+//! Tests of the codecs: input split at every byte, malformed input and random bytes.
 
 use admission::interface::{EndpointUpdate, EngineStage, Timestamp};
 use bytes::BytesMut;
@@ -16,82 +16,83 @@
 };
 use quickcheck::{Gen, QuickCheck};
 
-/// Feeds the bytes in two parts, at every place, and hands what came to the check.
-fn at_every_split<T>(
+/// Splits the bytes in two at every position, decodes both parts one after the other, asserts that no
+/// byte is left over and calls `check` with the decoded values.
+fn check_every_split<T>(
     bytes: &[u8],
-    mut take: impl FnMut(&mut BytesMut) -> Option<T>,
+    mut decode: impl FnMut(&mut BytesMut) -> Option<T>,
     check: impl Fn(Vec<T>),
 ) {
     for split in 0..=bytes.len() {
-        let (mut inbox, mut taken) = (BytesMut::new(), Vec::new());
+        let (mut inbox, mut decoded) = (BytesMut::new(), Vec::new());
         for part in [&bytes[..split], &bytes[split..]] {
             inbox.extend_from_slice(part);
-            while let Some(one) = take(&mut inbox) {
-                taken.push(one);
+            while let Some(value) = decode(&mut inbox) {
+                decoded.push(value);
             }
         }
         assert!(inbox.is_empty(), "split at {split}");
-        check(taken);
+        check(decoded);
     }
 }
 
 #[test]
-fn packets_come_whole_from_any_split() {
+fn packets_are_decoded_at_any_split() {
     let bytes = [
         &[3, 0, 0, 0, 3, b'h', b'i'][..],
         &[0, 0, 0, 7],
         &[1, 0, 0, 1, 0x0e],
     ]
     .concat();
-    at_every_split(
+    check_every_split(
         &bytes,
         |inbox| take_packet(inbox).unwrap(),
-        |taken| {
-            let taken: Vec<_> = taken
+        |decoded| {
+            let decoded: Vec<_> = decoded
                 .iter()
                 .map(|packet| (packet.sequence, &packet.body[..]))
                 .collect();
-            assert_eq!(taken, [(0, &b"\x03hi"[..]), (7, b""), (1, b"\x0e")]);
+            assert_eq!(decoded, [(0, &b"\x03hi"[..]), (7, b""), (1, b"\x0e")]);
         },
     );
     assert!(take_packet(&mut BytesMut::from(&[0, 0, 16, 0][..])).is_err());
 }
 
 #[test]
-fn answers_of_engines_come_whole_from_any_split() {
+fn engine_responses_are_decoded_at_any_split() {
     let bytes = b"5eed00c0ffee0a17 DONE total=2,elapsed=81.5,rss=96 6\r\na\tb\r\n\n\r\n\
         x TELL remark=done,datum=0.5 0\r\n\r\nx WAIT - 0\r\n\r\n";
-    at_every_split(
+    check_every_split(
         bytes,
         |inbox| Response::decode(inbox).unwrap(),
-        |taken| {
-            let words: Vec<ResponseKind> = taken.iter().map(|answer| answer.kind).collect();
+        |decoded| {
+            let kinds: Vec<ResponseKind> = decoded.iter().map(|response| response.kind).collect();
             assert_eq!(
-                words,
+                kinds,
                 [
                     ResponseKind::Completed,
                     ResponseKind::Status,
                     ResponseKind::Rejected
                 ]
             );
-            let [done, note, wait] = &taken[..] else {
-                panic!("three")
+            let [completed, status, rejected] = &decoded[..] else {
+                panic!("expected three responses")
             };
             assert_eq!(
-                (&done.request_id[..], &done.body[..]),
+                (&completed.request_id[..], &completed.body[..]),
                 (&b"5eed00c0ffee0a17"[..], &b"a\tb\r\n\n"[..])
             );
             assert_eq!(
-                (done.number("total"), done.number("rss")),
+                (completed.number("total"), completed.number("rss")),
                 (Some(2), Some(96))
             );
-            assert_eq!(done.number::<f64>("elapsed"), Some(81.5));
+            assert_eq!(completed.number::<f64>("elapsed"), Some(81.5));
             assert_eq!(
-                (note.field("remark"), note.number("datum")),
+                (status.field("remark"), status.number("datum")),
                 (Some(&b"done"[..]), Some(0.5))
             );
             assert_eq!(
-                (wait.field("total"), &wait.request_id[..]),
+                (rejected.field("total"), &rejected.request_id[..]),
                 (None, &b"x"[..])
             );
         },
@@ -99,18 +100,24 @@
 }
 
 #[test]
-fn lines_that_are_none_are_named() {
-    let fault = |bytes: &[u8]| Response::decode(&mut BytesMut::from(bytes)).unwrap_err();
-    assert_eq!(fault(b"x GONE - 0\r\n"), DecodeError::UnknownKind);
-    assert_eq!(fault(b"x DONE 0\r\n"), DecodeError::MalformedLine);
-    assert_eq!(fault(b"x DONE - many\r\n"), DecodeError::InvalidLength);
-    assert_eq!(fault(b"x DONE - 99999999\r\n"), DecodeError::InvalidLength);
-    assert_eq!(fault(b"x DONE - 2\r\nabcd"), DecodeError::MissingTerminator);
-    assert_eq!(fault(&[b'x'; 2000]), DecodeError::LineTooLong);
+fn malformed_engine_responses_are_reported_by_kind() {
+    let error_of = |bytes: &[u8]| Response::decode(&mut BytesMut::from(bytes)).unwrap_err();
+    assert_eq!(error_of(b"x GONE - 0\r\n"), DecodeError::UnknownKind);
+    assert_eq!(error_of(b"x DONE 0\r\n"), DecodeError::MalformedLine);
+    assert_eq!(error_of(b"x DONE - many\r\n"), DecodeError::InvalidLength);
+    assert_eq!(
+        error_of(b"x DONE - 99999999\r\n"),
+        DecodeError::InvalidLength
+    );
+    assert_eq!(
+        error_of(b"x DONE - 2\r\nabcd"),
+        DecodeError::MissingTerminator
+    );
+    assert_eq!(error_of(&[b'x'; 2000]), DecodeError::LineTooLong);
 }
 
 #[test]
-fn a_relay_carries_the_statement_as_it_came() {
+fn an_attempt_request_carries_the_statement_unchanged() {
     let attempt = AttemptRequest {
         request_id: *b"5eed00c0ffee0a17",
         class: "scan",
@@ -130,24 +137,24 @@
 }
 
 #[test]
-fn the_comment_gives_its_fields_and_leaves_the_statement() {
+fn the_comment_is_parsed_and_removed_from_the_statement() {
     let text =
         b"/* method=scan,rid=5eed00c0ffee0a17,budget=1200,acct=water,est=640.0,mem=96,new=1 */ SELECT 1";
-    let read = CommentedStatement::parse(text).unwrap();
+    let parsed = CommentedStatement::parse(text).unwrap();
     assert_eq!(
-        (read.class, read.tenant, &read.request_id),
+        (parsed.class, parsed.tenant, &parsed.request_id),
         ("scan", Some("water"), b"5eed00c0ffee0a17")
     );
     assert_eq!(
-        (read.budget_ms, read.estimate_ms, read.memory_mb),
+        (parsed.budget_ms, parsed.estimate_ms, parsed.memory_mb),
         (1200.0, Some(640.0), Some(96.0))
     );
-    assert_eq!(read.text, b"SELECT 1");
+    assert_eq!(parsed.text, b"SELECT 1");
 }
 
 #[test]
-fn a_comment_that_cannot_be_used_says_why() {
-    let fault = |fields: &str| {
+fn an_invalid_comment_is_reported_with_its_reason() {
+    let error_of = |fields: &str| {
         CommentedStatement::parse(format!("/* {fields} */ SELECT 1").as_bytes()).unwrap_err()
     };
     let good = "method=scan,rid=5eed00c0ffee0a17";
@@ -159,29 +166,29 @@
         CommentedStatement::parse(b"/* method=scan"),
         Err(CommentError::NoComment)
     );
-    assert_eq!(fault("budget=10"), CommentError::MissingField("rid"));
+    assert_eq!(error_of("budget=10"), CommentError::MissingField("rid"));
     assert_eq!(
-        fault("rid=xyz,budget=10"),
+        error_of("rid=xyz,budget=10"),
         CommentError::InvalidField("rid")
     );
     assert_eq!(
-        fault("rid=5eed00c0ffee0a17,budget=10"),
+        error_of("rid=5eed00c0ffee0a17,budget=10"),
         CommentError::MissingField("method")
     );
-    assert_eq!(fault(good), CommentError::MissingField("budget"));
+    assert_eq!(error_of(good), CommentError::MissingField("budget"));
     for budget in ["0", "-5", "NaN", "inf", "soon", "99999999999", ""] {
         assert_eq!(
-            fault(&format!("{good},budget={budget}")),
+            error_of(&format!("{good},budget={budget}")),
             CommentError::InvalidField("budget"),
             "{budget}"
         );
     }
     assert_eq!(
-        fault(&format!("{good},budget=9,est=much")),
+        error_of(&format!("{good},budget=9,est=much")),
         CommentError::InvalidField("est")
     );
     assert_eq!(
-        fault(&format!("{good},budget=9,budget=8")),
+        error_of(&format!("{good},budget=9,budget=8")),
         CommentError::InvalidField("budget")
     );
     assert_eq!(
@@ -231,7 +238,7 @@
 }
 
 #[test]
-fn what_an_ordinary_client_sends_first_is_known() {
+fn commands_and_queries_of_ordinary_clients_are_recognised() {
     assert_eq!(Command::parse(b"\x0e"), Command::Ping);
     assert_eq!(Command::parse(b"\x01"), Command::Quit);
     assert_eq!(Command::parse(b"\x02warehouse"), Command::NoOperation);
@@ -267,7 +274,7 @@
 }
 
 #[test]
-fn queries_for_the_gateway_itself_are_told_from_statements() {
+fn queries_for_the_gateway_itself_are_distinguished_from_statements() {
     let cases = [
         ("SHOW FLEET", Query::ShowFleet),
         ("show shares ;", Query::ShowShares),
@@ -290,17 +297,18 @@
 }
 
 #[test]
-fn a_request_for_tls_is_told_from_a_login() {
+fn a_tls_request_is_distinguished_from_a_login() {
     let mut login = stand_ins::client::login_packet("app", b"", "warehouse")[4..].to_vec();
     assert_eq!(first_packet(&login), FirstPacket::Login);
-    // The flag alone does not make it one: only a packet that ends ahead of the user's name is.
+    // The flag alone does not make the packet a TLS request: the packet must also end before the
+    // user name.
     login[1] |= 0x08;
     assert_eq!(first_packet(&login), FirstPacket::Login);
     assert_eq!(first_packet(&login[..32]), FirstPacket::TlsRequest);
 }
 
 #[test]
-fn logins_are_checked() {
+fn logins_are_validated() {
     let login = |user: &str, password: &[u8], database: &str| {
         check_login(&stand_ins::client::login_packet(user, password, database)[4..])
             .map_err(|error| error.code().number)
@@ -313,10 +321,11 @@
         check_login(b"\x01\x02").map_err(|error| error.code().number),
         Err(1043)
     );
-    // Ordinary clients name capabilities that were not offered, and write nothing of them.
-    let mut eager = stand_ins::client::login_packet("app", b"", "warehouse")[4..].to_vec();
-    eager[2..4].copy_from_slice(&[0xff, 0x00]);
-    assert_eq!(check_login(&eager), Ok(()));
+    // Ordinary clients set capability flags that the server did not offer, but do not send the fields
+    // that belong to these flags.
+    let mut unoffered = stand_ins::client::login_packet("app", b"", "warehouse")[4..].to_vec();
+    unoffered[2..4].copy_from_slice(&[0xff, 0x00]);
+    assert_eq!(check_login(&unoffered), Ok(()));
 }
 
 const SNAPSHOT_ANSWER: &str = r#"{"rev":12,"notices":[{"rev":12,"pool":{"rev":3,"all":true,"targets":[{"uid":"e-0000002a",
@@ -324,7 +333,7 @@
     "boot_ms":0}]}}]}"#;
 
 #[test]
-fn poll_responses_come_whole_from_any_split() {
+fn poll_responses_are_decoded_at_any_split() {
     let plain = format!(
         "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{SNAPSHOT_ANSWER}",
         SNAPSHOT_ANSWER.len()
@@ -337,14 +346,14 @@
         (plain, ConnectionReuse::KeepAlive),
         (chunked, ConnectionReuse::Close),
     ] {
-        let take =
+        let decode =
             |inbox: &mut BytesMut| match http::take_response(inbox, InputState::Open).unwrap() {
                 PollResponse::Incomplete => None,
                 other => Some(other),
             };
-        at_every_split(text.as_bytes(), take, |taken| {
-            let [PollResponse::Complete { batch, reuse }] = &taken[..] else {
-                panic!("{taken:?}")
+        check_every_split(text.as_bytes(), decode, |decoded| {
+            let [PollResponse::Complete { batch, reuse }] = &decoded[..] else {
+                panic!("{decoded:?}")
             };
             assert_eq!((batch.last_revision, batch.events.len()), (12, 1));
             assert_eq!(*reuse, expected_reuse);
@@ -353,7 +362,7 @@
 }
 
 #[test]
-fn a_poll_response_without_a_length_ends_with_its_connection() {
+fn a_poll_response_without_a_length_ends_when_the_connection_closes() {
     let text = format!("HTTP/1.1 200 OK\r\n\r\n{SNAPSHOT_ANSWER}");
     let mut inbox = BytesMut::from(&text[..]);
     assert_eq!(
@@ -366,7 +375,7 @@
 }
 
 #[test]
-fn poll_responses_that_cannot_be_used_are_errors() {
+fn invalid_poll_responses_are_errors() {
     for text in [
         "HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n",
         "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}",
@@ -395,13 +404,14 @@
             .unwrap(),
     );
     let EndpointUpdate::Snapshot(facts) = &first.update else {
-        panic!("whole")
+        panic!("expected a snapshot")
     };
     assert_eq!(
         (facts[0].location.0, facts[0].machine.0, facts[0].stage),
         (1, 0, EngineStage::Ready)
     );
-    // Another engine at the same address is another engine; the one that is not in a whole list is gone.
+    // An engine with another uid at the same address is a different engine, and an engine that is
+    // missing from a snapshot is removed.
     let other = events(&SNAPSHOT_ANSWER.replace("e-0000002a", "s-11")).unwrap();
     let second = registry.apply(now, other.events[0].change.as_ref().unwrap());
     assert_eq!(
@@ -420,24 +430,24 @@
 }
 
 #[test]
-fn a_configuration_that_cannot_be_used_is_named() {
+fn an_invalid_configuration_is_reported_with_its_reason() {
     let text = include_str!("../../../examples/config.json");
     assert!(Config::parse(text.as_bytes()).is_ok());
-    let fault = |text: &str| {
+    let error_of = |text: &str| {
         Config::parse(text.as_bytes())
             .err()
-            .expect("taken for good")
+            .expect("the configuration was accepted")
             .to_string()
     };
-    assert!(fault("{").contains("configuration"));
-    assert!(fault(&text.replace("\"board\"", "\"bored\"")).contains("board is missing"));
-    assert!(fault(&text.replace("8c1f30d27a5be964", "seed")).contains("seed is missing"));
-    assert!(fault("{\"settings\": {}}").contains("is missing"));
+    assert!(error_of("{").contains("configuration"));
+    assert!(error_of(&text.replace("\"board\"", "\"bored\"")).contains("board is missing"));
+    assert!(error_of(&text.replace("8c1f30d27a5be964", "seed")).contains("seed is missing"));
+    assert!(error_of("{\"settings\": {}}").contains("is missing"));
 }
 
 #[test]
-fn no_bytes_make_a_codec_panic() {
-    fn holds(bytes: Vec<u8>) -> bool {
+fn random_bytes_do_not_panic_any_codec() {
+    fn decodes_without_panic(bytes: Vec<u8>) -> bool {
         let mut inbox = BytesMut::from(&bytes[..]);
         while let Ok(Some(packet)) = take_packet(&mut inbox) {
             let _ = (check_login(&packet.body), Command::parse(&packet.body));
@@ -468,5 +478,5 @@
     QuickCheck::new()
         .rng(random)
         .tests(3000)
-        .quickcheck(holds as fn(Vec<u8>) -> bool);
+        .quickcheck(decodes_without_panic as fn(Vec<u8>) -> bool);
 }
--- a/crates/gateway/tests/identity.rs
+++ b/crates/gateway/tests/identity.rs
@@ -1,6 +1,7 @@
-//! Callers by token within TLS, on sockets: logins, grants, expiry, renewal, rotation, revocation and bad files.
+//! End-to-end tests of token authentication over TLS: logins, grants, expiry, renewal, key rotation,
+//! revocation and invalid key files.
 
-// A test tells one story from top to bottom, and tables of cases are long.
+// Scenario tests run from top to bottom in one function, and tables of cases are long.
 #![allow(clippy::too_many_lines)]
 
 mod support;
@@ -21,91 +22,101 @@
 use stand_ins::engine::Engine;
 use support::*;
 
-/// A folder of keys and a certificate, and the command line that keeps them.
-struct Site {
+/// A folder with signing keys, a certificate and its private key, managed through the command line.
+/// The folder is removed when the value is dropped.
+struct TestSite {
     folder: PathBuf,
     certificate: CertificateDer<'static>,
 }
 
-impl Drop for Site {
+impl Drop for TestSite {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
 
-impl Site {
-    fn new() -> Site {
-        let run = NEXT_ID.fetch_add(1, Ordering::Relaxed);
+impl TestSite {
+    fn new() -> TestSite {
+        let number = NEXT_ID.fetch_add(1, Ordering::Relaxed);
         let folder =
-            std::env::temp_dir().join(format!("laurelhitch-site-{}-{run}", std::process::id()));
+            std::env::temp_dir().join(format!("laurelhitch-site-{}-{number}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
-        let made = rcgen::generate_simple_self_signed(vec!["localhost".to_owned()]).unwrap();
-        std::fs::write(folder.join("tls.pem"), made.cert.pem()).unwrap();
-        std::fs::write(folder.join("tls.key"), made.signing_key.serialize_pem()).unwrap();
-        let site = Site {
+        let generated = rcgen::generate_simple_self_signed(vec!["localhost".to_owned()]).unwrap();
+        std::fs::write(folder.join("tls.pem"), generated.cert.pem()).unwrap();
+        std::fs::write(
+            folder.join("tls.key"),
+            generated.signing_key.serialize_pem(),
+        )
+        .unwrap();
+        let site = TestSite {
             folder,
-            certificate: made.cert.der().clone(),
+            certificate: generated.cert.der().clone(),
         };
-        site.key("k1");
+        site.add_key("k1");
         site
     }
 
-    fn run(&self, words: &[&str]) -> String {
+    /// Runs the program with these arguments, asserts that it succeeds and returns its standard output.
+    fn run(&self, arguments: &[&str]) -> String {
         let output = Command::new(env!("CARGO_BIN_EXE_laurelhitch"))
-            .args(words)
+            .args(arguments)
             .output()
             .unwrap();
         assert!(
             output.status.success(),
-            "{words:?}: {}",
+            "{arguments:?}: {}",
             String::from_utf8_lossy(&output.stderr)
         );
         String::from_utf8(output.stdout).unwrap().trim().to_owned()
     }
 
-    fn at(&self) -> &str {
+    fn path(&self) -> &str {
         self.folder.to_str().unwrap()
     }
 
-    /// A key that signs at once.
-    fn key(&self, id: &str) {
-        self.run(&["keys", "new", self.at(), id]);
-        self.run(&["keys", "announce", self.at(), id, "--signs-in-s", "0"]);
+    /// Creates a key that may sign at once.
+    fn add_key(&self, id: &str) {
+        self.run(&["keys", "new", self.path(), id]);
+        self.run(&["keys", "announce", self.path(), id, "--signs-in-s", "0"]);
     }
 
-    fn token(&self, key: &str, more: &[&str]) -> String {
+    /// Issues a token for the caller `counter-7`, with further arguments of `token issue`.
+    fn token(&self, key: &str, options: &[&str]) -> String {
         let issue = [
             "token",
             "issue",
-            self.at(),
+            self.path(),
             key,
             "--caller",
             "counter-7",
             "--member",
             "water",
         ];
-        self.run(&[&issue[..], more].concat())
+        self.run(&[&issue[..], options].concat())
     }
 
-    fn gateway(&self, engine: &Engine, more: &str) -> Gateway {
-        self.gateway_before(std::slice::from_ref(engine), more, |_| {})
+    /// Starts a gateway with one engine; `settings` is added to its `identity` block.
+    fn gateway(&self, engine: &Engine, settings: &str) -> Gateway {
+        self.gateway_with_config(std::slice::from_ref(engine), settings, |_| {})
     }
 
-    fn gateway_before(
+    /// Starts a gateway like [`Self::gateway`], with several engines and a change to its configuration.
+    fn gateway_with_config(
         &self,
         engines: &[Engine],
-        more: &str,
+        settings: &str,
         change: impl FnOnce(&mut serde_json::Value),
     ) -> Gateway {
-        let at = self.at();
+        let folder = self.path();
         let operator = format!(
-            "identity {{\nkeys_folder = \"{at}\"\ncertificate = \"{at}/tls.pem\"\nprivate_key = \"{at}/tls.key\"\n{more}\n}}\n"
+            "identity {{\nkeys_folder = \"{folder}\"\ncertificate = \"{folder}/tls.pem\"\nprivate_key = \"{folder}/tls.key\"\n{settings}\n}}\n"
         );
         let addresses: Vec<SocketAddr> = engines.iter().map(|engine| engine.address).collect();
         Gateway::with_operator_file(&addresses, &operator, change)
     }
 
-    fn login(&self, listen: SocketAddr, token: &str) -> Result<Secure, (u16, String)> {
+    /// Logs in over TLS with the token; an error is given by its code and text.
+    fn login(&self, listen: SocketAddr, token: &str) -> Result<TlsClient, (u16, String)> {
         let mut roots = RootCertStore::empty();
         roots.add(self.certificate.clone()).unwrap();
         let provider = Arc::new(rustls::crypto::ring::default_provider());
@@ -114,40 +125,41 @@
             .unwrap();
         let config = Arc::new(builder.with_root_certificates(roots).with_no_client_auth());
         let mut plain = Client::open(listen, b"").unwrap();
-        // SSLRequest: the head of a login, with the capability of TLS.
+        // SSLRequest packet: the fixed part of a login packet with the CLIENT_SSL flag set.
         let mut head = login_packet("", b"", "")[4..36].to_vec();
         head[1] |= 0x08;
         plain.stream.write_all(&packet(1, &head)).unwrap();
         let name = ServerName::try_from("localhost").unwrap();
         let tls = ClientConnection::new(config, name).unwrap();
-        let mut secure = Secure {
+        let mut client = TlsClient {
             stream: StreamOwned::new(tls, plain.stream),
         };
         let mut login = login_packet("token", b"", "warehouse");
         login[3] = 2;
-        secure.stream.write_all(&login).unwrap();
-        let asked = secure.packet().unwrap();
+        client.stream.write_all(&login).unwrap();
+        let request = client.packet().unwrap();
         assert!(
-            asked.starts_with(b"\xfemysql_clear_password\0"),
-            "{asked:?}"
+            request.starts_with(b"\xfemysql_clear_password\0"),
+            "{request:?}"
         );
-        secure
+        client
             .stream
             .write_all(&packet(4, &[token.as_bytes(), &[0]].concat()))
             .unwrap();
-        match secure.answer() {
-            Ok(()) => Ok(secure),
+        match client.answer() {
+            Ok(()) => Ok(client),
             Err(error) => Err(error),
         }
     }
 }
 
-/// A session within TLS.
-struct Secure {
+/// A client connection over TLS.
+struct TlsClient {
     stream: StreamOwned<ClientConnection, TcpStream>,
 }
 
-impl Secure {
+impl TlsClient {
+    /// Reads one packet and returns its body.
     fn packet(&mut self) -> std::io::Result<Vec<u8>> {
         let mut head = [0; 4];
         self.stream.read_exact(&mut head)?;
@@ -156,7 +168,8 @@
         Ok(body)
     }
 
-    /// Reads a whole answer; an error by its code and text.
+    /// Reads a complete answer. An error packet is returned as its code and text, a failed read as
+    /// code 0.
     fn answer(&mut self) -> Result<(), (u16, String)> {
         let first = self.packet().map_err(|e| (0, e.to_string()))?;
         if first[0] == 0xff {
@@ -164,7 +177,7 @@
             return Err((u16::from_le_bytes([first[1], first[2]]), text));
         }
         if first[0] != 0 {
-            // Columns, their end, rows, their end.
+            // Skip the columns and the rows, each of which ends with an EOF packet.
             for _ in 0..2 {
                 while self.packet().map_err(|e| (0, e.to_string()))?.first() != Some(&0xfe) {}
             }
@@ -172,6 +185,7 @@
         Ok(())
     }
 
+    /// Sends a statement and reads its answer.
     fn ask(&mut self, text: &str) -> Result<(), (u16, String)> {
         self.stream
             .write_all(&query_packet(text))
@@ -180,34 +194,36 @@
     }
 }
 
-fn code(answer: Result<Secure, (u16, String)>) -> u16 {
+/// Returns the error code of a login, or 0 when it succeeded.
+fn code(answer: Result<TlsClient, (u16, String)>) -> u16 {
     answer.map(|_| 0).unwrap_or_else(|error| error.0)
 }
 
 #[test]
-fn only_a_good_token_within_tls_logs_in_and_only_what_is_granted_reaches_an_engine() {
-    let (site, engine) = (Site::new(), engine(1));
+fn only_a_valid_token_over_tls_logs_in_and_only_granted_statements_reach_an_engine() {
+    let (site, engine) = (TestSite::new(), engine(1));
     let gateway = site.gateway(&engine, "");
     let token = site.token(
         "k1",
         &["--product", "point", "--groups", "3-5", "--desk", "counter"],
     );
     let mut session = site.login(gateway.listen, &token).unwrap();
-    let fine = |group: u32| commented(2000, &format!("SELECT a FROM ledger_{group}.bills LIMIT 3"));
-    assert_eq!(session.ask(&fine(4)), Ok(()));
+    let granted =
+        |group: u32| commented(2000, &format!("SELECT a FROM ledger_{group}.bills LIMIT 3"));
+    assert_eq!(session.ask(&granted(4)), Ok(()));
     let before = engine.lines().len();
-    let other = |text: String, from: &str, to: &str| text.replace(from, to);
+    let replace = |text: String, from: &str, to: &str| text.replace(from, to);
     for text in [
-        fine(6),
+        granted(6),
         commented(2000, "SELECT 1"),
-        other(fine(4), "point", "scan"),
-        other(fine(4), "acct=water", "acct=power"),
-        other(fine(4), "acct=water", "acct=water,desk=accounts"),
+        replace(granted(4), "point", "scan"),
+        replace(granted(4), "acct=water", "acct=power"),
+        replace(granted(4), "acct=water", "acct=water,desk=accounts"),
     ] {
         assert_eq!(session.ask(&text).unwrap_err().0, 1142, "{text}");
     }
-    // Narrowed to nothing, it is the caller all the same.
-    assert_eq!(session.ask(&other(fine(5), "acct=water,", "")), Ok(()));
+    // A statement that names no tenant is attributed to the tenant of the token.
+    assert_eq!(session.ask(&replace(granted(5), "acct=water,", "")), Ok(()));
     assert_eq!(
         engine
             .lines()
@@ -217,13 +233,13 @@
         2,
         "{before}"
     );
-    // Without TLS nothing is read; with a token of another's making nobody is let in.
+    // A login without TLS is refused, and so is a token signed by a key of another folder.
     let mut plain = Client::open(gateway.listen, &login_packet("app", b"", "warehouse")).unwrap();
     assert!(matches!(
         plain.answer().unwrap(),
         stand_ins::client::Answer::Error(3159, _)
     ));
-    let forged = Site::new().token("k1", &[]);
+    let forged = TestSite::new().token("k1", &[]);
     for bad in [&forged, "", "nonsense", &token[..token.len() - 3]] {
         assert_eq!(code(site.login(gateway.listen, bad)), 1045, "{bad}");
     }
@@ -237,47 +253,48 @@
         ),
         (5, 4)
     );
-    assert!(!log.contains("v4.public"), "a token in the log");
+    assert!(!log.contains("v4.public"), "the log contains a token");
 }
 
 #[test]
-fn a_token_that_expires_mid_session_answers_what_is_open_and_a_renewal_has_no_gap() {
-    let (site, engine) = (Site::new(), engine(1800));
+fn an_expiring_token_lets_the_open_statement_finish_and_a_renewed_session_continues() {
+    let (site, engine) = (TestSite::new(), engine(1800));
     let gateway = site.gateway(&engine, "skew_ms = 0");
     let short = site.token("k1", &["--minutes", "0.025"]);
     let mut session = site.login(gateway.listen, &short).unwrap();
     let statement = || commented(9000, "SELECT 1 FROM ledger_1.bills LIMIT 1");
-    // Open when it expires, and answered in full.
+    // This statement is still running when the token expires, and is answered in full.
     assert_eq!(session.ask(&statement()), Ok(()));
     let (code, text) = session.ask(&statement()).unwrap_err();
     assert_eq!(code, 1045);
     assert!(text.contains("expired"), "{text}");
-    let mut other = site
+    let mut renewed = site
         .login(gateway.listen, &site.token("k1", &["--minutes", "0.025"]))
         .unwrap();
     let next = site.token("k1", &[]);
     assert_eq!(
-        other.ask(&format!("SET @laurelhitch_token = '{next}'")),
+        renewed.ask(&format!("SET @laurelhitch_token = '{next}'")),
         Ok(())
     );
     sleep(millis(1600));
-    assert_eq!(other.ask(&statement()), Ok(()));
-    // One that is not good leaves what stands.
+    assert_eq!(renewed.ask(&statement()), Ok(()));
+    // An invalid token is refused and leaves the earlier one in force.
     assert_eq!(
-        other
+        renewed
             .ask("SET @laurelhitch_token = 'v4.public.none'")
             .unwrap_err()
             .0,
         1045
     );
-    assert_eq!(other.ask("SELECT @@max_allowed_packet"), Ok(()));
+    assert_eq!(renewed.ask("SELECT @@max_allowed_packet"), Ok(()));
 }
 
-/// Sessions that ask all the time while keys are made, retire and are withdrawn, and one caller after another is revoked.
-/// Statements answered, and the times from a revocation to its first refusal.
-fn rotate(sessions: usize, rounds: usize, pause_ms: u64) -> (u32, Vec<f64>) {
-    let (site, engines) = (Site::new(), [engine(1), engine(1)]);
-    let gateway = site.gateway_before(&engines, "", |config| {
+/// Runs sessions that send statements continuously while keys are created, retired and withdrawn, and
+/// one caller per round is revoked. Returns the number of statements answered and, for each round, the
+/// time in seconds from the revocation to the first statement refused because of it.
+fn rotate_keys_under_load(sessions: usize, rounds: usize, pause_ms: u64) -> (u32, Vec<f64>) {
+    let (site, engines) = (TestSite::new(), [engine(1), engine(1)]);
+    let gateway = site.gateway_with_config(&engines, "", |config| {
         config["settings"]["Extra"]["KindCores"] = serde_json::json!([64]);
     });
     let stop = Arc::new(AtomicBool::new(false));
@@ -285,16 +302,17 @@
     let statement = || commented(5000, "SELECT 1 FROM ledger_1.bills LIMIT 1");
     let denied = std::sync::atomic::AtomicU32::new(0);
     let mut refusals = Vec::new();
-    let asked = thread::scope(|scope| {
-        let one = |_| {
+    let answered = thread::scope(|scope| {
+        let session_thread = |_| {
             scope.spawn(|| {
-                let (mut asked, mut own) = (0, tokens.lock().unwrap().clone());
+                let (mut answered, mut own) = (0, tokens.lock().unwrap().clone());
                 let mut session = site.login(gateway.listen, &own).unwrap();
                 while !stop.load(Ordering::Relaxed) {
                     let next = tokens.lock().unwrap().clone();
                     if next != own {
                         own = next;
-                        // Its key may still be arriving: told to come back, it does.
+                        // The gateway may not have read the new key yet and then answers with 1226,
+                        // after which the client tries again.
                         let until = Instant::now() + millis(3000);
                         while let Err((code, text)) =
                             session.ask(&format!("SET @laurelhitch_token = '{own}'"))
@@ -304,8 +322,9 @@
                         }
                     }
                     match session.ask(&statement()) {
-                        Ok(()) => asked += 1,
-                        // The decisions' own word on a machine that stood still; no matter of who asked.
+                        Ok(()) => answered += 1,
+                        // Admission control denies statements when the machine has stalled; this does
+                        // not concern the identity of the caller.
                         Err((1226, _)) => {
                             denied.fetch_add(1, Ordering::Relaxed);
                             sleep(millis(400));
@@ -314,41 +333,47 @@
                     }
                     sleep(millis(pause_ms));
                 }
-                asked
+                answered
             })
         };
-        let traffic: Vec<_> = (0..sessions).map(one).collect();
+        let traffic: Vec<_> = (0..sessions).map(session_thread).collect();
         for round in 2..rounds + 2 {
             let (old, new) = (format!("k{}", round - 1), format!("k{round}"));
-            site.key(&new);
+            site.add_key(&new);
             *tokens.lock().unwrap() = site.token(&new, &[]);
-            site.run(&["keys", "retire", site.at(), &old]);
-            // Long enough for every session to have renewed.
+            site.run(&["keys", "retire", site.path(), &old]);
+            // Wait long enough for every session to take the new token.
             sleep(millis(700 + 6 * pause_ms));
             let caller = format!("mallory-{round}");
             let token = site.run(&[
                 "token",
                 "issue",
-                site.at(),
+                site.path(),
                 &new,
                 "--caller",
                 &caller,
                 "--member",
                 "water",
             ]);
-            let mut mallory = site.login(gateway.listen, &token).unwrap();
-            assert_eq!(mallory.ask(&statement()), Ok(()));
-            site.run(&["token", "revoke", site.at(), "--caller", &caller]);
+            let mut revoked = site.login(gateway.listen, &token).unwrap();
+            assert_eq!(revoked.ask(&statement()), Ok(()));
+            site.run(&["token", "revoke", site.path(), "--caller", &caller]);
             let begun = Instant::now();
-            while !matches!(mallory.ask(&statement()), Err((1045, _))) {
-                assert!(begun.elapsed() < millis(1000), "revoked, and still served");
+            while !matches!(revoked.ask(&statement()), Err((1045, _))) {
+                assert!(
+                    begun.elapsed() < millis(1000),
+                    "a revoked caller is still served"
+                );
                 sleep(millis(2));
             }
             refusals.push(begun.elapsed().as_secs_f64());
-            site.run(&["keys", "withdraw", site.at(), &old]);
+            site.run(&["keys", "withdraw", site.path(), &old]);
         }
         stop.store(true, Ordering::Relaxed);
-        traffic.into_iter().map(|one| one.join().unwrap()).sum()
+        traffic
+            .into_iter()
+            .map(|thread| thread.join().unwrap())
+            .sum()
     });
     gateway.signal(Signal::TERM);
     let (_, log) = gateway.wait_for_exit(millis(6000));
@@ -359,37 +384,42 @@
         "{log}"
     );
     assert_eq!(counter(&log, "tokens_rejected"), rounds as i64, "{log}");
-    println!("{} denied by the decisions", denied.load(Ordering::Relaxed));
-    (asked, refusals)
+    println!(
+        "{} statements denied by admission control",
+        denied.load(Ordering::Relaxed)
+    );
+    (answered, refusals)
 }
 
 #[test]
-fn keys_rotate_under_traffic_without_a_failure_and_revocation_acts_within_its_bound() {
-    let (asked, refusals) = rotate(20, 3, 10);
-    assert!(asked > 1000 && refusals.len() == 3, "{asked}");
+fn key_rotation_under_traffic_fails_no_statement_and_revocation_takes_effect_within_a_second() {
+    let (answered, refusals) = rotate_keys_under_load(20, 3, 10);
+    assert!(answered > 1000 && refusals.len() == 3, "{answered}");
 }
 
-/// `cargo test --release -p laurelhitch-gateway --test identity -- --ignored --nocapture`, under a minute.
+/// Run this test with
+/// `cargo test --release -p laurelhitch-gateway --test identity -- --ignored --nocapture`; it takes less
+/// than a minute.
 #[test]
-#[ignore = "long"]
+#[ignore = "takes up to a minute"]
 fn two_hundred_sessions_and_thirty_rotations() {
-    let (asked, mut refusals) = rotate(200, 30, 40);
+    let (answered, mut refusals) = rotate_keys_under_load(200, 30, 40);
     refusals.sort_by(f64::total_cmp);
     println!(
-        "{asked} statements; to the first refusal: median {:.3} s, longest {:.3} s",
+        "{answered} statements; time to the first refusal: median {:.3} s, longest {:.3} s",
         refusals[15], refusals[29]
     );
 }
 
 #[test]
-fn half_written_missing_and_vanished_files_leave_the_last_good_ones_standing() {
-    let (site, engine) = (Site::new(), engine(1));
+fn the_last_valid_keys_stay_in_force_when_key_files_are_truncated_or_missing() {
+    let (site, engine) = (TestSite::new(), engine(1));
     let gateway = site.gateway(&engine, "");
     let token = site.token("k1", &[]);
     let mut session = site.login(gateway.listen, &token).unwrap();
     let index = std::fs::read_to_string(site.folder.join("index.json")).unwrap();
-    let missing = index.replace("\"k1\"", "\"k9\"");
-    for bad in [&index[..index.len() / 2], &missing[..], ""] {
+    let unknown_key = index.replace("\"k1\"", "\"k9\"");
+    for bad in [&index[..index.len() / 2], &unknown_key[..], ""] {
         std::fs::write(site.folder.join("index.json"), bad).unwrap();
         sleep(millis(600));
         assert_eq!(
@@ -397,11 +427,11 @@
             Ok(())
         );
     }
-    let away = site.folder.with_extension("away");
-    std::fs::rename(&site.folder, &away).unwrap();
+    let moved = site.folder.with_extension("away");
+    std::fs::rename(&site.folder, &moved).unwrap();
     sleep(millis(600));
     assert_eq!(code(site.login(gateway.listen, &token)), 0);
-    std::fs::rename(&away, &site.folder).unwrap();
+    std::fs::rename(&moved, &site.folder).unwrap();
     std::fs::write(site.folder.join("index.json"), index).unwrap();
     sleep(millis(600));
     gateway.signal(Signal::TERM);
@@ -415,8 +445,8 @@
 }
 
 #[test]
-fn handshakes_never_ended_and_noise_within_tls_cost_the_usual_callers_nothing() {
-    let (site, engine) = (Site::new(), engine(1));
+fn unfinished_handshakes_and_invalid_tls_records_do_not_affect_other_sessions() {
+    let (site, engine) = (TestSite::new(), engine(1));
     let gateway = site.gateway(&engine, "");
     let token = site.token("k1", &[]);
     let mut session = site.login(gateway.listen, &token).unwrap();
@@ -427,7 +457,7 @@
     for n in 0..150usize {
         let mut stream = TcpStream::connect(gateway.listen).unwrap();
         stream.write_all(&request).unwrap();
-        // Records cut anywhere, of any kind, or none.
+        // The bytes form truncated TLS records, records of arbitrary types, or no record at all.
         let noise: Vec<u8> = (0..n * 7).map(|byte| (byte * 31 + n) as u8).collect();
         let _ = stream.write_all(&noise);
         open.push(stream);
@@ -446,7 +476,7 @@
     }
     assert!(
         begun.elapsed() < millis(4500),
-        "open handshakes are not ended"
+        "unfinished handshakes were not closed in time"
     );
     gateway.signal(Signal::TERM);
     assert_counters_balance(&gateway.wait_for_exit(millis(6000)).1);
--- a/crates/gateway/tests/queues.rs
+++ b/crates/gateway/tests/queues.rs
@@ -1,4 +1,4 @@
-//! Queues on sockets: the hard cases of waiting work, with our own stand-ins for engines and clients.
+//! End-to-end tests of queueing: a gateway process with simulated engines and clients over sockets.
 
 mod support;
 
@@ -16,8 +16,9 @@
 use stand_ins::engine::Mood;
 use support::*;
 
-/// Two members and desks, budgets of which one engine of two cores has enough for some 25 statements a second each.
-const TEAMS: &str = r#"
+/// Two tenants (`member`), one of them with two sub-queues (`desk`). Their budgets cover about 25
+/// statements a second each, which one engine with two cores can serve.
+const QUEUE_SETTINGS: &str = r#"
 queues {
   default_member  = "water"
   ageing_ms       = 500
@@ -35,14 +36,16 @@
 }
 "#;
 
-/// Engines of two cores each, so that few statements fill them.
-fn small(config: &mut Value) {
+/// Gives each engine two cores, so that a few statements fill it.
+fn use_two_core_engines(config: &mut Value) {
     config["settings"]["Extra"]["KindCores"] = json!([2]);
     config["settings"]["Tenants"] = json!([
         {"Name": "water", "AllowancePerS": 10000.0}, {"Name": "power", "AllowancePerS": 10000.0}]);
 }
 
-fn text(member: &str, desk: &str, budget_ms: u64) -> (String, String) {
+/// Returns a new request id and a statement whose comment carries it; an empty `desk` names no
+/// sub-queue.
+fn commented_statement(member: &str, desk: &str, budget_ms: u64) -> (String, String) {
     let rid = format!(
         "{:016x}",
         NEXT_ID.fetch_add(1, std::sync::atomic::Ordering::Relaxed)
@@ -60,49 +63,52 @@
     )
 }
 
-/// Completed, rejected, other answers, by member.
+/// Numbers of completed, rejected and other answers, by tenant.
 type Counts = BTreeMap<String, [u32; 3]>;
 
-/// Clients that each ask again and again for a time, a pause between; their answers are counted.
-fn load(
+/// Starts clients that each send statements one after another for `duration_ms`, with a pause in between, and
+/// count their answers in `counts`.
+fn start_clients(
     listen: SocketAddr,
     member: &str,
     clients: usize,
     pause_ms: u64,
-    for_ms: u64,
+    duration_ms: u64,
     counts: &Arc<Mutex<Counts>>,
 ) -> Vec<thread::JoinHandle<()>> {
-    let one = |_| {
+    let start_client = |_| {
         let (member, counts) = (member.to_owned(), counts.clone());
         thread::spawn(move || {
-            let until = Instant::now() + millis(for_ms);
+            let until = Instant::now() + millis(duration_ms);
             let mut client = Client::login(listen).unwrap();
             while Instant::now() < until {
-                let answer = client.ask(&text(&member, "", 2000).1).unwrap();
-                let denied = matches!(answer, Answer::Error(1226, _));
-                let at = if matches!(answer, Answer::Rows(_)) {
+                let answer = client
+                    .ask(&commented_statement(&member, "", 2000).1)
+                    .unwrap();
+                let rejected = matches!(answer, Answer::Error(1226, _));
+                let kind = if matches!(answer, Answer::Rows(_)) {
                     0
-                } else if denied {
+                } else if rejected {
                     1
                 } else {
                     2
                 };
-                counts.lock().unwrap().entry(member.clone()).or_default()[at] += 1;
-                sleep(millis(if denied { 100 } else { pause_ms }));
+                counts.lock().unwrap().entry(member.clone()).or_default()[kind] += 1;
+                sleep(millis(if rejected { 100 } else { pause_ms }));
             }
         })
     };
-    (0..clients).map(one).collect()
+    (0..clients).map(start_client).collect()
 }
 
-fn joined(threads: Vec<thread::JoinHandle<()>>) {
+fn join_all(threads: Vec<thread::JoinHandle<()>>) {
     threads
         .into_iter()
         .for_each(|thread| thread.join().unwrap());
 }
 
-/// Rows of `SHOW QUEUE`, by member and desk.
-fn status(client: &mut Client) -> BTreeMap<(String, String), Vec<String>> {
+/// Returns the rows of `SHOW QUEUE`, by tenant and sub-queue.
+fn queue_status(client: &mut Client) -> BTreeMap<(String, String), Vec<String>> {
     let rows = rows(client.ask("SHOW QUEUE").unwrap());
     rows.into_iter()
         .map(|row| ((row[0].clone(), row[1].clone()), row))
@@ -110,14 +116,15 @@
 }
 
 #[test]
-fn a_members_flood_leaves_the_other_its_service_and_is_denied_early() {
+fn a_tenant_that_overloads_its_queue_is_rejected_early_and_does_not_affect_another_tenant() {
     let engine = engine(30);
-    let gateway = Gateway::with_operator_file(&[engine.address], TEAMS, small);
+    let gateway =
+        Gateway::with_operator_file(&[engine.address], QUEUE_SETTINGS, use_two_core_engines);
     let counts = Arc::new(Mutex::new(Counts::new()));
-    let quiet = load(gateway.listen, "power", 2, 100, 4000, &counts);
-    let flood = load(gateway.listen, "water", 40, 0, 4000, &counts);
-    joined(quiet);
-    joined(flood);
+    let light = start_clients(gateway.listen, "power", 2, 100, 4000, &counts);
+    let load = start_clients(gateway.listen, "water", 40, 0, 4000, &counts);
+    join_all(light);
+    join_all(load);
     let counts = counts.lock().unwrap().clone();
     let [power, water] = [counts["power"], counts["water"]];
     assert!(
@@ -132,57 +139,67 @@
     let (status, log) = gateway.wait_for_exit(millis(6000));
     assert!(status.success());
     assert_counters_balance(&log);
-    let names = [
+    let ending_counters = [
         "rejected_at_entry",
         "evicted",
         "released",
         "rejected_while_waiting",
         "client_left",
     ];
-    let ends: i64 = names
+    let ended: i64 = ending_counters
         .iter()
         .map(|name| counter(&log, &format!("queue_{name}")))
         .sum();
-    assert_eq!(counter(&log, "queue_received"), ends, "{log}");
+    assert_eq!(counter(&log, "queue_received"), ended, "{log}");
 }
 
 #[test]
-fn what_waits_is_told_by_team_and_by_statement_and_can_be_asked_by_the_command_line() {
+fn waiting_statements_are_shown_by_sub_queue_and_by_statement_and_on_the_command_line() {
     let engine = engine(400);
-    let gateway = Gateway::with_operator_file(&[engine.address], TEAMS, small);
-    let mut asks: Vec<Client> = (0..30).map(|_| gateway.client()).collect();
-    let mut last = String::new();
-    for client in &mut asks {
-        let (rid, text) = text("water", "kiosk", 2000);
-        client.stream.write_all_query(&text);
-        last = rid;
+    let gateway =
+        Gateway::with_operator_file(&[engine.address], QUEUE_SETTINGS, use_two_core_engines);
+    let mut clients: Vec<Client> = (0..30).map(|_| gateway.client()).collect();
+    let mut last_request_id = String::new();
+    for client in &mut clients {
+        let (rid, text) = commented_statement("water", "kiosk", 2000);
+        client.stream.write_query(&text);
+        last_request_id = rid;
     }
     sleep(millis(250));
-    let mut other = gateway.client();
-    let told = status(&mut other);
-    let kiosk = &told[&("water".into(), "kiosk".into())];
+    let mut observer = gateway.client();
+    let shown = queue_status(&mut observer);
+    let kiosk = &shown[&("water".into(), "kiosk".into())];
     let waiting: u32 = kiosk[2].parse().unwrap();
-    assert!((5..30).contains(&waiting), "{told:?}");
-    assert_eq!(told[&("power".into(), "all".into())][2], "0");
-    let one = rows(other.ask(&format!("show queue for '{last}'")).unwrap());
+    assert!((5..30).contains(&waiting), "{shown:?}");
+    assert_eq!(shown[&("power".into(), "all".into())][2], "0");
+    let row = rows(
+        observer
+            .ask(&format!("show queue for '{last_request_id}'"))
+            .unwrap(),
+    );
     assert!(
-        one.is_empty()
-            || (one[0][1..3] == ["water", "kiosk"] && one[0][4].parse::<f64>().unwrap() > 100.0),
-        "{one:?}"
+        row.is_empty()
+            || (row[0][1..3] == ["water", "kiosk"] && row[0][4].parse::<f64>().unwrap() > 100.0),
+        "{row:?}"
     );
-    assert!(rows(other.ask("SHOW QUEUE FOR 'ffffffffffffffff'").unwrap()).is_empty());
+    assert!(rows(observer.ask("SHOW QUEUE FOR 'ffffffffffffffff'").unwrap()).is_empty());
     let program = env!("CARGO_BIN_EXE_laurelhitch");
     let listen = gateway.listen.to_string();
-    let asked = Command::new(program)
+    let output = Command::new(program)
         .args(["queue", &listen, "--member", "water", "--json"])
         .output()
         .unwrap();
-    let asked: Value = serde_json::from_slice(&asked.stdout).unwrap();
+    let sub_queues: Value = serde_json::from_slice(&output.stdout).unwrap();
     assert_eq!(
-        (asked[0]["desk"].as_str(), asked[1]["desk"].as_str()),
+        (
+            sub_queues[0]["desk"].as_str(),
+            sub_queues[1]["desk"].as_str()
+        ),
         (Some("counter"), Some("kiosk"))
     );
-    let answers = asks.into_iter().map(|mut client| client.answer().unwrap());
+    let answers = clients
+        .into_iter()
+        .map(|mut client| client.answer().unwrap());
     assert!(
         answers
             .into_iter()
@@ -190,58 +207,65 @@
     );
 }
 
-trait Asks {
-    fn write_all_query(&mut self, text: &str);
+/// Sends a statement without waiting for its answer.
+trait WriteQuery {
+    fn write_query(&mut self, text: &str);
 }
 
-impl Asks for std::net::TcpStream {
-    fn write_all_query(&mut self, text: &str) {
+impl WriteQuery for std::net::TcpStream {
+    fn write_query(&mut self, text: &str) {
         std::io::Write::write_all(self, &stand_ins::client::query_packet(text)).unwrap();
     }
 }
 
 #[test]
-fn a_client_that_takes_progress_reports_gets_them_and_then_its_answer_in_one_sequence() {
+fn a_client_that_accepts_progress_reports_gets_them_and_its_answer_in_one_packet_sequence() {
     let engine = engine(1500);
-    let gateway = Gateway::with_operator_file(&[engine.address], TEAMS, |config| {
-        small(config);
+    let gateway = Gateway::with_operator_file(&[engine.address], QUEUE_SETTINGS, |config| {
+        use_two_core_engines(config);
         config["settings"]["Grades"][0]["GiveUpS"] = json!(12.0);
         config["settings"]["Grades"][0]["GoalTimeS"] = json!(12.0);
     });
-    // The capabilities of a MariaDB client: not marked as MySQL's, and further ones behind what is reserved.
+    // The capabilities of a MariaDB client: CLIENT_MYSQL is not set, and the extended MariaDB flags
+    // (here: progress reports) stand in the last four of the reserved bytes.
     let mut login = stand_ins::client::login_packet("app", b"", "warehouse");
     login[4] &= !1;
     login[4 + 28] = 1;
-    let mut asks: Vec<Client> = (0..12)
+    let mut clients: Vec<Client> = (0..12)
         .map(|_| Client::open(gateway.listen, &login).unwrap())
         .collect();
-    for client in &mut asks {
+    for client in &mut clients {
         assert_eq!(client.answer().unwrap(), Answer::Ok);
-        client.stream.write_all_query(&text("water", "", 9000).1);
+        client
+            .stream
+            .write_query(&commented_statement("water", "", 9000).1);
     }
     let mut reports = 0;
-    for client in &mut asks {
-        let (mut seq, mut last) = (1, 0);
+    for client in &mut clients {
+        let (mut sequence, mut highest_progress) = (1, 0);
         loop {
             let mut head = [0; 4];
             std::io::Read::read_exact(&mut client.stream, &mut head).unwrap();
-            assert_eq!(head[3], seq, "a gap in the sequence");
-            seq += 1;
+            assert_eq!(head[3], sequence, "the packet sequence has a gap");
+            sequence += 1;
             let mut body = vec![0; u32::from_le_bytes([head[0], head[1], head[2], 0]) as usize];
             std::io::Read::read_exact(&mut client.stream, &mut body).unwrap();
             if !body.starts_with(&[0xff, 0xff, 0xff]) {
                 break;
             }
             assert_eq!(body[3..6], [1, 1, 2]);
-            last = u32::from_le_bytes([body[6], body[7], body[8], 0]).max(last);
-            assert!(last <= 100_000);
+            highest_progress =
+                u32::from_le_bytes([body[6], body[7], body[8], 0]).max(highest_progress);
+            assert!(highest_progress <= 100_000);
             reports += 1;
         }
     }
     assert!(reports >= 5, "{reports}");
-    // One that announces nothing gets none.
+    // A client that does not set the flag gets its answer without progress reports.
     let mut plain = gateway.client();
-    plain.stream.write_all_query(&text("water", "", 9000).1);
+    plain
+        .stream
+        .write_query(&commented_statement("water", "", 9000).1);
     assert!(matches!(
         plain.answer().unwrap(),
         Answer::Rows(_) | Answer::Error(1226, _)
@@ -249,42 +273,55 @@
 }
 
 #[test]
-fn an_engine_drains_while_its_queue_is_full_and_nothing_new_goes_there() {
-    let [one, two] = [engine(50), engine(50)];
-    let gateway = Gateway::with_operator_file(&[one.address, two.address], TEAMS, small);
+fn no_statement_is_sent_to_a_draining_engine_while_statements_wait() {
+    let [draining, ready] = [engine(50), engine(50)];
+    let gateway = Gateway::with_operator_file(
+        &[draining.address, ready.address],
+        QUEUE_SETTINGS,
+        use_two_core_engines,
+    );
     let counts = Arc::new(Mutex::new(Counts::new()));
-    let flood = load(gateway.listen, "water", 50, 0, 4000, &counts);
+    let load = start_clients(gateway.listen, "water", 50, 0, 4000, &counts);
     sleep(millis(1500));
     assert!(
-        status(&mut gateway.client())
+        queue_status(&mut gateway.client())
             .values()
             .any(|row| row[2] != "0")
     );
     gateway
         .board
-        .tell(false, vec![target("e-0", one.address, "terminating")]);
+        .tell(false, vec![target("e-0", draining.address, "terminating")]);
     sleep(millis(800));
-    let before = one.lines().len();
+    let before = draining.lines().len();
     sleep(millis(1000));
-    assert_eq!(one.lines().len(), before, "sent to a draining engine");
-    joined(flood);
+    assert_eq!(
+        draining.lines().len(),
+        before,
+        "a statement was sent to a draining engine"
+    );
+    join_all(load);
     assert!(counts.lock().unwrap()["water"][0] > 50 && counts.lock().unwrap()["water"][2] == 0);
     gateway.signal(Signal::TERM);
     assert_counters_balance(&gateway.wait_for_exit(millis(6000)).1);
 }
 
 #[test]
-fn engines_fall_silent_with_full_queues_and_every_client_is_answered_in_time() {
-    let [one, two] = [engine(40), engine(40)];
-    let gateway = Gateway::with_operator_file(&[one.address, two.address], TEAMS, small);
+fn every_client_is_answered_when_an_engine_stops_responding_under_full_queues() {
+    let [stalled, healthy] = [engine(40), engine(40)];
+    let gateway = Gateway::with_operator_file(
+        &[stalled.address, healthy.address],
+        QUEUE_SETTINGS,
+        use_two_core_engines,
+    );
     let counts = Arc::new(Mutex::new(Counts::new()));
-    let flood = load(gateway.listen, "water", 30, 0, 5000, &counts);
+    let load = start_clients(gateway.listen, "water", 30, 0, 5000, &counts);
     sleep(millis(1000));
-    one.set(Mood::Silent);
+    stalled.set(Mood::Silent);
     sleep(millis(1500));
-    one.set(Mood::Well);
-    joined(flood);
-    // Clients read with a bound of their own far beyond the budget: each had its answer, or the test fails there.
+    stalled.set(Mood::Well);
+    join_all(load);
+    // The read timeout of the clients is far longer than the budget of a statement: a client that got no
+    // answer has failed the test in its own thread.
     let counts = counts.lock().unwrap()["water"];
     assert!(counts[0] > 60, "{counts:?}");
     gateway.signal(Signal::TERM);
@@ -292,19 +329,22 @@
 }
 
 #[test]
-fn half_of_those_who_wait_leave_at_once_and_the_rest_are_served() {
+fn remaining_clients_are_served_when_half_of_the_waiting_clients_disconnect() {
     let engine = engine(200);
-    let gateway = Gateway::with_operator_file(&[engine.address], TEAMS, small);
-    let mut asks: Vec<Client> = (0..24).map(|_| gateway.client()).collect();
-    for client in &mut asks {
-        // Closed with this answer unread, its machine resets the connection.
+    let gateway =
+        Gateway::with_operator_file(&[engine.address], QUEUE_SETTINGS, use_two_core_engines);
+    let mut clients: Vec<Client> = (0..24).map(|_| gateway.client()).collect();
+    for client in &mut clients {
+        // The answer to this ping stays unread, so closing the socket resets the connection.
         std::io::Write::write_all(&mut client.stream, &packet(0, &[0x0e])).unwrap();
-        client.stream.write_all_query(&text("power", "", 2000).1);
+        client
+            .stream
+            .write_query(&commented_statement("power", "", 2000).1);
     }
     sleep(millis(100));
-    let stay = asks.split_off(12);
-    drop(asks);
-    for mut client in stay {
+    let remaining = clients.split_off(12);
+    drop(clients);
+    for mut client in remaining {
         assert_eq!(client.answer().unwrap(), Answer::Ok);
         assert!(matches!(
             client.answer().unwrap(),
@@ -318,11 +358,12 @@
 }
 
 #[test]
-fn a_burst_of_reports_leaves_lookups_in_their_quoted_time() {
+fn a_burst_of_scans_does_not_delay_point_queries_of_another_sub_queue() {
     let engine = engine(30);
-    let gateway = Gateway::with_operator_file(&[engine.address], TEAMS, small);
-    // Reports wait at a desk of their own, of the same member.
-    let reports: Vec<_> = (0..40)
+    let gateway =
+        Gateway::with_operator_file(&[engine.address], QUEUE_SETTINGS, use_two_core_engines);
+    // The scans wait in a sub-queue of their own, which belongs to the same tenant.
+    let scans: Vec<_> = (0..40)
         .map(|_| {
             let listen = gateway.listen;
             thread::spawn(move || {
@@ -331,10 +372,10 @@
                     Client::login(listen).unwrap(),
                 );
                 while Instant::now() < until {
-                    let report = text("water", "kiosk", 8000)
+                    let scan = commented_statement("water", "kiosk", 8000)
                         .1
                         .replace("method=point", "method=scan");
-                    let answer = client.ask(&report).unwrap();
+                    let answer = client.ask(&scan).unwrap();
                     assert!(
                         matches!(answer, Answer::Rows(_) | Answer::Error(1226, _)),
                         "{answer:?}"
@@ -350,57 +391,60 @@
     let (mut asked, mut in_time, mut client) = (0, 0, gateway.client());
     while asked < 40 {
         let begun = Instant::now();
-        let answer = client.ask(&text("water", "counter", 2000).1).unwrap();
+        let answer = client
+            .ask(&commented_statement("water", "counter", 2000).1)
+            .unwrap();
         asked += 1;
         in_time += u32::from(matches!(answer, Answer::Rows(_)) && begun.elapsed() < millis(500));
         sleep(millis(60));
     }
-    joined(reports);
-    // None was late when it was calm; one in fifty may be.
+    join_all(scans);
+    // On an idle machine no point query is late; one of the forty may be.
     assert!(in_time >= 39, "{in_time} of {asked}");
 }
 
 #[test]
-fn a_thousand_teams_a_budget_of_zero_and_statements_larger_than_all_are_served_through_a_reload() {
+fn tenants_with_zero_or_tiny_budgets_among_a_thousand_are_served_across_a_reload() {
     let engine = engine(5);
-    let member = |at| {
+    let member = |number| {
         format!(
-            "member \"m{at}\" {{ cpu_s_per_s = {} }}\n",
-            if at % 2 == 0 { "0" } else { "0.01" }
+            "member \"m{number}\" {{ cpu_s_per_s = {} }}\n",
+            if number % 2 == 0 { "0" } else { "0.01" }
         )
     };
     let members: String = (0..1000).map(member).collect();
-    let teams = format!(
+    let operator_file = format!(
         "queues {{\ndefault_member = \"m0\"\nburst_ms = 100\nageing_ms = 200\n{members}}}\n"
     );
-    let gateway = Gateway::with_operator_file(&[engine.address], &teams, |config| {
-        small(config);
+    let gateway = Gateway::with_operator_file(&[engine.address], &operator_file, |config| {
+        use_two_core_engines(config);
         config["settings"]["Tenants"] = json!([]);
     });
     let listen = gateway.listen;
-    let ask = |name: &'static str| {
+    let start_client = |name: &'static str| {
         thread::spawn(move || {
             let mut client = Client::login(listen).unwrap();
             (0..60)
                 .filter(|_| {
                     matches!(
-                        client.ask(&text(name, "", 2000).1).unwrap(),
+                        client.ask(&commented_statement(name, "", 2000).1).unwrap(),
                         Answer::Rows(_)
                     )
                 })
                 .count()
         })
     };
-    // The first two are owed nothing, the third less than one statement a second; each costs more than can be saved.
-    let asks = ["m0", "m500", "m999"].map(ask);
+    // The first two tenants have no budget, and the third has less than one statement a second. Each
+    // statement costs more than the largest credit that a tenant can accumulate.
+    let clients = ["m0", "m500", "m999"].map(start_client);
     sleep(millis(200));
     std::fs::write(
         gateway.config.with_extension("hcl"),
-        teams.replace("ageing_ms = 200", "ageing_ms = 100"),
+        operator_file.replace("ageing_ms = 200", "ageing_ms = 100"),
     )
     .unwrap();
     gateway.signal(Signal::HUP);
-    for served in asks {
+    for served in clients {
         let served = served.join().unwrap();
         assert!(served >= 57, "{served} of 60");
     }
@@ -417,29 +461,30 @@
 }
 
 #[test]
-fn reload_changes_teams_under_load_and_a_bad_file_leaves_the_old_ones() {
+fn a_reload_changes_queues_under_load_and_an_invalid_file_keeps_the_old_ones() {
     let engine = engine(30);
-    let gateway = Gateway::with_operator_file(&[engine.address], TEAMS, small);
+    let gateway =
+        Gateway::with_operator_file(&[engine.address], QUEUE_SETTINGS, use_two_core_engines);
     let counts = Arc::new(Mutex::new(Counts::new()));
-    let flood = load(gateway.listen, "water", 30, 0, 3000, &counts);
+    let load = start_clients(gateway.listen, "water", 30, 0, 3000, &counts);
     let file = gateway.config.with_extension("hcl");
     sleep(millis(600));
-    std::fs::write(&file, TEAMS.replace("kiosk", "window")).unwrap();
+    std::fs::write(&file, QUEUE_SETTINGS.replace("kiosk", "window")).unwrap();
     gateway.signal(Signal::HUP);
     sleep(millis(400));
     let mut client = gateway.client();
-    assert!(status(&mut client).contains_key(&("water".into(), "window".into())));
+    assert!(queue_status(&mut client).contains_key(&("water".into(), "window".into())));
     for bad in [
-        &TEAMS.replace("ageing_ms", "ageing"),
+        &QUEUE_SETTINGS.replace("ageing_ms", "ageing"),
         "queues {",
-        &TEAMS.replace("\"power\"", "\"nobody\""),
+        &QUEUE_SETTINGS.replace("\"power\"", "\"nobody\""),
     ] {
         std::fs::write(&file, bad).unwrap();
         gateway.signal(Signal::HUP);
         sleep(millis(200));
-        assert!(status(&mut client).contains_key(&("water".into(), "window".into())));
+        assert!(queue_status(&mut client).contains_key(&("water".into(), "window".into())));
     }
-    joined(flood);
+    join_all(load);
     assert_eq!(counts.lock().unwrap()["water"][2], 0);
     gateway.signal(Signal::TERM);
     let (_, log) = gateway.wait_for_exit(millis(6000));
@@ -449,19 +494,20 @@
 }
 
 #[test]
-fn what_waits_when_the_gateway_ends_is_answered_in_the_drain_time() {
+fn waiting_statements_are_answered_within_the_drain_time_when_the_gateway_stops() {
     let engine = engine(300);
-    let gateway = Gateway::with_operator_file(&[engine.address], TEAMS, small);
-    let mut asks: Vec<Client> = (0..20).map(|_| gateway.client()).collect();
-    asks.iter_mut().for_each(|client| {
+    let gateway =
+        Gateway::with_operator_file(&[engine.address], QUEUE_SETTINGS, use_two_core_engines);
+    let mut clients: Vec<Client> = (0..20).map(|_| gateway.client()).collect();
+    clients.iter_mut().for_each(|client| {
         client
             .stream
-            .write_all_query(&text("water", "counter", 2000).1);
+            .write_query(&commented_statement("water", "counter", 2000).1);
     });
     sleep(millis(100));
     gateway.signal(Signal::TERM);
     let begun = Instant::now();
-    for mut client in asks {
+    for mut client in clients {
         assert!(matches!(
             client.answer().unwrap(),
             Answer::Rows(_) | Answer::Error(1226, _)
@@ -474,21 +520,23 @@
 }
 
 #[test]
-fn a_desk_is_named_by_the_comment_or_the_clients_network_and_unknown_ones_are_counted() {
+fn a_sub_queue_is_chosen_by_comment_or_client_network_and_unknown_names_are_counted() {
     let engine = engine(1);
     let gateway = Gateway::with_operator_file(
         &[engine.address],
-        &TEAMS.replace("127.3.0.0/16", "127.0.0.0/8"),
-        small,
+        &QUEUE_SETTINGS.replace("127.3.0.0/16", "127.0.0.0/8"),
+        use_two_core_engines,
     );
     let mut client = gateway.client();
-    for (desk, unknown) in [("", 0), ("counter", 0), ("cellar", 1), ("", 1)] {
+    for (desk, unknown_before) in [("", 0), ("counter", 0), ("cellar", 1), ("", 1)] {
         assert!(
             matches!(
-                client.ask(&text("water", desk, 2000).1).unwrap(),
+                client
+                    .ask(&commented_statement("water", desk, 2000).1)
+                    .unwrap(),
                 Answer::Rows(_)
             ),
-            "{unknown}"
+            "{unknown_before}"
         );
     }
     gateway.signal(Signal::TERM);
@@ -499,7 +547,7 @@
 }
 
 #[test]
-fn without_queues_the_status_query_is_one_that_cannot_be_used() {
+fn show_queue_is_an_error_when_queues_are_not_configured() {
     let engine = engine(1);
     let gateway = Gateway::start(&[engine.address]);
     let mut client = gateway.client();
@@ -507,7 +555,7 @@
         client.ask("SHOW QUEUE").unwrap(),
         Answer::Error(1064, _)
     ));
-    client.stream.write_all_query("SELECT @@version");
+    client.stream.write_query("SELECT @@version");
     assert!(matches!(client.answer().unwrap(), Answer::Rows(_)));
     std::io::Write::write_all(&mut client.stream, &packet(0, &[0x0e])).unwrap();
     assert_eq!(client.answer().unwrap(), Answer::Ok);
--- a/crates/gateway/tests/shares.rs
+++ b/crates/gateway/tests/shares.rs
@@ -1,5 +1,6 @@
-//! Several processes of the program with faults between them, and budgets that are divided among them: the hard cases by
-//! name. What was spent is counted where it arrives, at the engines, as well as by what each gateway says.
+//! Tests of quotas that are divided among several gateway processes, with faults in the network between
+//! them. The use of a quota is counted at the engines, where the attempts arrive, and compared with what
+//! the gateways report.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::process::Command;
@@ -14,92 +15,109 @@
 use stand_ins::engine::{Engine, Mood};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_laurelhitch");
-const SOON: Duration = Duration::from_secs(40);
+/// The limit of each wait; it is far longer than the wait takes on an idle machine.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(40);
 const LEASE_MS: u64 = 2500;
-/// Further attempts of points a second, for all together.
-const WHOLE: f64 = 6.0;
+/// The capacity of the quota for all gateways together: further attempts of the query class `point` a
+/// second. A further attempt is any attempt of a statement after its first.
+const CAPACITY_PER_S: f64 = 6.0;
+/// The time for which an unused share of the capacity accumulates.
 const BURST_S: f64 = 1.0;
-const BUDGET: &str = "relays.point";
+/// The name of the quota in the answer to `SHOW SHARES`.
+const QUOTA: &str = "relays.point";
 
-fn block(gateways: usize, whole: f64) -> String {
+/// Returns the `shares` block of the operator file.
+fn quota_settings(gateways: usize, capacity_per_s: f64) -> String {
     format!(
-        "shares {{\n  voters = [\"g00\", \"g01\", \"g02\"]\n  most_gateways = {gateways}\n  lease_ms = {LEASE_MS}\n  term_ms = 1200\n  renew_ms = 250\n  drift = 0.01\n  burst_ms = {}\n  members = false\n  relays_per_s = {{ point = {whole} }}\n}}\n",
+        "shares {{\n  voters = [\"g00\", \"g01\", \"g02\"]\n  most_gateways = {gateways}\n  lease_ms = {LEASE_MS}\n  term_ms = 1200\n  renew_ms = 250\n  drift = 0.01\n  burst_ms = {}\n  members = false\n  relays_per_s = {{ point = {capacity_per_s} }}\n}}\n",
         BURST_S * 1e3
     )
 }
 
-/// So many, known to each other, with the whole out.
-fn divided(gateways: usize) -> Fleet {
-    let mut wanted = FleetOptions::new(PROGRAM, gateways);
-    wanted.further = block(gateways, WHOLE);
-    let fleet = Fleet::start(wanted, &[]).unwrap();
+/// Starts this many gateways and waits until each sees all others and the capacity is granted in full.
+fn start_fleet(gateways: usize) -> Fleet {
+    let mut options = FleetOptions::new(PROGRAM, gateways);
+    options.further = quota_settings(gateways, CAPACITY_PER_S);
+    let fleet = Fleet::start(options, &[]).unwrap();
     let all = fleet.running_gateways();
-    fleet.wait_until_settled(SOON, &all).unwrap();
+    fleet.wait_until_settled(WAIT_TIMEOUT, &all).unwrap();
     fleet
-        .wait_until_shares(SOON, &all, |parts| out(parts) > WHOLE * 0.99)
+        .wait_until_shares(WAIT_TIMEOUT, &all, |shares| {
+            granted_per_s(shares) > CAPACITY_PER_S * 0.99
+        })
         .unwrap();
     fleet
 }
 
-fn may(part: &ShareRow) -> f64 {
-    part.floor + part.leased
+/// Returns how much of the capacity a gateway may use: its guaranteed floor and its lease.
+fn limit_per_s(share: &ShareRow) -> f64 {
+    share.floor + share.leased
 }
 
-/// What these may spend of it together, as each said.
-fn out(parts: &[BTreeMap<String, ShareRow>]) -> f64 {
-    parts.iter().map(|parts| may(&parts[BUDGET])).sum()
+/// Returns how much of the capacity these gateways may use together, as they report it.
+fn granted_per_s(shares: &[BTreeMap<String, ShareRow>]) -> f64 {
+    shares
+        .iter()
+        .map(|shares| limit_per_s(&shares[QUOTA]))
+        .sum()
 }
 
-fn stewards(parts: &[BTreeMap<String, ShareRow>]) -> usize {
-    parts
+/// Returns how many of these gateways report themselves as the leader of the quota.
+fn count_leaders(shares: &[BTreeMap<String, ShareRow>]) -> usize {
+    shares
         .iter()
-        .filter(|parts| parts[BUDGET].is_steward)
+        .filter(|shares| shares[QUOTA].is_steward)
         .count()
 }
 
-fn steward(fleet: &Fleet) -> usize {
-    let is = |at: &usize| {
+/// Returns the index of the gateway that reports itself as the leader of the quota.
+fn leader(fleet: &Fleet) -> usize {
+    let is_leader = |at: &usize| {
         fleet
             .query_shares(*at)
-            .is_some_and(|parts| parts[BUDGET].is_steward)
+            .is_some_and(|shares| shares[QUOTA].is_steward)
     };
     fleet
         .running_gateways()
         .into_iter()
-        .find(is)
-        .expect("one of them is")
+        .find(is_leader)
+        .expect("no gateway is the leader")
 }
 
-/// Clients of these gateways whose statements fail at every engine, so that each wants further attempts; ended with it.
-struct Flood {
-    ends: Arc<AtomicBool>,
-    asked: Arc<AtomicU64>,
+/// Clients whose statements fail at every engine, so that the gateways need further attempts for each of
+/// them. They run until [`Overload::end`] is called.
+struct Overload {
+    stop: Arc<AtomicBool>,
+    statements: Arc<AtomicU64>,
     clients: Vec<JoinHandle<()>>,
-    /// Further attempts at the engines by time, looked at every 100 ms.
-    seen: JoinHandle<Vec<(Duration, usize)>>,
+    /// The thread that reads the number of further attempts at the engines every 100 ms and returns it by
+    /// the time since the start.
+    samples: JoinHandle<Vec<(Duration, usize)>>,
     began: Instant,
 }
 
-impl Flood {
-    fn at(fleet: &Fleet, of: &[usize]) -> Flood {
+impl Overload {
+    /// Makes every engine answer with errors and starts one client for each entry of `gateways`.
+    fn start(fleet: &Fleet, gateways: &[usize]) -> Overload {
         static RIDS: AtomicU64 = AtomicU64::new(1 << 40);
         fleet
             .engines
             .iter()
             .for_each(|engine| engine.set(Mood::Error));
-        let (ends, asked) = (
+        let (stop, statements) = (
             Arc::new(AtomicBool::new(false)),
             Arc::new(AtomicU64::new(0)),
         );
         let client = |at: &usize| {
-            let (listen, ends, asked) = (fleet.gateways[*at].listen, ends.clone(), asked.clone());
+            let (listen, stop, statements) =
+                (fleet.gateways[*at].listen, stop.clone(), statements.clone());
             std::thread::spawn(move || {
-                while !ends.load(Ordering::Relaxed) {
+                while !stop.load(Ordering::Relaxed) {
                     let Ok(mut client) = Client::login(listen) else {
                         sleep(Duration::from_millis(20));
                         continue;
                     };
-                    while !ends.load(Ordering::Relaxed) {
+                    while !stop.load(Ordering::Relaxed) {
                         let rid = RIDS.fetch_add(1, Ordering::Relaxed);
                         let text = format!(
                             "/* method=point,rid={rid:016x},budget=900,acct=water,est=2.0,mem=2 */ SELECT 1 FROM ledger_1.bills"
@@ -107,60 +125,64 @@
                         if client.ask(&text).is_err() {
                             break;
                         }
-                        asked.fetch_add(1, Ordering::Relaxed);
+                        statements.fetch_add(1, Ordering::Relaxed);
                         sleep(Duration::from_millis(4));
                     }
                 }
             })
         };
-        let clients = of.iter().map(client).collect();
-        let (began, engines, over) = (Instant::now(), fleet.engines.clone(), ends.clone());
-        let seen = std::thread::spawn(move || {
-            let mut seen = vec![(began.elapsed(), again(&engines))];
-            while !over.load(Ordering::Relaxed) {
+        let clients = gateways.iter().map(client).collect();
+        let (began, engines, ended) = (Instant::now(), fleet.engines.clone(), stop.clone());
+        let samples = std::thread::spawn(move || {
+            let mut samples = vec![(began.elapsed(), count_further_attempts(&engines))];
+            while !ended.load(Ordering::Relaxed) {
                 sleep(Duration::from_millis(100));
-                seen.push((began.elapsed(), again(&engines)));
+                samples.push((began.elapsed(), count_further_attempts(&engines)));
             }
-            seen
+            samples
         });
-        Flood {
-            ends,
-            asked,
+        Overload {
+            stop,
+            statements,
             clients,
-            seen,
+            samples,
             began,
         }
     }
 
-    /// Ends it: further attempts that came to the engines by time, and statements asked.
-    fn end(self) -> Spent {
-        self.ends.store(true, Ordering::Relaxed);
+    /// Stops the clients and returns what was recorded while they ran.
+    fn end(self) -> AttemptRecord {
+        self.stop.store(true, Ordering::Relaxed);
         self.clients
             .into_iter()
             .for_each(|client| client.join().unwrap());
-        let seen = self.seen.join().unwrap();
-        Spent {
-            lasted: self.began.elapsed().as_secs_f64(),
-            seen,
-            asked: self.asked.load(Ordering::Relaxed),
+        let samples = self.samples.join().unwrap();
+        AttemptRecord {
+            duration_s: self.began.elapsed().as_secs_f64(),
+            samples,
+            statements: self.statements.load(Ordering::Relaxed),
         }
     }
 }
 
-struct Spent {
-    seen: Vec<(Duration, usize)>,
-    lasted: f64,
-    asked: u64,
+/// The further attempts recorded during an overload.
+struct AttemptRecord {
+    /// The number of further attempts at the engines so far, by the time since the start.
+    samples: Vec<(Duration, usize)>,
+    duration_s: f64,
+    /// The number of statements that were answered.
+    statements: u64,
 }
 
-impl Spent {
-    fn all(&self) -> usize {
-        self.seen.last().unwrap().1 - self.seen[0].1
+impl AttemptRecord {
+    /// Returns the number of further attempts from the first sample to the last.
+    fn total(&self) -> usize {
+        self.samples.last().unwrap().1 - self.samples[0].1
     }
 }
 
-/// Attempts at all engines beyond the first of each statement.
-fn again(engines: &[Engine]) -> usize {
+/// Returns the number of attempts at all engines after the first of each statement.
+fn count_further_attempts(engines: &[Engine]) -> usize {
     let mut seen = BTreeSet::new();
     let lines = engines.iter().flat_map(|engine| engine.lines());
     let attempts =
@@ -168,69 +190,75 @@
     attempts.filter(|rid| !seen.insert(rid.clone())).count()
 }
 
-/// In no window did more than the whole and what it saves up come to the engines, and one that each gateway may owe.
-fn held(fleet: &Fleet, spent: &Spent, whole: f64) {
-    for (at, (from, before)) in spent.seen.iter().enumerate() {
-        for (to, after) in &spent.seen[at..] {
-            // Seen a tenth of a second late at most, at either end.
+/// Asserts that in no time window the engines received more further attempts than the capacity, the
+/// accumulated burst and one attempt by which each gateway may be in debt.
+fn assert_within_capacity(fleet: &Fleet, recorded: &AttemptRecord, capacity_per_s: f64) {
+    for (index, (from, before)) in recorded.samples.iter().enumerate() {
+        for (to, after) in &recorded.samples[index..] {
+            // Each end of the window is sampled at most 0.1 s late.
             let window = (*to - *from).as_secs_f64() + 0.2;
-            let most = whole * (window + BURST_S) + fleet.gateways.len() as f64;
-            let came = after - before;
+            let limit = capacity_per_s * (window + BURST_S) + fleet.gateways.len() as f64;
+            let received = after - before;
             assert!(
-                came as f64 <= most,
-                "{came} further relays from {from:?} to {to:?} of {} statements, {most:.1} allowed",
-                spent.asked
+                received as f64 <= limit,
+                "{received} further attempts from {from:?} to {to:?} for {} statements, {limit:.1} allowed",
+                recorded.statements
             );
         }
     }
 }
 
 #[test]
-fn five_under_a_flood_send_no_more_further_relays_than_all_may() {
-    let fleet = divided(5);
-    let flood = Flood::at(&fleet, &[0, 1, 2, 3, 4]);
+fn overloaded_gateways_together_stay_within_the_capacity() {
+    let fleet = start_fleet(5);
+    let overload = Overload::start(&fleet, &[0, 1, 2, 3, 4]);
     sleep(Duration::from_secs(8));
-    let spent = flood.end();
-    held(&fleet, &spent, WHOLE);
-    // It is used, too: the flood wants far more.
+    let spent = overload.end();
+    assert_within_capacity(&fleet, &spent, CAPACITY_PER_S);
+    // The capacity must also be used, since the clients need far more.
     assert!(
-        spent.all() as f64 > WHOLE * spent.lasted * 0.5 && spent.asked > 500,
-        "{} of {}",
-        spent.all(),
-        spent.asked
+        spent.total() as f64 > CAPACITY_PER_S * spent.duration_s * 0.5 && spent.statements > 500,
+        "{} further attempts for {} statements",
+        spent.total(),
+        spent.statements
     );
-    let said: f64 = fleet
+    let reported: f64 = fleet
         .running_gateways()
         .into_iter()
-        .map(|at| fleet.query_shares(at).unwrap()[BUDGET].spent)
+        .map(|at| fleet.query_shares(at).unwrap()[QUOTA].spent)
         .sum();
     assert!(
-        (said - spent.all() as f64).abs() <= 5.0,
-        "{said} said, {} arrived",
-        spent.all()
+        (reported - spent.total() as f64).abs() <= 5.0,
+        "{reported} further attempts reported, {} received by the engines",
+        spent.total()
     );
 }
 
 #[test]
-fn nine_tenths_at_one_and_then_at_another_follow_the_work() {
-    let fleet = divided(4);
+fn the_capacity_moves_to_the_gateway_that_carries_the_load() {
+    let fleet = start_fleet(4);
     let all = fleet.running_gateways();
     for hot in [1, 3] {
-        let flood = Flood::at(&fleet, &[hot, hot, hot]);
-        let most = |parts: &[BTreeMap<String, ShareRow>]| may(&parts[hot][BUDGET]) > WHOLE * 0.7;
-        fleet.wait_until_shares(SOON, &all, most).unwrap();
-        held(&fleet, &flood.end(), WHOLE);
+        let overload = Overload::start(&fleet, &[hot, hot, hot]);
+        let has_most = |shares: &[BTreeMap<String, ShareRow>]| {
+            limit_per_s(&shares[hot][QUOTA]) > CAPACITY_PER_S * 0.7
+        };
+        fleet
+            .wait_until_shares(WAIT_TIMEOUT, &all, has_most)
+            .unwrap();
+        assert_within_capacity(&fleet, &overload.end(), CAPACITY_PER_S);
     }
 }
 
 #[test]
-fn a_partition_with_the_steward_on_either_side_spends_no_more() {
-    let fleet = divided(5);
+fn a_partition_stays_within_the_capacity_with_the_leader_on_either_side() {
+    let fleet = start_fleet(5);
     for round in 0..2 {
-        let flood = Flood::at(&fleet, &[0, 1, 2, 3, 4]);
-        let first = steward(&fleet);
-        // The steward with one other that is no voter; then with all voters but one.
-        let few: Vec<usize> = if round == 0 {
+        let overload = Overload::start(&fleet, &[0, 1, 2, 3, 4]);
+        let first = leader(&fleet);
+        // In the first round the minority is the leader and a gateway that does not vote, in the second a
+        // voter that is not the leader and a gateway that does not vote.
+        let minority: Vec<usize> = if round == 0 {
             vec![first, 4]
         } else {
             (0..3)
@@ -239,103 +267,111 @@
                 .chain([4])
                 .collect()
         };
-        let many: Vec<usize> = (0..5).filter(|at| !few.contains(at)).collect();
+        let majority: Vec<usize> = (0..5).filter(|at| !minority.contains(at)).collect();
         fleet
             .switch
-            .faults(|faults| faults.partition(&[few.clone(), many.clone()]));
-        // The many have a steward among them, and all that the few do not keep as floors.
-        let floors = WHOLE * 0.2 / 5.0 * few.len() as f64;
-        let whole = |parts: &[BTreeMap<String, ShareRow>]| {
-            stewards(parts) == 1 && out(parts) > (WHOLE - floors) * 0.99
+            .faults(|faults| faults.partition(&[minority.clone(), majority.clone()]));
+        // The majority has a leader and holds all of the capacity but the floors of the minority.
+        let floors = CAPACITY_PER_S * 0.2 / 5.0 * minority.len() as f64;
+        let granted_in_full = |shares: &[BTreeMap<String, ShareRow>]| {
+            count_leaders(shares) == 1 && granted_per_s(shares) > (CAPACITY_PER_S - floors) * 0.99
         };
-        fleet.wait_until_shares(SOON, &many, whole).unwrap();
-        // The few have their floors, and serve.
         fleet
-            .wait_until_shares(SOON, &few, |parts| {
-                parts.iter().all(|of| of[BUDGET].leased == 0.0)
+            .wait_until_shares(WAIT_TIMEOUT, &majority, granted_in_full)
+            .unwrap();
+        // The minority keeps only its floors.
+        fleet
+            .wait_until_shares(WAIT_TIMEOUT, &minority, |shares| {
+                shares.iter().all(|share| share[QUOTA].leased == 0.0)
             })
             .unwrap();
         fleet.switch.faults(process_harness::switch::Faults::heal);
         fleet
-            .wait_until_shares(SOON, &fleet.running_gateways(), |parts| {
-                out(parts) > WHOLE * 0.99
+            .wait_until_shares(WAIT_TIMEOUT, &fleet.running_gateways(), |shares| {
+                granted_per_s(shares) > CAPACITY_PER_S * 0.99
             })
             .unwrap();
-        held(&fleet, &flood.end(), WHOLE);
+        assert_within_capacity(&fleet, &overload.end(), CAPACITY_PER_S);
     }
 }
 
 #[test]
-fn a_steward_killed_is_followed_by_another_and_its_part_comes_back() {
-    let mut fleet = divided(5);
-    let flood = Flood::at(&fleet, &[0, 1, 2, 3, 4]);
-    let first = steward(&fleet);
+fn a_killed_leader_is_replaced_and_its_share_is_granted_again() {
+    let mut fleet = start_fleet(5);
+    let overload = Overload::start(&fleet, &[0, 1, 2, 3, 4]);
+    let first = leader(&fleet);
     fleet.kill(first);
     let rest = fleet.running_gateways();
-    let floor = WHOLE * 0.2 / 5.0;
-    let back = |parts: &[BTreeMap<String, ShareRow>]| {
-        stewards(parts) == 1 && out(parts) > (WHOLE - floor) * 0.99
+    let floor = CAPACITY_PER_S * 0.2 / 5.0;
+    let granted_again = |shares: &[BTreeMap<String, ShareRow>]| {
+        count_leaders(shares) == 1 && granted_per_s(shares) > (CAPACITY_PER_S - floor) * 0.99
     };
-    fleet.wait_until_shares(SOON, &rest, back).unwrap();
-    // Killed again during the hand-over, and started anew without memory.
+    fleet
+        .wait_until_shares(WAIT_TIMEOUT, &rest, granted_again)
+        .unwrap();
+    // The next leader is killed while the restarted gateway joins. Both restart without any state.
     fleet.start_gateway(first).unwrap();
     fleet.wait_until_ready(first);
-    let second = steward(&fleet);
+    let second = leader(&fleet);
     fleet.kill(second);
     fleet.start_gateway(second).unwrap();
     fleet.wait_until_ready(second);
     fleet
-        .wait_until_shares(SOON, &fleet.running_gateways(), |parts| {
-            stewards(parts) == 1 && out(parts) > WHOLE * 0.99
+        .wait_until_shares(WAIT_TIMEOUT, &fleet.running_gateways(), |shares| {
+            count_leaders(shares) == 1 && granted_per_s(shares) > CAPACITY_PER_S * 0.99
         })
         .unwrap();
-    held(&fleet, &flood.end(), WHOLE);
+    assert_within_capacity(&fleet, &overload.end(), CAPACITY_PER_S);
 }
 
 #[test]
-fn a_steward_stopped_beyond_its_term_wakes_as_none() {
-    let fleet = divided(5);
-    let flood = Flood::at(&fleet, &[0, 1, 2, 3, 4]);
-    let first = steward(&fleet);
+fn a_leader_paused_beyond_its_term_steps_down_when_it_resumes() {
+    let fleet = start_fleet(5);
+    let overload = Overload::start(&fleet, &[0, 1, 2, 3, 4]);
+    let first = leader(&fleet);
     let rest: Vec<usize> = (0..5).filter(|at| *at != first).collect();
     fleet.signal(first, Signal::STOP);
-    let other = |parts: &[BTreeMap<String, ShareRow>]| stewards(parts) == 1;
-    fleet.wait_until_shares(SOON, &rest, other).unwrap();
-    // Beyond its own lease, with questions waiting for it.
+    let new_leader = |shares: &[BTreeMap<String, ShareRow>]| count_leaders(shares) == 1;
+    fleet
+        .wait_until_shares(WAIT_TIMEOUT, &rest, new_leader)
+        .unwrap();
+    // The pause outlasts its own lease, while requests to it wait in its socket.
     sleep(Duration::from_millis(LEASE_MS));
     fleet.signal(first, Signal::CONT);
     fleet
-        .wait_until_shares(SOON, &fleet.running_gateways(), |parts| {
-            stewards(parts) == 1 && out(parts) > WHOLE * 0.99
+        .wait_until_shares(WAIT_TIMEOUT, &fleet.running_gateways(), |shares| {
+            count_leaders(shares) == 1 && granted_per_s(shares) > CAPACITY_PER_S * 0.99
         })
         .unwrap();
-    let spent = flood.end();
-    held(&fleet, &spent, WHOLE);
-    let over = fleet
+    let spent = overload.end();
+    assert_within_capacity(&fleet, &spent, CAPACITY_PER_S);
+    let lost_leadership = fleet
         .lines(first)
         .iter()
         .any(|line| line.fields["message"] == "quota: this gateway lost leadership");
-    assert!(over, "{:?}", fleet.lines(first));
+    assert!(lost_leadership, "{:?}", fleet.lines(first));
 }
 
 #[test]
-fn half_killed_under_a_flood_leave_the_whole_to_the_others_after_a_lease() {
-    let mut fleet = divided(6);
-    let flood = Flood::at(&fleet, &[0, 1, 2, 3, 4, 5]);
+fn the_capacity_of_killed_gateways_goes_to_the_others_after_a_lease() {
+    let mut fleet = start_fleet(6);
+    let overload = Overload::start(&fleet, &[0, 1, 2, 3, 4, 5]);
     [2, 3, 5].into_iter().for_each(|at| fleet.kill(at));
-    let (rest, floors) = (fleet.running_gateways(), WHOLE * 0.2 / 6.0 * 3.0);
+    let (rest, floors) = (fleet.running_gateways(), CAPACITY_PER_S * 0.2 / 6.0 * 3.0);
     fleet
-        .wait_until_shares(SOON, &rest, |parts| out(parts) > (WHOLE - floors) * 0.99)
+        .wait_until_shares(WAIT_TIMEOUT, &rest, |shares| {
+            granted_per_s(shares) > (CAPACITY_PER_S - floors) * 0.99
+        })
         .unwrap();
-    held(&fleet, &flood.end(), WHOLE);
+    assert_within_capacity(&fleet, &overload.end(), CAPACITY_PER_S);
 }
 
 #[test]
-fn one_joins_and_one_leaves_again_and_again_under_a_flood() {
-    let mut fleet = divided(5);
-    let flood = Flood::at(&fleet, &[0, 1, 2, 3, 4]);
+fn gateways_that_leave_and_join_under_load_stay_within_the_capacity() {
+    let mut fleet = start_fleet(5);
+    let overload = Overload::start(&fleet, &[0, 1, 2, 3, 4]);
     for round in 0..6 {
-        // Voters among them, one at a time.
+        // One gateway at a time restarts, voters included.
         let at = [3, 1, 4, 0, 3, 2][round];
         if round % 2 == 0 {
             assert!(fleet.terminate(at, Duration::from_secs(10)));
@@ -345,159 +381,181 @@
         fleet.start_gateway(at).unwrap();
         fleet.wait_until_ready(at);
     }
-    let whole =
-        |parts: &[BTreeMap<String, ShareRow>]| stewards(parts) == 1 && out(parts) > WHOLE * 0.99;
+    let granted_in_full = |shares: &[BTreeMap<String, ShareRow>]| {
+        count_leaders(shares) == 1 && granted_per_s(shares) > CAPACITY_PER_S * 0.99
+    };
     fleet
-        .wait_until_shares(SOON, &fleet.running_gateways(), whole)
+        .wait_until_shares(WAIT_TIMEOUT, &fleet.running_gateways(), granted_in_full)
         .unwrap();
-    held(&fleet, &flood.end(), WHOLE);
+    assert_within_capacity(&fleet, &overload.end(), CAPACITY_PER_S);
 }
 
-/// All idle, what nobody needs is spread evenly; more wanted by all than there is, nobody has less than an even part.
+/// When all gateways are idle, the capacity is divided evenly. When all need more than the capacity,
+/// none has less than an even share.
 #[test]
-fn idle_all_have_an_even_part_and_short_nobody_has_less() {
-    let fleet = divided(4);
-    let (all, even) = (fleet.running_gateways(), WHOLE / 4.0);
-    let evenly = |parts: &[BTreeMap<String, ShareRow>]| {
-        parts
+fn shares_are_even_when_all_gateways_are_idle_or_all_are_overloaded() {
+    let fleet = start_fleet(4);
+    let (all, even) = (fleet.running_gateways(), CAPACITY_PER_S / 4.0);
+    let evenly = |shares: &[BTreeMap<String, ShareRow>]| {
+        shares
             .iter()
-            .all(|parts| (may(&parts[BUDGET]) - even).abs() < even * 0.05)
+            .all(|shares| (limit_per_s(&shares[QUOTA]) - even).abs() < even * 0.05)
     };
-    fleet.wait_until_shares(SOON, &all, evenly).unwrap();
-    let flood = Flood::at(&fleet, &all);
-    let fair = |parts: &[BTreeMap<String, ShareRow>]| {
-        let wanted = parts.iter().all(|parts| parts[BUDGET].wanted > WHOLE);
-        wanted && parts.iter().all(|parts| may(&parts[BUDGET]) > even * 0.9)
+    fleet.wait_until_shares(WAIT_TIMEOUT, &all, evenly).unwrap();
+    let overload = Overload::start(&fleet, &all);
+    let fair = |shares: &[BTreeMap<String, ShareRow>]| {
+        let wanted = shares
+            .iter()
+            .all(|shares| shares[QUOTA].wanted > CAPACITY_PER_S);
+        wanted
+            && shares
+                .iter()
+                .all(|shares| limit_per_s(&shares[QUOTA]) > even * 0.9)
     };
-    fleet.wait_until_shares(SOON, &all, fair).unwrap();
-    held(&fleet, &flood.end(), WHOLE);
+    fleet.wait_until_shares(WAIT_TIMEOUT, &all, fair).unwrap();
+    assert_within_capacity(&fleet, &overload.end(), CAPACITY_PER_S);
 }
 
 #[test]
-fn one_that_leaves_gives_its_part_back_long_before_its_lease() {
-    let mut fleet = divided(4);
-    let flood = Flood::at(&fleet, &[3, 3, 0]);
+fn a_leaving_gateway_returns_its_share_before_its_lease_ends() {
+    let mut fleet = start_fleet(4);
+    let overload = Overload::start(&fleet, &[3, 3, 0]);
     let all = fleet.running_gateways();
     fleet
-        .wait_until_shares(SOON, &all, |parts| may(&parts[3][BUDGET]) > WHOLE * 0.4)
+        .wait_until_shares(WAIT_TIMEOUT, &all, |shares| {
+            limit_per_s(&shares[3][QUOTA]) > CAPACITY_PER_S * 0.4
+        })
         .unwrap();
-    let (began, mut leased) = (Instant::now(), Duration::ZERO);
+    let (began, mut returned_after) = (Instant::now(), Duration::ZERO);
     fleet.signal(3, Signal::TERM);
-    let floor = WHOLE * 0.2 / 4.0;
-    // A question that is out at the time is answered to nobody: its part is free a renewal later all the same.
-    leased += fleet
-        .wait_until_shares(SOON, &[0, 1, 2], |parts| {
-            out(parts) > (WHOLE - floor) * 0.99
+    let floor = CAPACITY_PER_S * 0.2 / 4.0;
+    // The answer to a lease request that is in flight at this time is lost; the share is then free one
+    // renewal later.
+    returned_after += fleet
+        .wait_until_shares(WAIT_TIMEOUT, &[0, 1, 2], |shares| {
+            granted_per_s(shares) > (CAPACITY_PER_S - floor) * 0.99
         })
         .unwrap();
-    assert!(leased <= began.elapsed());
-    assert!(leased < Duration::from_millis(LEASE_MS), "{leased:?}");
+    assert!(returned_after <= began.elapsed());
+    assert!(
+        returned_after < Duration::from_millis(LEASE_MS),
+        "{returned_after:?}"
+    );
     assert!(fleet.wait_for_exit(3, Duration::from_secs(10)));
-    held(&fleet, &flood.end(), WHOLE);
+    assert_within_capacity(&fleet, &overload.end(), CAPACITY_PER_S);
 }
 
 #[test]
-fn a_third_lost_and_all_repeated_late_spend_no_more() {
-    let fleet = divided(5);
+fn lost_and_duplicated_datagrams_stay_within_the_capacity() {
+    let fleet = start_fleet(5);
     fleet.switch.faults(|faults| {
         (faults.lost, faults.repeated) = (1.0 / 3.0, 1.0);
         faults.delay = (Duration::ZERO, Duration::from_millis(60));
         faults.repeat_after = Duration::from_millis(700);
     });
-    let flood = Flood::at(&fleet, &[0, 1, 2, 3, 4]);
+    let overload = Overload::start(&fleet, &[0, 1, 2, 3, 4]);
     sleep(Duration::from_secs(8));
-    held(&fleet, &flood.end(), WHOLE);
+    assert_within_capacity(&fleet, &overload.end(), CAPACITY_PER_S);
     fleet
         .switch
         .faults(|faults| *faults = process_harness::switch::Faults::none(5));
     fleet
-        .wait_until_shares(SOON, &fleet.running_gateways(), |parts| {
-            stewards(parts) == 1 && out(parts) > WHOLE * 0.99
+        .wait_until_shares(WAIT_TIMEOUT, &fleet.running_gateways(), |shares| {
+            count_leaders(shares) == 1 && granted_per_s(shares) > CAPACITY_PER_S * 0.99
         })
         .unwrap();
 }
 
 #[test]
-fn a_whole_set_to_a_third_by_reloads_seconds_apart_is_told_and_holds() {
-    let mut fleet = divided(4);
-    let flood = Flood::at(&fleet, &[0, 1, 2, 3]);
-    let smaller = block(4, WHOLE / 3.0);
-    let first = steward(&fleet);
-    // The steward reads it last: whoever differs is named until then.
+fn a_capacity_reduced_by_reloads_at_different_times_is_logged_and_enforced() {
+    let mut fleet = start_fleet(4);
+    let overload = Overload::start(&fleet, &[0, 1, 2, 3]);
+    let smaller = quota_settings(4, CAPACITY_PER_S / 3.0);
+    let first = leader(&fleet);
+    // The leader reloads last, and logs until then which gateways have another configuration.
     let order: Vec<usize> = (0..4).filter(|at| *at != first).chain([first]).collect();
-    // One voter's smaller file is enough: the steward grants no more than that leaves, long before it reads its own.
+    // The smaller capacity of a single voter is enough: the leader grants no more than this capacity, well
+    // before it reloads its own configuration.
     let voter = *order.iter().find(|at| **at < 3).unwrap();
     fleet.rewrite_operator_files(&[voter], &smaller).unwrap();
     fleet
-        .wait_until_shares(SOON, &order, |parts| out(parts) < WHOLE / 3.0)
+        .wait_until_shares(WAIT_TIMEOUT, &order, |shares| {
+            granted_per_s(shares) < CAPACITY_PER_S / 3.0
+        })
         .unwrap();
     for at in &order {
         fleet.rewrite_operator_files(&[*at], &smaller).unwrap();
         sleep(Duration::from_millis(400));
     }
     fleet
-        .wait_until_shares(SOON, &order, |parts| {
-            (out(parts) - WHOLE / 3.0).abs() < 0.01
+        .wait_until_shares(WAIT_TIMEOUT, &order, |shares| {
+            (granted_per_s(shares) - CAPACITY_PER_S / 3.0).abs() < 0.01
         })
         .unwrap();
-    let _ = flood.end();
-    let named = |line: &process_harness::fleet::LogLine| {
+    let _ = overload.end();
+    let reports_difference = |line: &process_harness::fleet::LogLine| {
         line.fields["message"]
             == "quota: configurations differ; the smallest capacity of a voter counts"
     };
     assert!(
-        fleet.lines(first).iter().any(named),
+        fleet.lines(first).iter().any(reports_difference),
         "{:?}",
         fleet.lines(first)
     );
-    // From here on, a lease after the last file, the third holds.
+    // One lease after the last reload, the reduced capacity applies to every gateway.
     sleep(Duration::from_millis(LEASE_MS));
-    let flood = Flood::at(&fleet, &[0, 1, 2, 3]);
+    let overload = Overload::start(&fleet, &[0, 1, 2, 3]);
     sleep(Duration::from_secs(5));
-    held(&fleet, &flood.end(), WHOLE / 3.0);
+    assert_within_capacity(&fleet, &overload.end(), CAPACITY_PER_S / 3.0);
 }
 
 #[test]
-fn members_budgets_come_from_the_ledger_and_sum_to_the_whole() {
-    let mut wanted = FleetOptions::new(PROGRAM, 3);
-    wanted.further = block(3, WHOLE).replace("members = false", "members = true")
+fn tenant_budgets_are_divided_among_the_gateways_and_sum_to_the_configured_value() {
+    let mut options = FleetOptions::new(PROGRAM, 3);
+    options.further = quota_settings(3, CAPACITY_PER_S)
+        .replace("members = false", "members = true")
         + "queues {\n  default_member = \"water\"\n  member \"water\" { cpu_s_per_s = 9 }\n  member \"power\" { cpu_s_per_s = 3 }\n}\n";
-    let fleet = Fleet::start(wanted, &[]).unwrap();
+    let fleet = Fleet::start(options, &[]).unwrap();
     let all = fleet.running_gateways();
-    fleet.wait_until_settled(SOON, &all).unwrap();
-    let sum = |parts: &[BTreeMap<String, ShareRow>], of: &str| -> f64 {
-        parts.iter().map(|parts| may(&parts[of])).sum()
+    fleet.wait_until_settled(WAIT_TIMEOUT, &all).unwrap();
+    let sum = |shares: &[BTreeMap<String, ShareRow>], quota: &str| -> f64 {
+        shares
+            .iter()
+            .map(|shares| limit_per_s(&shares[quota]))
+            .sum()
     };
-    let whole = |parts: &[BTreeMap<String, ShareRow>]| {
-        (sum(parts, "member.water") - 9.0).abs() < 0.01
-            && (sum(parts, "member.power") - 3.0).abs() < 0.01
+    let granted_in_full = |shares: &[BTreeMap<String, ShareRow>]| {
+        (sum(shares, "member.water") - 9.0).abs() < 0.01
+            && (sum(shares, "member.power") - 3.0).abs() < 0.01
     };
-    fleet.wait_until_shares(SOON, &all, whole).unwrap();
-    // The lines go by what is held here, not by a guess of it.
-    let (mut lines, mut held) = (0.0, 0.0);
+    fleet
+        .wait_until_shares(WAIT_TIMEOUT, &all, granted_in_full)
+        .unwrap();
+    // The queues of each gateway use the share that this gateway holds, and not an estimate of it.
+    let (mut queue_cpu_s, mut share_cpu_s) = (0.0, 0.0);
     for at in &all {
         let mut client = Client::login(fleet.gateways[*at].listen).unwrap();
         let stand_ins::client::Answer::Rows(rows) = client.ask("SHOW QUEUE").unwrap() else {
-            panic!("rows")
+            panic!("SHOW QUEUE did not return rows")
         };
         let water = rows.iter().find(|row| row[0] == "water").unwrap();
-        lines += water[4].parse::<f64>().unwrap();
-        held += may(&fleet.query_shares(*at).unwrap()["member.water"]);
+        queue_cpu_s += water[4].parse::<f64>().unwrap();
+        share_cpu_s += limit_per_s(&fleet.query_shares(*at).unwrap()["member.water"]);
     }
     assert!(
-        (lines - 9.0).abs() < 0.3 && (held - 9.0).abs() < 0.3,
-        "{lines} in the lines, {held} held"
+        (queue_cpu_s - 9.0).abs() < 0.3 && (share_cpu_s - 9.0).abs() < 0.3,
+        "queues use {queue_cpu_s} CPU seconds per second, shares allow {share_cpu_s}"
     );
 }
 
 #[test]
-fn the_command_line_shows_who_holds_how_much_and_off_is_off() {
-    let fleet = divided(3);
+fn the_command_line_shows_the_shares_or_that_they_are_off() {
+    let fleet = start_fleet(3);
     let run = |arguments: &[&str]| Command::new(PROGRAM).args(arguments).output().unwrap();
-    let address = fleet.gateways[steward(&fleet)].listen.to_string();
+    let address = fleet.gateways[leader(&fleet)].listen.to_string();
     let table = String::from_utf8(run(&["shares", &address]).stdout).unwrap();
     assert!(
-        (0..3).all(|at| table.contains(&name(at))) && table.contains(BUDGET),
+        (0..3).all(|at| table.contains(&name(at))) && table.contains(QUOTA),
         "{table}"
     );
     let json: serde_json::Value =
@@ -514,11 +572,11 @@
         String::from_utf8(run(&["check", "--operator", &file("hcl"), &file("json")]).stdout)
             .unwrap();
     assert!(
-        check.contains("among 3 gateways at most") && check.contains(BUDGET),
+        check.contains("among 3 gateways at most") && check.contains(QUOTA),
         "{check}"
     );
     let off = Fleet::start(FleetOptions::new(PROGRAM, 1), &[]).unwrap();
-    let said = run(&["shares", &off.gateways[0].listen.to_string()]);
-    assert!(!said.status.success());
-    assert!(String::from_utf8_lossy(&said.stderr).contains("its shares are off"));
+    let refused = run(&["shares", &off.gateways[0].listen.to_string()]);
+    assert!(!refused.status.success());
+    assert!(String::from_utf8_lossy(&refused.stderr).contains("its shares are off"));
 }
