--- a/crates/gateway/tests/shares.rs
+++ b/crates/gateway/tests/shares.rs
@@ -309,7 +309,7 @@
     fleet
         .wait_until_shares(WAIT_TIMEOUT, &rest, granted_again)
         .unwrap();
-    // The next leader is killed while the restarted gateway joins. Both restart without any state.
+    // The next leader is killed as soon as the restarted gateway is ready. Both restart without state.
     fleet.start_gateway(first).unwrap();
     fleet.wait_until_ready(first);
     let second = leader(&fleet);
