--- a/crates/simulator/examples/membership.rs
+++ b/crates/simulator/examples/membership.rs
@@ -1,5 +1,5 @@
-//! What membership sends and how soon it settles, in simulated time: `membership GATEWAYS
-//! bounded|plain|mixed CASE...`.
+//! Measures the traffic and the convergence of the membership protocol in simulated time. Usage:
+//! `membership GATEWAYS bounded|plain|mixed CASE...`.
 
 use std::time::Instant;
 
@@ -8,9 +8,10 @@
 
 const SEED: u64 = 61;
 
-fn fleet_of(count: usize, mode: &str) -> Mesh<Node> {
+/// A cluster in which no gateway, every gateway or every second one limits its traffic.
+fn new_mesh(count: usize, mode: &str) -> Mesh<Node> {
     let mode = mode.to_owned();
-    let ring = KeyRing::new(&KEY, &[]).expect("one key");
+    let ring = KeyRing::new(&KEY, &[]).expect("a single key is valid");
     Mesh::new(count, SEED, move |at, now, life| {
         let bounded = mode == "bounded" || mode == "mixed" && at % 2 == 0;
         let terms = Config {
@@ -18,14 +19,14 @@
             traffic_limits: bounded.then(TrafficLimits::default),
             ..Config::default()
         };
-        let named = |text: String| Some(Name::new(&text).expect("a name"));
+        let named = |text: String| Some(Name::new(&text).expect("the name is valid"));
         let locality = Locality {
             zone: named(format!("zone-{}", at % 8)),
             region: named(format!("region-{}", at % 4)),
         };
         let seeds = (0..3.min(count)).map(address).collect();
         let (fleet, seed) = (
-            Name::new("lab").expect("a name"),
+            Name::new("lab").expect("the name is valid"),
             SEED * 1_000_003 + at as u64 * 64 + u64::from(life),
         );
         Node::new(
@@ -44,7 +45,8 @@
     })
 }
 
-/// Sent by one gateway a second over some time: datagrams and bytes, the mean and the most.
+/// Runs for some simulated seconds, and prints the mean and the highest rate at which gateways
+/// sent.
 fn traffic(mesh: &mut Mesh<Node>, what: &str, seconds: f64) {
     let (before, from) = (mesh.sent.clone(), mesh.now);
     mesh.run(from + seconds);
@@ -68,6 +70,7 @@
     );
 }
 
+/// Runs until all gateways agree, and prints the time and the traffic that it took.
 fn settle(mesh: &mut Mesh<Node>, what: &str, within: f64) {
     let (from, before) = (mesh.now, mesh.sent.clone());
     let settled = mesh.settle(within);
@@ -92,11 +95,13 @@
 
 fn main() {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
-    let count: usize = arguments[0].parse().expect("how many");
+    let count: usize = arguments[0]
+        .parse()
+        .expect("the first argument is the number of gateways");
     let mode = arguments[1].as_str();
     let began = Instant::now();
     println!("{count} gateways, {mode}");
-    let mut mesh = fleet_of(count, mode);
+    let mut mesh = new_mesh(count, mode);
     for at in 0..count {
         mesh.run(at as f64 / count as f64);
         mesh.start(at);
--- a/crates/simulator/tests/cases.rs
+++ b/crates/simulator/tests/cases.rs
@@ -1,13 +1,14 @@
-//! The hard cases of waiting work in simulated time, with the real decisions: each by name, some
-//! seeds, no rule broken.
+//! Tests queueing under faults and overload with the production decision code, with several seeds
+//! for most cases. No run may break a rule.
 
 use simulator::figures::Figures;
 use simulator::front::Policy;
 use simulator::play::Play;
 use simulator::scenario::Scenario;
 
-/// Three members before four engines at some three quarters of what they can do; scripts are added.
-const SITE: &str = r#"
+/// Three tenants that use about three quarters of the capacity of four engines. Tests append their
+/// scripts.
+const BASE_SCENARIO: &str = r#"
 seconds      = 40
 gateways     = 2
 client_tries = 2
@@ -73,8 +74,8 @@
 }
 "#;
 
-fn play(script: &str, policy: Policy, seed: u64) -> Figures {
-    let scenario = Scenario::parse(&format!("{SITE}\n{script}")).unwrap();
+fn run(script: &str, policy: Policy, seed: u64) -> Figures {
+    let scenario = Scenario::parse(&format!("{BASE_SCENARIO}\n{script}")).unwrap();
     let figures = Play::new(&scenario, policy, seed).unwrap().run().figures;
     assert_eq!(figures.rules_broken, 0, "seed {seed}: {:?}", figures.rules);
     let ends = figures.completed + figures.denied + figures.scrapped;
@@ -83,7 +84,7 @@
 }
 
 #[test]
-fn one_members_flood_of_five_times_leaves_the_others_their_service() {
+fn a_tenants_fivefold_flood_leaves_the_service_of_the_others() {
     let flood = r#"script "flood" {
         at_s = 10
         for_s = 20
@@ -91,36 +92,39 @@
         times = 5
     }"#;
     for seed in 1..=2 {
-        let (calm, hit) = (
-            play("", Policy::Queues, seed),
-            play(flood, Policy::Queues, seed),
+        let (baseline, flooded_run) = (
+            run("", Policy::Queues, seed),
+            run(flood, Policy::Queues, seed),
         );
         for name in ["valley-water", "harbour-gas"] {
-            let (before, with) = (calm.members[name].service, hit.members[name].service);
+            let (before, with) = (
+                baseline.members[name].service,
+                flooded_run.members[name].service,
+            );
             assert!(
                 with >= 0.95 * before,
                 "seed {seed} {name}: {before} to {with}"
             );
         }
         assert!(
-            hit.estimate_within_20 >= 0.8,
+            flooded_run.estimate_within_20 >= 0.8,
             "seed {seed}: {}",
-            hit.estimate_within_20
+            flooded_run.estimate_within_20
         );
-        // What is rejected is rejected early, and the flood still gets more than its budget.
+        // Most rejections come at once, and the flooding tenant still gets more than its budget.
         assert!(
-            hit.denied_at_once as f64 >= 0.9 * hit.denied as f64,
-            "{hit:?}"
+            flooded_run.denied_at_once as f64 >= 0.9 * flooded_run.denied as f64,
+            "{flooded_run:?}"
         );
-        let flooded = &hit.members["south-power"];
+        let flooded = &flooded_run.members["south-power"];
         assert!(flooded.cpu_served > flooded.budget, "{flooded:?}");
-        let line = play(flood, Policy::OneLine, seed);
-        assert!(line.members["harbour-gas"].service < hit.members["harbour-gas"].service);
+        let line = run(flood, Policy::OneLine, seed);
+        assert!(line.members["harbour-gas"].service < flooded_run.members["harbour-gas"].service);
     }
 }
 
 #[test]
-fn engines_drain_while_queues_are_full_and_come_back_cold() {
+fn draining_engines_during_overload_keep_the_rules_and_the_estimates() {
     let script = r#"script "flood" {
         at_s = 3
         for_s = 30
@@ -132,7 +136,7 @@
         engines = [0, 1]
     }"#;
     for seed in 1..=2 {
-        let figures = play(script, Policy::Queues, seed);
+        let figures = run(script, Policy::Queues, seed);
         assert!(
             figures.estimate_within_20 >= 0.6,
             "seed {seed}: {}",
@@ -147,7 +151,7 @@
 }
 
 #[test]
-fn half_of_the_engines_fall_silent_with_full_queues_and_come_back_cold() {
+fn half_of_the_engines_silent_during_overload_keep_the_rules() {
     let script = r#"script "flood" {
         at_s = 3
         for_s = 30
@@ -164,12 +168,12 @@
         engines = [0, 1]
     }"#;
     for seed in 1..=3 {
-        play(script, Policy::Queues, seed);
+        run(script, Policy::Queues, seed);
     }
 }
 
 #[test]
-fn a_burst_of_reports_leaves_lookups_in_their_quoted_time() {
+fn a_burst_of_reports_does_not_delay_lookups() {
     let burst = r#"script "flood" {
         at_s = 10
         for_s = 20
@@ -177,20 +181,20 @@
         times = 3
     }"#;
     for seed in 1..=3 {
-        let (calm, hit) = (
-            play("", Policy::Queues, seed),
-            play(burst, Policy::Queues, seed),
+        let (baseline, flooded_run) = (
+            run("", Policy::Queues, seed),
+            run(burst, Policy::Queues, seed),
         );
         let (before, with) = (
-            calm.classes["lookup"].share_in_time,
-            hit.classes["lookup"].share_in_time,
+            baseline.classes["lookup"].share_in_time,
+            flooded_run.classes["lookup"].share_in_time,
         );
         assert!(with >= before - 0.02, "seed {seed}: {before} to {with}");
     }
 }
 
 #[test]
-fn engines_that_fail_slow_down_pause_or_vanish_break_no_rule() {
+fn engine_faults_break_no_rule() {
     for (kind, more) in [
         ("fail", ""),
         ("slow", "times = 10"),
@@ -200,27 +204,27 @@
     ] {
         let script =
             format!("script \"{kind}\" {{\nat_s = 8\nfor_s = 8\nengines = [0, 1]\n{more}\n}}");
-        play(&script, Policy::Queues, 5);
-        play(&script, Policy::OneLine, 5);
+        run(&script, Policy::Queues, 5);
+        run(&script, Policy::OneLine, 5);
     }
 }
 
 #[test]
-fn a_gateway_that_is_away_leaves_its_budgets_to_the_others() {
+fn service_stays_when_a_gateway_is_away() {
     let script =
         "allowance_times = 1.2\nscript \"away\" {\nat_s = 8\nfor_s = 20\ngateways = [0]\n}";
-    let [calm, away] = ["", script].map(|script| play(script, Policy::Queues, 2).service);
-    assert!(away >= calm - 0.03, "{calm} to {away}");
+    let [baseline, away] = ["", script].map(|script| run(script, Policy::Queues, 2).service);
+    assert!(away >= baseline - 0.03, "{baseline} to {away}");
 }
 
 #[test]
-fn keyed_unrepeatable_and_bound_products_keep_their_rules() {
-    let site = SITE.replace("gain            = 1\n", "gain = 1\nkeys = 40\nzone = 1\n");
-    let site = site
+fn ordered_non_idempotent_and_zone_bound_classes_keep_the_rules() {
+    let base = BASE_SCENARIO.replace("gain            = 1\n", "gain = 1\nkeys = 40\nzone = 1\n");
+    let base = base
         .replace("late_gain       = 0.3", "unrepeatable = true")
         .replace("count          = 4", "count = 4\nzones = 2");
     let script = "script \"restart\" {\nat_s = 8\nfor_s = 8\nengines = [1]\n}\nscript \"fail\" {\nat_s = 20\nfor_s = 3\nengines = [0, 3]\n}";
-    let scenario = Scenario::parse(&format!("{site}\n{script}")).unwrap();
+    let scenario = Scenario::parse(&format!("{base}\n{script}")).unwrap();
     let figures = Play::new(&scenario, Policy::Queues, 3)
         .unwrap()
         .run()
@@ -230,30 +234,30 @@
 }
 
 #[test]
-fn the_same_file_and_seed_give_the_same_bytes() {
-    let bytes = |seed| serde_json::to_string(&play("", Policy::Queues, seed)).unwrap();
+fn the_same_scenario_and_seed_give_the_same_figures() {
+    let bytes = |seed| serde_json::to_string(&run("", Policy::Queues, seed)).unwrap();
     assert_eq!(bytes(4), bytes(4));
     assert_ne!(bytes(4), bytes(5));
 }
 
 #[test]
-fn what_no_scenario_can_say_is_one_error() {
-    for (text, want) in [
+fn invalid_scenarios_are_rejected() {
+    for (text, expected) in [
         (
-            SITE.replace("lookup = 40", "lockup = 40"),
+            BASE_SCENARIO.replace("lookup = 40", "lockup = 40"),
             "no product lockup",
         ),
         (
-            format!("{SITE}\nscript \"storm\" {{\nat_s = 1\nfor_s = 1\n}}"),
+            format!("{BASE_SCENARIO}\nscript \"storm\" {{\nat_s = 1\nfor_s = 1\n}}"),
             "unknown kind storm",
         ),
         (
-            format!("{SITE}\nscript \"pause\" {{\nat_s = 1\nfor_s = 1\nengines = [9]\n}}"),
+            format!("{BASE_SCENARIO}\nscript \"pause\" {{\nat_s = 1\nfor_s = 1\nengines = [9]\n}}"),
             "no engine 9",
         ),
-        (SITE.replace("cores ", "crores "), "unknown field"),
+        (BASE_SCENARIO.replace("cores ", "crores "), "unknown field"),
     ] {
         let error = Scenario::parse(&text).unwrap_err();
-        assert!(error.contains(want), "{error}");
+        assert!(error.contains(expected), "{error}");
     }
 }
--- a/crates/simulator/tests/control.rs
+++ b/crates/simulator/tests/control.rs
@@ -1,5 +1,5 @@
-//! Control traffic by size: the same seed gives the same counts, situations end, fits say what the
-//! points are.
+//! Tests the measurements of control traffic: the same seed gives the same counts, situations end
+//! at their limits, and fits classify points correctly.
 
 use std::time::Duration;
 
@@ -43,17 +43,17 @@
 }
 
 #[test]
-fn every_situation_is_played_and_its_sums_hold() {
+fn every_situation_is_measured_with_consistent_counts() {
     let rows = membership::play(&plan(20, 1));
     let situations: Vec<Situation> = rows.iter().map(|row| row.counted.situation).collect();
-    let wanted = [
+    let expected = [
         Situation::Start,
         Situation::Drain,
         Situation::Rest,
         Situation::Death,
         Situation::Loss,
     ];
-    assert_eq!(situations, wanted);
+    assert_eq!(situations, expected);
     for row in &rows {
         let counted = &row.counted;
         assert_eq!(counted.ended, Ended::Completed, "{counted:?}");
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn a_situation_without_time_or_memory_says_so_and_is_the_last() {
+fn a_situation_that_exceeds_a_limit_reports_it_and_is_the_last() {
     let no_time = Limits {
         real_time: Duration::ZERO,
         ..LIMITS
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn a_table_below_the_size_never_settles() {
+fn a_member_table_below_the_cluster_size_never_settles() {
     let terms = Config {
         max_members: 10,
         ..Config::default()
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn the_ledger_answers_every_question_and_counts_the_same_again() {
+fn the_ledger_answers_every_request_with_reproducible_counts() {
     let plan = ledger::Plan {
         holders: 30,
         budgets: 24,
@@ -167,27 +167,33 @@
 }
 
 #[test]
-fn a_line_is_called_one_and_a_bend_is_not() {
+fn shapes_of_points_are_classified() {
     let sizes = [100.0, 300.0, 1000.0, 1900.0, 3800.0];
-    let of = |value: fn(f64) -> f64| sizes.map(|size| (size, value(size)));
-    let line = Line::of(&of(|size| 5.0 + 0.25 * size)).expect("five points");
+    let points = |value: fn(f64) -> f64| sizes.map(|size| (size, value(size)));
+    let line = Line::of(&points(|size| 5.0 + 0.25 * size)).expect("five points");
     assert!(
         (line.intercept - 5.0).abs() < 1e-6 && (line.slope - 0.25).abs() < 1e-9,
         "{line:?}"
     );
     assert!(line.spread < 1e-6);
-    let square = Power::of(&of(|size| 3.0 * size * size)).expect("five points");
+    let square = Power::of(&points(|size| 3.0 * size * size)).expect("five points");
     assert!(
         (square.exponent - 2.0).abs() < 1e-9 && (square.factor - 3.0).abs() < 1e-6,
         "{square:?}"
     );
     assert!((square.size_for(square.at(700.0)) - 700.0).abs() < 1e-6);
-    assert_eq!(Shape::of(&of(|size| 5.0 + 0.25 * size)), Some(Shape::Line));
     assert_eq!(
-        Shape::of(&of(|size| 3.0 * size * size)),
+        Shape::of(&points(|size| 5.0 + 0.25 * size)),
+        Some(Shape::Line)
+    );
+    assert_eq!(
+        Shape::of(&points(|size| 3.0 * size * size)),
         Some(Shape::Quadratic)
     );
-    assert_eq!(Shape::of(&of(|_| 7.0)), Some(Shape::Constant));
-    assert_eq!(Shape::of(&of(|size| size.min(1000.0))), Some(Shape::Bends));
-    assert_eq!(Shape::of(&of(|size| size)[..2]), None);
+    assert_eq!(Shape::of(&points(|_| 7.0)), Some(Shape::Constant));
+    assert_eq!(
+        Shape::of(&points(|size| size.min(1000.0))),
+        Some(Shape::Bends)
+    );
+    assert_eq!(Shape::of(&points(|size| size)[..2]), None);
 }
--- a/crates/simulator/tests/fleet.rs
+++ b/crates/simulator/tests/fleet.rs
@@ -1,5 +1,4 @@
-//! The hard cases of gateways that know each other, at 20 and 300 in simulated time, over the very
-//! code.
+//! Tests membership under faults with up to 300 emulated gateways and the production code.
 
 use std::collections::BTreeSet;
 
@@ -22,18 +21,18 @@
     assert!(joined.is_some(), "{count} never know each other");
     let until = mesh.now + 12.0;
     mesh.run(until);
-    assert!(mesh::together(&mesh), "{:?}", standings(&mesh));
+    assert!(mesh::together(&mesh), "{:?}", view_states(&mesh));
     mesh
 }
 
-fn standings(mesh: &Mesh<Node>) -> BTreeSet<String> {
+fn view_states(mesh: &Mesh<Node>) -> BTreeSet<String> {
     mesh.lives()
         .iter()
         .filter_map(|at| Some(mesh.peer(*at)?.view_state().to_string()))
         .collect()
 }
 
-fn deaths(mesh: &Mesh<Node>) -> Vec<mesh::Death> {
+fn false_deaths(mesh: &Mesh<Node>) -> Vec<mesh::Death> {
     mesh.deaths
         .iter()
         .copied()
@@ -42,18 +41,18 @@
 }
 
 #[test]
-fn half_vanish_and_the_rest_settles_on_the_right_ones() {
+fn the_rest_agrees_after_half_of_the_gateways_are_killed() {
     for (count, within) in [(20, 20.0), (300, 40.0)] {
         let mut mesh = started(count, 1);
         (0..count / 2).for_each(|at| mesh.kill(at * 2));
         let settled = mesh.settle(within);
-        assert!(settled.is_some(), "{count}: {:?}", standings(&mesh));
-        assert_eq!(deaths(&mesh), [], "{count}");
+        assert!(settled.is_some(), "{count}: {:?}", view_states(&mesh));
+        assert_eq!(false_deaths(&mesh), [], "{count}");
         mesh.run(mesh.now + 15.0);
         assert!(
             mesh::together(&mesh),
             "{count}: {:?} {:?}",
-            standings(&mesh),
+            view_states(&mesh),
             mesh.lives()
                 .iter()
                 .filter(|at| !mesh::is_together(&mesh, **at))
@@ -74,12 +73,13 @@
     }
     let joined = mesh.settle(60.0);
     assert!(joined.is_some());
-    assert_eq!(deaths(&mesh), []);
+    assert_eq!(false_deaths(&mesh), []);
 }
 
-/// Each side's standing, then healing without a storm and with nobody left for dead.
+/// Each side of a partition reports the right view. After healing, all agree again without a burst
+/// of traffic.
 #[test]
-fn partitions_in_two_and_in_three_are_named_and_heal() {
+fn partitions_in_two_and_in_three_are_detected_and_heal() {
     type Side = fn(usize) -> usize;
     let cases: [(usize, Side); 4] = [
         (20, |at| at % 4 / 3),
@@ -108,32 +108,33 @@
                 assert_eq!(gateway.view_state().name(), "together", "{at} of {count}");
             }
         }
-        assert_eq!(deaths(&mesh), [], "{count}");
+        assert_eq!(false_deaths(&mesh), [], "{count}");
         mesh.heal();
         let before = mesh.sent.clone();
         let settled = mesh.settle(90.0);
         assert!(
             settled.is_some(),
             "{count}: not healed, {:?}",
-            standings(&mesh)
+            view_states(&mesh)
         );
-        // No storm: no more a second than the stated bound.
+        // Healing causes no burst of traffic: each gateway stays below the documented rate.
         let seconds = settled.unwrap().max(1.0);
         for (after, before) in mesh.sent.iter().zip(before) {
-            let pace = (after.0 - before.0) as f64 / seconds;
+            let rate = (after.0 - before.0) as f64 / seconds;
             assert!(
-                pace < 60.0,
-                "{count}: {pace} datagrams a second while healing"
+                rate < 60.0,
+                "{count}: {rate} datagrams a second while healing"
             );
         }
         mesh.run(mesh.now + 20.0);
-        assert!(mesh::together(&mesh), "{count}: {:?}", standings(&mesh));
+        assert!(mesh::together(&mesh), "{count}: {:?}", view_states(&mesh));
     }
 }
 
-/// Without seeds to meet at, those that took each other for dead are called now and then.
+/// Gateways occasionally contact members that they declared dead, so that a partition heals even
+/// when all seeds are dead.
 #[test]
-fn two_halves_find_each_other_when_all_seeds_are_dead() {
+fn a_partition_heals_when_all_seeds_are_dead() {
     let mut mesh = started(12, 17);
     (0..3).for_each(|at| mesh.kill(at));
     assert!(mesh.settle(30.0).is_some());
@@ -145,17 +146,18 @@
             .all(|at| mesh.peer(*at).unwrap().fleet_size() <= 5)
     );
     mesh.heal();
-    assert!(mesh.settle(90.0).is_some(), "{:?}", standings(&mesh));
+    assert!(mesh.settle(90.0).is_some(), "{:?}", view_states(&mesh));
 }
 
 #[test]
-fn a_one_way_cut_and_a_chain_kill_nobody_that_others_reach() {
-    // g2 hears g1, g1 does not hear g2: others reach both.
+fn asymmetric_and_chain_links_cause_no_false_deaths() {
+    // g1 does not receive from g2, but all others reach both.
     let mut mesh = started(20, 4);
     mesh.cut(|a, b| (a, b) == (2, 1));
     mesh.run(mesh.now + 60.0);
     assert!(mesh.deaths.is_empty(), "{:?}", mesh.deaths);
-    // Nobody hears g1, which hears all: it is taken off, and comes back.
+    // Nobody receives from g1, which receives from all: it is declared dead, and returns after
+    // healing.
     mesh.cut(|a, _| a == 1);
     mesh.run(mesh.now + 60.0);
     assert!(
@@ -164,8 +166,9 @@
             .all(|at| *at == 1 || mesh.peer(*at).unwrap().fleet_size() == 19)
     );
     mesh.heal();
-    assert!(mesh.settle(60.0).is_some(), "{:?}", standings(&mesh));
-    // Neighbours only reach neighbours: whoever is two away is asked for through the one between.
+    assert!(mesh.settle(60.0).is_some(), "{:?}", view_states(&mesh));
+    // Gateways only reach their neighbours. A gateway two steps away is probed through the one
+    // between.
     let mut mesh = started(6, 5);
     mesh.cut(|a, b| a.abs_diff(b) > 1);
     mesh.run(mesh.now + 60.0);
@@ -173,17 +176,17 @@
     assert!(
         mesh.settle(60.0).is_some(),
         "nobody who lives stays dead: {:?}",
-        standings(&mesh)
+        view_states(&mesh)
     );
 }
 
 #[test]
-fn a_stopped_and_a_slow_gateway_bring_no_other_into_suspicion() {
+fn a_suspended_or_slow_gateway_suspects_no_others() {
     let mut mesh = started(20, 6);
     mesh.stop(7);
     mesh.run(mesh.now + 5.0);
     mesh.wake(7);
-    assert!(mesh.settle(30.0).is_some(), "{:?}", standings(&mesh));
+    assert!(mesh.settle(30.0).is_some(), "{:?}", view_states(&mesh));
     let suspected =
         |mesh: &Mesh<Node>| [3, 7].map(|at| mesh.peer(at).unwrap().metrics.probes_failed);
     let before = suspected(&mesh);
@@ -207,8 +210,9 @@
     );
 }
 
-/// Each message of the liar's own, under its key and counter, with lies beside what it says.
-fn forged(bytes: &mut Vec<u8>, count: usize) {
+/// Replaces the records and engine reports of a message with false ones, sealed with the valid key
+/// and the same counter.
+fn forge(bytes: &mut Vec<u8>, count: usize) {
     let (ring, lab) = (KeyRing::new(&KEY, &[]).unwrap(), Name::new("lab").unwrap());
     let Ok(mut message) = message::open(&ring, &lab, bytes) else {
         return;
@@ -231,7 +235,7 @@
                 1 => record(name(of), of, MemberState::Dead, u32::MAX),
                 2 => record(ghost, 1000 + number as usize % 1000, MemberState::Alive, 1),
                 3 => record(name(of), of, MemberState::Left, 9),
-                // At the liar's own address, under another's name.
+                // Another gateway's name at the forger's own address.
                 _ => record(name(of), 5, MemberState::Alive, 5000),
             }
         })
@@ -246,13 +250,13 @@
 }
 
 #[test]
-fn a_liar_with_the_key_moves_neither_the_fleet_nor_the_choice_of_engines() {
+fn a_forger_with_the_key_changes_neither_members_nor_outliers() {
     for count in [20, 300] {
         let mut mesh = started(count, 8);
         let liar = 5;
         mesh.liar = Some(Box::new(move |from, _, bytes| {
             if from == liar {
-                forged(bytes, count);
+                forge(bytes, count);
             }
         }));
         for second in 0..40 {
@@ -292,14 +296,14 @@
 }
 
 #[test]
-fn engines_are_doubted_on_two_independent_words_and_not_on_one() {
+fn an_outlier_needs_two_independent_reports() {
     let mut mesh = started(20, 9);
     let now = Timestamp::from_secs(mesh.now);
     mesh.peer_mut(4)
         .unwrap()
         .report_engine(now, "e-1", EngineStatus::Failing);
     mesh.run(mesh.now + 3.0);
-    let doubting = |mesh: &mut Mesh<Node>, engine: &str| {
+    let reporting_outlier = |mesh: &mut Mesh<Node>, engine: &str| {
         let now = Timestamp::from_secs(mesh.now);
         (0..20)
             .filter(|at| {
@@ -307,24 +311,24 @@
                     .unwrap()
                     .engine_outliers(now)
                     .iter()
-                    .any(|doubt| doubt.engine == engine)
+                    .any(|outlier| outlier.engine == engine)
             })
             .count()
     };
-    assert_eq!(doubting(&mut mesh, "e-1"), 0);
+    assert_eq!(reporting_outlier(&mut mesh, "e-1"), 0);
     let now = Timestamp::from_secs(mesh.now);
     mesh.peer_mut(9)
         .unwrap()
         .report_engine(now, "e-1", EngineStatus::Failing);
     mesh.run(mesh.now + 3.0);
-    assert!(doubting(&mut mesh, "e-1") >= 18);
-    // It leaves with its evidence.
+    assert!(reporting_outlier(&mut mesh, "e-1") >= 18);
+    // The outlier expires with the reports.
     mesh.run(mesh.now + 10.0);
-    assert_eq!(doubting(&mut mesh, "e-1"), 0);
+    assert_eq!(reporting_outlier(&mut mesh, "e-1"), 0);
 }
 
 #[test]
-fn all_restarted_in_turn_and_all_at_once_know_each_other_again() {
+fn gateways_agree_after_rolling_and_simultaneous_restarts() {
     let mut mesh = started(20, 10);
     for at in 0..20 {
         mesh.leave(at);
@@ -332,17 +336,17 @@
         mesh.start(at);
         mesh.run(mesh.now + 2.0);
     }
-    assert!(mesh.settle(30.0).is_some(), "{:?}", standings(&mesh));
-    assert_eq!(deaths(&mesh), []);
+    assert!(mesh.settle(30.0).is_some(), "{:?}", view_states(&mesh));
+    assert_eq!(false_deaths(&mesh), []);
     (0..20).for_each(|at| mesh.kill(at));
     mesh.run(mesh.now + 0.5);
     mesh.start_all();
-    assert!(mesh.settle(60.0).is_some(), "{:?}", standings(&mesh));
-    assert_eq!(deaths(&mesh), []);
+    assert!(mesh.settle(60.0).is_some(), "{:?}", view_states(&mesh));
+    assert_eq!(false_deaths(&mesh), []);
 }
 
 #[test]
-fn seeds_that_name_nobody_alive_leave_a_gateway_alone_until_one_comes() {
+fn gateways_without_live_seeds_stay_isolated_until_a_seed_starts() {
     let mut mesh = gateways(5, 11, Config::default());
     mesh.start(3);
     mesh.start(4);
@@ -358,21 +362,21 @@
 }
 
 #[test]
-fn a_third_lost_for_a_minute_and_all_repeated_late_kills_nobody() {
+fn loss_and_late_duplicates_cause_few_false_deaths() {
     for count in [20, 60] {
         let mut mesh = started(count, 12);
         mesh.faults.lost = 1.0 / 3.0;
         mesh.faults.repeated = 1.0;
         mesh.faults.delay_s = (0.001, 0.1);
         mesh.run(mesh.now + 60.0);
-        // Stated: under one a gateway and hour.
+        // The documented bound is less than one per gateway and hour.
         let false_ones = mesh.false_deaths();
         assert!(
             false_ones * 60 <= count,
             "{count}: {false_ones} in a minute"
         );
         mesh.faults = mesh::Faults::default();
-        assert!(mesh.settle(60.0).is_some(), "{:?}", standings(&mesh));
+        assert!(mesh.settle(60.0).is_some(), "{:?}", view_states(&mesh));
         let repeated: u64 = mesh
             .lives()
             .iter()
@@ -383,7 +387,7 @@
 }
 
 #[test]
-fn keys_change_one_gateway_after_another_and_nobody_is_lost() {
+fn a_rolling_key_change_causes_no_deaths() {
     let mut mesh = started(20, 13);
     let (old, new) = (KEY, [8; 32]);
     for (signs, other) in [(old, Some(new)), (new, Some(old)), (new, None)] {
@@ -403,10 +407,10 @@
 }
 
 #[test]
-fn two_processes_with_one_name_end_with_one_in_the_fleet() {
+fn of_two_processes_with_one_name_one_remains_a_member() {
     let mut mesh: Mesh<Node> = Mesh::new(6, 14, |at, now, life| {
         let ring = KeyRing::new(&KEY, &[]).unwrap();
-        // The last has the name of the one before it, at another address.
+        // The last gateway has the name of the one before it, at another address.
         let own = name(at.min(4));
         let seeds = (0..3).map(address).collect();
         Node::new(
@@ -444,8 +448,8 @@
 }
 
 #[test]
-fn what_one_sends_does_not_grow_with_the_fleet() {
-    let pace = |count| {
+fn traffic_per_gateway_does_not_grow_with_the_cluster() {
+    let rate = |count| {
         let mut mesh = started(count, 15);
         let (before, from) = (mesh.sent.clone(), mesh.now);
         mesh.run(from + 20.0);
@@ -459,7 +463,7 @@
             (most.0.max(of.0), most.1.max(of.1))
         })
     };
-    let (few, many) = (pace(20), pace(300));
+    let (few, many) = (rate(20), rate(300));
     assert!(
         few.0 < 10.0 && many.0 < 10.0,
         "{few:?}, {many:?} datagrams and bytes a second"
@@ -468,7 +472,7 @@
 }
 
 #[test]
-fn a_leave_is_no_failure_and_leaves_nothing_behind_after_its_time() {
+fn a_leave_causes_no_suspicion_and_its_record_expires() {
     let dead_retention = TimeDelta::from_secs(20.0);
     let mut mesh = started_by(
         20,
@@ -479,7 +483,7 @@
         },
     );
     mesh.leave(8);
-    assert!(mesh.settle(10.0).is_some(), "{:?}", standings(&mesh));
+    assert!(mesh.settle(10.0).is_some(), "{:?}", view_states(&mesh));
     assert!(
         mesh.deaths.is_empty()
             && (0..20)
--- a/crates/simulator/tests/fleet_bounded.rs
+++ b/crates/simulator/tests/fleet_bounded.rs
@@ -1,14 +1,14 @@
-//! Membership with limits on what it sends, in simulated time: what it takes while much happens at
-//! once.
+//! Tests membership with traffic limits: what the gateways send, and whether they converge, under
+//! many faults at once.
 
 use membership::{Config, Node, TrafficLimits};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use simulator::mesh::{self, Mesh, gateways};
 
-/// Sent by one gateway a second in the mean, at most, whatever happens: half of 6 KB in both
-/// directions together, less some for leases.
-const MOST_SENT_BYTES_PER_S: f64 = 2_600.0;
+/// The highest mean rate at which a gateway may send under any fault: half of 6 KB per second in
+/// both directions together, less a part for leases.
+const MAX_SENT_BYTES_PER_S: f64 = 2_600.0;
 
 fn bounded() -> Config {
     Config {
@@ -21,7 +21,7 @@
     mesh.sent.iter().map(|sent| sent.1).sum()
 }
 
-/// Bytes that one gateway sends a second in the mean while this is done.
+/// The mean bytes per second that a gateway sends while `what` runs.
 fn sent_bytes_per_s(mesh: &mut Mesh<Node>, what: impl FnOnce(&mut Mesh<Node>)) -> f64 {
     let (before, from) = (sent_bytes(mesh), mesh.now);
     what(mesh);
@@ -38,7 +38,7 @@
         );
     });
     assert!(
-        sent < MOST_SENT_BYTES_PER_S,
+        sent < MAX_SENT_BYTES_PER_S,
         "{sent} bytes a second at the start of {count}"
     );
     let until = mesh.now + 30.0;
@@ -47,27 +47,27 @@
 }
 
 #[test]
-fn two_halves_apart_for_two_minutes_meet_again_and_nobody_alive_is_held_for_dead() {
+fn a_partition_of_two_minutes_heals_without_false_deaths() {
     let mut mesh = started(120, 31);
     mesh.cut(|from, to| from % 2 != to % 2);
     let sent = sent_bytes_per_s(&mut mesh, |mesh| mesh.run(mesh.now + 120.0));
     assert!(
-        sent < MOST_SENT_BYTES_PER_S,
+        sent < MAX_SENT_BYTES_PER_S,
         "{sent} bytes a second while apart"
     );
     mesh.heal();
-    let met = mesh.now;
+    let healed = mesh.now;
     let sent = sent_bytes_per_s(&mut mesh, |mesh| {
         assert!(mesh.settle(120.0).is_some(), "they do not find together");
     });
     assert!(
-        sent < MOST_SENT_BYTES_PER_S,
+        sent < MAX_SENT_BYTES_PER_S,
         "{sent} bytes a second as they meet"
     );
     let false_ones: Vec<_> = mesh
         .deaths
         .iter()
-        .filter(|death| death.false_one && death.at > met)
+        .filter(|death| death.false_one && death.at > healed)
         .collect();
     assert!(
         false_ones.is_empty(),
@@ -78,16 +78,16 @@
 }
 
 #[test]
-fn a_third_lost_takes_nobody_off_and_few_bytes() {
+fn packet_loss_causes_no_false_deaths_and_little_traffic() {
     let mut mesh = started(120, 32);
     mesh.faults.lost = 1.0 / 3.0;
     let sent = sent_bytes_per_s(&mut mesh, |mesh| mesh.run(mesh.now + 60.0));
-    assert!(sent < MOST_SENT_BYTES_PER_S, "{sent} bytes a second");
+    assert!(sent < MAX_SENT_BYTES_PER_S, "{sent} bytes a second");
     assert_eq!(mesh.false_deaths(), 0);
 }
 
 #[test]
-fn one_that_restarts_is_known_to_all_within_seconds() {
+fn a_restarted_gateway_is_known_to_all_within_seconds() {
     let mut mesh = started(120, 33);
     mesh.leave(50);
     assert!(mesh.settle(20.0).is_some(), "one has left");
@@ -98,8 +98,8 @@
     assert!(mesh::together(&mesh));
 }
 
-/// What may happen next, by chance.
-fn trouble(mesh: &mut Mesh<Node>, rng: &mut Pcg64Mcg) {
+/// Applies or ends a random fault.
+fn random_fault(mesh: &mut Mesh<Node>, rng: &mut Pcg64Mcg) {
     let at = rng.random_range(0..mesh.len());
     match rng.random_range(0..6) {
         0 if mesh.lives().len() > mesh.len() / 2 => mesh.kill(at),
@@ -118,12 +118,12 @@
 }
 
 #[test]
-fn whatever_happens_in_whatever_order_ends_in_one_view() {
+fn random_faults_end_in_one_view() {
     for seed in 0..12 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut mesh = started(24, 100 + seed);
         for _ in 0..8 {
-            trouble(&mut mesh, &mut rng);
+            random_fault(&mut mesh, &mut rng);
             let until = mesh.now + rng.random_range(1.0..25.0);
             mesh.run(until);
         }
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn two_regions_apart_that_reach_the_others_hold_nobody_for_dead() {
+fn a_partition_between_two_regions_causes_no_false_deaths() {
     let mut mesh = started(160, 34);
     mesh.cut(|from, to| matches!((from % 4, to % 4), (0, 1) | (1, 0)));
     mesh.run(mesh.now + 120.0);
--- a/crates/simulator/tests/mass.rs
+++ b/crates/simulator/tests/mass.rs
@@ -1,6 +1,6 @@
-//! Days of three hundred gateways: the shapes of a whole fleet in trouble, with rules checked at
-//! every step. What is harmless in one gateway and hurts in hundreds is counted over all of them:
-//! handshakes, connections, lists.
+//! Tests faults in a cluster of hundreds of gateways, with the rules checked at every step. Some
+//! costs are harmless for one gateway but not for hundreds, so handshakes, connections and engine
+//! list updates are counted over all of them.
 
 use std::path::Path;
 
@@ -14,16 +14,17 @@
     Scenario::read(&folder.join(format!("{name}.hcl"))).unwrap()
 }
 
-fn play(scenario: &Scenario, seed: u64) -> Figures {
+fn run(scenario: &Scenario, seed: u64) -> Figures {
     Play::new(scenario, Policy::OneLine, seed)
         .unwrap()
         .run()
         .figures
 }
 
-/// Service over the whole day, handshakes an attempt, connections at one engine: none may be worse.
+/// The numbers are limits: the lowest service, the most handshakes per attempt and the most
+/// connections to one engine.
 #[test]
-fn each_day_of_the_whole_fleet_keeps_its_rules_and_its_service() {
+fn faults_of_the_whole_cluster_keep_the_rules_and_the_service() {
     for (name, service, handshakes, connections) in [
         ("mass", 0.99, 0.06, 60),
         ("mass-roll", 0.86, 0.14, 90),
@@ -32,7 +33,7 @@
         ("mass-join", 0.77, 0.13, 120),
         ("mass-lost", 0.95, 0.11, 80),
     ] {
-        let figures = play(&scenario(name), 1);
+        let figures = run(&scenario(name), 1);
         assert_eq!(figures.rules_broken, 0, "{name}: {:?}", figures.rules);
         assert!(
             figures.service >= service,
@@ -49,37 +50,37 @@
     }
 }
 
-/// The list goes once to each gateway for each change, whatever else happens.
+/// Each change of the engine list is sent once to each gateway.
 #[test]
-fn lists_are_told_once_a_gateway_and_change() {
-    assert_eq!(play(&scenario("mass-zone"), 2).lists_told, 300 * 20);
-    assert_eq!(play(&scenario("mass"), 2).lists_told, 0);
+fn each_list_change_is_sent_once_per_gateway() {
+    assert_eq!(run(&scenario("mass-zone"), 2).lists_told, 300 * 20);
+    assert_eq!(run(&scenario("mass"), 2).lists_told, 0);
 }
 
 #[test]
-fn without_the_idle_time_told_hundreds_of_gateways_connect_anew_for_nearly_each_relay() {
-    let mut untold = scenario("mass");
-    let told = play(&untold, 3);
-    // Connections still end when idle; only the decisions do not know.
-    untold.idle_untold = true;
-    let untold = play(&untold, 3);
-    let share = |of: &Figures| of.handshakes as f64 / of.attempts as f64;
+fn an_unknown_idle_timeout_multiplies_handshakes() {
+    let mut hidden_timeout = scenario("mass");
+    let known_timeout = run(&hidden_timeout, 3);
+    // Idle connections still time out, but the dispatchers do not know it.
+    hidden_timeout.idle_untold = true;
+    let hidden_timeout = run(&hidden_timeout, 3);
+    let share = |figures: &Figures| figures.handshakes as f64 / figures.attempts as f64;
     assert!(
-        share(&untold) > 5.0 * share(&told),
-        "{} untold, {} told",
-        share(&untold),
-        share(&told)
+        share(&hidden_timeout) > 5.0 * share(&known_timeout),
+        "{} hidden_timeout, {} told",
+        share(&hidden_timeout),
+        share(&known_timeout)
     );
 }
 
-/// A third of the engines hang before 222 gateways that see little each: told by others, few lose a
-/// statement.
+/// A third of the engines hang behind 222 gateways, each of which sends too few statements to
+/// detect it early. When they share outlier detection results, fewer attempts time out.
 #[test]
-fn gateways_that_know_each_other_lose_fewer_statements_to_a_hung_third() {
-    let mut knowing = scenario("hung-third");
-    let with = play(&knowing, 1);
-    knowing.fleet = false;
-    let without = play(&knowing, 1);
+fn sharing_outliers_reduces_timeouts_when_a_third_of_the_engines_hangs() {
+    let mut scenario_with_sharing = scenario("hung-third");
+    let with = run(&scenario_with_sharing, 1);
+    scenario_with_sharing.fleet = false;
+    let without = run(&scenario_with_sharing, 1);
     assert_eq!(
         (with.rules_broken, without.rules_broken),
         (0, 0),
