--- a/crates/gateway/benches/list.rs
+++ b/crates/gateway/benches/list.rs
@@ -1,5 +1,6 @@
-//! The list of engines through the code that reads it: bytes of the board's answer, time to read it whole, to take
-//! its names and to tell the decisions, and time for one event on top of it. No sockets.
+//! Measures how a list of engines is processed, without sockets: the size of the discovery response, the
+//! time to parse it, to update the engine registry and to update admission control, and the time for one
+//! further event.
 
 #[path = "../../dispatch/benches/support/fit.rs"]
 #[allow(dead_code)]
@@ -22,7 +23,7 @@
 
 const SIZES: [u32; 4] = [10, 100, 1_000, 3_100];
 const ROUNDS: usize = 15;
-/// The board answers with up to this many engines within the largest answer that the gateway reads.
+/// The step, in engines, of the search for the largest list that the gateway still reads in one response.
 const SEARCH_STEP: u32 = 50;
 
 fn engine(number: u32) -> Value {
@@ -34,7 +35,7 @@
     )
 }
 
-fn answer(last: usize, whole: bool, engines: Vec<Value>) -> Vec<u8> {
+fn list_response(last: usize, whole: bool, engines: Vec<Value>) -> Vec<u8> {
     let body = json!({"rev": last, "notices": [event(last, whole, engines)]}).to_string();
     format!(
         "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
@@ -43,8 +44,9 @@
     .into_bytes()
 }
 
+/// Returns a response with a snapshot of this many engines.
 fn whole_list(engines: u32) -> Vec<u8> {
-    answer(1, true, (1..=engines).map(engine).collect())
+    list_response(1, true, (1..=engines).map(engine).collect())
 }
 
 fn dispatch(settings: &Settings) -> Dispatcher {
@@ -62,28 +64,38 @@
     }
 }
 
-/// Microseconds of taking names, and of telling the decisions.
-fn tell(
-    names: &mut EngineRegistry,
+/// Applies the first event and returns the microseconds for the engine registry and for admission control.
+fn apply_first_event(
+    registry: &mut EngineRegistry,
     dispatch: &mut Dispatcher,
     events: &[DiscoveryEvent],
 ) -> (f64, f64) {
-    let change = events[0].change.as_ref().expect("a change of the list");
+    let change = events[0]
+        .change
+        .as_ref()
+        .expect("the event has no change of the list");
     let begun = Instant::now();
-    let applied = names.apply(Timestamp::from_secs(1.0), change);
-    let named_us = begun.elapsed().as_secs_f64() * 1e6;
+    let applied = registry.apply(Timestamp::from_secs(1.0), change);
+    let registry_us = begun.elapsed().as_secs_f64() * 1e6;
     let begun = Instant::now();
     dispatch.on_endpoint_update(Timestamp::from_secs(1.0) + TimeDelta::ZERO, &applied.update);
-    (named_us, begun.elapsed().as_secs_f64() * 1e6)
+    (registry_us, begun.elapsed().as_secs_f64() * 1e6)
 }
 
+/// Durations in microseconds, one for each round.
 #[derive(Default)]
 struct Samples {
+    /// Parsing the HTTP response and its JSON.
     parse: Vec<f64>,
-    names: Vec<f64>,
-    decisions: Vec<f64>,
-    names_again: Vec<f64>,
-    decisions_again: Vec<f64>,
+    /// Updating the engine registry with the first list.
+    registry: Vec<f64>,
+    /// Updating admission control with the first list.
+    admission: Vec<f64>,
+    /// Updating the engine registry with the same list again.
+    registry_again: Vec<f64>,
+    /// Updating admission control with the same list again.
+    admission_again: Vec<f64>,
+    /// All steps for one further event.
     event: Vec<f64>,
 }
 
@@ -92,25 +104,28 @@
     let begun = Instant::now();
     let first = read(&bytes);
     samples.parse.push(begun.elapsed().as_secs_f64() * 1e6);
-    let (mut names, mut dispatch) = (
+    let (mut registry, mut dispatch) = (
         EngineRegistry::new(settings.location_names(), settings.machine_names()),
         dispatch(settings),
     );
-    let (named, told) = tell(&mut names, &mut dispatch, &first.events);
-    samples.names.push(named);
-    samples.decisions.push(told);
-    // The same list again, as after a restart of the board.
-    let (named, told) = tell(&mut names, &mut dispatch, &first.events);
-    samples.names_again.push(named);
-    samples.decisions_again.push(told);
-    let one = answer(2, false, vec![engine(1)]);
+    let (registry_us, admission_us) =
+        apply_first_event(&mut registry, &mut dispatch, &first.events);
+    samples.registry.push(registry_us);
+    samples.admission.push(admission_us);
+    // The same list arrives again, as after a restart of the discovery service.
+    let (registry_us, admission_us) =
+        apply_first_event(&mut registry, &mut dispatch, &first.events);
+    samples.registry_again.push(registry_us);
+    samples.admission_again.push(admission_us);
+    let update = list_response(2, false, vec![engine(1)]);
     let begun = Instant::now();
-    let change = read(&one);
-    tell(&mut names, &mut dispatch, &change.events);
+    let second = read(&update);
+    apply_first_event(&mut registry, &mut dispatch, &second.events);
     samples.event.push(begun.elapsed().as_secs_f64() * 1e6);
 }
 
-/// The largest list, to a step, that one answer of the board may carry.
+/// Returns the number of engines in the largest list that fits in one discovery response, to within
+/// [`SEARCH_STEP`].
 fn largest_list() -> u32 {
     let fits = |engines: u32| {
         matches!(
@@ -122,7 +137,7 @@
         )
     };
     let mut engines = SIZES[SIZES.len() - 1];
-    assert!(fits(engines), "the target size is refused");
+    assert!(fits(engines), "the largest measured list is refused");
     while fits(engines + SEARCH_STEP) {
         engines += SEARCH_STEP;
     }
@@ -167,20 +182,20 @@
     );
     row(
         "names, first list",
-        all.each_ref().map(|samples| samples.names.clone()),
+        all.each_ref().map(|samples| samples.registry.clone()),
     );
     row(
         "decisions, first list",
-        all.each_ref().map(|samples| samples.decisions.clone()),
+        all.each_ref().map(|samples| samples.admission.clone()),
     );
     row(
         "names, same list again",
-        all.each_ref().map(|samples| samples.names_again.clone()),
+        all.each_ref().map(|samples| samples.registry_again.clone()),
     );
     row(
         "decisions, same list again",
         all.each_ref()
-            .map(|samples| samples.decisions_again.clone()),
+            .map(|samples| samples.admission_again.clone()),
     );
     row(
         "one event, all steps",
--- a/crates/gateway/tests/golden.rs
+++ b/crates/gateway/tests/golden.rs
@@ -1,13 +1,15 @@
-//! What travels between the gateway and others, to the byte: packets to clients, lines to and from engines, questions to the
-//! discovery service and its answers, fields of the comment ahead of a statement, and the names of what is shown to operators.
-//! Clients, engines, boards and operators' scripts hold to these, so no work on the code's own names may change them: what was
-//! written before such work is kept in `golden/` and compared here.
+//! Compares the external interfaces of the gateway byte for byte with the recorded files in `golden/`:
+//! packets to clients, lines to and from engines, requests to the discovery service and its responses, the
+//! fields of the comment before a statement, and the names in the output for operators. Clients, engines,
+//! discovery services and the scripts of operators depend on these, so renaming identifiers in the code
+//! must not change them.
 //!
-//! A deliberate change is recorded anew with `GOLDEN_RECORD=1 cargo test -p laurelhitch-gateway --test golden`, which writes the
-//! files; a plain run only compares. A line is a name and a value: bytes in hexadecimal, or text with what is no plain letter
-//! of it escaped. Names are of the field's own words and don't follow the code's.
+//! To record an intended change, run `GOLDEN_RECORD=1 cargo test -p laurelhitch-gateway --test golden`,
+//! which writes the files; without the variable the tests only compare. Each line of a file has a name and
+//! a value. The value is bytes in hexadecimal, or text in which bytes other than printable ASCII are
+//! escaped. The names do not follow the identifiers of the code.
 
-// A test tells one story from top to bottom, and tables of cases are long.
+// Scenario tests run from top to bottom in one function, and tables of cases are long.
 #![allow(clippy::too_many_lines)]
 
 mod support;
@@ -49,8 +51,8 @@
 use support::script::ScriptedEngine;
 use support::*;
 
-/// Compares with what is recorded, or records it.
-fn golden(file: &str, got: &[(&str, String)]) {
+/// Compares the names and values with the recorded file, or writes the file if `GOLDEN_RECORD` is 1.
+fn compare_golden(file: &str, got: &[(&str, String)]) {
     let path = Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("tests/golden")
         .join(file);
@@ -67,10 +69,11 @@
     for (got, want) in got.iter().zip(&want) {
         assert_eq!(got, want, "{file}");
     }
-    assert_eq!(got.len(), want.len(), "{file}: lines");
+    assert_eq!(got.len(), want.len(), "{file}: number of lines");
 }
 
-fn hex(bytes: impl AsRef<[u8]>) -> String {
+/// Returns the bytes in hexadecimal.
+fn to_hex(bytes: impl AsRef<[u8]>) -> String {
     let mut text = String::new();
     bytes
         .as_ref()
@@ -79,12 +82,13 @@
     text
 }
 
-fn plain(bytes: impl AsRef<[u8]>) -> String {
+/// Returns the bytes as text in which all but printable ASCII is escaped.
+fn to_escaped(bytes: impl AsRef<[u8]>) -> String {
     bytes.as_ref().escape_ascii().to_string()
 }
 
 #[test]
-fn packets_to_clients_are_as_recorded() {
+fn packets_to_clients_match_the_recording() {
     let cells = |cells: [&str; 2]| cells.map(str::to_owned);
     let progress = Response::to(0).progress(&ProgressReport {
         stage: 1,
@@ -97,7 +101,7 @@
             progress_reports,
             tls,
         };
-        hex(handshake::greeting(0x0102_0304, options))
+        to_hex(handshake::greeting(0x0102_0304, options))
     };
     let pages = [&b"a\tb\tc\n1\t2\t3\n"[..], b"4\t5\t6\n"];
     let long = "x".repeat(300);
@@ -106,63 +110,69 @@
         ("greeting-progress", greeting(true, false)),
         ("greeting-tls", greeting(false, true)),
         ("greeting-progress-tls", greeting(true, true)),
-        ("ok", hex(Response::to(1).ok())),
-        ("ok-after-last-number", hex(Response::to(255).ok())),
-        ("progress", hex(&progress.bytes)),
+        ("ok", to_hex(Response::to(1).ok())),
+        ("ok-after-last-number", to_hex(Response::to(255).ok())),
+        ("progress", to_hex(&progress.bytes)),
         ("progress-number", progress.sequence.to_string()),
         (
             "error",
-            hex(Response::to(0).error(ErrorCode::LIMIT_REACHED, "denied; backoff=400")),
+            to_hex(Response::to(0).error(ErrorCode::LIMIT_REACHED, "denied; backoff=400")),
         ),
         (
             "ask-password",
-            hex(Response::to(2).request_clear_password()),
+            to_hex(Response::to(2).request_clear_password()),
         ),
         (
             "value",
-            hex(Response::to(0).single_value("@@max_allowed_packet", b"65536")),
+            to_hex(Response::to(0).single_value("@@max_allowed_packet", b"65536")),
         ),
         (
             "table",
-            hex(Response::to(0).table(["one", "two"], &[cells(["a", "b"]), cells(["", &long])])),
+            to_hex(Response::to(0).table(["one", "two"], &[cells(["a", "b"]), cells(["", &long])])),
         ),
         (
             "table-empty",
-            hex(Response::to(0).table(["one", "two"], &[])),
+            to_hex(Response::to(0).table(["one", "two"], &[])),
+        ),
+        (
+            "result",
+            to_hex(Response::to(0).result_set(pages.into_iter())),
         ),
-        ("result", hex(Response::to(0).result_set(pages.into_iter()))),
         (
             "result-empty",
-            hex(Response::to(0).result_set([].into_iter())),
+            to_hex(Response::to(0).result_set([].into_iter())),
         ),
     ];
-    golden("packets.txt", &got);
+    compare_golden("packets.txt", &got);
 }
 
+/// Returns the body of a login packet.
 fn login(user: &str, password: &[u8], database: &str) -> Vec<u8> {
     login_packet(user, password, database)[4..].to_vec()
 }
 
-fn judged(of: Result<(), LoginError>) -> String {
-    match of {
+fn format_login_result(result: Result<(), LoginError>) -> String {
+    match result {
         Ok(()) => "in".to_owned(),
-        Err(why) => {
-            let code = why.code();
-            format!("{} {} {why}", code.number, plain(code.sql_state))
+        Err(error) => {
+            let code = error.code();
+            format!("{} {} {error}", code.number, to_escaped(code.sql_state))
         }
     }
 }
 
+/// Formats the command that a packet body is parsed into.
 fn command(body: &[u8]) -> String {
     match Command::parse(body) {
         Command::Quit => "quit".to_owned(),
         Command::Ping => "ping".to_owned(),
         Command::NoOperation => "fine".to_owned(),
-        Command::Query(text) => format!("query {}", plain(text)),
+        Command::Query(text) => format!("query {}", to_escaped(text)),
         Command::Unknown => "unknown".to_owned(),
     }
 }
 
+/// Formats the query that a text is parsed into.
 fn query(text: &str) -> String {
     match Query::parse(text.as_bytes()) {
         Query::Statement => "statement".to_owned(),
@@ -183,18 +193,18 @@
 }
 
 #[test]
-fn packets_of_clients_are_read_as_recorded() {
+fn packets_from_clients_are_parsed_as_recorded() {
     let mut progress = login("app", b"", "warehouse");
     progress[0] &= !1;
     progress[28] = 1;
     let mut tls = login("token", b"", "warehouse");
     tls[1] |= 8;
-    let hello = |body: &[u8]| match first_packet(body) {
+    let first = |body: &[u8]| match first_packet(body) {
         FirstPacket::TlsRequest => "tls".to_owned(),
         FirstPacket::Login => "login".to_owned(),
     };
     let mut inbox = BytesMut::from(&[3, 0, 0, 9, 3, b'h', b'i', 1][..]);
-    let taken = take_packet(&mut inbox).unwrap().unwrap();
+    let decoded = take_packet(&mut inbox).unwrap().unwrap();
     let too_large = take_packet(&mut BytesMut::from(&[1, 0, 1, 0][..]))
         .err()
         .unwrap();
@@ -203,36 +213,36 @@
             "packet",
             format!(
                 "{} {} {}",
-                taken.sequence,
-                plain(&taken.body),
-                plain(&inbox)
+                decoded.sequence,
+                to_escaped(&decoded.body),
+                to_escaped(&inbox)
             ),
         ),
         ("packet-too-large", too_large.to_string()),
         (
             "login",
-            judged(check_login(&login("app", b"", "warehouse"))),
+            format_login_result(check_login(&login("app", b"", "warehouse"))),
         ),
         (
             "login-other-user",
-            judged(check_login(&login("root", b"", "warehouse"))),
+            format_login_result(check_login(&login("root", b"", "warehouse"))),
         ),
         (
             "login-password",
-            judged(check_login(&login("app", b"x", "warehouse"))),
+            format_login_result(check_login(&login("app", b"x", "warehouse"))),
         ),
         (
             "login-other-database",
-            judged(check_login(&login("app", b"", "other"))),
+            format_login_result(check_login(&login("app", b"", "other"))),
         ),
-        ("login-malformed", judged(check_login(b"\x00"))),
+        ("login-malformed", format_login_result(check_login(b"\x00"))),
         (
             "login-token",
-            judged(check_token_login(&login("token", b"x", "warehouse"))),
+            format_login_result(check_token_login(&login("token", b"x", "warehouse"))),
         ),
         (
             "login-token-other-user",
-            judged(check_token_login(&login("app", b"", "warehouse"))),
+            format_login_result(check_token_login(&login("app", b"", "warehouse"))),
         ),
         (
             "progress-wanted",
@@ -242,8 +252,8 @@
             "progress-not-wanted",
             accepts_progress_reports(&login("app", b"", "warehouse")).to_string(),
         ),
-        ("first-tls", hello(&tls[..32])),
-        ("first-login", hello(&tls)),
+        ("first-tls", first(&tls[..32])),
+        ("first-login", first(&tls)),
         ("command-quit", command(b"\x01")),
         ("command-database", command(b"\x02warehouse")),
         ("command-other-database", command(b"\x02other")),
@@ -273,27 +283,28 @@
             query("SELECT @@max_allowed_packet LIMIT 1"),
         ),
     ];
-    golden("packets_read.txt", &got);
+    compare_golden("packets_read.txt", &got);
 }
 
-/// The next whole packet's body: an error's mark, code, state and text.
+/// Reads the next packet, which must be an error, and returns its code followed by its SQL state and text.
 fn error(client: &mut Client) -> String {
     let body = client.packet().unwrap();
-    assert_eq!(body[0], 0xff, "{}", plain(&body));
+    assert_eq!(body[0], 0xff, "{}", to_escaped(&body));
     format!(
         "{} {}",
         u16::from_le_bytes([body[1], body[2]]),
-        plain(&body[3..])
+        to_escaped(&body[3..])
     )
 }
 
-fn refused(client: &mut Client, query: &str) -> String {
+/// Sends a query that must fail and returns its error.
+fn error_for_query(client: &mut Client, query: &str) -> String {
     client.stream.write_all(&query_packet(query)).unwrap();
     error(client)
 }
 
 #[test]
-fn errors_come_to_clients_as_recorded() {
+fn errors_to_clients_match_the_recording() {
     let engine = ScriptedEngine::new();
     let gateway = Gateway::with_config(&[engine.address], |config| {
         allow_long_waits(config);
@@ -302,56 +313,62 @@
     let mut client = gateway.client();
     let good = commented(1900, "SELECT 1");
     let mut got = vec![
-        ("no-comment", refused(&mut client, "SELECT 1")),
-        ("no-id", refused(&mut client, &good.replace("rid=", "id="))),
+        ("no-comment", error_for_query(&mut client, "SELECT 1")),
+        (
+            "no-id",
+            error_for_query(&mut client, &good.replace("rid=", "id=")),
+        ),
         (
             "bad-id",
-            refused(&mut client, &good.replace("rid=0", "rid=g")),
+            error_for_query(&mut client, &good.replace("rid=0", "rid=g")),
         ),
         (
             "no-budget",
-            refused(&mut client, &good.replace("budget=1900,", "")),
+            error_for_query(&mut client, &good.replace("budget=1900,", "")),
         ),
         (
             "bad-budget",
-            refused(&mut client, &good.replace("budget=1900", "budget=0")),
+            error_for_query(&mut client, &good.replace("budget=1900", "budget=0")),
         ),
         (
             "no-method",
-            refused(&mut client, &good.replace("method=point,", "")),
+            error_for_query(&mut client, &good.replace("method=point,", "")),
         ),
         (
             "unknown-method",
-            refused(&mut client, &good.replace("point", "nothing")),
+            error_for_query(&mut client, &good.replace("point", "nothing")),
         ),
         (
             "unknown-account",
-            refused(&mut client, &good.replace("water", "fire")),
+            error_for_query(&mut client, &good.replace("water", "fire")),
         ),
         (
             "bad-estimate",
-            refused(&mut client, &good.replace("est=12.0", "est=much")),
+            error_for_query(&mut client, &good.replace("est=12.0", "est=much")),
         ),
         (
             "bad-memory",
-            refused(&mut client, &good.replace("mem=8", "mem=much")),
+            error_for_query(&mut client, &good.replace("mem=8", "mem=much")),
         ),
         (
             "bad-token",
-            refused(&mut client, &good.replace("mem=8", "token=a b")),
+            error_for_query(&mut client, &good.replace("mem=8", "token=a b")),
         ),
         (
             "bad-object",
-            refused(&mut client, &good.replace("mem=8", "obj=a b")),
+            error_for_query(&mut client, &good.replace("mem=8", "obj=a b")),
         ),
         (
             "no-statement",
-            refused(&mut client, &good.replace("SELECT 1", "")),
+            error_for_query(&mut client, &good.replace("SELECT 1", "")),
+        ),
+        ("no-fleet", error_for_query(&mut client, "SHOW FLEET")),
+        ("no-shares", error_for_query(&mut client, "SHOW SHARES")),
+        ("no-queues", error_for_query(&mut client, "SHOW QUEUE")),
+        (
+            "kill-unknown",
+            error_for_query(&mut client, "KILL 99999999"),
         ),
-        ("no-fleet", refused(&mut client, "SHOW FLEET")),
-        ("no-shares", refused(&mut client, "SHOW SHARES")),
-        ("no-queues", refused(&mut client, "SHOW QUEUE")),
-        ("kill-unknown", refused(&mut client, "KILL 99999999")),
     ];
     client.stream.write_all(&packet(0, &[0x55])).unwrap();
     got.push(("unknown-command", error(&mut client)));
@@ -367,40 +384,40 @@
             error(&mut Client::open(gateway.listen, &login).unwrap()),
         ));
     }
-    // One is open, and as many as may be.
+    // One statement is open, which is the limit of this configuration.
     let (mut first, open) = (gateway.client(), tagged_statement(8, "SELECT 2"));
     send(&mut first, &open);
-    let mut link = engine.accept();
-    assert_eq!(link.receive_statement().id, open.rid);
-    got.push(("id-open", refused(&mut client, &open.query)));
+    let mut connection = engine.accept();
+    assert_eq!(connection.receive_statement().id, open.rid);
+    got.push(("id-open", error_for_query(&mut client, &open.query)));
     got.push((
         "too-many-open",
-        refused(&mut client, &commented(1900, "SELECT 3")),
+        error_for_query(&mut client, &commented(1900, "SELECT 3")),
     ));
     let kill = format!("KILL QUERY {}", first.connection);
     assert_eq!(client.ask(&kill).unwrap(), stand_ins::client::Answer::Ok);
     got.push(("killed", error(&mut first)));
-    golden("errors.txt", &got);
+    compare_golden("errors.txt", &got);
 }
 
 #[test]
-fn denials_and_failures_come_to_clients_as_recorded() {
+fn rejections_and_failures_to_clients_match_the_recording() {
     let full = engine(1);
     full.set(Mood::Full);
     let gateway = Gateway::start(&[full.address]);
-    let denied = refused(&mut gateway.client(), &commented(800, "SELECT 1"));
-    // What may have run and can't be tried again.
+    let denied = error_for_query(&mut gateway.client(), &commented(800, "SELECT 1"));
+    // An unsafe statement may have run on the engine, so the gateway must not retry it.
     let broken = engine(1);
     broken.set(Mood::Error);
     let gateway = Gateway::with_config(&[broken.address], |config| {
         config["settings"]["Grades"][0]["Effect"] = json!("unsafe");
     });
-    let failed = refused(&mut gateway.client(), &commented(800, "SELECT 1"));
-    golden("endings.txt", &[("denied", denied), ("failed", failed)]);
+    let failed = error_for_query(&mut gateway.client(), &commented(800, "SELECT 1"));
+    compare_golden("endings.txt", &[("denied", denied), ("failed", failed)]);
 }
 
 #[test]
-fn lines_to_engines_are_as_recorded() {
+fn lines_to_engines_match_the_recording() {
     let request_id: RequestId = *b"5eed00c0ffee0a17";
     let none = StatementKeys {
         idempotency_key: None,
@@ -413,7 +430,7 @@
     let got = [
         (
             "do",
-            plain(
+            to_escaped(
                 AttemptRequest {
                     request_id,
                     class: "scan",
@@ -427,7 +444,7 @@
         ),
         (
             "do-ranked",
-            plain(
+            to_escaped(
                 AttemptRequest {
                     request_id,
                     class: "scan",
@@ -441,7 +458,7 @@
         ),
         (
             "do-tagged",
-            plain(
+            to_escaped(
                 AttemptRequest {
                     request_id,
                     class: "load",
@@ -453,22 +470,26 @@
                 .encode(),
             ),
         ),
-        ("undo", plain(protocol::encode_cancel(&request_id))),
-        ("page", plain(protocol::encode_page_request(&request_id, 3))),
-        ("forget", plain(protocol::encode_release(&request_id))),
+        ("undo", to_escaped(protocol::encode_cancel(&request_id))),
+        (
+            "page",
+            to_escaped(protocol::encode_page_request(&request_id, 3)),
+        ),
+        ("forget", to_escaped(protocol::encode_release(&request_id))),
         ("longest-body", MAX_BODY_BYTES.to_string()),
         ("inbox-bound", MAX_RESPONSE_BYTES.to_string()),
     ];
-    golden("lines.txt", &got);
+    compare_golden("lines.txt", &got);
 }
 
+/// Formats the engine response that the bytes are decoded into.
 fn line(bytes: &[u8]) -> String {
-    let answer = match protocol::Response::decode(&mut BytesMut::from(bytes)) {
-        Ok(Some(answer)) => answer,
+    let response = match protocol::Response::decode(&mut BytesMut::from(bytes)) {
+        Ok(Some(response)) => response,
         Ok(None) => return "not all there".to_owned(),
         Err(error) => return error.to_string(),
     };
-    let word = match answer.kind {
+    let kind = match response.kind {
         ResponseKind::Completed => "done",
         ResponseKind::Rejected => "wait",
         ResponseKind::Failed => "broke",
@@ -478,17 +499,17 @@
         ResponseKind::Pong => "fit",
     };
     let fields = ["total", "elapsed", "rss", "remark", "datum", "index"];
-    let fields = fields.map(|name| answer.field(name).map_or("-".to_owned(), plain));
+    let fields = fields.map(|name| response.field(name).map_or("-".to_owned(), to_escaped));
     format!(
-        "{} {word} {} '{}'",
-        plain(&answer.request_id),
+        "{} {kind} {} '{}'",
+        to_escaped(&response.request_id),
         fields.join("/"),
-        plain(&answer.body)
+        to_escaped(&response.body)
     )
 }
 
 #[test]
-fn lines_of_engines_are_read_as_recorded() {
+fn lines_from_engines_are_parsed_as_recorded() {
     let got = [
         (
             "done",
@@ -510,37 +531,38 @@
         ("length", line(b"x DONE - many\r\n")),
         ("ending", line(b"x DONE - 2\r\nabcd")),
     ];
-    golden("lines_read.txt", &got);
+    compare_golden("lines_read.txt", &got);
 }
 
-/// A whole question of a fresh connection.
-fn question(stream: &mut TcpStream) -> String {
+/// Reads one complete HTTP request from a new connection.
+fn read_request(stream: &mut TcpStream) -> String {
     let mut bytes = Vec::new();
     while !bytes.ends_with(b"\r\n\r\n") {
         let mut byte = [0];
         stream.read_exact(&mut byte).unwrap();
         bytes.push(byte[0]);
     }
-    plain(bytes)
+    to_escaped(bytes)
 }
 
-/// The next question that differs from the last one, on its connection: a slow poll is asked a second time.
-fn other_question(board: &TcpListener, last: &str) -> (String, TcpStream) {
+/// Accepts connections until one carries a request that differs from `last`, and returns the request and
+/// the connection. The gateway repeats a poll that is slow to be answered.
+fn accept_new_request(board: &TcpListener, last: &str) -> (String, TcpStream) {
     loop {
         let (mut stream, _) = board.accept().unwrap();
-        let asked = question(&mut stream);
-        if asked != last {
-            return (asked, stream);
+        let request = read_request(&mut stream);
+        if request != last {
+            return (request, stream);
         }
     }
 }
 
 #[test]
-fn questions_to_the_notice_board_are_as_recorded() {
+fn requests_to_the_discovery_service_match_the_recording() {
     let board = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = board.local_addr().unwrap().to_string();
     let engine = engine(1);
-    // Closed at its end, each answer is followed by a question on a connection of its own.
+    // Each response closes its connection, so the next request arrives on a new one.
     let answer = |mut stream: TcpStream, body: String| {
         let head = format!(
             "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: {}\r\n\r\n",
@@ -552,7 +574,7 @@
     };
     let _gateway =
         Gateway::with_config(&[engine.address], |config| config["board"] = json!(address));
-    let (known, stream) = other_question(&board, "");
+    let (initial, stream) = accept_new_request(&board, "");
     let target = json!({"uid": "e-9", "endpoint": "127.0.0.1:1", "az": "hall-1", "model": "plain-8", "pod_group": 0,
         "state": "terminating", "capacity_hint": 8.0, "boot_ms": 0});
     let pool = |number: u32| json!({"rev": number, "pool": {"rev": number, "all": false, "targets": [target]}});
@@ -560,25 +582,26 @@
         stream,
         json!({"rev": 3, "notices": [pool(2), pool(3)]}).to_string(),
     );
-    let (later, stream) = other_question(&board, &known);
+    let (later, stream) = accept_new_request(&board, &initial);
     answer(stream, json!({"rev": 1, "notices": []}).to_string());
-    let (anew, _stream) = other_question(&board, &later);
-    let asked = |text: &str| text.replace(&address, "BOARD");
+    let (restarted, _stream) = accept_new_request(&board, &later);
+    let mask_address = |text: &str| text.replace(&address, "BOARD");
     let got = [
-        ("from-known", asked(&known)),
-        ("after-news", asked(&later)),
-        ("from-the-start", asked(&anew)),
+        ("from-known", mask_address(&initial)),
+        ("after-news", mask_address(&later)),
+        ("from-the-start", mask_address(&restarted)),
         ("longest-answer", http::MAX_RESPONSE_BYTES.to_string()),
     ];
-    golden("board.txt", &got);
+    compare_golden("board.txt", &got);
 }
 
+/// Formats the poll response that this HTTP response is parsed into.
 fn board(head: &str, body: &str) -> String {
     let bytes = format!("HTTP/1.1 {head}\r\n\r\n{body}");
     let mut inbox = BytesMut::from(bytes.as_bytes());
     let (batch, reuse) = match http::take_response(&mut inbox, InputState::Ended) {
         Ok(PollResponse::Incomplete) => return "not all there".to_owned(),
-        Err(why) => return format!("nonsense: {why}"),
+        Err(error) => return format!("nonsense: {error}"),
         Ok(PollResponse::Complete { batch, reuse }) => (batch, reuse),
     };
     let keep = reuse == ConnectionReuse::KeepAlive;
@@ -590,26 +613,28 @@
         };
         let whole = change.is_snapshot();
         write!(text, "; {} whole={whole}", event.revision).unwrap();
-        for of in change.endpoints() {
-            let stage = match of.stage {
+        for endpoint in change.endpoints() {
+            let stage = match endpoint.stage {
                 EngineStage::Ready => "ready",
                 EngineStage::Draining => "draining",
                 EngineStage::Removed => "gone",
             };
             let (started, cell) = (
-                of.started.map(|at| (at - Timestamp::from_secs(0.0)).secs()),
-                of.cell,
+                endpoint
+                    .started
+                    .map(|at| (at - Timestamp::from_secs(0.0)).secs()),
+                endpoint.cell,
             );
             write!(
                 text,
                 " [{} {} {} {}",
-                of.uid, of.address, of.location, of.machine
+                endpoint.uid, endpoint.address, endpoint.location, endpoint.machine
             )
             .unwrap();
             write!(
                 text,
                 " {cell} {stage} {} {}]",
-                of.scale,
+                endpoint.scale,
                 started.map_or(-1.0, |at| at)
             )
             .unwrap();
@@ -619,7 +644,7 @@
 }
 
 #[test]
-fn answers_of_the_notice_board_are_read_as_recorded() {
+fn responses_of_the_discovery_service_are_parsed_as_recorded() {
     let target = |state: &str| {
         format!(
             r#"{{"uid": "e-1", "endpoint": "127.0.0.1:7101", "az": "hall-1", "model": "plain-8", "pod_group": 3,
@@ -631,15 +656,15 @@
             r#"{{"rev": 5, "notices": [{{"rev": 4}}, {{"rev": 5, "pool": {{"all": {all}, "targets": [{targets}]}}}}]}}"#
         )
     };
-    let listed = [
+    let targets = [
         target("in_service"),
         target("terminating"),
         target("terminated"),
     ]
     .join(",");
     let sized = |body: &str| format!("200 OK\r\nContent-Length: {}", body.len());
-    let (whole, part, odd) = (
-        body(true, &listed),
+    let (snapshot, delta, invalid) = (
+        body(true, &targets),
         body(false, ""),
         body(true, &target("resting")),
     );
@@ -647,81 +672,82 @@
         true,
         r#"{"uid": "e", "endpoint": "127.0.0.1:1", "az": "a", "model": "m", "state": "in_service"}"#,
     );
-    let less = |field: &str| {
-        let body = whole.replace(&format!("\"{field}\":"), "\"gone\":");
+    let without = |field: &str| {
+        let body = snapshot.replace(&format!("\"{field}\":"), "\"gone\":");
         board(&sized(&body), &body)
     };
-    let chunked = format!("{:x}\r\n{part}\r\n0\r\n\r\n", part.len());
+    let chunked = format!("{:x}\r\n{delta}\r\n0\r\n\r\n", delta.len());
     let got = [
-        ("whole", board(&sized(&whole), &whole)),
-        ("changes", board(&sized(&part), &part)),
+        ("whole", board(&sized(&snapshot), &snapshot)),
+        ("changes", board(&sized(&delta), &delta)),
         ("least-fields", board(&sized(&least), &least)),
         (
             "closing",
-            board(&format!("{}\r\nConnection: close", sized(&part)), &part),
+            board(&format!("{}\r\nConnection: close", sized(&delta)), &delta),
         ),
         (
             "chunked",
             board("200 OK\r\nTransfer-Encoding: chunked", &chunked),
         ),
-        ("to-the-end", board("200 OK", &part)),
-        ("state-unknown", board(&sized(&odd), &odd)),
-        ("no-rev", less("rev")),
-        ("no-notices", less("notices")),
-        ("no-targets", less("targets")),
-        ("no-all", less("all")),
-        ("no-uid", less("uid")),
-        ("no-endpoint", less("endpoint")),
-        ("no-az", less("az")),
-        ("no-model", less("model")),
-        ("no-state", less("state")),
+        ("to-the-end", board("200 OK", &delta)),
+        ("state-unknown", board(&sized(&invalid), &invalid)),
+        ("no-rev", without("rev")),
+        ("no-notices", without("notices")),
+        ("no-targets", without("targets")),
+        ("no-all", without("all")),
+        ("no-uid", without("uid")),
+        ("no-endpoint", without("endpoint")),
+        ("no-az", without("az")),
+        ("no-model", without("model")),
+        ("no-state", without("state")),
         ("status", board("503 Busy", "")),
         ("too-short", board("200 OK\r\nContent-Length: 9", "{}")),
     ];
-    golden("board_read.txt", &got);
+    compare_golden("board_read.txt", &got);
 }
 
-fn commented_as(text: &str) -> String {
-    let read = match CommentedStatement::parse(text.as_bytes()) {
-        Ok(read) => read,
+/// Formats the comment and statement that a text is parsed into.
+fn format_comment(text: &str) -> String {
+    let parsed = match CommentedStatement::parse(text.as_bytes()) {
+        Ok(parsed) => parsed,
         Err(error) => return error.to_string(),
     };
-    let number = |of: Option<f64>| of.map_or("-".to_owned(), |of| of.to_string());
-    let words = [
-        read.class,
-        read.tenant.unwrap_or("-"),
-        read.sub_queue.unwrap_or("-"),
+    let number = |value: Option<f64>| value.map_or("-".to_owned(), |value| value.to_string());
+    let names = [
+        parsed.class,
+        parsed.tenant.unwrap_or("-"),
+        parsed.sub_queue.unwrap_or("-"),
     ]
     .join("/");
-    let tags = [
-        read.idempotency_key.unwrap_or("-"),
-        read.order_key.unwrap_or("-"),
+    let keys = [
+        parsed.idempotency_key.unwrap_or("-"),
+        parsed.order_key.unwrap_or("-"),
     ]
     .join("/");
-    let (rid, statement) = (plain(read.request_id), plain(read.text));
-    let (estimate, memory) = (number(read.estimate_ms), number(read.memory_mb));
+    let (rid, statement) = (to_escaped(parsed.request_id), to_escaped(parsed.text));
+    let (estimate, memory) = (number(parsed.estimate_ms), number(parsed.memory_mb));
     format!(
-        "{rid} {words} {}/{estimate}/{memory} {tags} {statement}",
-        read.budget_ms
+        "{rid} {names} {}/{estimate}/{memory} {keys} {statement}",
+        parsed.budget_ms
     )
 }
 
 #[test]
-fn comments_ahead_of_statements_are_read_as_recorded() {
+fn comments_before_statements_are_parsed_as_recorded() {
     let all = "/* method=scan,rid=5eed00c0ffee0a17,budget=900,acct=water,desk=counter,est=12.5,mem=64,token=aa11,obj=b2 */ SELECT 1";
     let least = "/* method=scan,rid=5eed00c0ffee0a17,budget=900 */ SELECT 1";
-    let without = |field: &str| commented_as(&all.replace(&format!("{field}="), "other="));
-    let empty = |field: &str| commented_as(&least.replace(" */", &format!(",{field}= */")));
+    let without = |field: &str| format_comment(&all.replace(&format!("{field}="), "other="));
+    let empty = |field: &str| format_comment(&least.replace(" */", &format!(",{field}= */")));
     let group = |statement: &str| {
-        table_group(statement.as_bytes()).map_or("-".to_owned(), |of| of.to_string())
+        table_group(statement.as_bytes()).map_or("-".to_owned(), |group| group.to_string())
     };
     let got = [
-        ("all", commented_as(all)),
-        ("least", commented_as(least)),
-        ("none", commented_as("SELECT 1")),
+        ("all", format_comment(all)),
+        ("least", format_comment(least)),
+        ("none", format_comment("SELECT 1")),
         (
             "no-statement",
-            commented_as("/* method=scan,rid=5eed00c0ffee0a17,budget=900 */ "),
+            format_comment("/* method=scan,rid=5eed00c0ffee0a17,budget=900 */ "),
         ),
         ("without-method", without("method")),
         ("without-rid", without("rid")),
@@ -740,9 +766,12 @@
         ("empty-obj", empty("obj")),
         (
             "twice",
-            commented_as(&all.replace("est=12.5", "rid=5eed00c0ffee0a17")),
+            format_comment(&all.replace("est=12.5", "rid=5eed00c0ffee0a17")),
+        ),
+        (
+            "long-budget",
+            format_comment(&all.replace("900", "3600001")),
         ),
-        ("long-budget", commented_as(&all.replace("900", "3600001"))),
         ("group-from", group("SELECT a FROM ledger_17.bills")),
         (
             "group-into",
@@ -750,18 +779,19 @@
         ),
         ("group-none", group("SELECT 'ledger_17.bills'")),
     ];
-    golden("comment.txt", &got);
+    compare_golden("comment.txt", &got);
 }
 
-fn name(of: &str) -> Name {
-    Name::new(of).unwrap()
+fn name(text: &str) -> Name {
+    Name::new(text).unwrap()
 }
 
+/// Joins the cells of each row with `|`.
 fn cells<const N: usize>(rows: &[[String; N]]) -> Vec<String> {
     rows.iter().map(|row| row.join("|")).collect()
 }
 
-fn at(secs: f64) -> Timestamp {
+fn timestamp(secs: f64) -> Timestamp {
     Timestamp::from_secs(secs)
 }
 
@@ -773,7 +803,7 @@
 }
 
 #[test]
-fn queues_are_shown_as_recorded() {
+fn the_queue_table_matches_the_recording() {
     let desk = SubQueueStatus {
         tenant: "water".to_owned(),
         sub_queue: "counter".to_owned(),
@@ -807,27 +837,27 @@
         ("queue-quiet-desk", rows[1].clone()),
         (
             "queue-packets",
-            hex(Response::to(0).table(status::SUB_QUEUE_COLUMNS, &desks)),
+            to_hex(Response::to(0).table(status::SUB_QUEUE_COLUMNS, &desks)),
         ),
         ("statement-columns", status::STATEMENT_COLUMNS.join("|")),
         ("statement", cells(&statement).concat()),
         (
             "statement-packets",
-            hex(Response::to(0).table(status::STATEMENT_COLUMNS, &statement)),
+            to_hex(Response::to(0).table(status::STATEMENT_COLUMNS, &statement)),
         ),
     ];
-    golden("queues.txt", &got);
+    compare_golden("queues.txt", &got);
 }
 
 #[test]
-fn a_fleet_is_shown_as_recorded() {
+fn the_fleet_table_matches_the_recording() {
     let place = |zone: &str, region: &str| Locality {
         zone: Some(name(zone)),
         region: Some(name(region)),
     };
     let ring = || KeyRing::new(&[7; 32], &[]).unwrap();
     let mut own = Node::new(
-        at(10.0),
+        timestamp(10.0),
         NodeSetup {
             fleet: name("golden"),
             name: name("g0"),
@@ -847,7 +877,7 @@
         locality,
         state,
     };
-    let alone = cells(&status::fleet_rows(at(12.5), &mut own));
+    let alone = cells(&status::fleet_rows(timestamp(12.5), &mut own));
     for (count, of, state, place) in [
         (1, "g1", MemberState::Alive, place("room-b", "south")),
         (
@@ -871,9 +901,9 @@
             records: Vec::new(),
             engine_reports: Vec::new(),
         };
-        let _ = own.receive(at(13.0), address, &message::seal(&ring(), &message));
+        let _ = own.receive(timestamp(13.0), address, &message::seal(&ring(), &message));
     }
-    let rows = cells(&status::fleet_rows(at(15.0), &mut own));
+    let rows = cells(&status::fleet_rows(timestamp(15.0), &mut own));
     let mut got = vec![
         ("fleet-columns", status::FLEET_COLUMNS.join("|")),
         ("fleet-alone", alone.concat()),
@@ -888,11 +918,11 @@
         ]
         .map(|state| ("fleet-state", state.to_string())),
     );
-    golden("fleet.txt", &got);
+    compare_golden("fleet.txt", &got);
 }
 
 #[test]
-fn shares_are_shown_as_recorded() {
+fn the_shares_table_matches_the_recording() {
     let holding = |of: &str, differs: bool| Holding {
         holder: HolderId {
             name: name(of),
@@ -900,7 +930,7 @@
         },
         demand: Amount(1_500_000),
         reserved: Amount(2_250_000),
-        expires: Some(at(12.0)),
+        expires: Some(timestamp(12.0)),
         config_differs: differs,
     };
     let line = |budget: &str, unit: &'static str| BudgetStatus {
@@ -909,7 +939,7 @@
         capacity: Amount(6_000_000),
         guaranteed: Amount(500_000),
         leased: Amount(1_250_000),
-        lease_expires: Some(at(11.5)),
+        lease_expires: Some(timestamp(11.5)),
         wanted: 0.125,
         spent: 3.5,
         allowed: 4.75,
@@ -925,14 +955,14 @@
         holdings: Vec::new(),
         ..line("trials", "trials/s")
     };
-    let steward = Status {
+    let leading = Status {
         gateway: name("g0"),
         leader: Some(name("g1")),
         is_leader: true,
         term: Some(7),
         budgets: vec![line("relays.point", "relays/s"), bare.clone()],
     };
-    let none = Status {
+    let without_leader = Status {
         gateway: name("g0"),
         leader: None,
         is_leader: false,
@@ -941,28 +971,29 @@
     };
     let mut got = vec![("shares-columns", status::QUOTA_COLUMNS.join("|"))];
     got.extend(
-        cells(&status::quota_rows(at(10.0), &steward))
+        cells(&status::quota_rows(timestamp(10.0), &leading))
             .into_iter()
             .map(|row| ("shares-row", row)),
     );
     got.push((
         "shares-without-steward",
-        cells(&status::quota_rows(at(10.0), &none)).concat(),
+        cells(&status::quota_rows(timestamp(10.0), &without_leader)).concat(),
     ));
-    golden("shares.txt", &got);
+    compare_golden("shares.txt", &got);
 }
 
 const OPERATOR: &str = include_str!("golden/operator.hcl");
 
-/// Names of the columns of an answer, and its rows.
-fn shown(client: &mut Client, query: &str) -> (String, Vec<Vec<String>>) {
+/// Sends a query and returns the column names of its answer, joined with `|`, and its rows.
+fn read_table(client: &mut Client, query: &str) -> (String, Vec<Vec<String>>) {
     client.stream.write_all(&query_packet(query)).unwrap();
     let mut names = Vec::new();
     for _ in 0..client.packet().unwrap()[0] {
-        // Behind catalogue, schema and both names of the table, each with its length ahead.
+        // The column name follows the catalog, the schema and both names of the table, which are
+        // length-prefixed strings.
         let (packet, mut start) = (client.packet().unwrap(), 0);
         (0..4).for_each(|_| start += 1 + usize::from(packet[start]));
-        names.push(plain(
+        names.push(to_escaped(
             &packet[start + 1..start + 1 + usize::from(packet[start])],
         ));
     }
@@ -976,15 +1007,15 @@
         }
         let (mut row, mut rest) = (Vec::new(), &packet[..]);
         while let [length, after @ ..] = rest {
-            row.push(plain(&after[..usize::from(*length)]));
+            row.push(to_escaped(&after[..usize::from(*length)]));
             rest = &after[usize::from(*length)..];
         }
         rows.push(row);
     }
 }
 
-/// Names of an object's fields, as printed.
-fn keys(json: &str) -> String {
+/// Returns the field names of the first object in this printed JSON, in their order, joined with `|`.
+fn field_names(json: &str) -> String {
     let object = json.split('}').next().unwrap();
     let names = object
         .lines()
@@ -992,8 +1023,8 @@
     names.collect::<Vec<_>>().join("|")
 }
 
-/// These fields of the first object.
-fn values(json: &str, names: &[&str]) -> String {
+/// Returns these fields of the first object in a JSON array, with their values, joined with `|`.
+fn field_values(json: &str, names: &[&str]) -> String {
     let json: serde_json::Value = serde_json::from_str(json).unwrap();
     names
         .iter()
@@ -1002,7 +1033,8 @@
         .join("|")
 }
 
-fn said_by(arguments: &[&str], config: &Path, operator: &Path) -> String {
+/// Runs the program with these configuration files and returns its standard output.
+fn run_program(arguments: &[&str], config: &Path, operator: &Path) -> String {
     let mut program = Program::new(env!("CARGO_BIN_EXE_laurelhitch"));
     program
         .env("RELAY_CONFIG", config)
@@ -1013,7 +1045,7 @@
 }
 
 #[test]
-fn a_gateway_shows_and_prints_under_the_names_recorded() {
+fn tables_json_and_checks_of_a_running_gateway_match_the_recording() {
     let folder = std::env::temp_dir().join(format!("laurelhitch-golden-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     std::fs::write(folder.join("one.key"), "07".repeat(32)).unwrap();
@@ -1024,19 +1056,20 @@
         .replace("BIND", &bind);
     let mut gateway = Gateway::with_operator_file(&[engine.address], &operator, |_| ());
     let mut client = gateway.client();
-    let some = |rows: &[Vec<String>], of: &[usize]| {
+    let select_columns = |rows: &[Vec<String>], columns: &[usize]| {
         let row = |row: &Vec<String>| {
-            of.iter()
-                .map(|at| row[*at].clone())
+            columns
+                .iter()
+                .map(|index| row[*index].clone())
                 .collect::<Vec<_>>()
                 .join("|")
         };
         rows.iter().map(row).collect::<Vec<_>>().join("; ")
     };
-    let queue = shown(&mut client, "SHOW QUEUE");
-    let statement = shown(&mut client, "SHOW QUEUE FOR 'ffffffffffffffff'");
-    let fleet = shown(&mut client, "SHOW FLEET");
-    let shares = shown(&mut client, "SHOW SHARES");
+    let queue = read_table(&mut client, "SHOW QUEUE");
+    let statement = read_table(&mut client, "SHOW QUEUE FOR 'ffffffffffffffff'");
+    let fleet = read_table(&mut client, "SHOW FLEET");
+    let shares = read_table(&mut client, "SHOW SHARES");
     let counts = gateway.print_counters();
     let counts = counts.split_once("counters: ").unwrap().1;
     let counts: Vec<&str> = counts
@@ -1045,8 +1078,8 @@
         .collect();
     let listen = gateway.listen.to_string();
     let (config, file) = (&gateway.config, gateway.config.with_extension("hcl"));
-    let printed = |arguments: &[&str]| said_by(arguments, config, &file);
-    let heads = |text: String| {
+    let printed = |arguments: &[&str]| run_program(arguments, config, &file);
+    let headings = |text: String| {
         text.lines()
             .next()
             .unwrap()
@@ -1058,26 +1091,32 @@
         ["queue", "fleet", "shares"].map(|what| printed(&[what, &listen, "--json"]));
     let mut got = vec![
         ("queue-columns", queue.0),
-        ("queue-cells", some(&queue.1, &[0, 1, 2, 3, 4, 6, 7])),
+        (
+            "queue-cells",
+            select_columns(&queue.1, &[0, 1, 2, 3, 4, 6, 7]),
+        ),
         ("statement-columns", statement.0),
         ("statement-rows", statement.1.len().to_string()),
         ("fleet-columns", fleet.0),
-        ("fleet-cells", some(&fleet.1, &[0, 1, 2, 3, 6, 8, 9, 12])),
+        (
+            "fleet-cells",
+            select_columns(&fleet.1, &[0, 1, 2, 3, 6, 8, 9, 12]),
+        ),
         ("shares-columns", shares.0),
-        ("shares-cells", some(&shares.1, &[0, 1, 2, 3, 4])),
+        ("shares-cells", select_columns(&shares.1, &[0, 1, 2, 3, 4])),
         ("counters", counts.join("|")),
-        ("queue-keys", keys(&queue_json)),
+        ("queue-keys", field_names(&queue_json)),
         (
             "queue-values",
-            values(
+            field_values(
                 &queue_json,
                 &["member", "desk", "waiting", "budget_cpu_s_per_s"],
             ),
         ),
-        ("fleet-keys", keys(&fleet_json)),
+        ("fleet-keys", field_names(&fleet_json)),
         (
             "fleet-values",
-            values(
+            field_values(
                 &fleet_json,
                 &[
                     "name",
@@ -1090,17 +1129,17 @@
                 ],
             ),
         ),
-        ("shares-keys", keys(&shares_json)),
+        ("shares-keys", field_names(&shares_json)),
         (
             "shares-values",
-            values(
+            field_values(
                 &shares_json,
                 &["budget", "holder", "unit", "whole", "floor"],
             ),
         ),
-        ("queue-heads", heads(printed(&["queue", &listen]))),
-        ("fleet-heads", heads(printed(&["fleet", &listen]))),
-        ("shares-heads", heads(printed(&["shares", &listen]))),
+        ("queue-heads", headings(printed(&["queue", &listen]))),
+        ("fleet-heads", headings(printed(&["fleet", &listen]))),
+        ("shares-heads", headings(printed(&["shares", &listen]))),
     ];
     let check = printed(&["check"]);
     for line in check.lines() {
@@ -1115,12 +1154,12 @@
             ),
         ));
     }
-    golden("shown.txt", &got);
+    compare_golden("shown.txt", &got);
     std::fs::remove_dir_all(&folder).unwrap();
 }
 
 #[test]
-fn counters_are_printed_as_recorded() {
+fn the_printed_counters_match_the_recording() {
     let counters = Counters {
         sessions_opened: 1,
         statements_accepted: 2,
@@ -1132,5 +1171,5 @@
         busy_ms: 8,
         ..Counters::default()
     };
-    golden("counters.txt", &[("counters", format!("'{counters}'"))]);
+    compare_golden("counters.txt", &[("counters", format!("'{counters}'"))]);
 }
--- a/crates/gateway/tests/process.rs
+++ b/crates/gateway/tests/process.rs
@@ -1,6 +1,6 @@
-//! The gateway as a process on loopback, between our own stand-ins for clients, engines and discovery service.
+//! End-to-end tests: a gateway process on loopback with simulated clients, engines and discovery service.
 
-// A test tells one story from top to bottom, and tables of cases are long.
+// Scenario tests run from top to bottom in one function, and tables of cases are long.
 #![allow(clippy::too_many_lines)]
 
 mod support;
@@ -22,7 +22,7 @@
 use support::*;
 
 #[test]
-fn rows_come_back_whole_and_in_order() {
+fn all_rows_are_returned_in_order() {
     let engine = engine(1);
     let gateway = Gateway::start(&[engine.address]);
     let mut client = gateway.client();
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn login_and_query_may_come_before_the_greeting_in_any_pieces() {
+fn a_login_and_query_sent_before_the_greeting_are_read_at_any_split() {
     let engine = engine(1);
     let gateway = Gateway::start(&[engine.address]);
     let both = [
@@ -60,7 +60,7 @@
         split.stream.write_all(&[*byte]).unwrap();
         sleep(Duration::from_micros(200));
     }
-    // A half-close: the answer is still wanted.
+    // A client that shuts down only its sending side still gets its answers.
     split.stream.shutdown(std::net::Shutdown::Write).unwrap();
     assert_eq!(split.answer().unwrap(), Answer::Ok);
     assert_eq!(rows(split.answer().unwrap()).len(), 1);
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn what_cannot_be_used_gets_one_error_and_reaches_no_engine() {
+fn invalid_input_gets_one_error_and_reaches_no_engine() {
     let engine = engine(1);
     let gateway = Gateway::start(&[engine.address]);
     let mut client = gateway.client();
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn every_way_an_engine_fails_ends_in_one_answer() {
+fn every_engine_failure_ends_in_one_answer() {
     let engine = engine(1);
     let gateway = Gateway::start(&[engine.address]);
     let moods = [
@@ -141,7 +141,10 @@
         let answer = client
             .ask(&commented(800, "SELECT a FROM s_1.t LIMIT 900"))
             .unwrap();
-        assert!(engine.lines().len() > before, "{mood:?} was never met");
+        assert!(
+            engine.lines().len() > before,
+            "{mood:?}: the engine received nothing"
+        );
         assert!(denied(&answer), "{mood:?}: {answer:?}");
         assert_eq!(client.ping().unwrap(), Answer::Ok, "{mood:?}");
     }
@@ -152,7 +155,7 @@
 }
 
 #[test]
-fn one_spoilt_connection_costs_one_relay() {
+fn a_malformed_answer_fails_only_the_attempt_on_its_connection() {
     let engine = engine(300);
     let gateway = Gateway::start(&[engine.address]);
     let mut others: Vec<Client> = (0..6).map(|_| gateway.client()).collect();
@@ -185,7 +188,7 @@
 }
 
 #[test]
-fn an_answer_that_stops_half_way_is_made_anew_elsewhere() {
+fn an_answer_that_stops_part_way_is_retried_on_another_connection() {
     let engine = engine(1);
     let gateway = Gateway::start(&[engine.address]);
     for mood in [Mood::Half, Mood::Silent] {
@@ -195,14 +198,15 @@
         client.stream.write_all(&query_packet(&statement)).unwrap();
         sleep(millis(100));
         engine.set(Mood::Well);
-        // What never began to come may still be at work, and is left to its deadline.
+        // A statement whose answer has not begun may still be running on the engine, so it is not retried
+        // before its deadline.
         if mood == Mood::Half {
             assert_eq!(rows(client.answer().unwrap()).len(), 1);
             assert!(begun.elapsed() < millis(1600), "{:?}", begun.elapsed());
         } else {
             assert!(denied(&client.answer().unwrap()));
         }
-        // The connection that stays open serves no further use.
+        // The connection that stays open is not used for further statements.
         assert_eq!(
             rows(gateway.client().ask(&commented(1900, "SELECT 2")).unwrap()).len(),
             1
@@ -211,7 +215,7 @@
 }
 
 #[test]
-fn the_id_of_an_open_statement_is_no_other_statements() {
+fn the_request_id_of_an_open_statement_is_rejected_for_another_statement() {
     let engine = engine(300);
     let gateway = Gateway::start(&[engine.address]);
     let (mut client, mut other) = (gateway.client(), gateway.client());
@@ -229,7 +233,7 @@
 }
 
 #[test]
-fn silence_ends_before_the_budget_and_late_answers_end_nothing_else() {
+fn a_silent_engine_is_given_up_within_the_budget_and_its_late_answer_is_ignored() {
     let engine = engine(1);
     let gateway = Gateway::start(&[engine.address]);
     let mut client = gateway.client();
@@ -243,13 +247,13 @@
     assert!(denied(&client.ask(&late).unwrap()));
     assert!(begun.elapsed() < millis(400), "{:?}", begun.elapsed());
     engine.set(Mood::Well);
-    // The same id once more: what still comes of its first attempt is not its answer.
-    let again = late
+    // The request id is used again. A late response to the first attempt must not answer the new statement.
+    let reused = late
         .replace("SELECT 2", "SELECT 3")
         .replace("budget=400", "budget=5000");
     let until = Instant::now() + millis(9000);
     let row = loop {
-        match client.ask(&again).unwrap() {
+        match client.ask(&reused).unwrap() {
             Answer::Rows(rows) => break rows[0][1].clone(),
             other => assert!(denied(&other) && Instant::now() < until, "{other:?}"),
         }
@@ -261,7 +265,7 @@
 }
 
 #[test]
-fn a_refused_connection_is_no_relay_that_ran() {
+fn a_refused_connection_counts_as_unreachable() {
     let gateway = Gateway::start(&[free_address()]);
     let begun = Instant::now();
     assert!(denied(
@@ -278,11 +282,12 @@
 }
 
 #[test]
-fn a_connection_that_never_comes_up_is_given_up_in_time() {
+fn a_connection_that_is_never_established_times_out() {
     let stuck = TcpListener::bind("127.0.0.1:0").unwrap();
     rustix::net::listen(&stuck, 0).unwrap();
     let address = stuck.local_addr().unwrap();
-    // With the backlog full the machine answers no further connection, as one that vanished.
+    // While the accept queue is full, the kernel does not answer further connection attempts, as if the
+    // host had vanished.
     let _full: Vec<_> = (0..4)
         .map(|_| TcpStream::connect_timeout(&address, millis(50)))
         .collect();
@@ -306,9 +311,10 @@
     assert_counters_balance(&log);
 }
 
-/// Seen on a day on which connections came up late: what waited on one went on after its statement had its answer.
+/// Guards against attempts that wait for a connection and are still sent, once the connection is
+/// established late, although their statements have been answered.
 #[test]
-fn a_connection_that_comes_up_late_carries_on_nothing_that_has_its_answer() {
+fn a_connection_established_late_carries_no_attempt_of_an_answered_statement() {
     let stuck = TcpListener::bind("127.0.0.1:0").unwrap();
     rustix::net::listen(&stuck, 0).unwrap();
     let address = stuck.local_addr().unwrap();
@@ -319,25 +325,34 @@
         config["settings"]["Limits"]["ConnectTimeoutS"] = json!(20.0);
     });
     let rid = |text: &str| text.split("rid=").nth(1).unwrap()[..16].to_owned();
-    let (out_of_time, killed) = (commented(300, "SELECT 1"), commented(8000, "SELECT 2"));
-    let mut waits = gateway.client();
-    waits.stream.write_all(&query_packet(&killed)).unwrap();
-    // It never ran, so trying again is harmless.
-    assert!(denied(&gateway.client().ask(&out_of_time).unwrap()));
-    let kill = format!("KILL QUERY {}", waits.connection);
+    let (expired, killed) = (commented(300, "SELECT 1"), commented(8000, "SELECT 2"));
+    let mut waiting_client = gateway.client();
+    waiting_client
+        .stream
+        .write_all(&query_packet(&killed))
+        .unwrap();
+    // The statement never reached an engine, so the client may retry it.
+    assert!(denied(&gateway.client().ask(&expired).unwrap()));
+    let kill = format!("KILL QUERY {}", waiting_client.connection);
     assert_eq!(gateway.client().ask(&kill).unwrap(), Answer::Ok);
-    assert!(matches!(waits.answer().unwrap(), Answer::Error(1317, _)));
-    // From here on the engine takes connections; the machine tries those that wait for it again a second later.
+    assert!(matches!(
+        waiting_client.answer().unwrap(),
+        Answer::Error(1317, _)
+    ));
+    // From here on the engine accepts connections. The kernel retries the pending connection attempts
+    // after a second.
     drop(full);
     rustix::net::listen(&stuck, 64).unwrap();
-    let (lines, comes) = std::sync::mpsc::channel();
+    let (lines, received_lines) = std::sync::mpsc::channel();
     std::thread::spawn(move || {
         for stream in stuck.incoming().flatten() {
             let lines = lines.clone();
             std::thread::spawn(move || {
-                let mut read = std::io::BufReader::new(stream);
+                let mut reader = std::io::BufReader::new(stream);
                 let mut line = String::new();
-                while std::io::BufRead::read_line(&mut read, &mut line).is_ok_and(|read| read > 0) {
+                while std::io::BufRead::read_line(&mut reader, &mut line)
+                    .is_ok_and(|length| length > 0)
+                {
                     let _ = lines.send(std::mem::take(&mut line));
                 }
             });
@@ -350,16 +365,16 @@
     let mut seen = Vec::new();
     while !seen.iter().any(|line: &String| line.contains(&rid(&last))) {
         seen.push(
-            comes
+            received_lines
                 .recv_timeout(millis(5000))
-                .expect("the last one comes"),
+                .expect("the last statement did not reach the engine"),
         );
     }
-    let over = [rid(&out_of_time), rid(&killed)];
+    let answered = [rid(&expired), rid(&killed)];
     assert!(
         !seen
             .iter()
-            .any(|line| over.iter().any(|rid| line.contains(rid))),
+            .any(|line| answered.iter().any(|rid| line.contains(rid))),
         "{seen:?}"
     );
     gateway.signal(Signal::TERM);
@@ -369,7 +384,7 @@
 }
 
 #[test]
-fn a_client_that_breaks_off_is_owed_nothing() {
+fn a_disconnected_client_is_counted_and_not_answered() {
     let engine = engine(300);
     let gateway = Gateway::start(&[engine.address]);
     let mut client = gateway.client();
@@ -379,7 +394,7 @@
         .write_all(&query_packet(&commented(3000, "SELECT 1")))
         .unwrap();
     sleep(millis(100));
-    // Closed with an answer unread: its machine resets the connection.
+    // The answer to the ping stays unread, so closing the socket resets the connection.
     drop(client);
     sleep(millis(400));
     gateway.signal(Signal::TERM);
@@ -394,7 +409,7 @@
 }
 
 #[test]
-fn kill_query_from_another_session_ends_it_there() {
+fn kill_query_from_another_session_ends_the_statement() {
     let engine = engine(1);
     let gateway = Gateway::start(&[engine.address]);
     let mut client = gateway.client();
@@ -426,7 +441,7 @@
 }
 
 #[test]
-fn answers_twice_or_unasked_change_nothing() {
+fn duplicate_and_unrequested_engine_responses_are_ignored() {
     let engine = engine(1);
     let gateway = Gateway::start(&[engine.address]);
     engine.set(Mood::Twice);
@@ -448,7 +463,7 @@
 }
 
 #[test]
-fn noise_from_clients_ends_only_their_sessions() {
+fn random_bytes_from_clients_end_only_their_own_sessions() {
     let engine = engine(1);
     let gateway = Gateway::start(&[engine.address]);
     let mut steady = gateway.client();
@@ -461,7 +476,7 @@
         };
         let length = rng.random_range(1..3000);
         noise.extend((0..length).map(|_| rng.random::<u8>()));
-        // Small packets, so that some are read as commands.
+        // Some small well-formed packets follow, so that part of the bytes are parsed as commands.
         let small = rng.random_range(1..60u8);
         noise
             .extend((0..5).flat_map(|_| packet(0, &vec![rng.random_range(0..32u8); small.into()])));
@@ -490,7 +505,7 @@
 }
 
 #[test]
-fn pages_that_nobody_waits_for_are_forgotten() {
+fn pages_of_a_killed_statement_are_released_on_the_engine() {
     let engine = engine(300);
     let gateway = Gateway::start(&[engine.address]);
     let client = gateway.client();
@@ -506,15 +521,20 @@
         .ask(&format!("KILL QUERY {}", client.connection))
         .unwrap();
     sleep(millis(400));
-    let said = |word: &str| {
+    let count_lines = |prefix: &str| {
         engine
             .lines()
             .iter()
-            .filter(|line| line.starts_with(word))
+            .filter(|line| line.starts_with(prefix))
             .count()
     };
     assert_eq!(
-        (said("do "), said("page "), said("forget "), said("undo ")),
+        (
+            count_lines("do "),
+            count_lines("page "),
+            count_lines("forget "),
+            count_lines("undo ")
+        ),
         (1, 0, 1, 0)
     );
     gateway.signal(Signal::TERM);
@@ -530,7 +550,7 @@
 }
 
 #[test]
-fn drains_hold_and_a_new_engine_may_have_an_old_address() {
+fn a_draining_engine_gets_no_statement_and_an_address_can_be_reused() {
     let (first, second) = (engine(1), engine(1));
     let gateway = Gateway::start(&[first.address, second.address]);
     let mut client = gateway.client();
@@ -543,10 +563,10 @@
         rows(client.ask(&commented(2000, "SELECT 1")).unwrap());
     }
     assert_eq!(first.lines().len(), before);
-    let gone = target("e-1", second.address, "terminated");
+    let removed = target("e-1", second.address, "terminated");
     gateway.board.tell(
         false,
-        vec![gone, target("e-2", second.address, "in_service")],
+        vec![removed, target("e-2", second.address, "in_service")],
     );
     sleep(millis(250));
     assert_eq!(
@@ -558,7 +578,7 @@
 }
 
 #[test]
-fn an_engine_listed_elsewhere_gets_its_relays_there() {
+fn attempts_follow_an_engine_to_its_new_address() {
     let (first, second) = (engine(1), engine(1));
     let gateway = Gateway::start(&[first.address]);
     let mut client = gateway.client();
@@ -572,10 +592,10 @@
 }
 
 #[test]
-fn idle_connections_end_from_either_side() {
+fn idle_engine_connections_are_closed_by_either_side() {
     let engine = engine(1);
-    let gateway = Gateway::with_config(&[engine.address], |c| {
-        c["settings"]["Limits"]["ConnIdleS"] = json!(0.5);
+    let gateway = Gateway::with_config(&[engine.address], |config| {
+        config["settings"]["Limits"]["ConnIdleS"] = json!(0.5);
     });
     let mut client = gateway.client();
     rows(client.ask(&commented(2000, "SELECT 1")).unwrap());
@@ -592,25 +612,26 @@
 }
 
 #[test]
-fn queries_behind_one_another_are_answered_in_turn() {
+fn pipelined_queries_are_answered_in_order() {
     let engine = engine(5);
     let gateway = Gateway::start(&[engine.address]);
     let mut client = gateway.client();
-    let both: Vec<u8> = (1..=3)
+    let pipelined: Vec<u8> = (1..=3)
         .flat_map(|n| query_packet(&commented(5000, &format!("SELECT {n}"))))
         .collect();
-    client.stream.write_all(&both).unwrap();
+    client.stream.write_all(&pipelined).unwrap();
     for n in 1..=3 {
         assert_eq!(rows(client.answer().unwrap())[0][1], format!("SELECT {n}"));
     }
 }
 
 #[test]
-fn what_stands_behind_a_denied_query_does_not_wait_for_the_next_event() {
+fn queries_pipelined_after_a_rejected_one_are_processed_at_once() {
     let engine = engine(1);
     let gateway = Gateway::start(&[engine.address]);
     let mut client = gateway.client();
-    // Far more work than its budget: rejected by the first tick, after the clients' news of that turn.
+    // The estimate far exceeds the budget. The statement is rejected by the first tick, which comes after
+    // the input of clients in the same turn of the event loop.
     let hopeless = || query_packet(&commented(300, "SELECT 1").replace("est=12.0", "est=9000000"));
     client
         .stream
@@ -622,7 +643,7 @@
 }
 
 #[test]
-fn a_board_that_starts_again_is_asked_from_the_start() {
+fn a_restarted_discovery_service_is_polled_from_the_first_revision() {
     let (first, second) = (engine(1), engine(1));
     let gateway = Gateway::start(&[first.address]);
     let mut client = gateway.client();
@@ -644,7 +665,7 @@
 }
 
 #[test]
-fn a_board_that_answers_seconds_late_is_still_heard() {
+fn events_of_a_discovery_service_that_answers_seconds_late_are_applied() {
     let (first, second) = (engine(1), engine(1));
     let gateway = Gateway::start(&[first.address, second.address]);
     gateway.board.set(board::Mood::Late);
@@ -662,23 +683,23 @@
 }
 
 #[test]
-fn a_board_that_breaks_off_or_stops_mid_event_is_asked_again_within_two_seconds() {
+fn an_interrupted_or_stalled_poll_response_is_requested_again_within_two_seconds() {
     let engines = [engine(1), engine(1), engine(1)];
     let gateway = Gateway::start(&[engines[0].address]);
     for (n, mood) in [board::Mood::Broken, board::Mood::Stopped]
         .into_iter()
         .enumerate()
     {
-        // The question that is open meets the mood, and so does the event.
+        // The fault applies to the poll that is open and to the event that follows.
         sleep(millis(1100));
         gateway.board.set(mood);
         let drained = target(&format!("e-{n}"), engines[n].address, "terminating");
-        let fresh = target(
+        let added = target(
             &format!("e-{}", n + 1),
             engines[n + 1].address,
             "in_service",
         );
-        gateway.board.tell(false, vec![drained, fresh]);
+        gateway.board.tell(false, vec![drained, added]);
         sleep(millis(1100));
         gateway.board.set(board::Mood::Well);
         sleep(millis(1900));
@@ -686,18 +707,18 @@
         for _ in 0..5 {
             rows(client.ask(&commented(2000, "SELECT 1")).unwrap());
         }
-        let asked = |of: usize| engines[of].lines().len();
-        assert_eq!((asked(n), asked(n + 1)), (5 * n, 5), "{mood:?}");
+        let received = |index: usize| engines[index].lines().len();
+        assert_eq!((received(n), received(n + 1)), (5 * n, 5), "{mood:?}");
     }
     gateway.signal(Signal::TERM);
     let (_, log) = gateway.wait_for_exit(millis(5000));
-    // Each event once.
+    // Each event is applied exactly once.
     assert_eq!(counter(&log, "watch_events"), 2, "{log}");
     assert!(counter(&log, "discovery_polls_failed") > 0, "{log}");
 }
 
 #[test]
-fn a_bad_notice_board_is_asked_again_and_again() {
+fn a_failing_discovery_service_is_polled_until_it_recovers() {
     let (first, second) = (engine(1), engine(1));
     let gateway = Gateway::start(&[first.address]);
     let mut client = gateway.client();
@@ -729,7 +750,7 @@
 }
 
 #[test]
-fn sigterm_answers_what_was_taken_and_what_still_comes() {
+fn statements_open_or_arriving_after_sigterm_are_answered() {
     let engine = engine(400);
     let gateway = Gateway::start(&[engine.address]);
     let mut open = gateway.client();
@@ -757,7 +778,7 @@
 }
 
 #[test]
-fn an_idle_gateway_stays_for_what_still_comes_after_sigterm() {
+fn an_idle_gateway_still_serves_new_clients_after_sigterm() {
     let engine = engine(1);
     let gateway = Gateway::start(&[engine.address]);
     gateway.signal(Signal::TERM);
@@ -774,7 +795,7 @@
 }
 
 #[test]
-fn sigterm_ends_even_what_never_ends() {
+fn sigterm_ends_a_statement_that_its_engine_never_answers() {
     let engine = engine(1);
     let gateway = Gateway::start(&[engine.address]);
     engine.set(Mood::Silent);
@@ -792,32 +813,34 @@
 }
 
 #[test]
-fn sighup_moves_the_board_and_leaves_the_rest_alone() {
+fn sighup_changes_the_discovery_address_and_nothing_else() {
     let (first, second) = (engine(1), engine(300));
     let gateway = Gateway::start(&[first.address]);
     let good = std::fs::read_to_string(&gateway.config).unwrap();
-    // It stands still meanwhile: a reload that is tried again must not find the next file ahead of its signal.
-    let hang_up = |text: &str| {
+    // The gateway is suspended while the file is replaced: a failed reload that is retried must not read
+    // the next file before the signal that belongs to it.
+    let reload = |text: &str| {
         gateway.suspend();
         std::fs::write(&gateway.config, text).unwrap();
         gateway.signal(Signal::HUP);
         gateway.resume();
         sleep(millis(60));
     };
-    // Nothing of a file that cannot be used is taken, and the program goes on.
+    // No setting of an invalid file is applied, and the gateway keeps running.
     for bad in [
         "",
         &good[..good.len() / 2],
         "{}",
         &good.replace("\"rev\"", "\"ver\""),
     ] {
-        hang_up(bad);
+        reload(bad);
         assert_eq!(
             rows(gateway.client().ask(&commented(2000, "SELECT 1")).unwrap()).len(),
             1
         );
     }
-    // Another board with numbers that go on, twice in a row, and an event that only the file tells.
+    // The configuration names another discovery service, whose revisions continue from the earlier ones. It
+    // is reloaded twice in a row, and one event is known only from the file.
     let moved = Board::start("127.0.0.1:0").unwrap();
     let drained = target("e-0", first.address, "terminating");
     moved.tell(true, vec![target("e-0", first.address, "in_service")]);
@@ -829,7 +852,7 @@
     config["known"] = moved.known();
     config["board"] = json!(free_address().to_string());
     config["seed"] = json!("0123456789abcdef");
-    hang_up(&config.to_string());
+    reload(&config.to_string());
     let mut client = gateway.client();
     client
         .stream
@@ -838,12 +861,12 @@
     sleep(millis(100));
     config["board"] = json!(moved.address.to_string());
     config["known"] = json!({"rev": 0, "notices": []});
-    hang_up(&config.to_string());
-    hang_up(&config.to_string());
+    reload(&config.to_string());
+    reload(&config.to_string());
     assert_eq!(rows(client.answer().unwrap()).len(), 1);
-    let told = first.lines().len();
+    let before = first.lines().len();
     assert_eq!(second.lines().len(), 1);
-    // Told by the new address only, also while draining.
+    // Events come from the new discovery service only, also while the gateway drains.
     gateway.signal(Signal::TERM);
     moved.tell(
         false,
@@ -852,27 +875,32 @@
             target("e-2", first.address, "in_service"),
         ],
     );
-    hang_up(&config.to_string());
+    reload(&config.to_string());
     sleep(millis(150));
     assert_eq!(
         rows(gateway.client().ask(&commented(2000, "SELECT 3")).unwrap()).len(),
         1
     );
-    assert_eq!((first.lines().len(), second.lines().len()), (told + 1, 1));
+    assert_eq!((first.lines().len(), second.lines().len()), (before + 1, 1));
     let (status, log) = gateway.wait_for_exit(millis(5000));
     assert!(status.success());
-    // Of the four that cannot be used two end too early: they are tried again until the next one comes.
+    // Two of the four invalid files are truncated. Such a reload is retried until the next file arrives, and
+    // is not counted as failed.
     assert_eq!(
         (counter(&log, "reloads"), counter(&log, "reloads_failed")),
         (4, 2),
         "{log}"
     );
-    for end in [
+    for position in [
         "line 1 column 0",
         &format!("line 1 column {}", good.len() / 2),
     ] {
-        let named = |line: &&str| line.contains("reload: tried again") && line.contains(end);
-        assert!(log.lines().any(|line| named(&line)), "{end}: {log}");
+        let reports_retry =
+            |line: &&str| line.contains("reload: tried again") && line.contains(position);
+        assert!(
+            log.lines().any(|line| reports_retry(&line)),
+            "{position}: {log}"
+        );
     }
     assert_eq!(counter(&log, "watch_events"), 2, "{log}");
     assert!(log.contains(r#"kept=["seed"]"#), "{log}");
@@ -880,7 +908,7 @@
 }
 
 #[test]
-fn killed_outright_it_starts_again_under_its_address() {
+fn a_killed_gateway_restarts_on_the_same_address() {
     let engine = engine(1);
     let mut gateway = Gateway::start(&[engine.address]);
     let mut old = gateway.client();
@@ -897,7 +925,7 @@
 }
 
 #[test]
-fn more_clients_than_descriptors_wait_and_cost_nothing() {
+fn clients_beyond_the_socket_limit_wait_without_cpu_use() {
     let engine = engine(1);
     let gateway = Gateway::with_config(&[engine.address], |config| {
         config["limits"]["sockets"] = json!(16);
@@ -934,12 +962,12 @@
 }
 
 #[test]
-fn clients_that_stay_or_say_nothing_keep_nobody_out() {
+fn idle_and_silent_clients_do_not_block_new_clients() {
     let engine = engine(1);
     let gateway = Gateway::with_config(&[engine.address], |config| {
         config["limits"]["sockets"] = json!(64);
     });
-    let mut stay = Vec::new();
+    let mut idle = Vec::new();
     for n in 0..100 {
         let mut client = gateway.client();
         assert_eq!(
@@ -951,9 +979,9 @@
             .len(),
             1
         );
-        stay.push(client);
+        idle.push(client);
     }
-    // Those without a login go before the ones that asked once.
+    // Connections without a login are evicted before sessions that sent a statement.
     let silent: Vec<TcpStream> = (0..300)
         .map(|_| TcpStream::connect(gateway.listen).unwrap())
         .collect();
@@ -965,18 +993,18 @@
     assert!(begun.elapsed() < millis(500), "{:?}", begun.elapsed());
     sleep(millis(100));
     assert!(
-        stay.iter_mut()
+        idle.iter_mut()
             .rev()
             .take(8)
             .all(|client| client.ping().is_ok())
     );
-    // Silence is no login, and half a query no query: both end in time.
+    // A connection without a login and a session with an incomplete query are both closed in time.
     let half = query_packet(&commented(2000, "SELECT 1"));
-    let begun_only = [login_packet("app", b"", "warehouse"), half[..20].to_vec()].concat();
-    let mut halves = Client::open(gateway.listen, &begun_only).unwrap();
-    assert_eq!(halves.answer().unwrap(), Answer::Ok);
+    let incomplete = [login_packet("app", b"", "warehouse"), half[..20].to_vec()].concat();
+    let mut incomplete_client = Client::open(gateway.listen, &incomplete).unwrap();
+    assert_eq!(incomplete_client.answer().unwrap(), Answer::Ok);
     let begun = Instant::now();
-    assert!(halves.answer().is_err());
+    assert!(incomplete_client.answer().is_err());
     for mut stream in silent {
         stream.set_read_timeout(Some(millis(3000))).unwrap();
         let _ = stream.read_to_end(&mut Vec::new());
@@ -989,17 +1017,18 @@
 }
 
 #[test]
-fn bad_clients_get_a_word_or_a_close_in_time() {
+fn misbehaving_clients_get_an_error_or_are_closed_in_time() {
     let engine = engine(1);
     let gateway = Gateway::with_config(&[engine.address], |config| {
         config["limits"]["memory_mb"] = json!(2);
     });
     let login = login_packet("app", b"", "warehouse");
     let query = query_packet(&commented(2000, "SELECT 1"));
-    let again = query_packet(&commented(2000, "SELECT 1").replace("point", "nothing"));
-    // Half a packet of 60,000 bytes, from so many that not all may stay in memory.
+    let rejected_query = query_packet(&commented(2000, "SELECT 1").replace("point", "nothing"));
+    // An incomplete packet of 60,000 bytes is sent by so many clients that the memory limit does not
+    // hold all of them.
     let large = [&[0x60, 0xea, 0, 0, 3][..], &[b'x'; 50_000]].concat();
-    let mut kinds = vec![
+    let mut inputs = vec![
         Vec::new(),
         login[..20].to_vec(),
         login.clone(),
@@ -1012,13 +1041,13 @@
             &[9, 0, 0, 0, 3],
         ]
         .concat(),
-        [&login[..], &again.repeat(400), &query[..30]].concat(),
+        [&login[..], &rejected_query.repeat(400), &query[..30]].concat(),
         [&login[..], &[0, 0, 0, 0], &[0; 64], &[0xfe; 300]].concat(),
         vec![0; 4000],
         vec![0xff; 4000],
     ];
-    kinds.extend(std::iter::repeat_n([&login[..], &large].concat(), 20));
-    let threads: Vec<_> = kinds
+    inputs.extend(std::iter::repeat_n([&login[..], &large].concat(), 20));
+    let threads: Vec<_> = inputs
         .into_iter()
         .map(|bytes| {
             let mut stream = TcpStream::connect(gateway.listen).unwrap();
@@ -1051,7 +1080,8 @@
     for (n, thread) in threads.into_iter().enumerate() {
         let (took, sent, got) = thread.join().unwrap();
         assert!(took < millis(2900), "{n}: {took:?}");
-        // Our last word can be read by all that sent what a packet can hold.
+        // Every client except the one that sends more than a packet can hold (5) has written all of its input
+        // and so can read the final error.
         assert!(n == 5 || sent, "{n}");
         let refused = got.windows(3).any(|bytes| bytes == [0xff, 0x81, 0x04]);
         assert!(refused || ![4, 5, 10].contains(&n), "{n}");
@@ -1062,8 +1092,8 @@
         .lines()
         .find_map(|line| line.strip_prefix("VmHWM:"))
         .unwrap();
-    let peak: u64 = peak.trim().trim_end_matches(" kB").parse().unwrap();
-    assert!(peak < 16_000, "{peak} kB");
+    let peak_kb: u64 = peak.trim().trim_end_matches(" kB").parse().unwrap();
+    assert!(peak_kb < 16_000, "{peak_kb} kB");
     gateway.signal(Signal::TERM);
     let (status, log) = gateway.wait_for_exit(millis(5000));
     assert!(status.success());
@@ -1071,8 +1101,8 @@
 }
 
 #[test]
-fn descriptors_that_run_out_are_no_fault_of_an_engine() {
-    fn spawn_short(config: &std::path::Path) -> Child {
+fn running_out_of_descriptors_is_not_counted_against_an_engine() {
+    fn spawn_with_few_descriptors(config: &std::path::Path) -> Child {
         let command = format!("ulimit -n 40; exec {}", env!("CARGO_BIN_EXE_laurelhitch"));
         let mut shell = Command::new("/bin/sh");
         shell
@@ -1083,7 +1113,7 @@
             .unwrap()
     }
     let engine = engine(1);
-    let gateway = Gateway::spawned_by(spawn_short, &[engine.address], "", |_| {});
+    let gateway = Gateway::spawned_by(spawn_with_few_descriptors, &[engine.address], "", |_| {});
     let mut first = gateway.client();
     let _more: Vec<TcpStream> = (0..60)
         .map(|_| TcpStream::connect(gateway.listen).unwrap())
@@ -1103,7 +1133,7 @@
         counter(&log, "attempts_never_sent") > 0 && counter(&log, "attempts_unreachable") == 0,
         "{log}"
     );
-    // Once for each time that it ran short anew, not once a turn.
+    // The shortage is logged once each time it begins, not in each turn of the event loop.
     assert!(
         (1..5).contains(&log.lines().filter(|line| line.contains("accept")).count()),
         "{log}"
@@ -1113,7 +1143,7 @@
 }
 
 #[test]
-fn a_stopped_process_goes_on_where_it_was() {
+fn a_paused_gateway_continues_its_sessions() {
     let engine = engine(1);
     let gateway = Gateway::start(&[engine.address]);
     let mut client = gateway.client();
@@ -1132,14 +1162,14 @@
 }
 
 #[test]
-fn a_client_that_does_not_read_holds_up_nobody() {
+fn a_client_that_does_not_read_does_not_delay_others() {
     let engine = engine(1);
     let gateway = Gateway::start(&[engine.address]);
     let mut slow = gateway.client();
-    let question = commented(2000, &format!("SELECT '{}' LIMIT 120", "x".repeat(260)));
+    let statement = commented(2000, &format!("SELECT '{}' LIMIT 120", "x".repeat(260)));
     slow.stream.set_write_timeout(Some(millis(200))).unwrap();
     for _ in 0..400 {
-        if slow.stream.write_all(&query_packet(&question)).is_err() {
+        if slow.stream.write_all(&query_packet(&statement)).is_err() {
             break;
         }
     }
@@ -1148,17 +1178,17 @@
         1
     );
     let status = std::fs::read_to_string(format!("/proc/{}/status", gateway.child.id())).unwrap();
-    let held = status
+    let resident = status
         .lines()
         .find_map(|line| line.strip_prefix("VmRSS:"))
         .unwrap();
-    let held: u64 = held.trim().trim_end_matches(" kB").parse().unwrap();
-    assert!(held < 50_000, "{held} kB");
+    let resident_kb: u64 = resident.trim().trim_end_matches(" kB").parse().unwrap();
+    assert!(resident_kb < 50_000, "{resident_kb} kB");
     assert_eq!(rows(slow.answer().unwrap()).len(), 120);
 }
 
 #[test]
-fn counters_come_on_request_and_a_missing_configuration_is_one_line() {
+fn counters_are_logged_on_sigusr1_and_a_missing_configuration_is_one_error_line() {
     let engine = engine(1);
     let gateway = Gateway::start(&[engine.address]);
     rows(gateway.client().ask(&commented(2000, "SELECT 1")).unwrap());
@@ -1173,13 +1203,13 @@
         2
     );
     assert_eq!(counter(&log, "completed"), 1);
-    let nowhere = spawn(std::path::Path::new("/nowhere/config.json"))
+    let output = spawn(std::path::Path::new("/nowhere/config.json"))
         .wait_with_output()
         .unwrap();
-    let said = String::from_utf8(nowhere.stderr).unwrap();
+    let message = String::from_utf8(output.stderr).unwrap();
     assert_eq!(
-        (nowhere.status.success(), said.lines().count()),
+        (output.status.success(), message.lines().count()),
         (false, 1),
-        "{said}"
+        "{message}"
     );
 }
