--- a/crates/operator_config/src/block.rs
+++ b/crates/operator_config/src/block.rs
@@ -1,4 +1,4 @@
-//! Checks that the blocks share: numbers within bounds, durations in milliseconds.
+//! Validation that all blocks share: range checks of numbers, and durations in milliseconds.
 
 use std::ops::RangeInclusive;
 
@@ -8,7 +8,7 @@
 
 const MILLIS_PER_SECOND: f64 = 1e3;
 
-/// Where in the file a block stands: its name and labels.
+/// The path of a block in the file: its name, followed by its labels.
 pub(crate) struct BlockPath<'a>(Vec<&'a str>);
 
 impl<'a> BlockPath<'a> {
@@ -16,12 +16,13 @@
         BlockPath(steps.to_vec())
     }
 
+    /// An error in a field of this block.
     pub(crate) fn error(&self, field: &str, why: impl Into<String>) -> FieldError {
         let path: Vec<&str> = self.0.iter().copied().chain([field]).collect();
         FieldError::new(&path, why)
     }
 
-    /// A number, or its default, within bounds.
+    /// The given number or else the default. Fails if the number is out of bounds.
     pub(crate) fn number(
         &self,
         field: &str,
@@ -33,11 +34,12 @@
         if bounds.contains(&value) {
             return Ok(value);
         }
-        let (least, most) = bounds.into_inner();
-        Err(self.error(field, format!("{value} is not between {least} and {most}")))
+        let (min, max) = bounds.into_inner();
+        Err(self.error(field, format!("{value} is not between {min} and {max}")))
     }
 
-    /// A whole number, or its default, within bounds; a fraction is cut off.
+    /// The given number, truncated to an integer, or else the default. Fails if the number is out
+    /// of bounds.
     pub(crate) fn count(
         &self,
         field: &str,
@@ -48,7 +50,8 @@
         Ok(self.number(field, value, default as f64, bounds)? as usize)
     }
 
-    /// A time in milliseconds, or its default, within bounds in milliseconds.
+    /// The given duration in milliseconds or else the default. Fails if the duration is out of
+    /// bounds, which are in milliseconds too.
     pub(crate) fn millis(
         &self,
         field: &str,
@@ -61,7 +64,8 @@
     }
 }
 
-/// The default of a block's `enabled`: a block that is written is on.
+/// The default of the switches that are on unless the file turns them off, such as a block's
+/// `enabled`.
 pub(crate) fn enabled_by_default() -> bool {
     true
 }
--- a/crates/operator_config/src/error.rs
+++ b/crates/operator_config/src/error.rs
@@ -1,45 +1,45 @@
-//! Why an operator's file cannot be used.
+//! The errors of reading an operator file.
 
 use std::path::PathBuf;
 
 use thiserror::Error;
 
-/// Why a file cannot be used. Lines count from one.
+/// An operator file cannot be used. Line numbers start at one.
 #[derive(Debug, Error)]
 pub enum OperatorConfigError {
     /// The file cannot be read.
     #[error("{0}: {1}")]
     Unreadable(PathBuf, std::io::Error),
-    /// A field is unknown, cannot be used or contradicts another.
+    /// A field is unknown, invalid or in conflict with another one.
     #[error("{file}:{line}: {field}: {why}", file = .file.display())]
     Field {
         /// The file.
         file: PathBuf,
         /// The line of the field.
         line: usize,
-        /// Its path from the top, joined by dots.
+        /// The path of the field from the top of the file, joined by dots.
         field: String,
-        /// What is wrong with it.
+        /// The reason why the field is rejected.
         why: String,
     },
-    /// The file is no HCL.
+    /// The file is not valid HCL.
     #[error("{file}:{line}: {why}", file = .file.display())]
     Form {
         /// The file.
         file: PathBuf,
-        /// The line where reading ended.
+        /// The line where parsing failed.
         line: usize,
-        /// What is wrong there.
+        /// The parser's message.
         why: String,
     },
 }
 
-/// A field that cannot be used, by its path from the top.
+/// A field is unknown, invalid or in conflict with another one.
 #[derive(Debug, PartialEq)]
 pub struct FieldError {
-    /// Blocks, their labels, and the field.
+    /// The names and labels of the enclosing blocks from the top of the file, then the field.
     pub path: Vec<String>,
-    /// What is wrong with it.
+    /// The reason why the field is rejected.
     pub why: String,
 }
 
--- a/crates/operator_config/src/fleet_block.rs
+++ b/crates/operator_config/src/fleet_block.rs
@@ -1,4 +1,4 @@
-//! `fleet`: gateways that know each other.
+//! The block `fleet`: membership of the gateway fleet.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -10,19 +10,17 @@
 use crate::block::{BlockPath, enabled_by_default};
 use crate::error::FieldError;
 
-/// A day, in milliseconds.
 const DAY_MS: f64 = 8.64e7;
-/// Ten minutes, in milliseconds.
 const TEN_MINUTES_MS: f64 = 600_000.0;
 
-/// The block as it is written.
+/// The block as it stands in the file, before validation.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct FleetBlock {
     #[serde(default = "enabled_by_default")]
     enabled: bool,
     fleet: String,
-    /// Without it, the name in the gateway's configuration.
+    /// If it is missing, the name in the gateway's configuration applies.
     name: Option<String>,
     bind: SocketAddr,
     advertise: Option<SocketAddr>,
@@ -43,7 +41,7 @@
     accept_ms: Option<f64>,
     hold_ms: Option<f64>,
     news_lasts_ms: Option<f64>,
-    /// Limits on what a large fleet sends; the five below stand with it only.
+    /// Enables the traffic limits for large fleets. The five fields below are allowed only with it.
     #[serde(default)]
     bounded: bool,
     confirmations: Option<f64>,
@@ -53,38 +51,38 @@
     exchange_bytes_per_s: Option<f64>,
 }
 
-/// How this gateway knows the others, checked.
+/// The validated configuration of this gateway's membership in the fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MembershipConfig {
-    /// The fleet's name: datagrams of another one are rejected.
+    /// The name of the fleet. Datagrams of other fleets are rejected.
     pub fleet: Name,
-    /// This gateway's name; none: that of its configuration.
+    /// The name of this gateway, or `None` to use the name in the gateway's configuration.
     pub name: Option<Name>,
-    /// Where its UDP socket is bound.
+    /// The address to which the UDP socket is bound.
     pub bind: SocketAddr,
-    /// Where others reach it.
+    /// The address at which other gateways reach this one.
     pub advertise: SocketAddr,
-    /// Gateways to join by.
+    /// The addresses of the gateways through which this one joins the fleet.
     pub seeds: Vec<SocketAddr>,
-    /// The folder of the keys that datagrams are signed with.
+    /// The folder of the keys that sign datagrams.
     pub keys_folder: PathBuf,
-    /// Where it runs.
+    /// The zone and region in which this gateway runs.
     pub locality: Locality,
-    /// Times and limits of the protocol.
+    /// The durations and limits of the membership protocol.
     pub protocol: Config,
 }
 
-/// How often a member is probed, and how long it has to answer.
+/// The interval between probes, and the time that a member has to answer one.
 struct ProbeTimes {
     period: TimeDelta,
     timeout: TimeDelta,
 }
 
 impl FleetBlock {
-    /// The configuration, or `None` where the block is switched off.
+    /// Checks the block. Returns `None` if it is disabled.
     ///
     /// # Errors
-    /// A field that cannot be used, or contradicts another.
+    /// A field has an invalid value, or contradicts another.
     pub(crate) fn check(self) -> Result<Option<MembershipConfig>, FieldError> {
         let block = BlockPath::new(&["fleet"]);
         let name = |field: &str, text: &str| {
--- a/crates/operator_config/src/identity_block.rs
+++ b/crates/operator_config/src/identity_block.rs
@@ -1,4 +1,4 @@
-//! `identity`: callers by token within TLS.
+//! The block `identity`: authentication of clients by token over TLS.
 
 use std::path::PathBuf;
 
@@ -8,7 +8,7 @@
 use crate::block::{BlockPath, enabled_by_default};
 use crate::error::FieldError;
 
-/// The block as it is written.
+/// The block as it stands in the file, before validation.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct IdentityBlock {
@@ -25,24 +25,25 @@
     checks_per_s: Option<f64>,
 }
 
-/// How callers are known, checked. The files are read by whoever serves.
+/// The validated configuration of client authentication. It names files but
+/// does not read them; the gateway does.
 #[derive(Clone, Debug, PartialEq)]
 pub struct IdentityConfig {
-    /// The folder of public keys that tokens are checked by.
+    /// The folder of the public keys that verify tokens.
     pub keys_folder: PathBuf,
-    /// The certificate chain that clients see, in PEM.
+    /// The PEM file with the server's certificate chain.
     pub certificate: PathBuf,
-    /// Its private key, in PEM.
+    /// The PEM file with the private key of the certificate.
     pub private_key: PathBuf,
-    /// Limits and times of checking tokens.
+    /// The limits and durations of token verification.
     pub verifier: VerifierConfig,
 }
 
 impl IdentityBlock {
-    /// The configuration, or `None` where the block is switched off.
+    /// Checks the block. Returns `None` if it is disabled.
     ///
     /// # Errors
-    /// A field that cannot be used.
+    /// A field has an invalid value.
     pub(crate) fn check(self) -> Result<Option<IdentityConfig>, FieldError> {
         let verifier = self.verifier()?;
         let config = IdentityConfig {
--- a/crates/operator_config/src/lib.rs
+++ b/crates/operator_config/src/lib.rs
@@ -1,7 +1,9 @@
-//! The operator's file: HCL, in blocks by subsystem, each off until its block is written. A field that is not known, cannot be used
-//! or contradicts another is one error that names file, line and field.
+//! Reads the operator file, an HCL file with one block per subsystem. A subsystem without a block
+//! is disabled. A field that is unknown, invalid or in conflict with another one is reported as one
+//! error with the file, the line and the field.
 //!
-//! [`OperatorConfig::read`] gives each subsystem's own configuration, checked. The keys are the operators' words; they end here.
+//! [`OperatorConfig::read`] returns the validated configuration of each subsystem. The names of the
+//! file's keys are used in this crate only; the subsystems have their own names for these settings.
 
 mod block;
 mod error;
@@ -25,7 +27,7 @@
 use identity_block::IdentityBlock;
 use shares_block::SharesBlock;
 
-/// The blocks as they are written.
+/// The blocks as they stand in the file, before validation.
 #[derive(Deserialize, Default)]
 #[serde(deny_unknown_fields, default)]
 struct File {
@@ -35,34 +37,37 @@
     shares: Option<SharesBlock>,
 }
 
-/// What the file configures; a subsystem without a block, or with one that is switched off, is `None`.
+/// The validated configuration of each subsystem. A subsystem is `None` if its block is missing or
+/// disabled.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct OperatorConfig {
-    /// Waiting statements by tenant and sub-queue: the block `queues`. Budgets are those of all gateways together.
+    /// The queues of waiting statements by tenant and sub-queue, from the block `queues`. Its
+    /// budgets apply to all gateways together.
     pub scheduler: Option<scheduler::Config>,
-    /// Callers by token within TLS: the block `identity`.
+    /// Authentication of clients by token over TLS, from the block `identity`.
     pub identity: Option<IdentityConfig>,
-    /// Gateways that know each other: the block `fleet`.
+    /// Membership of the gateway fleet, from the block `fleet`.
     pub membership: Option<MembershipConfig>,
-    /// Quotas that are divided among all gateways: the block `shares`, which needs a block `fleet`.
+    /// Quotas that are divided among all gateways, from the block `shares`. This block requires a
+    /// `fleet` block.
     pub quota: Option<quota::Config>,
 }
 
 impl OperatorConfig {
-    /// Reads and checks a file.
+    /// Reads and validates a file.
     ///
     /// # Errors
-    /// The file cannot be read, is no HCL, or a field of it cannot be used.
+    /// The file cannot be read, is not valid HCL, or has an invalid field.
     pub fn read(file: &Path) -> Result<Self, OperatorConfigError> {
         let text = std::fs::read_to_string(file)
             .map_err(|error| OperatorConfigError::Unreadable(file.into(), error))?;
         Self::parse(file, &text)
     }
 
-    /// Checks the text of a file, whose path stands in errors only.
+    /// Parses and validates the text of a file. The path is used in error messages only.
     ///
     /// # Errors
-    /// The text is no HCL, or a field of it cannot be used.
+    /// The text is not valid HCL, or has an invalid field.
     pub fn parse(file: &Path, text: &str) -> Result<Self, OperatorConfigError> {
         let body = parse_hcl(file, text)?;
         let located = |error: FieldError| OperatorConfigError::Field {
@@ -125,12 +130,13 @@
 }
 
 fn deserialize(body: hcl::Body) -> Result<File, FieldError> {
-    let read = serde_path_to_error::deserialize(hcl::Value::from(body).into_deserializer());
-    read.map_err(|error: serde_path_to_error::Error<hcl::Error>| {
+    let result = serde_path_to_error::deserialize(hcl::Value::from(body).into_deserializer());
+    result.map_err(|error: serde_path_to_error::Error<hcl::Error>| {
         let why = error.inner().to_string();
         let steps = error.path().iter().map(ToString::to_string);
         let mut path: Vec<String> = steps.filter(|step| step != "?").collect();
-        // The path ends at the block that holds an unknown field; its message has the name.
+        // For an unknown field, the path ends at the enclosing block. The field's name is found in
+        // the message only.
         if let Some(unknown) = unknown_field(&why)
             && path.last().is_none_or(|last| last != unknown)
         {
@@ -140,6 +146,7 @@
     })
 }
 
+/// The name of the field in serde's message about an unknown field, or `None` for other messages.
 fn unknown_field(why: &str) -> Option<&str> {
     why.strip_prefix("unknown field `")?.split('`').next()
 }
--- a/crates/operator_config/src/location.rs
+++ b/crates/operator_config/src/location.rs
@@ -1,9 +1,11 @@
-//! The line of a field in the text, for errors: the readers that check values no longer know it.
+//! Finds the line of a field for error messages. The deserialized values that are validated carry
+//! no position.
 
 use hcl_edit::Span;
 use hcl_edit::structure::{Body, Structure};
 
-/// The line, from one, of the deepest part of a field's path that the text has.
+/// The line of a field, counted from one. If the text does not have the whole path, this is the
+/// line of the innermost block of the path that it has, or else the first line.
 pub(crate) fn line_of_field(text: &str, path: &[String]) -> usize {
     let found = hcl_edit::parser::parse_body(text)
         .ok()
@@ -13,7 +15,7 @@
     1 + before.iter().filter(|byte| **byte == b'\n').count()
 }
 
-/// The offset in bytes of the deepest part of the path.
+/// The byte offset of the deepest part of the path that `body` has, or `None` if it has no part.
 fn offset_of_field(body: &Body, path: &[String]) -> Option<usize> {
     let (first, rest) = path.split_first()?;
     for structure in body {
@@ -26,9 +28,9 @@
                 if !labels.all(|(label, step)| label.as_str() == step) {
                     continue;
                 }
-                let below = rest.get(block.labels.len()..).unwrap_or(&[]);
-                let deeper = offset_of_field(&block.body, below);
-                return deeper.or_else(|| block.ident.span().map(|span| span.start));
+                let remaining = rest.get(block.labels.len()..).unwrap_or(&[]);
+                let inner_offset = offset_of_field(&block.body, remaining);
+                return inner_offset.or_else(|| block.ident.span().map(|span| span.start));
             }
             Structure::Attribute(_) | Structure::Block(_) => {}
         }
--- a/crates/operator_config/src/queues_block.rs
+++ b/crates/operator_config/src/queues_block.rs
@@ -1,4 +1,5 @@
-//! `queues`: waiting statements by tenant and sub-queue. The file's words are `member` for a tenant and `desk` for a sub-queue.
+//! The block `queues`: waiting statements by tenant and sub-queue. The file calls a tenant `member`
+//! and a sub-queue `desk`.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,20 +11,23 @@
 use crate::block::{BlockPath, enabled_by_default};
 use crate::error::FieldError;
 
+/// The defaults of the block's fields.
 const AGEING: TimeDelta = TimeDelta::from_micros(1_000_000);
 const BURST: TimeDelta = TimeDelta::from_micros(2_000_000);
 const SUB_QUEUE_STATEMENTS: f64 = 5000.0;
 const SUB_QUEUE_CPU_S: f64 = 300.0;
 const ALL_STATEMENTS: f64 = 20_000.0;
 const ALL_CPU_S: f64 = 1000.0;
-/// Least weight that a budget gives where the file says none.
+/// The lower bound of the default weight, so that a tenant or sub-queue without a budget has a
+/// weight too.
 const MIN_DEFAULT_WEIGHT: f64 = 0.01;
-/// Sums of budgets may differ by this part from what they sum to.
-const ROUNDING: f64 = 1e-9;
-/// The sub-queue of a tenant that names none.
+/// The relative rounding error that is allowed when the budgets of sub-queues are compared with the
+/// budget of their tenant.
+const ROUNDING_TOLERANCE: f64 = 1e-9;
+/// The name of the single sub-queue of a tenant for which the file has none.
 const ONLY_SUB_QUEUE: &str = "all";
 
-/// The block as it is written.
+/// The block as it stands in the file, before validation.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct QueuesBlock {
@@ -59,10 +63,11 @@
 }
 
 impl QueuesBlock {
-    /// The scheduler's configuration, or `None` where the block is switched off.
+    /// Validates the block and returns the scheduler's configuration, or `None` if the block is
+    /// disabled.
     ///
     /// # Errors
-    /// A field that cannot be used, or contradicts another.
+    /// A field has an invalid value, or one in conflict with another field.
     pub fn check(self) -> Result<Option<Config>, FieldError> {
         let block = BlockPath::new(&["queues"]);
         if !self.member.contains_key(&self.default_member) {
@@ -99,7 +104,8 @@
     }
 }
 
-/// The default tenant first, since it takes whoever is not known; the others by name.
+/// The validated tenants. The default tenant, which serves unknown clients, comes first; the others
+/// follow in the order of their names.
 fn tenants(
     default: &str,
     members: BTreeMap<String, MemberBlock>,
@@ -119,12 +125,12 @@
             weight: weight(&block, self.weight, budget)?,
         };
         let mut sub_queues = sub_queues(name, budget, self.desk)?;
-        let owed: f64 = sub_queues
+        let reserved: f64 = sub_queues
             .iter()
             .map(|sub_queue| sub_queue.share.budget)
             .sum();
-        if owed > budget * (1.0 + ROUNDING) {
-            let why = format!("its desks are owed {owed} together");
+        if reserved > budget * (1.0 + ROUNDING_TOLERANCE) {
+            let why = format!("its desks are owed {reserved} together");
             return Err(block.error("cpu_s_per_s", why));
         }
         if sub_queues.is_empty() {
@@ -139,7 +145,7 @@
                 .iter()
                 .position(|sub_queue| sub_queue.name == *default);
             let index = found.ok_or_else(|| block.error("default_desk", "no such desk"))?;
-            // The default one first, the others in their order.
+            // Moves the default sub-queue to the front and keeps the order of the others.
             sub_queues[..=index].rotate_right(1);
         }
         Ok(TenantConfig {
@@ -150,23 +156,24 @@
     }
 }
 
-/// A weight; without one, the budget's.
+/// The given weight. Its default is the budget, but at least [`MIN_DEFAULT_WEIGHT`].
 fn weight(block: &BlockPath<'_>, given: Option<f64>, budget: f64) -> Result<f64, FieldError> {
     block.number("weight", given, budget.max(MIN_DEFAULT_WEIGHT), 1e-3..=1e6)
 }
 
-/// The sub-queues of one tenant, by name. One without a budget has an even part of the tenant's.
+/// The sub-queues of one tenant in the order of their names. The default budget of a sub-queue is
+/// the tenant's budget divided by the number of its sub-queues.
 fn sub_queues(
     tenant: &str,
     tenant_budget: f64,
     desks: BTreeMap<String, DeskBlock>,
 ) -> Result<Vec<SubQueueConfig>, FieldError> {
-    let even_part = tenant_budget / desks.len().max(1) as f64;
+    let equal_budget = tenant_budget / desks.len().max(1) as f64;
     let mut known_networks: BTreeSet<IpNet> = BTreeSet::new();
     let mut sub_queues = Vec::new();
     for (name, desk) in desks {
         let block = BlockPath::new(&["queues", "member", tenant, "desk", &name]);
-        let budget = block.number("cpu_s_per_s", desk.cpu_s_per_s, even_part, 0.0..=1e6)?;
+        let budget = block.number("cpu_s_per_s", desk.cpu_s_per_s, equal_budget, 0.0..=1e6)?;
         let weight = weight(&block, desk.weight, budget)?;
         for network in &desk.networks {
             if !known_networks.insert(network.trunc()) {
--- a/crates/operator_config/src/shares_block.rs
+++ b/crates/operator_config/src/shares_block.rs
@@ -1,4 +1,4 @@
-//! `shares`: quotas of all gateways together, divided by leases.
+//! The block `shares`: quotas of the whole fleet, which gateways divide among themselves by leases.
 
 use std::collections::BTreeMap;
 
@@ -10,19 +10,19 @@
 use crate::block::{BlockPath, enabled_by_default};
 use crate::error::FieldError;
 
-/// Part of each capacity that is guaranteed to the gateways, where the file says none.
+/// The default of the part of each capacity that is guaranteed to the gateways.
 const GUARANTEED_PART: f64 = 0.2;
 const LEASE: TimeDelta = TimeDelta::from_micros(6_000_000);
 const TERM: TimeDelta = TimeDelta::from_micros(2_000_000);
 const RENEWAL: TimeDelta = TimeDelta::from_micros(500_000);
 const BURST: TimeDelta = TimeDelta::from_micros(2_000_000);
-/// Part by which clocks may run fast or slow.
+/// The default of the relative rate error that is tolerated in the clocks of gateways.
 const DRIFT: f64 = 0.01;
-/// Bounds of every time of the block, in milliseconds.
+/// The bounds of all durations in the block.
 const MIN_MS: f64 = 20.0;
 const MAX_MS: f64 = 600_000.0;
 
-/// The block as it is written.
+/// The block as it stands in the file, before validation.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct SharesBlock {
@@ -46,11 +46,11 @@
 }
 
 impl SharesBlock {
-    /// The configuration, or `None` where the block is switched off. `scheduler`: whose tenants' budgets are divided, where
-    /// there is one.
+    /// Checks the block. Returns `None` if it is disabled. The budgets of the tenants of
+    /// `scheduler` are divided too, if it is given.
     ///
     /// # Errors
-    /// A field that cannot be used, or contradicts another.
+    /// A field has an invalid value, or one in conflict with another field.
     pub(crate) fn check(
         self,
         scheduler: Option<&scheduler::Config>,
@@ -74,7 +74,7 @@
         Ok(self.enabled.then_some(config))
     }
 
-    /// In the order of their names.
+    /// The budgets to divide, in the order of their names.
     fn budgets(
         &self,
         block: &BlockPath<'_>,
@@ -131,7 +131,7 @@
     }
 }
 
-/// The field that a contradiction is told of.
+/// Assigns an error of the quota configuration to the field of the block that causes it.
 fn located(block: &BlockPath<'_>, error: &ConfigError) -> FieldError {
     let field = match error {
         ConfigError::BudgetCount | ConfigError::DuplicateBudget(_) => {
