--- a/crates/wirehost/src/action.rs
+++ b/crates/wirehost/src/action.rs
@@ -1,11 +1,12 @@
-//! What goes back for one instance.
+//! The actions that an instance returns to the simulator.
 
 use admission::interface::{AttemptNumber, DiscoveryRequest, EngineId, StatementId, TimeDelta};
 use dispatch::Decision;
 
 use crate::frames::Reply;
 
-/// One action, kept until the batch is read: an instance's end in the same batch voids it.
+/// One action of an instance. Actions are kept until the whole batch is processed, because they are
+/// discarded if the instance ends in the same batch.
 pub(crate) enum Action {
     Attempt {
         statement: StatementId,
@@ -35,7 +36,7 @@
 }
 
 impl Action {
-    /// Writes it as the gateway's.
+    /// Appends the action to the reply as one of the given gateway.
     pub(crate) fn write(&self, gateway: u16, reply: &mut Reply) {
         match self {
             Action::Attempt {
@@ -64,12 +65,13 @@
     }
 }
 
-/// On the wire, 0 stands for no time.
+/// The duration in seconds; the wire format encodes a missing duration as 0.
 fn seconds_or_zero(duration: Option<TimeDelta>) -> f64 {
     duration.map_or(0.0, TimeDelta::secs)
 }
 
-/// The actions that a decision on a statement takes. An attempt's priority is set before the attempt.
+/// Appends the actions that carry out the decision on a statement. A changed priority is set before
+/// the attempt that it applies to.
 pub(crate) fn push_decision(
     statement: StatementId,
     decision: &Decision,
--- a/crates/wirehost/src/frames/batch.rs
+++ b/crates/wirehost/src/frames/batch.rs
@@ -4,19 +4,20 @@
 
 use super::FrameError;
 
-/// Bytes of a batch's header.
+/// The size of a batch's header, in bytes.
 const HEADER: usize = 20;
-/// Bytes of the header's last field, which the length counts.
+/// The size of the record count, in bytes. It is the last field of the header, and the length in
+/// the header includes it.
 const COUNT_FIELD: usize = 4;
-/// Bytes of an event record.
+/// The size of an event record, in bytes.
 const EVENT: usize = 48;
-/// Bytes of an engine's entry in a list.
+/// The size of an engine's entry in a list, in bytes.
 const ENTRY: usize = 23;
 
-/// One batch as it came: its records are read in place.
+/// One batch of events. Its records are decoded in place.
 #[derive(Debug)]
 pub struct Batch {
-    /// Its number, which the reply repeats.
+    /// The number of the batch, which the reply repeats.
     pub number: u32,
     /// The time of all its events, in seconds.
     pub clock: f64,
@@ -24,35 +25,35 @@
     count: usize,
 }
 
-/// Reads the next batch; none where the input ended before it.
+/// Reads the next batch. Returns `None` if the input has ended.
 ///
 /// # Errors
 ///
-/// Where the input fails or ends inside the batch, or its length does not hold its records.
+/// The input fails or ends inside the batch, or the batch's length is too small for its records.
 pub fn read_batch(input: &mut impl Read) -> Result<Option<Batch>, FrameError> {
-    let mut head = Vec::with_capacity(HEADER);
-    input.take(HEADER as u64).read_to_end(&mut head)?;
-    if head.is_empty() {
+    let mut header = Vec::with_capacity(HEADER);
+    input.take(HEADER as u64).read_to_end(&mut header)?;
+    if header.is_empty() {
         return Ok(None);
     }
-    let batch = if head.len() >= 4 {
-        Fields(&head).u32(0)
+    let batch = if header.len() >= 4 {
+        Fields(&header).u32(0)
     } else {
         0
     };
-    if head.len() < HEADER {
+    if header.len() < HEADER {
         return Err(FrameError::CutOff {
             batch,
             part: "header",
-            got: head.len(),
+            got: header.len(),
             want: HEADER,
         });
     }
-    let head = Fields(&head);
-    let length = head.u32(12);
-    let count = head.u32(16);
-    let least = COUNT_FIELD as u64 + u64::from(count) * EVENT as u64;
-    if u64::from(length) < least {
+    let header = Fields(&header);
+    let length = header.u32(12);
+    let count = header.u32(16);
+    let min_length = COUNT_FIELD as u64 + u64::from(count) * EVENT as u64;
+    if u64::from(length) < min_length {
         return Err(FrameError::Length {
             batch,
             length,
@@ -60,7 +61,8 @@
         });
     }
     let want = length as usize - COUNT_FIELD;
-    // The buffer grows with what arrives, never with what the header claims.
+    // The buffer grows with the bytes that arrive, so a wrong length in the header allocates
+    // nothing.
     let mut body = Vec::new();
     input.take(want as u64).read_to_end(&mut body)?;
     if body.len() < want {
@@ -73,14 +75,14 @@
     }
     Ok(Some(Batch {
         number: batch,
-        clock: head.f64(4),
+        clock: header.f64(4),
         body,
         count: count as usize,
     }))
 }
 
 impl Batch {
-    /// The event records, each with its place in the batch.
+    /// The event records, each with its index in the batch.
     pub fn records(&self) -> impl Iterator<Item = (usize, Fields<'_>)> {
         self.body[..self.count * EVENT]
             .chunks_exact(EVENT)
@@ -88,11 +90,12 @@
             .enumerate()
     }
 
+    /// The data of variable size after the records.
     fn tail(&self) -> &[u8] {
         &self.body[self.count * EVENT..]
     }
 
-    /// The bytes of so many entries of the tail.
+    /// The bytes of a range of the tail, whose entries have `entry_size` bytes each.
     fn within(
         &self,
         record: usize,
@@ -116,11 +119,11 @@
             })
     }
 
-    /// A text of the tail.
+    /// A text in the tail. Invalid UTF-8 is replaced.
     ///
     /// # Errors
     ///
-    /// Where the range lies outside the tail.
+    /// The range lies outside the tail.
     pub fn text(&self, record: usize, range: TailRange) -> Result<String, FrameError> {
         let bytes = self.within(record, "text", range, 1)?;
         Ok(String::from_utf8_lossy(bytes).into_owned())
@@ -130,7 +133,7 @@
     ///
     /// # Errors
     ///
-    /// Where the range lies outside the tail.
+    /// The range lies outside the tail.
     pub fn entries(
         &self,
         record: usize,
@@ -140,7 +143,7 @@
         Ok(bytes.chunks_exact(ENTRY).map(Fields))
     }
 
-    /// The error of a code in this batch that the wire does not have.
+    /// The error for a code in this batch that the protocol does not define.
     #[must_use]
     pub fn unknown(&self, record: usize, what: &'static str, code: u64) -> FrameError {
         FrameError::Unknown {
@@ -152,16 +155,17 @@
     }
 }
 
-/// Where data of no fixed size stands in a batch's tail.
+/// The position of data of variable size in a batch's tail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TailRange {
-    /// Bytes from the start of the tail.
+    /// The offset in bytes from the start of the tail.
     pub offset: u32,
-    /// Bytes of a text, entries of a list.
+    /// The number of bytes of a text, or of entries of a list.
     pub count: u32,
 }
 
-/// The bytes of one record or entry; positions are the wire page's. Each panics past the end of the record.
+/// The bytes of one record or entry. Positions are those of the protocol's specification, and
+/// numbers are little-endian. The methods panic if the position is beyond the end of the record.
 #[derive(Clone, Copy)]
 pub struct Fields<'a>(&'a [u8]);
 
@@ -172,43 +176,43 @@
         bytes
     }
 
-    /// One byte.
+    /// The unsigned integer of one byte at `position`.
     #[must_use]
     pub fn u8(self, position: usize) -> u8 {
         self.0[position]
     }
 
-    /// Two bytes.
+    /// The unsigned integer of two bytes at `position`.
     #[must_use]
     pub fn u16(self, position: usize) -> u16 {
         u16::from_le_bytes(self.bytes(position))
     }
 
-    /// Four bytes.
+    /// The unsigned integer of four bytes at `position`.
     #[must_use]
     pub fn u32(self, position: usize) -> u32 {
         u32::from_le_bytes(self.bytes(position))
     }
 
-    /// Eight bytes.
+    /// The unsigned integer of eight bytes at `position`.
     #[must_use]
     pub fn u64(self, position: usize) -> u64 {
         u64::from_le_bytes(self.bytes(position))
     }
 
-    /// A fraction of four bytes.
+    /// The single-precision number at `position`.
     #[must_use]
     pub fn f32(self, position: usize) -> f64 {
         f32::from_le_bytes(self.bytes(position)).into()
     }
 
-    /// A fraction of eight bytes.
+    /// The double-precision number at `position`.
     #[must_use]
     pub fn f64(self, position: usize) -> f64 {
         f64::from_le_bytes(self.bytes(position))
     }
 
-    /// A range of the tail.
+    /// The range of the tail that is stored at `position`.
     #[must_use]
     pub fn range(self, position: usize) -> TailRange {
         TailRange {
--- a/crates/wirehost/src/frames/codes.rs
+++ b/crates/wirehost/src/frames/codes.rs
@@ -1,6 +1,6 @@
-//! The codes of the wire.
+//! The numeric codes of the protocol.
 
-/// Defines a code of one byte, and how it is read.
+/// Defines an enum of one-byte codes and its decoder.
 macro_rules! codes {
     ($(#[$doc:meta])* $name:ident { $($(#[$variant_doc:meta])* $variant:ident = $code:literal,)* }) => {
         $(#[$doc])*
@@ -10,7 +10,7 @@
         }
 
         impl $name {
-            /// None where the code is not known.
+            /// Decodes a code. Returns `None` if it is unknown.
             #[must_use]
             pub fn from_code(code: u8) -> Option<Self> {
                 match code {
@@ -23,57 +23,57 @@
 }
 
 codes! {
-    /// What an event record says.
+    /// The kind of an event record.
     EventCode {
-        /// An instance begins, empty, with its settings.
+        /// An instance starts without any state; the event has its settings.
         Attach = 10,
-        /// What discovery says of the engines, by a numbered list.
+        /// A discovery update, which refers to a numbered list of engines.
         Targets = 20,
-        /// A statement came.
+        /// A statement arrived.
         WorkItem = 30,
-        /// A streamed answer has begun.
+        /// The answer to an attempt has begun to stream.
         Started = 40,
         /// An attempt ended.
         Done = 50,
-        /// The client of a statement has left.
+        /// The client of a statement has disconnected.
         Vanished = 60,
-        /// A timer that was asked for is due.
+        /// A requested timer is due.
         Timer = 70,
         /// An engine answered a probe.
         Pong = 80,
-        /// Bytes of another instance came.
+        /// A message from another instance arrived.
         Message = 90,
         /// An instance was killed.
         PowerOff = 100,
-        /// News of a running attempt.
+        /// A progress report of a running attempt, or a report that the attempt has stalled.
         Note = 110,
-        /// A numbered list of engines, for all instances of the process.
+        /// A numbered list of engines that all instances of the process share.
         Roster = 120,
     }
 }
 
 codes! {
-    /// What a list of engines stands for.
+    /// The kind of a discovery update.
     ListForm {
-        /// The changed engines alone.
+        /// The changed engines only.
         Delta = 0,
         /// All engines.
         Full = 1,
-        /// All engines, as the instance knew them last.
+        /// All engines, from a cache of the last known state.
         Cached = 2,
-        /// The request failed.
+        /// The discovery request failed.
         Failed = 3,
     }
 }
 
 codes! {
-    /// Where an engine is in its life.
+    /// The lifecycle stage of an engine.
     StageCode {
-        /// It is there no longer.
+        /// The engine has been removed.
         Gone = 0,
-        /// It takes statements.
+        /// The engine accepts statements.
         Ready = 1,
-        /// It takes nothing new.
+        /// The engine finishes its statements and accepts no new ones.
         Draining = 2,
     }
 }
@@ -81,26 +81,26 @@
 codes! {
     /// How an attempt ended.
     OutcomeCode {
-        /// Its result came.
+        /// The result arrived.
         Ok = 10,
         /// The engine answered with an error.
         Error = 20,
-        /// The engine had no capacity for it.
+        /// The engine had no capacity for the attempt.
         Rejected = 30,
-        /// No answer came in its time.
+        /// No answer arrived before the timeout.
         TimedOut = 40,
-        /// No connection to the engine came up.
+        /// No connection to the engine could be established.
         Unreachable = 50,
-        /// The connection failed under it.
+        /// The connection failed during the attempt.
         Reset = 60,
-        /// It was cancelled.
+        /// The attempt was cancelled.
         Cancelled = 70,
-        /// It never left the gateway.
+        /// The attempt was never sent.
         Moot = 80,
     }
 }
 
-/// The codes of the actions that are written.
+/// The codes of the action records.
 pub(super) mod action {
     pub(in crate::frames) const ATTEMPT: u8 = 10;
     pub(in crate::frames) const PUSH_BACK: u8 = 20;
--- a/crates/wirehost/src/frames/error.rs
+++ b/crates/wirehost/src/frames/error.rs
@@ -1,4 +1,4 @@
-//! What is wrong with frames.
+//! The errors of reading frames.
 
 use std::io;
 
@@ -7,59 +7,59 @@
 /// A batch that cannot be read.
 #[derive(Debug, Error)]
 pub enum FrameError {
-    /// The input failed.
+    /// Reading the input failed.
     #[error("input: {0}")]
     Io(#[from] io::Error),
     /// The input ended inside a batch.
     #[error("batch {batch}: cut off: {got} of {want} bytes of the {part}")]
     CutOff {
-        /// The batch's number.
+        /// The number of the batch.
         batch: u32,
-        /// The part that is not whole.
+        /// The part that is incomplete.
         part: &'static str,
-        /// Bytes that came.
+        /// The number of bytes that were read.
         got: usize,
-        /// Bytes of the whole part.
+        /// The number of bytes that the part should have.
         want: usize,
     },
-    /// The length does not hold as many records as the header counts.
+    /// The length in the header is too small for the number of records in the header.
     #[error("batch {batch}: length {length} does not hold {count} records")]
     Length {
-        /// The batch's number.
+        /// The number of the batch.
         batch: u32,
-        /// The header's length.
+        /// The length in the header, in bytes.
         length: u32,
-        /// The header's number of records.
+        /// The number of records in the header.
         count: u32,
     },
-    /// A code that the wire does not have.
+    /// A code is not defined by the protocol.
     #[error("batch {batch}, record {record}: unknown {what} {code}")]
     Unknown {
-        /// The batch's number.
+        /// The number of the batch.
         batch: u32,
-        /// The record's place in the batch.
+        /// The index of the record in the batch.
         record: usize,
-        /// What the code is of.
+        /// The kind of the code.
         what: &'static str,
         /// The code.
         code: u64,
     },
-    /// A range that the tail does not have.
+    /// A range lies outside the batch's tail.
     #[error(
         "batch {batch}, record {record}: {what} at {offset}, {count} long, outside a tail of {tail} bytes"
     )]
     Outside {
-        /// The batch's number.
+        /// The number of the batch.
         batch: u32,
-        /// The record's place in the batch.
+        /// The index of the record in the batch.
         record: usize,
-        /// What the range holds.
+        /// The kind of data in the range.
         what: &'static str,
-        /// Where the range begins.
+        /// The start of the range, in bytes from the start of the tail.
         offset: u32,
-        /// How many bytes or entries it has.
+        /// The number of bytes or entries in the range.
         count: u32,
-        /// Bytes of the tail.
+        /// The length of the tail, in bytes.
         tail: usize,
     },
 }
--- a/crates/wirehost/src/frames/mod.rs
+++ b/crates/wirehost/src/frames/mod.rs
@@ -1,4 +1,5 @@
-//! The wire's binary frames: batches of events in, replies of actions out. Names and positions are the wire page's.
+//! The binary frames of the simulator's protocol: batches of events are read, and replies with
+//! actions are written. Names and field positions are those of the protocol's specification.
 
 mod batch;
 mod codes;
--- a/crates/wirehost/src/frames/reply.rs
+++ b/crates/wirehost/src/frames/reply.rs
@@ -1,15 +1,16 @@
-//! Writes replies of actions.
+//! Encodes replies, which carry actions.
 
 use super::codes::action;
 
-/// Bytes of a reply's header.
+/// The size of a reply's header, in bytes.
 const HEADER: usize = 12;
-/// Bytes of the header's last field, which the length counts.
+/// The size of the record count, in bytes. It is the last field of the header, and the length in
+/// the header includes it.
 const COUNT_FIELD: usize = 4;
-/// Bytes of an action record.
+/// The size of an action record, in bytes.
 const ACTION: usize = 24;
 
-/// The actions of one reply, in the order they are written.
+/// The encoded actions of one reply, in the order in which they were added.
 #[derive(Default)]
 pub struct Reply {
     records: Vec<u8>,
@@ -17,7 +18,7 @@
 }
 
 impl Reply {
-    /// Begins a record, after the one before is padded to its size.
+    /// Starts a record after padding the previous one to its full size.
     fn record(&mut self, code: u8, gateway: u16) -> &mut Vec<u8> {
         let padded = self.records.len().next_multiple_of(ACTION);
         self.records.resize(padded, 0);
@@ -26,6 +27,7 @@
         &mut self.records
     }
 
+    /// Appends a record with these fields.
     fn put(&mut self, code: u8, gateway: u16, fields: &[&[u8]]) {
         let record = self.record(code, gateway);
         for field in fields {
@@ -33,6 +35,7 @@
         }
     }
 
+    /// Appends a record that refers to a text, which is appended to the tail.
     fn with_text(&mut self, code: u8, gateway: u16, text: &str) {
         let offset = self.tail.len() as u32;
         let length = text.len() as u32;
@@ -44,25 +47,26 @@
         self.tail.extend(text.as_bytes());
     }
 
-    /// Sends an attempt; `allow_s`: its time-out in seconds, 0: none.
-    pub fn attempt(&mut self, gateway: u16, id: u64, engine: u32, allow_s: f64) {
+    /// Sends an attempt to an engine. `timeout_s` is its timeout in seconds, or 0 for no timeout.
+    pub fn attempt(&mut self, gateway: u16, id: u64, engine: u32, timeout_s: f64) {
         self.put(
             action::ATTEMPT,
             gateway,
             &[
                 &id.to_le_bytes(),
                 &engine.to_le_bytes(),
-                &allow_s.to_le_bytes(),
+                &timeout_s.to_le_bytes(),
             ],
         );
     }
 
-    /// Rejects a statement; `come_back_s`: how long its client is to wait, in seconds.
-    pub fn push_back(&mut self, gateway: u16, id: u64, come_back_s: f64) {
+    /// Rejects a statement. `retry_after_s` is the time in seconds after which the client should
+    /// retry.
+    pub fn push_back(&mut self, gateway: u16, id: u64, retry_after_s: f64) {
         self.put(
             action::PUSH_BACK,
             gateway,
-            &[&id.to_le_bytes(), &come_back_s.to_le_bytes()],
+            &[&id.to_le_bytes(), &retry_after_s.to_le_bytes()],
         );
     }
 
@@ -80,7 +84,7 @@
         );
     }
 
-    /// Asks for a timer event after so many seconds.
+    /// Requests a timer event after `delay_s` seconds.
     pub fn remind(&mut self, gateway: u16, delay_s: f64, tag: u64) {
         self.put(
             action::REMIND,
@@ -94,27 +98,27 @@
         self.put(action::TEST, gateway, &[&engine.to_le_bytes()]);
     }
 
-    /// Writes a line into the report.
+    /// Writes a line into the simulator's report.
     pub fn remark(&mut self, gateway: u16, text: &str) {
         self.with_text(action::REMARK, gateway, text);
     }
 
-    /// Ends the run: the instance failed.
+    /// Reports that the instance failed, which ends the simulation.
     pub fn panic(&mut self, gateway: u16, text: &str) {
         self.with_text(action::PANIC, gateway, text);
     }
 
-    /// Asks discovery for changes from now on.
+    /// Subscribes to changes in discovery.
     pub fn watch(&mut self, gateway: u16) {
         self.put(action::WATCH, gateway, &[&[1]]);
     }
 
-    /// Asks discovery for all engines, once.
+    /// Requests the current list of all engines from discovery.
     pub fn snapshot(&mut self, gateway: u16) {
         self.put(action::SNAPSHOT, gateway, &[]);
     }
 
-    /// Sets a statement's memory and priority for its next attempt.
+    /// Sets the memory in MB and the priority for the next attempt of a statement.
     pub fn tune(&mut self, gateway: u16, id: u64, memory_mb: f32, priority: u8) {
         self.put(
             action::TUNE,
@@ -124,7 +128,7 @@
     }
 }
 
-/// The frame of a reply to the batch of this number.
+/// Encodes the reply to the batch with this number as a frame.
 #[must_use]
 pub fn encode_reply(number: u32, reply: &Reply) -> Vec<u8> {
     let records = reply.records.len().next_multiple_of(ACTION);
--- a/crates/wirehost/src/host.rs
+++ b/crates/wirehost/src/host.rs
@@ -1,4 +1,4 @@
-//! Hosts the instances of one process: gives each its events, and collects what goes back.
+//! Hosts the gateway instances of one process: passes each its events and collects its actions.
 
 use std::collections::BTreeMap;
 
@@ -10,22 +10,22 @@
 use crate::frames::{Batch, EventCode, Fields, FrameError, Reply, StageCode};
 use crate::instance::{Event, Instance};
 
-/// All instances of this process, and the numbered lists that the wire shares among their events.
+/// All instances of this process, and the numbered engine lists to which their events refer.
 #[derive(Default)]
 pub struct Host {
     instances: BTreeMap<u16, Instance>,
     lists: BTreeMap<u8, Vec<EngineInfo>>,
 }
 
-/// The actions of each instance that had an event in the batch.
+/// The actions of each instance that had an event in the batch, by the number of its gateway.
 type Actions = BTreeMap<u16, Vec<Action>>;
 
 impl Host {
-    /// Answers one batch.
+    /// Processes one batch and returns the resulting actions.
     ///
     /// # Errors
     ///
-    /// Where a record has a code that the wire does not have, or a range outside the tail.
+    /// A record has an unknown code, or a range outside the batch's tail.
     pub fn answer(&mut self, batch: &Batch) -> Result<Reply, FrameError> {
         let now = Timestamp::from_secs(batch.clock);
         let mut actions = Actions::new();
@@ -89,7 +89,8 @@
         Ok(())
     }
 
-    /// Begins an instance anew. What the earlier one of its number did in this batch is void.
+    /// Starts a new instance. It replaces an earlier instance of the same number, whose actions in
+    /// this batch are discarded.
     fn attach(&mut self, event: &Event<'_>, actions: &mut Vec<Action>) -> Result<(), FrameError> {
         let fields = event.fields;
         let gateway = fields.u16(1);
@@ -116,7 +117,7 @@
         None => return Err(event.unknown("engine stage", entry.u8(12).into())),
     };
     let started_s = entry.f64(15);
-    let is_started_told = started_s.is_finite() && started_s > 0.0;
+    let has_start_time = started_s.is_finite() && started_s > 0.0;
     Ok(EngineInfo {
         id: EngineId(entry.u32(0)),
         scale: entry.f32(4),
@@ -124,6 +125,6 @@
         machine: MachineId(entry.u16(10)),
         stage,
         cell: CellId(entry.u16(13)),
-        started: is_started_told.then(|| Timestamp::from_secs(started_s)),
+        started: has_start_time.then(|| Timestamp::from_secs(started_s)),
     })
 }
--- a/crates/wirehost/src/instance.rs
+++ b/crates/wirehost/src/instance.rs
@@ -1,4 +1,5 @@
-//! One instance: its events become calls of its [`Dispatcher`], what those return becomes actions.
+//! A gateway instance: turns its events into calls of its [`Dispatcher`], and the results into
+//! actions.
 
 use std::collections::BTreeMap;
 
@@ -12,23 +13,23 @@
 use crate::action::{Action, push_decision};
 use crate::frames::{Batch, EventCode, Fields, FrameError, ListForm, OutcomeCode};
 
-/// The bit of a statement that says that its estimate is valid.
+/// The flag of a statement whose estimate is valid.
 const HAS_ESTIMATE: u8 = 1;
-/// The kind of a note that tells progress.
+/// The kind of a note that reports progress.
 const PROGRESS_NOTE: u8 = 1;
-/// A bill has its memory in the lower 12 bits, its CPU in those above.
+/// The number of low bits of a bill that hold the memory. The higher bits hold the CPU time.
 const BILL_MEMORY_BITS: u32 = 12;
-/// A bill's memory comes in steps of so many MB.
+/// The unit of a bill's memory, in MB.
 const BILL_MEMORY_STEP_MB: f64 = 4.0;
-/// A bill's CPU comes in milliseconds.
+/// The units of a bill's CPU time per second: CPU time is in milliseconds.
 const BILL_CPU_PER_S: f64 = 1e3;
-/// A load report has room for so many values.
+/// The maximum number of values in a load report.
 const MAX_LOAD_VALUES: usize = 4;
 
-/// One event record, with the batch that it came in.
+/// One event record and the batch that contains it.
 pub(crate) struct Event<'a> {
     pub(crate) batch: &'a Batch,
-    /// The record's place in the batch.
+    /// The index of the record in the batch.
     pub(crate) record: usize,
     pub(crate) fields: Fields<'a>,
     pub(crate) now: Timestamp,
@@ -39,29 +40,29 @@
         self.batch.unknown(self.record, what, code)
     }
 
-    /// The statement that most events are about.
+    /// The ID of the statement, which most event records have at this position.
     fn statement(&self) -> StatementId {
         StatementId(self.fields.u64(3))
     }
 }
 
-/// What happened to an attempt.
-struct AttemptNews {
+/// A change in the state of an attempt.
+struct AttemptUpdate {
     attempt: AttemptNumber,
     event: AttemptEvent,
     latency_s: f64,
-    /// The client has its answer.
+    /// Whether the client already has its answer.
     settled: bool,
 }
 
-/// It shares nothing with the others of the process.
+/// One gateway instance. It shares no state with the other instances of the process.
 pub(crate) struct Instance {
     dispatch: Dispatcher,
     class_count: usize,
     engines_report_usage: bool,
     /// The order of the values in a load report.
     load_fields: Vec<String>,
-    /// When the last timer that was asked for is due.
+    /// The due time of the last timer that was requested, or `None` if it has fired.
     timer_due: Option<Timestamp>,
     /// The tag of that timer.
     timer_tag: u64,
@@ -70,7 +71,8 @@
 impl Instance {
     pub(crate) fn new(settings: &str, seed: u64) -> Result<Self, SettingsError> {
         let settings = Settings::from_lines(settings);
-        // The wire's windows are counted by its own clock, at the send.
+        // The network delay is zero because the simulator measures the time windows by its own
+        // clock, at the time of sending.
         let policy = settings.policy(seed, NetworkDelay(TimeDelta::ZERO))?;
         Ok(Instance {
             dispatch: Dispatcher::new(policy),
@@ -97,9 +99,9 @@
             EventCode::Started => self.report(event, &started(fields), actions),
             EventCode::Note => self.report(event, &note(fields), actions),
             EventCode::Done => {
-                let news = self.outcome(event)?;
+                let update = self.outcome(event)?;
                 self.read_load(EngineId(fields.u32(13)), fields, 31);
-                self.report(event, &news, actions);
+                self.report(event, &update, actions);
             }
             EventCode::Vanished => self.dispatch.client_left(event.statement()),
             EventCode::Timer => {
@@ -113,7 +115,8 @@
         Ok(())
     }
 
-    /// Places what is queued, once all events of the batch are in, and asks for a timer where none is due sooner.
+    /// Processes due statements, probes and discovery after all events of the batch. Requests a
+    /// timer for the next turn unless one is due earlier.
     pub(crate) fn end_turn(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
         let tick = self.dispatch.tick(now);
         for (statement, decision) in &tick.due {
@@ -165,15 +168,15 @@
         Ok(())
     }
 
-    fn report(&mut self, event: &Event<'_>, news: &AttemptNews, actions: &mut Vec<Action>) {
+    fn report(&mut self, event: &Event<'_>, update: &AttemptUpdate, actions: &mut Vec<Action>) {
         let statement = event.statement();
         let follow_up = self.dispatch.report(
             event.now,
             statement,
-            news.attempt,
-            news.event,
-            TimeDelta::from_secs(news.latency_s),
-            news.settled,
+            update.attempt,
+            update.event,
+            TimeDelta::from_secs(update.latency_s),
+            update.settled,
         );
         match follow_up {
             FollowUp::None => {}
@@ -186,7 +189,7 @@
         }
     }
 
-    fn outcome(&self, event: &Event<'_>) -> Result<AttemptNews, FrameError> {
+    fn outcome(&self, event: &Event<'_>) -> Result<AttemptUpdate, FrameError> {
         let fields = event.fields;
         let code = fields.u8(17);
         let attempt_event = match OutcomeCode::from_code(code) {
@@ -200,7 +203,7 @@
             Some(OutcomeCode::Moot) => AttemptEvent::NeverSent,
             None => return Err(event.unknown("outcome", code.into())),
         };
-        Ok(AttemptNews {
+        Ok(AttemptUpdate {
             attempt: AttemptNumber(fields.u16(11)),
             event: attempt_event,
             latency_s: fields.f64(18),
@@ -208,7 +211,7 @@
         })
     }
 
-    /// A result, with what its bill tells.
+    /// A completed attempt, with the CPU time and memory of its bill if engines report them.
     fn completed(&self, bill: u32) -> AttemptEvent {
         let cpu_ms = bill >> BILL_MEMORY_BITS;
         let memory_steps = bill & ((1 << BILL_MEMORY_BITS) - 1);
@@ -220,10 +223,10 @@
         }
     }
 
-    /// Reads the load report at this position: the number of values, then the values.
+    /// Reads the load report at this position: the number of values, followed by the values.
     fn read_load(&mut self, engine: EngineId, fields: Fields<'_>, position: usize) {
-        let told = usize::from(fields.u8(position));
-        let count = told.min(MAX_LOAD_VALUES).min(self.load_fields.len());
+        let value_count = usize::from(fields.u8(position));
+        let count = value_count.min(MAX_LOAD_VALUES).min(self.load_fields.len());
         if count == 0 {
             return;
         }
@@ -243,8 +246,8 @@
     }
 }
 
-fn started(fields: Fields<'_>) -> AttemptNews {
-    AttemptNews {
+fn started(fields: Fields<'_>) -> AttemptUpdate {
+    AttemptUpdate {
         attempt: AttemptNumber(fields.u16(23)),
         event: AttemptEvent::Streaming,
         latency_s: fields.f64(11),
@@ -252,13 +255,13 @@
     }
 }
 
-fn note(fields: Fields<'_>) -> AttemptNews {
+fn note(fields: Fields<'_>) -> AttemptUpdate {
     let event = if fields.u8(21) == PROGRESS_NOTE {
         AttemptEvent::Progress(fields.f32(13))
     } else {
         AttemptEvent::Stalled
     };
-    AttemptNews {
+    AttemptUpdate {
         attempt: AttemptNumber(fields.u16(11)),
         event,
         latency_s: 0.0,
--- a/crates/wirehost/src/lib.rs
+++ b/crates/wirehost/src/lib.rs
@@ -1,4 +1,5 @@
-//! Puts the decisions before the simulator's wire: frames become calls, what those return becomes frames.
+//! Connects gateway instances to the simulator's binary protocol. Event frames become calls of the
+//! dispatcher, and its decisions become action frames.
 
 mod action;
 pub mod frames;
--- a/crates/wirehost/src/main.rs
+++ b/crates/wirehost/src/main.rs
@@ -1,4 +1,4 @@
-//! The program that speaks the wire on standard input and output.
+//! Serves the simulator's binary protocol on standard input and output.
 
 use std::io::{self, BufReader, BufWriter, Write};
 use std::process::ExitCode;
@@ -22,7 +22,7 @@
     match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            // Without a reader of standard error the status alone tells.
+            // If standard error is closed, the exit status alone reports the failure.
             let _ = writeln!(io::stderr(), "laurelhitch-wirehost: {error}");
             ExitCode::FAILURE
         }
