--- a/crates/identity/src/grant.rs
+++ b/crates/identity/src/grant.rs
@@ -1,5 +1,5 @@
-//! What a caller may run. A grant only narrows: what it does not name is not allowed, and nothing that a statement says
-//! of itself widens it.
+//! The permissions of a caller. A grant only restricts: a statement that asks for something outside
+//! the grant is rejected, and nothing in a statement can extend the grant.
 
 use std::collections::BTreeSet;
 use std::net::IpAddr;
@@ -8,7 +8,8 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// Table groups from `first` to `last`, both included. Stored as an array of two numbers.
+/// The table groups from `first` to `last`, both included. The range is serialized as an array of
+/// two numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(u32, u32)", into = "(u32, u32)")]
 pub struct TableGroupRange {
@@ -31,72 +32,74 @@
 }
 
 impl TableGroupRange {
-    /// Whether the group lies in the range.
+    /// Returns whether the group lies in the range.
     #[must_use]
     pub fn contains(&self, group: u32) -> bool {
         (self.first..=self.last).contains(&group)
     }
 }
 
-/// What a token lets its caller run. A set that is absent allows everything; an empty one allows nothing.
+/// The permissions that a token gives its caller. A set that is `None` allows everything, and an
+/// empty set allows nothing.
 ///
-/// The serialized keys are part of every token that was issued, and never change.
+/// The serialized names must never change, because issued tokens contain them.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Grant {
-    /// The tenant that the caller's statements run for.
+    /// The tenant for which the caller's statements run.
     #[serde(rename = "member")]
     pub tenant: String,
-    /// Sub-queues of the tenant that its statements may wait in.
+    /// The sub-queues of the tenant in which the caller's statements may wait.
     #[serde(rename = "desks", default, skip_serializing_if = "Option::is_none")]
     pub sub_queues: Option<BTreeSet<String>>,
-    /// Query classes that it may run.
+    /// The query classes that the caller may run.
     #[serde(rename = "products", default, skip_serializing_if = "Option::is_none")]
     pub classes: Option<BTreeSet<String>>,
-    /// Table groups that it may read.
+    /// The table groups that the caller may read.
     #[serde(rename = "groups", default, skip_serializing_if = "Option::is_none")]
     pub table_groups: Option<Vec<TableGroupRange>>,
-    /// Statements that it may have open at a time.
+    /// The maximum number of statements that the caller may have open at a time, or `None` for no
+    /// limit.
     #[serde(rename = "most_open", default, skip_serializing_if = "Option::is_none")]
     pub max_open_statements: Option<u32>,
-    /// Networks that it may connect from.
+    /// The networks from which the caller may connect.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub networks: Option<Vec<IpNet>>,
 }
 
-/// What a statement asks for, as far as its caller's grant decides on it.
+/// The properties of a statement that are checked against its caller's grant.
 #[derive(Clone, Copy, Debug)]
 pub struct AuthorizationRequest<'a> {
-    /// The tenant that it names; none: the caller's own.
+    /// The tenant that the statement names, or `None` for the caller's own tenant.
     pub tenant: Option<&'a str>,
-    /// The sub-queue that it names.
+    /// The sub-queue that the statement names, or `None` if it names none.
     pub sub_queue: Option<&'a str>,
-    /// Its query class.
+    /// The query class of the statement.
     pub class: &'a str,
-    /// The table group that it reads; none: it may read any.
+    /// The table group that the statement reads, or `None` if it may read any.
     pub table_group: Option<u32>,
-    /// The address that its client connected from.
+    /// The address from which the client connected.
     pub client_address: IpAddr,
-    /// Statements that its caller has open, without this one.
+    /// The number of open statements of the caller, not counting this one.
     pub open_statements: u32,
 }
 
-/// Why a statement lies beyond its caller's grant. Clients read these texts.
+/// The reason why the caller's grant does not allow a statement. The messages are sent to clients.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq, PartialOrd, Ord)]
 pub enum AuthorizationError {
-    /// It names another tenant.
+    /// The statement names another tenant.
     #[error("not this caller's member")]
     Tenant,
-    /// It names a sub-queue that is not granted.
+    /// The statement names a sub-queue that is not granted.
     #[error("not a desk of this caller")]
     SubQueue,
-    /// Its query class is not granted.
+    /// The query class is not granted.
     #[error("not a product of this caller")]
     QueryClass,
-    /// Its table group is not granted.
+    /// The table group is not granted.
     #[error("not a table group of this caller")]
     TableGroup,
-    /// The caller has as many statements open as it may have.
+    /// The caller already has its maximum number of open statements.
     #[error("as many statements open as this caller may have")]
     OpenStatements,
     /// The client's address is in none of the granted networks.
@@ -105,10 +108,11 @@
 }
 
 impl Grant {
-    /// Most entries of each set; a token with more is rejected.
+    /// The maximum number of entries in each set. A token with a larger set is rejected.
     pub const MAX_ENTRIES: usize = 256;
 
-    /// Whether it names a tenant, its sets are within [`Grant::MAX_ENTRIES`] and its ranges are in order.
+    /// Returns whether the grant names a tenant, no set exceeds [`Grant::MAX_ENTRIES`], and no
+    /// range ends before it starts.
     #[must_use]
     pub fn is_valid(&self) -> bool {
         let set_sizes = [
@@ -129,10 +133,10 @@
         !self.tenant.is_empty() && sets_are_bounded && ranges_are_ordered
     }
 
-    /// Whether a statement may run under this grant.
+    /// Checks whether a statement may run under this grant.
     ///
     /// # Errors
-    /// The first reason for which it may not.
+    /// The grant does not allow the statement. The error is the first reason that was found.
     pub fn authorize(&self, request: &AuthorizationRequest<'_>) -> Result<(), AuthorizationError> {
         if request.tenant.is_some_and(|tenant| tenant != self.tenant) {
             return Err(AuthorizationError::Tenant);
@@ -150,7 +154,7 @@
         }
         if self
             .max_open_statements
-            .is_some_and(|most| request.open_statements >= most)
+            .is_some_and(|max| request.open_statements >= max)
         {
             return Err(AuthorizationError::OpenStatements);
         }
@@ -160,7 +164,7 @@
         Ok(())
     }
 
-    /// A statement that names no group may read any, so it needs a grant of all.
+    /// A statement without a table group may read any group, so it needs a grant of all groups.
     fn allows_table_group(&self, group: Option<u32>) -> bool {
         let Some(ranges) = &self.table_groups else {
             return true;
@@ -168,18 +172,19 @@
         group.is_some_and(|group| ranges.iter().any(|range| range.contains(group)))
     }
 
-    /// Whether a client may connect from this address.
+    /// Returns whether a client may connect from this address.
     #[must_use]
     pub fn allows_address(&self, address: IpAddr) -> bool {
         let Some(networks) = &self.networks else {
             return true;
         };
-        // An IPv4-mapped IPv6 address is the same machine as its plain one.
+        // An IPv4-mapped IPv6 address is checked as the IPv4 address that it contains.
         let address = address.to_canonical();
         networks.iter().any(|network| network.contains(&address))
     }
 
-    /// The sub-queue that a statement waits in: the one that it names, or else the only one granted.
+    /// The sub-queue in which a statement waits: the named one, or else the only granted one.
+    /// Returns `None` if none is named and the grant does not contain exactly one.
     #[must_use]
     pub fn sub_queue<'a>(&'a self, named: Option<&'a str>) -> Option<&'a str> {
         if named.is_some() {
@@ -193,7 +198,7 @@
     }
 }
 
-/// Whether a set allows a name; an absent set allows all.
+/// Returns whether a set allows a name. A set that is `None` allows every name.
 fn allows_name(set: Option<&BTreeSet<String>>, name: &str) -> bool {
     set.is_none_or(|set| set.contains(name))
 }
--- a/crates/identity/src/key_index.rs
+++ b/crates/identity/src/key_index.rs
@@ -1,5 +1,5 @@
-//! The index of signing keys: which keys there are and when each takes its next step. A key is announced before it
-//! signs, then retires, and is withdrawn for good.
+//! The index of signing keys and the times of their lifecycle steps. A key is first announced, then
+//! signs tokens, then retires, and is finally withdrawn.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -8,10 +8,10 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// Longest name of a key, in bytes.
+/// The maximum length of a key ID, in bytes.
 const MAX_KEY_ID_LEN: usize = 32;
 
-/// Names a key in tokens and files: letters, digits, `-` and `_`, 32 at most.
+/// The ID of a key in tokens and files: 1 to 32 ASCII letters, digits, `-` and `_`.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct KeyId(String);
@@ -43,100 +43,100 @@
 }
 
 impl KeyId {
-    /// The name itself.
+    /// The ID as text.
     #[must_use]
     pub fn as_str(&self) -> &str {
         &self.0
     }
 }
 
-/// The lifecycle of one key, in Unix seconds. A later step is never earlier than the one before it; one that is absent
-/// is not planned yet.
+/// The lifecycle of one key. Times are in Unix seconds and must be in the order of the steps. A
+/// step that is `None` is not planned yet.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct KeyEntry {
-    /// Its name.
+    /// The ID of the key.
     pub id: KeyId,
-    /// Gateways know it from then on.
+    /// The time from which gateways know the key.
     pub announced_s: f64,
-    /// It signs from then on.
+    /// The time from which the key signs tokens.
     #[serde(rename = "signs_s", default, skip_serializing_if = "Option::is_none")]
     pub signing_s: Option<f64>,
-    /// It signs nothing new from then on.
+    /// The time from which the key signs no new tokens.
     #[serde(rename = "retires_s", default, skip_serializing_if = "Option::is_none")]
     pub retired_s: Option<f64>,
-    /// Nothing that it signed is accepted from then on.
+    /// The time from which tokens signed by the key are no longer accepted.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub withdrawn_s: Option<f64>,
 }
 
-/// The index file beside the keys.
+/// The index file, which is stored next to the key files.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct KeyIndex {
-    /// Grows with each change; an older index never replaces a newer one.
+    /// The version, which increases with each change. An older index never replaces a newer one.
     pub version: u64,
-    /// All keys.
+    /// The entries of all keys.
     pub keys: Vec<KeyEntry>,
 }
 
-/// Why an index cannot be used.
+/// A key ID or a key index is invalid.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum KeyIndexError {
-    /// A key's name is not one.
+    /// A key ID is empty, too long or contains other characters than those allowed.
     #[error("a key's name is 1 to 32 letters, digits, - and _")]
     InvalidKeyId,
-    /// It is not JSON of this form.
+    /// The index is not JSON of the expected structure.
     #[error("key index: {0}")]
     Malformed(String),
-    /// Two entries have this name.
+    /// Two entries have this key ID.
     #[error("key index: two keys named {0}")]
     DuplicateKey(String),
-    /// The steps of this key are not in order, or are no times.
+    /// The times of this key are not in the order of the steps, or are not valid times.
     #[error("key index: {0}: times out of order")]
     TimesOutOfOrder(String),
-    /// There is no public key for this entry.
+    /// The public key of this entry is missing or invalid.
     #[error("key index: {0}: its public key is missing or none")]
     MissingPublicKey(String),
-    /// This key was withdrawn here, or its name is that of another key.
+    /// This key was withdrawn at this gateway, or its ID belongs to another public key.
     #[error("key index: {0} was withdrawn and cannot come back")]
     WithdrawnKeyReused(String),
-    /// A newer index was read before.
+    /// A newer index is already in use.
     #[error("key index: version {offered} is older than {current}")]
     OutdatedVersion {
-        /// The version of the index that is refused.
+        /// The version of the rejected index.
         offered: u64,
         /// The version in use.
         current: u64,
     },
-    /// It has more than so many keys.
+    /// The index has more keys than this maximum.
     #[error("key index: over {0} keys")]
     TooManyKeys(usize),
 }
 
-/// Where a key is in its lifecycle.
+/// The state of a key in its lifecycle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyState {
-    /// In none of the files that have arrived here.
+    /// No key file at this gateway contains the key.
     Unknown,
-    /// Known, and signs nothing yet: a token signed by it is early, not forged.
+    /// The key is known but does not sign yet. A token signed by it is early rather than forged.
     Announced,
-    /// New tokens are signed by it.
+    /// The key signs new tokens.
     Signing,
-    /// It signs nothing new; what it signed is still accepted.
+    /// The key signs no new tokens, but tokens that it signed are still accepted.
     Retiring,
-    /// Nothing that it signed is accepted any more.
+    /// Tokens signed by the key are no longer accepted.
     Withdrawn,
 }
 
 impl KeyIndex {
-    /// Most keys of an index.
+    /// The maximum number of keys in an index.
     pub const MAX_KEYS: usize = 1000;
 
-    /// Reads an index from JSON and checks it.
+    /// Parses and validates an index in JSON.
     ///
     /// # Errors
-    /// It is not an index, or contradicts itself.
+    /// The text is not an index, or the index is invalid.
     pub fn parse(text: &str) -> Result<Self, KeyIndexError> {
         let index: KeyIndex = serde_json::from_str(text)
             .map_err(|error| KeyIndexError::Malformed(error.to_string()))?;
@@ -144,7 +144,7 @@
         Ok(index)
     }
 
-    /// Checks bounds, names and the order of steps.
+    /// Checks the number of keys, that their IDs are unique, and the order of their steps.
     pub(crate) fn validate(&self) -> Result<(), KeyIndexError> {
         if self.keys.len() > Self::MAX_KEYS {
             return Err(KeyIndexError::TooManyKeys(Self::MAX_KEYS));
@@ -163,7 +163,7 @@
 }
 
 impl KeyEntry {
-    /// The state of the key at a time, by this entry alone.
+    /// The state of the key at a time, according to this entry alone.
     #[must_use]
     pub fn state(&self, now: Timestamp) -> KeyState {
         let reached =
@@ -180,7 +180,8 @@
     }
 
     fn steps_are_in_order(&self) -> bool {
-        // A key may be withdrawn before it ever signed, but only one that signs can retire.
+        // A key may be withdrawn without ever having signed, but a key that never signs cannot
+        // retire.
         let retires_unsigned = self.retired_s.is_some() && self.signing_s.is_none();
         let planned = [
             Some(self.announced_s),
--- a/crates/identity/src/key_ring.rs
+++ b/crates/identity/src/key_ring.rs
@@ -1,5 +1,6 @@
-//! The public keys that have arrived at one gateway. A withdrawn key never comes back, neither by an older or a newer
-//! index nor by a clock that is set back: otherwise a gateway that reads its files late would accept its tokens again.
+//! The public keys that one gateway has received. A withdrawn key never becomes valid again,
+//! neither through another index, older or newer, nor when the clock is set back. Otherwise a
+//! gateway that reads its files late would accept tokens of the key again.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -10,31 +11,34 @@
 /// An Ed25519 public key.
 pub type PublicKey = [u8; 32];
 
+/// A public key with its index entry.
 #[derive(Clone, Debug)]
 struct InstalledKey {
     entry: KeyEntry,
     public: PublicKey,
 }
 
-/// Public keys by their ids, at most [`KeyIndex::MAX_KEYS`]. A key leaves with an index that no longer names it; its id
-/// stays among the withdrawn ones.
+/// The public keys by their IDs, at most [`KeyIndex::MAX_KEYS`]. A key is removed when a new index
+/// does not contain it; its ID is then kept in the list of withdrawn keys.
 #[derive(Clone, Debug, Default)]
 pub struct KeyRing {
-    /// Of the index in use.
+    /// The version of the index in use.
     version: u64,
     keys: BTreeMap<KeyId, InstalledKey>,
-    /// Withdrawn here once, whatever the index says later. Bounded; the oldest id makes room for a new one.
+    /// The IDs of keys that were withdrawn at this gateway, regardless of later indexes. The list
+    /// has at most [`KeyIndex::MAX_KEYS`] IDs; a new ID replaces the oldest one if it is full.
     withdrawn: VecDeque<KeyId>,
-    /// The latest time ever seen: a clock set back does not bring a withdrawn key back.
+    /// The latest time seen so far. It keeps withdrawn keys withdrawn if the clock is set back.
     latest: Option<Timestamp>,
 }
 
 impl KeyRing {
-    /// Takes over an index with the public key of each entry, completely or not at all.
+    /// Installs an index with the public key of each entry. On an error, the previous keys stay in
+    /// use.
     ///
     /// # Errors
-    /// The index is older than the one in use, contradicts itself, names a key without a public key, or brings back a
-    /// key that was withdrawn.
+    /// The index is older than the one in use, is invalid, contains a key whose public key is
+    /// missing, or reuses the ID of another or a withdrawn key.
     pub fn update(
         &mut self,
         now: Timestamp,
@@ -54,8 +58,8 @@
             let installed = self.check_entry(now, entry, public_keys)?;
             keys.insert(entry.id.clone(), installed);
         }
-        // A key that vanishes from the index is as good as withdrawn.
-        let vanished: Vec<KeyId> = self
+        // A key that the new index no longer contains is treated as withdrawn.
+        let removed: Vec<KeyId> = self
             .keys
             .keys()
             .filter(|id| !keys.contains_key(*id))
@@ -63,7 +67,7 @@
             .collect();
         self.version = index.version;
         self.keys = keys;
-        for id in vanished {
+        for id in removed {
             self.mark_withdrawn(id);
         }
         self.advance(now);
@@ -103,14 +107,14 @@
         }
     }
 
-    /// The time that counts: never earlier than any that was seen.
+    /// The latest of the given time and all times seen before.
     fn advance_clock(&mut self, now: Timestamp) -> Timestamp {
         let latest = self.latest.map_or(now, |latest| latest.max(now));
         self.latest = Some(latest);
         latest
     }
 
-    /// Moves on to this time: keys whose withdrawal is due are withdrawn for good.
+    /// Advances to the given time and permanently withdraws the keys whose withdrawal is due.
     pub fn advance(&mut self, now: Timestamp) {
         let now = self.advance_clock(now);
         let due: Vec<KeyId> = self
@@ -124,7 +128,7 @@
         }
     }
 
-    /// The state of a key now.
+    /// The state of a key at the given time, or at the latest time seen if that is later.
     #[must_use]
     pub fn state(&self, now: Timestamp, id: &KeyId) -> KeyState {
         if self.withdrawn.contains(id) {
@@ -137,13 +141,13 @@
         }
     }
 
-    /// The public half of a key.
+    /// The public key with this ID, or `None` if it is unknown.
     #[must_use]
     pub fn public_key(&self, id: &KeyId) -> Option<&PublicKey> {
         self.keys.get(id).map(|installed| &installed.public)
     }
 
-    /// Whether the key was signing at a time, give or take the skew of clocks.
+    /// Returns whether the key was signing at the given time, within a tolerance of `skew`.
     #[must_use]
     pub fn was_signing(&self, id: &KeyId, time: Timestamp, skew: TimeDelta) -> bool {
         let Some(installed) = self.keys.get(id) else {
@@ -161,7 +165,8 @@
         had_started && had_not_retired
     }
 
-    /// When the key is withdrawn, if that is planned.
+    /// The planned withdrawal time of the key, or `None` if the key is unknown or no withdrawal is
+    /// planned.
     #[must_use]
     pub fn withdrawal(&self, id: &KeyId) -> Option<Timestamp> {
         let withdrawn_s = self.keys.get(id)?.entry.withdrawn_s?;
--- a/crates/identity/src/lib.rs
+++ b/crates/identity/src/lib.rs
@@ -1,15 +1,17 @@
-//! Authentication and authorization of callers. Plain values in and out, time handed in; no I/O.
+//! Authentication and authorization of callers. The crate does no I/O, and its caller passes in the
+//! current time.
 //!
-//! | state | owner | bound | what empties it |
+//! | state | owner | bound | removed by |
 //! | --- | --- | --- | --- |
-//! | public keys and their lifecycle | [`KeyRing`] | [`KeyIndex::MAX_KEYS`] | an index that no longer names the key |
-//! | ids of withdrawn keys | [`KeyRing`] | [`KeyIndex::MAX_KEYS`] | the oldest id makes room for a new one |
-//! | revoked callers and tokens | [`RevocationList`] | [`RevocationList::MAX_ENTRIES`] | the next list replaces it |
-//! | verified tokens | [`token_cache::TokenCache`] | [`VerifierConfig::max_cached_tokens`] | the end of the token or its key; new key files; the least recently used makes room |
-//! | budget of signature checks | [`TokenVerifier`] | a second's worth | refilled with time |
+//! | public keys and their lifecycle | [`KeyRing`] | [`KeyIndex::MAX_KEYS`] | an index that no longer contains the key |
+//! | IDs of withdrawn keys | [`KeyRing`] | [`KeyIndex::MAX_KEYS`] | a new ID, which replaces the oldest one if the list is full |
+//! | revoked callers and tokens | [`RevocationList`] | [`RevocationList::MAX_ENTRIES`] | the next list, which replaces it |
+//! | verified tokens | [`token_cache::TokenCache`] | [`VerifierConfig::max_cached_tokens`] | the expiry of the token or withdrawal of its key; new key files; a new token, which replaces the least recently used one if the cache is full |
+//! | budget of signature checks | [`TokenVerifier`] | the checks of one second | each check; it refills over time |
 //!
-//! [`TokenVerifier`] owns all of it and is asked anew for each statement, so that a revocation acts on sessions that
-//! are open. A [`Grant`] then says what the authenticated caller may run.
+//! [`TokenVerifier`] owns all of this state. It verifies the token again for each statement, so
+//! that a revocation takes effect on open sessions too. The [`Grant`] in the token then determines
+//! what the authenticated caller may run.
 
 pub mod grant;
 pub mod key_index;
--- a/crates/identity/src/revocation.rs
+++ b/crates/identity/src/revocation.rs
@@ -1,18 +1,18 @@
-//! Revoked tokens and callers. A Bloom filter answers for nearly all that are not on the list and an exact set for the
-//! rest, so that a false positive of the filter rejects nobody.
+//! Revoked tokens and callers. A Bloom filter excludes nearly all subjects that are not on the
+//! list. An exact set decides the rest, so that a false positive of the filter rejects nobody.
 
 use sha2::{Digest, Sha256};
 use thiserror::Error;
 
-/// The first half of a SHA-256 digest stands for a name of any length.
+/// The first half of a SHA-256 digest, which represents a subject with a name of any length.
 type Fingerprint = [u8; 16];
 
-/// What an entry of the list revokes.
+/// The kind of subject that an entry of the list revokes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RevokedSubject {
-    /// All tokens of a caller, by its name.
+    /// A caller, identified by name. All its tokens are revoked.
     Caller,
-    /// One token, by its id.
+    /// One token, identified by its ID.
     Token,
 }
 
@@ -26,27 +26,28 @@
     fingerprint
 }
 
-/// Bits of a block: one cache line.
+/// The number of bits in a block, which fills one cache line.
 const BLOCK_BITS: usize = 512;
 const WORD_BITS: usize = 64;
 
-/// A Bloom filter in blocks of one cache line.
+/// A blocked Bloom filter: all bits of an entry lie in one cache line.
 #[derive(Clone, Debug, Default)]
 struct BloomFilter {
     blocks: Vec<[u64; BLOCK_BITS / WORD_BITS]>,
 }
 
-/// The bits of one fingerprint, all in one block.
+/// The block of a fingerprint, and the positions of its bits in the block.
 struct BitPositions {
     block: usize,
     bits: [usize; BloomFilter::BITS_SET],
 }
 
 impl BloomFilter {
-    /// With so many bits an entry and six of them set, about one in a hundred passes that should not.
+    /// The number of filter bits per entry. With six bits set per entry, about 1% of lookups of
+    /// absent entries are false positives.
     const BITS_PER_ENTRY: usize = 12;
     const BITS_SET: usize = 6;
-    /// Bits of the fingerprint that choose one bit of a block: 2^9 = 512.
+    /// The number of fingerprint bits that select one of the 2^9 = 512 bits of a block.
     const BITS_PER_POSITION: usize = 9;
 
     fn with_capacity(entries: usize) -> Self {
@@ -83,7 +84,7 @@
     }
 }
 
-/// A line of a revocation list that cannot be used: it revokes nothing, or is beyond [`RevocationList::MAX_ENTRIES`].
+/// A line of a revocation list is malformed or exceeds [`RevocationList::MAX_ENTRIES`].
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 #[error("line {line}: neither caller NAME nor token ID, or too many lines")]
 pub struct RevocationListError {
@@ -91,7 +92,7 @@
     pub line: usize,
 }
 
-/// Revoked callers and tokens, read at once from their file.
+/// The revoked callers and tokens.
 #[derive(Clone, Debug, Default)]
 pub struct RevocationList {
     filter: BloomFilter,
@@ -99,13 +100,15 @@
 }
 
 impl RevocationList {
-    /// Most entries of a list.
+    /// The maximum number of entries in a list.
     pub const MAX_ENTRIES: usize = 200_000;
 
-    /// Reads lines `caller NAME` and `token ID`; blank ones and those that begin with `#` are skipped.
+    /// Parses lines of the form `caller NAME` or `token ID`. Blank lines and lines that start with
+    /// `#` are skipped.
     ///
     /// # Errors
-    /// The first line that is neither, or one too many.
+    /// A line has another form, or the list has too many entries. The error names the first such
+    /// line.
     pub fn parse(text: &str) -> Result<Self, RevocationListError> {
         let mut fingerprints = Vec::new();
         for (index, line) in text.lines().map(str::trim).enumerate() {
@@ -132,26 +135,26 @@
         RevocationList { filter, sorted }
     }
 
-    /// Whether a caller or token is revoked.
+    /// Returns whether a caller or token is revoked.
     #[must_use]
     pub fn contains(&self, subject: RevokedSubject, name: &str) -> bool {
         let fingerprint = fingerprint(subject, name);
         self.filter.may_contain(&fingerprint) && self.sorted.binary_search(&fingerprint).is_ok()
     }
 
-    /// Entries, each counted once.
+    /// The number of distinct entries.
     #[must_use]
     pub fn len(&self) -> usize {
         self.sorted.len()
     }
 
-    /// Whether nothing is revoked.
+    /// Returns whether the list has no entries.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.sorted.is_empty()
     }
 
-    /// Memory that the entries and the filter take, in bytes.
+    /// The memory size of the entries and the filter, in bytes.
     #[must_use]
     pub fn size_in_bytes(&self) -> usize {
         let filter = self.filter.blocks.len() * BLOCK_BITS / 8;
--- a/crates/identity/src/token.rs
+++ b/crates/identity/src/token.rs
@@ -1,5 +1,5 @@
-//! Tokens: PASETO v4.public (Ed25519), with the key's id in the footer. The version fixes the one algorithm, so that
-//! nothing in a token chooses how it is checked.
+//! Tokens in the PASETO v4.public format (Ed25519), with the key ID in the footer. The format
+//! version fixes the algorithm, so a token cannot choose how it is verified.
 
 use std::ops::Range;
 
@@ -16,33 +16,34 @@
 use crate::key_index::KeyId;
 use crate::key_ring::PublicKey;
 
-/// Longest token in bytes; a longer one is rejected unread.
+/// The maximum length of a token, in bytes. A longer token is rejected before it is parsed.
 pub const MAX_TOKEN_LEN: usize = 4096;
-/// Longest name of a caller, in bytes.
+/// The maximum length of a caller's name, in bytes.
 const MAX_CALLER_LEN: usize = 128;
-/// Longest id of a token, in bytes.
+/// The maximum length of a token ID, in bytes.
 const MAX_TOKEN_ID_LEN: usize = 64;
-/// PASETO's implicit assertion: a token made for another service with the same key does not verify here.
+/// The implicit assertion of PASETO. It prevents a token that the same key signed for another
+/// service from being accepted.
 const IMPLICIT_ASSERTION: &[u8] = b"laurelhitch statements";
 
-/// An Ed25519 secret key with its public half.
+/// An Ed25519 secret key followed by its public key.
 pub type SecretKey = [u8; 64];
 
-/// What a token says. Every claim is critical: a token with any further one is rejected. Times are Unix seconds.
+/// The claims of a token. A token with an unknown claim is rejected. Times are in Unix seconds.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Claims {
     /// The name of the caller.
     pub caller: String,
-    /// Names this one token, for revocation.
+    /// The ID of the token, by which it can be revoked.
     pub id: String,
-    /// When it was signed.
+    /// The time when the token was signed.
     pub issued_s: f64,
-    /// It is valid from then on.
+    /// The time from which the token is valid.
     pub not_before_s: f64,
-    /// It is valid until then.
+    /// The time at which the token expires.
     pub expires_s: f64,
-    /// What the caller may run.
+    /// The permissions of the caller.
     pub grant: Grant,
 }
 
@@ -53,35 +54,35 @@
     key_id: KeyId,
 }
 
-/// A new key: its secret half is wiped from memory when dropped.
+/// A key pair. The secret key is erased from memory when it is dropped.
 pub struct KeyPair {
-    /// Signs tokens.
+    /// The key that signs tokens.
     pub secret: Zeroizing<SecretKey>,
-    /// Verifies them.
+    /// The key that verifies tokens.
     pub public: PublicKey,
 }
 
-/// Why a text is not a token that can be used.
+/// A token is invalid, or could not be signed.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq, PartialOrd, Ord)]
 pub enum TokenError {
-    /// It is longer than [`MAX_TOKEN_LEN`].
+    /// The token is longer than [`MAX_TOKEN_LEN`].
     #[error("too long")]
     TooLong,
-    /// It is not a PASETO v4.public token with a key id.
+    /// The text is not a PASETO v4.public token with a key ID.
     #[error("no token of this form")]
     Malformed,
-    /// Its signature does not verify, or a key cannot be used.
+    /// The signature is invalid, or a key cannot be used or generated.
     #[error("its signature does not hold")]
     InvalidSignature,
-    /// Its claims are unknown, out of bounds or contradict each other.
+    /// The claims are unknown, out of bounds or inconsistent.
     #[error("its claims cannot be used")]
     InvalidClaims,
 }
 
-/// The id of the key that a token names, without checking its signature.
+/// Reads the key ID of a token without verifying the signature.
 ///
 /// # Errors
-/// It is too long, or not a token.
+/// The text is too long or not a token.
 pub fn unverified_key_id(token: &str) -> Result<KeyId, TokenError> {
     let untrusted = parse(token)?;
     let footer: Footer =
@@ -96,27 +97,29 @@
     UntrustedToken::<Public, V4>::try_from(token).map_err(|_| TokenError::Malformed)
 }
 
-/// What a token says, without checking its signature: anybody could have written it.
+/// Reads the claims of a token without verifying the signature. The claims may be forged.
 ///
 /// # Errors
-/// It is not a token, or its claims cannot be read.
+/// The text is not a token, or its claims cannot be parsed.
 pub fn unverified_claims(token: &str) -> Result<Claims, TokenError> {
     let untrusted = parse(token)?;
     serde_json::from_slice(untrusted.untrusted_payload()).map_err(|_| TokenError::InvalidClaims)
 }
 
-/// When a token says that it was issued, without checking its signature. It only decides between rejecting its bearer
-/// and asking for a retry; none: it does not say.
+/// Reads the issue time of a token without verifying the signature. The time may be forged, so it
+/// is used only to choose between rejecting the token and asking its bearer to retry. Returns
+/// `None` if the token has no readable issue time.
 #[must_use]
 pub fn unverified_issue_time(token: &str) -> Option<Timestamp> {
     let issued_s = unverified_claims(token).ok()?.issued_s;
     issued_s.is_finite().then(|| Timestamp::from_secs(issued_s))
 }
 
-/// Checks a token's signature and the form of its claims, and returns them. Whether it is valid now is not checked.
+/// Verifies the signature of a token, validates its claims and returns them. It does not check
+/// whether the token is valid at the current time.
 ///
 /// # Errors
-/// The signature does not verify under this key, or the claims cannot be used.
+/// The text is not a token, the signature was not made by this key, or the claims are invalid.
 pub fn verify(token: &str, public: &PublicKey) -> Result<Claims, TokenError> {
     let untrusted = parse(token)?;
     let key = AsymmetricPublicKey::<V4>::from(public).map_err(|_| TokenError::InvalidSignature)?;
@@ -132,10 +135,10 @@
     }
 }
 
-/// Signs claims as a token that names its key.
+/// Signs claims and returns the token, which contains the key ID.
 ///
 /// # Errors
-/// The claims cannot be written or make it too long, or the key cannot be used.
+/// The claims cannot be serialized, the token is too long, or the key cannot be used.
 pub fn sign(claims: &Claims, key_id: &KeyId, secret: &SecretKey) -> Result<String, TokenError> {
     let message = serde_json::to_vec(claims).map_err(|_| TokenError::InvalidClaims)?;
     let footer = Footer {
@@ -151,10 +154,10 @@
     Ok(token)
 }
 
-/// Makes a new key pair.
+/// Generates a new key pair.
 ///
 /// # Errors
-/// The machine gives no randomness.
+/// The system's random number generator fails.
 pub fn generate_key_pair() -> Result<KeyPair, TokenError> {
     let pair = AsymmetricKeyPair::<V4>::generate().map_err(|_| TokenError::InvalidSignature)?;
     let secret: SecretKey = pair
@@ -174,7 +177,7 @@
 }
 
 impl Claims {
-    /// When the token is valid, widened at both ends by the skew of clocks.
+    /// The time range in which the token is valid, extended at both ends by `skew`.
     #[must_use]
     pub fn validity(&self, skew: TimeDelta) -> Range<Timestamp> {
         let start = Timestamp::from_secs(self.not_before_s) + (TimeDelta::ZERO - skew);
@@ -182,7 +185,7 @@
         start..end
     }
 
-    /// The time for which it is valid.
+    /// The length of the token's validity, in seconds, without tolerance for clock skew.
     #[must_use]
     pub fn lifetime_s(&self) -> f64 {
         self.expires_s - self.not_before_s
--- a/crates/identity/src/token_cache.rs
+++ b/crates/identity/src/token_cache.rs
@@ -1,5 +1,7 @@
-//! Verified tokens by their digest, so that a signature is checked once and not at every statement. Bounded: an entry
-//! leaves when its token or key ends or when it was used least recently, and all leave when key files change.
+//! A cache of verified tokens by digest, so that a signature is verified once and not at every
+//! statement. An entry is removed when its token expires, when its key is withdrawn, or when the
+//! cache is full and the entry is the least recently used one. The whole cache is cleared when key
+//! files change.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -17,7 +19,7 @@
 pub struct VerifiedToken {
     /// The key that signed it.
     pub key_id: Arc<KeyId>,
-    /// What it says.
+    /// The claims of the token.
     pub claims: Arc<Claims>,
 }
 
@@ -25,11 +27,11 @@
 struct CacheEntry {
     token: VerifiedToken,
     expires: Timestamp,
-    /// The count of uses at its last one.
+    /// The value of [`TokenCache::uses`] at the last use of this entry.
     last_use: u64,
 }
 
-/// A cache of verified tokens that evicts the least recently used.
+/// A cache of verified tokens that evicts the least recently used one when it is full.
 pub struct TokenCache {
     capacity: usize,
     entries: BTreeMap<TokenDigest, CacheEntry>,
@@ -39,7 +41,7 @@
 }
 
 impl TokenCache {
-    /// An empty cache for so many tokens; zero: it keeps none.
+    /// Creates an empty cache for at most `capacity` tokens. A capacity of 0 disables the cache.
     #[must_use]
     pub fn new(capacity: usize) -> Self {
         TokenCache {
@@ -51,7 +53,7 @@
         }
     }
 
-    /// The token of this digest, if it was verified before and has not expired.
+    /// Looks up a token by its digest. Returns `None` if it is not cached or has expired.
     pub fn get(&mut self, now: Timestamp, digest: &TokenDigest) -> Option<VerifiedToken> {
         self.remove_expired(now);
         let entry = self.entries.get_mut(digest)?;
@@ -62,7 +64,7 @@
         Some(entry.token.clone())
     }
 
-    /// Keeps a verified token until it expires.
+    /// Caches a verified token until `expires`.
     pub fn insert(
         &mut self,
         now: Timestamp,
@@ -117,13 +119,13 @@
         self.by_expiry.clear();
     }
 
-    /// Tokens kept.
+    /// The number of cached tokens.
     #[must_use]
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether no token is kept.
+    /// Returns whether the cache is empty.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
--- a/crates/identity/src/verifier.rs
+++ b/crates/identity/src/verifier.rs
@@ -1,4 +1,4 @@
-//! Authentication by token: whether a token is accepted now, may be later, or is rejected, and why.
+//! Authentication by token: accepts a token, rejects it, or asks the client to retry later.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -13,20 +13,22 @@
 use crate::token::{self, Claims, TokenError};
 use crate::token_cache::{TokenCache, TokenDigest, VerifiedToken};
 
-/// Bounds and times of verification.
+/// The limits and durations of token verification.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct VerifierConfig {
-    /// How far clocks may differ.
+    /// The tolerated difference between clocks.
     pub clock_skew: TimeDelta,
-    /// How long after its issue a token may be early because its key has not arrived here yet.
+    /// The time after its issue during which a token whose key has not arrived at this gateway is
+    /// retried rather than rejected.
     pub key_arrival_grace: TimeDelta,
-    /// After what time a client whose token is early tries again.
+    /// The time after which a client is asked to retry.
     pub retry_after: TimeDelta,
-    /// Longest lifetime of a token.
+    /// The maximum lifetime of a token.
     pub max_token_lifetime: TimeDelta,
-    /// Verified tokens that are kept.
+    /// The maximum number of cached tokens.
     pub max_cached_tokens: usize,
-    /// Signatures checked a second, not counting those that verify; bearers of further tokens try again later.
+    /// The maximum number of failed signature checks per second. Clients with further unverified
+    /// tokens are asked to retry later.
     pub signature_checks_per_s: f64,
 }
 
@@ -43,34 +45,34 @@
     }
 }
 
-/// Why a token is rejected for good. Clients read these texts.
+/// The reason why a token is permanently rejected. The messages are sent to clients.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq, PartialOrd, Ord)]
 pub enum TokenRejection {
-    /// It is not a token, its signature does not verify, or its claims cannot be used.
+    /// The text is not a token, its signature does not verify, or its claims are invalid.
     #[error("token: {0}")]
     Invalid(#[from] TokenError),
-    /// Its key is in none of the files here.
+    /// No key file at this gateway contains the token's key.
     #[error("token: its key is not known here")]
     UnknownKey,
-    /// Its key is withdrawn.
+    /// The token's key is withdrawn.
     #[error("token: its key is withdrawn")]
     KeyWithdrawn,
-    /// Its key is announced and signs later.
+    /// The token's key is announced but does not sign yet.
     #[error("token: its key signs nothing yet")]
     KeyNotSigningYet,
-    /// Its key was not signing when it was issued.
+    /// The token's key was not signing when the token was issued.
     #[error("token: issued when its key signed nothing")]
     KeyNotSigningAtIssue,
-    /// Its time is over.
+    /// The token has expired.
     #[error("token: it is expired")]
     Expired,
-    /// Its lifetime exceeds the longest.
+    /// The token's lifetime exceeds the maximum.
     #[error("token: it holds too long")]
     LifetimeTooLong,
-    /// It is on the revocation list.
+    /// The token is on the revocation list.
     #[error("token: it is revoked")]
     TokenRevoked,
-    /// Its caller is on the revocation list.
+    /// The token's caller is on the revocation list.
     #[error("token: its caller is revoked")]
     CallerRevoked,
 }
@@ -78,24 +80,24 @@
 /// The result of verifying a token.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Authentication {
-    /// The caller is who the claims say.
+    /// The token is valid, and the caller is the one named in its claims.
     Accepted {
-        /// What the token says.
+        /// The claims of the token.
         claims: Arc<Claims>,
-        /// The token is accepted until then at the longest.
+        /// The time until which the token is accepted, unless it is revoked earlier.
         valid_until: Timestamp,
     },
-    /// It may be accepted later; its bearer is not at fault.
+    /// The token may be accepted later, for example once its key has arrived at this gateway.
     RetryLater {
-        /// Try again after this time.
+        /// The time after which the client should retry.
         retry_after: TimeDelta,
     },
-    /// It will not be accepted.
+    /// The token will not be accepted later either.
     Rejected(TokenRejection),
 }
 
-/// A token bucket of signature checks: those that verify are refunded, so that a flood of forged tokens takes a bounded
-/// part of the time of all.
+/// A token bucket that limits signature checks. Successful checks are refunded, so the limit
+/// applies to failed ones: a flood of forged tokens takes a bounded amount of CPU time.
 #[derive(Clone, Copy, Debug)]
 struct CheckBudget {
     per_s: f64,
@@ -112,7 +114,7 @@
         }
     }
 
-    /// Takes one check; false: there is none left.
+    /// Takes one check from the budget. Returns `false` if none is left.
     fn try_take(&mut self, now: Timestamp) -> bool {
         let elapsed_s = (now - self.refilled).secs().max(0.0);
         self.available = (self.available + elapsed_s * self.per_s).min(self.per_s);
@@ -136,12 +138,12 @@
     revoked: RevocationList,
     cache: TokenCache,
     check_budget: CheckBudget,
-    /// Signatures checked since the start.
+    /// The number of signature checks since the verifier was created.
     pub signatures_checked: u64,
 }
 
 impl TokenVerifier {
-    /// A verifier without keys, which accepts nothing.
+    /// Creates a verifier without keys, which accepts no token.
     #[must_use]
     pub fn new(now: Timestamp, config: VerifierConfig) -> Self {
         TokenVerifier {
@@ -154,10 +156,11 @@
         }
     }
 
-    /// Takes over new key files, completely or not at all. Nothing that was verified by the old ones is kept.
+    /// Installs new keys and a new revocation list, and clears the cache of verified tokens.
     ///
     /// # Errors
-    /// As [`KeyRing::update`]; nothing has changed then.
+    /// [`KeyRing::update`] rejects the index. The previous keys and revocation list then stay in
+    /// use.
     pub fn update(
         &mut self,
         now: Timestamp,
@@ -171,13 +174,13 @@
         Ok(())
     }
 
-    /// Verified tokens that are kept at present.
+    /// The number of cached tokens.
     #[must_use]
     pub fn cached_tokens(&self) -> usize {
         self.cache.len()
     }
 
-    /// Whether a token is accepted now.
+    /// Verifies a token at the given time.
     pub fn verify(&mut self, now: Timestamp, token: &str) -> Authentication {
         self.key_ring.advance(now);
         let digest: TokenDigest = Sha256::digest(token.as_bytes()).into();
@@ -189,9 +192,12 @@
             Err(error) => return Authentication::Rejected(error.into()),
         };
         match self.key_ring.state(now, &key_id) {
-            KeyState::Unknown => self.key_not_here(now, token, TokenRejection::UnknownKey),
-            // The signer has files in which the key signs; this gateway does not yet, or its clock is behind.
-            KeyState::Announced => self.key_not_here(now, token, TokenRejection::KeyNotSigningYet),
+            KeyState::Unknown => self.key_not_available(now, token, TokenRejection::UnknownKey),
+            // The signer already uses the key, but this gateway has older key files or its clock is
+            // slow.
+            KeyState::Announced => {
+                self.key_not_available(now, token, TokenRejection::KeyNotSigningYet)
+            }
             KeyState::Withdrawn => Authentication::Rejected(TokenRejection::KeyWithdrawn),
             KeyState::Signing | KeyState::Retiring => {
                 self.check_signature(now, token, key_id, digest)
@@ -231,9 +237,10 @@
         authentication
     }
 
-    /// The result for a token that names a key which does not sign here. The token's age is its own unchecked word; a lie
-    /// about it earns no more than to be told to try again.
-    fn key_not_here(
+    /// The result for a token whose key does not sign yet according to this gateway's key files.
+    /// The issue time of the token is unverified, but a forged time only results in a request to
+    /// retry.
+    fn key_not_available(
         &self,
         now: Timestamp,
         token: &str,
@@ -250,7 +257,7 @@
         Authentication::Rejected(rejection)
     }
 
-    /// The result for a token whose signature verifies.
+    /// The result for a token whose signature was verified.
     fn authenticate(&self, now: Timestamp, token: &VerifiedToken) -> Authentication {
         if let Some(rejection) = self.revocation(now, token) {
             return Authentication::Rejected(rejection);
@@ -286,7 +293,8 @@
         }
     }
 
-    /// Why nothing by this key, of this id or of this caller is accepted; none: it may be.
+    /// Returns why the token is revoked: by its key, its ID or its caller. Returns `None` if it is
+    /// not.
     fn revocation(&self, now: Timestamp, token: &VerifiedToken) -> Option<TokenRejection> {
         if self.key_ring.state(now, &token.key_id) == KeyState::Withdrawn {
             return Some(TokenRejection::KeyWithdrawn);
