--- a/examples/stand_ins/src/board.rs
+++ b/examples/stand_ins/src/board.rs
@@ -8,22 +8,26 @@
 
 use serde_json::{Value, json};
 
+/// The behaviour of the discovery service: correct, or with an injected fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mood {
+    /// Responds correctly.
     Well,
-    /// Takes questions and never answers.
+    /// Reads requests but never responds.
     Silent,
+    /// Responds with a body that is not JSON.
     Nonsense,
-    /// Answers three seconds after it should.
+    /// Responds three seconds too late.
     Late,
-    /// Breaks off in the middle of its answer.
+    /// Closes the connection in the middle of the response.
     Broken,
-    /// Stops in the middle of its answer and stays open.
+    /// Stops in the middle of the response and keeps the connection open.
     Stopped,
-    /// Closes on every question.
+    /// Closes the connection on every request.
     Closing,
 }
 
+/// A test double of the discovery service.
 #[derive(Clone)]
 pub struct Board {
     pub address: SocketAddr,
@@ -31,18 +35,20 @@
     events: Arc<Mutex<Vec<Value>>>,
 }
 
-/// One engine as the list shows it.
+/// The entry of one engine in the list.
 pub fn target(uid: &str, address: SocketAddr, state: &str) -> Value {
     json!({"uid": uid, "endpoint": address.to_string(), "az": "hall-1", "model": "plain-8", "pod_group": 0,
         "state": state, "capacity_hint": 8.0, "boot_ms": 0})
 }
 
-/// One numbered event of the list.
+/// One numbered event. Its targets are all engines if `all` is true, and the changed ones
+/// otherwise.
 pub fn event(number: usize, all: bool, targets: Vec<Value>) -> Value {
     json!({"rev": number, "pool": {"rev": number, "all": all, "targets": targets}})
 }
 
 impl Board {
+    /// Listens on the address and serves until the process ends.
     pub fn start(address: &str) -> io::Result<Board> {
         let listener = TcpListener::bind(address)?;
         let (mood, events) = (Arc::new(Mutex::new(Mood::Well)), Arc::default());
@@ -61,22 +67,24 @@
         Ok(board)
     }
 
+    /// Sets the behaviour for all later requests.
     pub fn set(&self, mood: Mood) {
         *self.mood.lock().unwrap() = mood;
     }
 
+    /// Publishes an event with the next number.
     pub fn tell(&self, all: bool, targets: Vec<Value>) {
         let mut events = self.events.lock().unwrap();
         let number = events.len() + 1;
         events.push(event(number, all, targets));
     }
 
-    /// Starts again: numbers from 1, and only this list.
+    /// Replaces all events by one with the number 1, as if the service had restarted.
     pub fn restart(&self, targets: Vec<Value>) {
         *self.events.lock().unwrap() = vec![event(1, true, targets)];
     }
 
-    /// The events up to now, in the form of the answers and of `known`.
+    /// The events so far, in the format of responses and of the setting `known`.
     pub fn known(&self) -> Value {
         let events = self.events.lock().unwrap();
         json!({"rev": events.len(), "notices": *events})
@@ -86,11 +94,11 @@
         let mut input = BufReader::new(stream.try_clone()?);
         let mut out = stream;
         loop {
-            let mut question = String::new();
-            if input.read_line(&mut question)? == 0 {
+            let mut request_line = String::new();
+            if input.read_line(&mut request_line)? == 0 {
                 return Ok(());
             }
-            let mut header = question.clone();
+            let mut header = request_line.clone();
             while !header.trim_end().is_empty() {
                 header.clear();
                 if input.read_line(&mut header)? == 0 {
@@ -98,11 +106,11 @@
                 }
             }
             let parameter = |name: &str| {
-                let (_, rest) = question.split_once(name)?;
+                let (_, rest) = request_line.split_once(name)?;
                 rest.split(['&', ' ']).next()?.parse::<u64>().ok()
             };
             let watch = parameter("watch=").unwrap_or(0) as usize;
-            let until =
+            let deadline =
                 Instant::now() + Duration::from_millis(parameter("linger=").unwrap_or(0).min(5000));
             let mood = *self.mood.lock().unwrap();
             match mood {
@@ -114,7 +122,7 @@
                     continue;
                 }
             }
-            while self.events.lock().unwrap().len() <= watch && Instant::now() < until {
+            while self.events.lock().unwrap().len() <= watch && Instant::now() < deadline {
                 thread::sleep(Duration::from_millis(5));
             }
             if mood == Mood::Late {
@@ -123,8 +131,8 @@
             let events = self.events.lock().unwrap();
             let notices = events.get(watch..).unwrap_or(&[]);
             let body = json!({"rev": events.len(), "notices": notices}).to_string();
-            let whole = !matches!(mood, Mood::Broken | Mood::Stopped);
-            let part = if whole {
+            let is_complete = !matches!(mood, Mood::Broken | Mood::Stopped);
+            let part = if is_complete {
                 &body[..]
             } else {
                 &body[..body.len() / 2]
--- a/examples/stand_ins/src/engine.rs
+++ b/examples/stand_ins/src/engine.rs
@@ -1,4 +1,5 @@
-//! An engine that answers each query after a moment with rows that tell what it was asked.
+//! A test double of an engine. It answers each query after a delay with rows that contain the text
+//! of the statement.
 
 use std::collections::HashMap;
 use std::io::{self, BufRead, BufReader, Read, Write};
@@ -7,31 +8,37 @@
 use std::thread;
 use std::time::Duration;
 
-/// What the next queries meet; chosen by a word in the statement, else by the engine's mood.
+/// The behaviour of the engine: correct, or with an injected fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mood {
+    /// Answers correctly.
     Well,
+    /// Rejects the query with `WAIT`.
     Full,
+    /// Fails the query with `BROKE`.
     Error,
+    /// Answers with `PAST`.
     Past,
+    /// Never answers.
     Silent,
-    /// Closes the connection instead of an answer.
+    /// Closes the connection instead of answering.
     Reset,
-    /// Answers only once the query was given up, and then all the same.
+    /// Answers only after the query was cancelled.
     Late,
-    /// An answer that is none: one of `GARBAGE`.
+    /// Answers with the invalid answer at this index of [`GARBAGE`].
     Garbage(usize),
-    /// The right answer, one to an id that nobody sent, and the right one again.
+    /// Sends the correct answer, then one with an unknown query ID, then the correct one again.
     Twice,
-    /// Half of the right answer; then the connection stays open and serves no further use.
+    /// Sends half of the correct answer, then keeps the connection open but ignores further
+    /// commands.
     Half,
-    /// Done, but without its further pages.
+    /// Answers correctly but has lost the pages after the first one.
     LosesPages,
-    /// Done, and more than any result holds.
+    /// Answers with a result larger than any valid one.
     Huge,
 }
 
-/// What no engine should say; `ID` stands for the query's id.
+/// Invalid answers. A leading `ID` is replaced by the ID of the query.
 pub const GARBAGE: [&[u8]; 9] = [
     b"what is this\r\n",
     b"ID GONE - 0\r\n\r\n",
@@ -44,6 +51,7 @@
     &[b'x'; 5000],
 ];
 
+/// The commands and connections that the engine has received.
 #[derive(Default)]
 struct Seen {
     lines: Vec<String>,
@@ -51,6 +59,7 @@
     sockets: Vec<TcpStream>,
 }
 
+/// A test double of an engine.
 #[derive(Clone)]
 pub struct Engine {
     pub address: SocketAddr,
@@ -59,7 +68,7 @@
 }
 
 impl Engine {
-    /// Listens and serves until the program ends. `delay`: how long each query takes.
+    /// Listens on the address and serves until the process ends. Each query takes `delay`.
     pub fn start(address: &str, delay: Duration) -> io::Result<Engine> {
         let listener = TcpListener::bind(address)?;
         let (mood, seen) = (Arc::new(Mutex::new(Mood::Well)), Arc::default());
@@ -81,20 +90,22 @@
         Ok(engine)
     }
 
+    /// Sets the behaviour for all later queries.
     pub fn set(&self, mood: Mood) {
         *self.mood.lock().unwrap() = mood;
     }
 
-    /// All command lines so far, without the statements.
+    /// All command lines received so far, without the text of the statements.
     pub fn lines(&self) -> Vec<String> {
         self.seen.lock().unwrap().lines.clone()
     }
 
+    /// The number of connections accepted so far.
     pub fn connections(&self) -> usize {
         self.seen.lock().unwrap().connections
     }
 
-    /// Ends all connections that are open now.
+    /// Closes all open connections.
     pub fn hang_up(&self) {
         for socket in self.seen.lock().unwrap().sockets.drain(..) {
             let _ = socket.shutdown(Shutdown::Both);
@@ -105,7 +116,7 @@
         let out = Arc::new(Mutex::new(stream.try_clone()?));
         let mut results: HashMap<String, Vec<String>> = HashMap::new();
         let mut late: HashMap<String, String> = HashMap::new();
-        let mut dead = false;
+        let mut is_stalled = false;
         let mut input = BufReader::new(stream);
         let mut line = String::new();
         loop {
@@ -113,7 +124,7 @@
             if input.read_line(&mut line)? == 0 {
                 return Ok(());
             }
-            if dead {
+            if is_stalled {
                 continue;
             }
             let words: Vec<&str> = line.trim_end().split(' ').collect();
@@ -173,7 +184,7 @@
                             out.lock()
                                 .unwrap()
                                 .write_all(&done.as_bytes()[..done.len() / 2])?;
-                            dead = true;
+                            is_stalled = true;
                             continue;
                         }
                         Mood::Silent => continue,
@@ -216,11 +227,14 @@
     }
 }
 
+/// Formats an answer: a header line, followed by the body.
 fn answer(id: &str, word: &str, fields: &str, body: &str) -> String {
     format!("{id} {word} {fields} {}\r\n{body}\r\n", body.len())
 }
 
-/// `LIMIT n` gives n rows, in pages of 6,000 bytes at most; the middle column tells the statement.
+/// The pages of the result of a statement, each of at most 6,000 bytes unless a single row is
+/// longer. A statement that ends in `LIMIT n` has n rows, any other has one. The middle column
+/// contains the text of the statement.
 pub fn pages(statement: &str) -> Vec<String> {
     let limit = statement
         .rsplit_once("LIMIT ")
--- a/examples/stand_ins/src/lib.rs
+++ b/examples/stand_ins/src/lib.rs
@@ -1,5 +1,6 @@
-//! Our own stand-ins, written from the protocol's public description: an engine, a discovery service and a client.
-//! Plain threads and blocking sockets; what they do wrong on purpose is set from outside.
+//! Test doubles for an engine and a discovery service, and a client. They are implemented from the
+//! public description of the protocol, with threads and blocking sockets. Tests inject faults by
+//! setting the mood of a test double.
 
 pub mod board;
 pub use client;
--- a/examples/stand_ins/src/main.rs
+++ b/examples/stand_ins/src/main.rs
@@ -1,5 +1,6 @@
-//! `laurelhitch-stand-ins serve CONFIG` plays the discovery service and all engines that a configuration knows;
-//! `laurelhitch-stand-ins ask ADDRESS STATEMENT` sends one statement through a gateway and prints its rows.
+//! `laurelhitch-stand-ins serve CONFIG` runs a test double of the discovery service and of each
+//! engine in the configuration. `laurelhitch-stand-ins ask ADDRESS STATEMENT` sends one statement
+//! through a gateway and prints the rows of the result.
 
 use std::error::Error;
 use std::process::ExitCode;
@@ -44,14 +45,14 @@
 }
 
 fn main() -> ExitCode {
-    let words: Vec<String> = std::env::args().skip(1).collect();
-    let words: Vec<&str> = words.iter().map(String::as_str).collect();
-    let done = match words[..] {
+    let arguments: Vec<String> = std::env::args().skip(1).collect();
+    let arguments: Vec<&str> = arguments.iter().map(String::as_str).collect();
+    let result = match arguments[..] {
         ["serve", path] => serve(path),
         ["ask", address, statement] => ask(address, statement),
         _ => Err("usage: laurelhitch-stand-ins serve CONFIG | ask ADDRESS STATEMENT".into()),
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("laurelhitch-stand-ins: {error}");
