--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -31,23 +31,23 @@
 }
 
 /// Sends a statement with this request id to one gateway and returns its answer.
-fn ask(fleet: &Fleet, at: usize, number: u64) -> Answer {
+fn ask(fleet: &Fleet, gateway: usize, number: u64) -> Answer {
     let text = format!(
         "/* method=point,rid={number:016x},budget=1500,acct=water,est=5.0,mem=8 */ SELECT 1 FROM ledger_1.bills"
     );
-    Client::login(fleet.gateways[at].listen)
+    Client::login(fleet.gateways[gateway].listen)
         .and_then(|mut client| client.ask(&text))
         .unwrap()
 }
 
 /// Asserts that every running gateway answers a statement with rows.
 fn assert_all_serve(fleet: &Fleet) {
-    for at in fleet.running_gateways() {
-        let answer = ask(fleet, at, 1_000_000 + at as u64);
+    for gateway in fleet.running_gateways() {
+        let answer = ask(fleet, gateway, 1_000_000 + gateway as u64);
         assert!(
             matches!(answer, Answer::Rows(_)),
             "{}: {answer:?}",
-            name(at)
+            name(gateway)
         );
     }
 }
@@ -56,7 +56,7 @@
 fn assert_no_other_deaths(fleet: &Fleet, expected: &[usize]) {
     let allowed: Vec<String> = expected
         .iter()
-        .map(|at| format!("{} dead", name(*at)))
+        .map(|gateway| format!("{} dead", name(*gateway)))
         .collect();
     let is_unexpected = |(_, _, event): &&(Duration, String, String)| {
         event.ends_with(" dead") && !allowed.contains(event)
@@ -69,11 +69,14 @@
 #[test]
 fn ten_of_twenty_gateways_killed_at_once_are_declared_dead() {
     let mut fleet = start_fleet(20);
-    (0..10).for_each(|at| fleet.kill(at * 2));
+    (0..10).for_each(|gateway| fleet.kill(gateway * 2));
     let rest = fleet.running_gateways();
     fleet.wait_until_settled(WAIT_TIMEOUT, &rest).unwrap();
     assert_all_serve(&fleet);
-    assert_no_other_deaths(&fleet, &(0..10).map(|at| at * 2).collect::<Vec<_>>());
+    assert_no_other_deaths(
+        &fleet,
+        &(0..10).map(|gateway| gateway * 2).collect::<Vec<_>>(),
+    );
 }
 
 #[test]
@@ -223,13 +226,13 @@
         while Instant::now() < until {
             if next <= Instant::now() {
                 next += Duration::from_millis(50);
-                for at in 0..fleet.gateways.len() {
+                for gateway in 0..fleet.gateways.len() {
                     sent += 1;
-                    let victims = (0..fleet.gateways.len()).map(|of| Record {
-                        name: Name::new(&name(of)).unwrap(),
+                    let victims = (0..fleet.gateways.len()).map(|other| Record {
+                        name: Name::new(&name(other)).unwrap(),
                         boot_id: BootId(sent),
-                        incarnation: Incarnation(u32::MAX - (of as u32 % 2)),
-                        address: fleet.gateways[of].advertised,
+                        incarnation: Incarnation(u32::MAX - (other as u32 % 2)),
+                        address: fleet.gateways[other].advertised,
                         locality: Locality::default(),
                         state: MemberState::Dead,
                     });
@@ -238,13 +241,18 @@
                         ..self.own.clone()
                     };
                     let records = victims.chain([ghost]).collect();
-                    let failing = |at: usize| EngineReport {
-                        engine: format!("e-{at}"),
+                    let failing = |number: usize| EngineReport {
+                        engine: format!("e-{number}"),
                         status: EngineStatus::Failing,
                         age_ms: 0,
                     };
                     let engines = (0..fleet.engines.len()).map(failing).collect();
-                    self.send(fleet.gateways[at].bound, Body::Gossip, records, engines);
+                    self.send(
+                        fleet.gateways[gateway].bound,
+                        Body::Gossip,
+                        records,
+                        engines,
+                    );
                 }
             }
             let Ok((size, from)) = self.socket.recv_from(&mut bytes) else {
@@ -275,27 +283,27 @@
     let sent = faulty_member.send_false_records(&fleet, secs(5));
     assert!(sent > 100);
     assert_no_other_deaths(&fleet, &[]);
-    for at in fleet.running_gateways() {
+    for gateway in fleet.running_gateways() {
         for number in 0..12 {
             assert!(matches!(
-                ask(&fleet, at, 5000 + at as u64 * 100 + number),
+                ask(&fleet, gateway, 5000 + gateway as u64 * 100 + number),
                 Answer::Rows(_)
             ));
         }
-        fleet.print_counters(at);
+        fleet.print_counters(gateway);
         assert_eq!(
-            fleet.counter(at, "engines_ejected"),
+            fleet.counter(gateway, "engines_ejected"),
             Some(0),
             "{}",
-            name(at)
+            name(gateway)
         );
-        assert!(fleet.counter(at, "fleet_table").unwrap() < 200);
-        let shown = fleet.query_fleet_view(at).unwrap();
+        assert!(fleet.counter(gateway, "fleet_table").unwrap() < 200);
+        let shown = fleet.query_fleet_view(gateway).unwrap();
         let live = shown.live_members();
         assert!(
             (0..5)
-                .filter(|of| *of != at)
-                .all(|of| live.contains(&&name(of)[..])),
+                .filter(|other| *other != gateway)
+                .all(|other| live.contains(&&name(other)[..])),
             "{shown:?}"
         );
         assert!(
@@ -310,33 +318,33 @@
 
 impl ExtraAddress {
     /// Returns the address with the same port whose last octet is 250.
-    fn beside(of: SocketAddr) -> ExtraAddress {
-        let std::net::IpAddr::V4(ip) = of.ip() else {
+    fn beside(other: SocketAddr) -> ExtraAddress {
+        let std::net::IpAddr::V4(ip) = other.ip() else {
             panic!("expected an IPv4 address")
         };
         let [a, b, c, _] = ip.octets();
-        ExtraAddress(SocketAddr::from(([a, b, c, 250], of.port())))
+        ExtraAddress(SocketAddr::from(([a, b, c, 250], other.port())))
     }
 }
 
 #[test]
 fn a_fleet_settles_after_a_rolling_restart_and_after_a_simultaneous_one() {
     let mut fleet = start_fleet(5);
-    for at in 0..5 {
-        assert!(fleet.terminate(at, secs(10)));
+    for gateway in 0..5 {
+        assert!(fleet.terminate(gateway, secs(10)));
         let rest = fleet.running_gateways();
         fleet.wait_until_settled(WAIT_TIMEOUT, &rest).unwrap();
-        fleet.start_gateway(at).unwrap();
-        fleet.wait_until_ready(at);
+        fleet.start_gateway(gateway).unwrap();
+        fleet.wait_until_ready(gateway);
         fleet
             .wait_until_settled(WAIT_TIMEOUT, &fleet.running_gateways())
             .unwrap();
     }
     // A gateway that leaves in an orderly way is not declared dead.
     assert_no_other_deaths(&fleet, &[]);
-    (0..5).for_each(|at| fleet.kill(at));
-    (0..5).for_each(|at| fleet.start_gateway(at).unwrap());
-    (0..5).for_each(|at| fleet.wait_until_ready(at));
+    (0..5).for_each(|gateway| fleet.kill(gateway));
+    (0..5).for_each(|gateway| fleet.start_gateway(gateway).unwrap());
+    (0..5).for_each(|gateway| fleet.wait_until_ready(gateway));
     fleet
         .wait_until_settled(WAIT_TIMEOUT, &fleet.running_gateways())
         .unwrap();
@@ -377,9 +385,9 @@
         fleet
             .running_gateways()
             .into_iter()
-            .map(|at| {
-                fleet.print_counters(at);
-                fleet.counter(at, counter).unwrap()
+            .map(|gateway| {
+                fleet.print_counters(gateway);
+                fleet.counter(gateway, counter).unwrap()
             })
             .sum()
     };
@@ -390,23 +398,23 @@
 fn a_rolling_key_change_loses_no_gateway() {
     let fleet = start_fleet(4);
     let change_each = |change: &dyn Fn(usize)| {
-        for at in 0..4 {
-            change(at);
-            fleet.signal(at, Signal::HUP);
+        for gateway in 0..4 {
+            change(gateway);
+            fleet.signal(gateway, Signal::HUP);
             std::thread::sleep(Duration::from_millis(500));
         }
     };
-    change_each(&|at| fleet.write_key(at, "second", 2).unwrap());
-    change_each(&|at| fleet.set_signing_key(at, "second").unwrap());
-    change_each(&|at| std::fs::remove_file(fleet.keys(at).join("first.key")).unwrap());
+    change_each(&|gateway| fleet.write_key(gateway, "second", 2).unwrap());
+    change_each(&|gateway| fleet.set_signing_key(gateway, "second").unwrap());
+    change_each(&|gateway| std::fs::remove_file(fleet.keys(gateway).join("first.key")).unwrap());
     fleet
         .wait_until_settled(WAIT_TIMEOUT, &fleet.running_gateways())
         .unwrap();
     assert_no_other_deaths(&fleet, &[]);
-    for at in 0..4 {
-        fleet.print_counters(at);
-        assert_eq!(fleet.counter(at, "reloads_failed"), Some(0));
-        assert_eq!(fleet.counter(at, "fleet_refused_key"), Some(0));
+    for gateway in 0..4 {
+        fleet.print_counters(gateway);
+        assert_eq!(fleet.counter(gateway, "reloads_failed"), Some(0));
+        assert_eq!(fleet.counter(gateway, "fleet_refused_key"), Some(0));
     }
 }
 
--- a/crates/gateway/tests/golden.rs
+++ b/crates/gateway/tests/golden.rs
@@ -52,24 +52,24 @@
 use support::*;
 
 /// Compares the names and values with the recorded file, or writes the file if `GOLDEN_RECORD` is 1.
-fn compare_golden(file: &str, got: &[(&str, String)]) {
+fn compare_golden(file: &str, actual: &[(&str, String)]) {
     let path = Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("tests/golden")
         .join(file);
-    let got: Vec<String> = got
+    let actual: Vec<String> = actual
         .iter()
         .map(|(name, value)| format!("{name} {value}"))
         .collect();
     if std::env::var("GOLDEN_RECORD").is_ok_and(|set| set == "1") {
-        std::fs::write(&path, got.join("\n") + "\n").unwrap();
+        std::fs::write(&path, actual.join("\n") + "\n").unwrap();
         return;
     }
-    let want = std::fs::read_to_string(&path).unwrap();
-    let want: Vec<&str> = want.lines().collect();
-    for (got, want) in got.iter().zip(&want) {
-        assert_eq!(got, want, "{file}");
+    let expected = std::fs::read_to_string(&path).unwrap();
+    let expected: Vec<&str> = expected.lines().collect();
+    for (actual, expected) in actual.iter().zip(&expected) {
+        assert_eq!(actual, expected, "{file}");
     }
-    assert_eq!(got.len(), want.len(), "{file}: number of lines");
+    assert_eq!(actual.len(), expected.len(), "{file}: number of lines");
 }
 
 /// Returns the bytes in hexadecimal.
@@ -105,7 +105,7 @@
     };
     let pages = [&b"a\tb\tc\n1\t2\t3\n"[..], b"4\t5\t6\n"];
     let long = "x".repeat(300);
-    let got = [
+    let actual = [
         ("greeting", greeting(false, false)),
         ("greeting-progress", greeting(true, false)),
         ("greeting-tls", greeting(false, true)),
@@ -143,7 +143,7 @@
             to_hex(Response::to(0).result_set([].into_iter())),
         ),
     ];
-    compare_golden("packets.txt", &got);
+    compare_golden("packets.txt", &actual);
 }
 
 /// Returns the body of a login packet.
@@ -208,7 +208,7 @@
     let too_large = take_packet(&mut BytesMut::from(&[1, 0, 1, 0][..]))
         .err()
         .unwrap();
-    let got = [
+    let actual = [
         (
             "packet",
             format!(
@@ -283,7 +283,7 @@
             query("SELECT @@max_allowed_packet LIMIT 1"),
         ),
     ];
-    compare_golden("packets_read.txt", &got);
+    compare_golden("packets_read.txt", &actual);
 }
 
 /// Reads the next packet, which must be an error, and returns its code followed by its SQL state and text.
@@ -312,7 +312,7 @@
     });
     let mut client = gateway.client();
     let good = commented(1900, "SELECT 1");
-    let mut got = vec![
+    let mut actual = vec![
         ("no-comment", error_for_query(&mut client, "SELECT 1")),
         (
             "no-id",
@@ -371,7 +371,7 @@
         ),
     ];
     client.stream.write_all(&packet(0, &[0x55])).unwrap();
-    got.push(("unknown-command", error(&mut client)));
+    actual.push(("unknown-command", error(&mut client)));
     for (name, login) in [
         ("login-other-user", login_packet("root", b"", "warehouse")),
         ("login-password", login_packet("app", b"x", "warehouse")),
@@ -379,7 +379,7 @@
         ("login-malformed", packet(1, b"\x00")),
         ("packet-too-large", [0xff, 0xff, 0x7f, 1, 3].to_vec()),
     ] {
-        got.push((
+        actual.push((
             name,
             error(&mut Client::open(gateway.listen, &login).unwrap()),
         ));
@@ -389,15 +389,15 @@
     send(&mut first, &open);
     let mut connection = engine.accept();
     assert_eq!(connection.receive_statement().id, open.rid);
-    got.push(("id-open", error_for_query(&mut client, &open.query)));
-    got.push((
+    actual.push(("id-open", error_for_query(&mut client, &open.query)));
+    actual.push((
         "too-many-open",
         error_for_query(&mut client, &commented(1900, "SELECT 3")),
     ));
     let kill = format!("KILL QUERY {}", first.connection);
     assert_eq!(client.ask(&kill).unwrap(), stand_ins::client::Answer::Ok);
-    got.push(("killed", error(&mut first)));
-    compare_golden("errors.txt", &got);
+    actual.push(("killed", error(&mut first)));
+    compare_golden("errors.txt", &actual);
 }
 
 #[test]
@@ -427,7 +427,7 @@
         idempotency_key: Some("00112233445566778899aabbccddeeff".into()),
         ordering_key: Some("a1b2".into()),
     };
-    let got = [
+    let actual = [
         (
             "do",
             to_escaped(
@@ -479,7 +479,7 @@
         ("longest-body", MAX_BODY_BYTES.to_string()),
         ("inbox-bound", MAX_RESPONSE_BYTES.to_string()),
     ];
-    compare_golden("lines.txt", &got);
+    compare_golden("lines.txt", &actual);
 }
 
 /// Formats the engine response that the bytes are decoded into.
@@ -510,7 +510,7 @@
 
 #[test]
 fn lines_from_engines_are_parsed_as_recorded() {
-    let got = [
+    let actual = [
         (
             "done",
             line(b"5eed00c0ffee0a17 DONE total=2,elapsed=81.5,rss=96 6\r\na\tb\r\n\n\r\n"),
@@ -531,7 +531,7 @@
         ("length", line(b"x DONE - many\r\n")),
         ("ending", line(b"x DONE - 2\r\nabcd")),
     ];
-    compare_golden("lines_read.txt", &got);
+    compare_golden("lines_read.txt", &actual);
 }
 
 /// Reads one complete HTTP request from a new connection.
@@ -586,13 +586,13 @@
     answer(stream, json!({"rev": 1, "notices": []}).to_string());
     let (restarted, _stream) = accept_new_request(&board, &later);
     let mask_address = |text: &str| text.replace(&address, "BOARD");
-    let got = [
+    let actual = [
         ("from-known", mask_address(&initial)),
         ("after-news", mask_address(&later)),
         ("from-the-start", mask_address(&restarted)),
         ("longest-answer", http::MAX_RESPONSE_BYTES.to_string()),
     ];
-    compare_golden("board.txt", &got);
+    compare_golden("board.txt", &actual);
 }
 
 /// Formats the poll response that this HTTP response is parsed into.
@@ -677,7 +677,7 @@
         board(&sized(&body), &body)
     };
     let chunked = format!("{:x}\r\n{delta}\r\n0\r\n\r\n", delta.len());
-    let got = [
+    let actual = [
         ("whole", board(&sized(&snapshot), &snapshot)),
         ("changes", board(&sized(&delta), &delta)),
         ("least-fields", board(&sized(&least), &least)),
@@ -703,7 +703,7 @@
         ("status", board("503 Busy", "")),
         ("too-short", board("200 OK\r\nContent-Length: 9", "{}")),
     ];
-    compare_golden("board_read.txt", &got);
+    compare_golden("board_read.txt", &actual);
 }
 
 /// Formats the comment and statement that a text is parsed into.
@@ -741,7 +741,7 @@
     let group = |statement: &str| {
         table_group(statement.as_bytes()).map_or("-".to_owned(), |group| group.to_string())
     };
-    let got = [
+    let actual = [
         ("all", format_comment(all)),
         ("least", format_comment(least)),
         ("none", format_comment("SELECT 1")),
@@ -779,7 +779,7 @@
         ),
         ("group-none", group("SELECT 'ledger_17.bills'")),
     ];
-    compare_golden("comment.txt", &got);
+    compare_golden("comment.txt", &actual);
 }
 
 fn name(text: &str) -> Name {
@@ -831,7 +831,7 @@
     let desks = status::sub_queue_rows(&[desk, quiet]);
     let statement = [status::statement_row("5eed00c0ffee0a17", &statement)];
     let rows = cells(&desks);
-    let got = [
+    let actual = [
         ("queue-columns", status::SUB_QUEUE_COLUMNS.join("|")),
         ("queue-desk", rows[0].clone()),
         ("queue-quiet-desk", rows[1].clone()),
@@ -846,7 +846,7 @@
             to_hex(Response::to(0).table(status::STATEMENT_COLUMNS, &statement)),
         ),
     ];
-    compare_golden("queues.txt", &got);
+    compare_golden("queues.txt", &actual);
 }
 
 #[test]
@@ -869,8 +869,8 @@
             rng_seed: 5,
         },
     );
-    let record = |of: &str, port: u16, state: MemberState, locality: Locality| Record {
-        name: name(of),
+    let record = |member: &str, port: u16, state: MemberState, locality: Locality| Record {
+        name: name(member),
         boot_id: BootId(0x0102_0304_0506_0708),
         incarnation: Incarnation(3),
         address: format!("127.0.0.1:{port}").parse().unwrap(),
@@ -878,7 +878,7 @@
         state,
     };
     let alone = cells(&status::fleet_rows(timestamp(12.5), &mut own));
-    for (count, of, state, place) in [
+    for (count, member, state, place) in [
         (1, "g1", MemberState::Alive, place("room-b", "south")),
         (
             1,
@@ -890,7 +890,12 @@
             },
         ),
     ] {
-        let from = record(of, 7000 + if of == "g1" { 2 } else { 3 }, state, place);
+        let from = record(
+            member,
+            7000 + if member == "g1" { 2 } else { 3 },
+            state,
+            place,
+        );
         let address = from.address;
         let message = Message {
             fleet: name("golden"),
@@ -904,12 +909,12 @@
         let _ = own.receive(timestamp(13.0), address, &message::seal(&ring(), &message));
     }
     let rows = cells(&status::fleet_rows(timestamp(15.0), &mut own));
-    let mut got = vec![
+    let mut actual = vec![
         ("fleet-columns", status::FLEET_COLUMNS.join("|")),
         ("fleet-alone", alone.concat()),
     ];
-    got.extend(rows.into_iter().map(|row| ("fleet-row", row)));
-    got.extend(
+    actual.extend(rows.into_iter().map(|row| ("fleet-row", row)));
+    actual.extend(
         [
             MemberState::Alive,
             MemberState::Suspect,
@@ -918,14 +923,14 @@
         ]
         .map(|state| ("fleet-state", state.to_string())),
     );
-    compare_golden("fleet.txt", &got);
+    compare_golden("fleet.txt", &actual);
 }
 
 #[test]
 fn the_shares_table_matches_the_recording() {
-    let holding = |of: &str, differs: bool| Holding {
+    let holding = |holder: &str, differs: bool| Holding {
         holder: HolderId {
-            name: name(of),
+            name: name(holder),
             boot_id: BootId(1),
         },
         demand: Amount(1_500_000),
@@ -969,17 +974,17 @@
         term: None,
         budgets: vec![bare],
     };
-    let mut got = vec![("shares-columns", status::QUOTA_COLUMNS.join("|"))];
-    got.extend(
+    let mut actual = vec![("shares-columns", status::QUOTA_COLUMNS.join("|"))];
+    actual.extend(
         cells(&status::quota_rows(timestamp(10.0), &leading))
             .into_iter()
             .map(|row| ("shares-row", row)),
     );
-    got.push((
+    actual.push((
         "shares-without-steward",
         cells(&status::quota_rows(timestamp(10.0), &without_leader)).concat(),
     ));
-    compare_golden("shares.txt", &got);
+    compare_golden("shares.txt", &actual);
 }
 
 const OPERATOR: &str = include_str!("golden/operator.hcl");
@@ -1089,7 +1094,7 @@
     };
     let [queue_json, fleet_json, shares_json] =
         ["queue", "fleet", "shares"].map(|what| printed(&[what, &listen, "--json"]));
-    let mut got = vec![
+    let mut actual = vec![
         ("queue-columns", queue.0),
         (
             "queue-cells",
@@ -1146,7 +1151,7 @@
         let line = line
             .replace(config.to_str().unwrap(), "CONFIG")
             .replace(file.to_str().unwrap(), "OPERATOR");
-        got.push((
+        actual.push((
             "check",
             format!(
                 "'{}'",
@@ -1154,7 +1159,7 @@
             ),
         ));
     }
-    compare_golden("shown.txt", &got);
+    compare_golden("shown.txt", &actual);
     std::fs::remove_dir_all(&folder).unwrap();
 }
 
--- a/crates/gateway/tests/process.rs
+++ b/crates/gateway/tests/process.rs
@@ -31,13 +31,13 @@
             "SELECT a, b, '{}' FROM ledger_17.bills LIMIT {limit}",
             "x".repeat(260)
         );
-        let got = rows(client.ask(&commented(5000, &statement)).unwrap());
-        let want: String = stand_ins::engine::pages(&statement).concat();
-        let want: Vec<Vec<String>> = want
+        let actual = rows(client.ask(&commented(5000, &statement)).unwrap());
+        let expected: String = stand_ins::engine::pages(&statement).concat();
+        let expected: Vec<Vec<String>> = expected
             .lines()
             .map(|row| row.split('\t').map(String::from).collect())
             .collect();
-        assert_eq!((got.len(), &got), (limit, &want));
+        assert_eq!((actual.len(), &actual), (limit, &expected));
     }
     assert!(engine.lines().iter().any(|line| line.starts_with("page ")));
     assert_eq!(engine.connections(), 1);
@@ -1056,9 +1056,9 @@
                 stream.set_read_timeout(Some(millis(8000))).unwrap();
                 stream.set_write_timeout(Some(millis(8000))).unwrap();
                 let sent = stream.write_all(&bytes).is_ok();
-                let mut got = Vec::new();
-                let _ = stream.read_to_end(&mut got);
-                (begun.elapsed(), sent, got)
+                let mut received = Vec::new();
+                let _ = stream.read_to_end(&mut received);
+                (begun.elapsed(), sent, received)
             })
         })
         .collect();
@@ -1078,12 +1078,12 @@
         sleep(millis(50));
     }
     for (n, thread) in threads.into_iter().enumerate() {
-        let (took, sent, got) = thread.join().unwrap();
+        let (took, sent, received) = thread.join().unwrap();
         assert!(took < millis(2900), "{n}: {took:?}");
         // Every client except the one that sends more than a packet can hold (5) has written all of its input
         // and so can read the final error.
         assert!(n == 5 || sent, "{n}");
-        let refused = got.windows(3).any(|bytes| bytes == [0xff, 0x81, 0x04]);
+        let refused = received.windows(3).any(|bytes| bytes == [0xff, 0x81, 0x04]);
         assert!(refused || ![4, 5, 10].contains(&n), "{n}");
     }
     assert!(engine.lines().len() == 30, "{:?}", engine.lines());
--- a/crates/gateway/tests/queues.rs
+++ b/crates/gateway/tests/queues.rs
@@ -388,19 +388,19 @@
         })
         .collect();
     sleep(millis(500));
-    let (mut asked, mut in_time, mut client) = (0, 0, gateway.client());
-    while asked < 40 {
+    let (mut sent, mut in_time, mut client) = (0, 0, gateway.client());
+    while sent < 40 {
         let begun = Instant::now();
         let answer = client
             .ask(&commented_statement("water", "counter", 2000).1)
             .unwrap();
-        asked += 1;
+        sent += 1;
         in_time += u32::from(matches!(answer, Answer::Rows(_)) && begun.elapsed() < millis(500));
         sleep(millis(60));
     }
     join_all(scans);
     // On an idle machine no point query is late; one of the forty may be.
-    assert!(in_time >= 39, "{in_time} of {asked}");
+    assert!(in_time >= 39, "{in_time} of {sent}");
 }
 
 #[test]
--- a/crates/gateway/tests/shares.rs
+++ b/crates/gateway/tests/shares.rs
@@ -72,9 +72,9 @@
 
 /// Returns the index of the gateway that reports itself as the leader of the quota.
 fn leader(fleet: &Fleet) -> usize {
-    let is_leader = |at: &usize| {
+    let is_leader = |gateway: &usize| {
         fleet
-            .query_shares(*at)
+            .query_shares(*gateway)
             .is_some_and(|shares| shares[QUOTA].is_steward)
     };
     fleet
@@ -108,9 +108,12 @@
             Arc::new(AtomicBool::new(false)),
             Arc::new(AtomicU64::new(0)),
         );
-        let client = |at: &usize| {
-            let (listen, stop, statements) =
-                (fleet.gateways[*at].listen, stop.clone(), statements.clone());
+        let client = |gateway: &usize| {
+            let (listen, stop, statements) = (
+                fleet.gateways[*gateway].listen,
+                stop.clone(),
+                statements.clone(),
+            );
             std::thread::spawn(move || {
                 while !stop.load(Ordering::Relaxed) {
                     let Ok(mut client) = Client::login(listen) else {
@@ -225,7 +228,7 @@
     let reported: f64 = fleet
         .running_gateways()
         .into_iter()
-        .map(|at| fleet.query_shares(at).unwrap()[QUOTA].spent)
+        .map(|gateway| fleet.query_shares(gateway).unwrap()[QUOTA].spent)
         .sum();
     assert!(
         (reported - spent.total() as f64).abs() <= 5.0,
@@ -262,12 +265,14 @@
             vec![first, 4]
         } else {
             (0..3)
-                .filter(|at| *at != first)
+                .filter(|gateway| *gateway != first)
                 .take(1)
                 .chain([4])
                 .collect()
         };
-        let majority: Vec<usize> = (0..5).filter(|at| !minority.contains(at)).collect();
+        let majority: Vec<usize> = (0..5)
+            .filter(|gateway| !minority.contains(gateway))
+            .collect();
         fleet
             .switch
             .faults(|faults| faults.partition(&[minority.clone(), majority.clone()]));
@@ -329,7 +334,7 @@
     let fleet = start_fleet(5);
     let overload = Overload::start(&fleet, &[0, 1, 2, 3, 4]);
     let first = leader(&fleet);
-    let rest: Vec<usize> = (0..5).filter(|at| *at != first).collect();
+    let rest: Vec<usize> = (0..5).filter(|gateway| *gateway != first).collect();
     fleet.signal(first, Signal::STOP);
     let new_leader = |shares: &[BTreeMap<String, ShareRow>]| count_leaders(shares) == 1;
     fleet
@@ -356,7 +361,9 @@
 fn the_capacity_of_killed_gateways_goes_to_the_others_after_a_lease() {
     let mut fleet = start_fleet(6);
     let overload = Overload::start(&fleet, &[0, 1, 2, 3, 4, 5]);
-    [2, 3, 5].into_iter().for_each(|at| fleet.kill(at));
+    [2, 3, 5]
+        .into_iter()
+        .for_each(|gateway| fleet.kill(gateway));
     let (rest, floors) = (fleet.running_gateways(), CAPACITY_PER_S * 0.2 / 6.0 * 3.0);
     fleet
         .wait_until_shares(WAIT_TIMEOUT, &rest, |shares| {
@@ -372,14 +379,14 @@
     let overload = Overload::start(&fleet, &[0, 1, 2, 3, 4]);
     for round in 0..6 {
         // One gateway at a time restarts, voters included.
-        let at = [3, 1, 4, 0, 3, 2][round];
+        let gateway = [3, 1, 4, 0, 3, 2][round];
         if round % 2 == 0 {
-            assert!(fleet.terminate(at, Duration::from_secs(10)));
+            assert!(fleet.terminate(gateway, Duration::from_secs(10)));
         } else {
-            fleet.kill(at);
+            fleet.kill(gateway);
         }
-        fleet.start_gateway(at).unwrap();
-        fleet.wait_until_ready(at);
+        fleet.start_gateway(gateway).unwrap();
+        fleet.wait_until_ready(gateway);
     }
     let granted_in_full = |shares: &[BTreeMap<String, ShareRow>]| {
         count_leaders(shares) == 1 && granted_per_s(shares) > CAPACITY_PER_S * 0.99
@@ -473,18 +480,21 @@
     let smaller = quota_settings(4, CAPACITY_PER_S / 3.0);
     let first = leader(&fleet);
     // The leader reloads last, and logs until then which gateways have another configuration.
-    let order: Vec<usize> = (0..4).filter(|at| *at != first).chain([first]).collect();
+    let order: Vec<usize> = (0..4)
+        .filter(|gateway| *gateway != first)
+        .chain([first])
+        .collect();
     // The smaller capacity of a single voter is enough: the leader grants no more than this capacity, well
     // before it reloads its own configuration.
-    let voter = *order.iter().find(|at| **at < 3).unwrap();
+    let voter = *order.iter().find(|gateway| **gateway < 3).unwrap();
     fleet.rewrite_operator_files(&[voter], &smaller).unwrap();
     fleet
         .wait_until_shares(WAIT_TIMEOUT, &order, |shares| {
             granted_per_s(shares) < CAPACITY_PER_S / 3.0
         })
         .unwrap();
-    for at in &order {
-        fleet.rewrite_operator_files(&[*at], &smaller).unwrap();
+    for gateway in &order {
+        fleet.rewrite_operator_files(&[*gateway], &smaller).unwrap();
         sleep(Duration::from_millis(400));
     }
     fleet
@@ -533,14 +543,14 @@
         .unwrap();
     // The queues of each gateway use the share that this gateway holds, and not an estimate of it.
     let (mut queue_cpu_s, mut share_cpu_s) = (0.0, 0.0);
-    for at in &all {
-        let mut client = Client::login(fleet.gateways[*at].listen).unwrap();
+    for gateway in &all {
+        let mut client = Client::login(fleet.gateways[*gateway].listen).unwrap();
         let stand_ins::client::Answer::Rows(rows) = client.ask("SHOW QUEUE").unwrap() else {
             panic!("SHOW QUEUE did not return rows")
         };
         let water = rows.iter().find(|row| row[0] == "water").unwrap();
         queue_cpu_s += water[4].parse::<f64>().unwrap();
-        share_cpu_s += limit_per_s(&fleet.query_shares(*at).unwrap()["member.water"]);
+        share_cpu_s += limit_per_s(&fleet.query_shares(*gateway).unwrap()["member.water"]);
     }
     assert!(
         (queue_cpu_s - 9.0).abs() < 0.3 && (share_cpu_s - 9.0).abs() < 0.3,
@@ -555,7 +565,7 @@
     let address = fleet.gateways[leader(&fleet)].listen.to_string();
     let table = String::from_utf8(run(&["shares", &address]).stdout).unwrap();
     assert!(
-        (0..3).all(|at| table.contains(&name(at))) && table.contains(QUOTA),
+        (0..3).all(|gateway| table.contains(&name(gateway))) && table.contains(QUOTA),
         "{table}"
     );
     let json: serde_json::Value =
