--- a/crates/simulator/src/control/coordinator.rs
+++ b/crates/simulator/src/control/coordinator.rs
@@ -54,7 +54,7 @@
 type Parts = Mesh<Measured<Part>>;
 
 /// Measures a failover with one budget, constant demand and up to five voters. The coordinator is
-/// killed once it has run for [`SETTLE_S`].
+/// killed once it has run for 20 seconds.
 pub fn change(holders: usize, seed: u64, limits: Limits) -> (Change, ChangeSpent) {
     let watch = limits.start();
     let mut mesh = started(holders, seed);
--- a/crates/simulator/tests/fleet.rs
+++ b/crates/simulator/tests/fleet.rs
@@ -18,7 +18,7 @@
     let mut mesh = gateways(count, seed, terms);
     mesh.start_all();
     let joined = mesh.settle(120.0);
-    assert!(joined.is_some(), "{count} never know each other");
+    assert!(joined.is_some(), "{count} gateways never agree");
     let until = mesh.now + 12.0;
     mesh.run(until);
     assert!(mesh::together(&mesh), "{:?}", view_states(&mesh));
@@ -206,7 +206,7 @@
     assert_eq!(
         suspected(&mesh),
         before,
-        "suspected others for its own slowness"
+        "it suspected others because it was slow itself"
     );
 }
 
@@ -275,7 +275,7 @@
             assert_eq!(
                 gateway.engine_outliers(now),
                 [],
-                "{at} doubts engines on one word"
+                "{at} reports outliers because of one source"
             );
             assert!(
                 gateway.local_record().incarnation < Incarnation(10_000),
@@ -439,7 +439,7 @@
                 .address
         })
         .collect();
-    assert_eq!(held.len(), 1, "all hold the same one: {held:?}");
+    assert_eq!(held.len(), 1, "all gateways know the same one: {held:?}");
     let incarnations = [4, 5].map(|at| mesh.peer(at).unwrap().local_record().incarnation);
     assert!(
         incarnations.iter().all(|of| *of < Incarnation(100)),
--- a/crates/simulator/tests/fleet_bounded.rs
+++ b/crates/simulator/tests/fleet_bounded.rs
@@ -32,10 +32,7 @@
     let mut mesh = gateways(count, seed, bounded());
     mesh.start_all();
     let sent = sent_bytes_per_s(&mut mesh, |mesh| {
-        assert!(
-            mesh.settle(120.0).is_some(),
-            "{count} never know each other"
-        );
+        assert!(mesh.settle(120.0).is_some(), "{count} gateways never agree");
     });
     assert!(
         sent < MAX_SENT_BYTES_PER_S,
@@ -58,7 +55,10 @@
     mesh.heal();
     let healed = mesh.now;
     let sent = sent_bytes_per_s(&mut mesh, |mesh| {
-        assert!(mesh.settle(120.0).is_some(), "they do not find together");
+        assert!(
+            mesh.settle(120.0).is_some(),
+            "the halves do not agree after healing"
+        );
     });
     assert!(
         sent < MAX_SENT_BYTES_PER_S,
@@ -90,7 +90,7 @@
 fn a_restarted_gateway_is_known_to_all_within_seconds() {
     let mut mesh = started(120, 33);
     mesh.leave(50);
-    assert!(mesh.settle(20.0).is_some(), "one has left");
+    assert!(mesh.settle(20.0).is_some(), "the leave is known to all");
     mesh.start(50);
     let known = mesh.settle(40.0);
     assert!(known.is_some_and(|seconds| seconds < 20.0), "{known:?}");
@@ -132,11 +132,11 @@
         let settled = mesh.settle(180.0);
         assert!(
             settled.is_some(),
-            "seed {seed}: no one view 180 s after the last trouble"
+            "seed {seed}: no agreement 180 s after the last fault"
         );
         let until = mesh.now + 20.0;
         mesh.run(until);
-        assert!(mesh.agreed(), "seed {seed}: it does not last");
+        assert!(mesh.agreed(), "seed {seed}: the agreement does not last");
     }
 }
 
@@ -148,5 +148,5 @@
     mesh.heal();
     let settled = mesh.settle(60.0);
     assert_eq!(mesh.false_deaths(), 0, "of gateways that others reach");
-    assert!(settled.is_some(), "no one view a minute after");
+    assert!(settled.is_some(), "no agreement a minute after healing");
 }
--- a/crates/simulator/tests/mass.rs
+++ b/crates/simulator/tests/mass.rs
@@ -41,7 +41,10 @@
             figures.service
         );
         let share = figures.handshakes as f64 / figures.attempts as f64;
-        assert!(share <= handshakes, "{name}: {share} handshakes a relay");
+        assert!(
+            share <= handshakes,
+            "{name}: {share} handshakes per attempt"
+        );
         assert!(
             figures.most_connections <= connections,
             "{name}: {} at one engine",
@@ -67,7 +70,7 @@
     let share = |figures: &Figures| figures.handshakes as f64 / figures.attempts as f64;
     assert!(
         share(&hidden_timeout) > 5.0 * share(&known_timeout),
-        "{} hidden_timeout, {} told",
+        "{} with a hidden, {} with a known idle timeout",
         share(&hidden_timeout),
         share(&known_timeout)
     );
@@ -77,10 +80,10 @@
 /// detect it early. When they share outlier detection results, fewer attempts time out.
 #[test]
 fn sharing_outliers_reduces_timeouts_when_a_third_of_the_engines_hangs() {
-    let mut scenario_with_sharing = scenario("hung-third");
-    let with = run(&scenario_with_sharing, 1);
-    scenario_with_sharing.fleet = false;
-    let without = run(&scenario_with_sharing, 1);
+    let mut hung_third = scenario("hung-third");
+    let with = run(&hung_third, 1);
+    hung_third.fleet = false;
+    let without = run(&hung_third, 1);
     assert_eq!(
         (with.rules_broken, without.rules_broken),
         (0, 0),
--- a/crates/simulator/tests/shares.rs
+++ b/crates/simulator/tests/shares.rs
@@ -33,7 +33,7 @@
         if let Some(first) = first {
             return first;
         }
-        assert!(work.mesh.now < until, "nobody is chosen");
+        assert!(work.mesh.now < until, "no coordinator is elected");
         work.run(STEP_S);
     }
 }
@@ -81,10 +81,10 @@
         work.mesh.cut(|a, b| a == first || b == first);
         work.run(12.0);
         assert!(coordinator(&mut work) != first && work.sum() > 0.95);
-        assert!(work.may(first) > 0.0, "it has its floor");
+        assert!(work.may(first) > 0.0, "it keeps its guaranteed minimum");
         work.mesh.heal();
         work.run(4.0);
-        assert_within_budget(&work, "a steward alone");
+        assert_within_budget(&work, "an isolated coordinator");
     }
 }
 
@@ -114,7 +114,7 @@
         // their guaranteed minimum until the second new coordinator grants in full.
         let used = work.in_use();
         assert!(used > 0.55, "{count}: {used}");
-        assert_within_budget(&work, "stewards killed");
+        assert_within_budget(&work, "coordinators killed");
     }
 }
 
@@ -136,7 +136,7 @@
                 used > 0.9 && coordinator(&mut work) != first,
                 "{count}: {used}"
             );
-            assert_within_budget(&work, "a change");
+            assert_within_budget(&work, "a failover");
         }
     }
 }
@@ -221,7 +221,7 @@
         .map(|at| work.may(at) / honest.may(at))
         .fold(f64::MAX, f64::min);
     assert!(least > 0.9, "{least}");
-    assert_within_budget(&work, "a lie");
+    assert_within_budget(&work, "an exaggerated demand");
 }
 
 #[test]
