--- a/crates/identity/src/verifier.rs
+++ b/crates/identity/src/verifier.rs
@@ -192,12 +192,10 @@
             Err(error) => return Authentication::Rejected(error.into()),
         };
         match self.key_ring.state(now, &key_id) {
-            KeyState::Unknown => self.key_not_available(now, token, TokenRejection::UnknownKey),
+            KeyState::Unknown => self.unusable_key(now, token, TokenRejection::UnknownKey),
             // The signer already uses the key, but this gateway has older key files or its clock is
             // slow.
-            KeyState::Announced => {
-                self.key_not_available(now, token, TokenRejection::KeyNotSigningYet)
-            }
+            KeyState::Announced => self.unusable_key(now, token, TokenRejection::KeyNotSigningYet),
             KeyState::Withdrawn => Authentication::Rejected(TokenRejection::KeyWithdrawn),
             KeyState::Signing | KeyState::Retiring => {
                 self.check_signature(now, token, key_id, digest)
@@ -240,7 +238,7 @@
     /// The result for a token whose key does not sign yet according to this gateway's key files.
     /// The issue time of the token is unverified, but a forged time only results in a request to
     /// retry.
-    fn key_not_available(
+    fn unusable_key(
         &self,
         now: Timestamp,
         token: &str,
