--- a/crates/gateway/benches/list.rs
+++ b/crates/gateway/benches/list.rs
@@ -1,6 +1,6 @@
-//! Measures how a list of engines is processed, without sockets: the size of the discovery response, the
-//! time to parse it, to update the engine registry and to update admission control, and the time for one
-//! further event.
+//! Measures how a list of engines is processed, without sockets: the size of the discovery
+//! response, the time to parse it, to update the engine registry and to update admission control,
+//! and the time for one further event.
 
 #[path = "../../dispatch/benches/support/fit.rs"]
 #[allow(dead_code)]
@@ -23,7 +23,8 @@
 
 const SIZES: [u32; 4] = [10, 100, 1_000, 3_100];
 const ROUNDS: usize = 15;
-/// The step, in engines, of the search for the largest list that the gateway still reads in one response.
+/// The step, in engines, of the search for the largest list that the gateway still reads in one
+/// response.
 const SEARCH_STEP: u32 = 50;
 
 fn engine(number: u32) -> Value {
@@ -64,7 +65,8 @@
     }
 }
 
-/// Applies the first event and returns the microseconds for the engine registry and for admission control.
+/// Applies the first event and returns the microseconds for the engine registry and for admission
+/// control.
 fn apply_first_event(
     registry: &mut EngineRegistry,
     dispatch: &mut Dispatcher,
--- a/crates/gateway/benches/memory.rs
+++ b/crates/gateway/benches/memory.rs
@@ -1,6 +1,6 @@
-//! Measures the resident memory of a gateway process by the number of idle sessions, waiting statements,
-//! statements running on engine connections, and known engines. Each table is measured in several rounds,
-//! and each round starts new processes.
+//! Measures the resident memory of a gateway process by the number of idle sessions, waiting
+//! statements, statements running on engine connections, and known engines. Each table is measured
+//! in several rounds, and each round starts new processes.
 
 #[path = "../../dispatch/benches/support/fit.rs"]
 #[allow(dead_code)]
@@ -21,7 +21,8 @@
 const SESSIONS: [usize; 6] = [0, 250, 500, 1_000, 2_000, 4_000];
 const STATEMENTS: [usize; 5] = [0, 100, 250, 500, 1_000];
 const ENGINES: [usize; 5] = [10, 100, 310, 1_000, 3_100];
-/// The setting `limits.sockets`. Half of it is for sessions, and the rest, less 24, for engine connections.
+/// The setting `limits.sockets`. Half of it is for sessions, and the rest, less 24, for engine
+/// connections.
 const SOCKETS: usize = 8_400;
 /// A budget so long that no statement ends while the memory is measured.
 const STATEMENT_BUDGET_MS: u64 = 300_000;
@@ -45,15 +46,16 @@
     let settings = &mut config["settings"];
     settings["Tenants"] = json!([]);
     settings["Limits"]["MaxOpen"] = json!(SOCKETS);
-    // Even on a busy machine a connection is established within this time, so that no statement opens a
-    // second one.
+    // Even on a busy machine a connection is established within this time, so that no statement
+    // opens a second one.
     settings["Limits"]["ConnectTimeoutS"] = json!(5.0);
     settings["Grades"][0]["GoalTimeS"] = json!(1_000.0);
     settings["Grades"][0]["GiveUpS"] = json!(1_000.0);
     settings["Extra"]["MemoryByKindMb"] = json!([1e9]);
 }
 
-/// Opens a session and sends a command, because a session without any command is closed after two seconds.
+/// Opens a session and sends a command, because a session without any command is closed after two
+/// seconds.
 fn session(gateway: &Gateway) -> Client {
     let mut client = gateway.client();
     client.ping().unwrap();
@@ -80,8 +82,9 @@
     resident_sizes
 }
 
-/// Opens statements on sessions that exist already. `cores`, the number of cores of the one engine, decides
-/// whether the statements run or wait; `expect` checks the counters against the number of statements.
+/// Opens statements on sessions that exist already. `cores`, the number of cores of the one engine,
+/// decides whether the statements run or wait; `expect` checks the counters against the number of
+/// statements.
 fn open_statements(cores: f64, expect: fn(&str, usize)) -> Vec<f64> {
     let own_engine = silent_engine();
     let mut gateway = Gateway::with_config(&[own_engine.address], |config| {
--- a/crates/gateway/benches/work.rs
+++ b/crates/gateway/benches/work.rs
@@ -1,6 +1,6 @@
-//! Measures the processing time of the gateway for each statement, from its counter `busy_ms`, without
-//! queues, with three tenants and with a thousand. The gateway processes run on loopback and take turns, so
-//! that the ratios stay valid when the speed of the machine drifts.
+//! Measures the processing time of the gateway for each statement, from its counter `busy_ms`,
+//! without queues, with three tenants and with a thousand. The gateway processes run on loopback
+//! and take turns, so that the ratios stay valid when the speed of the machine drifts.
 
 #[path = "../tests/support/mod.rs"]
 mod support;
--- a/crates/gateway/tests/codecs.rs
+++ b/crates/gateway/tests/codecs.rs
@@ -16,8 +16,8 @@
 };
 use quickcheck::{Gen, QuickCheck};
 
-/// Splits the bytes in two at every position, decodes both parts one after the other, asserts that no
-/// byte is left over and calls `check` with the decoded values.
+/// Splits the bytes in two at every position, decodes both parts one after the other, asserts that
+/// no byte is left over and calls `check` with the decoded values.
 fn check_every_split<T>(
     bytes: &[u8],
     mut decode: impl FnMut(&mut BytesMut) -> Option<T>,
@@ -321,8 +321,8 @@
         check_login(b"\x01\x02").map_err(|error| error.code().number),
         Err(1043)
     );
-    // Ordinary clients set capability flags that the server did not offer, but do not send the fields
-    // that belong to these flags.
+    // Ordinary clients set capability flags that the server did not offer, but do not send the
+    // fields that belong to these flags.
     let mut unoffered = stand_ins::client::login_packet("app", b"", "warehouse")[4..].to_vec();
     unoffered[2..4].copy_from_slice(&[0xff, 0x00]);
     assert_eq!(check_login(&unoffered), Ok(()));
--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -1,6 +1,6 @@
-//! Tests of the membership protocol among several gateway processes, with faults in the network between
-//! them. They wait for states that the processes report, with limits far longer than the waits take on
-//! an idle machine.
+//! Tests of the membership protocol among several gateway processes, with faults in the network
+//! between them. They wait for states that the processes report, with limits far longer than the
+//! waits take on an idle machine.
 
 use std::net::{SocketAddr, UdpSocket};
 use std::process::Command;
@@ -161,8 +161,8 @@
     assert!(fleet.counter(3, "fleet_refuted").unwrap() > 0);
 }
 
-/// A faulty member that holds the key of the fleet and has an address of its own. It sends false records
-/// about the other gateways and the engines.
+/// A faulty member that holds the key of the fleet and has an address of its own. It sends false
+/// records about the other gateways and the engines.
 struct FaultyMember {
     socket: UdpSocket,
     own: Record,
@@ -213,9 +213,9 @@
         self.socket.send_to(&bytes, to).unwrap();
     }
 
-    /// For the given time, answers every ping, so that the gateways accept it as a member, and sends each
-    /// gateway false records every 50 ms: all gateways are dead, all engines fail, and a member
-    /// exists that does not. Returns the number of these messages.
+    /// For the given time, answers every ping, so that the gateways accept it as a member, and
+    /// sends each gateway false records every 50 ms: all gateways are dead, all engines fail, and a
+    /// member exists that does not. Returns the number of these messages.
     fn send_false_records(&mut self, fleet: &Fleet, duration: Duration) -> u64 {
         let (ring, fleet_name) = (
             KeyRing::new(&[1; 32], &[]).unwrap(),
@@ -431,7 +431,8 @@
         while !stopped.load(std::sync::atomic::Ordering::Relaxed) && Instant::now() < until {
             bytes[10..18].copy_from_slice(&sent.to_le_bytes());
             sent += u64::from(socket.send_to(&bytes, to).is_ok());
-            // The rate is limited to about 20,000 datagrams a second, far more than any fleet sends.
+            // The rate is limited to about 20,000 datagrams a second, far more than any fleet
+            // sends.
             if sent % 20 == 0 {
                 std::thread::sleep(Duration::from_millis(1));
             }
@@ -501,7 +502,8 @@
         check.contains("bounded: 10 confirmations, 8 verifiers, 8 direct probes"),
         "{check}"
     );
-    // With the fleet off, the gateway opens no membership socket and `fleet` reports that it is off.
+    // With the fleet off, the gateway opens no membership socket and `fleet` reports that it is
+    // off.
     let mut options = FleetOptions::new(PROGRAM, 1);
     options.fleet = false;
     let alone = Fleet::start(options, &[]).unwrap();
--- a/crates/gateway/tests/golden.rs
+++ b/crates/gateway/tests/golden.rs
@@ -1,13 +1,14 @@
-//! Compares the external interfaces of the gateway byte for byte with the recorded files in `golden/`:
-//! packets to clients, lines to and from engines, requests to the discovery service and its responses, the
-//! fields of the comment before a statement, and the names in the output for operators. Clients, engines,
-//! discovery services and the scripts of operators depend on these, so renaming identifiers in the code
-//! must not change them.
+//! Compares the external interfaces of the gateway byte for byte with the recorded files in
+//! `golden/`: packets to clients, lines to and from engines, requests to the discovery service and
+//! its responses, the fields of the comment before a statement, and the names in the output for
+//! operators. Clients, engines, discovery services and the scripts of operators depend on these, so
+//! renaming identifiers in the code must not change them.
 //!
-//! To record an intended change, run `GOLDEN_RECORD=1 cargo test -p laurelhitch-gateway --test golden`,
-//! which writes the files; without the variable the tests only compare. Each line of a file has a name and
-//! a value. The value is bytes in hexadecimal, or text in which bytes other than printable ASCII are
-//! escaped. The names do not follow the identifiers of the code.
+//! To record an intended change, run
+//! `GOLDEN_RECORD=1 cargo test -p laurelhitch-gateway --test golden`, which writes the files.
+//! Without the variable the tests only compare. Each line of a file has a name and a value. The
+//! value is bytes in hexadecimal, or text in which bytes other than printable ASCII are escaped.
+//! The names do not follow the identifiers of the code.
 
 // Scenario tests run from top to bottom in one function, and tables of cases are long.
 #![allow(clippy::too_many_lines)]
@@ -51,7 +52,7 @@
 use support::script::ScriptedEngine;
 use support::*;
 
-/// Compares the names and values with the recorded file, or writes the file if `GOLDEN_RECORD` is 1.
+/// Compares the names and values with the recorded file, or writes the file if `GOLDEN_RECORD=1`.
 fn compare_golden(file: &str, actual: &[(&str, String)]) {
     let path = Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("tests/golden")
@@ -286,7 +287,8 @@
     compare_golden("packets_read.txt", &actual);
 }
 
-/// Reads the next packet, which must be an error, and returns its code followed by its SQL state and text.
+/// Reads the next packet, which must be an error, and returns its code followed by its SQL state
+/// and text.
 fn error(client: &mut Client) -> String {
     let body = client.packet().unwrap();
     assert_eq!(body[0], 0xff, "{}", to_escaped(&body));
@@ -545,8 +547,8 @@
     to_escaped(bytes)
 }
 
-/// Accepts connections until one carries a request that differs from `last`, and returns the request and
-/// the connection. The gateway repeats a poll that is slow to be answered.
+/// Accepts connections until one carries a request that differs from `last`, and returns the
+/// request and the connection. The gateway repeats a poll that is slow to be answered.
 fn accept_new_request(board: &TcpListener, last: &str) -> (String, TcpStream) {
     loop {
         let (mut stream, _) = board.accept().unwrap();
@@ -1019,7 +1021,8 @@
     }
 }
 
-/// Returns the field names of the first object in this printed JSON, in their order, joined with `|`.
+/// Returns the field names of the first object in this printed JSON, in their order, joined with
+/// `|`.
 fn field_names(json: &str) -> String {
     let object = json.split('}').next().unwrap();
     let names = object
--- a/crates/gateway/tests/identity.rs
+++ b/crates/gateway/tests/identity.rs
@@ -1,5 +1,5 @@
-//! End-to-end tests of token authentication over TLS: logins, grants, expiry, renewal, key rotation,
-//! revocation and invalid key files.
+//! End-to-end tests of token authentication over TLS: logins, grants, expiry, renewal, key
+//! rotation, revocation and invalid key files.
 
 // Scenario tests run from top to bottom in one function, and tables of cases are long.
 #![allow(clippy::too_many_lines)]
@@ -56,7 +56,8 @@
         site
     }
 
-    /// Runs the program with these arguments, asserts that it succeeds and returns its standard output.
+    /// Runs the program with these arguments, asserts that it succeeds and returns its standard
+    /// output.
     fn run(&self, arguments: &[&str]) -> String {
         let output = Command::new(env!("CARGO_BIN_EXE_laurelhitch"))
             .args(arguments)
@@ -100,7 +101,8 @@
         self.gateway_with_config(std::slice::from_ref(engine), settings, |_| {})
     }
 
-    /// Starts a gateway like [`Self::gateway`], with several engines and a change to its configuration.
+    /// Starts a gateway like [`Self::gateway`], with several engines and a change to its
+    /// configuration.
     fn gateway_with_config(
         &self,
         engines: &[Engine],
@@ -289,9 +291,9 @@
     assert_eq!(renewed.ask("SELECT @@max_allowed_packet"), Ok(()));
 }
 
-/// Runs sessions that send statements continuously while keys are created, retired and withdrawn, and
-/// one caller per round is revoked. Returns the number of statements answered and, for each round, the
-/// time in seconds from the revocation to the first statement refused because of it.
+/// Runs sessions that send statements continuously while keys are created, retired and withdrawn,
+/// and one caller per round is revoked. Returns the number of statements answered and, for each
+/// round, the time in seconds from the revocation to the first statement refused because of it.
 fn rotate_keys_under_load(sessions: usize, rounds: usize, pause_ms: u64) -> (u32, Vec<f64>) {
     let (site, engines) = (TestSite::new(), [engine(1), engine(1)]);
     let gateway = site.gateway_with_config(&engines, "", |config| {
@@ -323,8 +325,8 @@
                     }
                     match session.ask(&statement()) {
                         Ok(()) => answered += 1,
-                        // Admission control denies statements when the machine has stalled; this does
-                        // not concern the identity of the caller.
+                        // Admission control denies statements when the machine has stalled; this
+                        // does not concern the identity of the caller.
                         Err((1226, _)) => {
                             denied.fetch_add(1, Ordering::Relaxed);
                             sleep(millis(400));
@@ -397,9 +399,8 @@
     assert!(answered > 1000 && refusals.len() == 3, "{answered}");
 }
 
-/// Run this test with
-/// `cargo test --release -p laurelhitch-gateway --test identity -- --ignored --nocapture`; it takes less
-/// than a minute.
+/// This test takes less than a minute. Run it with
+/// `cargo test --release -p laurelhitch-gateway --test identity -- --ignored --nocapture`.
 #[test]
 #[ignore = "takes up to a minute"]
 fn two_hundred_sessions_and_thirty_rotations() {
--- a/crates/gateway/tests/process.rs
+++ b/crates/gateway/tests/process.rs
@@ -1,4 +1,5 @@
-//! End-to-end tests: a gateway process on loopback with simulated clients, engines and discovery service.
+//! End-to-end tests: a gateway process on loopback with simulated clients, engines and discovery
+//! service.
 
 // Scenario tests run from top to bottom in one function, and tables of cases are long.
 #![allow(clippy::too_many_lines)]
@@ -198,8 +199,8 @@
         client.stream.write_all(&query_packet(&statement)).unwrap();
         sleep(millis(100));
         engine.set(Mood::Well);
-        // A statement whose answer has not begun may still be running on the engine, so it is not retried
-        // before its deadline.
+        // A statement whose answer has not begun may still be running on the engine, so it is not
+        // retried before its deadline.
         if mood == Mood::Half {
             assert_eq!(rows(client.answer().unwrap()).len(), 1);
             assert!(begun.elapsed() < millis(1600), "{:?}", begun.elapsed());
@@ -247,7 +248,8 @@
     assert!(denied(&client.ask(&late).unwrap()));
     assert!(begun.elapsed() < millis(400), "{:?}", begun.elapsed());
     engine.set(Mood::Well);
-    // The request id is used again. A late response to the first attempt must not answer the new statement.
+    // The request id is used again. A late response to the first attempt must not answer the new
+    // statement.
     let reused = late
         .replace("SELECT 2", "SELECT 3")
         .replace("budget=400", "budget=5000");
@@ -286,8 +288,8 @@
     let stuck = TcpListener::bind("127.0.0.1:0").unwrap();
     rustix::net::listen(&stuck, 0).unwrap();
     let address = stuck.local_addr().unwrap();
-    // While the accept queue is full, the kernel does not answer further connection attempts, as if the
-    // host had vanished.
+    // While the accept queue is full, the kernel does not answer further connection attempts, as if
+    // the host had vanished.
     let _full: Vec<_> = (0..4)
         .map(|_| TcpStream::connect_timeout(&address, millis(50)))
         .collect();
@@ -339,8 +341,8 @@
         waiting_client.answer().unwrap(),
         Answer::Error(1317, _)
     ));
-    // From here on the engine accepts connections. The kernel retries the pending connection attempts
-    // after a second.
+    // From here on the engine accepts connections. The kernel retries the pending connection
+    // attempts after a second.
     drop(full);
     rustix::net::listen(&stuck, 64).unwrap();
     let (lines, received_lines) = std::sync::mpsc::channel();
@@ -630,8 +632,8 @@
     let engine = engine(1);
     let gateway = Gateway::start(&[engine.address]);
     let mut client = gateway.client();
-    // The estimate far exceeds the budget. The statement is rejected by the first tick, which comes after
-    // the input of clients in the same turn of the event loop.
+    // The estimate far exceeds the budget. The statement is rejected by the first tick, which comes
+    // after the input of clients in the same turn of the event loop.
     let hopeless = || query_packet(&commented(300, "SELECT 1").replace("est=12.0", "est=9000000"));
     client
         .stream
@@ -817,8 +819,8 @@
     let (first, second) = (engine(1), engine(300));
     let gateway = Gateway::start(&[first.address]);
     let good = std::fs::read_to_string(&gateway.config).unwrap();
-    // The gateway is suspended while the file is replaced: a failed reload that is retried must not read
-    // the next file before the signal that belongs to it.
+    // The gateway is suspended while the file is replaced: a failed reload that is retried must not
+    // read the next file before the signal that belongs to it.
     let reload = |text: &str| {
         gateway.suspend();
         std::fs::write(&gateway.config, text).unwrap();
@@ -839,8 +841,8 @@
             1
         );
     }
-    // The configuration names another discovery service, whose revisions continue from the earlier ones. It
-    // is reloaded twice in a row, and one event is known only from the file.
+    // The configuration names another discovery service, whose revisions continue from the earlier
+    // ones. It is reloaded twice in a row, and one event is known only from the file.
     let moved = Board::start("127.0.0.1:0").unwrap();
     let drained = target("e-0", first.address, "terminating");
     moved.tell(true, vec![target("e-0", first.address, "in_service")]);
@@ -884,8 +886,8 @@
     assert_eq!((first.lines().len(), second.lines().len()), (before + 1, 1));
     let (status, log) = gateway.wait_for_exit(millis(5000));
     assert!(status.success());
-    // Two of the four invalid files are truncated. Such a reload is retried until the next file arrives, and
-    // is not counted as failed.
+    // Two of the four invalid files are truncated. Such a reload is retried until the next file
+    // arrives, and is not counted as failed.
     assert_eq!(
         (counter(&log, "reloads"), counter(&log, "reloads_failed")),
         (4, 2),
@@ -1025,8 +1027,8 @@
     let login = login_packet("app", b"", "warehouse");
     let query = query_packet(&commented(2000, "SELECT 1"));
     let rejected_query = query_packet(&commented(2000, "SELECT 1").replace("point", "nothing"));
-    // An incomplete packet of 60,000 bytes is sent by so many clients that the memory limit does not
-    // hold all of them.
+    // An incomplete packet of 60,000 bytes is sent by so many clients that the memory limit does
+    // not hold all of them.
     let large = [&[0x60, 0xea, 0, 0, 3][..], &[b'x'; 50_000]].concat();
     let mut inputs = vec![
         Vec::new(),
@@ -1080,8 +1082,8 @@
     for (n, thread) in threads.into_iter().enumerate() {
         let (took, sent, received) = thread.join().unwrap();
         assert!(took < millis(2900), "{n}: {took:?}");
-        // Every client except the one that sends more than a packet can hold (5) has written all of its input
-        // and so can read the final error.
+        // Every client except the one that sends more than a packet can hold (5) has written all of
+        // its input and so can read the final error.
         assert!(n == 5 || sent, "{n}");
         let refused = received.windows(3).any(|bytes| bytes == [0xff, 0x81, 0x04]);
         assert!(refused || ![4, 5, 10].contains(&n), "{n}");
--- a/crates/gateway/tests/queues.rs
+++ b/crates/gateway/tests/queues.rs
@@ -66,8 +66,8 @@
 /// Numbers of completed, rejected and other answers, by tenant.
 type Counts = BTreeMap<String, [u32; 3]>;
 
-/// Starts clients that each send statements one after another for `duration_ms`, with a pause in between, and
-/// count their answers in `counts`.
+/// Starts clients that each send statements one after another for `duration_ms`, with a pause in
+/// between, and count their answers in `counts`.
 fn start_clients(
     listen: SocketAddr,
     member: &str,
@@ -320,8 +320,8 @@
     sleep(millis(1500));
     stalled.set(Mood::Well);
     join_all(load);
-    // The read timeout of the clients is far longer than the budget of a statement: a client that got no
-    // answer has failed the test in its own thread.
+    // The read timeout of the clients is far longer than the budget of a statement: a client that
+    // got no answer has failed the test in its own thread.
     let counts = counts.lock().unwrap()["water"];
     assert!(counts[0] > 60, "{counts:?}");
     gateway.signal(Signal::TERM);
@@ -434,8 +434,8 @@
                 .count()
         })
     };
-    // The first two tenants have no budget, and the third has less than one statement a second. Each
-    // statement costs more than the largest credit that a tenant can accumulate.
+    // The first two tenants have no budget, and the third has less than one statement a second.
+    // Each statement costs more than the largest credit that a tenant can accumulate.
     let clients = ["m0", "m500", "m999"].map(start_client);
     sleep(millis(200));
     std::fs::write(
--- a/crates/gateway/tests/shares.rs
+++ b/crates/gateway/tests/shares.rs
@@ -1,6 +1,6 @@
-//! Tests of quotas that are divided among several gateway processes, with faults in the network between
-//! them. The use of a quota is counted at the engines, where the attempts arrive, and compared with what
-//! the gateways report.
+//! Tests of quotas that are divided among several gateway processes, with faults in the network
+//! between them. The use of a quota is counted at the engines, where the attempts arrive, and
+//! compared with what the gateways report.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::process::Command;
@@ -18,8 +18,8 @@
 /// The limit of each wait; it is far longer than the wait takes on an idle machine.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(40);
 const LEASE_MS: u64 = 2500;
-/// The capacity of the quota for all gateways together: further attempts of the query class `point` a
-/// second. A further attempt is any attempt of a statement after its first.
+/// The capacity of the quota for all gateways together: further attempts of the query class `point`
+/// a second. A further attempt is any attempt of a statement after its first.
 const CAPACITY_PER_S: f64 = 6.0;
 /// The time for which an unused share of the capacity accumulates.
 const BURST_S: f64 = 1.0;
@@ -34,7 +34,8 @@
     )
 }
 
-/// Starts this many gateways and waits until each sees all others and the capacity is granted in full.
+/// Starts this many gateways and waits until each sees all others and the capacity is granted in
+/// full.
 fn start_fleet(gateways: usize) -> Fleet {
     let mut options = FleetOptions::new(PROGRAM, gateways);
     options.further = quota_settings(gateways, CAPACITY_PER_S);
@@ -84,14 +85,14 @@
         .expect("no gateway is the leader")
 }
 
-/// Clients whose statements fail at every engine, so that the gateways need further attempts for each of
-/// them. They run until [`Overload::end`] is called.
+/// Clients whose statements fail at every engine, so that the gateways need further attempts for
+/// each of them. They run until [`Overload::end`] is called.
 struct Overload {
     stop: Arc<AtomicBool>,
     statements: Arc<AtomicU64>,
     clients: Vec<JoinHandle<()>>,
-    /// The thread that reads the number of further attempts at the engines every 100 ms and returns it by
-    /// the time since the start.
+    /// The thread that reads the number of further attempts at the engines every 100 ms and returns
+    /// it by the time since the start.
     samples: JoinHandle<Vec<(Duration, usize)>>,
     began: Instant,
 }
@@ -259,8 +260,8 @@
     for round in 0..2 {
         let overload = Overload::start(&fleet, &[0, 1, 2, 3, 4]);
         let first = leader(&fleet);
-        // In the first round the minority is the leader and a gateway that does not vote, in the second a
-        // voter that is not the leader and a gateway that does not vote.
+        // In the first round the minority is the leader and a gateway that does not vote, in the
+        // second a voter that is not the leader and a gateway that does not vote.
         let minority: Vec<usize> = if round == 0 {
             vec![first, 4]
         } else {
@@ -314,7 +315,8 @@
     fleet
         .wait_until_shares(WAIT_TIMEOUT, &rest, granted_again)
         .unwrap();
-    // The next leader is killed as soon as the restarted gateway is ready. Both restart without state.
+    // The next leader is killed as soon as the restarted gateway is ready. Both restart without
+    // state.
     fleet.start_gateway(first).unwrap();
     fleet.wait_until_ready(first);
     let second = leader(&fleet);
@@ -397,8 +399,8 @@
     assert_within_capacity(&fleet, &overload.end(), CAPACITY_PER_S);
 }
 
-/// When all gateways are idle, the capacity is divided evenly. When all need more than the capacity,
-/// none has less than an even share.
+/// When all gateways are idle, the capacity is divided evenly. When all need more than the
+/// capacity, none has less than an even share.
 #[test]
 fn shares_are_even_when_all_gateways_are_idle_or_all_are_overloaded() {
     let fleet = start_fleet(4);
@@ -436,8 +438,8 @@
     let (began, mut returned_after) = (Instant::now(), Duration::ZERO);
     fleet.signal(3, Signal::TERM);
     let floor = CAPACITY_PER_S * 0.2 / 4.0;
-    // The answer to a lease request that is in flight at this time is lost; the share is then free one
-    // renewal later.
+    // The answer to a lease request that is in flight at this time is lost; the share is then free
+    // one renewal later.
     returned_after += fleet
         .wait_until_shares(WAIT_TIMEOUT, &[0, 1, 2], |shares| {
             granted_per_s(shares) > (CAPACITY_PER_S - floor) * 0.99
@@ -484,8 +486,8 @@
         .filter(|gateway| *gateway != first)
         .chain([first])
         .collect();
-    // The smaller capacity of a single voter is enough: the leader grants no more than this capacity, well
-    // before it reloads its own configuration.
+    // The smaller capacity of a single voter is enough: the leader grants no more than this
+    // capacity, well before it reloads its own configuration.
     let voter = *order.iter().find(|gateway| **gateway < 3).unwrap();
     fleet.rewrite_operator_files(&[voter], &smaller).unwrap();
     fleet
